--- /dev/null
+++ b/crates/rehearsal/examples/history.rs
@@ -0,0 +1,93 @@
+//! Prints a digest of what the nodes send on seeded days, one line per kind of day.
+//!
+//! `cargo run --release -p dillcleat-rehearsal --example history -- FROM TO [--each]`
+//!
+//! Run it on two versions of the sources: equal lines show that both behave alike.
+
+use clap::Parser;
+use dillcleat_rehearsal::{Form, Scenario, World};
+use sha2::{Digest, Sha256};
+use std::fmt::Write;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Prints a digest of what the nodes send on seeded days
+#[derive(Parser)]
+struct Args {
+    /// The first seed
+    from: u64,
+    /// The one after the last
+    to: u64,
+    /// Print the digest of each day as well
+    #[arg(long)]
+    each: bool,
+}
+
+/// A kind of day: its name, and the day of a seed.
+type Kind = (&'static str, fn(u64) -> Scenario);
+
+const KINDS: [Kind; 9] = [
+    ("random", Scenario::random),
+    ("quiet", Scenario::quiet),
+    ("troubled", Scenario::troubled),
+    ("cut-off", Scenario::cut_off),
+    ("pipelines", Scenario::pipelines),
+    ("meetings", Scenario::meetings),
+    ("gap", Scenario::gap),
+    ("calls", Scenario::ends_at_call),
+    ("objects", objects),
+];
+
+fn objects(seed: u64) -> Scenario {
+    Scenario {
+        form: Form::Objects,
+        ..Scenario::troubled(seed)
+    }
+}
+
+fn main() {
+    let args = Args::parse();
+    for (name, scenario) in KINDS {
+        let days = play(args.from, args.to, scenario);
+        if args.each {
+            for (seed, digest) in (args.from..).zip(&days) {
+                println!("{name} {seed} {}", hex(digest));
+            }
+        }
+        let mut all = Sha256::new();
+        for digest in &days {
+            all.update(digest);
+        }
+        println!("{name}: {} days {}", days.len(), hex(&all.finalize()));
+    }
+}
+
+/// The digests of the days, in the order of their seeds.
+fn play(from: u64, to: u64, scenario: fn(u64) -> Scenario) -> Vec<[u8; 32]> {
+    let next = AtomicU64::new(from);
+    let days = Mutex::new(vec![[0; 32]; to.saturating_sub(from) as usize]);
+    let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| {
+                loop {
+                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    if seed >= to {
+                        return;
+                    }
+                    let digest = World::new(scenario(seed)).run().history;
+                    days.lock().expect("no holder panics")[(seed - from) as usize] = digest;
+                }
+            });
+        }
+    });
+    days.into_inner().expect("no holder panics")
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        // Writing to a string does not fail.
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod alone;
 pub mod cloud;
 pub mod fleet;
+pub mod history;
 pub mod loopback;
 mod meetings;
 pub mod objects;
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -12,6 +12,7 @@
 
 use self::pipelines::Stands;
 use crate::cloud::Cloud;
+use crate::history::OutputHistory;
 use crate::objects::{self, Plan, Watcher};
 use crate::rules::{Checker, Late, Limit, Place, Violation};
 use crate::scenario::{Cut, Fault, Form, Scenario};
@@ -70,6 +71,8 @@
     pub digest: [u8; 32],
     /// SHA-256 of every start and end of a task on a machine, with its time.
     pub placements: [u8; 32],
+    /// SHA-256 of everything that the nodes sent, in order ([`OutputHistory`]).
+    pub history: [u8; 32],
     /// Jobs of Kubernetes' that were accepted, and ends of them that were told.
     pub objects: (usize, usize),
     /// Tasks that ran on a machine when it went.
@@ -405,6 +408,7 @@
     stale: Vec<&'static str>,
     digest: Sha256,
     placements: Sha256,
+    history: OutputHistory,
     watcher: Watcher,
     most_machines: usize,
     lost: usize,
@@ -565,6 +569,7 @@
             stale: Vec::new(),
             digest: Sha256::new(),
             placements: Sha256::new(),
+            history: OutputHistory::default(),
             watcher: Watcher::default(),
             most_machines: 0,
             lost: 0,
@@ -660,6 +665,7 @@
             stale: self.stale,
             digest: self.digest.finalize().into(),
             placements: self.placements.finalize().into(),
+            history: self.history.finish(),
             objects: self.watcher.counts(),
             lost: self.lost,
             late_hits: self.late_hits,
--- a/crates/rehearsal/src/world/network.rs
+++ b/crates/rehearsal/src/world/network.rs
@@ -166,6 +166,7 @@
     }
 
     pub(super) fn carry(&mut self, node: usize, epoch: u32, out: Out) {
+        self.history.record(self.now, node, &out);
         match out {
             Out::Core(output) => self.carry_core(node, epoch, output),
             Out::Reply { id, reply } => match self.asked.remove(&id.0) {
