--- a/crates/core/src/leader/cut.rs
+++ b/crates/controller/src/leader/cut.rs
@@ -1,7 +1,7 @@
 //! Zones that have fallen silent.
 
 use super::*;
-use dillcleat_mesh::Silence;
+use dillcleat_peer_protocol::Silence;
 
 /// After so many leases a machine is deleted though there is no other room for
 /// what was on it: its zone may be gone for good.
@@ -136,7 +136,7 @@
             *latest = m.heard_at.max(*latest);
         }
         let quiet = |at: Micros| now.saturating_sub(at) / MILLISECOND;
-        let heard = heard.into_iter().take(dillcleat_mesh::MAX_ZONES);
+        let heard = heard.into_iter().take(dillcleat_peer_protocol::MAX_ZONES);
         heard
             .map(|(zone, at)| Silence {
                 zone: zone.to_string(),
--- a/crates/core/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -39,7 +39,7 @@
 use crate::waiters::{Leading as Step, Waiter};
 use crate::workers::{Machine, SlotEvent, Source, TaskKey};
 use crate::{Answer, CallId, Config, Counts, MILLISECOND, Micros, SECOND, micros, seconds};
-use dillcleat_mesh::Progress;
+use dillcleat_peer_protocol::Progress;
 use dillcleat_sched::units;
 use dillcleat_wire::TaskName;
 use dillcleat_wire::cloud::{CloudReply, Condition, MachineList, MachineType, Rent};
--- a/crates/core/src/leader/rent.rs
+++ b/crates/controller/src/leader/rent.rs
@@ -493,7 +493,9 @@
     pub fn progress(&mut self) -> Vec<Progress> {
         let mut changed = Vec::new();
         let unshown = self.index.unshown.iter();
-        let some: Vec<Place> = unshown.take(dillcleat_mesh::MAX_PROGRESS).collect();
+        let some: Vec<Place> = unshown
+            .take(dillcleat_peer_protocol::MAX_PROGRESS)
+            .collect();
         for place in some {
             self.jobs.mark(place);
             let Some((id, job)) = self.jobs.at(place) else {
--- a/crates/core/src/leader/teach.rs
+++ b/crates/controller/src/leader/teach.rs
@@ -1,7 +1,7 @@
 //! What is told of what this leader has learned, for one that follows.
 
 use super::*;
-use dillcleat_mesh::{Learned, LearnedJob, MAX_CLASSES, MAX_LEARNED, MAX_SAMPLES};
+use dillcleat_peer_protocol::{Learned, LearnedJob, MAX_CLASSES, MAX_LEARNED, MAX_SAMPLES};
 
 /// Jobs that are told again in turn in one message, and places that are looked at for
 /// them, services and what has gone among them. With a hundred a message a leader of
--- a/crates/core/src/learned.rs
+++ b/crates/controller/src/learned.rs
@@ -6,7 +6,7 @@
 //! before, and no rule rests on any.
 
 use crate::{Config, Micros, SECOND};
-use dillcleat_mesh::{Learned, LearnedJob};
+use dillcleat_peer_protocol::{Learned, LearnedJob};
 use std::collections::HashMap;
 
 /// What was not told again for so long is not believed: its job has ended, or the
--- a/crates/core/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -33,7 +33,7 @@
 pub use config::{Config, Tuning, TuningError};
 pub use node::Node;
 
-use dillcleat_mesh::Message;
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::{CloudCall, CloudReply};
 use dillcleat_wire::state::{StateCall, StateReply};
 use dillcleat_wire::user::JobState;
--- a/crates/core/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -15,7 +15,7 @@
     Answer, Config, Counts, Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND, Told,
     micros,
 };
-use dillcleat_mesh::Message;
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::StateReply;
 use dillcleat_wire::user::{JobSpec, JobState, Route, route};
 use dillcleat_wire::worker::{Elsewhere, Report};
@@ -573,7 +573,7 @@
             }
             let progress = leader.progress();
             self.admission.progress.shown(&progress);
-            let all = progress.len() < dillcleat_mesh::MAX_PROGRESS;
+            let all = progress.len() < dillcleat_peer_protocol::MAX_PROGRESS;
             let more = self.admission.progress.tell(all, now.steady);
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
--- a/crates/core/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -6,7 +6,7 @@
 //! new leader has had the time to hear its machines.
 
 use crate::{Micros, SECOND};
-use dillcleat_mesh::{MAX_PROGRESS, Progress};
+use dillcleat_peer_protocol::{MAX_PROGRESS, Progress};
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
--- a/crates/core/tests/answers.rs
+++ b/crates/controller/tests/answers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::{Micros, SECOND, store};
+use dillcleat_controller::{Micros, SECOND, store};
 use dillcleat_wire::state::{StateCall, StateReply, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
--- a/crates/core/tests/blind.rs
+++ b/crates/controller/tests/blind.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::step;
-use dillcleat_core::{Input, RequestId, SECOND};
+use dillcleat_controller::{Input, RequestId, SECOND};
 use dillcleat_wire::encode;
 use dillcleat_wire::worker::Report;
 
--- a/crates/core/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -1,8 +1,8 @@
 //! A controller with a store, a cloud and workers around it, small and without chance.
 //! Every worker checks that no task starts while it is on another.
 
-use dillcleat_core::store::{self, OpenJob};
-use dillcleat_core::{
+use dillcleat_controller::store::{self, OpenJob};
+use dillcleat_controller::{
     CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND,
 };
 use dillcleat_wire::cloud::{CloudCall, CloudReply, Condition, ListedMachine, MachineList};
--- a/crates/core/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -1,9 +1,9 @@
 //! A node that leads with a task of a job on one machine, and what around it fails.
 
 use super::{Around, config_with_team, recorded, row, step_with};
-use dillcleat_core::store::{self, CancelledJob, Chunk, OpenJob};
-use dillcleat_core::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::store::{self, CancelledJob, Chunk, OpenJob};
+use dillcleat_controller::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{Changes, Event, Page, Row, StateReply};
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/core/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -7,8 +7,8 @@
 pub mod gap;
 pub mod users;
 
-use dillcleat_core::store::{self, MachineRecord, Types};
-use dillcleat_core::{
+use dillcleat_controller::store::{self, MachineRecord, Types};
+use dillcleat_controller::{
     CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId, Tuning,
 };
 use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineList, MachineType};
--- a/crates/core/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -1,8 +1,10 @@
 //! Nodes and a store driven call by call: when a call is carried out and when its answer
 //! comes is up to the test.
 
-use dillcleat_core::store::{self, JobMark, Mark};
-use dillcleat_core::{CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId};
+use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::{
+    CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId,
+};
 use dillcleat_wire::state::{Change, Compare, Page, Row, StateCall, StateReply, Txn, Value, value};
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, JobStatus, Kind, cancel_path, poll_path};
 use dillcleat_wire::{decode, encode};
--- a/crates/core/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{Around, node_of_three_zones, recorded, report, step_with};
-use dillcleat_core::{CallError, Input, MILLISECOND, Micros, Node, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, SECOND};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::state::{Changes, Row, StateReply};
 
--- a/crates/core/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{recorded, report, step};
-use dillcleat_core::{Input, MILLISECOND, Micros, Node, Now, Output, SECOND, Tuning, micros};
-use dillcleat_mesh::Message;
+use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, SECOND, Tuning, micros};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::Row;
 use dillcleat_wire::worker::Elsewhere;
 
--- a/crates/core/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::users::{Driven, spec};
-use dillcleat_core::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::StateReply;
 
 /// How many of the requests lead to a call of the state service, and how many
--- a/crates/core/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -5,8 +5,8 @@
 
 use common::gap::{Gap, JOB, START, at_most, cancelled, page};
 use common::{config_with_team, row, step_with};
-use dillcleat_core::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, store};
-use dillcleat_mesh::Message;
+use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, store};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::encode;
 use dillcleat_wire::state::Change;
--- a/crates/core/tests/graph.rs
+++ b/crates/controller/tests/graph.rs
@@ -1,6 +1,6 @@
 //! Which jobs wait for which.
 
-use dillcleat_core::graph::Graph;
+use dillcleat_controller::graph::Graph;
 use std::rc::Rc;
 
 fn graph(edges: &[(&str, &str)]) -> Graph {
--- a/crates/core/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -5,9 +5,9 @@
 
 use common::gap::{Gap, JOB, START, at_most, cancelled};
 use common::{machine_type, recorded, report, row, step_with, types};
-use dillcleat_core::store::{self, Chunk, JobMark, Lead, Mark, OpenJob, Span, Term};
-use dillcleat_core::{CallError, Input, MILLISECOND, Micros, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::store::{self, Chunk, JobMark, Lead, Mark, OpenJob, Span, Term};
+use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, SECOND};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::state::{Change, Event, Page, Row, StateReply, read};
 use dillcleat_wire::worker::Command;
--- a/crates/core/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use dillcleat_core::store::{self, Lead, Term, Types};
-use dillcleat_core::{Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::store::{self, Lead, Term, Types};
+use dillcleat_controller::{Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::state::{Changes, Page, Row, StateCall, StateReply, value};
 
--- a/crates/core/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{Around, step_with};
-use dillcleat_core::store::{OpenJob, open_key};
-use dillcleat_core::{Input, Micros, Node, Now, Output, SECOND};
-use dillcleat_mesh::{Learned, LearnedJob, Message};
+use dillcleat_controller::store::{OpenJob, open_key};
+use dillcleat_controller::{Input, Micros, Node, Now, Output, SECOND};
+use dillcleat_peer_protocol::{Learned, LearnedJob, Message};
 use dillcleat_wire::state::{Row, value};
 use dillcleat_wire::user::{JobSpec, Kind};
 
--- a/crates/core/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{Around, config_with_team, machine_type, step_with};
-use dillcleat_core::config::DeadlineAim;
-use dillcleat_core::store::{self, OpenJob};
-use dillcleat_core::{Input, MILLISECOND, Micros, Node, SECOND};
+use dillcleat_controller::config::DeadlineAim;
+use dillcleat_controller::store::{self, OpenJob};
+use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_wire::cloud::{CloudCall, MachineType};
 use dillcleat_wire::state::{Row, value};
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/core/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::row;
-use dillcleat_core::store::{self, OpenJob, Span, parse_tasks_key};
-use dillcleat_core::{CallError, Input, MILLISECOND, Micros, Node, Now, Output, SECOND};
+use dillcleat_controller::store::{self, OpenJob, Span, parse_tasks_key};
+use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, Now, Output, SECOND};
 use dillcleat_wire::decode;
 use dillcleat_wire::state::{Change, Page, Row, StateCall, StateReply, Txn, json_size};
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/core/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_answers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::{CallError, MILLISECOND, Micros, SECOND};
+use dillcleat_controller::{CallError, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::state::StateReply;
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
--- a/crates/core/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use dillcleat_core::store::{self, JobMark, Mark, OpenJob};
-use dillcleat_core::{Input, Now, Output, RequestId, SECOND};
+use dillcleat_controller::store::{self, JobMark, Mark, OpenJob};
+use dillcleat_controller::{Input, Now, Output, RequestId, SECOND};
 use dillcleat_wire::decode;
 use dillcleat_wire::state::{Row, StateCall, StateReply, Value, value};
 use dillcleat_wire::user::{JobSpec, JobState, JobStatus, Kind};
--- a/crates/core/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -4,9 +4,9 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::store;
-use dillcleat_core::workers::Machine;
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::store;
+use dillcleat_controller::workers::Machine;
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind, Priority};
 
 fn job(number: u32, tasks: u32) -> JobSpec {
--- a/crates/core/tests/new_machines.rs
+++ b/crates/controller/tests/new_machines.rs
@@ -4,7 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::{MILLISECOND, Micros, SECOND};
+use dillcleat_controller::{MILLISECOND, Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind};
 
 /// Two jobs find no machine at all; what is rented is up a second later. The answers to
--- a/crates/core/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::store::{Mark, Types};
-use dillcleat_core::{CallError, Config, Micros, SECOND, store};
+use dillcleat_controller::store::{Mark, Types};
+use dillcleat_controller::{CallError, Config, Micros, SECOND, store};
 use dillcleat_wire::state::{StateCall, StateReply, Value, value};
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, Kind};
 
--- a/crates/core/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{Around, config_with_team, machine_type, recorded, row, step_with};
-use dillcleat_core::store::{self, CancelledJob, Chunk, JobMark, Mark, OpenJob, Span};
-use dillcleat_core::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
+use dillcleat_controller::store::{self, CancelledJob, Chunk, JobMark, Mark, OpenJob, Span};
+use dillcleat_controller::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{Change, Changes, Event, Row, StateReply, Value, read, value};
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/core/tests/own_cancellations.rs
+++ b/crates/controller/tests/own_cancellations.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::gap::{Gap, JOB};
-use dillcleat_core::store::{self, JobMark, Mark};
-use dillcleat_core::{Input, RequestId, SECOND};
+use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::{Input, RequestId, SECOND};
 use dillcleat_wire::user::{cancel_path, poll_path};
 use dillcleat_wire::worker::Command;
 
--- a/crates/core/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -1,8 +1,8 @@
 //! What may be sent to the cloud, and until when.
 
-use dillcleat_core::latency::lease_time;
-use dillcleat_core::permit::{Action, Ground, LeadershipProof, proof_time};
-use dillcleat_core::{Config, MILLISECOND, SECOND, Tuning, micros};
+use dillcleat_controller::latency::lease_time;
+use dillcleat_controller::permit::{Action, Ground, LeadershipProof, proof_time};
+use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::platform::Platform;
 
--- a/crates/core/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{Around, config_with_team, recorded, row, step_with};
-use dillcleat_core::store::{self, Chunk, OpenJob};
-use dillcleat_core::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
-use dillcleat_mesh::{Message, Progress};
+use dillcleat_controller::store::{self, Chunk, OpenJob};
+use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
+use dillcleat_peer_protocol::{Message, Progress};
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{StateCall, StateReply};
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/core/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use dillcleat_core::workers::{Machine, SlotEvent, Source, TaskKey};
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::workers::{Machine, SlotEvent, Source, TaskKey};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind};
 use dillcleat_wire::worker::{Command, Report, TaskReport, TaskState, Why};
 use std::rc::Rc;
@@ -89,8 +89,8 @@
     m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let launch = m.commands(true, |_, _| true);
     assert!(matches!(launch[..], [Command::Start { .. }]));
-    m.pushed(dillcleat_core::CallId(1), &launch);
-    m.push_ended(dillcleat_core::CallId(1), true);
+    m.pushed(dillcleat_controller::CallId(1), &launch);
+    m.push_ended(dillcleat_controller::CallId(1), true);
     if let Some(slot) = m.slots.get_mut(&key()) {
         slot.cancelled = true;
     }
--- a/crates/core/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::store::{self, Mark};
-use dillcleat_core::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
+use dillcleat_controller::store::{self, Mark};
+use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::state::{StateCall, StateReply, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 use fastrand::Rng;
--- a/crates/core/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{recorded, report, step_and_calls};
-use dillcleat_core::{Input, MILLISECOND, Micros, SECOND};
-use dillcleat_mesh::{Message, Silence};
+use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
+use dillcleat_peer_protocol::{Message, Silence};
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::state::Row;
 
--- a/crates/core/tests/slab.rs
+++ b/crates/controller/tests/slab.rs
@@ -1,6 +1,6 @@
 //! What a slab marks as changed.
 
-use dillcleat_core::slab::Slab;
+use dillcleat_controller::slab::Slab;
 
 #[test]
 fn what_may_have_changed_is_marked_once_even_if_it_has_gone() {
--- a/crates/core/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -2,9 +2,11 @@
 
 mod common;
 
-use dillcleat_core::SECOND;
-use dillcleat_core::store;
-use dillcleat_core::{CallError, CallId, Input, MILLISECOND, Micros, Node, Now, Output, RequestId};
+use dillcleat_controller::SECOND;
+use dillcleat_controller::store;
+use dillcleat_controller::{
+    CallError, CallId, Input, MILLISECOND, Micros, Node, Now, Output, RequestId,
+};
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{Page, StateCall, StateReply, Txn};
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind};
--- a/crates/core/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -5,8 +5,8 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::store::{self, JobMark, Mark};
-use dillcleat_core::{MILLISECOND, SECOND};
+use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::{MILLISECOND, SECOND};
 use dillcleat_wire::encode;
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, poll_path};
 
--- a/crates/core/tests/team_limits.rs
+++ b/crates/controller/tests/team_limits.rs
@@ -4,8 +4,8 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::store;
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::store;
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind};
 
 const LIMIT: u32 = 4;
--- a/crates/core/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -1,10 +1,10 @@
 //! Two versions share records and frames: what the version in production writes, as
 //! bytes, is read here, and what is written here is read by copies of its types.
 
-use dillcleat_core::store::{
+use dillcleat_controller::store::{
     CancelledJob, Chunk, JobMark, MachineRecord, Mark, OpenJob, Span, parse_tasks_key, tasks_key,
 };
-use dillcleat_mesh::Message;
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::{Value, read, value};
 use dillcleat_wire::user::{JobSpec, Kind};
 use serde::{Deserialize, Serialize};
--- a/crates/core/tests/waiting.rs
+++ b/crates/controller/tests/waiting.rs
@@ -4,7 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::{Config, Micros, SECOND};
+use dillcleat_controller::{Config, Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind, Priority};
 
 /// No job waits for longer beside a machine that fits.
--- a/crates/core/tests/zones.rs
+++ b/crates/controller/tests/zones.rs
@@ -4,7 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::SECOND;
+use dillcleat_controller::SECOND;
 use dillcleat_wire::user::{JobSpec, Kind, Priority};
 
 const JOB: &str = "req-000001";
--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::token::Token;
 use crate::{http, serve};
 use clap::{Args, CommandFactory, Parser, Subcommand};
-use dillcleat_core::{CallError, Config, Tuning};
+use dillcleat_controller::{CallError, Config, Tuning};
 use dillcleat_kube::{Key, Rules, Settings};
 use dillcleat_wire::platform::{Platform, one_line};
 use dillcleat_wire::user::{self, JobSpec, JobStatus, Kind, Priority, Refusal};
--- a/crates/dillcleat/src/door/mod.rs
+++ b/crates/dillcleat/src/door/mod.rs
@@ -5,7 +5,7 @@
 use crate::error::CliError;
 use crate::http::{Bad, Connection, reason};
 use crate::serve::{Counted, Executor, Shared, bind};
-use dillcleat_core::{Input, RequestId};
+use dillcleat_controller::{Input, RequestId};
 use dillcleat_kube::fault::Fault;
 use dillcleat_kube::{Ask, Out, Reply, Settings};
 use futures_lite::{AsyncRead, AsyncWrite};
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as the protocols use it: small bodies, no pipelining, connections
 //! kept open. Parsing of heads is `httparse`'s.
 
-use dillcleat_core::{Answer, CallError};
+use dillcleat_controller::{Answer, CallError};
 use dillcleat_wire::BODY_LIMIT;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use smol::Timer;
--- a/crates/dillcleat/src/mesh.rs
+++ b/crates/dillcleat/src/mesh.rs
@@ -1,8 +1,8 @@
 //! Connections among the controllers. Each node connects to each sibling and
 //! sends on its own connections only; what it accepts, it reads.
 
-use dillcleat_core::Input;
-use dillcleat_mesh::{FrameError, Message, frame_len};
+use dillcleat_controller::Input;
+use dillcleat_peer_protocol::{FrameError, Message, frame_len};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use smol::Timer;
 use smol::channel::{Receiver, Sender};
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -4,11 +4,11 @@
 use crate::error::CliError;
 use crate::http::{Bad, Connection, Limits, Pool, Watchdog};
 use crate::mesh;
-use dillcleat_core::{
+use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId, seconds,
 };
 use dillcleat_kube::{Controller, Out, Rules};
-use dillcleat_mesh::Message;
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::platform::Platform;
 use dillcleat_wire::state::StateCall;
--- a/crates/dillcleat/tests/door.rs
+++ b/crates/dillcleat/tests/door.rs
@@ -5,8 +5,8 @@
 
 use common::{KEY, certificate, folder, install};
 use dillcleat_kube::Key;
-use dillcleat_rehearsal::loopback::exchange;
-use dillcleat_rehearsal::processes::{Trio, until};
+use dillcleat_simulator::loopback::exchange;
+use dillcleat_simulator::processes::{Trio, until};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -5,7 +5,7 @@
 
 use common::{KEY, certificate, folder, install};
 use dillcleat_kube::Key;
-use dillcleat_rehearsal::processes::Trio;
+use dillcleat_simulator::processes::Trio;
 use futures_lite::StreamExt;
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::Namespace;
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -1,10 +1,10 @@
 //! Whole processes on the loopback interface: three controllers, the command
 //! line, stand-ins for everything else, and a leader that is killed.
 
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::loopback::{Loopback, exchange, post};
-use dillcleat_rehearsal::processes::{self, Process, until};
-use dillcleat_rehearsal::worker::Play;
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::loopback::{Loopback, exchange, post};
+use dillcleat_simulator::processes::{self, Process, until};
+use dillcleat_simulator::worker::Play;
 use dillcleat_wire::user::{JobSpec, Kind};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -18,10 +18,10 @@
 use crate::target::{Query, Scope, Since, Target, target};
 use crate::watches::{Filter, Sent, Watches};
 use crate::{Ask, Out, Reply, keeper, patch, table, translate, view};
-use dillcleat_core::budget::Need;
-use dillcleat_core::calls::state_timeout;
-use dillcleat_core::store::{self, JobMark, OpenJob};
-use dillcleat_core::{
+use dillcleat_controller::budget::Need;
+use dillcleat_controller::calls::state_timeout;
+use dillcleat_controller::store::{self, JobMark, OpenJob};
+use dillcleat_controller::{
     CallError, CallId, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND, Told,
 };
 use dillcleat_wire::state::{StateCall, StateReply, Txn};
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -7,8 +7,8 @@
 use crate::cache::{Cache, Turn};
 use crate::record::{End, Ending, Gone, Name, Object, Record};
 use crate::view::completions;
-use dillcleat_core::store::{self, CancelledJob, JobMark, Mark};
-use dillcleat_core::{Micros, SECOND, Told};
+use dillcleat_controller::store::{self, CancelledJob, JobMark, Mark};
+use dillcleat_controller::{Micros, SECOND, Told};
 use dillcleat_wire::state::Txn;
 use dillcleat_wire::user::JobState;
 use std::cmp::Reverse;
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -26,7 +26,7 @@
 pub use names::Key;
 pub use settings::{Rules, Settings};
 
-use dillcleat_core::{Input, Node, Now, Output, RequestId};
+use dillcleat_controller::{Input, Node, Now, Output, RequestId};
 use std::rc::Rc;
 
 /// A client's request.
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -3,7 +3,7 @@
 //! - `k/o/RESOURCE/NAMESPACE/NAME`: an object, as long as there is one;
 //! - `k/d/RESOURCE/NAMESPACE/NAME`: that there was one of this name, and its run.
 
-use dillcleat_core::Micros;
+use dillcleat_controller::Micros;
 use dillcleat_wire::state::{self, Value as StateValue};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/kube/src/table.rs
+++ b/crates/kube/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::record::Object;
 use crate::view::{self, Progress};
-use dillcleat_core::Micros;
+use dillcleat_controller::Micros;
 use serde_json::{Value, json};
 
 /// A span of time as Kubernetes' clients write it: `45s`, `5m30s`, `3h`, `2d`.
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -4,7 +4,7 @@
 use crate::record::{Kind, Name};
 use crate::select::Selector;
 use crate::settings::Verb;
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 
 /// Discovery and such: answered without any object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/kube/src/view.rs
+++ b/crates/kube/src/view.rs
@@ -1,7 +1,7 @@
 //! Kept objects as clients see them.
 
 use crate::record::{End, Ending, Kind, Object};
-use dillcleat_core::Micros;
+use dillcleat_controller::Micros;
 use k8s_openapi::api::batch::v1::{Job, JobCondition, JobStatus};
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{ObjectMeta, Time};
 use k8s_openapi::jiff::Timestamp;
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -5,7 +5,7 @@
 use crate::settings::Token;
 use crate::target::Query;
 use crate::{table, view};
-use dillcleat_core::{Micros, RequestId, SECOND};
+use dillcleat_controller::{Micros, RequestId, SECOND};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -1,8 +1,8 @@
 //! A change is carried out and its answer is lost, and somebody else changes the object
 //! before the controller tries again.
 
-use dillcleat_core::store::{self, Types};
-use dillcleat_core::{
+use dillcleat_controller::store::{self, Types};
+use dillcleat_controller::{
     CallError, CallId, Config, Input, Node, Now, Output, RequestId, SECOND, Tuning,
 };
 use dillcleat_kube::record::{Gone, Kind, Name, Record};
--- a/crates/rehearsal/examples/doors.rs
+++ b/crates/simulator/examples/doors.rs
@@ -1,17 +1,17 @@
 //! What the door for Kubernetes-shaped clients takes: creates beside native
 //! submissions, and watchers of many objects.
-//! `cargo run --release -p dillcleat-rehearsal --example doors -- creates|watchers`.
+//! `cargo run --release -p dillcleat-simulator --example doors -- creates|watchers`.
 //!
 //! One controller alone with the stand-ins; the state service answers in 4 ms of
 //! simulated time, and what the controller computes is measured in real time.
 
 use clap::{Parser, Subcommand};
-use dillcleat_core::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
+use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
-use dillcleat_rehearsal::alone::{Alone, Ev, WALL, ask};
-use dillcleat_rehearsal::objects::rules_for;
-use dillcleat_rehearsal::state::StateService;
-use dillcleat_rehearsal::world::config;
+use dillcleat_simulator::alone::{Alone, Ev, WALL, ask};
+use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::state::StateService;
+use dillcleat_simulator::world::config;
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind as NativeKind};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
--- a/crates/rehearsal/examples/grown.rs
+++ b/crates/simulator/examples/grown.rs
@@ -1,18 +1,18 @@
 //! What a controller's work costs on a large fleet, and how the cost grows:
 //!
 //! ```text
-//! cargo run --release -p dillcleat-rehearsal --example grown -- growth
-//! cargo run --release -p dillcleat-rehearsal --example grown -- waiting
-//! cargo run --release -p dillcleat-rehearsal --example grown -- election
-//! cargo run --release -p dillcleat-rehearsal --example grown -- herd
-//! cargo run --release -p dillcleat-rehearsal --example grown -- day 30
+//! cargo run --release -p dillcleat-simulator --example grown -- growth
+//! cargo run --release -p dillcleat-simulator --example grown -- waiting
+//! cargo run --release -p dillcleat-simulator --example grown -- election
+//! cargo run --release -p dillcleat-simulator --example grown -- herd
+//! cargo run --release -p dillcleat-simulator --example grown -- day 30
 //! ```
 //!
 //! Times are of the machine that it runs on: compare those of one run only.
 
 use clap::{Args, Parser, Subcommand};
-use dillcleat_core::{Micros, SECOND, micros, seconds};
-use dillcleat_rehearsal::{Fault, Fleet, Measured, Scenario, Setting, World};
+use dillcleat_controller::{Micros, SECOND, micros, seconds};
+use dillcleat_simulator::{Fault, Fleet, Measured, Scenario, Setting, World};
 use hdrhistogram::Histogram;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
--- a/crates/rehearsal/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -1,11 +1,11 @@
 //! Prints a digest of what the nodes send on seeded days, one line per kind of day.
 //!
-//! `cargo run --release -p dillcleat-rehearsal --example history -- FROM TO [--each]`
+//! `cargo run --release -p dillcleat-simulator --example history -- FROM TO [--each]`
 //!
 //! Run it on two versions of the sources: equal lines show that both behave alike.
 
 use clap::Parser;
-use dillcleat_rehearsal::{Form, Scenario, World};
+use dillcleat_simulator::{Form, Scenario, World};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 use std::sync::Mutex;
--- a/crates/rehearsal/examples/hunt.rs
+++ b/crates/simulator/examples/hunt.rs
@@ -1,8 +1,8 @@
 //! Plays random days and prints those that break a rule or leave work undone:
-//! `cargo run --release -p dillcleat-rehearsal --example hunt -- FROM TO [--form objects]`.
+//! `cargo run --release -p dillcleat-simulator --example hunt -- FROM TO [--form objects]`.
 
 use clap::{Parser, ValueEnum};
-use dillcleat_rehearsal::{Form, Scenario, World};
+use dillcleat_simulator::{Form, Scenario, World};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
--- a/crates/rehearsal/examples/quickstart.rs
+++ b/crates/simulator/examples/quickstart.rs
@@ -1,10 +1,10 @@
 //! Three controllers with a door for Kubernetes-shaped clients, over stand-ins of
 //! everything around them, until it is interrupted:
-//! `cargo build --release && cargo run --release -p dillcleat-rehearsal --example quickstart`.
+//! `cargo build --release && cargo run --release -p dillcleat-simulator --example quickstart`.
 
 use clap::Parser;
 use dillcleat_kube::Key;
-use dillcleat_rehearsal::processes::Trio;
+use dillcleat_simulator::processes::Trio;
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/rehearsal/examples/shares.rs
+++ b/crates/simulator/examples/shares.rs
@@ -6,9 +6,9 @@
 //! tells it, also how many jobs of each team and of each class's largest began.
 
 use clap::Parser;
-use dillcleat_core::{Micros, micros};
-use dillcleat_rehearsal::Shares;
-use dillcleat_rehearsal::served::LEAST;
+use dillcleat_controller::{Micros, micros};
+use dillcleat_simulator::Shares;
+use dillcleat_simulator::served::LEAST;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the cloud.
 
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{
     CloudCall, CloudReply, Condition, LIST_PAGE, ListedMachine, MachineList, MachineType,
 };
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,8 +11,8 @@
 use crate::rules::Place;
 use crate::state::{PageLimit, StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_core::store::{self, Chunk, MachineRecord, OpenJob, Types};
-use dillcleat_core::{
+use dillcleat_controller::store::{self, Chunk, MachineRecord, OpenJob, Types};
+use dillcleat_controller::{
     Answer, CallError, CallId, Config, Counts, Input, MILLISECOND, Micros, Node, Now, Output,
     RequestId, SECOND, Tuning,
 };
@@ -256,7 +256,7 @@
         value_bytes: 16 * 1024,
         value_bytes_before: 16 * 1024,
         state_write_rps_before: setting.state_write_rps,
-        chunk_tasks: dillcleat_core::config::chunk_tasks(16 * 1024),
+        chunk_tasks: dillcleat_controller::config::chunk_tasks(16 * 1024),
         txn_ops: 48,
         cloud_rps: 4.0,
         list_lag: 4 * SECOND,
--- a/crates/rehearsal/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -4,7 +4,7 @@
 //! scenarios. Each output is hashed in its wire form, never in a debug form, so
 //! that renaming a Rust type or field does not change the digest.
 
-use dillcleat_core::{Micros, Output, Told};
+use dillcleat_controller::{Micros, Output, Told};
 use dillcleat_kube::Out;
 use sha2::{Digest, Sha256};
 
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
 //! A rehearsal kit: stand-ins for the state service, the cloud, workers and
 //! users, on simulated time with seeded luck, and a checker of the rules.
 //!
-//! The controllers in a rehearsal are the real [`dillcleat_core::Node`]s; only
+//! The controllers in a rehearsal are the real [`dillcleat_controller::Node`]s; only
 //! what lies beyond their inputs and outputs is played. Figures of a rehearsal
 //! say nothing about real deployments; its verdict on the rules does.
 
--- a/crates/rehearsal/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -5,8 +5,8 @@
 use crate::rules::Place;
 use crate::state::StateService;
 use crate::worker::{Play, Worker};
-use dillcleat_core::store::OpenJob;
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::store::OpenJob;
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineType, Names, Rent};
 use dillcleat_wire::state::{Change, StateCall, StateReply, Txn};
 use dillcleat_wire::worker::{COMMANDS_PATH, Elsewhere, Orders, REPORT_PATH, ReportAnswer};
@@ -36,10 +36,10 @@
         };
         for change in &txn.then {
             if let Change::Put { key, value, .. } = change
-                && key.starts_with(dillcleat_core::store::OPEN)
+                && key.starts_with(dillcleat_controller::store::OPEN)
                 && let Some(open) = dillcleat_wire::state::read::<OpenJob>(value)
             {
-                let run = dillcleat_core::micros(open.spec.estimate_s.max(1.0));
+                let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
                 let id = open.spec.id.clone();
                 self.plays.entry(id).or_insert(Play {
                     spec: open.spec,
--- a/crates/rehearsal/src/meetings.rs
+++ b/crates/simulator/src/meetings.rs
@@ -1,7 +1,7 @@
 //! Days on which troubles meet.
 
 use crate::scenario::{Fault, LEADER, Scenario};
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
 impl Scenario {
--- a/crates/rehearsal/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -1,6 +1,6 @@
 //! Kubernetes-shaped clients: what they hand in, and what they may be told of it.
 
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_kube::record::{Kind, Name};
 use dillcleat_kube::{Key, Rules, Settings};
 use dillcleat_wire::user::{JobSpec, JobState, Priority};
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -4,7 +4,7 @@
 
 pub use waiting::Room;
 
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::platform::Team;
 use dillcleat_wire::user::{JobSpec, JobState};
--- a/crates/rehearsal/src/rules/waiting.rs
+++ b/crates/simulator/src/rules/waiting.rs
@@ -1,7 +1,7 @@
 //! Who is left waiting although a machine has room.
 
 use super::{Checker, Job, Place, Rule};
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::JobSpec;
 use std::collections::BTreeMap;
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What a rehearsal plays: users' work and the troubles of its day.
 
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
 #[derive(Debug, Clone)]
--- a/crates/rehearsal/src/served.rs
+++ b/crates/simulator/src/served.rs
@@ -3,7 +3,7 @@
 //! A day on which less than half of any one of them is served has failed, however good
 //! its other figures are.
 
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/rehearsal/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the state service.
 
-use dillcleat_core::{MILLISECOND, Micros, store};
+use dillcleat_controller::{MILLISECOND, Micros, store};
 use dillcleat_wire::state::{Change, Changes, Event, Page, Row, StateCall, StateReply, Txn, Value};
 use dillcleat_wire::state::{TXN_BYTES, json_size};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/rehearsal/src/troubles.rs
+++ b/crates/simulator/src/troubles.rs
@@ -3,7 +3,7 @@
 use crate::scenario::{Fault, LEADER};
 use crate::worker::Worker;
 use crate::world::{Boots, Ev, Host, SiteCut, Spell, World, ZONES};
-use dillcleat_core::Micros;
+use dillcleat_controller::Micros;
 use std::collections::BTreeSet;
 
 impl World {
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a worker.
 
 use crate::rules::Place;
-use dillcleat_core::{Micros, SECOND};
+use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobSpec, Kind};
 use dillcleat_wire::worker::{Command, Orders, Report, ReportAnswer, TaskReport, TaskState, Why};
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -19,13 +19,13 @@
 use crate::served::Shares;
 use crate::state::{StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_core::config::DeadlineAim;
-use dillcleat_core::{
+use dillcleat_controller::config::DeadlineAim;
+use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId,
     SECOND, Tuning,
 };
 use dillcleat_kube::{Ask, Controller, Out};
-use dillcleat_mesh::Message;
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::{CloudCall, MachineType};
 use dillcleat_wire::platform::Team;
 use dillcleat_wire::state::{StateCall, StateReply};
@@ -899,7 +899,7 @@
                 if self.scenario.upgrade.is_some() {
                     config.value_bytes_before = WIDE.0;
                     (config.value_bytes, config.txn_ops) = LOW;
-                    config.chunk_tasks = dillcleat_core::config::chunk_tasks(LOW.0);
+                    config.chunk_tasks = dillcleat_controller::config::chunk_tasks(LOW.0);
                 }
                 if host.old {
                     (config.value_bytes, config.txn_ops) = WIDE;
--- a/crates/rehearsal/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -1,13 +1,13 @@
 //! What gets across, and when.
 
 use super::*;
-use dillcleat_core::store::Lead;
+use dillcleat_controller::store::Lead;
 use dillcleat_kube::Door;
 use dillcleat_wire::state::Change;
 
 /// Whether a call hands in a job: as with the users' protocol.
 fn submits(call: &StateCall) -> bool {
-    let open = |c: &Change| matches!(c, Change::Put { key, .. } if key.starts_with(dillcleat_core::store::OPEN));
+    let open = |c: &Change| matches!(c, Change::Put { key, .. } if key.starts_with(dillcleat_controller::store::OPEN));
     matches!(call, StateCall::Txn(txn) if txn.then.iter().any(open))
 }
 
@@ -71,7 +71,7 @@
 
     /// Who leads, by the state service.
     pub(super) fn leads(&self, node: usize) -> Led {
-        match self.state.read::<Lead>(dillcleat_core::store::LEAD) {
+        match self.state.read::<Lead>(dillcleat_controller::store::LEAD) {
             Some((lead, _)) if lead.member == format!("node-{node}") => Led::Itself,
             Some(_) => Led::Another,
             None => Led::Nobody,
--- a/crates/rehearsal/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::rules::Rule;
 use crate::scenario::Moment;
-use dillcleat_core::store;
+use dillcleat_controller::store;
 use dillcleat_wire::state::{Changes, Event};
 use dillcleat_wire::worker::Command;
 
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -469,7 +469,7 @@
         }
         for u in &self.users {
             let due = u.accepted_at.zip(u.spec.deadline_s);
-            let due = due.map(|(at, due)| at + dillcleat_core::micros(due));
+            let due = due.map(|(at, due)| at + dillcleat_controller::micros(due));
             let Some(due) = due.filter(|at| *at < self.now && u.cancel_at.is_none()) else {
                 continue;
             };
--- a/crates/rehearsal/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -1,11 +1,11 @@
 //! What a submission that waits for other jobs is answered.
 
-use dillcleat_core::store::{self, JobMark, Mark};
-use dillcleat_core::{Config, Input, RequestId, SECOND};
-use dillcleat_rehearsal::alone::{Alone, Ev};
-use dillcleat_rehearsal::objects::rules_for;
-use dillcleat_rehearsal::state::StateService;
-use dillcleat_rehearsal::world::config;
+use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::{Config, Input, RequestId, SECOND};
+use dillcleat_simulator::alone::{Alone, Ev};
+use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::state::StateService;
+use dillcleat_simulator::world::config;
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, Refusal, cancel_path};
 
 fn alone() -> Alone {
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What every day of a rehearsal has to come to.
 
-use dillcleat_rehearsal::{Outcome, Scenario, World};
+use dillcleat_simulator::{Outcome, Scenario, World};
 
 /// Plays a day: the rules hold, all work ends and nothing stays behind.
 pub fn clean(scenario: Scenario) -> Outcome {
--- a/crates/rehearsal/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet that a new leader takes up, at sizes that a test can play: what is
 //! counted holds at any, what takes time is measured by the example `grown`.
 
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::{Fleet, Measured, Setting};
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::{Fleet, Measured, Setting};
 
 fn play(setting: Setting) -> Measured {
     let mut fleet = Fleet::new(setting);
--- a/crates/rehearsal/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -1,11 +1,11 @@
 //! What the door refuses, and what it turns away first.
 
-use dillcleat_core::{Config, RequestId, SECOND};
+use dillcleat_controller::{Config, RequestId, SECOND};
 use dillcleat_kube::{Ask, Reply};
-use dillcleat_rehearsal::alone::{Alone, Ev, ask};
-use dillcleat_rehearsal::objects::{TOKEN, rules_for};
-use dillcleat_rehearsal::state::StateService;
-use dillcleat_rehearsal::world::config;
+use dillcleat_simulator::alone::{Alone, Ev, ask};
+use dillcleat_simulator::objects::{TOKEN, rules_for};
+use dillcleat_simulator::state::StateService;
+use dillcleat_simulator::world::config;
 use serde_json::{Value, json};
 
 const JOBS: &str = "/apis/batch/v1/namespaces/free/jobs";
--- a/crates/rehearsal/tests/meetings.rs
+++ b/crates/simulator/tests/meetings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::clean;
-use dillcleat_rehearsal::{Moment, Scenario};
+use dillcleat_simulator::{Moment, Scenario};
 
 fn meetings(seeds: std::ops::Range<u64>) {
     for seed in seeds {
--- a/crates/rehearsal/tests/objects.rs
+++ b/crates/simulator/tests/objects.rs
@@ -1,7 +1,7 @@
 //! Seeded days on which users hand in Kubernetes Jobs.
 
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::{Fault, Form, Outcome, Scenario, World};
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::{Fault, Form, Outcome, Scenario, World};
 
 fn play(form: Form, scenario: Scenario) -> Outcome {
     World::new(Scenario { form, ..scenario }).run()
--- a/crates/rehearsal/tests/rules_are_checked.rs
+++ b/crates/simulator/tests/rules_are_checked.rs
@@ -1,8 +1,8 @@
 //! The checker catches a planted violation of each rule, and nothing else.
 
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::rules::{Limit, Place, Room};
-use dillcleat_rehearsal::{Checker, Rule};
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::rules::{Limit, Place, Room};
+use dillcleat_simulator::{Checker, Rule};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobSpec, JobState, Kind};
 use std::collections::BTreeMap;
--- a/crates/rehearsal/tests/seeded_days.rs
+++ b/crates/simulator/tests/seeded_days.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::clean;
-use dillcleat_core::{Micros, SECOND};
-use dillcleat_rehearsal::{Fault, Outcome, Scenario, World};
+use dillcleat_controller::{Micros, SECOND};
+use dillcleat_simulator::{Fault, Outcome, Scenario, World};
 
 const BUSY: Micros = 200 * SECOND;
 
--- a/crates/rehearsal/tests/troubles.rs
+++ b/crates/simulator/tests/troubles.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::clean;
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::{Fault, LEADER, Outcome, Scenario};
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::{Fault, LEADER, Outcome, Scenario};
 
 /// A day with a trouble, during which a leader ends.
 fn day(fault: Option<Fault>) -> Outcome {
