--- a/crates/controller/src/admission/names.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -29,32 +29,32 @@
     }
 
     /// What is known of a name.
-    fn found(&mut self, name: &str, known: Known) {
+    fn found(&mut self, name: &str, known: KnownJob) {
         match known.mark.s {
-            Mark::Done => self.done.push(name.to_string()),
-            Mark::Open if known.service => {
+            RecordedState::Done => self.done.push(name.to_string()),
+            RecordedState::Open if known.service => {
                 self.refuse(name, "a service, which is never done");
             }
-            Mark::Open | Mark::Cancelled => {}
+            RecordedState::Open | RecordedState::Cancelled => {}
         }
     }
 }
 
 /// Reads a name's mark, or its description.
-fn read(ctx: &mut Ctx, naming: u64, name: String, mark: bool) {
+fn read(ctx: &mut Context, naming: u64, name: String, mark: bool) {
     let key = match mark {
-        true => store::job_key(&name),
-        false => store::open_key(&name),
+        true => records::job_key(&name),
+        false => records::open_key(&name),
     };
     let step = Step::Name { naming, name, mark };
-    ctx.state_soon(StateCall::Get { key }, Waiter::Admission(step));
+    ctx.state_soon(StateCall::Get { key }, Continuation::Admission(step));
 }
 
 const NEVER: &str = "which was never accepted";
 
 impl Admission {
     /// Takes a submission that waits for other jobs.
-    pub(super) fn name(&mut self, ctx: &mut Ctx, request: RequestId, job: OpenJob) {
+    pub(super) fn name(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
         let now = ctx.now.steady;
         let id = job.spec.id.clone();
         let mut naming = Naming {
@@ -69,7 +69,7 @@
         let mut unseen = Vec::new();
         for name in naming.job.spec.awaits.clone() {
             match self.cache.get(&name) {
-                Some(known) => naming.found(&name, known),
+                Some(job_cache) => naming.found(&name, job_cache),
                 None if name == id || !is_job_id(&name) => naming.refuse(&name, NEVER),
                 None => unseen.push(name),
             }
@@ -79,7 +79,9 @@
         if naming.refused.is_some() {
             return self.named(ctx, naming);
         }
-        if self.under_way + reads >= MAX_UNDER_WAY || !self.grant(calls, 1.0, Need::Change, now) {
+        if self.under_way + reads >= MAX_UNDER_WAY
+            || !self.grant(calls, 1.0, RequestPriority::Change, now)
+        {
             return ctx.answer(request, Answer::later("too many requests"));
         }
         if reads == 0 {
@@ -98,7 +100,7 @@
     /// One of its names was looked up.
     pub(super) fn name_found(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         naming_no: u64,
         name: String,
         mark: bool,
@@ -106,10 +108,12 @@
     ) {
         let known = match &reply {
             Ok(StateReply::Found(row)) if mark => {
-                let mark = row.read::<JobMark>();
-                mark.map(|mark| Known::marked(mark, row.version))
+                let mark = row.read::<JobStateRecord>();
+                mark.map(|mark| KnownJob::marked(mark, row.version))
+            }
+            Ok(StateReply::Found(row)) => {
+                row.read::<OpenJob>().map(|job| KnownJob::open(&job, row))
             }
-            Ok(StateReply::Found(row)) => row.read::<OpenJob>().map(|job| Known::open(&job, row)),
             _ => None,
         };
         if matches!(reply, Ok(StateReply::Absent { .. })) && !mark {
@@ -138,7 +142,7 @@
     }
 
     /// All that could be known of its names is.
-    fn named(&mut self, ctx: &mut Ctx, mut naming: Naming) {
+    fn named(&mut self, ctx: &mut Context, mut naming: Naming) {
         let request = naming.request;
         let answer = match naming.refused {
             Some(cause) => Answer::refusal(422, cause),
@@ -151,7 +155,7 @@
             }
         };
         // Whatever is wrong with its names, a known job is answered as known.
-        let ask = Ask::Refuse { request, answer };
+        let ask = PendingRequest::Refuse { request, answer };
         self.ask(ctx, naming.job.spec.id.clone(), ask);
     }
 }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -5,16 +5,16 @@
 //! absence of a mark is compared with the store after the request came in,
 //! because another node may just have told the user of its end.
 
-mod names;
+mod dependency_check;
 mod replies;
 
-use self::names::Naming;
-use crate::budget::{Budget, Need};
-use crate::calls::{CallError, Ctx};
-use crate::known::{Cache, Known};
+use self::dependency_check::Naming;
+use crate::calls::{CallError, Context};
+use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
+use crate::job_cache::{JobCache, KnownJob};
 use crate::progress::TaskCounts;
-use crate::store::{self, CancelledJob, JobMark, Mark, OpenJob};
-use crate::waiters::{Admitting as Step, Ask, Waiter};
+use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
+use crate::request_budget::{RequestBudget, RequestPriority};
 use crate::{Answer, Config, MILLISECOND, Micros, RequestId, SECOND};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::state::{self, StateCall, StateReply, Txn};
@@ -34,12 +34,12 @@
 
 #[derive(Debug)]
 pub struct Admission {
-    calls: Budget,
-    writes: Budget,
-    cache: Cache,
+    calls: RequestBudget,
+    writes: RequestBudget,
+    cache: JobCache,
     /// Asks that wait for the next comparison.
-    waiting: Vec<(String, Ask)>,
-    checking: HashMap<String, Vec<Ask>>,
+    waiting: Vec<(String, PendingRequest)>,
+    checking: HashMap<String, Vec<PendingRequest>>,
     checks: usize,
     under_way: usize,
     /// Submissions whose names are being looked up, by number.
@@ -90,9 +90,9 @@
 impl Admission {
     pub fn new(config: &Config) -> Self {
         Admission {
-            calls: Budget::new(config.state_rps, config),
-            writes: Budget::new(config.state_write_rps, config),
-            cache: Cache::new(config),
+            calls: RequestBudget::new(config.state_rps, config),
+            writes: RequestBudget::new(config.state_write_rps, config),
+            cache: JobCache::new(config),
             waiting: Vec::new(),
             checking: HashMap::new(),
             checks: 0,
@@ -127,12 +127,12 @@
     }
 
     /// Whether what a request that is served elsewhere needs is there.
-    pub fn could(&mut self, calls: f64, changes: f64, need: Need, now: Micros) -> bool {
+    pub fn could(&mut self, calls: f64, changes: f64, need: RequestPriority, now: Micros) -> bool {
         self.calls.has(calls, need, now) && (changes == 0.0 || self.writes.has(changes, need, now))
     }
 
     /// Takes it: all of it, or nothing.
-    pub fn grant(&mut self, calls: f64, changes: f64, need: Need, now: Micros) -> bool {
+    pub fn grant(&mut self, calls: f64, changes: f64, need: RequestPriority, now: Micros) -> bool {
         let could = self.could(calls, changes, need, now);
         if could {
             self.calls.charge(calls, now);
@@ -143,11 +143,11 @@
 
     /// A job is in the store, and open.
     pub fn admitted(&mut self, job: &OpenJob) {
-        let mark = JobMark {
-            s: Mark::Open,
+        let mark = JobStateRecord {
+            s: RecordedState::Open,
             n: job.spec.tasks,
         };
-        let known = Known {
+        let known = KnownJob {
             mark,
             version: 0,
             service: job.spec.kind == Kind::Service,
@@ -156,8 +156,8 @@
     }
 
     /// What a read or write of the store has said of a job's end is known from now on.
-    fn learn(&mut self, id: &str, known: Known) {
-        if known.mark.s == Mark::Cancelled {
+    fn learn(&mut self, id: &str, known: KnownJob) {
+        if known.mark.s == RecordedState::Cancelled {
             self.cancelled.push(id.to_string());
         }
         self.cache.put(id, known);
@@ -169,18 +169,18 @@
     }
 
     /// The leader of this process has stored a job's end.
-    pub fn ended(&mut self, id: &str, mark: JobMark) {
-        self.cache.put(id, Known::ended(mark));
+    pub fn ended(&mut self, id: &str, mark: JobStateRecord) {
+        self.cache.put(id, KnownJob::ended(mark));
         self.progress.ended(id);
     }
 
-    fn status(&self, id: &str, mark: JobMark) -> JobStatus {
+    fn status(&self, id: &str, mark: JobStateRecord) -> JobStatus {
         let (done, running) = self.progress.get(id).unwrap_or((0, 0));
         let (state, done, running) = match mark.s {
-            Mark::Done => (JobState::Done, mark.n, 0),
-            Mark::Cancelled => (JobState::Cancelled, done, 0),
-            Mark::Open if running > 0 => (JobState::Running, done, running),
-            Mark::Open => (JobState::Queued, done, 0),
+            RecordedState::Done => (JobState::Done, mark.n, 0),
+            RecordedState::Cancelled => (JobState::Cancelled, done, 0),
+            RecordedState::Open if running > 0 => (JobState::Running, done, running),
+            RecordedState::Open => (JobState::Queued, done, 0),
         };
         JobStatus {
             id: id.to_string(),
@@ -192,7 +192,7 @@
 
     pub fn submit(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: RequestId,
         body: &[u8],
         types: Option<&[MachineType]>,
@@ -207,10 +207,10 @@
             return ctx.answer(request, Answer::refusal(400, cause));
         };
         if self.cache.get(&id).is_some() {
-            return self.ask(ctx, id, Ask::Tell(request));
+            return self.ask(ctx, id, PendingRequest::Tell(request));
         }
         // Whatever is wrong with the content, a known job is answered as known.
-        let refuse = |status, cause: String| Ask::Refuse {
+        let refuse = |status, cause: String| PendingRequest::Refuse {
             request,
             answer: Answer::refusal(status, cause),
         };
@@ -236,7 +236,7 @@
         // An empty list is one from a cloud in trouble: by it nothing would ever run.
         let Some(types) = types.filter(|types| !types.is_empty()) else {
             let answer = Answer::later("the machine types are not known yet");
-            return self.ask(ctx, id, Ask::Refuse { request, answer });
+            return self.ask(ctx, id, PendingRequest::Refuse { request, answer });
         };
         if let Some(cause) = unfit(ctx.config, types, &job.spec) {
             return self.ask(ctx, id, refuse(422, cause.into()));
@@ -246,55 +246,55 @@
         }
         let now = ctx.now.steady;
         // Both or neither: a call taken for a change that is not to be had was lost to polls.
-        if self.under_way >= MAX_UNDER_WAY || !self.grant(1.0, 1.0, Need::Change, now) {
+        if self.under_way >= MAX_UNDER_WAY || !self.grant(1.0, 1.0, RequestPriority::Change, now) {
             return ctx.answer(request, Answer::later("too many requests"));
         }
         self.under_way += 1;
         self.create(ctx, request, Rc::new(job), ctx.now.steady);
     }
 
-    fn create(&self, ctx: &mut Ctx, request: RequestId, job: Rc<OpenJob>, since: Micros) {
+    fn create(&self, ctx: &mut Context, request: RequestId, job: Rc<OpenJob>, since: Micros) {
         let id = &job.spec.id;
         // One write: the state service's writes are what bounds submissions. With
         // a mark of its own for each, a burst of small jobs waited for 10 s
         // (incidents 1846, bdf3).
         let txn = Txn::default()
-            .compare(store::job_key(id), 0)
-            .compare(store::open_key(id), 0)
-            .put(store::open_key(id), &*job);
+            .compare(records::job_key(id), 0)
+            .compare(records::open_key(id), 0)
+            .put(records::open_key(id), &*job);
         let step = Step::Create {
             request,
             job,
             since,
         };
-        ctx.state_soon(StateCall::Txn(txn), Waiter::Admission(step));
+        ctx.state_soon(StateCall::Txn(txn), Continuation::Admission(step));
     }
 
-    pub fn poll(&mut self, ctx: &mut Ctx, request: RequestId, id: String) {
+    pub fn poll(&mut self, ctx: &mut Context, request: RequestId, id: String) {
         self.asked += 1;
         if !is_job_id(&id) {
             return ctx.answer(request, Answer::refusal(404, "no such job"));
         }
-        self.ask(ctx, id, Ask::Tell(request));
+        self.ask(ctx, id, PendingRequest::Tell(request));
     }
 
-    pub fn cancel(&mut self, ctx: &mut Ctx, request: RequestId, id: String) {
+    pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: String) {
         self.asked += 1;
         if !is_job_id(&id) {
             return ctx.answer(request, Answer::refusal(404, "no such job"));
         }
         let since = ctx.now.steady;
-        self.ask(ctx, id, Ask::Cancel { request, since });
+        self.ask(ctx, id, PendingRequest::Cancel { request, since });
     }
 
     /// Settles an ask by memory, a comparison or a look-up, whichever is enough.
-    fn ask(&mut self, ctx: &mut Ctx, id: String, ask: Ask) {
+    fn ask(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
         if let Some(end) = self.cache.end(&id) {
             return self.settle(ctx, &id, Some(end), ask);
         }
         match self.cache.get(&id) {
             // The transaction that cancels compares by itself.
-            Some(known) if matches!(ask, Ask::Cancel { .. }) => {
+            Some(known) if matches!(ask, PendingRequest::Cancel { .. }) => {
                 self.settle(ctx, &id, Some(known), ask);
             }
             Some(_) => {
@@ -308,37 +308,40 @@
         }
     }
 
-    fn lookup(&mut self, ctx: &mut Ctx, id: String, ask: Ask) {
+    fn lookup(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
         // Each ask has a read of its own, whose answer carries it: one under way may have
         // read before this request came in. Asks were once given the answers in the order
         // in which they had come, and answers come in any: of an accepted job a user who
         // had been told so was told that there is none.
-        if self.under_way >= MAX_UNDER_WAY || !self.calls.take(1.0, Need::of(&ask), ctx.now.steady)
+        if self.under_way >= MAX_UNDER_WAY
+            || !self
+                .calls
+                .take(1.0, RequestPriority::of(&ask), ctx.now.steady)
         {
             return ctx.answer(ask.request(), Answer::later("too many requests"));
         }
         self.under_way += 1;
         let call = StateCall::Get {
-            key: store::open_key(&id),
+            key: records::open_key(&id),
         };
-        ctx.state(call, Waiter::Admission(Step::Lookup { id, ask }));
+        ctx.state(call, Continuation::Admission(Step::Lookup { id, ask }));
     }
 
     /// Reads the mark of a job that is not open, or whose end has just come.
     /// Whoever is not found here was not there when it was looked for.
-    fn look_for_mark(&mut self, ctx: &mut Ctx, id: String, ask: Ask) {
+    fn look_for_mark(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
         self.under_way += 1;
         self.calls.charge(1.0, ctx.now.steady);
         let call = StateCall::Get {
-            key: store::job_key(&id),
+            key: records::job_key(&id),
         };
-        ctx.state(call, Waiter::Admission(Step::Ended { id, ask }));
+        ctx.state(call, Continuation::Admission(Step::Ended { id, ask }));
     }
 
-    fn check(&mut self, ctx: &mut Ctx) {
+    fn check(&mut self, ctx: &mut Context) {
         if self.waiting.is_empty()
             || self.checks >= MAX_CHECKS
-            || !self.calls.take(1.0, Need::Poll, ctx.now.steady)
+            || !self.calls.take(1.0, RequestPriority::Poll, ctx.now.steady)
         {
             return;
         }
@@ -351,7 +354,7 @@
                 self.lookup(ctx, id, ask);
                 continue;
             };
-            if known.mark.s != Mark::Open {
+            if known.mark.s != RecordedState::Open {
                 self.settle(ctx, &id, Some(known), ask);
                 continue;
             }
@@ -362,7 +365,7 @@
                 continue;
             }
             if !own {
-                txn = txn.compare(store::job_key(&id), known.version);
+                txn = txn.compare(records::job_key(&id), known.version);
                 jobs.push(id.clone());
             }
             self.checking.entry(id).or_default().push(ask);
@@ -372,37 +375,51 @@
             self.checks += 1;
             // Lost, it answered none of up to `limit` jobs: with transactions lost one after the
             // other a job was once without an answer for 90 s (seed 3909 of meetings).
-            ctx.state_soon(StateCall::Txn(txn), Waiter::Admission(Step::Check { jobs }));
+            ctx.state_soon(
+                StateCall::Txn(txn),
+                Continuation::Admission(Step::Check { jobs }),
+            );
         }
     }
 
     /// Answers an ask with what the store has said of its job.
-    fn settle(&mut self, ctx: &mut Ctx, id: &str, known: Option<Known>, ask: Ask) {
+    fn settle(
+        &mut self,
+        ctx: &mut Context,
+        id: &str,
+        known: Option<KnownJob>,
+        ask: PendingRequest,
+    ) {
         match (known, ask) {
-            (None, Ask::Refuse { request, answer }) => {
+            (None, PendingRequest::Refuse { request, answer }) => {
                 if answer.status != 503 {
                     log::info!("refused {id}: {}", answer.status);
                 }
                 ctx.answer(request, answer);
             }
             (None, ask) => ctx.answer(ask.request(), Answer::refusal(404, "no such job")),
-            (Some(known), Ask::Cancel { request, since }) if known.mark.s == Mark::Open => {
+            (Some(known), PendingRequest::Cancel { request, since })
+                if known.mark.s == RecordedState::Open =>
+            {
                 let txn = Txn::default()
-                    .compare(store::job_key(id), known.version)
+                    .compare(records::job_key(id), known.version)
                     .put(
-                        store::job_key(id),
-                        &JobMark {
-                            s: Mark::Cancelled,
+                        records::job_key(id),
+                        &JobStateRecord {
+                            s: RecordedState::Cancelled,
                             n: known.mark.n,
                         },
                     )
-                    .put(store::cancelled_key(id), &CancelledJob { at: ctx.now.wall });
+                    .put(
+                        records::cancelled_key(id),
+                        &CancelledJob { at: ctx.now.wall },
+                    );
                 let step = Step::Cancel {
                     id: id.to_string(),
                     request,
                     since,
                 };
-                ctx.state(StateCall::Txn(txn), Waiter::Admission(step));
+                ctx.state(StateCall::Txn(txn), Continuation::Admission(step));
             }
             (Some(known), ask) => {
                 let status = self.status(id, known.mark);
@@ -411,7 +428,7 @@
         }
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         self.check(ctx);
     }
 
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Admission {
-    pub fn reply(&mut self, ctx: &mut Ctx, step: Step, reply: Result<StateReply, CallError>) {
+    pub fn reply(&mut self, ctx: &mut Context, step: Step, reply: Result<StateReply, CallError>) {
         match step {
             Step::Lookup { id, ask } => {
                 self.under_way -= 1;
@@ -19,21 +19,23 @@
                     let asks = self.checking.remove(&id).unwrap_or_default();
                     match &reply {
                         Ok(StateReply::Committed { .. }) => {
-                            let known = self.cache.get(&id);
+                            let job_cache = self.cache.get(&id);
                             for ask in asks {
-                                match known {
-                                    Some(known) => self.settle(ctx, &id, Some(known), ask),
+                                match job_cache {
+                                    Some(job_cache) => self.settle(ctx, &id, Some(job_cache), ask),
                                     None => self.lookup(ctx, id.clone(), ask),
                                 }
                             }
                         }
                         Ok(StateReply::Conflict { failed, .. }) => {
-                            let changed = failed.contains(&store::job_key(&id));
+                            let changed = failed.contains(&records::job_key(&id));
                             for ask in asks {
                                 match self.cache.get(&id) {
                                     // The others were equal at that same moment.
-                                    Some(known) if !changed || known.mark.s != Mark::Open => {
-                                        self.settle(ctx, &id, Some(known), ask);
+                                    Some(job_cache)
+                                        if !changed || job_cache.mark.s != RecordedState::Open =>
+                                    {
+                                        self.settle(ctx, &id, Some(job_cache), ask);
                                     }
                                     _ if changed => self.look_for_mark(ctx, id.clone(), ask),
                                     _ => self.lookup(ctx, id.clone(), ask),
@@ -64,15 +66,15 @@
 
     fn looked_up(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: String,
-        ask: Ask,
+        ask: PendingRequest,
         reply: Result<StateReply, CallError>,
     ) {
         match reply {
             Ok(StateReply::Found(row)) => match row.read::<OpenJob>() {
                 Some(job) => {
-                    let known = Known::open(&job, &row);
+                    let known = KnownJob::open(&job, &row);
                     self.cache.put(&id, known);
                     // A cancelled job's description stays until its tasks are
                     // gone: that there is one does not yet say that it is open.
@@ -93,15 +95,15 @@
 
     fn found_mark(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: &str,
-        ask: Ask,
+        ask: PendingRequest,
         reply: Result<StateReply, CallError>,
     ) {
         match reply {
-            Ok(StateReply::Found(row)) => match row.read::<JobMark>() {
+            Ok(StateReply::Found(row)) => match row.read::<JobStateRecord>() {
                 Some(mark) => {
-                    let known = Known::marked(mark, row.version);
+                    let known = KnownJob::marked(mark, row.version);
                     self.learn(id, known);
                     self.settle(ctx, id, Some(known), ask);
                 }
@@ -116,8 +118,9 @@
             // It has been stored since then, and this node may have told its user: looked
             // at again, it is not called unknown.
             Ok(StateReply::Absent { .. })
-                if (self.cache.get(id))
-                    .is_some_and(|known| known.version == 0 || known.mark.s != Mark::Open) =>
+                if (self.cache.get(id)).is_some_and(|known| {
+                    known.version == 0 || known.mark.s != RecordedState::Open
+                }) =>
             {
                 self.ask(ctx, id.to_string(), ask);
             }
@@ -128,7 +131,7 @@
 
     fn created(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: RequestId,
         job: Rc<OpenJob>,
         since: Micros,
@@ -155,7 +158,7 @@
                 );
                 // Cancelled or done before this answer came, and told so.
                 if let Some(end) = self.cache.end(&id) {
-                    return self.settle(ctx, &id, Some(end), Ask::Tell(request));
+                    return self.settle(ctx, &id, Some(end), PendingRequest::Tell(request));
                 }
                 let status = JobStatus {
                     id,
@@ -169,12 +172,12 @@
             // that and this answer, of which this node then knows. To read both again
             // took a slow submission past 200 ms.
             Ok(StateReply::Conflict { failed, .. })
-                if failed == [store::open_key(&id)] && self.cache.end(&id).is_none() =>
+                if failed == [records::open_key(&id)] && self.cache.end(&id).is_none() =>
             {
                 self.under_way -= 1;
                 log::info!("{id} is known already, perhaps by an earlier try");
-                let mark = JobMark {
-                    s: Mark::Open,
+                let mark = JobStateRecord {
+                    s: RecordedState::Open,
                     n: job.spec.tasks,
                 };
                 let status = self.status(&id, mark);
@@ -184,13 +187,13 @@
             Ok(StateReply::Conflict { .. }) => {
                 self.under_way -= 1;
                 log::info!("{id} is known already, perhaps by an earlier try");
-                self.ask(ctx, id, Ask::Tell(request));
+                self.ask(ctx, id, PendingRequest::Tell(request));
             }
             // It may yet be carried out. The same transaction again settles
             // it: it either commits or finds the record. It costs as much again.
             Err(_)
                 if ctx.now.steady < since + CREATE_TIME
-                    && self.grant(1.0, 1.0, Need::Change, ctx.now.steady) =>
+                    && self.grant(1.0, 1.0, RequestPriority::Change, ctx.now.steady) =>
             {
                 self.create(ctx, request, job, since);
             }
@@ -199,7 +202,7 @@
                 log::error!("the state service calls the record of {id} malformed");
                 // A repeated submission may hold more than the one that was taken.
                 let answer = Answer::refusal(400, "the job cannot be stored");
-                self.ask(ctx, id, Ask::Refuse { request, answer });
+                self.ask(ctx, id, PendingRequest::Refuse { request, answer });
             }
             _ => {
                 self.under_way -= 1;
@@ -210,7 +213,7 @@
 
     fn cancelled(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: String,
         request: RequestId,
         since: Micros,
@@ -219,21 +222,21 @@
         match reply {
             Ok(StateReply::Committed { .. }) => {
                 let n = self.cache.get(&id).map_or(0, |k| k.mark.n);
-                let mark = JobMark {
-                    s: Mark::Cancelled,
+                let mark = JobStateRecord {
+                    s: RecordedState::Cancelled,
                     n,
                 };
-                self.learn(&id, Known::ended(mark));
+                self.learn(&id, KnownJob::ended(mark));
                 log::info!("cancelled {id}");
                 let status = self.status(&id, mark);
                 ctx.answer(request, Answer::body(200, &status));
             }
             // Its end came first, or an earlier try was carried out: read which.
             Ok(StateReply::Conflict { .. }) => {
-                self.look_for_mark(ctx, id, Ask::Cancel { request, since });
+                self.look_for_mark(ctx, id, PendingRequest::Cancel { request, since });
             }
             Err(_) if ctx.now.steady < since + CREATE_TIME => {
-                self.lookup(ctx, id, Ask::Cancel { request, since });
+                self.lookup(ctx, id, PendingRequest::Cancel { request, since });
             }
             _ => ctx.answer(request, Answer::later("the state is out of reach")),
         }
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,9 +1,9 @@
 //! Requests of this node that wait for their answers, and who waits.
 
-use crate::bucket::Bucket;
-use crate::permit::Permit;
-use crate::waiters::Waiter;
-use crate::{MILLISECOND, Micros, Now, Output, SECOND};
+use crate::continuations::Continuation;
+use crate::leadership_guard::CloudPermit;
+use crate::token_bucket::TokenBucket;
+use crate::{MILLISECOND, Micros, Output, SECOND, Timestamp};
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::state::StateCall;
 use dillcleat_wire::worker::Orders;
@@ -37,11 +37,11 @@
 }
 
 /// What a module may do while it handles an input.
-pub struct Ctx<'a> {
-    pub now: Now,
+pub struct Context<'a> {
+    pub now: Timestamp,
     pub config: &'a crate::Config,
     pub out: &'a mut Vec<Output>,
-    pub calls: &'a mut Calls,
+    pub calls: &'a mut PendingCalls,
 }
 
 /// The part of the state service's requests that second calls may take: when it is slow
@@ -50,24 +50,24 @@
 
 #[derive(Debug)]
 struct Waiting {
-    waiter: Waiter,
+    waiter: Continuation,
     since: Micros,
     /// The same call made a second time, or the first time.
     twin: Option<CallId>,
 }
 
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct PendingCalls {
     next: u64,
     waiting: HashMap<CallId, Waiting>,
     /// Calls that are made a second time if they are slow, in the order of their times.
     urgent: VecDeque<(Micros, CallId, StateCall)>,
     /// Second calls that may be made now.
-    allowed: Bucket,
+    allowed: TokenBucket,
 }
 
-impl Calls {
-    fn open(&mut self, waiter: Waiter, now: Now) -> CallId {
+impl PendingCalls {
+    fn open(&mut self, waiter: Continuation, now: Timestamp) -> CallId {
         self.next += 1;
         let id = CallId(self.next);
         let since = now.steady;
@@ -82,7 +82,7 @@
 
     /// The waiter of an answered call and when the call was made. Whoever waits for two
     /// is told of the first answer; that one of them has failed is none.
-    pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Waiter, Micros)> {
+    pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
         let found = self.waiting.remove(&id)?;
         if let Some(twin) = found.twin {
             if failed && let Some(other) = self.waiting.get_mut(&twin) {
@@ -126,17 +126,17 @@
     }
 }
 
-impl Ctx<'_> {
-    pub fn state(&mut self, call: StateCall, waiter: Waiter) -> CallId {
+impl Context<'_> {
+    pub fn state(&mut self, call: StateCall, waiter: Continuation) -> CallId {
         let timeout = state_timeout(&call);
         let id = self.calls.open(waiter, self.now);
-        self.out.push(Output::State { id, call, timeout });
+        self.out.push(Output::Store { id, call, timeout });
         id
     }
 
     /// A call that a user waits for, and that does no harm when it is made twice: it is,
     /// if its answer is slow.
-    pub fn state_soon(&mut self, call: StateCall, waiter: Waiter) {
+    pub fn state_soon(&mut self, call: StateCall, waiter: Continuation) {
         let id = self.state(call.clone(), waiter);
         // The state service answers most within 10 ms and some in a few hundred: of two
         // answers one is rarely slow.
@@ -151,12 +151,12 @@
     pub fn hasten(&mut self) {
         for (id, call) in self.calls.slow(self.config, self.now.steady) {
             let timeout = state_timeout(&call);
-            self.out.push(Output::State { id, call, timeout });
+            self.out.push(Output::Store { id, call, timeout });
         }
     }
 
     /// The one door to the cloud: without a permit no call goes out.
-    pub fn cloud(&mut self, call: CloudCall, permit: &Permit, waiter: Waiter) {
+    pub fn cloud(&mut self, call: CloudCall, permit: &CloudPermit, waiter: Continuation) {
         if !permit.covers(&call) {
             log::error!("no permit for {call:?}");
             return;
@@ -170,9 +170,9 @@
         });
     }
 
-    pub fn orders(&mut self, addr: String, orders: Orders, waiter: Waiter) -> CallId {
+    pub fn orders(&mut self, addr: String, orders: Orders, waiter: Continuation) -> CallId {
         let id = self.calls.open(waiter, self.now);
-        self.out.push(Output::Orders {
+        self.out.push(Output::Commands {
             id,
             addr,
             orders,
--- a/crates/controller/src/desk.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -1,6 +1,6 @@
 //! The desk that calls the cloud.
 
-use crate::permit::{Action, Ground, Permit};
+use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
 use crate::{Micros, SECOND};
 use dillcleat_wire::cloud::{CloudCall, MAX_DELETE, Rent};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,7 +13,7 @@
 
 /// A rental that has no final answer yet.
 #[derive(Debug, Clone)]
-pub struct Rental {
+pub struct PendingScaleOut {
     pub rent: Rent,
     pub since: Micros,
     /// An earlier try may have been carried out: its name must be repeated
@@ -23,26 +23,26 @@
 
 /// A machine that is to be deleted.
 #[derive(Debug, Clone, Copy)]
-struct Deletion {
-    ground: Ground,
+struct PendingDeletion {
+    ground: DeletionReason,
     /// An earlier try may be carried out any time.
     uncertain: bool,
 }
 
 /// One call to the cloud at a time, within its rate, most urgent first.
 #[derive(Debug)]
-pub struct Desk {
+pub struct CloudQueue {
     rate: f64,
     tokens: f64,
     refilled: Micros,
     pub busy: bool,
     pub pause_until: Micros,
-    deletes: BTreeMap<Rc<str>, Deletion>,
+    deletes: BTreeMap<Rc<str>, PendingDeletion>,
     /// What the call under way deletes.
     deleting: Vec<Rc<str>>,
     /// Deletions and rentals take turns.
     deleted_last: bool,
-    pub rentals: VecDeque<Rental>,
+    pub rentals: VecDeque<PendingScaleOut>,
     pub list_at: Micros,
     pub list_after: Option<String>,
     pub types_at: Micros,
@@ -51,16 +51,16 @@
 
 /// Which call went out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Errand {
+pub enum CloudRequestKind {
     Delete,
     Rent,
     List,
     Types,
 }
 
-impl Desk {
+impl CloudQueue {
     pub fn new(rate: f64, now: Micros) -> Self {
-        Desk {
+        CloudQueue {
             rate,
             tokens: 1.0,
             refilled: now,
@@ -85,9 +85,9 @@
     }
 
     /// Has a machine deleted; of several grounds the weightiest stands.
-    pub fn delete(&mut self, name: Rc<str>, ground: Ground) {
+    pub fn delete(&mut self, name: Rc<str>, ground: DeletionReason) {
         let uncertain = false;
-        let new = Deletion { ground, uncertain };
+        let new = PendingDeletion { ground, uncertain };
         let deletion = self.deletes.entry(name).or_insert(new);
         deletion.ground = deletion.ground.min(ground);
     }
@@ -100,7 +100,7 @@
     /// Whether the machine is to be deleted for a cancelled task.
     pub fn urgent(&self, name: &str) -> bool {
         let deletion = self.deletes.get(name);
-        deletion.is_some_and(|d| d.ground == Ground::Cancelled)
+        deletion.is_some_and(|d| d.ground == DeletionReason::Cancelled)
     }
 
     /// The machine that was to be deleted for its silence is heard: it stays, unless
@@ -109,7 +109,7 @@
         let Some(d) = self.deletes.get(name) else {
             return false;
         };
-        let stays = d.ground == Ground::Silent
+        let stays = d.ground == DeletionReason::Silent
             && !d.uncertain
             && !self.deleting.iter().any(|n| **n == *name);
         if stays {
@@ -139,8 +139,8 @@
 
     /// Takes the next machines to delete: those of weightier grounds first, and no
     /// more than `most` of those that may be in use when a late call reaches them.
-    fn some(&self, most: usize, given: impl Fn(Ground) -> bool) -> Vec<Rc<str>> {
-        use Ground::{Cancelled, Failed, Returned, Silent};
+    fn some(&self, most: usize, given: impl Fn(DeletionReason) -> bool) -> Vec<Rc<str>> {
+        use DeletionReason::{Cancelled, Failed, Returned, Silent};
         let mut names = Vec::new();
         for ground in [Cancelled, Failed, Silent, Returned] {
             if !given(ground) {
@@ -162,8 +162,8 @@
         &mut self,
         now: Micros,
         most: usize,
-        permit: impl Fn(Action) -> Option<Permit>,
-    ) -> Option<(Errand, CloudCall, Permit)> {
+        permit: impl Fn(CloudAction) -> Option<CloudPermit>,
+    ) -> Option<(CloudRequestKind, CloudCall, CloudPermit)> {
         self.tokens = (self.tokens
             + crate::seconds(now.saturating_sub(self.refilled)) * self.rate * 0.9)
             .min(self.rate.max(1.0));
@@ -171,7 +171,7 @@
         if self.busy || now < self.pause_until || self.tokens < 1.0 {
             return None;
         }
-        let rent = permit(Action::Rent);
+        let rent = permit(CloudAction::Rent);
         if rent.is_none() {
             // By the time that there is a permit again another plan fits better.
             self.rentals
@@ -180,7 +180,7 @@
         let rent = rent.filter(|_| !self.rentals.is_empty());
         let mut delete = Vec::new();
         if !self.deletes.is_empty() && (rent.is_none() || !self.deleted_last) {
-            let given = |ground| permit(Action::Delete(ground)).is_some();
+            let given = |ground| permit(CloudAction::Delete(ground)).is_some();
             delete = self.some(most.clamp(FEW, MAX_DELETE), given);
         }
         let grounds = delete.iter().filter_map(|n| self.deletes.get(n));
@@ -189,22 +189,34 @@
             let names = delete.iter().map(|n| n.to_string()).collect();
             self.deleting = delete;
             let call = CloudCall::Delete(names);
-            (Errand::Delete, call, permit(Action::Delete(ground))?)
+            (
+                CloudRequestKind::Delete,
+                call,
+                permit(CloudAction::Delete(ground))?,
+            )
         } else if now >= self.types_at {
-            (Errand::Types, CloudCall::Types, permit(Action::Look)?)
+            (
+                CloudRequestKind::Types,
+                CloudCall::Types,
+                permit(CloudAction::Look)?,
+            )
         } else if let Some((r, permit)) = self.rentals.front().zip(rent) {
-            (Errand::Rent, CloudCall::Rent(r.rent.clone()), permit)
+            (
+                CloudRequestKind::Rent,
+                CloudCall::Rent(r.rent.clone()),
+                permit,
+            )
         } else if now >= self.list_at {
             let after = self.list_after.clone();
             (
-                Errand::List,
+                CloudRequestKind::List,
                 CloudCall::List { after },
-                permit(Action::Look)?,
+                permit(CloudAction::Look)?,
             )
         } else {
             return None;
         };
-        self.deleted_last = next.0 == Errand::Delete;
+        self.deleted_last = next.0 == CloudRequestKind::Delete;
         self.busy = true;
         self.tokens -= 1.0;
         Some(next)
--- a/crates/controller/src/waiters.rs
+++ b/crates/controller/src/continuations.rs
@@ -1,13 +1,13 @@
 //! Who waits for an answer from outside, with what is needed to go on.
 
-use crate::desk::Errand;
-use crate::store::OpenJob;
+use crate::cloud_queue::CloudRequestKind;
+use crate::records::OpenJob;
 use crate::{Answer, Micros, RequestId};
 use std::rc::Rc;
 
 /// What to do once a job's record is known.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum PendingRequest {
     /// Tell its state.
     Tell(RequestId),
     /// A submission that cannot be taken, unless the job is known already.
@@ -21,28 +21,28 @@
     },
 }
 
-impl Ask {
+impl PendingRequest {
     pub fn request(&self) -> RequestId {
         match self {
-            Ask::Tell(request) | Ask::Refuse { request, .. } | Ask::Cancel { request, .. } => {
-                *request
-            }
+            PendingRequest::Tell(request)
+            | PendingRequest::Refuse { request, .. }
+            | PendingRequest::Cancel { request, .. } => *request,
         }
     }
 }
 
 /// Of requests of users.
 #[derive(Debug, Clone)]
-pub enum Admitting {
+pub enum AdmissionStep {
     /// Is it open? The answer is for this ask alone: it was sent after that came in.
     Lookup {
         id: String,
-        ask: Ask,
+        ask: PendingRequest,
     },
     /// It is not open: has it ended? For this ask alone as well.
     Ended {
         id: String,
-        ask: Ask,
+        ask: PendingRequest,
     },
     /// A job that a submission waits for: is it open, or has it ended?
     Name {
@@ -67,7 +67,7 @@
 
 /// Of the election and the lease.
 #[derive(Debug, Clone)]
-pub enum Electing {
+pub enum ElectionStep {
     Read,
     EndOwn,
     NewLease,
@@ -86,12 +86,12 @@
 
 /// Of a leader.
 #[derive(Debug, Clone)]
-pub enum Leading {
+pub enum LeaderStep {
     LoadMachines,
     LoadQueue,
     LoadTasks,
     Watch,
-    Ledger,
+    WriteQueue,
     Reread {
         key: String,
     },
@@ -104,29 +104,29 @@
     Dependency {
         id: Rc<str>,
     },
-    Push {
+    CommandsInFlight {
         machine: String,
     },
-    Cloud(Errand),
+    Cloud(CloudRequestKind),
 }
 
 /// Who waits for an answer, with what is needed to go on.
 #[derive(Debug, Clone)]
-pub enum Waiter {
-    Admission(Admitting),
-    Leadership(Electing),
-    Leader { term: u64, step: Leading },
+pub enum Continuation {
+    Admission(AdmissionStep),
+    Election(ElectionStep),
+    Leader { term: u64, step: LeaderStep },
     Nobody,
 }
 
-impl Waiter {
+impl Continuation {
     /// Whether the call is held until something changes.
     pub fn watches(&self) -> bool {
         matches!(
             self,
-            Waiter::Leadership(Electing::Watch)
-                | Waiter::Leader {
-                    step: Leading::Watch,
+            Continuation::Election(ElectionStep::Watch)
+                | Continuation::Leader {
+                    step: LeaderStep::Watch,
                     ..
                 }
         )
--- a/crates/controller/src/graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -10,14 +10,14 @@
 type Names = BTreeSet<Rc<str>>;
 
 #[derive(Debug, Default, PartialEq)]
-pub struct Graph {
+pub struct DependencyGraph {
     /// What each waiting job still waits for. A job that is ready is not in here.
     needs: BTreeMap<Rc<str>, Names>,
     /// Who waits for a job.
     needed_by: BTreeMap<Rc<str>, Names>,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// A job waits for others.
     pub fn add(&mut self, job: &Rc<str>, dependency: Rc<str>) {
         let needs = self.needs.entry(job.clone()).or_default();
--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/election.rs
@@ -5,10 +5,10 @@
 //! so whatever an earlier leader still has under way fails. The lease only
 //! decides when somebody else tries: safety rests on the term alone.
 
-use crate::calls::{CallError, Ctx};
-use crate::latency::{Latency, lease_time};
-use crate::store::{self, Lead, Term, Types};
-use crate::waiters::{Electing as Step, Waiter};
+use crate::calls::{CallError, Context};
+use crate::continuations::{Continuation, ElectionStep as Step};
+use crate::records::{self, LeaderRecord, MachineTypesRecord, TermRecord};
+use crate::store_latency::{StoreLatency, lease_time};
 use crate::{MILLISECOND, Micros, SECOND, micros};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::state::{Event, StateCall, StateReply, Txn};
@@ -30,14 +30,14 @@
 
 /// A change in who leads, for the node to act upon.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum LeadershipChange {
     Elected { term: u64, term_version: u64 },
     Deposed,
 }
 
 /// Who would make a better leader than a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Better {
+pub enum BetterCandidate {
     /// Workers reach this node.
     Nobody,
     /// Workers do not reach this node, but may reach a sibling.
@@ -62,11 +62,11 @@
 }
 
 #[derive(Debug)]
-pub struct Leadership {
+pub struct Election {
     phase: Phase,
     watching: bool,
     revision: u64,
-    pub lead: Option<Lead>,
+    pub lead: Option<LeaderRecord>,
     term: u64,
     term_version: u64,
     pub types: Option<Rc<Vec<MachineType>>>,
@@ -76,7 +76,7 @@
     /// Not to be elected before: this node could not reach the workers.
     abstain_until: Micros,
     /// Who would lead better than this node.
-    pub better: Better,
+    pub better: BetterCandidate,
     /// Since when nobody leads, as far as is known.
     vacant_since: Option<Micros>,
     /// The lease with which this node is trying to be elected.
@@ -85,12 +85,12 @@
     /// it made or renewed the lease of the lead.
     proved: Micros,
     /// How slow the state service answers this node.
-    pub latency: Latency,
+    pub latency: StoreLatency,
 }
 
-impl Leadership {
+impl Election {
     pub fn new() -> Self {
-        Leadership {
+        Election {
             phase: Phase::Reading { at: 0 },
             watching: false,
             revision: 0,
@@ -101,11 +101,11 @@
             types_version: 0,
             extend_at: 0,
             abstain_until: 0,
-            better: Better::Nobody,
+            better: BetterCandidate::Nobody,
             vacant_since: None,
             taking: None,
             proved: 0,
-            latency: Latency::default(),
+            latency: StoreLatency::default(),
         }
     }
 
@@ -131,21 +131,21 @@
         self.term
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
         match self.phase {
             Phase::Reading { at } if now >= at => {
                 self.phase = Phase::Busy;
                 let call = StateCall::List {
-                    prefix: store::SHARED.into(),
+                    prefix: records::SHARED.into(),
                     after: None,
                 };
-                ctx.state(call, Waiter::Leadership(Step::Read));
+                ctx.state(call, Continuation::Election(Step::Read));
             }
             Phase::Waiting => self.consider(ctx),
             Phase::Leading { lease, .. } if now >= self.extend_at => {
                 self.extend_at = now + micros(ctx.config.tuning.lead_ttl_s) / 4;
-                let waiter = Waiter::Leadership(Step::Extend { lease });
+                let waiter = Continuation::Election(Step::Extend { lease });
                 ctx.state(StateCall::Extend { lease }, waiter);
             }
             _ => {}
@@ -153,16 +153,16 @@
         if !self.watching && matches!(self.phase, Phase::Waiting | Phase::Leading { .. }) {
             self.watching = true;
             let call = StateCall::Watch {
-                prefix: store::SHARED.into(),
+                prefix: records::SHARED.into(),
                 after: self.revision,
                 hold_ms: WATCH_MS,
             };
-            ctx.state(call, Waiter::Leadership(Step::Watch));
+            ctx.state(call, Continuation::Election(Step::Watch));
         }
     }
 
     /// Tries to be elected if nobody leads.
-    fn consider(&mut self, ctx: &mut Ctx) {
+    fn consider(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
         if self.lead.is_some() {
             self.vacant_since = None;
@@ -170,10 +170,10 @@
         }
         let since = *self.vacant_since.get_or_insert(now);
         let pause = match self.better {
-            Better::Sibling => MAKE_WAY,
+            BetterCandidate::Sibling => MAKE_WAY,
             // Before the first term there are no workers to be heard.
-            Better::Unknown if self.term > 0 => HEAD_START,
-            Better::Unknown | Better::Nobody => 0,
+            BetterCandidate::Unknown if self.term > 0 => HEAD_START,
+            BetterCandidate::Unknown | BetterCandidate::Nobody => 0,
         };
         if now < self.abstain_until || now < since + pause {
             return;
@@ -182,13 +182,18 @@
         let ttl_ms = lease_time(ctx.config, self.latency.recent(now)) / 1000;
         ctx.state(
             StateCall::NewLease { ttl_ms },
-            Waiter::Leadership(Step::NewLease),
+            Continuation::Election(Step::NewLease),
         );
     }
 
     /// Gives the lead up and lets go of the lease, so that another can follow
     /// at once. `abstain` keeps this node out of the next elections.
-    pub fn step_down(&mut self, ctx: &mut Ctx, why: &str, abstain: Micros) -> Option<Change> {
+    pub fn step_down(
+        &mut self,
+        ctx: &mut Context,
+        why: &str,
+        abstain: Micros,
+    ) -> Option<LeadershipChange> {
         let Phase::Leading { lease, term } = self.phase else {
             return None;
         };
@@ -197,14 +202,14 @@
         self.reread(ctx, RETRY);
         ctx.state(
             StateCall::EndLease { lease },
-            Waiter::Leadership(Step::Drop),
+            Continuation::Election(Step::Drop),
         );
-        Some(Change::Deposed)
+        Some(LeadershipChange::Deposed)
     }
 
     /// This node was not running for longer than a lease lasts: all that it
     /// believes of the lead is old.
-    pub fn woke(&mut self, ctx: &mut Ctx) -> Option<Change> {
+    pub fn woke(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
         if self.leading().is_some() {
             return self.step_down(ctx, "it was not running", 0);
         }
@@ -213,7 +218,7 @@
         None
     }
 
-    fn reread(&mut self, ctx: &Ctx, pause: Micros) {
+    fn reread(&mut self, ctx: &Context, pause: Micros) {
         self.phase = Phase::Reading {
             at: ctx.now.steady + pause,
         };
@@ -221,25 +226,25 @@
 
     pub fn reply(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         step: Step,
         sent: Micros,
         reply: Result<StateReply, CallError>,
-    ) -> Option<Change> {
+    ) -> Option<LeadershipChange> {
         match (step, reply) {
             (Step::Read, Ok(StateReply::Page(page))) => {
                 self.revision = page.revision;
                 self.lead = None;
                 for row in &page.rows {
                     match row.key.as_str() {
-                        store::LEAD => self.lead = row.read(),
-                        store::TERM => {
-                            if let Some(t) = row.read::<Term>() {
+                        records::LEAD => self.lead = row.read(),
+                        records::TERM => {
+                            if let Some(t) = row.read::<TermRecord>() {
                                 (self.term, self.term_version) = (t.term, row.version);
                             }
                         }
-                        store::TYPES => {
-                            self.types = row.read::<Types>().map(|t| Rc::new(t.types));
+                        records::TYPES => {
+                            self.types = row.read::<MachineTypesRecord>().map(|t| Rc::new(t.types));
                             self.types_version = row.version;
                         }
                         _ => {}
@@ -254,7 +259,7 @@
                         self.phase = Phase::Busy;
                         ctx.state(
                             StateCall::EndLease { lease },
-                            Waiter::Leadership(Step::EndOwn),
+                            Continuation::Election(Step::EndOwn),
                         );
                     }
                     _ => {
@@ -272,21 +277,21 @@
             (Step::NewLease | Step::Read | Step::EndOwn, _) if self.phase != Phase::Busy => None,
             (Step::NewLease, Ok(StateReply::Lease { lease })) => {
                 let term = self.term + 1;
-                let lead = Lead {
+                let lead = LeaderRecord {
                     member: ctx.config.member.clone(),
                     lease,
                     term,
                 };
                 let txn = Txn::default()
-                    .compare(store::LEAD, 0)
-                    .compare(store::TERM, self.term_version)
-                    .put(store::TERM, &Term { term })
-                    .put_leased(store::LEAD, &lead, lease);
+                    .compare(records::LEAD, 0)
+                    .compare(records::TERM, self.term_version)
+                    .put(records::TERM, &TermRecord { term })
+                    .put_leased(records::LEAD, &lead, lease);
                 self.taking = Some(lease);
                 let since = sent;
                 ctx.state(
                     StateCall::Txn(txn),
-                    Waiter::Leadership(Step::Take { lease, term, since }),
+                    Continuation::Election(Step::Take { lease, term, since }),
                 );
                 None
             }
@@ -299,14 +304,14 @@
                 self.proved = since;
                 self.term = term;
                 self.term_version = revision;
-                self.lead = Some(Lead {
+                self.lead = Some(LeaderRecord {
                     member: ctx.config.member.clone(),
                     lease,
                     term,
                 });
                 self.extend_at = ctx.now.steady + micros(ctx.config.tuning.lead_ttl_s) / 4;
                 log::info!("leading in term {term}");
-                Some(Change::Elected {
+                Some(LeadershipChange::Elected {
                     term,
                     term_version: revision,
                 })
@@ -317,7 +322,7 @@
                 log::info!("not elected: {reply:?}");
                 ctx.state(
                     StateCall::EndLease { lease },
-                    Waiter::Leadership(Step::Drop),
+                    Continuation::Election(Step::Drop),
                 );
                 self.reread(ctx, RETRY);
                 None
@@ -348,7 +353,11 @@
         }
     }
 
-    fn watched(&mut self, ctx: &mut Ctx, reply: Result<StateReply, CallError>) -> Option<Change> {
+    fn watched(
+        &mut self,
+        ctx: &mut Context,
+        reply: Result<StateReply, CallError>,
+    ) -> Option<LeadershipChange> {
         let Ok(StateReply::Changes(changes)) = reply else {
             if self.phase == Phase::Waiting {
                 self.reread(ctx, RETRY);
@@ -373,23 +382,23 @@
                     value,
                     version,
                 } => match key.as_str() {
-                    store::LEAD => self.lead = dillcleat_wire::state::read(&value),
-                    store::TERM => {
-                        if let Some(t) = dillcleat_wire::state::read::<Term>(&value)
+                    records::LEAD => self.lead = dillcleat_wire::state::read(&value),
+                    records::TERM => {
+                        if let Some(t) = dillcleat_wire::state::read::<TermRecord>(&value)
                             && version > self.term_version
                         {
                             (self.term, self.term_version) = (t.term, version);
                         }
                     }
-                    store::TYPES => {
-                        if let Some(t) = dillcleat_wire::state::read::<Types>(&value) {
+                    records::TYPES => {
+                        if let Some(t) = dillcleat_wire::state::read::<MachineTypesRecord>(&value) {
                             self.types = Some(Rc::new(t.types));
                         }
                         self.types_version = version;
                     }
                     _ => {}
                 },
-                Event::Delete { key, .. } if key == store::LEAD => self.lead = None,
+                Event::Delete { key, .. } if key == records::LEAD => self.lead = None,
                 Event::Delete { .. } => {}
             }
         }
@@ -407,7 +416,7 @@
     }
 
     /// Somebody has shown a higher term than the one this node leads in.
-    pub fn outdated(&mut self, ctx: &mut Ctx, term: u64) -> Option<Change> {
+    pub fn outdated(&mut self, ctx: &mut Context, term: u64) -> Option<LeadershipChange> {
         match self.phase {
             Phase::Leading { term: own, .. } if term > own => {
                 self.step_down(ctx, "a higher term was shown", 0)
@@ -420,7 +429,7 @@
     pub const ABSTAIN: Micros = 3 * SECOND;
 }
 
-impl Default for Leadership {
+impl Default for Election {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/controller/src/blame.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -19,7 +19,7 @@
 
 /// What a job's errors say of it.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct FailureRecord {
     /// A task of it is known to have run.
     proven: bool,
     /// Where it failed, before any task of it is known to have run.
@@ -28,7 +28,7 @@
     next_try: Micros,
 }
 
-impl Record {
+impl FailureRecord {
     /// It fails wherever it runs, as far as is known: it is tried with one task
     /// at a time, rents nothing and does not count among active jobs.
     pub fn doubtful(&self) -> bool {
@@ -77,9 +77,9 @@
 
 /// Errors of jobs that run elsewhere.
 #[derive(Debug, Default)]
-pub struct Strikes(BTreeSet<Rc<str>>);
+pub struct MachineStrikes(BTreeSet<Rc<str>>);
 
-impl Strikes {
+impl MachineStrikes {
     pub fn add(&mut self, job: &Rc<str>) {
         self.0.insert(job.clone());
     }
@@ -105,7 +105,7 @@
 
     #[test]
     fn a_broken_job_is_tried_with_one_task_at_growing_intervals() {
-        let mut job = Record::default();
+        let mut job = FailureRecord::default();
         assert_eq!(job.failed(&m(0), 0), None);
         assert_eq!(job.failed(&m(0), 0), None);
         assert!(job.may_start(9, false, 0), "one machine may be to blame");
@@ -128,14 +128,14 @@
 
     #[test]
     fn a_job_that_runs_somewhere_is_not_paused_and_tells_against_the_machine() {
-        let mut job = Record::default();
+        let mut job = FailureRecord::default();
         job.failed(&m(0), 0);
         job.failed(&m(1), 0);
         assert!(job.doubtful());
         assert_eq!(job.ran(), BTreeSet::from([m(0), m(1)]));
         assert_eq!(job.failed(&m(2), 0), None);
         assert!(job.may_start(50, false, 0));
-        let mut machine = Strikes::default();
+        let mut machine = MachineStrikes::default();
         machine.add(&Rc::from("job"));
         machine.add(&Rc::from("job"));
         assert!(
--- a/crates/controller/src/learned.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -15,7 +15,7 @@
 
 /// What a node has heard of a leader.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct HeardEstimates {
     /// Of which term it is.
     term: u64,
     clock: f64,
@@ -25,13 +25,13 @@
 
 /// What a new leader takes over.
 #[derive(Debug, Default)]
-pub struct Inherited {
+pub struct InheritedEstimates {
     clock: f64,
     pub classes: HashMap<String, f64>,
     jobs: HashMap<String, LearnedJob>,
 }
 
-impl Heard {
+impl HeardEstimates {
     /// Takes in what a leader tells. A later term's leader has what the one before
     /// knew, as far as it was heard, and has gone on from there.
     pub fn take(&mut self, config: &Config, learned: Learned, now: Micros) {
@@ -39,9 +39,9 @@
             return;
         }
         if learned.term > self.term {
-            *self = Heard {
+            *self = HeardEstimates {
                 term: learned.term,
-                ..Heard::default()
+                ..HeardEstimates::default()
             };
         }
         self.clock = learned.clock;
@@ -62,14 +62,14 @@
 
     /// What the leader of a new term may use: nothing of its own term or a later one,
     /// which others have begun or nobody has, and nothing old.
-    pub fn inherit(&mut self, term: u64, now: Micros) -> Inherited {
+    pub fn inherit(&mut self, term: u64, now: Micros) -> InheritedEstimates {
         let heard = std::mem::take(self);
         if heard.term >= term {
-            return Inherited::default();
+            return InheritedEstimates::default();
         }
         let jobs = heard.jobs.into_iter();
         let recent = jobs.filter(|(_, (_, at))| now < *at + BELIEVED);
-        Inherited {
+        InheritedEstimates {
             clock: heard.clock,
             classes: heard
                 .classes
@@ -81,7 +81,7 @@
     }
 }
 
-impl Inherited {
+impl InheritedEstimates {
     /// What was learned of a job, with its credit as of when the leader was last heard.
     pub fn take(&mut self, id: &str) -> Option<LearnedJob> {
         let mut job = self.jobs.remove(id)?;
--- a/crates/controller/src/known.rs
+++ b/crates/controller/src/job_cache.rs
@@ -1,26 +1,26 @@
 //! What a node has seen of jobs' records.
 
 use crate::Config;
-use crate::store::{JobMark, Mark, OpenJob};
+use crate::records::{JobStateRecord, OpenJob, RecordedState};
 use dillcleat_wire::state::Row;
 use dillcleat_wire::user::Kind;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Known {
-    pub mark: JobMark,
+pub(crate) struct KnownJob {
+    pub mark: JobStateRecord,
     /// Of an open job's mark; 0 if it has none.
     pub version: u64,
     /// It is open, and a service.
     pub service: bool,
 }
 
-impl Known {
+impl KnownJob {
     /// As its description tells of it.
-    pub fn open(job: &OpenJob, row: &Row) -> Known {
-        Known {
-            mark: JobMark {
-                s: Mark::Open,
+    pub fn open(job: &OpenJob, row: &Row) -> KnownJob {
+        KnownJob {
+            mark: JobStateRecord {
+                s: RecordedState::Open,
                 n: job.spec.tasks,
             },
             version: job.mark_version(row.version),
@@ -29,8 +29,8 @@
     }
 
     /// As its mark tells of it, of this version.
-    pub fn marked(mark: JobMark, version: u64) -> Known {
-        Known {
+    pub fn marked(mark: JobStateRecord, version: u64) -> KnownJob {
+        KnownJob {
             mark,
             version,
             service: false,
@@ -38,44 +38,45 @@
     }
 
     /// Its end is in the store.
-    pub fn ended(mark: JobMark) -> Known {
-        Known::marked(mark, 0)
+    pub fn ended(mark: JobStateRecord) -> KnownJob {
+        KnownJob::marked(mark, 0)
     }
 }
 
 /// Jobs whose record this node has seen. Bounded; the oldest are forgotten
 /// first and simply read again when somebody asks.
 #[derive(Debug)]
-pub(crate) struct Cache {
-    jobs: HashMap<String, Known>,
+pub(crate) struct JobCache {
+    jobs: HashMap<String, KnownJob>,
     /// In the order in which they are forgotten.
     order: VecDeque<String>,
     limit: usize,
 }
 
-impl Cache {
+impl JobCache {
     /// An entry takes some 200 bytes: at most an eighth of the memory.
-    pub fn new(config: &Config) -> Cache {
-        Cache {
+    pub fn new(config: &Config) -> JobCache {
+        JobCache {
             jobs: HashMap::new(),
             order: VecDeque::new(),
             limit: (config.memory_mb * 1e6 / 8.0 / 200.0) as usize,
         }
     }
 
-    pub fn get(&self, id: &str) -> Option<Known> {
+    pub fn get(&self, id: &str) -> Option<KnownJob> {
         self.jobs.get(id).copied()
     }
 
     /// How the job ended, if that was seen.
-    pub fn end(&self, id: &str) -> Option<Known> {
-        self.get(id).filter(|known| known.mark.s != Mark::Open)
+    pub fn end(&self, id: &str) -> Option<KnownJob> {
+        self.get(id)
+            .filter(|known| known.mark.s != RecordedState::Open)
     }
 
-    pub fn put(&mut self, id: &str, known: Known) {
+    pub fn put(&mut self, id: &str, known: KnownJob) {
         if let Some(old) = self.jobs.get_mut(id) {
             // An ended job stays ended, whatever a late answer says.
-            if old.mark.s == Mark::Open {
+            if old.mark.s == RecordedState::Open {
                 *old = known;
             }
             return;
--- a/crates/controller/src/leader/rent.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -1,8 +1,8 @@
 //! Renting, returning, and machines that are gone.
 
-use super::boots::boot_time;
-use super::cut::CUT_LEASES;
-use super::late::Served;
+use super::boot_estimator::boot_time;
+use super::deadline_risk::Served;
+use super::zone_partition::CUT_LEASES;
 use super::*;
 
 /// Whether a call that got no success may have been carried out, or may still be.
@@ -11,11 +11,11 @@
 }
 
 impl Leader {
-    pub(super) fn tend_fleet(&mut self, ctx: &Ctx) {
+    pub(super) fn tend_fleet(&mut self, ctx: &Context) {
         let now = ctx.now.steady;
         let cut_off = self.cut_off();
         self.drop_silent(ctx, &cut_off);
-        if self.may(ctx, Action::Delete(Ground::Returned)) {
+        if self.may(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.return_idle(ctx);
         }
         let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
@@ -24,7 +24,10 @@
             return;
         };
         // Right after the start the machines are still becoming known.
-        if now < self.ready_since + 2 * SECOND || !self.fresh(ctx) || !self.may(ctx, Action::Rent) {
+        if now < self.ready_since + 2 * SECOND
+            || !self.fresh(ctx)
+            || !self.may(ctx, CloudAction::Rent)
+        {
             return;
         }
         let (booting, slow) = self.booting(&types, now);
@@ -35,10 +38,10 @@
         }
         self.dark.retain(|_, at| now < *at + DARK);
         // What is asked for is answered first: refusals change the plan.
-        if !self.desk.rentals.is_empty() {
+        if !self.cloud_queue.rentals.is_empty() {
             return;
         }
-        let mut teams = self.index.sums.team_views(ctx.config);
+        let mut teams = self.derived.sums.team_views(ctx.config);
         let lost = self.lost_replicas(&cut_off);
         for (place, n) in &lost {
             if let Some((_, job)) = self.jobs.at(*place) {
@@ -48,11 +51,11 @@
         }
         let ahead = self.ahead(ctx.config);
         // With nothing waiting and no room wanted ahead there is nothing to plan.
-        if self.index.line.is_empty() && lost.is_empty() && ahead <= 0.0 {
+        if self.derived.line.is_empty() && lost.is_empty() && ahead <= 0.0 {
             return;
         }
         let mut floor = Floor::without_images();
-        let up = self.index.sums.up.iter();
+        let up = self.derived.sums.up.iter();
         let mut there: BTreeMap<Rc<str>, u32> = up.map(|(z, n)| (z.clone(), *n as u32)).collect();
         for view in booting {
             *there.entry(view.zone.clone()).or_default() += 1;
@@ -68,7 +71,7 @@
             dark: self.dark.keys().cloned().collect(),
             slow,
             there,
-            lent: self.index.sums.lent_cpus(),
+            lent: self.derived.sums.lent_cpus(),
             now,
         };
         let reserve = self.reserve(ctx.config);
@@ -86,9 +89,9 @@
             PLAN_JOBS
         };
         for ((machine_type, zone, spot), count) in wanted {
-            let request = self.desk.name(self.term);
+            let request = self.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
-            self.desk.rentals.push_back(Rental {
+            self.cloud_queue.rentals.push_back(PendingScaleOut {
                 rent: Rent {
                     request,
                     machine_type,
@@ -120,13 +123,13 @@
     /// for what fails wherever it runs.
     fn unserved<'a>(
         &'a self,
-        ctx: &'a Ctx,
+        ctx: &'a Context,
         cut_off: &'a BTreeSet<Rc<str>>,
         lost: &'a BTreeMap<Place, u32>,
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<Shape>)> {
-        let mut served = Served::new(&self.index.sums);
+        let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
-        let waiting = self.index.line.all(self.clock);
+        let waiting = self.derived.line.all(self.clock);
         let waiting = waiting.filter(|place| !lost.contains_key(place));
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
@@ -146,7 +149,7 @@
 
     /// Machines with the room that will be free by the time that a rented one
     /// could be up: renting for what fits there would gain nothing.
-    fn freeing(&self, ctx: &Ctx, cut_off: &BTreeSet<Rc<str>>) -> Vec<MachineView> {
+    fn freeing(&self, ctx: &Context, cut_off: &BTreeSet<Rc<str>>) -> Vec<MachineView> {
         let now = ctx.now.steady;
         let horizon =
             (self.soonest_boot() + ctx.config.tuning.fetch_s) * ctx.config.tuning.patience;
@@ -187,25 +190,25 @@
     /// Machines that fell silent are deleted: the answer is the proof that
     /// what was on them is gone. Those of zones that are `cut` off have rules of
     /// their own.
-    fn drop_silent(&mut self, ctx: &Ctx, cut: &BTreeSet<Rc<str>>) {
+    fn drop_silent(&mut self, ctx: &Context, cut: &BTreeSet<Rc<str>>) {
         let now = ctx.now.steady;
         let silence = (ctx.config.lease * 4 / 10).max(2 * ctx.config.report + SECOND);
-        let up: usize = self.index.sums.up.values().sum();
+        let up: usize = self.derived.sums.up.values().sum();
         // Many at once look like a cut or a stall that may heal before leases
         // run out; after that what was on them is gone in any case. They are
         // counted as soon as they miss a report: one by one they would be
         // deleted before they are many.
         let missing = Self::missing(ctx.config);
-        let patient = self.index.silent.len() > 2.max(up as u64 * 3 / 10);
+        let patient = self.derived.silent.len() > 2.max(up as u64 * 3 / 10);
         // Replicas behind a cut serve until their lease ends. To delete them
         // sooner once cost a third of all replicas the time that others took
         // to boot (rough, brunnmatt-books-grown).
         let mut elsewhere = self.elsewhere(cut);
-        let may = self.entitled(ctx) && self.may(ctx, Action::Delete(Ground::Silent));
+        let may = self.entitled(ctx) && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
         let doubts = self.doubts(ctx.config);
         let types = self.types.clone();
         let types = types.as_deref().map_or(&[][..], Vec::as_slice);
-        let index = &self.index;
+        let index = &self.derived;
         let suspects = &(&index.silent | &index.booting) | &index.noticed;
         let mut probed = Vec::new();
         let mut dropped = Vec::new();
@@ -222,7 +225,7 @@
             let limit = if !m.up {
                 let boot = boot_time(types, &m.machine_type);
                 if m.expected {
-                    self.boots.patience(m, boot)
+                    self.boot_estimator.patience(m, boot)
                 } else {
                     // A record or a listing only: it should report right away.
                     silence + boot
@@ -255,15 +258,15 @@
             if let Some(m) = self.machines.quiet(place) {
                 m.probe = true;
                 m.wants_push = true;
-                self.pushes.plain(m.name.clone());
+                self.command_dispatch.plain(m.name.clone());
             }
         }
         for name in dropped {
-            self.let_go(&name, Ground::Silent);
+            self.let_go(&name, DeletionReason::Silent);
         }
     }
 
-    pub(super) fn return_idle(&mut self, ctx: &Ctx) {
+    pub(super) fn return_idle(&mut self, ctx: &Context) {
         let now = ctx.now.steady;
         let idle = micros(ctx.config.tuning.idle_s);
         // What the reserve needs stays: it would be rented again at once.
@@ -271,7 +274,7 @@
         let mut spare: BTreeMap<Rc<str>, f64> = BTreeMap::new();
         // Those that hold the fewest images of services first.
         let mut order: Vec<(u32, Rc<str>)> = self
-            .index
+            .derived
             .empty
             .iter()
             .filter_map(|place| self.machines.at(place))
@@ -291,14 +294,14 @@
             let minute = now >= m.known_since + 55 * SECOND;
             let tired = m.condemned || m.gone_by.is_some();
             if !tired && empty >= idle && minute && !m.spot && reserve > 0.0 {
-                let room = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
+                let machine_cpus = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
                 let free = spare
                     .entry(m.zone.clone())
-                    .or_insert_with(|| self.index.floor.ordinary(&m.zone));
-                if *free - room + 1e-6 < reserve {
+                    .or_insert_with(|| self.derived.floor.ordinary(&m.zone));
+                if *free - machine_cpus + 1e-6 < reserve {
                     continue;
                 }
-                *free -= room;
+                *free -= machine_cpus;
             }
             if tired || (empty >= idle && minute) {
                 log::info!("{name}: idle, returning it");
@@ -306,12 +309,12 @@
             }
         }
         for name in returned {
-            self.let_go(&name, Ground::Returned);
+            self.let_go(&name, DeletionReason::Returned);
         }
     }
 
     /// A machine is gone for sure.
-    pub(super) fn machine_gone(&mut self, ctx: &Ctx, name: &str, why: &'static str) {
+    pub(super) fn machine_gone(&mut self, ctx: &Context, name: &str, why: &'static str) {
         self.gone.insert(name.to_string(), ctx.now.steady);
         let Some(mut m) = self.machines.remove(name) else {
             return;
@@ -321,55 +324,56 @@
             self.slot_event(ctx, name, event);
         }
         if m.recorded {
-            self.ledger.push(Item::Drop(store::machine_key(name)));
+            self.write_queue
+                .push(PendingWrite::Drop(records::machine_key(name)));
         }
     }
 
     pub fn cloud_reply(
         &mut self,
-        ctx: &mut Ctx,
-        errand: Errand,
+        ctx: &mut Context,
+        errand: CloudRequestKind,
         reply: Result<CloudReply, CallError>,
     ) {
         let now = ctx.now.steady;
-        self.desk.busy = false;
+        self.cloud_queue.busy = false;
         match (errand, reply) {
-            (Errand::Delete, Ok(CloudReply::Deleted)) => {
-                for name in self.desk.deleted() {
+            (CloudRequestKind::Delete, Ok(CloudReply::Deleted)) => {
+                for name in self.cloud_queue.deleted() {
                     self.machine_gone(ctx, &name, "deleted");
                 }
             }
-            (Errand::Rent, Ok(CloudReply::Rented(names))) => {
-                if let Some(r) = self.desk.rentals.pop_front() {
+            (CloudRequestKind::Rent, Ok(CloudReply::Rented(names))) => {
+                if let Some(r) = self.cloud_queue.rentals.pop_front() {
                     self.rented(ctx, &r.rent, &names);
                 }
             }
-            (Errand::Rent, Ok(CloudReply::NoCapacity | CloudReply::Malformed)) => {
-                if let Some(r) = self.desk.rentals.pop_front() {
+            (CloudRequestKind::Rent, Ok(CloudReply::NoCapacity | CloudReply::Malformed)) => {
+                if let Some(r) = self.cloud_queue.rentals.pop_front() {
                     self.refused(ctx, &r.rent, 0);
                 }
             }
-            (Errand::Rent, other) => {
-                self.desk.pause(now);
-                self.desk.not_rented(now, uncertain(&other));
+            (CloudRequestKind::Rent, other) => {
+                self.cloud_queue.pause(now);
+                self.cloud_queue.not_rented(now, uncertain(&other));
             }
-            (Errand::Delete, other) => {
+            (CloudRequestKind::Delete, other) => {
                 log::info!("the cloud does not delete: {other:?}");
-                self.desk.pause(now);
-                self.desk.not_deleted(uncertain(&other));
+                self.cloud_queue.pause(now);
+                self.cloud_queue.not_deleted(uncertain(&other));
             }
-            (Errand::Types, Ok(CloudReply::Types(types))) => {
-                self.desk.types_at = now + 60 * SECOND;
+            (CloudRequestKind::Types, Ok(CloudReply::Types(types))) => {
+                self.cloud_queue.types_at = now + 60 * SECOND;
                 self.new_types(types);
             }
-            (Errand::List, Ok(CloudReply::Listed(list))) => self.listed(ctx, list),
-            (Errand::Types, _) => {
-                self.desk.types_at = now + 2 * SECOND;
-                self.desk.pause(now);
+            (CloudRequestKind::List, Ok(CloudReply::Listed(list))) => self.listed(ctx, list),
+            (CloudRequestKind::Types, _) => {
+                self.cloud_queue.types_at = now + 2 * SECOND;
+                self.cloud_queue.pause(now);
             }
             (_, other) => {
                 log::info!("the cloud does not do {errand:?}: {other:?}");
-                self.desk.pause(now);
+                self.cloud_queue.pause(now);
             }
         }
     }
@@ -393,12 +397,12 @@
         self.machines.mark_all();
         if !same {
             self.types_stored = false;
-            self.ledger.push(Item::Types);
+            self.write_queue.push(PendingWrite::Types);
         }
-        self.notes.push(Note::Types(types));
+        self.notes.push(LeaderEvent::Types(types));
     }
 
-    pub(super) fn rented(&mut self, ctx: &Ctx, rent: &Rent, names: &[String]) {
+    pub(super) fn rented(&mut self, ctx: &Context, rent: &Rent, names: &[String]) {
         let now = ctx.now.steady;
         log::info!(
             "rented {}: {} of {}: {}",
@@ -425,7 +429,7 @@
         }
     }
 
-    pub(super) fn refused(&mut self, ctx: &Ctx, rent: &Rent, got: usize) {
+    pub(super) fn refused(&mut self, ctx: &Context, rent: &Rent, got: usize) {
         log::info!(
             "no more {} in {}, spot {}: {got} of {}",
             rent.machine_type,
@@ -440,7 +444,7 @@
         self.fleet_at = ctx.now.steady;
     }
 
-    pub(super) fn listed(&mut self, ctx: &Ctx, list: MachineList) {
+    pub(super) fn listed(&mut self, ctx: &Context, list: MachineList) {
         let now = ctx.now.steady;
         let last = list.machines.last().map(|m| m.name.clone());
         for l in list.machines {
@@ -449,7 +453,8 @@
             }
             if l.condition == Condition::Failed {
                 self.machine_gone(ctx, &l.name, "listed as failed");
-                self.desk.delete(Rc::from(l.name), Ground::Failed);
+                self.cloud_queue
+                    .delete(Rc::from(l.name), DeletionReason::Failed);
                 continue;
             }
             if !self.machines.contains_key(&l.name) {
@@ -477,22 +482,22 @@
             {
                 m.addr = Some(addr);
                 m.wants_push = true;
-                self.pushes.plain(m.name.clone());
+                self.command_dispatch.plain(m.name.clone());
             }
         }
         if list.more && last.is_some() {
-            self.desk.list_after = last;
-            self.desk.list_at = now;
+            self.cloud_queue.list_after = last;
+            self.cloud_queue.list_at = now;
         } else {
-            self.desk.list_after = None;
-            self.desk.list_at = now + 10 * SECOND;
+            self.cloud_queue.list_after = None;
+            self.cloud_queue.list_at = now + 10 * SECOND;
         }
     }
 
     /// Jobs whose counts have changed since they were last shown.
     pub fn progress(&mut self) -> Vec<Progress> {
         let mut changed = Vec::new();
-        let unshown = self.index.unshown.iter();
+        let unshown = self.derived.unshown.iter();
         let some: Vec<Place> = unshown
             .take(dillcleat_peer_protocol::MAX_PROGRESS)
             .collect();
--- a/crates/controller/src/leader/boots.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -18,7 +18,7 @@
 
 /// The machine rented last, of those that are up, by type and zone.
 #[derive(Debug, Default)]
-pub struct Boots(BTreeMap<(Rc<str>, Rc<str>), Latest>);
+pub struct BootEstimator(BTreeMap<(Rc<str>, Rc<str>), Latest>);
 
 #[derive(Debug, Clone, Copy)]
 struct Latest {
@@ -37,7 +37,7 @@
     Late,
 }
 
-impl Boots {
+impl BootEstimator {
     /// A machine is up.
     pub fn up(&mut self, m: &Machine, now: Micros) {
         let key = (m.machine_type.clone(), m.zone.clone());
@@ -97,15 +97,15 @@
         let mut coming = Vec::new();
         let mut slow = BTreeSet::new();
         let mut spells: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
-        let all = self.index.booting.iter();
+        let all = self.derived.booting.iter();
         let booting: Vec<&Machine> = all
-            .filter(|place| !self.index.silent.contains(*place))
+            .filter(|place| !self.derived.silent.contains(*place))
             .filter_map(|place| Some(self.machines.at(place)?.1))
             .filter(|m| m.expected || m.recorded)
             .collect();
         for m in &booting {
             let boot = boot_time(types, &m.machine_type);
-            let state = self.boots.of(m, boot, now);
+            let state = self.boot_estimator.of(m, boot, now);
             match state {
                 Boot::Coming => coming.extend(self.view(m)),
                 Boot::Spell => spells.entry(m.machine_type.clone()).or_default().push(*m),
@@ -126,9 +126,9 @@
                 .filter(|m| m.machine_type == offer.0 && m.zone == offer.1);
             late.any(|m| {
                 let boot = boot_time(types, &m.machine_type);
-                self.boots.of(m, boot, now) != Boot::Coming
+                self.boot_estimator.of(m, boot, now) != Boot::Coming
                     && self
-                        .boots
+                        .boot_estimator
                         .0
                         .get(offer)
                         .is_none_or(|l| l.rented + SECOND < m.known_since)
@@ -156,7 +156,7 @@
 
     #[test]
     fn one_that_others_overtake_is_late_and_a_spell_is_waited_out() {
-        let mut boots = Boots::default();
+        let mut boots = BootEstimator::default();
         let start = 1000 * SECOND;
         let m = rented("a", start);
         assert_eq!(boots.of(&m, BOOT, start + 20 * SECOND), Boot::Coming);
--- a/crates/controller/src/leader/pushes.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 #[derive(Debug)]
-pub(super) struct Pushes {
+pub(super) struct CommandDispatch {
     urgent: BTreeSet<Rc<str>>,
     /// No command waits there.
     plain: BTreeSet<Rc<str>>,
@@ -20,9 +20,9 @@
     limit: usize,
 }
 
-impl Pushes {
-    pub fn new(limit: usize) -> Pushes {
-        Pushes {
+impl CommandDispatch {
+    pub fn new(limit: usize) -> CommandDispatch {
+        CommandDispatch {
             urgent: BTreeSet::new(),
             plain: BTreeSet::new(),
             later: BTreeSet::new(),
@@ -80,12 +80,12 @@
 }
 
 impl Leader {
-    pub(super) fn push_orders(&mut self, ctx: &mut Ctx) {
+    pub(super) fn push_orders(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
         if !self.entitled(ctx) {
             return;
         }
-        while let Some(name) = self.pushes.next(now) {
+        while let Some(name) = self.command_dispatch.next(now) {
             let Some(m) = self.machines.get(&name) else {
                 continue;
             };
@@ -94,7 +94,7 @@
                 continue;
             }
             if now < m.push_after {
-                self.pushes.later(m.push_after, name, true);
+                self.command_dispatch.later(m.push_after, name, true);
                 continue;
             }
             let commands = if m.ready {
@@ -102,7 +102,7 @@
             } else {
                 Vec::new()
             };
-            let waiter = self.waiter(Step::Push {
+            let waiter = self.waiter(Step::CommandsInFlight {
                 machine: name.to_string(),
             });
             // What a push changes is derived from by nothing.
@@ -124,19 +124,19 @@
             let sent = orders.commands.clone();
             let id = ctx.orders(addr, orders, waiter);
             m.pushed(id, &sent);
-            self.pushes.sent();
+            self.command_dispatch.sent();
         }
     }
 
     pub fn orders_reply(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: CallId,
         machine: &str,
         reply: Result<(u16, Vec<u8>), CallError>,
     ) {
         let now = ctx.now.steady;
-        self.pushes.ended();
+        self.command_dispatch.ended();
         let report = match &reply {
             Ok((200 | 409, body)) => match dillcleat_wire::decode::<Report>(body) {
                 Ok(r) if r.machine == machine => Some(r),
@@ -167,10 +167,10 @@
             m.unheard_since.get_or_insert(now);
         }
         match report {
-            Some(r) if r.token > self.term => self.notes.push(Note::Higher(r.token)),
+            Some(r) if r.token > self.term => self.notes.push(LeaderEvent::Higher(r.token)),
             Some(r) => {
                 let was_ready = m.ready;
-                self.take_report(ctx, &r, Source::Orders);
+                self.take_report(ctx, &r, HeartbeatSource::Orders);
                 if let Some(m) = self.machines.get_mut(machine)
                     && !m.ready
                     && !was_ready
@@ -188,7 +188,7 @@
         // Also what came to be wanted while this was under way.
         if let Some(m) = self.machines.get(machine).filter(|m| m.wants_push) {
             let at = m.push_after.max(now);
-            self.pushes.later(at, m.name.clone(), answers);
+            self.command_dispatch.later(at, m.name.clone(), answers);
         }
     }
 }
@@ -201,14 +201,14 @@
     /// stand behind, and what does not answer comes again later.
     #[test]
     fn commands_go_first_and_half_of_the_turns_are_theirs() {
-        let mut pushes = Pushes::new(4);
+        let mut pushes = CommandDispatch::new(4);
         for i in 0..9 {
             pushes.plain(Rc::from(format!("p{i}")));
         }
         pushes.urgent("p7".into());
         pushes.later(SECOND, "late".into(), true);
         let mut sent = Vec::new();
-        let mut send = |pushes: &mut Pushes, now| {
+        let mut send = |pushes: &mut CommandDispatch, now| {
             while let Some(machine) = pushes.next(now) {
                 pushes.sent();
                 sent.push(machine.to_string());
--- a/crates/controller/src/leader/late.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -1,6 +1,6 @@
 //! Which waiting tasks will start too late for their deadlines.
 
-use super::index::Sums;
+use super::derived::Sums;
 use super::*;
 use crate::config::DeadlineAim;
 
@@ -33,7 +33,7 @@
 
     /// How many of the job's waiting tasks the fleet as it is cannot start in
     /// time.
-    pub fn late(&mut self, leader: &Leader, ctx: &Ctx, job: &Job, waiting: u32) -> u32 {
+    pub fn late(&mut self, leader: &Leader, ctx: &Context, job: &Job, waiting: u32) -> u32 {
         if job.spec.kind != Kind::Batch {
             return 0;
         }
@@ -65,7 +65,7 @@
     /// has no strict aim for it, or that a machine rented now would come too
     /// late. A job that cannot meet its deadline any more is counted against
     /// the last time at which its end is of use.
-    fn slack(&self, ctx: &Ctx, job: &Job, run: f64) -> Option<f64> {
+    fn slack(&self, ctx: &Context, job: &Job, run: f64) -> Option<f64> {
         let takes = run + ctx.config.tuning.fetch_s;
         let ends = match job.due {
             // What waits for it sets when it has to end.
@@ -79,7 +79,7 @@
 
     /// How long it is until the job's deadline, and until the last time at which its end
     /// is of use; None if no money is spent on it.
-    fn own_ends(&self, ctx: &Ctx, job: &Job) -> Option<[f64; 2]> {
+    fn own_ends(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
         let (due, aim) = strict_deadline(ctx.config, job)?;
         let age = seconds(ctx.now.wall.saturating_sub(job.submitted));
         Some([due - age, due * aim.times - age])
--- a/crates/controller/src/leader/waits.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -1,9 +1,9 @@
 //! Jobs that wait for others: who is ready, whose cancellation follows from another,
 //! and what a job inherits of those that wait for it.
 
-use super::late::strict_deadline;
+use super::deadline_risk::strict_deadline;
 use super::*;
-use crate::bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// Marks of dependencies that may be read at once, and the part of the state service's
 /// requests that this may take: a new leader with many waiting jobs reads them beside
@@ -16,15 +16,15 @@
 
 /// Dependencies whose ends are to be proved by their marks.
 #[derive(Debug, Default)]
-pub(super) struct Proofs {
+pub(super) struct DependencyProofs {
     /// To be read, each from some time on.
     wanted: BTreeMap<Rc<str>, Micros>,
     under_way: usize,
     /// Reads that may be made now.
-    allowed: Bucket,
+    allowed: TokenBucket,
 }
 
-impl Proofs {
+impl DependencyProofs {
     /// The mark of a job is to be read.
     pub fn look_for(&mut self, id: Rc<str>) {
         self.wanted.insert(id, 0);
@@ -48,9 +48,9 @@
 
 impl Leader {
     /// A job was taken up: it may wait for others, and others for it.
-    pub(super) fn joins(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn joins(&mut self, ctx: &Context, id: &Rc<str>) {
         // That it is open is seen here: no mark needs to be read for it.
-        self.proofs.wanted.remove(id);
+        self.dependency_proofs.wanted.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -64,31 +64,33 @@
                 // Not being open proves nothing: pages of a load are of different
                 // revisions, and a watch tells of a job after one that names it.
                 None => {
-                    self.proofs.wanted.insert(Rc::from(name.as_str()), 0);
+                    self.dependency_proofs
+                        .wanted
+                        .insert(Rc::from(name.as_str()), 0);
                 }
             }
             let dependency = known.unwrap_or_else(|| Rc::from(name));
-            self.graph.add(id, dependency);
+            self.dependency_graph.add(id, dependency);
         }
-        if self.graph.waits(id)
+        if self.dependency_graph.waits(id)
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.held = true;
         }
         if cancelled {
-            self.ledger.push(Item::Cancel(id.clone()));
+            self.write_queue.push(PendingWrite::Cancel(id.clone()));
         }
         // All at once when all are read: one by one, each of a thousand that wait for
         // one job goes over the others again.
-        if self.stage == Stage::Ready {
+        if self.stage == RecoveryStage::Ready {
             self.set_lift(ctx, id);
             self.raise(ctx, id);
         }
     }
 
     /// Gives all jobs that were read what they have of those that wait for them.
-    pub(super) fn lift_all(&mut self, ctx: &Ctx) {
-        let awaited: Vec<Rc<str>> = self.graph.awaited().cloned().collect();
+    pub(super) fn lift_all(&mut self, ctx: &Context) {
+        let awaited: Vec<Rc<str>> = self.dependency_graph.awaited().cloned().collect();
         for id in awaited {
             if self.set_lift(ctx, &id) {
                 self.raise(ctx, &id);
@@ -97,56 +99,63 @@
     }
 
     /// Reads marks of dependencies that are not open here.
-    pub(super) fn look_for_proofs(&mut self, ctx: &mut Ctx) {
+    pub(super) fn look_for_proofs(&mut self, ctx: &mut Context) {
         let per_s = ctx.config.state_rps * PROOFS_PART;
-        while let Some(id) = self.proofs.next(ctx.now.steady, per_s) {
-            if self.graph.needed(&id) || self.is_orphan(&id) {
-                let key = store::job_key(&id);
+        while let Some(id) = self.dependency_proofs.next(ctx.now.steady, per_s) {
+            if self.dependency_graph.needed(&id) || self.is_orphan(&id) {
+                let key = records::job_key(&id);
                 let waiter = self.waiter(Step::Dependency { id });
                 ctx.state(StateCall::Get { key }, waiter);
             } else {
-                self.proofs.under_way -= 1;
+                self.dependency_proofs.under_way -= 1;
             }
         }
     }
 
     /// The mark of a dependency, or that it has none.
-    pub(super) fn proved(&mut self, ctx: &Ctx, id: Rc<str>, reply: Result<StateReply, CallError>) {
-        self.proofs.under_way -= 1;
+    pub(super) fn proved(
+        &mut self,
+        ctx: &Context,
+        id: Rc<str>,
+        reply: Result<StateReply, CallError>,
+    ) {
+        self.dependency_proofs.under_way -= 1;
         let mark = match &reply {
-            Ok(StateReply::Found(row)) => row.read::<JobMark>().map(|m| m.s),
+            Ok(StateReply::Found(row)) => row.read::<JobStateRecord>().map(|m| m.s),
             _ => None,
         };
         match mark {
-            Some(Mark::Done) => {
+            Some(RecordedState::Done) => {
                 self.orphan_ended(&id);
                 self.dependency_done(ctx, &id);
             }
-            Some(Mark::Cancelled) => {
+            Some(RecordedState::Cancelled) => {
                 self.orphan_ended(&id);
                 self.cancel_dependents(&id);
             }
-            Some(Mark::Open) | None => {
+            Some(RecordedState::Open) | None => {
                 let pause = match reply {
                     Ok(StateReply::Absent { .. } | StateReply::Found(_)) => AGAIN,
                     _ => RETRY,
                 };
                 let orphan = self.is_orphan(&id);
-                if orphan || self.graph.needed(&id) && !self.jobs.contains_key(&id) {
+                if orphan || self.dependency_graph.needed(&id) && !self.jobs.contains_key(&id) {
                     let pause = if orphan {
-                        pause.max(orphans::AGAIN)
+                        pause.max(unknown_jobs::AGAIN)
                     } else {
                         pause
                     };
-                    self.proofs.wanted.insert(id, ctx.now.steady + pause);
+                    self.dependency_proofs
+                        .wanted
+                        .insert(id, ctx.now.steady + pause);
                 }
             }
         }
     }
 
     /// A job's end is proved: what waited for nothing else becomes active.
-    pub(super) fn dependency_done(&mut self, ctx: &Ctx, id: &Rc<str>) {
-        for ready in self.graph.done(id) {
+    pub(super) fn dependency_done(&mut self, ctx: &Context, id: &Rc<str>) {
+        for ready in self.dependency_graph.done(id) {
             let Some(job) = self.jobs.get_mut(&ready) else {
                 continue;
             };
@@ -160,14 +169,14 @@
 
     /// A job is cancelled, and with it all that need it. None of them has started.
     pub(super) fn cancel_dependents(&mut self, id: &Rc<str>) {
-        for dependent in self.graph.downstream(id) {
+        for dependent in self.dependency_graph.downstream(id) {
             log::info!("{dependent}: cancelled with {id}, for which it waits");
-            self.ledger.push(Item::Cancel(dependent));
+            self.write_queue.push(PendingWrite::Cancel(dependent));
         }
     }
 
     /// The cancellation of a job that waited is in the store.
-    pub(super) fn cancelled_with(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn cancelled_with(&mut self, ctx: &Context, id: &Rc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -175,11 +184,11 @@
         job.stopped = true;
         let n = job.spec.tasks;
         let placed = job.placed();
-        let mark = JobMark {
-            s: Mark::Cancelled,
+        let mark = JobStateRecord {
+            s: RecordedState::Cancelled,
             n,
         };
-        self.notes.push(Note::Ended(id.to_string(), mark));
+        self.notes.push(LeaderEvent::Ended(id.to_string(), mark));
         if placed > 0 {
             // It waits, and yet something of it was started: by a version that knows
             // of no waiting.
@@ -189,13 +198,14 @@
         // 282 of the days of pipelines).
         self.cancel_dependents(id);
         self.forget_job(ctx, id);
-        self.ledger.push(Item::Drop(store::open_key(id)));
+        self.write_queue
+            .push(PendingWrite::Drop(records::open_key(id)));
     }
 
     /// A job waits no more, since it has ended.
-    pub(super) fn leaves_line(&mut self, ctx: &Ctx, id: &Rc<str>) {
-        let before: Vec<Rc<str>> = self.graph.dependencies(id).cloned().collect();
-        self.graph.remove(id);
+    pub(super) fn leaves_line(&mut self, ctx: &Context, id: &Rc<str>) {
+        let before: Vec<Rc<str>> = self.dependency_graph.dependencies(id).cloned().collect();
+        self.dependency_graph.remove(id);
         for dependency in before {
             let open = self.jobs.get(&dependency).is_some_and(|j| !j.stopped);
             if open && self.set_lift(ctx, &dependency) {
@@ -205,9 +215,9 @@
     }
 
     /// What a job has of itself and of those that wait for it.
-    fn lift(&self, ctx: &Ctx, id: &Rc<str>, job: &Job) -> (Priority, Option<Micros>) {
+    fn lift(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> (Priority, Option<Micros>) {
         let mut lift = (job.spec.priority, None);
-        for dependent in self.graph.dependents(id) {
+        for dependent in self.dependency_graph.dependents(id) {
             if let Some(dependent) = self.jobs.get(dependent) {
                 lift = self.lifted_by(ctx, lift, dependent);
             }
@@ -218,7 +228,7 @@
     /// The same once one more job waits.
     fn lifted_by(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         (priority, due): (Priority, Option<Micros>),
         dependent: &Job,
     ) -> (Priority, Option<Micros>) {
@@ -237,13 +247,13 @@
     }
 
     /// By when a job has to end by its own deadline, where that is worth money.
-    fn own_due(&self, ctx: &Ctx, job: &Job) -> Option<Micros> {
+    fn own_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let (due, _) = strict_deadline(ctx.config, job)?;
         Some(job.submitted.saturating_add(micros(due)))
     }
 
     /// Works a job's lift out anew; true if it has changed.
-    fn set_lift(&mut self, ctx: &Ctx, id: &Rc<str>) -> bool {
+    fn set_lift(&mut self, ctx: &Context, id: &Rc<str>) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -259,8 +269,8 @@
 
     /// Lets those that a job waits for have what it has, and those before them. After
     /// a fall they are worked out anew, each as often as it is on a way.
-    fn raise(&mut self, ctx: &Ctx, id: &Rc<str>) {
-        let mut next: Vec<Rc<str>> = self.graph.dependencies(id).cloned().collect();
+    fn raise(&mut self, ctx: &Context, id: &Rc<str>) {
+        let mut next: Vec<Rc<str>> = self.dependency_graph.dependencies(id).cloned().collect();
         // Only a stored cycle, which no submission can make, takes so many steps.
         let mut steps = 16 * (self.jobs.len() + 1);
         while let Some(before) = next.pop() {
@@ -269,33 +279,36 @@
                 return log::error!("{id}: waits for itself");
             }
             if self.set_lift(ctx, &before) {
-                next.extend(self.graph.dependencies(&before).cloned());
+                next.extend(self.dependency_graph.dependencies(&before).cloned());
             }
         }
     }
 
     /// Whether a job's cancellation is to be written, or its mark to be read.
     fn ends_with(&self, id: &Rc<str>) -> bool {
-        self.ledger.cancels(id) || self.jobs.get(id).is_some_and(|j| j.cancelled.is_some())
+        self.write_queue.cancels(id) || self.jobs.get(id).is_some_and(|j| j.cancelled.is_some())
     }
 
     /// What of the waiting is not as it would be if it were derived from the jobs
     /// alone. For rehearsals.
     pub(super) fn audit_waits(&self) -> bool {
         let edges = self.jobs.iter().all(|(id, job)| {
-            let waits = self.graph.waits(id);
+            let waits = self.dependency_graph.waits(id);
             let named = |d: &Rc<str>| job.spec.awaits.iter().any(|a| **a == **d);
-            (job.stopped || job.held == waits) && self.graph.dependencies(id).all(named)
+            (job.stopped || job.held == waits) && self.dependency_graph.dependencies(id).all(named)
         });
-        let known = self.graph.awaited().all(|id| {
+        let known = self.dependency_graph.awaited().all(|id| {
             let open = self.jobs.contains_key(id);
-            open || self.proofs.wanted.contains_key(id)
-                || self.proofs.under_way > 0
-                || self.graph.dependents(id).all(|d| self.ends_with(d))
+            open || self.dependency_proofs.wanted.contains_key(id)
+                || self.dependency_proofs.under_way > 0
+                || self
+                    .dependency_graph
+                    .dependents(id)
+                    .all(|d| self.ends_with(d))
         });
         let lifted = self.jobs.iter().all(|(id, job)| {
             let dependents = || {
-                let names = self.graph.dependents(id);
+                let names = self.dependency_graph.dependents(id);
                 names.filter_map(|d| self.jobs.get(d))
             };
             // That one is cancelled may be seen before it is worked out anew.
@@ -305,7 +318,7 @@
             let own = job.priority == job.spec.priority || given;
             job.stopped || (own && most.is_none_or(|most| job.priority >= most))
         });
-        let lifted = lifted || self.stage == Stage::Loading;
-        edges && known && lifted && self.graph.is_sound()
+        let lifted = lifted || self.stage == RecoveryStage::Loading;
+        edges && known && lifted && self.dependency_graph.is_sound()
     }
 }
--- a/crates/controller/src/leader/index.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -9,7 +9,7 @@
 //! processor had 2,487 leases run out unanswered.
 
 use super::*;
-use dillcleat_sched::room::amount;
+use dillcleat_sched::resources::amount;
 use dillcleat_sched::{Pace, Rank, Real, Standing};
 use roaring::RoaringBitmap;
 use std::cmp::Reverse;
@@ -180,7 +180,7 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Index {
+pub(super) struct DerivedState {
     pub line: Line,
     pub floor: Floor,
     pub sums: Sums,
@@ -228,9 +228,9 @@
     &mut list[i]
 }
 
-impl Index {
-    pub fn new(config: &Config) -> Index {
-        Index {
+impl DerivedState {
+    pub fn new(config: &Config) -> DerivedState {
+        DerivedState {
             line: Line::default(),
             floor: Floor::new(),
             sums: Sums::new(config),
@@ -393,8 +393,8 @@
 
 impl Leader {
     /// Brings the index up to date with what was touched and what is due.
-    pub(super) fn refresh(&mut self, ctx: &Ctx) {
-        while let Some(due) = self.index.next_due(ctx.now.steady) {
+    pub(super) fn refresh(&mut self, ctx: &Context) {
+        while let Some(due) = self.derived.next_due(ctx.now.steady) {
             match due {
                 Due::Job(place) => self.jobs.mark(place),
                 Due::Machine(place) => self.machines.mark(place),
@@ -403,30 +403,30 @@
         for place in self.jobs.take_marked() {
             self.refresh_job(ctx, place);
         }
-        while let Some(place) = self.index.line.aged(self.clock) {
+        while let Some(place) = self.derived.line.aged(self.clock) {
             self.refresh_job(ctx, place);
         }
         for place in self.machines.take_marked() {
             self.refresh_machine(ctx, place);
         }
-        self.index.sums.claims = self.claims(ctx.config);
+        self.derived.sums.claims = self.claims(ctx.config);
     }
 
     /// Builds everything anew and tells what was not as it should have been.
     /// For rehearsals: it costs as much as there are jobs and machines.
-    pub fn audit(&mut self, ctx: &Ctx) -> Vec<&'static str> {
+    pub fn audit(&mut self, ctx: &Context) -> Vec<&'static str> {
         self.mark_guessed();
         self.refresh(ctx);
-        let old = std::mem::replace(&mut self.index, Index::new(ctx.config));
+        let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
         self.jobs.mark_all();
         self.machines.mark_all();
         self.refresh(ctx);
-        let new = &self.index;
-        let line = |i: &Index| i.line.all(self.clock).collect::<Vec<_>>();
+        let new = &self.derived;
+        let line = |i: &DerivedState| i.line.all(self.clock).collect::<Vec<_>>();
         let mut places = 0..self.machines.places();
         // Of machines without room nobody asks which images they hold.
         let warm = |m: &MachineView| if m.free.cpus > 0.0 { m.warm } else { 0 };
-        let view = |i: &Index, place| i.floor.view(place).map(|m| (m.free, warm(m), m.spot));
+        let view = |i: &DerivedState, place| i.floor.view(place).map(|m| (m.free, warm(m), m.spot));
         [
             ("who waits for whom", self.audit_waits()),
             ("sums", old.sums == new.sums),
@@ -451,13 +451,13 @@
     /// them each time.
     pub(super) fn mark_guessed(&mut self) {
         if std::mem::take(&mut self.guesses_changed) {
-            for place in &self.index.guessed {
+            for place in &self.derived.guessed {
                 self.jobs.mark(place);
             }
         }
     }
 
-    fn refresh_job(&mut self, ctx: &Ctx, place: Place) {
+    fn refresh_job(&mut self, ctx: &Context, place: Place) {
         if let Some(job) = self.jobs.quiet(place) {
             job.pace(self.clock);
             job.hunger(ctx);
@@ -475,19 +475,19 @@
             }
             None => (None, None, None),
         };
-        self.index.line.set(place, standing);
-        for image in self.index.set_job(place, part) {
-            for machine in self.index.floor.holders(&image) {
+        self.derived.line.set(place, standing);
+        for image in self.derived.set_job(place, part) {
+            for machine in self.derived.floor.holders(&image) {
                 self.machines.mark(machine);
             }
         }
         if let Some(at) = due {
-            self.index.remind(at, Due::Job(place));
+            self.derived.remind(at, Due::Job(place));
         }
     }
 
     /// Where a job stands that waits and may be served.
-    fn standing(&self, ctx: &Ctx, id: &Rc<str>, job: &Job) -> Option<Standing> {
+    fn standing(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<Standing> {
         let now = ctx.now.steady;
         let waits = job.cancelled.is_none()
             && !job.held
@@ -533,7 +533,7 @@
     }
 
     /// When a job's standing changes by time alone.
-    fn job_due(&self, ctx: &Ctx, job: &Job) -> Option<Micros> {
+    fn job_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let now = ctx.now.steady;
         // As the time of day has it.
         let useless = Self::of_use_until(ctx.config, job)
@@ -550,7 +550,7 @@
         .min()
     }
 
-    fn refresh_machine(&mut self, ctx: &Ctx, place: Place) {
+    fn refresh_machine(&mut self, ctx: &Context, place: Place) {
         let now = ctx.now.steady;
         let missing = Self::missing(ctx.config);
         let (part, view, due) = match self.machines.at(place) {
@@ -576,17 +576,17 @@
             }
             None => (None, None, None),
         };
-        self.index.set_machine(place, part);
-        self.index.floor.set(place, view);
+        self.derived.set_machine(place, part);
+        self.derived.floor.set(place, view);
         if let Some(at) = due {
-            self.index.remind(at, Due::Machine(place));
+            self.derived.remind(at, Due::Machine(place));
         }
     }
 
     /// How many images of services the machine holds.
     pub(super) fn warm(&self, m: &Machine) -> u32 {
         let held = m.images.iter();
-        held.filter(|(i, _)| self.index.sums.serves(i)).count() as u32
+        held.filter(|(i, _)| self.derived.sums.serves(i)).count() as u32
     }
 }
 
@@ -634,7 +634,7 @@
 
     /// Notes since when the job waits, and whether it is starving. A pause after an
     /// error is a part of its wait.
-    fn hunger(&mut self, ctx: &Ctx) {
+    fn hunger(&mut self, ctx: &Context) {
         let waits = self.cancelled.is_none() && !self.held && self.placeable() > 0;
         let now = ctx.now.steady;
         self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
--- a/crates/controller/src/leader/teach.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -14,7 +14,7 @@
     /// in turn, so that who missed something hears it a little later. What ageing does
     /// to a job need not be told again: it follows from the clock.
     pub fn learned(&mut self) -> Option<Learned> {
-        if self.stage != Stage::Ready {
+        if self.stage != RecoveryStage::Ready {
             return None;
         }
         let mut jobs = Vec::new();
@@ -40,7 +40,7 @@
     /// All of it, for this node itself when it leads no more.
     pub fn all_learned(&self) -> Option<Learned> {
         let jobs = (0..self.jobs.places()).filter_map(|place| self.learned_of(place));
-        (self.stage == Stage::Ready).then(|| self.told(jobs.collect()))
+        (self.stage == RecoveryStage::Ready).then(|| self.told(jobs.collect()))
     }
 
     fn told(&self, jobs: Vec<LearnedJob>) -> Learned {
--- a/crates/controller/src/leader/reports.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -5,7 +5,7 @@
 /// What of a machine a report may change, its slots aside, and something is
 /// derived from.
 #[derive(PartialEq, Eq)]
-struct Standing {
+struct MachineSummary {
     machine_type: Rc<str>,
     zone: Rc<str>,
     spot: bool,
@@ -16,9 +16,9 @@
     strays: bool,
 }
 
-impl Standing {
-    fn of(m: &Machine) -> Standing {
-        Standing {
+impl MachineSummary {
+    fn of(m: &Machine) -> MachineSummary {
+        MachineSummary {
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
@@ -36,12 +36,12 @@
     /// lease from the sending of its report. A cancellation that this leader has not read
     /// of was confirmed after its last read; for want of answers in time the leases then
     /// end what it cancels, whatever else is out of reach.
-    pub(super) fn entitled(&self, ctx: &Ctx) -> bool {
+    pub(super) fn entitled(&self, ctx: &Context) -> bool {
         self.read_within(ctx, ctx.config.blind_limit())
     }
 
     /// Whether the last read of the cancellations was sent so short a time ago.
-    fn read_within(&self, ctx: &Ctx, time: Micros) -> bool {
+    fn read_within(&self, ctx: &Context, time: Micros) -> bool {
         self.last_consistent_read
             .is_some_and(|at| ctx.now.steady < at + time)
     }
@@ -49,7 +49,7 @@
     /// Whether a cancelled task may have been on the machine for so long that its lease
     /// is to run out. Its stop may not arrive, its launch may be held up on the way, its
     /// deletion may have no proof of the lead or find the cloud out: time alone ends it.
-    fn expires(&self, ctx: &Ctx, m: &Machine) -> bool {
+    fn expires(&self, ctx: &Context, m: &Machine) -> bool {
         let held = m.slots.iter().filter(|(_, s)| s.cancelled && s.stored);
         let jobs = held.filter_map(|((id, _), _)| self.jobs.get(id));
         let since = jobs.filter_map(|job| job.cancelled);
@@ -57,9 +57,9 @@
         since.is_some_and(|at| ctx.now.steady >= at + ctx.config.blind_limit())
     }
 
-    pub fn checkin(&mut self, ctx: &mut Ctx, report: &Report) -> Answer {
+    pub fn checkin(&mut self, ctx: &mut Context, report: &Report) -> Answer {
         if report.token > self.term {
-            self.notes.push(Note::Higher(report.token));
+            self.notes.push(LeaderEvent::Higher(report.token));
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.entitled(ctx) {
@@ -70,13 +70,13 @@
             commands: Vec::new(),
         };
         // A report of a machine that is gone was held up on its way.
-        if self.stage == Stage::Ready && !self.gone.contains_key(&report.machine) {
+        if self.stage == RecoveryStage::Ready && !self.gone.contains_key(&report.machine) {
             let last = self.machines.get(report.machine.as_str());
             let last = last.filter(|m| m.up).map(|m| (m.session, m.seq));
             // A copy of the latest report has been answered: nobody waits for this answer,
             // and what it launched would wait for the next report.
             let copy = last == Some((report.session, report.seq));
-            self.take_report(ctx, report, Source::Checkin);
+            self.take_report(ctx, report, HeartbeatSource::Checkin);
             if let Some(m) = self.machines.get(report.machine.as_str()) {
                 if self.expires(ctx, m) {
                     return Answer::later("a cancelled task is not seen gone");
@@ -98,11 +98,11 @@
     }
 
     /// Sure sight of the state, so that starting tasks is right.
-    pub(super) fn fresh(&self, ctx: &Ctx) -> bool {
+    pub(super) fn fresh(&self, ctx: &Context) -> bool {
         self.read_within(ctx, SIGHT)
     }
 
-    pub(super) fn take_report(&mut self, ctx: &Ctx, r: &Report, source: Source) {
+    pub(super) fn take_report(&mut self, ctx: &Context, r: &Report, source: HeartbeatSource) {
         let now = ctx.now.steady;
         if !self.machines.contains_key(r.machine.as_str()) {
             log::info!("{}: a machine not known before reports", r.machine);
@@ -113,7 +113,7 @@
             return;
         };
         // Most reports of a large fleet say that nothing has changed.
-        let before = self.machines.at(place).map(|(_, m)| Standing::of(m));
+        let before = self.machines.at(place).map(|(_, m)| MachineSummary::of(m));
         let Some(m) = self.machines.quiet(place) else {
             return;
         };
@@ -130,7 +130,7 @@
             );
             m.empty_since = now;
             if m.expected {
-                self.boots.up(m, now);
+                self.boot_estimator.up(m, now);
             }
         }
         let was_ready = m.ready;
@@ -141,38 +141,39 @@
         }
         let events = m.report(r, source, self.term, now);
         let mut in_touch = false;
-        if newer && source == Source::Checkin {
+        if newer && source == HeartbeatSource::Checkin {
             let missing = Self::missing(ctx.config);
             let heard_by = ctx.config.lease + ctx.config.report + SECOND;
             in_touch = m.checked_in(now, new, heard_by, missing);
             if m.probe {
-                self.pushes.plain(m.name.clone());
+                self.command_dispatch.plain(m.name.clone());
             }
         }
         if !m.recorded {
             m.recorded = true;
-            self.ledger.push(Item::Machine(r.machine.clone()));
+            self.write_queue
+                .push(PendingWrite::Machine(r.machine.clone()));
         }
         if !was_ready {
             // A new machine, or one that has yet to see this term's seal.
             m.wants_push = true;
             m.push_after = 0;
-            self.pushes.plain(m.name.clone());
+            self.command_dispatch.plain(m.name.clone());
             self.pass_at = now;
         }
         // Heard before its deletion went out.
-        let stays = m.leaving && m.heard_at == now && self.desk.withdraw(&r.machine);
+        let stays = m.leaving && m.heard_at == now && self.cloud_queue.withdraw(&r.machine);
         if stays {
             log::info!("{}: heard again, not deleting it", m.name);
             m.leaving = false;
         }
-        let after = Some(Standing::of(m));
-        let starts = |e: &SlotEvent| matches!(e, SlotEvent::Running(_));
+        let after = Some(MachineSummary::of(m));
+        let starts = |e: &TaskEvent| matches!(e, TaskEvent::Running(_));
         if stays
             || in_touch
             || before != after
             || !events.iter().all(starts)
-            || self.index.silent.contains(place)
+            || self.derived.silent.contains(place)
         {
             self.machines.mark(place);
         }
@@ -193,20 +194,20 @@
         let Some(t) = job.tasks.get(task.index as usize) else {
             return true;
         };
-        if matches!(t.state, TaskState::Placed { .. }) && t.attempt == attempt {
+        if matches!(t.state, TaskPlacement::Placed { .. }) && t.attempt == attempt {
             return false;
         }
         if job.cancelled.is_some() {
             return true;
         }
-        !job.ending && self.ledger.settled(id, job.spans.of(task.index))
+        !job.ending && self.write_queue.settled(id, job.spans.of(task.index))
     }
 
     /// What the machine is told. Work that is to run elsewhere is stopped only by who
     /// can prove that it leads, and without a read of a moment ago nothing is launched or
     /// reaped. The stop of what is cancelled needs neither: no cancellation is taken back,
     /// and this answer renews the lease of what it doesn't stop.
-    pub(super) fn commands(&self, ctx: &Ctx, m: &Machine) -> Vec<Command> {
+    pub(super) fn commands(&self, ctx: &Context, m: &Machine) -> Vec<Command> {
         if !self.fresh(ctx) {
             return m.cancelled().chain(self.orphan_stops(m)).collect();
         }
--- a/crates/controller/src/leader/jobs.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -7,7 +7,7 @@
 
 impl Leader {
     /// A job is cancelled: nothing of it starts, and what runs is stopped.
-    pub(super) fn stop_job(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn stop_job(&mut self, ctx: &Context, id: &Rc<str>) {
         log::info!("{id}: cancelled, stopping its tasks");
         // The cancellation may have overtaken the record of its last
         // completion: then that is not written, and the job is to be cleared.
@@ -17,7 +17,7 @@
         }
         self.leaves_line(ctx, id);
         self.cancel_dependents(id);
-        self.notes.push(Note::Stopped(id.to_string()));
+        self.notes.push(LeaderEvent::Stopped(id.to_string()));
         let unstored: Vec<u32> = self.mark_cancelled(id);
         for i in unstored {
             // A placement that is being written may already be stored.
@@ -25,11 +25,11 @@
             // An earlier attempt in the batch says nothing of this one: taken
             // for it, the placement once stayed for ever (seed 4717).
             let attempt = self.jobs.get(id).map(|j| j.tasks[i as usize].attempt);
-            let written = |b: &Batch| {
+            let written = |b: &WriteBatch| {
                 let mut placed = b.placed.iter();
                 placed.any(|(k, a)| *k == key && Some(*a) == attempt)
             };
-            if !self.ledger.batch.as_ref().is_some_and(written) {
+            if !self.write_queue.batch.as_ref().is_some_and(written) {
                 self.unplace(&key);
             }
         }
@@ -39,7 +39,7 @@
     /// This process has seen in the store that these jobs are cancelled: each stops as if
     /// the queue had told it. When that was confirmed is not known here, and until the row
     /// says so answers end with the last read, which is older.
-    pub fn cancelled(&mut self, ctx: &mut Ctx, ids: &[String]) {
+    pub fn cancelled(&mut self, ctx: &mut Context, ids: &[String]) {
         for id in ids {
             let Some(id) = self.jobs.name(id).cloned() else {
                 continue;
@@ -49,7 +49,7 @@
             };
             job.cancelled.get_or_insert(ctx.now.steady);
             // One that still loads stops its cancelled jobs as it starts.
-            if self.stage == Stage::Ready {
+            if self.stage == RecoveryStage::Ready {
                 self.stop_job(ctx, &id);
             }
         }
@@ -71,7 +71,7 @@
             if slot.stored {
                 m.wants_push = true;
                 m.push_after = 0;
-                self.pushes.urgent(m.name.clone());
+                self.command_dispatch.urgent(m.name.clone());
             } else {
                 unstored.push(i);
             }
@@ -85,11 +85,11 @@
             return;
         };
         let task = &mut job.tasks[key.1 as usize];
-        if let TaskState::Placed { machine: m, .. } = &task.state {
+        if let TaskPlacement::Placed { machine: m, .. } = &task.state {
             if let Some(m) = self.machines.get_mut(m) {
                 m.slots.remove(key);
             }
-            task.state = TaskState::Waiting;
+            task.state = TaskPlacement::Waiting;
             job.waiting.insert(key.1);
         }
     }
@@ -103,7 +103,7 @@
             && job.placed() == 0
         {
             job.ending = true;
-            self.ledger.push(Item::Clear(id.clone()));
+            self.write_queue.push(PendingWrite::Clear(id.clone()));
         }
     }
 
@@ -114,39 +114,40 @@
             && job.done as usize == job.tasks.len()
         {
             job.ending = true;
-            self.ledger.push_front(Item::Done(id.clone()));
+            self.write_queue.push_front(PendingWrite::Done(id.clone()));
         }
     }
 
-    pub(super) fn forget_job(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn forget_job(&mut self, ctx: &Context, id: &Rc<str>) {
         self.leaves_line(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
             for span in job.spans.stored() {
-                self.ledger.push(Item::Drop(store::tasks_key(id, span)));
+                self.write_queue
+                    .push(PendingWrite::Drop(records::tasks_key(id, span)));
             }
         }
     }
 
     pub(super) fn touch(&mut self, key: &TaskKey) {
         if let Some(job) = self.jobs.get(&key.0) {
-            let item = Item::Tasks(key.0.clone(), job.spans.of(key.1));
-            self.ledger.push(item);
+            let item = PendingWrite::Tasks(key.0.clone(), job.spans.of(key.1));
+            self.write_queue.push(item);
         }
     }
 
-    pub(super) fn slot_event(&mut self, ctx: &Ctx, machine: &str, event: SlotEvent) {
+    pub(super) fn slot_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
         // A start frees no room; everything else may.
-        if !matches!(event, SlotEvent::Running(_)) {
+        if !matches!(event, TaskEvent::Running(_)) {
             self.pass_at = ctx.now.steady;
         }
         match event {
-            SlotEvent::Running(key) => {
+            TaskEvent::Running(key) => {
                 log::debug!("{}/{} runs on {machine}", key.0, key.1);
                 if let Some(job) = self.jobs.get_mut(&key.0) {
                     job.running.insert(key.1);
                 }
             }
-            SlotEvent::Lost { task, attempt, why } => {
+            TaskEvent::Lost { task, attempt, why } => {
                 log::info!(
                     "{}/{} attempt {attempt} on {machine} is gone: {why}",
                     task.0,
@@ -154,7 +155,7 @@
                 );
                 self.back_to_waiting(&task, attempt);
             }
-            SlotEvent::Exited {
+            TaskEvent::Exited {
                 task,
                 attempt,
                 why: Why::Done,
@@ -163,7 +164,7 @@
                 log::debug!("{}/{} is done on {machine}", task.0, task.1);
                 self.task_done(ctx, &task, attempt, ran);
             }
-            SlotEvent::Exited {
+            TaskEvent::Exited {
                 task, attempt, why, ..
             } => {
                 log::info!(
@@ -174,7 +175,7 @@
                 self.back_to_waiting(&task, attempt);
                 self.blame(ctx, machine, &task, why);
                 if why == Why::Error {
-                    self.notes.push(Note::Failed {
+                    self.notes.push(LeaderEvent::Failed {
                         job: task.0.to_string(),
                         task: task.1,
                         attempt,
@@ -188,8 +189,8 @@
         if let Some(job) = self.jobs.get_mut(&key.0) {
             job.running.remove(&key.1);
             let task = &mut job.tasks[key.1 as usize];
-            if task.attempt == attempt && matches!(task.state, TaskState::Placed { .. }) {
-                task.state = TaskState::Waiting;
+            if task.attempt == attempt && matches!(task.state, TaskPlacement::Placed { .. }) {
+                task.state = TaskPlacement::Waiting;
                 job.waiting.insert(key.1);
             }
             if job.cancelled.is_none() {
@@ -201,7 +202,7 @@
 
     pub(super) fn task_done(
         &mut self,
-        ctx: &Ctx,
+        ctx: &Context,
         key: &TaskKey,
         attempt: u64,
         ran: Option<Micros>,
@@ -212,10 +213,10 @@
         };
         job.running.remove(&key.1);
         let task = &mut job.tasks[key.1 as usize];
-        if task.attempt != attempt || !matches!(task.state, TaskState::Placed { .. }) {
+        if task.attempt != attempt || !matches!(task.state, TaskPlacement::Placed { .. }) {
             return;
         }
-        task.state = TaskState::Done;
+        task.state = TaskPlacement::Done;
         job.done += 1;
         if let Some(ran) = ran {
             let ran = seconds(ran);
@@ -271,7 +272,7 @@
     /// be: replicas never end by themselves, so nothing else proves a service.
     fn serves(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
         job.running.iter().any(|i| {
-            let TaskState::Placed { machine: m, .. } = &job.tasks[*i as usize].state else {
+            let TaskPlacement::Placed { machine: m, .. } = &job.tasks[*i as usize].state else {
                 return false;
             };
             let slot = self
@@ -283,7 +284,7 @@
         })
     }
 
-    pub(super) fn blame(&mut self, ctx: &Ctx, machine: &str, key: &TaskKey, why: Why) {
+    pub(super) fn blame(&mut self, ctx: &Context, machine: &str, key: &TaskKey, why: Why) {
         let now = ctx.now.steady;
         let Some(job) = self.jobs.get(&key.0) else {
             return;
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -1,44 +1,48 @@
 //! The leader of a term: jobs, machines, and everything done for them.
 
-mod boots;
-mod cut;
-mod index;
-mod jobs;
-mod late;
-mod load;
-mod orphans;
-mod pass;
-mod pushes;
-mod recall;
-mod rent;
-mod reports;
-mod room;
-mod spans;
-mod teach;
-mod waits;
-mod write;
+mod autoscaling;
+mod boot_estimator;
+mod command_dispatch;
+mod deadline_risk;
+mod dependencies;
+mod derived;
+mod estimate_replication;
+mod heartbeats;
+mod job_lifecycle;
+mod recovery;
+mod scheduling;
+mod service_headroom;
+mod spot_interruption;
+mod state_writes;
+mod task_ranges;
+mod unknown_jobs;
+mod zone_partition;
 
-use self::boots::Boots;
-use self::index::Index;
-use self::orphans::Orphan;
-use self::pushes::Pushes;
-use self::spans::Spans;
-use self::waits::Proofs;
-use crate::blame::Record;
-use crate::calls::{CallError, Ctx};
-use crate::desk::{Desk, Errand, Rental};
-use crate::graph::Graph;
-use crate::learned::Inherited;
-use crate::ledger::{Batch, Item, Ledger, Pace};
-use crate::permit::{Action, Ground, LeadershipProof};
-use crate::sched::plan::{Market, Refusals, plan};
-use crate::sched::yields::{Victim, make_room};
+use self::boot_estimator::BootEstimator;
+use self::command_dispatch::CommandDispatch;
+use self::dependencies::DependencyProofs;
+use self::derived::DerivedState;
+use self::task_ranges::TaskRanges;
+use self::unknown_jobs::UnknownJob;
+use crate::calls::{CallError, Context};
+use crate::cloud_queue::{CloudQueue, CloudRequestKind, PendingScaleOut};
+use crate::continuations::{Continuation, LeaderStep as Step};
+use crate::dependency_graph::DependencyGraph;
+use crate::failure_attribution::FailureRecord;
+use crate::inherited_estimates::InheritedEstimates;
+use crate::leadership_guard::{CloudAction, DeletionReason, LeadershipProof};
+use crate::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey};
+use crate::records::{
+    self, CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+};
+use crate::sched::preemption::{Victim, make_room};
+use crate::sched::scale_out_plan::{Market, Refusals, plan};
 use crate::sched::{self, Floor, JobView, Line, MachineView, Place, Room, Shape, TeamView};
 use crate::slab::Slab;
-use crate::store::{self, CancelledJob, Chunk, JobMark, MachineRecord, Mark, OpenJob, Span};
-use crate::waiters::{Leading as Step, Waiter};
-use crate::workers::{Machine, SlotEvent, Source, TaskKey};
-use crate::{Answer, CallId, Config, Counts, MILLISECOND, Micros, SECOND, micros, seconds};
+use crate::write_queue::{PendingWrite, WriteBatch, WriteQueue, WriteRate};
+use crate::{
+    Answer, CallId, Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros, seconds,
+};
 use dillcleat_peer_protocol::Progress;
 use dillcleat_sched::units;
 use dillcleat_wire::TaskName;
@@ -71,16 +75,16 @@
 
 /// The machine types as they are in the store, and the version of their record.
 #[derive(Debug, Clone, Default)]
-pub struct TypesRecord {
+pub struct VersionedMachineTypes {
     pub types: Option<Rc<Vec<MachineType>>>,
     pub version: u64,
 }
 
 /// What the node has to do for the leader.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum LeaderEvent {
     /// A job's end is in the store.
-    Ended(String, JobMark),
+    Ended(String, JobStateRecord),
     /// A job was seen to be cancelled.
     Stopped(String),
     /// An attempt of a job's task ended with an error.
@@ -97,7 +101,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum TaskState {
+enum TaskPlacement {
     Waiting,
     /// On which machine, in which of its sessions, and whether that is stored.
     Placed {
@@ -112,7 +116,7 @@
 struct Task {
     /// The latest attempt; 0 before the first.
     attempt: u64,
-    state: TaskState,
+    state: TaskPlacement,
 }
 
 #[derive(Debug)]
@@ -135,7 +139,7 @@
     due: Option<Micros>,
     /// The most tasks that may be placed at once.
     at_most: Option<u32>,
-    spans: Spans,
+    spans: TaskRanges,
     tasks: Vec<Task>,
     waiting: BTreeSet<u32>,
     done: u32,
@@ -161,7 +165,7 @@
     waits_since: Option<Micros>,
     shape: Rc<Shape>,
     trained: bool,
-    record: Record,
+    record: FailureRecord,
     blocked_until: Micros,
     shown: (u32, u32),
 }
@@ -179,11 +183,11 @@
             priority: open.spec.priority,
             due: None,
             at_most: open.at_most,
-            spans: Spans::new(n, open.chunk, part_tasks),
+            spans: TaskRanges::new(n, open.chunk, part_tasks),
             tasks: vec![
                 Task {
                     attempt: 0,
-                    state: TaskState::Waiting
+                    state: TaskPlacement::Waiting
                 };
                 n as usize
             ],
@@ -201,7 +205,7 @@
             waits_since: None,
             shape: Rc::new(Shape::of(&open.spec)),
             trained: open.spec.kind == Kind::Service,
-            record: Record::default(),
+            record: FailureRecord::default(),
             blocked_until: 0,
             shown: (0, 0),
             image: Rc::from(open.spec.image.as_str()),
@@ -227,7 +231,7 @@
     fn on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(i, t)| match &t.state {
-            TaskState::Placed { machine, .. } => Some((i as u32, machine)),
+            TaskPlacement::Placed { machine, .. } => Some((i as u32, machine)),
             _ => None,
         })
     }
@@ -244,17 +248,17 @@
     }
 
     /// The record of some of its tasks.
-    fn record_of(&self, span: Span) -> Chunk {
-        let mut chunk = Chunk::default();
+    fn record_of(&self, span: TaskRange) -> TaskChunk {
+        let mut chunk = TaskChunk::default();
         for i in self.spans.range(span) {
             let t = &self.tasks[i as usize];
             match &t.state {
-                TaskState::Waiting if t.attempt > 0 => chunk.w.push((i, t.attempt)),
-                TaskState::Waiting => {}
-                TaskState::Placed {
+                TaskPlacement::Waiting if t.attempt > 0 => chunk.w.push((i, t.attempt)),
+                TaskPlacement::Waiting => {}
+                TaskPlacement::Placed {
                     machine, session, ..
                 } => chunk.p.push((i, t.attempt, machine.to_string(), *session)),
-                TaskState::Done => match chunk.d.last_mut() {
+                TaskPlacement::Done => match chunk.d.last_mut() {
                     Some((_, last)) if *last + 1 == i => *last = i,
                     _ => chunk.d.push((i, i)),
                 },
@@ -264,17 +268,17 @@
     }
 
     /// Placements of some of its tasks that are not stored: task and attempt.
-    fn unstored(&self, span: Span) -> impl Iterator<Item = (u32, u64)> {
+    fn unstored(&self, span: TaskRange) -> impl Iterator<Item = (u32, u64)> {
         self.spans.range(span).filter_map(|i| {
             let t = &self.tasks[i as usize];
-            let unstored = matches!(t.state, TaskState::Placed { stored: false, .. });
+            let unstored = matches!(t.state, TaskPlacement::Placed { stored: false, .. });
             unstored.then_some((i, t.attempt))
         })
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum RecoveryStage {
     Loading,
     Ready,
 }
@@ -283,8 +287,8 @@
 pub struct Leader {
     pub term: u64,
     term_version: u64,
-    stage: Stage,
-    reload_at: Option<(Micros, LoadFrom)>,
+    stage: RecoveryStage,
+    reload_at: Option<(Micros, RecoveryPage)>,
     queue_revision: Option<u64>,
     /// Cancellations that were read before the jobs that they are of.
     cancelled_rows: Vec<Row>,
@@ -301,28 +305,28 @@
     watch_at: Option<Micros>,
     jobs: Slab<Job>,
     /// Which of the open jobs wait for which.
-    graph: Graph,
+    dependency_graph: DependencyGraph,
     /// Jobs that others wait for and that are not open here.
-    proofs: Proofs,
+    dependency_proofs: DependencyProofs,
     /// Jobs that have placements in the store and can't be taken up.
-    orphans: BTreeMap<Rc<str>, Orphan>,
+    unknown_jobs: BTreeMap<Rc<str>, UnknownJob>,
     machines: Slab<Machine>,
-    index: Index,
+    derived: DerivedState,
     /// What ageing has taken off any job that was active all the time, in
     /// CPU-seconds.
     clock: f64,
-    pushes: Pushes,
+    command_dispatch: CommandDispatch,
     gone: HashMap<String, Micros>,
-    ledger: Ledger,
+    write_queue: WriteQueue,
     /// Reads that were not answered, by when they are made again.
     reads: VecDeque<(Micros, String, Step)>,
-    pace: Pace,
+    write_rate: WriteRate,
     /// What a value may take, as far as is known: less once the state service has
     /// refused one.
     value_bytes: usize,
-    desk: Desk,
+    cloud_queue: CloudQueue,
     refusals: Refusals,
-    boots: Boots,
+    boot_estimator: BootEstimator,
     /// Waiting jobs that the next rental plan looks at.
     plan_depth: usize,
     /// Zones that fell silent as a whole, and when: what is rented there would
@@ -338,7 +342,7 @@
     /// Mean run time per class, learned from finished tasks, in seconds.
     guesses: HashMap<String, f64>,
     /// What the leader before has learned, for jobs that are taken up.
-    inherited: Inherited,
+    inherited: InheritedEstimates,
     /// Jobs that were taken up as the leader before knew them.
     inherited_jobs: usize,
     /// Jobs of which something was learned that siblings have yet to be told.
@@ -356,12 +360,12 @@
     passed_at: Micros,
     fleet_at: Micros,
     ready_since: Micros,
-    notes: Vec<Note>,
-    pub counts: Counts,
+    notes: Vec<LeaderEvent>,
+    pub counts: SchedulerCounters,
 }
 
 #[derive(Debug, Clone)]
-enum LoadFrom {
+enum RecoveryPage {
     Machines(Option<String>),
     Queue(Option<String>),
     Tasks(Option<String>),
@@ -369,17 +373,17 @@
 
 impl Leader {
     pub fn new(
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         term: u64,
         term_version: u64,
-        TypesRecord { types, version }: TypesRecord,
-        inherited: Inherited,
+        VersionedMachineTypes { types, version }: VersionedMachineTypes,
+        inherited: InheritedEstimates,
     ) -> Leader {
         let now = ctx.now.steady;
         let mut leader = Leader {
             term,
             term_version,
-            stage: Stage::Loading,
+            stage: RecoveryStage::Loading,
             reload_at: None,
             queue_revision: None,
             cancelled_rows: Vec::new(),
@@ -389,21 +393,21 @@
             proof: LeadershipProof::default(),
             watch_at: None,
             jobs: Slab::default(),
-            graph: Graph::default(),
-            proofs: Proofs::default(),
-            orphans: BTreeMap::new(),
+            dependency_graph: DependencyGraph::default(),
+            dependency_proofs: DependencyProofs::default(),
+            unknown_jobs: BTreeMap::new(),
             machines: Slab::default(),
-            index: Index::new(ctx.config),
+            derived: DerivedState::new(ctx.config),
             clock: 0.0,
-            pushes: Pushes::new(ctx.config.max_orders),
+            command_dispatch: CommandDispatch::new(ctx.config.max_orders),
             gone: HashMap::new(),
-            ledger: Ledger::default(),
+            write_queue: WriteQueue::default(),
             reads: VecDeque::new(),
-            pace: Pace::new(ctx.config.state_write_rps_before),
+            write_rate: WriteRate::new(ctx.config.state_write_rps_before),
             value_bytes: ctx.config.value_bytes_before,
-            desk: Desk::new(ctx.config.cloud_rps, now),
+            cloud_queue: CloudQueue::new(ctx.config.cloud_rps, now),
             refusals: Refusals::default(),
-            boots: Boots::default(),
+            boot_estimator: BootEstimator::default(),
             plan_depth: PLAN_JOBS,
             dark: BTreeMap::new(),
             silent_before: HashMap::new(),
@@ -423,18 +427,18 @@
             fleet_at: now,
             ready_since: now,
             notes: Vec::new(),
-            counts: Counts::default(),
+            counts: SchedulerCounters::default(),
         };
-        leader.load(ctx, LoadFrom::Queue(None));
+        leader.load(ctx, RecoveryPage::Queue(None));
         leader
     }
 
-    pub fn take_notes(&mut self) -> Vec<Note> {
+    pub fn take_notes(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.notes)
     }
 
-    fn waiter(&self, step: Step) -> Waiter {
-        Waiter::Leader {
+    fn waiter(&self, step: Step) -> Continuation {
+        Continuation::Leader {
             term: self.term,
             step,
         }
@@ -442,7 +446,7 @@
 
     pub fn reply(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         step: Step,
         sent: Micros,
         reply: Result<StateReply, CallError>,
@@ -457,16 +461,16 @@
                 }
             },
             Step::Watch => self.watched(ctx, sent, reply),
-            Step::Ledger => self.written(ctx, reply),
+            Step::WriteQueue => self.written(ctx, reply),
             Step::Reread { key } => self.reread(ctx, key, reply),
             Step::TypesVersion => self.types_version(ctx, reply),
             Step::Ended { id } => self.ended(ctx, id, reply),
             Step::Dependency { id } => self.proved(ctx, id, reply),
-            Step::Push { .. } | Step::Cloud(_) => {}
+            Step::CommandsInFlight { .. } | Step::Cloud(_) => {}
         }
     }
 
-    fn watched(&mut self, ctx: &mut Ctx, sent: Micros, reply: Result<StateReply, CallError>) {
+    fn watched(&mut self, ctx: &mut Context, sent: Micros, reply: Result<StateReply, CallError>) {
         match reply {
             Ok(StateReply::Changes(changes)) => {
                 self.last_consistent_read = self.last_consistent_read.max(Some(sent));
@@ -485,7 +489,7 @@
             }
             Ok(StateReply::TooOld) => {
                 log::error!("lost sight of the queue");
-                self.notes.push(Note::Outdated);
+                self.notes.push(LeaderEvent::Outdated);
             }
             _ => self.watch_at = Some(ctx.now.steady + RETRY),
         }
--- a/crates/controller/src/leader/load.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,25 +1,25 @@
 //! What a new leader reads before it acts.
 
-use super::pass::cache_gb;
+use super::scheduling::cache_gb;
 use super::*;
 
 impl Leader {
     /// Term and its record's version, once everything is taken up.
     pub fn fence(&self) -> Option<(u64, u64)> {
-        (self.stage == Stage::Ready).then_some((self.term, self.term_version))
+        (self.stage == RecoveryStage::Ready).then_some((self.term, self.term_version))
     }
 
     pub fn holds(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    pub(super) fn load(&mut self, ctx: &mut Ctx, from: LoadFrom) {
+    pub(super) fn load(&mut self, ctx: &mut Context, from: RecoveryPage) {
         let (prefix, after, step) = match &from {
-            LoadFrom::Machines(after) => (store::MACHINES, after, Step::LoadMachines),
-            LoadFrom::Queue(after) => (store::QUEUE, after, Step::LoadQueue),
-            LoadFrom::Tasks(after) => (store::TASKS, after, Step::LoadTasks),
+            RecoveryPage::Machines(after) => (records::MACHINES, after, Step::LoadMachines),
+            RecoveryPage::Queue(after) => (records::QUEUE, after, Step::LoadQueue),
+            RecoveryPage::Tasks(after) => (records::TASKS, after, Step::LoadTasks),
         };
-        if matches!(from, LoadFrom::Queue(None)) {
+        if matches!(from, RecoveryPage::Queue(None)) {
             // Cancellations up to here are in what is read now.
             self.load_sent = ctx.now.steady;
         }
@@ -32,16 +32,16 @@
         ctx.state(call, waiter);
     }
 
-    pub(super) fn loaded(&mut self, ctx: &mut Ctx, step: &Step, page: Page) {
+    pub(super) fn loaded(&mut self, ctx: &mut Context, step: &Step, page: Page) {
         let last = page.rows.last().map(|r| r.key.clone());
         let more = page.more && last.is_some();
         let next = match step {
             Step::LoadMachines => {
                 self.load_machines(ctx, &page.rows);
                 if more {
-                    LoadFrom::Machines(last)
+                    RecoveryPage::Machines(last)
                 } else {
-                    LoadFrom::Tasks(None)
+                    RecoveryPage::Tasks(None)
                 }
             }
             Step::LoadQueue => {
@@ -53,13 +53,13 @@
                     // keys, but a cancellation means nothing before its job is
                     // known: taken in that order, a new leader would let
                     // cancelled tasks run on.
-                    if row.key.starts_with(store::OPEN) {
+                    if row.key.starts_with(records::OPEN) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     } else {
                         self.cancelled_rows.push(row);
                     }
                 }
-                let opens = |key: &String| key.starts_with(store::OPEN);
+                let opens = |key: &String| key.starts_with(records::OPEN);
                 if self.last_consistent_read.is_none()
                     && (!more || last.as_ref().is_some_and(opens))
                 {
@@ -73,12 +73,12 @@
                         Some(oldest.unwrap_or(Micros::MAX).min(self.load_sent));
                 }
                 if more {
-                    LoadFrom::Queue(last)
+                    RecoveryPage::Queue(last)
                 } else {
                     for row in std::mem::take(&mut self.cancelled_rows) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     }
-                    LoadFrom::Machines(None)
+                    RecoveryPage::Machines(None)
                 }
             }
             _ => {
@@ -91,15 +91,15 @@
                     self.reload_at = None;
                     return self.start(ctx);
                 }
-                LoadFrom::Tasks(last)
+                RecoveryPage::Tasks(last)
             }
         };
         self.load(ctx, next);
     }
 
-    pub(super) fn load_machines(&mut self, ctx: &Ctx, rows: &[Row]) {
+    pub(super) fn load_machines(&mut self, ctx: &Context, rows: &[Row]) {
         for row in rows {
-            let Some(name) = row.key.strip_prefix(store::MACHINES) else {
+            let Some(name) = row.key.strip_prefix(records::MACHINES) else {
                 continue;
             };
             let Some(r) = row.read::<MachineRecord>() else {
@@ -114,9 +114,9 @@
     }
 
     /// Everything is read: take up the work.
-    pub(super) fn start(&mut self, ctx: &mut Ctx) {
+    pub(super) fn start(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
-        self.stage = Stage::Ready;
+        self.stage = RecoveryStage::Ready;
         self.ready_since = now;
         self.last_consistent_read = Some(self.load_sent);
         self.watch_at = Some(now);
@@ -148,9 +148,10 @@
                     m.heard_at = now.min(*heard);
                     m.reported_at = m.heard_at;
                     // Those that answer have their turn first.
-                    self.pushes.later(now + SECOND, m.name.clone(), false);
+                    self.command_dispatch
+                        .later(now + SECOND, m.name.clone(), false);
                 }
-                _ => self.pushes.plain(m.name.clone()),
+                _ => self.command_dispatch.plain(m.name.clone()),
             }
         }
         log::info!(
@@ -159,9 +160,9 @@
             self.jobs.len(),
             self.machines.len(),
             self.inherited_jobs,
-            self.graph.waiting()
+            self.dependency_graph.waiting()
         );
-        self.inherited = Inherited::default();
+        self.inherited = InheritedEstimates::default();
     }
 
     pub(super) fn guess(&self, config: &Config, class: &str) -> f64 {
@@ -171,8 +172,8 @@
             .unwrap_or(config.tuning.first_guess_s)
     }
 
-    pub(super) fn queue_row(&mut self, ctx: &Ctx, key: &str, value: &Value, version: u64) {
-        if let Some(id) = key.strip_prefix(store::OPEN) {
+    pub(super) fn queue_row(&mut self, ctx: &Context, key: &str, value: &Value, version: u64) {
+        if let Some(id) = key.strip_prefix(records::OPEN) {
             if self.jobs.contains_key(id) {
                 return;
             }
@@ -196,7 +197,7 @@
             self.taught.insert(place);
             self.pass_at = ctx.now.steady;
             self.joins(ctx, &id);
-        } else if let Some(id) = key.strip_prefix(store::CANCELLED) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
             let at = confirmed(ctx, value);
             let Some(id) = self.jobs.name(id).cloned() else {
                 return self.orphan_cancelled(id, at);
@@ -205,28 +206,28 @@
                 // A write may have met its mark before, which says not since when. That
                 // is read yet, perhaps for long: this row is proof enough.
                 job.cancelled = Some(job.cancelled.map_or(at, |c| c.min(at)));
-                if !job.stopped && self.stage == Stage::Ready {
+                if !job.stopped && self.stage == RecoveryStage::Ready {
                     self.stop_job(ctx, &id);
                 }
             }
         }
     }
 
-    pub(super) fn task_row(&mut self, ctx: &Ctx, row: &Row) {
-        let Some((id, span)) = store::parse_tasks_key(&row.key) else {
+    pub(super) fn task_row(&mut self, ctx: &Context, row: &Row) {
+        let Some((id, span)) = records::parse_tasks_key(&row.key) else {
             return;
         };
         let Some(id) = self.jobs.name(id) else {
             return self.orphan_row(id, row);
         };
         let id = id.clone();
-        let Some(chunk) = row.read::<Chunk>() else {
+        let Some(chunk) = row.read::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
             return self.set_aside(ctx, &id, span, &row.key);
         };
         let now = ctx.now.steady;
         let types = self.types.clone();
-        if matches!(span, Span::Part { .. }) {
+        if matches!(span, TaskRange::Part { .. }) {
             // Parts are written once the lower limits are in force, and stand above
             // their chunk, which came before.
             self.value_bytes = ctx.config.value_bytes;
@@ -247,7 +248,7 @@
         }
         for (from, to) in chunk.d {
             for i in from..=to.min(n.saturating_sub(1)) {
-                job.tasks[i as usize].state = TaskState::Done;
+                job.tasks[i as usize].state = TaskPlacement::Done;
                 job.waiting.remove(&i);
                 job.done += 1;
             }
@@ -261,7 +262,7 @@
             };
             t.attempt = attempt;
             let machine: Rc<str> = Rc::from(machine);
-            t.state = TaskState::Placed {
+            t.state = TaskPlacement::Placed {
                 machine: machine.clone(),
                 session,
                 stored: true,
@@ -285,20 +286,20 @@
     }
 
     /// Takes back what a chunk said of some tasks.
-    fn unload(&mut self, id: &Rc<str>, span: Span) {
+    fn unload(&mut self, id: &Rc<str>, span: TaskRange) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         for i in job.spans.range(span) {
             let task = &mut job.tasks[i as usize];
-            match std::mem::replace(&mut task.state, TaskState::Waiting) {
-                TaskState::Placed { machine, .. } => {
+            match std::mem::replace(&mut task.state, TaskPlacement::Waiting) {
+                TaskPlacement::Placed { machine, .. } => {
                     if let Some(m) = self.machines.get_mut(&machine) {
                         m.slots.remove(&(id.clone(), i));
                     }
                 }
-                TaskState::Done => job.done -= 1,
-                TaskState::Waiting => {}
+                TaskPlacement::Done => job.done -= 1,
+                TaskPlacement::Waiting => {}
             }
             task.attempt = 0;
             job.waiting.insert(i);
@@ -307,7 +308,7 @@
 }
 
 /// When a cancellation was confirmed at the earliest, by the record of it.
-fn confirmed(ctx: &Ctx, value: &Value) -> Micros {
+fn confirmed(ctx: &Context, value: &Value) -> Micros {
     let at = state::read::<CancelledJob>(value).map_or(0, |c| c.at);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
--- a/crates/controller/src/leader/pass.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -10,7 +10,7 @@
 }
 
 impl Leader {
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
         if let Some((at, from)) = self.reload_at.clone() {
             if now >= at {
@@ -40,7 +40,7 @@
     }
 
     /// A change wants a pass, and the last one is long enough ago.
-    fn pass_due(&self, ctx: &Ctx) -> bool {
+    fn pass_due(&self, ctx: &Context) -> bool {
         let now = ctx.now.steady;
         let gap = micros(ctx.config.tuning.pass_gap_s);
         now >= self.pass_at && now >= self.passed_at + gap
@@ -49,8 +49,8 @@
     /// Sends what is ready to be sent. Passes wait for the tick, but for one that
     /// a service's submission wants: a report is answered, and with it a lease
     /// renewed, without one in between.
-    pub fn go_on(&mut self, ctx: &mut Ctx) {
-        if self.stage != Stage::Ready {
+    pub fn go_on(&mut self, ctx: &mut Context) {
+        if self.stage != RecoveryStage::Ready {
             return;
         }
         if self.service_came && self.pass_due(ctx) {
@@ -59,7 +59,7 @@
         if self.watch_at.is_some_and(|at| ctx.now.steady >= at) {
             self.watch_at = None;
             let call = StateCall::Watch {
-                prefix: store::QUEUE.into(),
+                prefix: records::QUEUE.into(),
                 after: self.queue_revision.unwrap_or(0),
                 hold_ms: WATCH_MS,
             };
@@ -73,19 +73,19 @@
         self.call_cloud(ctx);
     }
 
-    fn call_cloud(&mut self, ctx: &mut Ctx) {
+    fn call_cloud(&mut self, ctx: &mut Context) {
         let now = ctx.now.steady;
-        let fleet: usize = self.index.sums.up.values().sum();
+        let fleet: usize = self.derived.sums.up.values().sum();
         let most = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
         let permit = |action| self.proof.permit(ctx.config, now, action);
-        if let Some((errand, call, permit)) = self.desk.next(now, most, permit) {
+        if let Some((errand, call, permit)) = self.cloud_queue.next(now, most, permit) {
             let waiter = self.waiter(Step::Cloud(errand));
             ctx.cloud(call, &permit, waiter);
         }
     }
 
     /// Whether it may be done now.
-    pub(super) fn may(&self, ctx: &Ctx, action: Action) -> bool {
+    pub(super) fn may(&self, ctx: &Context, action: CloudAction) -> bool {
         let now = ctx.now.steady;
         self.proof.permit(ctx.config, now, action).is_some()
     }
@@ -101,21 +101,21 @@
 
     /// Since when reports of several machines should have come in.
     pub fn expects_reports_since(&self) -> Option<Micros> {
-        let expected = self.index.sums.recorded;
-        (self.stage == Stage::Ready && expected >= 2).then_some(self.ready_since)
+        let expected = self.derived.sums.recorded;
+        (self.stage == RecoveryStage::Ready && expected >= 2).then_some(self.ready_since)
     }
 
     /// Machines that hold a cancelled job's tasks and do not show their end
     /// are deleted well before the time is up.
-    pub(super) fn clear_unreachable(&mut self, ctx: &Ctx) {
+    pub(super) fn clear_unreachable(&mut self, ctx: &Context) {
         let now = ctx.now.steady;
         let patience = ctx.config.cancel * 3 / 10;
-        let may = self.may(ctx, Action::Delete(Ground::Cancelled));
+        let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.ready_since + patience / 4 || !may {
             return;
         }
         let mut late: BTreeSet<Rc<str>> = BTreeSet::new();
-        for place in &self.index.cancelled {
+        for place in &self.derived.cancelled {
             let Some((id, job)) = self.jobs.at(place) else {
                 continue;
             };
@@ -126,7 +126,7 @@
                 let slot = self
                     .machines
                     .get(machine)
-                    .filter(|m| !m.leaving || !self.desk.urgent(&m.name))
+                    .filter(|m| !m.leaving || !self.cloud_queue.urgent(&m.name))
                     .and_then(|m| m.slots.get(&(id.clone(), i)));
                 if slot.is_some_and(|s| s.cancelled && s.stored) {
                     late.insert(machine.clone());
@@ -135,20 +135,20 @@
         }
         for name in late {
             log::info!("{name}: a cancelled task is not seen gone, deleting it");
-            self.let_go(&name, Ground::Cancelled);
+            self.let_go(&name, DeletionReason::Cancelled);
         }
     }
 
     /// Has a machine deleted.
-    pub(super) fn let_go(&mut self, name: &Rc<str>, ground: Ground) {
+    pub(super) fn let_go(&mut self, name: &Rc<str>, ground: DeletionReason) {
         if let Some(m) = self.machines.get_mut(name) {
             m.leaving = true;
-            self.desk.delete(name.clone(), ground);
+            self.cloud_queue.delete(name.clone(), ground);
         }
     }
 
     /// A job as a pass or a plan sees it, with up to so many waiting tasks.
-    pub(super) fn job_view(&self, ctx: &Ctx, place: Place) -> Option<JobView<'_>> {
+    pub(super) fn job_view(&self, ctx: &Context, place: Place) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(place)?;
         let most = if job.record.doubtful() { 1 } else { PASS_TASKS };
         Some(JobView {
@@ -173,7 +173,7 @@
     }
 
     /// Past the last time at which the end of the job is still of use.
-    pub(super) fn overdue(ctx: &Ctx, job: &Job) -> bool {
+    pub(super) fn overdue(ctx: &Context, job: &Job) -> bool {
         Self::of_use_until(ctx.config, job).is_some_and(|end| ctx.now.wall >= end)
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// One pass of the scheduler: ages, then fills free room.
-    pub(super) fn pass(&mut self, ctx: &Ctx) {
+    pub(super) fn pass(&mut self, ctx: &Context) {
         let now = ctx.now.steady;
         self.refresh(ctx);
         self.age(now);
@@ -253,11 +253,11 @@
         }
     }
 
-    fn fill(&mut self, ctx: &Ctx) {
-        if self.index.line.is_empty() {
+    fn fill(&mut self, ctx: &Context) {
+        if self.derived.line.is_empty() {
             return;
         }
-        let sums = &self.index.sums;
+        let sums = &self.derived.sums;
         let mut teams = sums.team_views(ctx.config);
         let share = sums.fleet_cpus() * ctx.config.tuning.training_share;
         let terms = sched::Terms {
@@ -267,10 +267,10 @@
         };
         // Taken out while the jobs are looked at; what is placed comes back
         // marked, and with that the floor is as the machines are.
-        let mut floor = std::mem::take(&mut self.index.floor);
+        let mut floor = std::mem::take(&mut self.derived.floor);
         let view = |place| self.job_view(ctx, place);
-        let (made, seen) = sched::assign(&self.index.line, view, &mut floor, &mut teams, terms);
-        self.index.floor = floor;
+        let (made, seen) = sched::assign(&self.derived.line, view, &mut floor, &mut teams, terms);
+        self.derived.floor = floor;
         self.counts.passes += 1;
         self.counts.jobs += seen as u64;
         for a in made {
@@ -294,7 +294,7 @@
             };
             let task = &mut job.tasks[i as usize];
             task.attempt += 1;
-            task.state = TaskState::Placed {
+            task.state = TaskPlacement::Placed {
                 machine: machine.clone(),
                 session: m.session,
                 stored: false,
@@ -320,7 +320,7 @@
 
     /// Cuts every active job's virtual size by its fair share of the time.
     pub(super) fn age(&mut self, now: Micros) {
-        let sums = &self.index.sums;
+        let sums = &self.derived.sums;
         if sums.ageing > 0 {
             let time = seconds(now.saturating_sub(self.passed_at));
             self.clock += time * sums.fleet_cpus() / sums.ageing as f64;
--- a/crates/controller/src/leader/room.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -20,12 +20,15 @@
     /// Running work is not stopped otherwise. But ordinary machines are rented
     /// for late arrays as well, and with the cloud's ordinary machines at an
     /// end, replicas waited behind them (rough, brunnmatt-books-grown).
-    pub(super) fn make_room(&mut self, ctx: &Ctx) {
+    pub(super) fn make_room(&mut self, ctx: &Context) {
         let now = ctx.now.steady;
         if now < self.room_at {
             return;
         }
-        let mut waiting = self.index.line.walk(sched::line::Part::First, self.clock);
+        let mut waiting = self
+            .derived
+            .line
+            .walk(sched::job_queue::Part::First, self.clock);
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
         while let Some(turn) = waiting.next_turn() {
@@ -44,7 +47,7 @@
         let mut machines = Vec::new();
         let mut victims = Vec::new();
         let mut keys: Vec<(Rc<str>, TaskKey)> = Vec::new();
-        let [ordinary, cheap] = &self.index.lending;
+        let [ordinary, cheap] = &self.derived.lending;
         let lending = ordinary.iter().chain(cheap.iter().filter(|_| spot));
         for m in lending.filter_map(|place| Some(self.machines.at(place)?.1)) {
             let there = m.open(now) && m.in_touch(now, missing);
@@ -71,7 +74,7 @@
             }
             machines.push(view);
         }
-        let mut teams = self.index.sums.team_views(ctx.config);
+        let mut teams = self.derived.sums.team_views(ctx.config);
         let stopped = make_room(&mut jobs, &mut machines, &mut teams, &victims);
         self.room_at = now + ROOM_GAP;
         for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
@@ -82,7 +85,7 @@
                 log::info!("{}/{} on {machine} makes room for replicas", key.0, key.1);
                 slot.yielding = true;
                 m.wants_push = true;
-                self.pushes.urgent(machine);
+                self.command_dispatch.urgent(machine);
             }
         }
     }
@@ -93,7 +96,7 @@
     pub(super) fn ahead(&self, config: &Config) -> f64 {
         let types = self.types.iter().flat_map(|ts| ts.iter());
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
-        let share = config.tuning.spare_share * self.index.sums.fleet_cpus();
+        let share = config.tuning.spare_share * self.derived.sums.fleet_cpus();
         self.reserve(config).min(share / zones.len().max(1) as f64)
     }
 
@@ -103,7 +106,7 @@
         let waits = config.waits.iter().enumerate();
         waits
             .filter(|(_, (class, _))| self.hurried(config, class))
-            .map(|(wait, _)| self.index.sums.reserve(wait))
+            .map(|(wait, _)| self.derived.sums.reserve(wait))
             .sum()
     }
 }
--- a/crates/controller/src/leader/recall.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -13,7 +13,7 @@
     /// Of 20 jobs that missed their deadlines 17 had every task placed in time
     /// and lost one to a spot machine, which was placed again only after the
     /// notice had run out and the silence was seen (operations of both ops).
-    pub(super) fn leave(&mut self, ctx: &Ctx, machine: &str) {
+    pub(super) fn leave(&mut self, ctx: &Context, machine: &str) {
         let now = ctx.now.steady;
         let Some(m) = self.machines.get(machine) else {
             return;
@@ -22,7 +22,7 @@
             return;
         };
         let notice = seconds(gone_by.saturating_sub(now));
-        let hopeless = |(key, slot): &(&TaskKey, &crate::workers::Slot)| {
+        let hopeless = |(key, slot): &(&TaskKey, &crate::machines::TaskSlot)| {
             let Some(job) = self.jobs.get(&key.0) else {
                 return false;
             };
@@ -51,6 +51,6 @@
             }
         }
         m.wants_push = true;
-        self.pushes.urgent(m.name.clone());
+        self.command_dispatch.urgent(m.name.clone());
     }
 }
--- a/crates/controller/src/leader/write.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -7,47 +7,47 @@
 
 impl Job {
     /// Whether this record of its tasks is written now.
-    fn writes(&self, span: Span) -> bool {
-        let split = matches!(span, Span::Chunk(chunk) if self.spans.is_split(chunk));
+    fn writes(&self, span: TaskRange) -> bool {
+        let split = matches!(span, TaskRange::Chunk(chunk) if self.spans.is_split(chunk));
         !self.ending && self.cancelled.is_none() && !split
     }
 }
 
 impl Leader {
-    pub(super) fn write(&mut self, ctx: &mut Ctx) {
-        if let Some(at) = self.ledger.resend_at {
+    pub(super) fn write(&mut self, ctx: &mut Context) {
+        if let Some(at) = self.write_queue.resend_at {
             if ctx.now.steady < at {
                 return;
             }
-            self.ledger.resend_at = None;
-            if let Some(b) = &self.ledger.batch {
+            self.write_queue.resend_at = None;
+            if let Some(b) = &self.write_queue.batch {
                 let call = StateCall::Txn(b.txn.clone());
-                let waiter = self.waiter(Step::Ledger);
+                let waiter = self.waiter(Step::WriteQueue);
                 ctx.state(call, waiter);
             }
             return;
         }
-        if self.ledger.batch.is_some() {
+        if self.write_queue.batch.is_some() {
             return;
         }
-        self.ledger.take_back(ctx.now.steady);
+        self.write_queue.take_back(ctx.now.steady);
         let part = ctx.config.state_write_rps * LATER_PART;
-        self.ledger.refill(ctx.now.steady, part);
-        if self.ledger.is_idle() {
+        self.write_queue.refill(ctx.now.steady, part);
+        if self.write_queue.is_idle() {
             return;
         }
-        let room = self.pace.room(ctx.now.steady).min(ctx.config.txn_ops);
-        let mut batch = Batch {
-            txn: Txn::default().compare(store::TERM, self.term_version),
+        let room = self.write_rate.room(ctx.now.steady).min(ctx.config.txn_ops);
+        let mut batch = WriteBatch {
+            txn: Txn::default().compare(records::TERM, self.term_version),
             items: Vec::new(),
             placed: Vec::new(),
             uncertain: false,
         };
-        let most = self.ledger.most.unwrap_or(usize::MAX);
+        let most = self.write_queue.most.unwrap_or(usize::MAX);
         let (mut bytes, mut cancels) = (0, 0);
         while batch.txn.then.len() + 3 <= room && bytes < BATCH_BYTES && batch.items.len() < most {
-            let next = self.ledger.pop(batch.items.len(), cancels);
-            let Some(item) = next.or_else(|| self.ledger.pop_later()) else {
+            let next = self.write_queue.pop(batch.items.len(), cancels);
+            let Some(item) = next.or_else(|| self.write_queue.pop_later()) else {
                 break;
             };
             let before = batch.mark();
@@ -66,39 +66,40 @@
                 continue;
             }
             bytes += sizes.iter().map(|(k, v)| 64 + k + v).sum::<usize>();
-            cancels += usize::from(matches!(item, Item::Cancel(_)));
+            cancels += usize::from(matches!(item, PendingWrite::Cancel(_)));
             batch.items.push(item);
         }
         if batch.items.is_empty() {
             return;
         }
-        self.pace.take(batch.txn.then.len());
+        self.write_rate.take(batch.txn.then.len());
         let call = StateCall::Txn(batch.txn.clone());
-        self.ledger.batch = Some(batch);
-        let waiter = self.waiter(Step::Ledger);
+        self.write_queue.batch = Some(batch);
+        let waiter = self.waiter(Step::WriteQueue);
         ctx.state(call, waiter);
     }
 
     /// A record that does not fit a value any more.
-    fn too_large(&mut self, ctx: &Ctx, item: Item) {
-        if let Item::Tasks(id, Span::Chunk(chunk)) = &item
+    fn too_large(&mut self, ctx: &Context, item: PendingWrite) {
+        if let PendingWrite::Tasks(id, TaskRange::Chunk(chunk)) = &item
             && let Some(job) = self.jobs.get_mut(id)
         {
             log::info!("{id}: chunk {chunk} is written in parts from now on");
             for part in job.spans.split(*chunk).into_iter().rev() {
-                self.ledger.push_front(Item::Tasks(id.clone(), part));
+                self.write_queue
+                    .push_front(PendingWrite::Tasks(id.clone(), part));
             }
             return;
         }
         log::error!("{item:?}: does not fit a value of the state service");
-        self.ledger.put_aside(item, ctx.now.steady + ASIDE);
+        self.write_queue.put_aside(item, ctx.now.steady + ASIDE);
     }
 
     /// Adds an item's changes and conditions; false if it needs none.
-    pub(super) fn add(&self, item: &Item, batch: &mut Batch) -> bool {
+    pub(super) fn add(&self, item: &PendingWrite, batch: &mut WriteBatch) -> bool {
         let txn = std::mem::take(&mut batch.txn);
         let with_job = |txn: Txn, id: &str, version: u64| {
-            let key = store::job_key(id);
+            let key = records::job_key(id);
             if txn.compare.iter().any(|c| c.key == key) {
                 txn
             } else {
@@ -106,9 +107,9 @@
             }
         };
         let (txn, added) = match item {
-            Item::Tasks(id, span) => match self.jobs.get(id) {
+            PendingWrite::Tasks(id, span) => match self.jobs.get(id) {
                 Some(job) if job.writes(*span) => {
-                    let key = store::tasks_key(id, *span);
+                    let key = records::tasks_key(id, *span);
                     let record = job.record_of(*span);
                     let mut txn = txn
                         .compare(key.clone(), job.spans.version(*span))
@@ -125,38 +126,38 @@
                 }
                 _ => (txn, false),
             },
-            Item::Done(id) => match self.jobs.get(id) {
+            PendingWrite::Done(id) => match self.jobs.get(id) {
                 Some(job) if job.cancelled.is_none() => {
-                    let mark = JobMark {
-                        s: Mark::Done,
+                    let mark = JobStateRecord {
+                        s: RecordedState::Done,
                         n: job.spec.tasks,
                     };
                     let txn = with_job(txn, id, job.version)
-                        .put(store::job_key(id), &mark)
-                        .delete(store::open_key(id));
+                        .put(records::job_key(id), &mark)
+                        .delete(records::open_key(id));
                     (txn, true)
                 }
                 _ => (txn, false),
             },
-            Item::Cancel(id) => match self.jobs.get(id) {
-                Some(job) if job.cancelled.is_none() && self.graph.waits(id) => {
-                    let mark = JobMark {
-                        s: Mark::Cancelled,
+            PendingWrite::Cancel(id) => match self.jobs.get(id) {
+                Some(job) if job.cancelled.is_none() && self.dependency_graph.waits(id) => {
+                    let mark = JobStateRecord {
+                        s: RecordedState::Cancelled,
                         n: job.spec.tasks,
                     };
                     // One change: its description goes when there is time for it.
-                    let txn = with_job(txn, id, job.version).put(store::job_key(id), &mark);
+                    let txn = with_job(txn, id, job.version).put(records::job_key(id), &mark);
                     (txn, true)
                 }
                 _ => (txn, false),
             },
-            Item::Clear(id) => {
+            PendingWrite::Clear(id) => {
                 let txn = txn
-                    .delete(store::open_key(id))
-                    .delete(store::cancelled_key(id));
+                    .delete(records::open_key(id))
+                    .delete(records::cancelled_key(id));
                 (txn, true)
             }
-            Item::Machine(name) => match self.machines.get(name.as_str()) {
+            PendingWrite::Machine(name) => match self.machines.get(name.as_str()) {
                 Some(m) if m.addr.is_some() => {
                     let record = MachineRecord {
                         addr: m.addr.clone().unwrap_or_default(),
@@ -164,20 +165,20 @@
                         zone: m.zone.to_string(),
                         spot: m.spot,
                     };
-                    (txn.put(store::machine_key(name), &record), true)
+                    (txn.put(records::machine_key(name), &record), true)
                 }
                 _ => (txn, false),
             },
-            Item::Drop(key) => (txn.delete(key.clone()), true),
-            Item::Types => match &self.types {
+            PendingWrite::Drop(key) => (txn.delete(key.clone()), true),
+            PendingWrite::Types => match &self.types {
                 Some(types) => {
-                    let record = store::Types {
+                    let record = records::MachineTypesRecord {
                         types: types.to_vec(),
                     };
                     // An earlier try that is carried out late would set it back.
                     let txn = txn
-                        .compare(store::TYPES, self.types_version)
-                        .put(store::TYPES, &record);
+                        .compare(records::TYPES, self.types_version)
+                        .put(records::TYPES, &record);
                     (txn, true)
                 }
                 None => (txn, false),
@@ -187,18 +188,21 @@
         added
     }
 
-    pub(super) fn written(&mut self, ctx: &mut Ctx, reply: Result<StateReply, CallError>) {
-        let Some(mut batch) = self.ledger.batch.take() else {
+    pub(super) fn written(&mut self, ctx: &mut Context, reply: Result<StateReply, CallError>) {
+        let Some(mut batch) = self.write_queue.batch.take() else {
             return;
         };
         match reply {
             Ok(StateReply::Committed { revision }) => self.applied(ctx, batch, revision),
             Ok(StateReply::Conflict { failed, .. }) => {
-                if failed.iter().any(|k| k == store::TERM) {
-                    self.notes.push(Note::Outdated);
+                if failed.iter().any(|k| k == records::TERM) {
+                    self.notes.push(LeaderEvent::Outdated);
                     return;
                 }
-                let own = failed.iter().find(|k| k.starts_with(store::TASKS)).cloned();
+                let own = failed
+                    .iter()
+                    .find(|k| k.starts_with(records::TASKS))
+                    .cloned();
                 if let Some(key) = own.filter(|_| batch.uncertain) {
                     // Only this leader writes chunks: the earlier try was
                     // applied. Every key of it has the same version; read one.
@@ -207,7 +211,7 @@
                     for id in failed.iter().filter_map(|k| k.strip_prefix("j/")) {
                         self.mark_changed(ctx, &Rc::from(id));
                     }
-                    self.ledger.batch = Some(batch);
+                    self.write_queue.batch = Some(batch);
                     let waiter = self.waiter(Step::Reread { key: key.clone() });
                     ctx.state(StateCall::Get { key }, waiter);
                     return;
@@ -217,16 +221,16 @@
             Ok(StateReply::Malformed) => self.over_limit(ctx, batch),
             Ok(StateReply::LeaseGone) => {
                 log::error!("the state service misses a lease that no batch has");
-                self.notes.push(Note::Outdated);
+                self.notes.push(LeaderEvent::Outdated);
             }
             other => {
                 if matches!(other, Ok(StateReply::TooMany)) {
                     // Perhaps by the lower limit, which nobody tells of.
-                    self.pace.limit(ctx.config.state_write_rps);
+                    self.write_rate.limit(ctx.config.state_write_rps);
                 }
                 batch.uncertain |= other.is_err();
-                self.ledger.batch = Some(batch);
-                self.ledger.resend_at = Some(ctx.now.steady + RETRY);
+                self.write_queue.batch = Some(batch);
+                self.write_queue.resend_at = Some(ctx.now.steady + RETRY);
             }
         }
     }
@@ -234,7 +238,7 @@
     /// A batch broke a limit, which may have fallen a moment ago. It was not applied;
     /// an earlier try of it, which had no answer, may have been. To end the term for it
     /// would only let the next leader meet the same.
-    fn over_limit(&mut self, ctx: &mut Ctx, batch: Batch) {
+    fn over_limit(&mut self, ctx: &mut Context, batch: WriteBatch) {
         let own = batch.own_key().filter(|_| batch.uncertain);
         log::info!(
             "the state service refuses a batch of {} items: smaller ones from now on",
@@ -243,7 +247,7 @@
         match own {
             // No copy of it can be applied from now on, so one look settles it.
             Some(key) => {
-                self.ledger.batch = Some(batch);
+                self.write_queue.batch = Some(batch);
                 let waiter = self.waiter(Step::Reread { key: key.clone() });
                 ctx.state(StateCall::Get { key }, waiter);
             }
@@ -255,11 +259,11 @@
     /// leader writes.
     pub(super) fn reread(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         key: String,
         reply: Result<StateReply, CallError>,
     ) {
-        let Some(batch) = self.ledger.batch.take() else {
+        let Some(batch) = self.write_queue.batch.take() else {
             return;
         };
         let before = batch.version(&key);
@@ -268,7 +272,7 @@
             Ok(StateReply::Absent { .. }) if before == 0 => self.again_smaller(ctx, batch),
             Ok(StateReply::Found(row)) => self.applied(ctx, batch, row.version),
             _ => {
-                self.ledger.batch = Some(batch);
+                self.write_queue.batch = Some(batch);
                 self.read_later(ctx, key.clone(), Step::Reread { key });
             }
         }
@@ -276,13 +280,13 @@
 
     /// A read that was not answered is made again after a pause: made at once, it was
     /// refused hundreds of times a second in an outage.
-    fn read_later(&mut self, ctx: &Ctx, key: String, step: Step) {
+    fn read_later(&mut self, ctx: &Context, key: String, step: Step) {
         let at = ctx.now.steady + RETRY;
         self.reads.push_back((at, key, step));
     }
 
     /// Makes the reads that are due.
-    pub(super) fn read_again(&mut self, ctx: &mut Ctx) {
+    pub(super) fn read_again(&mut self, ctx: &mut Context) {
         while self
             .reads
             .front()
@@ -296,22 +300,23 @@
     }
 
     /// Nothing of the batch was applied, for its size.
-    fn again_smaller(&mut self, ctx: &mut Ctx, batch: Batch) {
+    fn again_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
         if self.value_bytes > ctx.config.value_bytes {
             // The limits that were announced are in force: larger values are written
             // in parts.
             log::info!("values of {} bytes from now on", ctx.config.value_bytes);
             self.value_bytes = ctx.config.value_bytes;
         } else if batch.items.len() > 1 {
-            self.ledger.most = Some(batch.items.len() / 2);
+            self.write_queue.most = Some(batch.items.len() / 2);
         } else if let Some(item) = batch.items.first() {
             // By itself it is refused: the same bytes again would be as well.
-            let own_part = matches!(item, Item::Tasks(_, Span::Chunk(_)));
+            let own_part = matches!(item, PendingWrite::Tasks(_, TaskRange::Chunk(_)));
             if own_part {
                 self.too_large(ctx, item.clone());
             } else {
                 log::error!("{item:?}: refused by the state service");
-                self.ledger.put_aside(item.clone(), ctx.now.steady + ASIDE);
+                self.write_queue
+                    .put_aside(item.clone(), ctx.now.steady + ASIDE);
             }
             return self.write(ctx);
         }
@@ -320,7 +325,7 @@
     }
 
     /// What a batch that was not applied held is to be written again.
-    fn give_back(&mut self, batch: Batch) {
+    fn give_back(&mut self, batch: WriteBatch) {
         for (key, _) in &batch.placed {
             if self.jobs.get(&key.0).is_some_and(|j| j.cancelled.is_some()) {
                 self.unplace(key);
@@ -330,24 +335,24 @@
             }
         }
         for item in batch.items.into_iter().rev() {
-            self.ledger.push_front(item);
+            self.write_queue.push_front(item);
         }
     }
 
     /// Some job's record has changed: it was cancelled, or its end is stored.
     /// Nothing of the batch was applied, and it never can be.
-    pub(super) fn conflict(&mut self, ctx: &mut Ctx, mut batch: Batch, failed: &[String]) {
+    pub(super) fn conflict(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
             if let Some(id) = key.strip_prefix("j/") {
                 self.mark_changed(ctx, &Rc::from(id));
-            } else if key == store::TYPES {
+            } else if key == records::TYPES {
                 // By an earlier try, or by the leader before, later than this one has read.
-                batch.items.retain(|item| *item != Item::Types);
+                batch.items.retain(|item| *item != PendingWrite::Types);
                 let waiter = self.waiter(Step::TypesVersion);
                 ctx.state(StateCall::Get { key: key.clone() }, waiter);
             } else {
                 log::error!("{key}: written by somebody else");
-                self.notes.push(Note::Outdated);
+                self.notes.push(LeaderEvent::Outdated);
             }
         }
         self.give_back(batch);
@@ -355,19 +360,19 @@
     }
 
     /// The machine types are written again once the version of their record is known.
-    pub(super) fn types_version(&mut self, ctx: &Ctx, reply: Result<StateReply, CallError>) {
+    pub(super) fn types_version(&mut self, ctx: &Context, reply: Result<StateReply, CallError>) {
         match reply {
             Ok(StateReply::Found(row)) => {
                 self.types_version = row.version;
-                self.ledger.push(Item::Types);
+                self.write_queue.push(PendingWrite::Types);
             }
-            _ => self.read_later(ctx, store::TYPES.to_string(), Step::TypesVersion),
+            _ => self.read_later(ctx, records::TYPES.to_string(), Step::TypesVersion),
         }
     }
 
     /// A job has ended, be it by its cancellation or by an earlier try of this leader's:
     /// nothing of it is to run, whichever it was.
-    fn mark_changed(&mut self, ctx: &mut Ctx, id: &Rc<str>) {
+    fn mark_changed(&mut self, ctx: &mut Context, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id) {
             log::info!("{id}: its record has changed, reading it");
             // No placement of it is written from now on. When it was confirmed is not
@@ -378,7 +383,7 @@
             self.mark_cancelled(id);
         }
         let waiter = self.waiter(Step::Ended { id: id.clone() });
-        let key = store::job_key(id);
+        let key = records::job_key(id);
         ctx.state(StateCall::Get { key }, waiter);
     }
 
@@ -386,56 +391,65 @@
     /// try of the batch that ended it.
     pub(super) fn ended(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: Rc<str>,
         reply: Result<StateReply, CallError>,
     ) {
         let Ok(StateReply::Found(row)) = reply else {
-            return self.read_later(ctx, store::job_key(&id), Step::Ended { id });
+            return self.read_later(ctx, records::job_key(&id), Step::Ended { id });
         };
-        match row.read::<JobMark>() {
-            Some(mark) if mark.s == Mark::Done => self.job_done(ctx, &id, mark),
-            Some(mark) if mark.s == Mark::Cancelled => {
+        match row.read::<JobStateRecord>() {
+            Some(mark) if mark.s == RecordedState::Done => self.job_done(ctx, &id, mark),
+            Some(mark) if mark.s == RecordedState::Cancelled => {
                 if self.jobs.get(&id).is_some_and(|job| !job.stopped) {
                     self.stop_job(ctx, &id);
                 }
             }
             other => {
                 log::error!("{id}: unexpected record {other:?}");
-                self.notes.push(Note::Outdated);
+                self.notes.push(LeaderEvent::Outdated);
             }
         }
     }
 
-    pub(super) fn job_done(&mut self, ctx: &Ctx, id: &Rc<str>, mark: JobMark) {
+    pub(super) fn job_done(&mut self, ctx: &Context, id: &Rc<str>, mark: JobStateRecord) {
         log::info!("{id}: done");
         self.forget_job(ctx, id);
         self.dependency_done(ctx, id);
-        self.notes.push(Note::Ended(id.to_string(), mark));
+        self.notes.push(LeaderEvent::Ended(id.to_string(), mark));
     }
 
     /// A batch is in the store: do what waited for it.
-    pub(super) fn applied(&mut self, ctx: &mut Ctx, batch: Batch, revision: u64) {
-        self.ledger.most = self.ledger.most.map(|most| most * 2);
-        self.ledger.most.take_if(|most| *most >= ctx.config.txn_ops);
+    pub(super) fn applied(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
+        self.write_queue.most = self.write_queue.most.map(|most| most * 2);
+        self.write_queue
+            .most
+            .take_if(|most| *most >= ctx.config.txn_ops);
         for item in &batch.items {
             match item {
-                Item::Tasks(id, span) => {
+                PendingWrite::Tasks(id, span) => {
                     if let Some(job) = self.jobs.get_mut(id) {
                         job.spans.set_version(*span, revision);
                     }
                 }
-                Item::Done(id) => {
+                PendingWrite::Done(id) => {
                     let n = self.jobs.get(id).map_or(0, |j| j.spec.tasks);
-                    self.job_done(ctx, id, JobMark { s: Mark::Done, n });
+                    self.job_done(
+                        ctx,
+                        id,
+                        JobStateRecord {
+                            s: RecordedState::Done,
+                            n,
+                        },
+                    );
                 }
-                Item::Cancel(id) => self.cancelled_with(ctx, id),
-                Item::Clear(id) => self.forget_job(ctx, id),
-                Item::Types => {
+                PendingWrite::Cancel(id) => self.cancelled_with(ctx, id),
+                PendingWrite::Clear(id) => self.forget_job(ctx, id),
+                PendingWrite::Types => {
                     self.types_stored = true;
                     self.types_version = revision;
                 }
-                Item::Machine(_) | Item::Drop(_) => {}
+                PendingWrite::Machine(_) | PendingWrite::Drop(_) => {}
             }
         }
         for ((id, i), attempt) in batch.placed {
@@ -445,7 +459,7 @@
             let Some(task) = task.filter(|t| t.attempt == attempt) else {
                 continue;
             };
-            let TaskState::Placed {
+            let TaskPlacement::Placed {
                 machine, stored, ..
             } = &mut task.state
             else {
@@ -458,7 +472,7 @@
             {
                 slot.stored = true;
                 m.wants_push = true;
-                self.pushes.urgent(m.name.clone());
+                self.command_dispatch.urgent(m.name.clone());
                 // Of a cancelled job nothing was launched: it is not there.
                 if slot.cancelled {
                     m.slots.remove(&key);
--- a/crates/controller/src/leader/spans.rs
+++ b/crates/controller/src/leader/task_ranges.rs
@@ -1,6 +1,6 @@
 //! Which record of the store tells of which tasks of a job.
 
-use crate::store::Span;
+use crate::records::TaskRange;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -10,7 +10,7 @@
 /// task so has one record that tells of it, and no two records need to change at once,
 /// be the leader ended between any two writes.
 #[derive(Debug)]
-pub(super) struct Spans {
+pub(super) struct TaskRanges {
     tasks: u32,
     chunk_tasks: u32,
     part_tasks: u32,
@@ -22,10 +22,10 @@
     parts: BTreeMap<u32, (u32, u64)>,
 }
 
-impl Spans {
-    pub fn new(tasks: u32, chunk_tasks: u32, part_tasks: u32) -> Spans {
+impl TaskRanges {
+    pub fn new(tasks: u32, chunk_tasks: u32, part_tasks: u32) -> TaskRanges {
         let chunk_tasks = chunk_tasks.max(1);
-        Spans {
+        TaskRanges {
             tasks,
             chunk_tasks,
             part_tasks: part_tasks.max(1),
@@ -41,24 +41,24 @@
     }
 
     /// The tasks of a span.
-    pub fn range(&self, span: Span) -> Range<u32> {
+    pub fn range(&self, span: TaskRange) -> Range<u32> {
         match span {
-            Span::Chunk(chunk) => self.chunk(chunk),
-            Span::Part { from, to, .. } => {
+            TaskRange::Chunk(chunk) => self.chunk(chunk),
+            TaskRange::Part { from, to, .. } => {
                 from.min(self.tasks)..to.saturating_add(1).min(self.tasks)
             }
         }
     }
 
     /// The span whose record a change of the task is written to.
-    pub fn of(&self, task: u32) -> Span {
+    pub fn of(&self, task: u32) -> TaskRange {
         let chunk = task / self.chunk_tasks;
         if !self.split.contains(&chunk) {
-            return Span::Chunk(chunk);
+            return TaskRange::Chunk(chunk);
         }
         let before = self.parts.range(..=task).next_back();
         if let Some((&from, &(to, _))) = before.filter(|(_, (to, _))| *to >= task) {
-            return Span::Part { chunk, from, to };
+            return TaskRange::Part { chunk, from, to };
         }
         // A new part, which leaves to those beside it what is theirs: they may be of
         // another size, stored under other settings.
@@ -71,11 +71,11 @@
         if let Some((first, _)) = self.parts.range(task + 1..).next() {
             to = to.min(first - 1);
         }
-        Span::Part { chunk, from, to }
+        TaskRange::Part { chunk, from, to }
     }
 
     /// From now on the chunk is written in parts. Returns those that cover it.
-    pub fn split(&mut self, chunk: u32) -> Vec<Span> {
+    pub fn split(&mut self, chunk: u32) -> Vec<TaskRange> {
         self.split.insert(chunk);
         let all = self.chunk(chunk);
         let mut parts = Vec::new();
@@ -92,22 +92,22 @@
         self.split.contains(&chunk)
     }
 
-    pub fn version(&self, span: Span) -> u64 {
+    pub fn version(&self, span: TaskRange) -> u64 {
         match span {
-            Span::Chunk(chunk) => self.chunks.get(chunk as usize).copied().unwrap_or(0),
-            Span::Part { from, .. } => self.parts.get(&from).map_or(0, |(_, v)| *v),
+            TaskRange::Chunk(chunk) => self.chunks.get(chunk as usize).copied().unwrap_or(0),
+            TaskRange::Part { from, .. } => self.parts.get(&from).map_or(0, |(_, v)| *v),
         }
     }
 
     /// The span's record is in the store, with this version.
-    pub fn set_version(&mut self, span: Span, version: u64) {
+    pub fn set_version(&mut self, span: TaskRange, version: u64) {
         match span {
-            Span::Chunk(chunk) => {
+            TaskRange::Chunk(chunk) => {
                 if let Some(v) = self.chunks.get_mut(chunk as usize) {
                     *v = version;
                 }
             }
-            Span::Part { chunk, from, to } => {
+            TaskRange::Part { chunk, from, to } => {
                 self.split.insert(chunk);
                 self.parts.insert(from, (to, version));
             }
@@ -115,10 +115,10 @@
     }
 
     /// Every span that has a record.
-    pub fn stored(&self) -> Vec<Span> {
+    pub fn stored(&self) -> Vec<TaskRange> {
         let chunks = self.chunks.iter().enumerate().filter(|(_, v)| **v > 0);
-        let chunks = chunks.map(|(i, _)| Span::Chunk(i as u32));
-        let parts = self.parts.iter().map(|(from, (to, _))| Span::Part {
+        let chunks = chunks.map(|(i, _)| TaskRange::Chunk(i as u32));
+        let parts = self.parts.iter().map(|(from, (to, _))| TaskRange::Part {
             chunk: from / self.chunk_tasks,
             from: *from,
             to: *to,
@@ -138,7 +138,7 @@
         let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..300 {
             let tasks = rng.u32(1..300);
-            let mut spans = Spans::new(tasks, rng.u32(1..120), rng.u32(1..40));
+            let mut spans = TaskRanges::new(tasks, rng.u32(1..120), rng.u32(1..40));
             let chunk = rng.u32(..tasks) / spans.chunk_tasks;
             // Parts that a leader with other settings has left.
             let other = rng.u32(1..40);
@@ -146,13 +146,13 @@
             for from in all.clone().step_by(other as usize) {
                 if rng.u8(..3) == 0 {
                     let to = (from + other).min(all.end) - 1;
-                    spans.set_version(Span::Part { chunk, from, to }, 1);
+                    spans.set_version(TaskRange::Part { chunk, from, to }, 1);
                 }
             }
             // What has a part is written in parts by whoever loads it.
             let stored = !spans.stored().is_empty();
             assert_eq!(spans.is_split(chunk), stored);
-            assert!(!stored || spans.of(all.start) != Span::Chunk(chunk));
+            assert!(!stored || spans.of(all.start) != TaskRange::Chunk(chunk));
             let parts = spans.split(chunk);
             let covered: Vec<u32> = parts.iter().flat_map(|p| spans.range(*p)).collect();
             assert_eq!(covered, all.clone().collect::<Vec<u32>>());
@@ -163,10 +163,9 @@
             // They stay what they are once they are stored.
             assert!(all.clone().all(|task| parts.contains(&spans.of(task))));
             assert_eq!(spans.stored(), parts);
-            assert!(
-                (0..tasks)
-                    .all(|t| all.contains(&t) || spans.of(t) == Span::Chunk(t / spans.chunk_tasks))
-            );
+            assert!((0..tasks).all(
+                |t| all.contains(&t) || spans.of(t) == TaskRange::Chunk(t / spans.chunk_tasks)
+            ));
         }
     }
 }
