--- a/crates/controller/src/leader/orphans.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -15,7 +15,7 @@
 
 /// A job that has records of tasks, and that is not known.
 #[derive(Debug, Default)]
-pub(super) struct Orphan {
+pub(super) struct UnknownJob {
     /// It has a description, which can't be read here.
     described: bool,
     /// When it was confirmed as cancelled at the earliest, if it was.
@@ -33,19 +33,19 @@
 
 impl Leader {
     /// A description can't be read: the job takes part in nothing.
-    pub(super) fn undescribed(&mut self, ctx: &Ctx, id: &str, value: &Value) {
-        let claim = state::read::<store::OpenClaim>(value).and_then(|open| {
+    pub(super) fn undescribed(&mut self, ctx: &Context, id: &str, value: &Value) {
+        let claim = state::read::<records::OpenClaim>(value).and_then(|open| {
             let Claim { team, cpus, gpus } = open.spec;
             Some((ctx.config.team(&team)?, units(cpus), units(gpus)))
         });
-        let orphan = self.orphans.entry(Rc::from(id)).or_default();
+        let orphan = self.unknown_jobs.entry(Rc::from(id)).or_default();
         orphan.described = true;
         orphan.claim = claim;
     }
 
     /// An unknown job is cancelled: its tasks are stopped wherever they are seen.
     pub(super) fn orphan_cancelled(&mut self, id: &str, at: Micros) {
-        let Some(orphan) = self.orphans.get_mut(id) else {
+        let Some(orphan) = self.unknown_jobs.get_mut(id) else {
             return;
         };
         orphan.cancelled.get_or_insert(at);
@@ -53,11 +53,11 @@
     }
 
     fn ask_for_stops(&mut self, id: &str) {
-        let machines = self.orphans.get(id).map(|o| o.machines.clone());
+        let machines = self.unknown_jobs.get(id).map(|o| o.machines.clone());
         for name in machines.unwrap_or_default() {
             if let Some(m) = self.machines.get_mut(&name) {
                 m.wants_push = true;
-                self.pushes.urgent(name);
+                self.command_dispatch.urgent(name);
             }
         }
     }
@@ -65,13 +65,13 @@
     /// A record of a job that is not known: neither dropped nor forgotten.
     pub(super) fn orphan_row(&mut self, id: &str, row: &Row) {
         let id: Rc<str> = Rc::from(id);
-        let orphan = self.orphans.entry(id.clone()).or_default();
+        let orphan = self.unknown_jobs.entry(id.clone()).or_default();
         orphan.records.push(row.key.clone());
         if !orphan.described {
             // Most likely it has ended, and only the clearing was not finished.
-            self.proofs.look_for(id);
+            self.dependency_proofs.look_for(id);
         }
-        let Some(chunk) = row.read::<Chunk>() else {
+        let Some(chunk) = row.read::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
             orphan.anywhere = true;
             return;
@@ -83,12 +83,12 @@
 
     /// A record of a job's tasks can't be read: the job takes part in nothing, as if its
     /// description could not be read. To write that record would lose what is in it.
-    pub(super) fn set_aside(&mut self, ctx: &Ctx, id: &Rc<str>, span: Span, key: &str) {
+    pub(super) fn set_aside(&mut self, ctx: &Context, id: &Rc<str>, span: TaskRange, key: &str) {
         self.leaves_line(ctx, id);
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        let orphan = self.orphans.entry(id.clone()).or_default();
+        let orphan = self.unknown_jobs.entry(id.clone()).or_default();
         orphan.described = true;
         orphan.anywhere = true;
         orphan.cancelled = job.cancelled;
@@ -104,14 +104,14 @@
             }
             orphan.machines.insert(machine.clone());
         }
-        if self.graph.needed(id) {
-            self.proofs.look_for(id.clone());
+        if self.dependency_graph.needed(id) {
+            self.dependency_proofs.look_for(id.clone());
         }
     }
 
     /// Whether a job is unknown and its mark is yet to be found.
     pub(super) fn is_orphan(&self, id: &str) -> bool {
-        self.orphans.get(id).is_some_and(|o| !o.described)
+        self.unknown_jobs.get(id).is_some_and(|o| !o.described)
     }
 
     /// The mark says that the job has ended: nothing needs its records any more, but where
@@ -121,23 +121,23 @@
             return;
         }
         self.ask_for_stops(id);
-        if let Some(orphan) = self.orphans.remove(id) {
+        if let Some(orphan) = self.unknown_jobs.remove(id) {
             for key in orphan.records {
-                self.ledger.push(Item::Drop(key));
+                self.write_queue.push(PendingWrite::Drop(key));
             }
         }
     }
 
     /// Whether an unknown job's tasks are to be left alone.
     pub(super) fn stays(&self, task: &TaskName) -> bool {
-        let orphan = self.orphans.get(task.job.as_str());
+        let orphan = self.unknown_jobs.get(task.job.as_str());
         orphan.is_some_and(|o| o.cancelled.is_none())
     }
 
     /// The stops of tasks of unknown jobs that are known to be cancelled.
     pub(super) fn orphan_stops<'a>(&'a self, m: &'a Machine) -> impl Iterator<Item = Command> + 'a {
         let cancelled = |task: &TaskName| {
-            let orphan = self.orphans.get(task.job.as_str());
+            let orphan = self.unknown_jobs.get(task.job.as_str());
             orphan.is_some_and(|o| o.cancelled.is_some())
         };
         let strays = m.strays.iter().filter(move |(task, _)| cancelled(task));
@@ -152,21 +152,21 @@
     /// hold. What it shows under this term's seal is all that it holds: nobody launches
     /// any more of it.
     pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
-        let may_hold = |id: &str, orphan: &Orphan| match m.ready {
+        let may_hold = |id: &str, orphan: &UnknownJob| match m.ready {
             true => m.strays.iter().any(|(task, _)| task.job == id),
             false => orphan.anywhere || orphan.machines.contains(&m.name),
         };
-        let orphans = self.orphans.iter().filter(|(id, o)| may_hold(id, o));
+        let orphans = self.unknown_jobs.iter().filter(|(id, o)| may_hold(id, o));
         orphans.filter_map(|(_, o)| o.cancelled).min()
     }
 
     /// What unknown jobs count against the limits of teams: CPUs and GPUs by team.
     pub(super) fn claims(&self, config: &Config) -> Vec<(i64, i64)> {
-        if self.orphans.is_empty() {
+        if self.unknown_jobs.is_empty() {
             return Vec::new();
         }
         let mut teams = vec![(0, 0); config.teams.len()];
-        for orphan in self.orphans.values() {
+        for orphan in self.unknown_jobs.values() {
             if let Some((team, cpus, gpus)) = orphan.claim {
                 teams[team].0 += cpus.saturating_mul(orphan.placed);
                 teams[team].1 += gpus.saturating_mul(orphan.placed);
--- a/crates/controller/src/leader/cut.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -9,7 +9,7 @@
 
 /// Room for what is on machines that are cut off, in CPUs.
 #[derive(Debug)]
-pub(super) struct Elsewhere {
+pub(super) struct SpareCapacity {
     /// What replicas may have: free ordinary room, and that of arrays on ordinary
     /// machines, which comes free for them first.
     replicas: f64,
@@ -17,7 +17,7 @@
     arrays: f64,
 }
 
-impl Elsewhere {
+impl SpareCapacity {
     /// What counts most on the machine, and the room that it may have.
     fn need(&mut self, m: &Machine) -> (&mut f64, f64) {
         let cpus = |service: bool| -> f64 {
@@ -51,9 +51,12 @@
 
 impl Leader {
     /// Room for what is on the machines that are cut off.
-    pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> Elsewhere {
-        let (ordinary, spot) = (self.index.floor.free(false), self.index.floor.free(true));
-        let lending = self.index.lending[0].iter();
+    pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
+        let (ordinary, spot) = (
+            self.derived.floor.free(false),
+            self.derived.floor.free(true),
+        );
+        let lending = self.derived.lending[0].iter();
         let lent: f64 = lending
             .filter(|_| !cut.is_empty())
             .filter_map(|place| self.machines.at(place))
@@ -61,13 +64,13 @@
             .flat_map(|(_, m)| m.slots.values().filter(|s| !s.service))
             .map(|s| s.room.cpus)
             .sum();
-        let mut elsewhere = Elsewhere {
+        let mut elsewhere = SpareCapacity {
             replicas: ordinary + lent,
             arrays: ordinary + spot,
         };
         // While the cloud is out deletions pile up, and what is on those machines
         // will want its room first.
-        for name in self.desk.deletes() {
+        for name in self.cloud_queue.deletes() {
             if let Some(m) = self.machines.get(name) {
                 elsewhere.expect(m);
             }
@@ -88,7 +91,7 @@
         for (name, m) in self.silent() {
             zones.entry(&m.zone).or_default().push(name);
         }
-        let up = &self.index.sums.up;
+        let up = &self.derived.sums.up;
         let all = |zone: &Rc<str>| up.get(zone).copied().unwrap_or(0);
         let cut: BTreeSet<Rc<str>> = zones
             .into_iter()
@@ -111,7 +114,7 @@
             return false;
         }
         let far = |zone: &str| *zone != *config.zone;
-        let up = self.index.sums.up.iter();
+        let up = self.derived.sums.up.iter();
         let mut heard: BTreeMap<&Rc<str>, usize> = up
             .filter(|(zone, _)| far(zone))
             .map(|(z, n)| (z, *n))
@@ -121,7 +124,7 @@
                 *n = n.saturating_sub(1);
             }
         }
-        let missed = &self.index.silent | &self.index.booting;
+        let missed = &self.derived.silent | &self.derived.booting;
         let mut missed = missed
             .into_iter()
             .filter_map(|place| self.machines.at(place));
@@ -155,7 +158,7 @@
 
     /// Machines that are up and have missed a report.
     pub(super) fn silent(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
-        let silent = self.index.silent.iter();
+        let silent = self.derived.silent.iter();
         silent.filter_map(|place| self.machines.at(place))
     }
 }
@@ -163,7 +166,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::workers::Machine;
+    use crate::machines::Machine;
 
     fn machine(kind: Kind, tasks: u32, cpus: f64) -> Machine {
         let mut m = Machine::new("m", "t", "z", false, 0);
@@ -180,7 +183,7 @@
     /// go, and came back as none (zone, rosterwise-nz-fleet).
     #[test]
     fn what_is_cut_off_goes_as_far_as_there_is_room_for_it() {
-        let mut elsewhere = Elsewhere {
+        let mut elsewhere = SpareCapacity {
             replicas: 5.0,
             arrays: 4.0,
         };
--- a/crates/controller/src/permit.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -34,7 +34,7 @@
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ground {
+pub enum DeletionReason {
     /// A cancelled task may be there that is not seen gone.
     Cancelled,
     /// It was listed as failed: nothing of it is left but its place in the list.
@@ -47,16 +47,16 @@
 
 /// What is asked of the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Action {
+pub enum CloudAction {
     /// Changes nothing.
     Look,
     Rent,
-    Delete(Ground),
+    Delete(DeletionReason),
 }
 
 /// Permit to send one call; only a [`LeadershipProof`] gives it.
 #[derive(Debug)]
-pub struct Permit {
+pub struct CloudPermit {
     until: Micros,
     lasting: bool,
 }
@@ -74,18 +74,18 @@
     /// was elected meanwhile may not be heard (seed 11387 of the pipelines' days). What
     /// whoever was told of a cancellation is owed is left to time: who holds it is not
     /// answered any more, and its lease ends it (`Leader::checkin`).
-    pub fn permit(&self, config: &Config, now: Micros, action: Action) -> Option<Permit> {
+    pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         let until = match action {
-            Action::Look => Micros::MAX,
+            CloudAction::Look => Micros::MAX,
             _ if self.proved(config, now) => self.proved + proof_time(config),
-            Action::Rent | Action::Delete(_) => return None,
+            CloudAction::Rent | CloudAction::Delete(_) => return None,
         };
-        let lasting = action != Action::Look;
-        Some(Permit { until, lasting })
+        let lasting = action != CloudAction::Look;
+        Some(CloudPermit { until, lasting })
     }
 }
 
-impl Permit {
+impl CloudPermit {
     /// Whether it permits a call such as this.
     pub fn covers(&self, call: &CloudCall) -> bool {
         let lasting = matches!(call, CloudCall::Rent(_) | CloudCall::Delete(_));
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -5,27 +5,27 @@
 //! records to write. The same code runs in the service and in the rehearsals.
 
 pub mod admission;
-pub mod blame;
-mod bucket;
-pub mod budget;
 pub mod calls;
+pub mod cloud_queue;
 pub mod config;
-pub mod desk;
-pub mod graph;
-mod known;
-pub mod latency;
+pub mod continuations;
+pub mod dependency_graph;
+pub mod election;
+pub mod failure_attribution;
+mod inherited_estimates;
+mod job_cache;
 pub mod leader;
-pub mod leadership;
-mod learned;
-pub mod ledger;
+pub mod leadership_guard;
+pub mod machines;
 pub mod node;
-pub mod permit;
+mod peers;
 mod progress;
-mod siblings;
+pub mod records;
+pub mod request_budget;
 pub mod slab;
-pub mod store;
-pub mod waiters;
-pub mod workers;
+pub mod store_latency;
+mod token_bucket;
+pub mod write_queue;
 
 pub use dillcleat_sched as sched;
 
@@ -59,7 +59,7 @@
 /// What a leader's passes and rental plans have done in its term: how much they
 /// looked at, and how much was placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct SchedulerCounters {
     pub passes: u64,
     /// Jobs that passes looked at.
     pub jobs: u64,
@@ -71,7 +71,7 @@
 
 /// Both clocks at the moment of an input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Now {
+pub struct Timestamp {
     /// The steady clock: intervals are measured on it.
     pub steady: Micros,
     /// The time of day: only what outlives a process is stamped with it.
@@ -91,7 +91,7 @@
         target: String,
         body: Vec<u8>,
     },
-    State {
+    Store {
         id: CallId,
         reply: Result<StateReply, CallError>,
     },
@@ -100,11 +100,11 @@
         reply: Result<CloudReply, CallError>,
     },
     /// A worker's answer to orders: its status and body.
-    Orders {
+    Commands {
         id: CallId,
         reply: Result<(u16, Vec<u8>), CallError>,
     },
-    Mesh {
+    Peer {
         from: String,
         message: Message,
     },
@@ -116,7 +116,7 @@
         id: RequestId,
         answer: Answer,
     },
-    State {
+    Store {
         id: CallId,
         call: StateCall,
         timeout: Micros,
@@ -129,23 +129,23 @@
         /// not sent any more: its sender may have lost the lead.
         within: Micros,
     },
-    Orders {
+    Commands {
         id: CallId,
         addr: String,
         orders: Orders,
         timeout: Micros,
     },
     /// To every other controller that is connected.
-    Mesh {
+    Peer {
         message: Message,
     },
     /// News of a job, told by the leader to whoever keeps objects for jobs.
-    Told(Told),
+    JobEvent(JobEvent),
 }
 
 /// What a leader has learned of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum JobEvent {
     /// Its end is in the store: done, or cancelled.
     Ended { job: String, state: JobState },
     /// An attempt of one of its tasks ended with an error. Told again for the same
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/machines.rs
@@ -5,7 +5,7 @@
 //! launch that could still be carried out; a later session; or the machine's
 //! end. Silence proves nothing.
 
-use crate::blame::Strikes;
+use crate::failure_attribution::MachineStrikes;
 use crate::node::WORKER_PATIENCE;
 use crate::sched::{Images, Place, Room};
 use crate::{CallId, Micros, micros};
@@ -19,7 +19,7 @@
 pub type TaskKey = (Rc<str>, u32);
 
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct TaskSlot {
     pub attempt: u64,
     pub session: u64,
     pub room: Room,
@@ -44,16 +44,16 @@
 }
 
 /// A launch that was sent and not answered may be carried out minutes later.
-pub type Launch = (TaskName, u64);
+pub type LaunchId = (TaskName, u64);
 
 #[derive(Debug)]
-pub struct Push {
+pub struct CommandsInFlight {
     pub id: CallId,
-    launches: Vec<Launch>,
+    launches: Vec<LaunchId>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum HeartbeatSource {
     /// A report that the worker sent by itself, one at a time.
     Checkin,
     /// The answer to orders.
@@ -62,7 +62,7 @@
 
 /// What a report has changed.
 #[derive(Debug, Clone, PartialEq)]
-pub enum SlotEvent {
+pub enum TaskEvent {
     Running(TaskKey),
     Exited {
         task: TaskKey,
@@ -110,24 +110,24 @@
     /// Takes no more tasks, but as a last resort, and is returned when empty.
     pub condemned: bool,
     pub blocked_until: Micros,
-    pub slots: BTreeMap<TaskKey, Slot>,
+    pub slots: BTreeMap<TaskKey, TaskSlot>,
     /// Exited tasks of the latest report.
     pub exited: Vec<(TaskName, u64)>,
     /// Tasks of the latest report that nobody placed there.
     pub strays: Vec<(TaskName, u64)>,
-    pub push: Option<Push>,
+    pub push: Option<CommandsInFlight>,
     pub push_after: Micros,
     pub wants_push: bool,
     /// Missed its report: asked by empty orders whether it is there at all.
     pub probe: bool,
     /// Launches that may still be carried out in this session.
-    unanswered: BTreeSet<Launch>,
+    unanswered: BTreeSet<LaunchId>,
     /// Images that were used here, the latest last.
     pub images: Images,
     pub empty_since: Micros,
     /// Jobs that failed here: they try another machine.
     pub error_jobs: BTreeSet<Rc<str>>,
-    pub strikes: Strikes,
+    pub strikes: MachineStrikes,
     pub recorded: bool,
 }
 
@@ -163,7 +163,7 @@
             images: Images::default(),
             empty_since: now,
             error_jobs: BTreeSet::new(),
-            strikes: Strikes::default(),
+            strikes: MachineStrikes::default(),
             recorded: false,
         }
     }
@@ -181,7 +181,7 @@
 
     /// Puts a task here. The worker keeps the images that it used most recently,
     /// as many as fit its cache; `cache_gb` is what may be counted on.
-    pub fn place(&mut self, task: TaskKey, slot: Slot, image: (&Rc<str>, f64), cache_gb: f64) {
+    pub fn place(&mut self, task: TaskKey, slot: TaskSlot, image: (&Rc<str>, f64), cache_gb: f64) {
         self.slots.insert(task, slot);
         let images = Rc::make_mut(&mut self.images);
         images.retain(|(i, _)| i != image.0);
@@ -195,8 +195,13 @@
         images.drain(..first);
     }
 
-    pub fn slot(attempt: u64, session: u64, (job, spec): (Place, &JobSpec), stored: bool) -> Slot {
-        Slot {
+    pub fn slot(
+        attempt: u64,
+        session: u64,
+        (job, spec): (Place, &JobSpec),
+        stored: bool,
+    ) -> TaskSlot {
+        TaskSlot {
             attempt,
             session,
             room: Room::of_task(spec),
@@ -287,10 +292,10 @@
     }
 
     /// Removes a slot by proof from outside, such as the machine's end.
-    pub fn drain(&mut self, why: &'static str) -> Vec<SlotEvent> {
+    pub fn drain(&mut self, why: &'static str) -> Vec<TaskEvent> {
         std::mem::take(&mut self.slots)
             .into_iter()
-            .map(|(task, slot)| SlotEvent::Lost {
+            .map(|(task, slot)| TaskEvent::Lost {
                 task,
                 attempt: slot.attempt,
                 why,
@@ -298,14 +303,20 @@
             .collect()
     }
 
-    fn in_push(&self, launch: &Launch) -> bool {
+    fn in_push(&self, launch: &LaunchId) -> bool {
         self.push
             .as_ref()
             .is_some_and(|p| p.launches.contains(launch))
     }
 
     /// Takes a report in. Nothing but a newer one changes anything.
-    pub fn report(&mut self, r: &Report, source: Source, term: u64, now: Micros) -> Vec<SlotEvent> {
+    pub fn report(
+        &mut self,
+        r: &Report,
+        source: HeartbeatSource,
+        term: u64,
+        now: Micros,
+    ) -> Vec<TaskEvent> {
         let mut events = Vec::new();
         // Of a machine that has yet to report to this leader a stored placement may tell
         // the session: a report of one before is old, though it is the first to come.
@@ -328,7 +339,7 @@
                 .collect();
             for task in old {
                 if let Some(slot) = self.slots.remove(&task) {
-                    events.push(SlotEvent::Lost {
+                    events.push(TaskEvent::Lost {
                         task,
                         attempt: slot.attempt,
                         why: "a later session has begun",
@@ -363,7 +374,7 @@
             if t.state == TaskState::Exited {
                 self.exited.push(launch);
                 if own && let Some(slot) = self.slots.remove(&key) {
-                    events.push(SlotEvent::Exited {
+                    events.push(TaskEvent::Exited {
                         task: key,
                         attempt: t.attempt,
                         why: t.why.unwrap_or(Why::Other),
@@ -377,7 +388,7 @@
                 if let Some(slot) = self.slots.get_mut(&key) {
                     if t.state == TaskState::Running && slot.seen != Some(TaskState::Running) {
                         slot.running_since = Some(now);
-                        events.push(SlotEvent::Running(key.clone()));
+                        events.push(TaskEvent::Running(key.clone()));
                     }
                     slot.seen = Some(t.state);
                 }
@@ -399,14 +410,15 @@
                     && (s.cancelled || s.seen.is_some())
                     && !self.unanswered.contains(&launch)
                     && !self.in_push(&launch)
-                    && s.launched_in
-                        .is_none_or(|at| source == Source::Checkin && (r.session, r.seq) > at)
+                    && s.launched_in.is_none_or(|at| {
+                        source == HeartbeatSource::Checkin && (r.session, r.seq) > at
+                    })
             })
             .map(|(k, _)| k.clone())
             .collect();
         for task in gone {
             if let Some(slot) = self.slots.remove(&task) {
-                events.push(SlotEvent::Lost {
+                events.push(TaskEvent::Lost {
                     task,
                     attempt: slot.attempt,
                     why: "absent from a newer report",
@@ -474,7 +486,7 @@
 
     /// The stops of cancelled tasks that were seen here.
     pub fn cancelled(&self) -> impl Iterator<Item = Command> {
-        let here = |s: &Slot| s.session == self.session && s.stored && s.seen.is_some();
+        let here = |s: &TaskSlot| s.session == self.session && s.stored && s.seen.is_some();
         let slots = self.slots.iter();
         let cancelled = slots.filter(move |(_, s)| s.cancelled && here(s));
         cancelled.map(|(key, slot)| stop(key, slot))
@@ -503,7 +515,7 @@
                 _ => None,
             })
             .collect();
-        self.push = Some(Push { id, launches });
+        self.push = Some(CommandsInFlight { id, launches });
     }
 
     /// Ends the push under way. Without an answer its launches may still come.
@@ -517,7 +529,7 @@
     }
 }
 
-fn stop(key: &TaskKey, slot: &Slot) -> Command {
+fn stop(key: &TaskKey, slot: &TaskSlot) -> Command {
     Command::Stop {
         task: name(key),
         attempt: slot.attempt,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -2,18 +2,18 @@
 //! service say goes in, what follows from it comes out.
 
 use crate::admission::{Admission, unfit};
-use crate::budget::Need;
-use crate::calls::{Calls, Ctx};
-use crate::leader::{self, Leader, Note};
-use crate::leadership::{Better, Change, Leadership};
-use crate::learned::Heard;
-use crate::permit::LeadershipProof;
-use crate::siblings::{Sibling, Siblings};
-use crate::store::OpenJob;
-use crate::waiters::{Leading, Waiter};
+use crate::calls::{Context, PendingCalls};
+use crate::continuations::{Continuation, LeaderStep};
+use crate::election::{BetterCandidate, Election, LeadershipChange};
+use crate::inherited_estimates::HeardEstimates;
+use crate::leader::{self, Leader, LeaderEvent};
+use crate::leadership_guard::LeadershipProof;
+use crate::peers::{PeerStatus, Peers};
+use crate::records::OpenJob;
+use crate::request_budget::RequestPriority;
 use crate::{
-    Answer, Config, Counts, Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND, Told,
-    micros,
+    Answer, Config, Input, JobEvent, MILLISECOND, Micros, Output, RequestId, SECOND,
+    SchedulerCounters, Timestamp, micros,
 };
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::StateReply;
@@ -34,17 +34,17 @@
 #[derive(Debug)]
 pub struct Node {
     config: Config,
-    calls: Calls,
+    calls: PendingCalls,
     admission: Admission,
-    leadership: Leadership,
+    leadership: Election,
     leader: Option<Leader>,
-    siblings: Siblings,
+    siblings: Peers,
     /// What a leader said last of zones that fell silent: when each was heard
     /// last, and when that was said.
     silent: HashMap<String, Micros>,
     silent_at: Micros,
     /// What leaders have told of what they learned.
-    learned: Heard,
+    learned: HeardEstimates,
     /// When the state service last answered this node.
     served_at: Option<Micros>,
     beat_at: Micros,
@@ -57,14 +57,14 @@
 impl Node {
     pub fn new(config: Config) -> Node {
         Node {
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             admission: Admission::new(&config),
-            leadership: Leadership::new(),
+            leadership: Election::new(),
             leader: None,
-            siblings: Siblings::default(),
+            siblings: Peers::default(),
             silent: HashMap::new(),
             silent_at: 0,
-            learned: Heard::default(),
+            learned: HeardEstimates::default(),
             served_at: None,
             beat_at: 0,
             worker_at: 0,
@@ -102,7 +102,7 @@
     }
 
     /// The record of a job that is submitted now.
-    pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Now) -> OpenJob {
+    pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Timestamp) -> OpenJob {
         OpenJob {
             at: now.wall,
             chunk: self.config.chunk_tasks,
@@ -118,13 +118,25 @@
     }
 
     /// Whether a grant would be given: for who would do work before it takes one.
-    pub fn could(&mut self, calls: f64, changes: f64, need: Need, now: Now) -> bool {
+    pub fn could(
+        &mut self,
+        calls: f64,
+        changes: f64,
+        need: RequestPriority,
+        now: Timestamp,
+    ) -> bool {
         self.admission.could(calls, changes, need, now.steady)
     }
 
     /// Takes calls, and among them changes, from this node's part of what users'
     /// requests may take of the state service.
-    pub fn grant(&mut self, calls: f64, changes: f64, need: Need, now: Now) -> bool {
+    pub fn grant(
+        &mut self,
+        calls: f64,
+        changes: f64,
+        need: RequestPriority,
+        now: Timestamp,
+    ) -> bool {
         self.admission.grant(calls, changes, need, now.steady)
     }
 
@@ -138,14 +150,16 @@
     }
 
     /// What this node's passes have done since it leads.
-    pub fn counts(&self) -> Counts {
-        self.leader.as_ref().map_or(Counts::default(), |l| l.counts)
+    pub fn counts(&self) -> SchedulerCounters {
+        self.leader
+            .as_ref()
+            .map_or(SchedulerCounters::default(), |l| l.counts)
     }
 
     /// What of that which a leader keeps up to date bit by bit is not as it would
     /// be if it were made anew. For rehearsals.
-    pub fn audit(&mut self, now: Now) -> Vec<&'static str> {
-        let ctx = Ctx {
+    pub fn audit(&mut self, now: Timestamp) -> Vec<&'static str> {
+        let ctx = Context {
             now,
             config: &self.config,
             out: &mut Vec::new(),
@@ -155,21 +169,21 @@
         leader.map_or(Vec::new(), |l| l.audit(&ctx))
     }
 
-    pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.awake(now, &mut out);
         let proof = match input {
             Input::Tick => {
                 self.leadership.better = match self.hears(now) {
-                    true => Better::Nobody,
-                    false if self.siblings.better(now.steady) => Better::Sibling,
-                    false => Better::Unknown,
+                    true => BetterCandidate::Nobody,
+                    false if self.siblings.better(now.steady) => BetterCandidate::Sibling,
+                    false => BetterCandidate::Unknown,
                 };
                 self.proof(now)
             }
             _ => LeadershipProof::default(),
         };
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out: &mut out,
@@ -198,7 +212,7 @@
                 target,
                 body,
             } => self.request(now, &mut out, id, &method, &target, &body),
-            Input::State { id, reply } => {
+            Input::Store { id, reply } => {
                 if matches!(&reply, Ok(r) if *r != StateReply::Unavailable) {
                     self.served_at = Some(now.steady);
                 }
@@ -216,7 +230,7 @@
                     self.leadership.latency.answered(took, now.steady);
                 }
                 match closed {
-                    Some((Waiter::Admission(step), _)) => {
+                    Some((Continuation::Admission(step), _)) => {
                         self.admission.reply(&mut ctx, step, reply);
                         let cancelled = self.admission.take_cancelled();
                         if let Some(leader) = &mut self.leader
@@ -228,42 +242,42 @@
                             leader.go_on(&mut ctx);
                         }
                     }
-                    Some((Waiter::Leadership(step), sent)) => {
+                    Some((Continuation::Election(step), sent)) => {
                         change = self.leadership.reply(&mut ctx, step, sent, reply);
                         if let Some(leader) = &mut self.leader {
                             leader.proof.proved = self.leadership.proved();
                         }
                     }
-                    Some((Waiter::Leader { term, step }, sent)) => {
+                    Some((Continuation::Leader { term, step }, sent)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
                             leader.reply(&mut ctx, step, sent, reply);
                             leader.go_on(&mut ctx);
                         }
                     }
-                    Some((Waiter::Nobody, _)) | None => {}
+                    Some((Continuation::Nobody, _)) | None => {}
                 }
             }
             Input::Cloud { id, reply } => {
-                if let Some((Waiter::Leader { term, step }, _)) =
+                if let Some((Continuation::Leader { term, step }, _)) =
                     ctx.calls.close(id, reply.is_err())
                     && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
-                    && let Leading::Cloud(errand) = step
+                    && let LeaderStep::Cloud(errand) = step
                 {
                     leader.cloud_reply(&mut ctx, errand, reply);
                     leader.go_on(&mut ctx);
                 }
             }
-            Input::Orders { id, reply } => {
-                if let Some((Waiter::Leader { term, step }, _)) =
+            Input::Commands { id, reply } => {
+                if let Some((Continuation::Leader { term, step }, _)) =
                     ctx.calls.close(id, reply.is_err())
                     && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
-                    && let Leading::Push { machine } = step
+                    && let LeaderStep::CommandsInFlight { machine } = step
                 {
                     leader.orders_reply(&mut ctx, id, &machine, reply);
                     leader.go_on(&mut ctx);
                 }
             }
-            Input::Mesh { from, message } => self.mesh(now, &mut out, from, message),
+            Input::Peer { from, message } => self.mesh(now, &mut out, from, message),
         }
         self.follow(now, &mut out, change);
         self.notes(now, &mut out);
@@ -275,7 +289,7 @@
     /// that woke after half a minute once found every worker silent and sent
     /// the deletion of 840 machines before it heard of its successor (incident
     /// e9a6).
-    fn awake(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn awake(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let gap = now.steady.saturating_sub(self.awake_at);
         let first = self.awake_at == 0;
         self.awake_at = now.steady;
@@ -284,7 +298,7 @@
         }
         log::info!("was not running for {} s", crate::seconds(gap));
         if gap >= micros(self.config.tuning.lead_ttl_s) {
-            let mut ctx = Ctx {
+            let mut ctx = Context {
                 now,
                 config: &self.config,
                 out,
@@ -297,16 +311,16 @@
         }
     }
 
-    fn follow(&mut self, now: Now, out: &mut Vec<Output>, change: Option<Change>) {
-        let mut ctx = Ctx {
+    fn follow(&mut self, now: Timestamp, out: &mut Vec<Output>, change: Option<LeadershipChange>) {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
             calls: &mut self.calls,
         };
         match change {
-            Some(Change::Elected { term, term_version }) => {
-                let types = leader::TypesRecord {
+            Some(LeadershipChange::Elected { term, term_version }) => {
+                let types = leader::VersionedMachineTypes {
                     types: self.leadership.types.clone(),
                     version: self.leadership.types_version,
                 };
@@ -320,7 +334,7 @@
                 self.admission.progress.elected(now.steady);
                 self.beat_at = now.steady;
             }
-            Some(Change::Deposed) => {
+            Some(LeadershipChange::Deposed) => {
                 // It may lead again before anybody else has.
                 if let Some(learned) = self.leader.take().and_then(|l| l.all_learned()) {
                     self.learned.take(&self.config, learned, now.steady);
@@ -330,39 +344,39 @@
         }
     }
 
-    fn notes(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn notes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let mut change = None;
         for note in leader.take_notes() {
-            let mut ctx = Ctx {
+            let mut ctx = Context {
                 now,
                 config: &self.config,
                 out,
                 calls: &mut self.calls,
             };
             match note {
-                Note::Ended(job, mark) => {
+                LeaderEvent::Ended(job, mark) => {
                     self.admission.ended(&job, mark);
                     let state = mark.s.ended().unwrap_or(JobState::Done);
-                    out.push(Output::Told(Told::Ended { job, state }));
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                Note::Stopped(job) => {
+                LeaderEvent::Stopped(job) => {
                     let state = JobState::Cancelled;
-                    out.push(Output::Told(Told::Ended { job, state }));
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                Note::Failed { job, task, attempt } => {
-                    out.push(Output::Told(Told::Failed { job, task, attempt }));
+                LeaderEvent::Failed { job, task, attempt } => {
+                    out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
                 }
-                Note::Types(types) => self.leadership.set_types(types),
-                Note::Outdated => {
+                LeaderEvent::Types(types) => self.leadership.set_types(types),
+                LeaderEvent::Outdated => {
                     change = self
                         .leadership
                         .step_down(&mut ctx, "its writes are out of date", 0)
                         .or(change);
                 }
-                Note::Higher(term) => {
+                LeaderEvent::Higher(term) => {
                     change = self.leadership.outdated(&mut ctx, term).or(change);
                 }
             }
@@ -372,14 +386,14 @@
 
     fn request(
         &mut self,
-        now: Now,
+        now: Timestamp,
         out: &mut Vec<Output>,
         id: RequestId,
         method: &str,
         target: &str,
         body: &[u8],
     ) {
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
@@ -416,7 +430,7 @@
 
     /// In a common outage nodes stay up and say so to each request. A node
     /// that alone is refused leaves the users to its siblings.
-    fn healthy(&self, now: Now) -> bool {
+    fn healthy(&self, now: Timestamp) -> bool {
         let Some(served) = self.served_at else {
             return false;
         };
@@ -428,13 +442,13 @@
     }
 
     /// Whether workers report to this node.
-    fn hears(&self, now: Now) -> bool {
+    fn hears(&self, now: Timestamp) -> bool {
         now.steady < self.worker_at + 3 * SECOND
     }
 
     /// A leader that no worker reaches makes way for a sibling that they
     /// reach: their leases run on, and with them everything on the machines.
-    fn deaf(&mut self, now: Now, out: &mut Vec<Output>) -> Option<Change> {
+    fn deaf(&mut self, now: Timestamp, out: &mut Vec<Output>) -> Option<LeadershipChange> {
         let since = self.leader.as_ref()?.expects_reports_since()?;
         let mut patience = self.config.report * 5 / 4 + 3 * SECOND / 2;
         let term = self.leadership.leading()?;
@@ -463,17 +477,17 @@
         if !apart && !waited && !recent.any(|(_, s)| s.hears) {
             return None;
         }
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
             calls: &mut self.calls,
         };
         self.leadership
-            .step_down(&mut ctx, "no worker is heard", Leadership::ABSTAIN)
+            .step_down(&mut ctx, "no worker is heard", Election::ABSTAIN)
     }
 
-    fn report(&mut self, now: Now, out: &mut Vec<Output>, body: &[u8]) -> Answer {
+    fn report(&mut self, now: Timestamp, out: &mut Vec<Output>, body: &[u8]) -> Answer {
         let report = match dillcleat_wire::decode::<Report>(body) {
             Ok(r) => {
                 self.worker_at = now.steady;
@@ -484,7 +498,7 @@
                 return Answer::refusal(400, e.to_string());
             }
         };
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
@@ -502,7 +516,7 @@
     /// Which other node leads, as far as is known: by the store, unless a sibling says
     /// that it leads in a later term. Two nodes that had lost sight of the store once
     /// sent all workers to one another, past the new leader, until their leases ended.
-    fn lead(&self, now: Now) -> Option<&str> {
+    fn lead(&self, now: Timestamp) -> Option<&str> {
         let lead = self.leadership.lead.as_ref();
         let term = lead.map_or(0, |l| l.term);
         if let Some(name) = self.siblings.leads_after(term, now.steady) {
@@ -514,7 +528,7 @@
     }
 
     /// What this node knows of its right to act as leader.
-    fn proof(&self, now: Now) -> LeadershipProof {
+    fn proof(&self, now: Timestamp) -> LeadershipProof {
         let heard = |name: &String| self.siblings.is_heard(name, now.steady);
         let far = &self.config.far_siblings;
         let apart = !far.is_empty() && !far.iter().any(heard);
@@ -524,7 +538,7 @@
         }
     }
 
-    fn served(&self, now: Now) -> bool {
+    fn served(&self, now: Timestamp) -> bool {
         self.served_at
             .is_some_and(|at| now.steady < at + 3 * SECOND)
     }
@@ -534,7 +548,7 @@
     /// siblings that are not heard might take nothing is touched, and nobody
     /// goes below half of an equal share, to be ready. Returns how many requests
     /// a second users make here.
-    fn share(&mut self, now: Now) -> u32 {
+    fn share(&mut self, now: Timestamp) -> u32 {
         let asked = self.admission.demand(BEAT);
         let nodes = (self.config.siblings.len() + 1) as f64;
         let (mut known, mut all) = (1.0, asked);
@@ -549,8 +563,8 @@
         asked.ceil() as u32
     }
 
-    fn beat(&mut self, out: &mut Vec<Output>, now: Now, asked: u32) {
-        out.push(Output::Mesh {
+    fn beat(&mut self, out: &mut Vec<Output>, now: Timestamp, asked: u32) {
+        out.push(Output::Peer {
             message: Message::Beat {
                 term: self.leadership.term(),
                 leads: self.leader.is_some(),
@@ -562,12 +576,12 @@
         if let Some(leader) = &mut self.leader {
             let silent = leader.silences(now.steady);
             if !silent.is_empty() {
-                out.push(Output::Mesh {
+                out.push(Output::Peer {
                     message: Message::Silent(silent),
                 });
             }
             if let Some(learned) = leader.learned() {
-                out.push(Output::Mesh {
+                out.push(Output::Peer {
                     message: Message::Learned(learned),
                 });
             }
@@ -577,14 +591,14 @@
             let more = self.admission.progress.tell(all, now.steady);
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
-                out.push(Output::Mesh {
+                out.push(Output::Peer {
                     message: Message::Progress(told),
                 });
             }
         }
     }
 
-    fn mesh(&mut self, now: Now, out: &mut Vec<Output>, from: String, message: Message) {
+    fn mesh(&mut self, now: Timestamp, out: &mut Vec<Output>, from: String, message: Message) {
         match message {
             Message::Hello { .. } => {}
             Message::Beat {
@@ -594,7 +608,7 @@
                 hears,
                 asked,
             } => {
-                let sibling = Sibling {
+                let sibling = PeerStatus {
                     heard: now.steady,
                     term,
                     leads,
@@ -606,7 +620,7 @@
                     self.admission.progress.tell_all();
                 }
                 self.siblings.told(from, sibling);
-                let mut ctx = Ctx {
+                let mut ctx = Context {
                     now,
                     config: &self.config,
                     out,
--- a/crates/controller/src/siblings.rs
+++ b/crates/controller/src/peers.rs
@@ -14,7 +14,7 @@
 
 /// A sibling's last word.
 #[derive(Debug, Clone, Copy)]
-pub struct Sibling {
+pub struct PeerStatus {
     pub heard: Micros,
     /// The highest term that it has seen in the store.
     pub term: u64,
@@ -28,19 +28,19 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Siblings {
-    known: HashMap<String, Sibling>,
+pub struct Peers {
+    known: HashMap<String, PeerStatus>,
     /// In which term, and since when, a sibling that knows of the term hears workers.
     sent_on: Option<(u64, Micros)>,
 }
 
-impl Siblings {
-    pub fn told(&mut self, from: String, sibling: Sibling) {
+impl Peers {
+    pub fn told(&mut self, from: String, sibling: PeerStatus) {
         self.known.insert(from, sibling);
     }
 
     /// Those that are heard.
-    pub fn fresh(&self, now: Micros) -> impl Iterator<Item = (&str, &Sibling)> {
+    pub fn fresh(&self, now: Micros) -> impl Iterator<Item = (&str, &PeerStatus)> {
         let known = self.known.iter().map(|(name, s)| (name.as_str(), s));
         known.filter(move |(_, s)| now < s.heard + FRESH)
     }
@@ -52,7 +52,7 @@
     /// Whether one of them would make a better leader than a node that no worker
     /// reaches. Whoever led until now may be gone, whatever its last word was.
     pub fn better(&self, now: Micros) -> bool {
-        let better = |s: &Sibling| s.hears && s.served && !s.leads;
+        let better = |s: &PeerStatus| s.hears && s.served && !s.leads;
         self.fresh(now).any(|(_, s)| better(s))
     }
 
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/records.rs
@@ -46,17 +46,17 @@
 
 /// Which tasks of a job one record tells of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Span {
+pub enum TaskRange {
     /// All of a chunk.
     Chunk(u32),
     /// Those of a chunk from one to another, both included.
     Part { chunk: u32, from: u32, to: u32 },
 }
 
-pub fn tasks_key(id: &str, span: Span) -> String {
+pub fn tasks_key(id: &str, span: TaskRange) -> String {
     match span {
-        Span::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
-        Span::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
+        TaskRange::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
+        TaskRange::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
     }
 }
 
@@ -65,13 +65,13 @@
 }
 
 /// The job and the tasks of a key.
-pub fn parse_tasks_key(key: &str) -> Option<(&str, Span)> {
+pub fn parse_tasks_key(key: &str) -> Option<(&str, TaskRange)> {
     let (id, rest) = key.strip_prefix(TASKS)?.split_once('/')?;
     let span = match rest.split_once('/') {
-        None => Span::Chunk(rest.parse().ok()?),
+        None => TaskRange::Chunk(rest.parse().ok()?),
         Some((chunk, part)) => {
             let (from, to) = part.split_once('-')?;
-            Span::Part {
+            TaskRange::Part {
                 chunk: chunk.parse().ok()?,
                 from: from.parse().ok()?,
                 to: to.parse().ok()?,
@@ -82,19 +82,19 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct LeaderRecord {
     pub member: String,
     pub lease: u64,
     pub term: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Term {
+pub struct TermRecord {
     pub term: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Mark {
+pub enum RecordedState {
     #[serde(rename = "o")]
     Open,
     #[serde(rename = "d")]
@@ -103,20 +103,20 @@
     Cancelled,
 }
 
-impl Mark {
+impl RecordedState {
     /// What users are told of an ended job.
     pub fn ended(self) -> Option<JobState> {
         match self {
-            Mark::Open => None,
-            Mark::Done => Some(JobState::Done),
-            Mark::Cancelled => Some(JobState::Cancelled),
+            RecordedState::Open => None,
+            RecordedState::Done => Some(JobState::Done),
+            RecordedState::Cancelled => Some(JobState::Cancelled),
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobMark {
-    pub s: Mark,
+pub struct JobStateRecord {
+    pub s: RecordedState,
     /// The job's number of tasks.
     pub n: u32,
 }
@@ -161,7 +161,7 @@
 
 /// The tasks of one chunk. What is in no list waits and was never placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct TaskChunk {
     /// Placed tasks: number, attempt, machine, session.
     pub p: Vec<(u32, u64, String, u64)>,
     /// Waiting tasks that were placed before: number, last attempt.
@@ -179,6 +179,6 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Types {
+pub struct MachineTypesRecord {
     pub types: Vec<MachineType>,
 }
--- a/crates/controller/src/budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,22 +1,22 @@
 //! What users' requests may take of the state service.
 
-use crate::bucket::Bucket;
-use crate::waiters::Ask;
+use crate::continuations::PendingRequest;
+use crate::token_bucket::TokenBucket;
 use crate::{Config, Micros};
 
 /// This node's part of what the state service takes, for users' requests. The
 /// rest is the leader's: a flood of requests must not end its lease.
 #[derive(Debug)]
-pub(crate) struct Budget {
+pub(crate) struct RequestBudget {
     /// What the users' requests of all nodes together may take.
     all_per_s: f64,
     per_s: f64,
-    saved: Bucket,
+    saved: TokenBucket,
 }
 
 /// Whom a call is for: what is turned away first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Need {
+pub enum RequestPriority {
     /// What ends something: it frees room, and its user will not give up. May take
     /// a quarter of a second's worth of what comes next.
     End,
@@ -28,26 +28,28 @@
     Poll,
 }
 
-impl Need {
-    pub(crate) fn of(ask: &Ask) -> Need {
+impl RequestPriority {
+    pub(crate) fn of(ask: &PendingRequest) -> RequestPriority {
         match ask {
-            Ask::Tell(_) => Need::Poll,
-            Ask::Refuse { .. } | Ask::Cancel { .. } => Need::Change,
+            PendingRequest::Tell(_) => RequestPriority::Poll,
+            PendingRequest::Refuse { .. } | PendingRequest::Cancel { .. } => {
+                RequestPriority::Change
+            }
         }
     }
 }
 
-impl Budget {
+impl RequestBudget {
     /// Part of the whole that users' requests of all nodes together may take.
     const PART: f64 = 0.7;
 
     pub fn new(whole: f64, config: &Config) -> Self {
         let all_per_s = whole * Self::PART;
         let per_s = all_per_s / (config.siblings.len() + 1) as f64;
-        Budget {
+        RequestBudget {
             all_per_s,
             per_s,
-            saved: Bucket::of(per_s),
+            saved: TokenBucket::of(per_s),
         }
     }
 
@@ -67,7 +69,7 @@
     }
 
     /// Takes `n` if there is as much.
-    pub fn take(&mut self, n: f64, need: Need, now: Micros) -> bool {
+    pub fn take(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
         let has = self.has(n, need, now);
         if has {
             self.saved.left -= n;
@@ -76,12 +78,12 @@
     }
 
     /// Whether there is as much as `n`.
-    pub fn has(&mut self, n: f64, need: Need, now: Micros) -> bool {
+    pub fn has(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
         self.refill(now);
         let kept = match need {
-            Need::Change => 0.0,
-            Need::Poll => self.per_s / 2.0,
-            Need::End => -self.per_s / 4.0,
+            RequestPriority::Change => 0.0,
+            RequestPriority::Poll => self.per_s / 2.0,
+            RequestPriority::End => -self.per_s / 4.0,
         };
         self.saved.left >= n + kept.min(self.per_s - n)
     }
--- a/crates/controller/src/latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -17,12 +17,12 @@
 /// The slowest of the latest answers. What was not answered doesn't count: a node that is
 /// cut off has no slow state service.
 #[derive(Debug, Default)]
-pub struct Latency {
+pub struct StoreLatency {
     slowest: Micros,
     at: Micros,
 }
 
-impl Latency {
+impl StoreLatency {
     /// A call was answered that was under way for so long.
     pub fn answered(&mut self, took: Micros, now: Micros) {
         if took >= self.recent(now) {
--- a/crates/controller/src/bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -4,15 +4,15 @@
 
 /// What has been saved up, and since when it grows.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     pub left: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// One that holds so much at the beginning of time.
-    pub fn of(left: f64) -> Bucket {
-        Bucket { left, at: 0 }
+    pub fn of(left: f64) -> TokenBucket {
+        TokenBucket { left, at: 0 }
     }
 
     /// Lets it grow until now, up to `most`. Returns what is in it.
--- a/crates/controller/src/ledger.rs
+++ b/crates/controller/src/write_queue.rs
@@ -6,18 +6,18 @@
 //! elsewhere wins). Records are made from memory when the batch is sent; what
 //! depends on them is done once the batch is acknowledged.
 
-use crate::bucket::Bucket;
-use crate::store::Span;
-use crate::workers::TaskKey;
+use crate::machines::TaskKey;
+use crate::records::TaskRange;
+use crate::token_bucket::TokenBucket;
 use dillcleat_wire::state::Txn;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// Something to be written.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Item {
+pub enum PendingWrite {
     /// Some tasks of a job.
-    Tasks(Rc<str>, Span),
+    Tasks(Rc<str>, TaskRange),
     /// Every task of the job is done.
     Done(Rc<str>),
     /// A job that the job waits for is cancelled, and so is this one.
@@ -32,16 +32,16 @@
 
 /// A batch under way.
 #[derive(Debug, Clone)]
-pub struct Batch {
+pub struct WriteBatch {
     pub txn: Txn,
-    pub items: Vec<Item>,
+    pub items: Vec<PendingWrite>,
     /// New placements in it: task, attempt.
     pub placed: Vec<(TaskKey, u64)>,
     /// An earlier try had no answer, so it may have been applied.
     pub uncertain: bool,
 }
 
-impl Batch {
+impl WriteBatch {
     /// How much is in it.
     pub fn mark(&self) -> (usize, usize, usize) {
         let txn = &self.txn;
@@ -58,7 +58,7 @@
     /// A key of it that nobody but its leader writes.
     pub fn own_key(&self) -> Option<String> {
         let mut keys = self.txn.compare.iter().map(|c| &c.key);
-        keys.find(|k| k.starts_with(crate::store::TASKS)).cloned()
+        keys.find(|k| k.starts_with(crate::records::TASKS)).cloned()
     }
 
     /// The version that a key had as the batch was made.
@@ -68,12 +68,12 @@
     }
 }
 
-impl Item {
+impl PendingWrite {
     /// Nothing waits for it: a machine's address helps a later leader, and a
     /// key that is not needed may stay a while. A fleet that boots at once
     /// has hundreds of them, and placements do not queue behind.
     fn can_wait(&self) -> bool {
-        matches!(self, Item::Machine(_) | Item::Drop(_))
+        matches!(self, PendingWrite::Machine(_) | PendingWrite::Drop(_))
     }
 }
 
@@ -81,32 +81,32 @@
 /// submissions need. Whoever went by refusals alone took all that there was, and what
 /// was refused were submissions.
 #[derive(Debug)]
-pub struct Pace {
+pub struct WriteRate {
     per_s: f64,
-    saved: Bucket,
+    saved: TokenBucket,
 }
 
-impl Pace {
+impl WriteRate {
     /// A leader's part of the changes that the state service takes.
     const PART: f64 = 0.85;
     /// For how much of a second it may save up.
     const SAVED: f64 = 0.6;
 
-    pub fn new(write_rps: f64) -> Pace {
-        Pace {
-            per_s: write_rps * Pace::PART,
-            saved: Bucket::default(),
+    pub fn new(write_rps: f64) -> WriteRate {
+        WriteRate {
+            per_s: write_rps * WriteRate::PART,
+            saved: TokenBucket::default(),
         }
     }
 
     /// From now on so many a second are taken at most.
     pub fn limit(&mut self, write_rps: f64) {
-        self.per_s = self.per_s.min(write_rps * Pace::PART);
+        self.per_s = self.per_s.min(write_rps * WriteRate::PART);
     }
 
     /// How many changes may be made now.
     pub fn room(&mut self, now: crate::Micros) -> usize {
-        let most = (self.per_s * Pace::SAVED).max(4.0);
+        let most = (self.per_s * WriteRate::SAVED).max(4.0);
         self.saved.grow(now, self.per_s, most) as usize
     }
 
@@ -116,42 +116,42 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Ledger {
-    queue: VecDeque<Item>,
+pub struct WriteQueue {
+    queue: VecDeque<PendingWrite>,
     /// Cancellations that follow from others: up to half of a batch while there is
     /// anything else. A thousand jobs that wait for one that is cancelled do not hold
     /// up placements, and neither are they held up.
-    cancels: VecDeque<Item>,
+    cancels: VecDeque<PendingWrite>,
     /// What can wait, written in the room that the queue leaves in a batch.
-    later: VecDeque<Item>,
+    later: VecDeque<PendingWrite>,
     /// What the state service has refused by itself, to be tried again at a time.
-    aside: Vec<(crate::Micros, Item)>,
+    aside: Vec<(crate::Micros, PendingWrite)>,
     /// The most items in a batch, after a larger one was refused.
     pub most: Option<usize>,
-    queued: BTreeSet<Item>,
+    queued: BTreeSet<PendingWrite>,
     /// What may be written now of what can wait.
-    spare: Bucket,
-    pub batch: Option<Batch>,
+    spare: TokenBucket,
+    pub batch: Option<WriteBatch>,
     /// The batch waits to be sent again until then.
     pub resend_at: Option<crate::Micros>,
 }
 
-impl Ledger {
-    fn lane(&mut self, item: &Item) -> &mut VecDeque<Item> {
+impl WriteQueue {
+    fn lane(&mut self, item: &PendingWrite) -> &mut VecDeque<PendingWrite> {
         match item {
-            Item::Cancel(_) => &mut self.cancels,
+            PendingWrite::Cancel(_) => &mut self.cancels,
             _ if item.can_wait() => &mut self.later,
             _ => &mut self.queue,
         }
     }
 
-    pub fn push(&mut self, item: Item) {
+    pub fn push(&mut self, item: PendingWrite) {
         if self.queued.insert(item.clone()) {
             self.lane(&item).push_back(item);
         }
     }
 
-    pub fn push_front(&mut self, item: Item) {
+    pub fn push_front(&mut self, item: PendingWrite) {
         if self.queued.insert(item.clone()) {
             self.lane(&item).push_front(item);
         }
@@ -159,7 +159,7 @@
 
     /// What comes next into a batch of so many items, of which `cancels` are
     /// cancellations that follow from others.
-    pub fn pop(&mut self, items: usize, cancels: usize) -> Option<Item> {
+    pub fn pop(&mut self, items: usize, cancels: usize) -> Option<PendingWrite> {
         let turn = self.queue.is_empty() || cancels * 2 < items;
         let cancel = turn.then(|| self.cancels.pop_front()).flatten();
         let item = cancel.or_else(|| self.queue.pop_front())?;
@@ -168,7 +168,7 @@
     }
 
     /// Puts an item aside until then. It stays queued: nobody takes it for written.
-    pub fn put_aside(&mut self, item: Item, until: crate::Micros) {
+    pub fn put_aside(&mut self, item: PendingWrite, until: crate::Micros) {
         self.queued.insert(item.clone());
         self.aside.push((until, item));
     }
@@ -189,7 +189,7 @@
 
     /// What can wait gets a part of the store's writes: a burst of it would
     /// use up the rate that placements and submissions live on.
-    pub fn pop_later(&mut self) -> Option<Item> {
+    pub fn pop_later(&mut self) -> Option<PendingWrite> {
         if self.spare.left < 1.0 {
             return None;
         }
@@ -213,13 +213,13 @@
 
     /// Whether a cancellation that follows from another is to be written.
     pub fn cancels(&self, job: &Rc<str>) -> bool {
-        let item = Item::Cancel(job.clone());
+        let item = PendingWrite::Cancel(job.clone());
         self.queued.contains(&item) || self.batch.as_ref().is_some_and(|b| b.items.contains(&item))
     }
 
     /// Whether the latest change of these tasks is in the store.
-    pub fn settled(&self, job: &Rc<str>, span: Span) -> bool {
-        let item = Item::Tasks(job.clone(), span);
+    pub fn settled(&self, job: &Rc<str>, span: TaskRange) -> bool {
+        let item = PendingWrite::Tasks(job.clone(), span);
         !self.queued.contains(&item) && self.batch.as_ref().is_none_or(|b| !b.items.contains(&item))
     }
 }
--- a/crates/controller/tests/answers.rs
+++ b/crates/controller/tests/answers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_controller::{Micros, SECOND, store};
+use dillcleat_controller::{Micros, SECOND, records};
 use dillcleat_wire::state::{StateCall, StateReply, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
@@ -142,7 +142,7 @@
     node.settle(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
     let conflict = StateReply::Conflict {
-        failed: vec![store::job_key(JOB)],
+        failed: vec![records::job_key(JOB)],
         revision: 2,
     };
     node.reply(late, Ok(conflict));
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -1,9 +1,10 @@
 //! A controller with a store, a cloud and workers around it, small and without chance.
 //! Every worker checks that no task starts while it is on another.
 
-use dillcleat_controller::store::{self, OpenJob};
+use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{
-    CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND,
+    CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    Timestamp,
 };
 use dillcleat_wire::cloud::{CloudCall, CloudReply, Condition, ListedMachine, MachineList};
 use dillcleat_wire::cloud::{MachineType, Rent};
@@ -211,10 +212,10 @@
 impl Fleet {
     pub fn new(config: Config, types: Vec<MachineType>) -> Fleet {
         let mut store = Store::default();
-        let record = store::Types {
+        let record = records::MachineTypesRecord {
             types: types.clone(),
         };
-        store.carry_out(&Txn::default().put(store::TYPES, &record));
+        store.carry_out(&Txn::default().put(records::TYPES, &record));
         Fleet {
             node: Node::new(config.clone()),
             config,
@@ -286,7 +287,7 @@
             at_most: None,
             spec,
         };
-        let key = store::open_key(&open.spec.id);
+        let key = records::open_key(&open.spec.id);
         self.store.carry_out(&Txn::default().put(key, &open));
     }
 
@@ -431,7 +432,7 @@
             if answered {
                 let revision = store.revision;
                 let reply = Ok(StateReply::Changes(Changes { revision, events }));
-                due.push(Input::State { id: *id, reply });
+                due.push(Input::Store { id: *id, reply });
             }
             !answered
         });
@@ -541,7 +542,7 @@
 
     /// The node takes an input and all that is answered at once; the answers it gives.
     fn handle(&mut self, input: Input) -> Vec<(u16, Vec<u8>)> {
-        let now = Now {
+        let now = Timestamp {
             steady: self.at,
             wall: self.at,
         };
@@ -551,9 +552,9 @@
             for output in self.node.handle(now, input) {
                 match output {
                     Output::Answer { answer, .. } => answers.push((answer.status, answer.body)),
-                    Output::State { id, call, .. } => inputs.extend(self.state(id, &call)),
+                    Output::Store { id, call, .. } => inputs.extend(self.state(id, &call)),
                     Output::Cloud { id, call, .. } => inputs.extend(self.cloud(id, call)),
-                    Output::Orders {
+                    Output::Commands {
                         id,
                         addr,
                         orders,
@@ -563,7 +564,7 @@
                         let Some(w) = self.workers.get_mut(&name) else {
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         };
                         if w.deaf || w.blocked || w.hung || self.at < w.up {
@@ -572,7 +573,7 @@
                             }
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         }
                         let slow = w.slow;
@@ -580,11 +581,11 @@
                         if slow {
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         }
                         let reply = Ok(answer);
-                        inputs.push(Input::Orders { id, reply });
+                        inputs.push(Input::Commands { id, reply });
                     }
                     _ => {}
                 }
@@ -612,7 +613,7 @@
         }
         if self.outage {
             let reply = Ok(StateReply::Unavailable);
-            return Some(Input::State { id, reply });
+            return Some(Input::Store { id, reply });
         }
         self.reads += usize::from(matches!(call, StateCall::Get { .. }));
         let reply = match call {
@@ -629,7 +630,7 @@
                 let reply = self.store.carry_out(txn);
                 if self.write_lag > 0 && !txn.then.is_empty() {
                     let reply = Ok(reply);
-                    let input = Input::State { id, reply };
+                    let input = Input::Store { id, reply };
                     self.under_way.push((self.at + self.write_lag, input));
                     return None;
                 }
@@ -649,7 +650,7 @@
             StateCall::Extend { .. } => StateReply::Extended,
             StateCall::Watch { .. } => return None,
         };
-        Some(Input::State {
+        Some(Input::Store {
             id,
             reply: Ok(reply),
         })
--- a/crates/controller/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -1,7 +1,7 @@
 //! A node that leads with a task of a job on one machine, and what around it fails.
 
 use super::{Around, config_with_team, recorded, row, step_with};
-use dillcleat_controller::store::{self, CancelledJob, Chunk, OpenJob};
+use dillcleat_controller::records::{self, CancelledJob, OpenJob, TaskChunk};
 use dillcleat_controller::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::encode;
@@ -21,7 +21,7 @@
 
 /// When its user was told that the job is cancelled.
 pub fn cancelled(at: Micros) -> Row {
-    row(store::cancelled_key(JOB), &CancelledJob { at })
+    row(records::cancelled_key(JOB), &CancelledJob { at })
 }
 
 pub struct Gap {
@@ -59,16 +59,16 @@
             unmarked: true,
             at_most: None,
         };
-        let chunk = Chunk {
+        let chunk = TaskChunk {
             p: vec![(0, 1, "m".into(), 1)],
-            ..Chunk::default()
+            ..TaskChunk::default()
         };
-        let tasks = store::tasks_key(JOB, store::Span::Chunk(0));
+        let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
         Gap {
             node: Node::new(config.clone()),
             config,
             around: Around {
-                queue: vec![row(store::open_key(JOB), &open)],
+                queue: vec![row(records::open_key(JOB), &open)],
                 tasks: vec![row(tasks, &chunk)],
                 ..Around::default()
             },
@@ -144,7 +144,7 @@
                 events: events.clone(),
             };
             let reply = Ok(StateReply::Changes(changes));
-            self.step(at, Input::State { id, reply });
+            self.step(at, Input::Store { id, reply });
         }
     }
 
@@ -163,7 +163,7 @@
                 asked: 9,
             };
             let from = "n1".to_string();
-            self.step(at, Input::Mesh { from, message });
+            self.step(at, Input::Peer { from, message });
             if self.reports(at).is_some() {
                 last = at;
             }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -7,9 +7,9 @@
 pub mod gap;
 pub mod users;
 
-use dillcleat_controller::store::{self, MachineRecord, Types};
+use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord};
 use dillcleat_controller::{
-    CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId, Tuning,
+    CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, Tuning,
 };
 use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineList, MachineType};
 use dillcleat_wire::encode;
@@ -89,8 +89,8 @@
 pub fn types(cpus: f64) -> Row {
     let types = vec![machine_type(cpus)];
     Row {
-        key: store::TYPES.into(),
-        value: value(&Types { types }),
+        key: records::TYPES.into(),
+        value: value(&MachineTypesRecord { types }),
         version: 1,
         lease: None,
     }
@@ -203,7 +203,7 @@
     machines: &[Row],
     around: &mut Around,
 ) -> (Vec<u16>, Vec<CloudCall>) {
-    let now = Now {
+    let now = Timestamp {
         steady: at,
         wall: at,
     };
@@ -217,32 +217,32 @@
                     statuses.push(answer.status);
                     around.bodies.push(answer.body);
                 }
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::Watch { prefix, after, .. },
                     ..
                 } => {
-                    if prefix == store::QUEUE {
+                    if prefix == records::QUEUE {
                         around.queue_after = Some(after);
                     }
                     around.watches.push(id);
                 }
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::List { prefix, .. },
                     ..
                 } if around.held.is_some_and(|held| held == prefix) => around.listings.push(id),
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::Extend { .. },
                     ..
                 } if around.held_renewals => around.renewals.push(id),
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::Txn(_),
                     ..
                 } if around.held_txns => around.txns.push(id),
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::Txn(txn),
                     ..
@@ -251,23 +251,23 @@
                     .is_some_and(|k| txn.compare.iter().any(|c| c.key == k)) =>
                 {
                     around.writes.push(txn);
-                    inputs.push(Input::State {
+                    inputs.push(Input::Store {
                         id,
                         reply: Err(CallError::NoAnswer),
                     });
                 }
-                Output::State { id, .. } if !around.state => inputs.push(Input::State {
+                Output::Store { id, .. } if !around.state => inputs.push(Input::Store {
                     id,
                     reply: Err(CallError::NoAnswer),
                 }),
-                Output::State { id, call, .. } => {
+                Output::Store { id, call, .. } => {
                     let reply = match call {
                         StateCall::List { prefix, .. } => StateReply::Page(Page {
                             rows: match prefix.as_str() {
-                                store::MACHINES => machines.to_vec(),
-                                store::QUEUE => around.queue.clone(),
-                                store::TASKS => around.tasks.clone(),
-                                store::SHARED => around.shared.clone(),
+                                records::MACHINES => machines.to_vec(),
+                                records::QUEUE => around.queue.clone(),
+                                records::TASKS => around.tasks.clone(),
+                                records::SHARED => around.shared.clone(),
                                 _ => vec![],
                             },
                             more: false,
@@ -317,7 +317,7 @@
                         }
                         _ => continue,
                     };
-                    inputs.push(Input::State {
+                    inputs.push(Input::Store {
                         id,
                         reply: Ok(reply),
                     });
@@ -359,7 +359,7 @@
 /// A machine as an earlier leader has put it on record.
 pub fn recorded(machine: &str, zone: &str) -> Row {
     Row {
-        key: store::machine_key(machine),
+        key: records::machine_key(machine),
         value: value(&MachineRecord {
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -1,9 +1,9 @@
 //! Nodes and a store driven call by call: when a call is carried out and when its answer
 //! comes is up to the test.
 
-use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{
-    CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId,
+    CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp,
 };
 use dillcleat_wire::state::{Change, Compare, Page, Row, StateCall, StateReply, Txn, Value, value};
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, JobStatus, Kind, cancel_path, poll_path};
@@ -62,29 +62,29 @@
     }
 
     /// A job's mark, if it has one.
-    pub fn mark(&self, id: &str) -> Option<Mark> {
-        let row = self.row(&store::job_key(id))?;
-        row.read::<JobMark>().map(|mark| mark.s)
+    pub fn mark(&self, id: &str) -> Option<RecordedState> {
+        let row = self.row(&records::job_key(id))?;
+        row.read::<JobStateRecord>().map(|mark| mark.s)
     }
 
     /// What a leader writes once a job's last task is done.
     pub fn done(&mut self, id: &str) -> StateReply {
-        let mark = JobMark {
-            s: Mark::Done,
+        let mark = JobStateRecord {
+            s: RecordedState::Done,
             n: 2,
         };
         let txn = Txn::default()
-            .compare(store::job_key(id), 0)
-            .put(store::job_key(id), &mark)
-            .delete(store::open_key(id));
+            .compare(records::job_key(id), 0)
+            .put(records::job_key(id), &mark)
+            .delete(records::open_key(id));
         self.carry_out(&StateCall::Txn(txn))
     }
 
     /// What a leader writes once the tasks of a cancelled job are gone.
     pub fn clear(&mut self, id: &str) {
         let txn = Txn::default()
-            .delete(store::open_key(id))
-            .delete(store::cancelled_key(id));
+            .delete(records::open_key(id))
+            .delete(records::cancelled_key(id));
         self.carry_out(&StateCall::Txn(txn));
     }
 }
@@ -129,7 +129,7 @@
     }
 
     pub fn feed(&mut self, input: Input) {
-        let now = Now {
+        let now = Timestamp {
             steady: self.at,
             wall: self.at,
         };
@@ -142,8 +142,8 @@
                         status: answer.status,
                         state: decode::<JobStatus>(&answer.body).ok().map(|s| s.state),
                     }),
-                    Output::State { id, call, .. } => match call {
-                        StateCall::List { .. } => inputs.push(Input::State {
+                    Output::Store { id, call, .. } => match call {
+                        StateCall::List { .. } => inputs.push(Input::Store {
                             id,
                             reply: Ok(StateReply::Page(Page {
                                 rows: vec![self.types.clone()],
@@ -196,7 +196,7 @@
     }
 
     pub fn reply(&mut self, id: CallId, reply: Result<StateReply, CallError>) {
-        self.feed(Input::State { id, reply });
+        self.feed(Input::Store { id, reply });
     }
 
     /// Carries out the oldest call that waits, and answers it at once.
@@ -229,7 +229,7 @@
 }
 
 fn about_a_job(call: &StateCall) -> bool {
-    let is = |key: &str| key.starts_with("j/") || key.starts_with(store::OPEN);
+    let is = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN);
     match call {
         StateCall::Get { key } => is(key),
         StateCall::Txn(txn) => txn.compare.iter().any(|c| is(&c.key)),
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -67,7 +67,7 @@
                     true => Ok(StateReply::Changes(quiet)),
                     false => Err(CallError::NoAnswer),
                 };
-                self.step(Input::State { id, reply });
+                self.step(Input::Store { id, reply });
             }
             if self.at.is_multiple_of(SECOND / 2) {
                 for (name, served) in self.siblings {
@@ -79,7 +79,7 @@
                         asked: 0,
                     };
                     let from = name.to_string();
-                    self.step(Input::Mesh { from, message });
+                    self.step(Input::Peer { from, message });
                 }
             }
             if self.at.is_multiple_of(2 * SECOND) {
--- a/crates/controller/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -3,14 +3,16 @@
 mod common;
 
 use common::{recorded, report, step};
-use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, SECOND, Tuning, micros};
+use dillcleat_controller::{
+    Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp, Tuning, micros,
+};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::Row;
 use dillcleat_wire::worker::Elsewhere;
 
 /// The word of a sibling that the state service answers.
 fn beat(term: u64, leads: bool, hears: bool) -> Input {
-    Input::Mesh {
+    Input::Peer {
         from: "n1".into(),
         message: Message::Beat {
             term,
@@ -77,7 +79,7 @@
 #[test]
 fn workers_are_sent_to_whom_a_sibling_says_leads() {
     let mut node = common::node();
-    let now = Now {
+    let now = Timestamp {
         steady: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -5,14 +5,16 @@
 mod common;
 
 use common::users::{Driven, spec};
-use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
+use dillcleat_controller::{
+    Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
+};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::StateReply;
 
 /// How many of the requests lead to a call of the state service, and how many
 /// are refused.
 fn flood(node: &mut Node, at: Micros, method: &str, path: &str) -> (u32, u32) {
-    let now = Now {
+    let now = Timestamp {
         steady: at,
         wall: at,
     };
@@ -26,7 +28,7 @@
         };
         for output in node.handle(now, input) {
             match output {
-                Output::State { id, .. } => calls.push(id),
+                Output::Store { id, .. } => calls.push(id),
                 Output::Answer { answer, .. } => {
                     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
                     refused += 1;
@@ -38,7 +40,7 @@
     let count = calls.len() as u32;
     for id in calls {
         let reply = Ok(StateReply::Unavailable);
-        node.handle(now, Input::State { id, reply });
+        node.handle(now, Input::Store { id, reply });
     }
     (count, refused)
 }
@@ -63,7 +65,7 @@
     let mut node = common::node();
     let mut at = 1000 * SECOND;
     let beat = |node: &mut Node, at, from: &str, asked| {
-        let now = Now {
+        let now = Timestamp {
             steady: at,
             wall: at,
         };
@@ -75,7 +77,7 @@
             asked,
         };
         let from = from.to_string();
-        node.handle(now, Input::Mesh { from, message });
+        node.handle(now, Input::Peer { from, message });
         node.handle(now, Input::Tick);
     };
     for _ in 0..10 {
@@ -90,7 +92,7 @@
     // Siblings that are not heard may be taking theirs.
     at += 10 * SECOND;
     node.handle(
-        Now {
+        Timestamp {
             steady: at,
             wall: at,
         },
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -5,7 +5,7 @@
 
 use common::gap::{Gap, JOB, START, at_most, cancelled, page};
 use common::{config_with_team, row, step_with};
-use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, store};
+use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, records};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::encode;
@@ -57,19 +57,19 @@
 #[test]
 fn a_new_leader_answers_nobody_before_it_has_read_the_cancellations() {
     let mut gap = Gap::new();
-    gap.around.held = Some(store::QUEUE);
+    gap.around.held = Some(records::QUEUE);
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), Some(1));
     assert!(gap.reports(SECOND).is_none(), "nothing is read");
     let listing = gap.around.listings.pop().expect("the queue is read first");
     let reply = Err(CallError::NoAnswer);
-    gap.step(2 * SECOND, Input::State { id: listing, reply });
+    gap.step(2 * SECOND, Input::Store { id: listing, reply });
     assert!(gap.reports(2 * SECOND).is_none());
     gap.step(3 * SECOND, Input::Tick);
     let listing = gap.around.listings.pop().expect("once more");
-    gap.around.held = Some(store::TASKS);
+    gap.around.held = Some(records::TASKS);
     let reply = page(&gap.around.queue);
-    gap.step(4 * SECOND, Input::State { id: listing, reply });
+    gap.step(4 * SECOND, Input::Store { id: listing, reply });
     assert!(gap.reports(4 * SECOND).is_some(), "no cancellation there");
     // What is read counts from its sending, here too.
     let last = gap.answered_until(5 * SECOND);
@@ -80,13 +80,13 @@
 #[test]
 fn a_load_counts_from_the_sending_of_its_first_page() {
     let mut gap = Gap::new();
-    gap.around.held = Some(store::TASKS);
+    gap.around.held = Some(records::TASKS);
     for s in 0..10 {
         gap.step(s * SECOND, Input::Tick);
     }
     let listing = gap.around.listings.pop().expect("tasks are read");
     let reply = page(&gap.around.tasks);
-    gap.step(9 * SECOND, Input::State { id: listing, reply });
+    gap.step(9 * SECOND, Input::Store { id: listing, reply });
     assert!(gap.node.fence().is_some(), "all is read");
     let last = gap.answered_until(10 * SECOND);
     holds(&gap, 0, last);
@@ -101,7 +101,7 @@
         let mut queue = vec![cancelled(START - ago)];
         queue.append(&mut gap.around.queue);
         gap.around.queue = queue;
-        gap.around.held = Some(store::TASKS);
+        gap.around.held = Some(records::TASKS);
         gap.step(0, Input::Tick);
         assert_eq!(gap.reports(SECOND).is_some(), answers, "{ago}");
         let last = gap.answered_until(2 * SECOND);
@@ -115,7 +115,7 @@
 fn what_was_read_in_a_term_before_does_not_count() {
     let mut gap = Gap::leading();
     assert!(gap.reports(SECOND).is_some());
-    gap.around.held = Some(store::QUEUE);
+    gap.around.held = Some(records::QUEUE);
     let message = Message::Beat {
         term: 7,
         leads: false,
@@ -124,7 +124,7 @@
         asked: 0,
     };
     let from = "n1".to_string();
-    gap.step(2 * SECOND, Input::Mesh { from, message });
+    gap.step(2 * SECOND, Input::Peer { from, message });
     assert_eq!(gap.node.leading(), None);
     assert!(gap.reports(2 * SECOND).is_none());
     for t in 20..80 {
@@ -194,7 +194,7 @@
             asked: 0,
         };
         let from = "n1".to_string();
-        gap.step(at, Input::Mesh { from, message });
+        gap.step(at, Input::Peer { from, message });
         let now = START + at;
         let (_, calls) = step_with(&mut gap.node, now, Input::Tick, &gap.rows, &mut gap.around);
         deleted |= calls.iter().any(|c| matches!(c, CloudCall::Delete(_)));
@@ -212,7 +212,7 @@
     gap.around.state = false;
     gap.step(SECOND / 5, Input::Tick);
     gap.around.state = true;
-    let chunk = store::tasks_key(JOB, store::Span::Chunk(0));
+    let chunk = records::tasks_key(JOB, records::TaskRange::Chunk(0));
     gap.around.conflict = Some(chunk);
     for t in 3..8 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
@@ -240,7 +240,7 @@
 fn a_later_term_in_the_store_ends_an_earlier_one() {
     let mut gap = Gap::leading();
     gap.step(SECOND / 10, Input::Tick);
-    let term = row(store::TERM.into(), &store::Term { term: 9 });
+    let term = row(records::TERM.into(), &records::TermRecord { term: 9 });
     gap.watched(SECOND / 2, vec![Gap::event(term)]);
     assert_eq!(gap.node.leading(), None);
 }
@@ -249,7 +249,7 @@
 #[test]
 fn whoever_is_not_elected_lets_its_lease_go() {
     let mut gap = Gap::new();
-    gap.around.conflict = Some(store::LEAD.into());
+    gap.around.conflict = Some(records::LEAD.into());
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), None);
     assert_eq!(gap.around.let_go, [1]);
@@ -276,11 +276,11 @@
         body: encode(&spec),
     };
     assert_eq!(gap.step(3 * SECOND, input), [201]);
-    let open = store::open_key(id);
+    let open = records::open_key(id);
     let puts = |c: &Change| matches!(c, Change::Put { key, .. } if *key == open);
     let submission = gap.around.writes.iter().find(|t| t.then.iter().any(puts));
     let compared = &submission.expect("it is stored").compare;
-    for key in [store::job_key(id), open.clone()] {
+    for key in [records::job_key(id), open.clone()] {
         assert!(compared.iter().any(|c| c.key == key && c.version == 0));
     }
 }
@@ -299,12 +299,12 @@
         body: Vec::new(),
     };
     assert_eq!(gap.step(SECOND, input), [200]);
-    let cancelled = store::cancelled_key(JOB);
+    let cancelled = records::cancelled_key(JOB);
     let puts = |c: &Change| matches!(c, Change::Put { key, .. } if *key == cancelled);
     let mut writes = gap.around.writes.iter();
     let cancellation = writes.find(|t| t.then.iter().any(puts));
     let compared = &cancellation.expect("it is stored").compare;
-    let mark = store::job_key(JOB);
+    let mark = records::job_key(JOB);
     assert!(compared.iter().any(|c| c.key == mark && c.version == 0));
 }
 
@@ -323,7 +323,7 @@
     let writes = &gap.around.writes;
     assert!(writes.len() > 1, "an end and a placement");
     for txn in writes {
-        let term = |c: &dillcleat_wire::state::Compare| c.key == store::TERM;
+        let term = |c: &dillcleat_wire::state::Compare| c.key == records::TERM;
         assert!(txn.compare.iter().any(term), "{txn:?}");
     }
 }
@@ -406,7 +406,7 @@
 #[test]
 fn a_cancellation_is_obeyed_though_its_mark_can_not_be_read() {
     let mut gap = Gap::of(2);
-    gap.around.conflict = Some(store::job_key(JOB));
+    gap.around.conflict = Some(records::job_key(JOB));
     gap.around.types = vec![common::machine_type(8.0)];
     gap.step(0, Input::Tick);
     assert!(gap.reports(SECOND / 2).is_some());
@@ -425,7 +425,7 @@
 #[test]
 fn a_refused_read_is_made_again_after_a_pause() {
     let mut gap = Gap::leading();
-    gap.around.conflict = Some(store::job_key(JOB));
+    gap.around.conflict = Some(records::job_key(JOB));
     gap.completed = true;
     gap.reports(SECOND / 10);
     for t in 2..22 {
--- a/crates/controller/tests/graph.rs
+++ b/crates/controller/tests/graph.rs
@@ -1,10 +1,10 @@
 //! Which jobs wait for which.
 
-use dillcleat_controller::graph::Graph;
+use dillcleat_controller::dependency_graph::DependencyGraph;
 use std::rc::Rc;
 
-fn graph(edges: &[(&str, &str)]) -> Graph {
-    let mut graph = Graph::default();
+fn graph(edges: &[(&str, &str)]) -> DependencyGraph {
+    let mut graph = DependencyGraph::default();
     for (job, dependency) in edges {
         graph.add(&Rc::from(*job), Rc::from(*dependency));
     }
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -5,7 +5,9 @@
 
 use common::gap::{Gap, JOB, START, at_most, cancelled};
 use common::{machine_type, recorded, report, row, step_with, types};
-use dillcleat_controller::store::{self, Chunk, JobMark, Lead, Mark, OpenJob, Span, Term};
+use dillcleat_controller::records::{
+    self, JobStateRecord, LeaderRecord, OpenJob, RecordedState, TaskChunk, TaskRange, TermRecord,
+};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudCall;
@@ -20,11 +22,11 @@
         more,
         revision,
     }));
-    gap.step(at, Input::State { id, reply });
+    gap.step(at, Input::Store { id, reply });
 }
 
 fn tasks() -> String {
-    store::tasks_key(JOB, Span::Chunk(0))
+    records::tasks_key(JOB, TaskRange::Chunk(0))
 }
 
 /// Placements of the job in what was written last of its tasks.
@@ -32,7 +34,7 @@
     let key = tasks();
     let changes = gap.around.writes.iter().rev().flat_map(|t| &t.then);
     let mut records = changes.filter_map(|c| match c {
-        Change::Put { key: k, value, .. } if *k == key => read::<Chunk>(value),
+        Change::Put { key: k, value, .. } if *k == key => read::<TaskChunk>(value),
         _ => None,
     });
     records.next().map_or(Vec::new(), |c| c.p)
@@ -51,10 +53,10 @@
 /// that is read comes before its job. While there are more, nobody is answered.
 #[test]
 fn cancellations_are_known_whatever_page_they_land_on() {
-    let other = row(store::cancelled_key("req-000009"), &row_of(START));
+    let other = row(records::cancelled_key("req-000009"), &row_of(START));
     for read_first in [false, true] {
         let mut gap = Gap::new();
-        gap.around.held = Some(store::QUEUE);
+        gap.around.held = Some(records::QUEUE);
         gap.step(0, Input::Tick);
         let mut first = vec![other.clone()];
         if read_first {
@@ -73,8 +75,8 @@
     }
 }
 
-fn row_of(at: Micros) -> store::CancelledJob {
-    store::CancelledJob { at }
+fn row_of(at: Micros) -> records::CancelledJob {
+    records::CancelledJob { at }
 }
 
 /// None of them leads for long enough to delete the machine, the stop doesn't arrive:
@@ -97,7 +99,7 @@
                 asked: 0,
             };
             let from = "n1".to_string();
-            gap.step(at, Input::Mesh { from, message });
+            gap.step(at, Input::Peer { from, message });
         }
         gap.step(at, Input::Tick);
         gap.watched(at, Vec::new());
@@ -133,7 +135,7 @@
         }
         let again = [(0, 2, "m".to_string(), 2)];
         assert_eq!(placed(&gap) == again, !is_cancelled);
-        assert_eq!(drops(&gap, &store::cancelled_key(JOB)), is_cancelled);
+        assert_eq!(drops(&gap, &records::cancelled_key(JOB)), is_cancelled);
     }
 }
 
@@ -169,9 +171,9 @@
 #[test]
 fn an_old_report_takes_no_session_back() {
     let mut gap = Gap::new();
-    let chunk = Chunk {
+    let chunk = TaskChunk {
         p: vec![(0, 1, "m".into(), 3)],
-        ..Chunk::default()
+        ..TaskChunk::default()
     };
     gap.around.tasks = vec![row(tasks(), &chunk)];
     gap.around.queue.insert(0, cancelled(START));
@@ -179,7 +181,7 @@
     (gap.session, gap.has_task) = (2, false);
     assert_eq!(gap.reports(SECOND), Some(vec![]));
     gap.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&gap, &store::cancelled_key(JOB)));
+    assert!(!drops(&gap, &records::cancelled_key(JOB)));
     (gap.session, gap.has_task) = (3, true);
     assert!(stops(gap.reports(2 * SECOND)));
 }
@@ -196,7 +198,7 @@
         (gap.seq, gap.token, gap.has_task) = (3, token, false);
         assert_eq!(gap.reports(2 * SECOND), Some(vec![]));
         gap.step(2 * SECOND, Input::Tick);
-        assert!(!drops(&gap, &store::cancelled_key(JOB)));
+        assert!(!drops(&gap, &records::cancelled_key(JOB)));
     }
 }
 
@@ -205,18 +207,18 @@
 #[test]
 fn an_election_without_an_answer_is_never_led() {
     let mut gap = Gap::new();
-    gap.around.lost = Some(store::LEAD);
+    gap.around.lost = Some(records::LEAD);
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), None);
     gap.around.lost = None;
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: "n0".into(),
         lease: 1,
         term: 1,
     };
-    let mut term = row(store::TERM.into(), &Term { term: 1 });
+    let mut term = row(records::TERM.into(), &TermRecord { term: 1 });
     term.version = 5;
-    gap.around.shared = vec![row(store::LEAD.into(), &lead), term];
+    gap.around.shared = vec![row(records::LEAD.into(), &lead), term];
     gap.around.let_go.clear();
     gap.step(SECOND / 2, Input::Tick);
     assert_eq!(gap.around.let_go, [1], "it may be its own");
@@ -229,12 +231,12 @@
     assert!(
         compared
             .iter()
-            .any(|c| c.key == store::TERM && c.version == 5)
+            .any(|c| c.key == records::TERM && c.version == 5)
     );
     assert!(
         compared
             .iter()
-            .any(|c| c.key == store::LEAD && c.version == 0)
+            .any(|c| c.key == records::LEAD && c.version == 0)
     );
 }
 
@@ -247,7 +249,7 @@
     let take = gap.around.txns.pop().expect("a transaction");
     gap.step(2 * SECOND, Input::Tick);
     let reply = Ok(StateReply::Committed { revision: 2 });
-    gap.step(2 * SECOND, Input::State { id: take, reply });
+    gap.step(2 * SECOND, Input::Store { id: take, reply });
     assert_eq!(gap.node.leading(), None);
 }
 
@@ -266,10 +268,10 @@
         let stored = placed(&gap);
         assert_eq!(stored.len(), 2, "the second task");
         gap.around.conflict = Some(tasks());
-        gap.around.fails_too = is_cancelled.then(|| store::job_key(JOB));
-        let chunk = Chunk {
+        gap.around.fails_too = is_cancelled.then(|| records::job_key(JOB));
+        let chunk = TaskChunk {
             p: stored,
-            ..Chunk::default()
+            ..TaskChunk::default()
         };
         let mut found = row(tasks(), &chunk);
         found.version = 7;
@@ -289,7 +291,7 @@
 fn what_runs_of_a_job_whose_mark_has_changed_is_stopped_at_once() {
     let mut gap = Gap::of(2);
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(store::job_key(JOB));
+    gap.around.conflict = Some(records::job_key(JOB));
     gap.step(0, Input::Tick);
     gap.reports(SECOND / 2);
     gap.step(SECOND, Input::Tick);
@@ -302,7 +304,7 @@
 fn a_cancellation_counts_from_its_own_time_whatever_was_seen_of_it_before() {
     let mut gap = Gap::of(2);
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(store::job_key(JOB));
+    gap.around.conflict = Some(records::job_key(JOB));
     let (told, met) = (4 * SECOND, 95 * SECOND / 10);
     gap.step(0, Input::Tick);
     for t in 1..95 {
@@ -372,9 +374,9 @@
     (waits.spec.id, waits.spec.awaits) = ("req-000002".into(), vec![JOB.into()]);
     gap.around
         .queue
-        .push(row(store::open_key("req-000002"), &waits));
+        .push(row(records::open_key("req-000002"), &waits));
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(store::job_key(JOB));
+    gap.around.conflict = Some(records::job_key(JOB));
     gap.step(0, Input::Tick);
     gap.reports(SECOND / 2);
     gap.step(SECOND, Input::Tick);
@@ -382,16 +384,16 @@
     gap.has_task = false;
     gap.reports(3 * SECOND / 2);
     gap.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&gap, &store::open_key(JOB)));
-    let mark = JobMark {
-        s: Mark::Cancelled,
+    assert!(!drops(&gap, &records::open_key(JOB)));
+    let mark = JobStateRecord {
+        s: RecordedState::Cancelled,
         n: 2,
     };
-    gap.around.found = Some(row(store::job_key(JOB), &mark));
+    gap.around.found = Some(row(records::job_key(JOB), &mark));
     gap.step(5 * SECOND / 2, Input::Tick);
     gap.step(3 * SECOND, Input::Tick);
-    assert!(drops(&gap, &store::open_key(JOB)));
-    assert!(drops(&gap, &store::open_key("req-000002")));
+    assert!(drops(&gap, &records::open_key(JOB)));
+    assert!(drops(&gap, &records::open_key("req-000002")));
 }
 
 /// A try without an answer may be carried out after a later change of the types.
@@ -402,7 +404,7 @@
     stored.version = 4;
     gap.around.shared = vec![stored.clone()];
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(store::TYPES.into());
+    gap.around.conflict = Some(records::TYPES.into());
     gap.step(0, Input::Tick);
     gap.step(SECOND / 10, Input::Tick);
     // It was written by the leader before, after this one had looked.
@@ -417,7 +419,7 @@
     }
     assert_eq!(gap.node.leading(), Some(1));
     let compared = gap.around.writes.iter().flat_map(|t| &t.compare);
-    let types = compared.filter(|c| c.key == store::TYPES);
+    let types = compared.filter(|c| c.key == records::TYPES);
     let versions: Vec<u64> = types.map(|c| c.version).collect();
     assert_eq!(versions[..2], [4, 9], "not tried again before it is read");
     assert_eq!(versions.last(), Some(&9));
@@ -437,19 +439,19 @@
         asked: 0,
     };
     let from = "n1".to_string();
-    gap.step(SECOND, Input::Mesh { from, message });
+    gap.step(SECOND, Input::Peer { from, message });
     for t in 11..15 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
     }
     assert_eq!(gap.node.leading(), None, "also when it has led before");
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: "n1".into(),
         lease: 8,
         term: 1,
     };
     let event = Event::Put {
-        key: store::LEAD.into(),
-        value: row(store::LEAD.into(), &lead).value,
+        key: records::LEAD.into(),
+        value: row(records::LEAD.into(), &lead).value,
         // All keys were read as of this revision.
         version: 1,
     };
@@ -477,7 +479,7 @@
         asked: 0,
     };
     let from = "n1".to_string();
-    gap.step(SECOND / 2, Input::Mesh { from, message });
+    gap.step(SECOND / 2, Input::Peer { from, message });
     assert_eq!(gap.node.leading(), None);
     for t in 6..10 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
@@ -485,7 +487,7 @@
     let term = gap.node.leading();
     assert!(term.is_some());
     let reply = Ok(StateReply::LeaseGone);
-    gap.step(SECOND, Input::State { id: renewal, reply });
+    gap.step(SECOND, Input::Store { id: renewal, reply });
     assert_eq!(gap.node.leading(), term);
 }
 
@@ -495,7 +497,7 @@
 #[test]
 fn a_lease_is_longer_while_the_state_service_is_slow() {
     let mut gap = Gap::new();
-    gap.around.held = Some(store::SHARED);
+    gap.around.held = Some(records::SHARED);
     gap.step(0, Input::Tick);
     for t in 1..12 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
@@ -512,7 +514,7 @@
             asked: 0,
         };
         let from = "n1".to_string();
-        gap.step(at, Input::Mesh { from, message });
+        gap.step(at, Input::Peer { from, message });
         assert_eq!(gap.node.leading(), None);
         for t in 0..10 {
             gap.step(at + t * 100 * MILLISECOND, Input::Tick);
@@ -529,7 +531,7 @@
     deposed(&mut gap, 60 * SECOND);
     assert_eq!(gap.around.leases, [3600, 3600, 1250]);
     let mut gap = Gap::new();
-    gap.around.held = Some(store::SHARED);
+    gap.around.held = Some(records::SHARED);
     gap.step(0, Input::Tick);
     for t in 1..12 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
@@ -537,7 +539,7 @@
     let id = gap.around.listings.pop().expect("a listing");
     gap.around.held = None;
     let reply = Err(CallError::NoAnswer);
-    gap.step(1200 * MILLISECOND, Input::State { id, reply });
+    gap.step(1200 * MILLISECOND, Input::Store { id, reply });
     gap.step(1500 * MILLISECOND, Input::Tick);
     assert_eq!(gap.around.leases, [1250]);
 }
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use dillcleat_controller::store::{self, Lead, Term, Types};
-use dillcleat_controller::{Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND};
+use dillcleat_controller::records::{self, LeaderRecord, MachineTypesRecord, TermRecord};
+use dillcleat_controller::{Input, MILLISECOND, Micros, Output, RequestId, SECOND, Timestamp};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::state::{Changes, Page, Row, StateCall, StateReply, value};
@@ -18,24 +18,24 @@
         version: 1,
         lease: None,
     };
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: "n1".into(),
         lease: 7,
         term: 1,
     };
-    let types = Types {
+    let types = MachineTypesRecord {
         types: Vec::<MachineType>::new(),
     };
     let rows = vec![
-        row(store::LEAD, value(&lead)),
-        row(store::TERM, value(&Term { term: 1 })),
-        row(store::TYPES, value(&types)),
+        row(records::LEAD, value(&lead)),
+        row(records::TERM, value(&TermRecord { term: 1 })),
+        row(records::TYPES, value(&types)),
     ];
     let mut node = common::node();
     let start = 1000 * SECOND;
     let mut watch: Option<(Micros, Input)> = None;
     for at in (start..start + 60 * SECOND).step_by(50 * MILLISECOND as usize) {
-        let beat = Input::Mesh {
+        let beat = Input::Peer {
             from: "n1".into(),
             message: Message::Beat {
                 term: 1,
@@ -59,15 +59,15 @@
             inputs.extend(watch.take().map(|(_, input)| input));
         }
         while let Some(input) = inputs.pop() {
-            let now = Now {
+            let now = Timestamp {
                 steady: at,
                 wall: at,
             };
             for output in node.handle(now, input) {
                 match output {
                     Output::Answer { answer, .. } => assert_eq!(answer.status, 200, "at {at}"),
-                    Output::State { id, call, .. } => match call {
-                        StateCall::List { .. } => inputs.push(Input::State {
+                    Output::Store { id, call, .. } => match call {
+                        StateCall::List { .. } => inputs.push(Input::Store {
                             id,
                             reply: Ok(StateReply::Page(Page {
                                 rows: rows.clone(),
@@ -82,7 +82,7 @@
                                 events: Vec::new(),
                             }));
                             let due = at + hold_ms * MILLISECOND;
-                            watch = Some((due, Input::State { id, reply }));
+                            watch = Some((due, Input::Store { id, reply }));
                         }
                         other => panic!("a follower calls {other:?}"),
                     },
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Around, step_with};
-use dillcleat_controller::store::{OpenJob, open_key};
-use dillcleat_controller::{Input, Micros, Node, Now, Output, SECOND};
+use dillcleat_controller::records::{OpenJob, open_key};
+use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
 use dillcleat_peer_protocol::{Learned, LearnedJob, Message};
 use dillcleat_wire::state::{Row, value};
 use dillcleat_wire::user::{JobSpec, Kind};
@@ -55,7 +55,7 @@
     step_with(
         &mut node,
         START,
-        Input::Mesh { from, message },
+        Input::Peer { from, message },
         &[],
         &mut around,
     );
@@ -63,13 +63,13 @@
     step_with(&mut node, at, Input::Tick, &[], &mut around);
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
-    let now = Now {
+    let now = Timestamp {
         steady: at,
         wall: at,
     };
     let mut jobs = Vec::new();
     for output in node.handle(now, Input::Tick) {
-        if let Output::Mesh {
+        if let Output::Peer {
             message: Message::Learned(l),
         } = output
         {
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -4,7 +4,7 @@
 
 use common::{Around, config_with_team, machine_type, step_with};
 use dillcleat_controller::config::DeadlineAim;
-use dillcleat_controller::store::{self, OpenJob};
+use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_wire::cloud::{CloudCall, MachineType};
 use dillcleat_wire::state::{Row, value};
@@ -13,7 +13,7 @@
 const START: Micros = 1000 * SECOND;
 
 fn open(spec: JobSpec) -> Row {
-    let key = store::open_key(&spec.id);
+    let key = records::open_key(&spec.id);
     let job = OpenJob {
         at: START,
         chunk: 16,
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -4,8 +4,10 @@
 mod common;
 
 use common::row;
-use dillcleat_controller::store::{self, OpenJob, Span, parse_tasks_key};
-use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, Now, Output, SECOND};
+use dillcleat_controller::records::{self, OpenJob, TaskRange, parse_tasks_key};
+use dillcleat_controller::{
+    CallError, Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp,
+};
 use dillcleat_wire::decode;
 use dillcleat_wire::state::{Change, Page, Row, StateCall, StateReply, Txn, json_size};
 use dillcleat_wire::user::{JobSpec, Kind};
@@ -72,15 +74,15 @@
             at_most: None,
         };
         match prefix {
-            store::SHARED => vec![common::types(64.0)],
-            store::MACHINES => vec![common::recorded("m", "a")],
-            store::QUEUE => vec![row(store::open_key("req-1"), &job)],
+            records::SHARED => vec![common::types(64.0)],
+            records::MACHINES => vec![common::recorded("m", "a")],
+            records::QUEUE => vec![row(records::open_key("req-1"), &job)],
             _ => Vec::new(),
         }
     }
 
     fn take(&mut self, input: Input) {
-        let now = Now {
+        let now = Timestamp {
             steady: self.at,
             wall: self.at,
         };
@@ -88,8 +90,8 @@
         while let Some(input) = inputs.pop() {
             for output in self.node.handle(now, input) {
                 let (id, call) = match output {
-                    Output::State { id, call, .. } => (id, call),
-                    Output::Orders { orders, .. } => {
+                    Output::Store { id, call, .. } => (id, call),
+                    Output::Commands { orders, .. } => {
                         self.launches(&orders.commands);
                         continue;
                     }
@@ -123,14 +125,14 @@
                     StateCall::Txn(_) => Ok(StateReply::Committed { revision: 2 }),
                     _ => Ok(StateReply::Extended),
                 };
-                inputs.push(Input::State { id, reply });
+                inputs.push(Input::Store { id, reply });
             }
         }
     }
 }
 
 fn is_tasks(change: &Change) -> bool {
-    matches!(change, Change::Put { key, .. } if key.starts_with(store::TASKS))
+    matches!(change, Change::Put { key, .. } if key.starts_with(records::TASKS))
 }
 
 fn refused() -> Result<StateReply, CallError> {
@@ -144,7 +146,7 @@
     let mut covered = 0;
     for change in led.batches.iter().skip(1).flat_map(|txn| &txn.then) {
         if let Change::Put { key, value, .. } = change
-            && let Some((_, Span::Part { from, to, .. })) = parse_tasks_key(key)
+            && let Some((_, TaskRange::Part { from, to, .. })) = parse_tasks_key(key)
         {
             assert!(json_size(value) <= LOW, "{key}");
             covered += to - from + 1;
@@ -174,8 +176,8 @@
 #[test]
 fn a_try_that_was_carried_out_counts() {
     let stored = row(
-        store::tasks_key("req-1", Span::Chunk(0)),
-        &store::Chunk::default(),
+        records::tasks_key("req-1", TaskRange::Chunk(0)),
+        &records::TaskChunk::default(),
     );
     let found = StateReply::Found(Row {
         version: 7,
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use dillcleat_controller::store::{self, JobMark, Mark, OpenJob};
-use dillcleat_controller::{Input, Now, Output, RequestId, SECOND};
+use dillcleat_controller::records::{self, JobStateRecord, OpenJob, RecordedState};
+use dillcleat_controller::{Input, Output, RequestId, SECOND, Timestamp};
 use dillcleat_wire::decode;
 use dillcleat_wire::state::{Row, StateCall, StateReply, Value, value};
 use dillcleat_wire::user::{JobSpec, JobState, JobStatus, Kind};
@@ -13,7 +13,7 @@
 /// version and value. Returns the status and state it answers.
 fn poll(store: &BTreeMap<String, (u64, Value)>) -> (u16, Option<JobState>) {
     let mut node = common::node();
-    let now = Now {
+    let now = Timestamp {
         steady: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
@@ -26,7 +26,7 @@
     while let Some(input) = inputs.pop() {
         for output in node.handle(now, input) {
             let (id, call) = match output {
-                Output::State { id, call, .. } => (id, call),
+                Output::Store { id, call, .. } => (id, call),
                 Output::Answer { answer, .. } => {
                     let status = decode::<JobStatus>(&answer.body).ok();
                     return (answer.status, status.map(|s| s.state));
@@ -63,7 +63,7 @@
                 other => panic!("unexpected {other:?}"),
             };
             let reply = Ok(reply);
-            inputs.push(Input::State { id, reply });
+            inputs.push(Input::Store { id, reply });
         }
     }
     panic!("no answer");
@@ -83,9 +83,9 @@
 /// an earlier version stored have an open mark.
 #[test]
 fn a_job_is_open_while_it_is_described_and_has_no_mark_of_its_end() {
-    let open = store::open_key("req-1");
-    let mark = |s| value(&JobMark { s, n: 2 });
-    let key = store::job_key("req-1");
+    let open = records::open_key("req-1");
+    let mark = |s| value(&JobStateRecord { s, n: 2 });
+    let key = records::job_key("req-1");
     let found = |rows: Vec<(&String, u64, Value)>| {
         let rows = rows.into_iter().map(|(k, n, v)| (k.clone(), (n, v)));
         poll(&rows.collect())
@@ -94,21 +94,24 @@
     let queued = (200, Some(JobState::Queued));
     assert_eq!(found(vec![(&open, 3, description(true))]), queued);
     assert_eq!(
-        found(vec![(&key, 7, mark(Mark::Done))]),
+        found(vec![(&key, 7, mark(RecordedState::Done))]),
         (200, Some(JobState::Done))
     );
     assert_eq!(
         found(vec![
             (&open, 3, description(true)),
-            (&key, 7, mark(Mark::Cancelled))
+            (&key, 7, mark(RecordedState::Cancelled))
         ]),
         (200, Some(JobState::Cancelled))
     );
-    let earlier = [(&open, 3, description(false)), (&key, 3, mark(Mark::Open))];
+    let earlier = [
+        (&open, 3, description(false)),
+        (&key, 3, mark(RecordedState::Open)),
+    ];
     assert_eq!(found(earlier.to_vec()), queued);
     let cancelled = [
         (&open, 3, description(false)),
-        (&key, 8, mark(Mark::Cancelled)),
+        (&key, 8, mark(RecordedState::Cancelled)),
     ];
     assert_eq!(found(cancelled.to_vec()), (200, Some(JobState::Cancelled)));
 }
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -4,8 +4,8 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_controller::store;
-use dillcleat_controller::workers::Machine;
+use dillcleat_controller::machines::Machine;
+use dillcleat_controller::records;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind, Priority};
 
@@ -109,7 +109,7 @@
         fleet.pass(2 * SECOND);
         assert_eq!(fleet.running("req-000001"), Vec::<String>::new());
         assert_eq!(
-            fleet.record(&store::open_key("req-000001")),
+            fleet.record(&records::open_key("req-000001")),
             None,
             "cleared"
         );
--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_controller::store::{Mark, Types};
-use dillcleat_controller::{CallError, Config, Micros, SECOND, store};
+use dillcleat_controller::records::{MachineTypesRecord, RecordedState};
+use dillcleat_controller::{CallError, Config, Micros, SECOND, records};
 use dillcleat_wire::state::{StateCall, StateReply, Value, value};
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, Kind};
 
@@ -170,7 +170,10 @@
 #[test]
 fn an_empty_list_of_types_decides_nothing() {
     let mut node = Driven::new(config(), START);
-    node.types = common::row(store::TYPES.into(), &Types { types: Vec::new() });
+    node.types = common::row(
+        records::TYPES.into(),
+        &MachineTypesRecord { types: Vec::new() },
+    );
     node.tick();
     let good = dillcleat_wire::encode(&spec(JOB));
     let mut store = Store::default();
@@ -251,7 +254,7 @@
     for _ in 0..2 {
         assert_eq!(ask(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
-    assert_eq!(store.mark(JOB), Some(Mark::Done));
+    assert_eq!(store.mark(JOB), Some(RecordedState::Done));
     let request = node.cancel(JOB);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::{Around, config_with_team, machine_type, recorded, row, step_with};
-use dillcleat_controller::store::{self, CancelledJob, Chunk, JobMark, Mark, OpenJob, Span};
+use dillcleat_controller::records::{
+    self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+};
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{Change, Changes, Event, Row, StateReply, Value, read, value};
@@ -28,7 +30,7 @@
         unmarked: true,
         at_most: None,
     };
-    row(store::open_key(id), &open)
+    row(records::open_key(id), &open)
 }
 
 /// The same in a form of a version to come: it is known what each task takes of which
@@ -60,15 +62,15 @@
 impl Day {
     /// A node that is about to lead, with `placed` tasks of a job on the machine m.
     fn new(config: Config, queue: Vec<Row>, placed: u32) -> Day {
-        let chunk = Chunk {
+        let chunk = TaskChunk {
             p: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
-            ..Chunk::default()
+            ..TaskChunk::default()
         };
         Day {
             node: Node::new(config),
             around: Around {
                 queue,
-                tasks: vec![row(store::tasks_key(JOB, Span::Chunk(0)), &chunk)],
+                tasks: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
                 types: vec![machine_type(8.0)],
                 ..Around::default()
             },
@@ -101,7 +103,7 @@
                 events: events.clone(),
             };
             let reply = Ok(StateReply::Changes(changes));
-            self.step(at, Input::State { id, reply });
+            self.step(at, Input::Store { id, reply });
         }
     }
 
@@ -162,10 +164,10 @@
 
     /// How many tasks of the job were placed.
     fn placed(&self, id: &str) -> usize {
-        let key = store::tasks_key(id, Span::Chunk(0));
+        let key = records::tasks_key(id, TaskRange::Chunk(0));
         let changes = self.around.writes.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
-            Change::Put { key: k, value, .. } if *k == key => read::<Chunk>(value),
+            Change::Put { key: k, value, .. } if *k == key => read::<TaskChunk>(value),
             _ => None,
         });
         records.next_back().map_or(0, |c| c.p.len())
@@ -211,11 +213,15 @@
 /// What is left of a job without a description is dropped once its mark is read.
 #[test]
 fn records_are_dropped_only_once_a_mark_says_that_their_job_has_ended() {
-    for mark in [None, Some(Mark::Done), Some(Mark::Cancelled)] {
+    for mark in [
+        None,
+        Some(RecordedState::Done),
+        Some(RecordedState::Cancelled),
+    ] {
         let mut day = Day::new(config_with_team(), Vec::new(), 1);
-        day.around.found = mark.map(|s| row(store::job_key(JOB), &JobMark { s, n: 1 }));
+        day.around.found = mark.map(|s| row(records::job_key(JOB), &JobStateRecord { s, n: 1 }));
         day.pass(0, 5 * SECOND);
-        let key = store::tasks_key(JOB, Span::Chunk(0));
+        let key = records::tasks_key(JOB, TaskRange::Chunk(0));
         assert_eq!(day.dropped().contains(&key.as_str()), mark.is_some());
         let commands = day.reports(5 * SECOND, "m", Some(TaskState::Running));
         let stopped = matches!(commands.as_deref(), Some([Command::Stop { .. }]));
@@ -232,13 +238,13 @@
     open.spec.awaits = vec![JOB.into()];
     waits.value = value(&open);
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB), waits], 1);
-    let mark = JobMark {
-        s: Mark::Cancelled,
+    let mark = JobStateRecord {
+        s: RecordedState::Cancelled,
         n: 1,
     };
-    day.around.found = Some(row(store::job_key(JOB), &mark));
+    day.around.found = Some(row(records::job_key(JOB), &mark));
     day.pass(0, 5 * SECOND);
-    let key = store::open_key("req-000002");
+    let key = records::open_key("req-000002");
     assert_eq!(day.dropped(), [key], "it is cancelled with the other");
 }
 
@@ -253,7 +259,7 @@
     let running = Some(TaskState::Running);
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
-    let cancelled = row(store::cancelled_key(JOB), &CancelledJob { at });
+    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
     let event = Event::Put {
         key: cancelled.key,
         value: cancelled.value,
@@ -284,7 +290,7 @@
 fn a_machine_that_has_yet_to_show_the_token_may_hold_a_cancelled_job() {
     let limit = config_with_team().blind_limit();
     let at = START - limit;
-    let cancelled = row(store::cancelled_key(JOB), &CancelledJob { at });
+    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
     for readable in [true, false] {
         let queue = vec![cancelled.clone(), undescribed(JOB)];
         let mut day = Day::new(config_with_team(), queue, 1);
--- a/crates/controller/tests/own_cancellations.rs
+++ b/crates/controller/tests/own_cancellations.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::gap::{Gap, JOB};
-use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{Input, RequestId, SECOND};
 use dillcleat_wire::user::{cancel_path, poll_path};
 use dillcleat_wire::worker::Command;
@@ -39,11 +39,11 @@
 fn what_a_poll_finds_cancelled_is_stopped_before_the_watch_tells() {
     let mut gap = Gap::leading();
     assert!(!stops(&mut gap, SECOND));
-    let mark = JobMark {
-        s: Mark::Cancelled,
+    let mark = JobStateRecord {
+        s: RecordedState::Cancelled,
         n: 1,
     };
-    gap.around.found = Some(common::row(store::job_key(JOB), &mark));
+    gap.around.found = Some(common::row(records::job_key(JOB), &mark));
     let statuses = ask(&mut gap, 2 * SECOND, "GET", poll_path(JOB));
     assert_eq!(statuses, [200]);
     assert!(stops(&mut gap, 2 * SECOND));
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -1,7 +1,9 @@
 //! What may be sent to the cloud, and until when.
 
-use dillcleat_controller::latency::lease_time;
-use dillcleat_controller::permit::{Action, Ground, LeadershipProof, proof_time};
+use dillcleat_controller::leadership_guard::{
+    CloudAction, DeletionReason, LeadershipProof, proof_time,
+};
+use dillcleat_controller::store_latency::lease_time;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
 use dillcleat_wire::cloud::CloudCall;
 use dillcleat_wire::platform::Platform;
@@ -16,11 +18,11 @@
     Config::new(&platform, tuning)
 }
 
-const DELETIONS: [Action; 4] = [
-    Action::Delete(Ground::Cancelled),
-    Action::Delete(Ground::Failed),
-    Action::Delete(Ground::Silent),
-    Action::Delete(Ground::Returned),
+const DELETIONS: [CloudAction; 4] = [
+    CloudAction::Delete(DeletionReason::Cancelled),
+    CloudAction::Delete(DeletionReason::Failed),
+    CloudAction::Delete(DeletionReason::Silent),
+    CloudAction::Delete(DeletionReason::Returned),
 ];
 
 /// Permit ends before the loan does, whatever the loan's time.
@@ -33,7 +35,7 @@
             proved: sent,
             ..LeadershipProof::default()
         };
-        for action in DELETIONS.into_iter().chain([Action::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::Rent]) {
             let given = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100_000, action);
             let permit = permit.expect("proved a moment ago");
@@ -46,7 +48,7 @@
             );
             assert!(given(last - 1) && !given(last), "{ttl} {action:?}");
         }
-        let look = proof.permit(&config, sent + 100 * SECOND, Action::Look);
+        let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
         assert!(look.is_some_and(|l| !l.covers(&CloudCall::Delete(Vec::new()))));
     }
 }
@@ -78,7 +80,7 @@
     let config = config(2.5);
     for apart in [false, true] {
         let proof = LeadershipProof { proved: 0, apart };
-        for action in DELETIONS.into_iter().chain([Action::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::Rent]) {
             assert!(proof.permit(&config, 100 * SECOND, action).is_none());
         }
     }
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -4,8 +4,10 @@
 mod common;
 
 use common::{Around, config_with_team, recorded, row, step_with};
-use dillcleat_controller::store::{self, Chunk, OpenJob};
-use dillcleat_controller::{Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND};
+use dillcleat_controller::records::{self, OpenJob, TaskChunk};
+use dillcleat_controller::{
+    Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
+};
 use dillcleat_peer_protocol::{Message, Progress};
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{StateCall, StateReply};
@@ -33,12 +35,12 @@
 fn hear(node: &mut Node, at: Micros, from: &str, message: Message) {
     let (from, now) = (
         from.to_string(),
-        Now {
+        Timestamp {
             steady: at,
             wall: at,
         },
     );
-    node.handle(now, Input::Mesh { from, message });
+    node.handle(now, Input::Peer { from, message });
 }
 
 /// What the beats of half a second tell. The lead is kept, other calls go unanswered.
@@ -46,22 +48,22 @@
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
-        let now = Now {
+        let now = Timestamp {
             steady: *at,
             wall: *at,
         };
         for output in node.handle(now, Input::Tick) {
             match output {
-                Output::Mesh {
+                Output::Peer {
                     message: Message::Progress(jobs),
                 } => all.extend(jobs),
-                Output::State {
+                Output::Store {
                     id,
                     call: StateCall::Extend { .. },
                     ..
                 } => {
                     let reply = Ok(StateReply::Extended);
-                    step_with(node, *at, Input::State { id, reply }, &[], around);
+                    step_with(node, *at, Input::Store { id, reply }, &[], around);
                 }
                 _ => {}
             }
@@ -80,13 +82,13 @@
         unmarked: true,
         at_most: None,
     };
-    let chunk = Chunk {
+    let chunk = TaskChunk {
         p: vec![(0, 1, "m".into(), 1)],
-        ..Chunk::default()
+        ..TaskChunk::default()
     };
-    let tasks = store::tasks_key(JOB, store::Span::Chunk(0));
+    let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
     let mut around = Around {
-        queue: vec![row(store::open_key(JOB), &open)],
+        queue: vec![row(records::open_key(JOB), &open)],
         tasks: vec![row(tasks, &chunk)],
         ..Around::default()
     };
--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use dillcleat_controller::workers::{Machine, SlotEvent, Source, TaskKey};
+use dillcleat_controller::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey};
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind};
 use dillcleat_wire::worker::{Command, Report, TaskReport, TaskState, Why};
@@ -47,7 +47,12 @@
 fn machine() -> Machine {
     let mut m = Machine::new("m", "t", "z", false, NOW);
     assert_eq!(
-        m.report(&report(1, 1, TERM, &[]), Source::Checkin, TERM, NOW),
+        m.report(
+            &report(1, 1, TERM, &[]),
+            HeartbeatSource::Checkin,
+            TERM,
+            NOW
+        ),
         []
     );
     let mut slot = Machine::slot(1, 1, (0, &spec()), true);
@@ -56,7 +61,7 @@
     m
 }
 
-fn take(m: &mut Machine, r: &Report, source: Source) -> Vec<SlotEvent> {
+fn take(m: &mut Machine, r: &Report, source: HeartbeatSource) -> Vec<TaskEvent> {
     m.report(r, source, TERM, NOW)
 }
 
@@ -65,20 +70,31 @@
     let mut m = machine();
     // An earlier leader's launch may still be carried out under its seal.
     assert_eq!(
-        take(&mut m, &report(1, 2, TERM - 1, &[]), Source::Checkin),
+        take(
+            &mut m,
+            &report(1, 2, TERM - 1, &[]),
+            HeartbeatSource::Checkin
+        ),
         []
     );
     // Held up on its way: as old as it says.
-    assert_eq!(take(&mut m, &report(1, 1, TERM, &[]), Source::Checkin), []);
-    let events = take(&mut m, &report(1, 3, TERM, &[]), Source::Checkin);
-    assert!(matches!(events[..], [SlotEvent::Lost { attempt: 1, .. }]));
+    assert_eq!(
+        take(&mut m, &report(1, 1, TERM, &[]), HeartbeatSource::Checkin),
+        []
+    );
+    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Checkin);
+    assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
 
 #[test]
 fn a_later_session_is_proof_by_itself() {
     let mut m = machine();
-    let events = take(&mut m, &report(2, 9, TERM - 1, &[]), Source::Checkin);
-    assert!(matches!(events[..], [SlotEvent::Lost { attempt: 1, .. }]));
+    let events = take(
+        &mut m,
+        &report(2, 9, TERM - 1, &[]),
+        HeartbeatSource::Checkin,
+    );
+    assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
 
 #[test]
@@ -95,18 +111,21 @@
         slot.cancelled = true;
     }
     // Absent, but it may start at any time.
-    assert_eq!(take(&mut m, &report(1, 2, TERM, &[]), Source::Checkin), []);
+    assert_eq!(
+        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Checkin),
+        []
+    );
     // It did, and failed: known to the worker, a late launch has no effect,
     // and a reap would change that.
     let exited = report(1, 3, TERM, &[(1, TaskState::Exited)]);
-    let events = take(&mut m, &exited, Source::Checkin);
-    assert!(matches!(events[..], [SlotEvent::Exited { attempt: 1, .. }]));
+    let events = take(&mut m, &exited, HeartbeatSource::Checkin);
+    assert!(matches!(events[..], [TaskEvent::Exited { attempt: 1, .. }]));
     assert_eq!(m.commands(true, |_, _| true), []);
     // In a new session the old launch is refused.
     take(
         &mut m,
         &report(2, 4, TERM, &[(1, TaskState::Exited)]),
-        Source::Checkin,
+        HeartbeatSource::Checkin,
     );
     assert!(matches!(
         m.commands(true, |_, _| true)[..],
@@ -130,9 +149,12 @@
         slot.cancelled = true;
     }
     // The answer to other orders may have overtaken it.
-    assert_eq!(take(&mut m, &report(1, 2, TERM, &[]), Source::Orders), []);
-    let events = take(&mut m, &report(1, 3, TERM, &[]), Source::Checkin);
-    assert!(matches!(events[..], [SlotEvent::Lost { .. }]));
+    assert_eq!(
+        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Orders),
+        []
+    );
+    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Checkin);
+    assert!(matches!(events[..], [TaskEvent::Lost { .. }]));
 }
 
 #[test]
@@ -149,7 +171,7 @@
     take(
         &mut m,
         &report(1, 2, TERM, &[(7, TaskState::Exited)]),
-        Source::Checkin,
+        HeartbeatSource::Checkin,
     );
     assert_eq!(m.commands(true, |_, _| false), []);
 }
@@ -162,13 +184,13 @@
     let slot = Machine::slot(2, 1, (0, &spec()), true);
     m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let ended = report(1, 2, TERM, &[(1, TaskState::Exited)]);
-    assert_eq!(take(&mut m, &ended, Source::Checkin), []);
+    assert_eq!(take(&mut m, &ended, HeartbeatSource::Checkin), []);
     let both = [(1, TaskState::Exited), (2, TaskState::Running)];
-    let events = take(&mut m, &report(1, 3, TERM, &both), Source::Checkin);
-    assert_eq!(events, [SlotEvent::Running(key())]);
+    let events = take(&mut m, &report(1, 3, TERM, &both), HeartbeatSource::Checkin);
+    assert_eq!(events, [TaskEvent::Running(key())]);
     // One that still runs is a stray, and is stopped.
     let stray = report(1, 4, TERM, &[(1, TaskState::Running)]);
-    take(&mut m, &stray, Source::Checkin);
+    take(&mut m, &stray, HeartbeatSource::Checkin);
     let stops = m.commands(true, |_, _| true);
     assert!(matches!(&stops[..], [Command::Stop { attempt: 1, .. }, ..]));
 }
@@ -179,7 +201,7 @@
 fn nothing_is_commanded_for_a_session_that_is_over() {
     let mut m = machine();
     m.slots.clear();
-    take(&mut m, &report(2, 2, TERM, &[]), Source::Checkin);
+    take(&mut m, &report(2, 2, TERM, &[]), HeartbeatSource::Checkin);
     let slot = Machine::slot(1, 1, (0, &spec()), true);
     m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     assert_eq!(m.commands(true, |_, _| true), []);
--- a/crates/controller/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_controller::store::{self, Mark};
+use dillcleat_controller::records::{self, RecordedState};
 use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::state::{StateCall, StateReply, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
@@ -200,7 +200,7 @@
         }
         assert!(self.submitted.contains(job), "{job}: invented");
         if let Known::Ended(state) = now {
-            let mark = self.store.mark(job).and_then(Mark::ended);
+            let mark = self.store.mark(job).and_then(RecordedState::ended);
             assert_eq!(mark, Some(state), "{asked:?}");
         }
         let ended = matches!(now, Known::Ended(_));
@@ -250,12 +250,12 @@
     /// What a leader does with a job.
     fn lead(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
-        let described = self.store.rows.contains_key(&store::open_key(job));
+        let described = self.store.rows.contains_key(&records::open_key(job));
         match self.store.mark(job) {
             None if described => {
                 self.store.done(job);
             }
-            Some(Mark::Cancelled) => self.store.clear(job),
+            Some(RecordedState::Cancelled) => self.store.clear(job),
             _ => {}
         }
     }
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -28,7 +28,7 @@
             quiet_ms,
         }]);
         let from = "n1".into();
-        step_and_calls(&mut node, START, Input::Mesh { from, message }, &rows);
+        step_and_calls(&mut node, START, Input::Peer { from, message }, &rows);
     }
     let mut deleted = Vec::new();
     for at in (0..20 * SECOND).step_by(100 * MILLISECOND as usize) {
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use dillcleat_controller::SECOND;
-use dillcleat_controller::store;
+use dillcleat_controller::records;
 use dillcleat_controller::{
-    CallError, CallId, Input, MILLISECOND, Micros, Node, Now, Output, RequestId,
+    CallError, CallId, Input, MILLISECOND, Micros, Node, Output, RequestId, Timestamp,
 };
 use dillcleat_wire::encode;
 use dillcleat_wire::state::{Page, StateCall, StateReply, Txn};
@@ -15,7 +15,7 @@
 
 /// Transactions that a node sends at this time, and the statuses it answers.
 fn step(node: &mut Node, at: Micros, input: Input) -> (Vec<(CallId, Txn)>, Vec<u16>) {
-    let now = Now {
+    let now = Timestamp {
         steady: at,
         wall: at,
     };
@@ -25,9 +25,9 @@
         for output in node.handle(now, input) {
             match output {
                 Output::Answer { answer, .. } => answered.push(answer.status),
-                Output::State { id, call, .. } => match call {
+                Output::Store { id, call, .. } => match call {
                     StateCall::Txn(txn) => sent.push((id, txn)),
-                    StateCall::List { .. } => inputs.push(Input::State {
+                    StateCall::List { .. } => inputs.push(Input::Store {
                         id,
                         reply: Ok(StateReply::Page(Page {
                             rows: vec![common::types(8.0)],
@@ -64,7 +64,7 @@
     id: CallId,
     reply: Result<StateReply, CallError>,
 ) -> Vec<u16> {
-    step(node, at, Input::State { id, reply }).1
+    step(node, at, Input::Store { id, reply }).1
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let done = Ok(StateReply::Committed { revision: 2 });
     assert_eq!(reply(&mut node, later, *second, done), [201]);
     let conflict = Ok(StateReply::Conflict {
-        failed: vec![store::open_key("req-1")],
+        failed: vec![records::open_key("req-1")],
         revision: 2,
     });
     assert_eq!(reply(&mut node, later, first, conflict), [0; 0]);
@@ -102,7 +102,7 @@
             revision: 2,
         })
     };
-    let open = store::open_key("req-1");
+    let open = records::open_key("req-1");
     assert_eq!(
         reply(
             &mut node,
@@ -123,7 +123,7 @@
     );
     // With a mark it may have ended: that is read.
     let (mut node, first) = submitted();
-    let ended = [store::job_key("req-1"), open];
+    let ended = [records::job_key("req-1"), open];
     assert_eq!(reply(&mut node, at, first, conflict(&ended)), [0; 0]);
 }
 
--- a/crates/controller/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -5,7 +5,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{MILLISECOND, SECOND};
 use dillcleat_wire::encode;
 use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, poll_path};
@@ -48,20 +48,20 @@
     }
     fleet.pass(60 * SECOND);
     for n in 0..JOBS {
-        let mark = fleet.record(&store::job_key(&id(n))).expect("a mark");
-        let mark: JobMark = dillcleat_wire::state::read(&mark).expect("a mark");
-        assert_ne!(mark.s, Mark::Open, "{}", id(n));
+        let mark = fleet.record(&records::job_key(&id(n))).expect("a mark");
+        let mark: JobStateRecord = dillcleat_wire::state::read(&mark).expect("a mark");
+        assert_ne!(mark.s, RecordedState::Open, "{}", id(n));
     }
     assert_eq!(fleet.keys("j/"), JOBS as usize);
-    assert_eq!(fleet.keys(store::QUEUE), 0);
-    assert_eq!(fleet.keys(store::TASKS), 0);
+    assert_eq!(fleet.keys(records::QUEUE), 0);
+    assert_eq!(fleet.keys(records::TASKS), 0);
     // Nothing else is kept of them, by whatever name: machines and the shared records.
-    let rest = fleet.keys(store::MACHINES) + fleet.keys(store::SHARED);
+    let rest = fleet.keys(records::MACHINES) + fleet.keys(records::SHARED);
     assert_eq!(fleet.keys(""), JOBS as usize + rest);
     // Description, placement, mark, and both dropped. What is cancelled before it is placed
     // has a row of that instead, and what is cancelled later is made up for by ends that are
     // written together.
-    let own = fleet.changes("j/") + fleet.changes(store::QUEUE) + fleet.changes(store::TASKS);
+    let own = fleet.changes("j/") + fleet.changes(records::QUEUE) + fleet.changes(records::TASKS);
     let most = 5 * JOBS;
     assert!(own <= most as usize, "{own} changes, at most {most}");
     // What was told is known, here and by the transactions themselves.
--- a/crates/controller/tests/team_limits.rs
+++ b/crates/controller/tests/team_limits.rs
@@ -4,7 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_controller::store;
+use dillcleat_controller::records;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobSpec, Kind};
 
@@ -135,7 +135,7 @@
             Vec::<&common::fleet::Started>::new()
         );
         assert_eq!(fleet.cpus_of(&["req-000003"]), LIMIT as usize);
-        let tasks = store::tasks_key("req-000002", store::Span::Chunk(0));
+        let tasks = records::tasks_key("req-000002", records::TaskRange::Chunk(0));
         assert_eq!(
             fleet.record(&tasks),
             None,
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -1,8 +1,9 @@
 //! Two versions share records and frames: what the version in production writes, as
 //! bytes, is read here, and what is written here is read by copies of its types.
 
-use dillcleat_controller::store::{
-    CancelledJob, Chunk, JobMark, MachineRecord, Mark, OpenJob, Span, parse_tasks_key, tasks_key,
+use dillcleat_controller::records::{
+    CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+    parse_tasks_key, tasks_key,
 };
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::state::{Value, read, value};
@@ -69,14 +70,14 @@
         assert_eq!(value(&is), record);
     }
     same(OPEN, described(Vec::new()));
-    let chunk = Chunk {
+    let chunk = TaskChunk {
         p: vec![(3, 2, "host-000231".into(), 1)],
         w: vec![(5, 1)],
         d: vec![(0, 2)],
     };
     same(CHUNK, chunk);
-    let mark = JobMark {
-        s: Mark::Done,
+    let mark = JobStateRecord {
+        s: RecordedState::Done,
         n: 200,
     };
     same(MARK, mark);
@@ -136,8 +137,8 @@
 /// Production would take neither it for a chunk nor drop it.
 #[test]
 fn parts_come_after_their_chunk() {
-    let part = |chunk, from, to| tasks_key("req-1", Span::Part { chunk, from, to });
-    let chunk = |chunk| tasks_key("req-1", Span::Chunk(chunk));
+    let part = |chunk, from, to| tasks_key("req-1", TaskRange::Part { chunk, from, to });
+    let chunk = |chunk| tasks_key("req-1", TaskRange::Chunk(chunk));
     let keys = [
         chunk(0),
         part(0, 0, 24),
@@ -152,6 +153,6 @@
         let old = key
             .rsplit_once('/')
             .map(|(_, chunk)| chunk.parse::<u32>().is_ok());
-        assert_eq!(old, Some(matches!(span, Span::Chunk(_))), "{key}");
+        assert_eq!(old, Some(matches!(span, TaskRange::Chunk(_))), "{key}");
     }
 }
--- a/crates/dillcleat/src/mesh.rs
+++ b/crates/dillcleat/src/mesh.rs
@@ -101,7 +101,7 @@
             (Message::Hello { member }, None) if siblings.contains(&member) => from = Some(member),
             (_, None) => return Err(ListenError::NoHello),
             (message, Some(from)) => {
-                let input = Input::Mesh {
+                let input = Input::Peer {
                     from: from.clone(),
                     message,
                 };
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::http::{Bad, Connection, Limits, Pool, Watchdog};
 use crate::mesh;
 use dillcleat_controller::{
-    Answer, CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId, seconds,
+    Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
 };
 use dillcleat_kube::{Controller, Out, Rules};
 use dillcleat_peer_protocol::Message;
@@ -184,7 +184,7 @@
             smol::future::yield_now().await;
         }
         let begun = Instant::now();
-        let now = Now {
+        let now = Timestamp {
             // Zero would look like "never" to what compares times.
             steady: (begun - start).as_micros() as Micros + 1_000_000_000,
             wall: SystemTime::now()
@@ -227,7 +227,7 @@
                 let _ = tx.try_send(answer);
             }
         }
-        Output::State { id, call, timeout } => {
+        Output::Store { id, call, timeout } => {
             ex.spawn(state_call(shared.clone(), id, call, timeout))
                 .detach();
         }
@@ -244,7 +244,7 @@
             ex.spawn(cloud_call(shared.clone(), id, call, limits))
                 .detach();
         }
-        Output::Orders {
+        Output::Commands {
             id,
             addr,
             orders,
@@ -253,8 +253,8 @@
             ex.spawn(orders_call(shared.clone(), id, addr, orders, timeout))
                 .detach();
         }
-        Output::Told(_) => {}
-        Output::Mesh { message } => {
+        Output::JobEvent(_) => {}
+        Output::Peer { message } => {
             for s in speakers {
                 // A sibling that does not keep up misses hints only.
                 let _ = s.try_send(message.clone());
@@ -277,7 +277,7 @@
             })
         });
     log::debug!("state {method} {target}: {}", outcome(&reply));
-    let _ = shared.inputs.send(Input::State { id, reply }).await;
+    let _ = shared.inputs.send(Input::Store { id, reply }).await;
 }
 
 fn outcome<T>(reply: &Result<T, CallError>) -> String {
@@ -317,7 +317,7 @@
         .call(&addr, "POST", COMMANDS_PATH, &body, time)
         .await;
     log::debug!("orders to {addr}: {}", outcome(&reply));
-    let _ = shared.inputs.send(Input::Orders { id, reply }).await;
+    let _ = shared.inputs.send(Input::Commands { id, reply }).await;
 }
 
 /// Counts a connection for as long as it lives.
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -18,11 +18,11 @@
 use crate::target::{Query, Scope, Since, Target, target};
 use crate::watches::{Filter, Sent, Watches};
 use crate::{Ask, Out, Reply, keeper, patch, table, translate, view};
-use dillcleat_controller::budget::Need;
 use dillcleat_controller::calls::state_timeout;
-use dillcleat_controller::store::{self, JobMark, OpenJob};
+use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
+use dillcleat_controller::request_budget::RequestPriority;
 use dillcleat_controller::{
-    CallError, CallId, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND, Told,
+    CallError, CallId, JobEvent, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
 use dillcleat_wire::state::{StateCall, StateReply, Txn};
 use dillcleat_wire::user::JobState;
@@ -47,7 +47,7 @@
 
 /// What a request works with while it is carried out.
 pub struct Ctx<'a> {
-    pub now: Now,
+    pub now: Timestamp,
     pub node: &'a mut Node,
     pub out: &'a mut Vec<Out>,
 }
@@ -210,7 +210,7 @@
         let id = CallId(OWN | self.next);
         let timeout = state_timeout(&call);
         self.calls.insert(id, waiting);
-        ctx.out.push(Out::Core(Output::State { id, call, timeout }));
+        ctx.out.push(Out::Core(Output::Store { id, call, timeout }));
     }
 
     fn reply(&self, ctx: &mut Ctx, id: RequestId, status: u16, body: &Value) {
@@ -275,7 +275,7 @@
         }
         // To read and check a create costs four times a native one's time, and in a
         // flood most are turned away.
-        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, Need::Change, ctx.now) {
+        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, RequestPriority::Change, ctx.now) {
             ctx.node.asked();
             return Err(Fault::TooMany);
         }
@@ -355,7 +355,7 @@
         let need = self.waiting.iter().map(|r| need(r.verb)).min();
         if !ctx
             .node
-            .grant(1.0, 0.0, need.unwrap_or(Need::Poll), ctx.now)
+            .grant(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
         {
             return;
         }
@@ -389,7 +389,7 @@
     }
 
     /// The node of this process has learned something of a job.
-    pub fn told(&mut self, told: Told) {
+    pub fn told(&mut self, told: JobEvent) {
         self.keeper.told(told, &self.cache);
     }
 
@@ -440,7 +440,7 @@
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
-            if !ctx.node.grant(1.0, changes, Need::End, ctx.now) {
+            if !ctx.node.grant(1.0, changes, RequestPriority::End, ctx.now) {
                 self.keeper.put_off(wish);
                 continue;
             }
@@ -454,7 +454,7 @@
     }
 
     fn look_at_job(&mut self, ctx: &mut Ctx, job: String) {
-        let key = store::job_key(&job);
+        let key = records::job_key(&job);
         self.call(ctx, StateCall::Get { key }, Waiting::KeepLook(job));
     }
 
@@ -498,7 +498,7 @@
             }
             Waiting::KeepLook(job) => {
                 let mark = match reply {
-                    Ok(StateReply::Found(row)) => row.read::<JobMark>(),
+                    Ok(StateReply::Found(row)) => row.read::<JobStateRecord>(),
                     _ => None,
                 };
                 let ended: Option<JobState> = mark.and_then(|m| m.s.ended());
@@ -553,10 +553,10 @@
 }
 
 /// What is turned away first when there is too much.
-fn need(verb: Verb) -> Need {
+fn need(verb: Verb) -> RequestPriority {
     match verb {
-        Verb::Get | Verb::List | Verb::Watch => Need::Poll,
-        Verb::Create | Verb::Update | Verb::Patch => Need::Change,
-        Verb::Delete => Need::End,
+        Verb::Get | Verb::List | Verb::Watch => RequestPriority::Poll,
+        Verb::Create | Verb::Update | Verb::Patch => RequestPriority::Change,
+        Verb::Delete => RequestPriority::End,
     }
 }
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -177,7 +177,11 @@
         }
         // One more change than a submission of the same job.
         let changes = 1.0 + f64::from(u8::from(creation.job.is_some()));
-        if self.writes >= MAX_WRITES || !ctx.node.grant(1.0, changes, Need::Change, ctx.now) {
+        if self.writes >= MAX_WRITES
+            || !ctx
+                .node
+                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+        {
             return Err(Fault::TooMany);
         }
         self.writes += 1;
@@ -445,7 +449,11 @@
             txn = submit(txn, job);
         }
         let changes = txn.then.len() as f64;
-        if self.writes >= MAX_WRITES || !ctx.node.grant(1.0, changes, Need::Change, ctx.now) {
+        if self.writes >= MAX_WRITES
+            || !ctx
+                .node
+                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+        {
             return Err(Fault::TooMany);
         }
         self.writes += 1;
@@ -578,7 +586,7 @@
         let txn = keeper::delete(txn, object);
         if !ctx
             .node
-            .grant(1.0, txn.then.len() as f64, Need::End, ctx.now)
+            .grant(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
         {
             return Err(Fault::TooMany);
         }
@@ -661,9 +669,9 @@
 /// Adds a job's submission to a transaction.
 fn submit(txn: Txn, job: &OpenJob) -> Txn {
     let id = &job.spec.id;
-    txn.compare(store::job_key(id), 0)
-        .compare(store::open_key(id), 0)
-        .put(store::open_key(id), job)
+    txn.compare(records::job_key(id), 0)
+        .compare(records::open_key(id), 0)
+        .put(records::open_key(id), job)
 }
 
 fn options(request: &Request) -> Result<DeleteOptions, Fault> {
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -7,8 +7,8 @@
 use crate::cache::{Cache, Turn};
 use crate::record::{End, Ending, Gone, Name, Object, Record};
 use crate::view::completions;
-use dillcleat_controller::store::{self, CancelledJob, JobMark, Mark};
-use dillcleat_controller::{Micros, SECOND, Told};
+use dillcleat_controller::records::{self, CancelledJob, JobStateRecord, RecordedState};
+use dillcleat_controller::{JobEvent, Micros, SECOND};
 use dillcleat_wire::state::Txn;
 use dillcleat_wire::user::JobState;
 use std::cmp::Reverse;
@@ -96,13 +96,13 @@
 
 /// Cancels the job of an object in the same transaction as something else.
 pub(crate) fn cancel(txn: Txn, object: &Object, job: &str, wall: Micros) -> Txn {
-    let mark = JobMark {
-        s: Mark::Cancelled,
+    let mark = JobStateRecord {
+        s: RecordedState::Cancelled,
         n: completions(object),
     };
-    txn.compare(store::job_key(job), 0)
-        .put(store::job_key(job), &mark)
-        .put(store::cancelled_key(job), &CancelledJob { at: wall })
+    txn.compare(records::job_key(job), 0)
+        .put(records::job_key(job), &mark)
+        .put(records::cancelled_key(job), &CancelledJob { at: wall })
 }
 
 /// Deletes an object and keeps what its name needs.
@@ -121,7 +121,7 @@
     fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Txn> {
         let key = object.name.key();
         let mut txn = Txn::default()
-            .compare(store::TERM, fence)
+            .compare(records::TERM, fence)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
@@ -193,12 +193,12 @@
     }
 
     /// The leader of this process has learned something.
-    pub fn told(&mut self, told: Told, cache: &Cache) {
+    pub fn told(&mut self, told: JobEvent, cache: &Cache) {
         match told {
-            Told::Ended { job, state } => {
+            JobEvent::Ended { job, state } => {
                 self.fact(&job, cache).ended = Some(state);
             }
-            Told::Failed { job, task, attempt } => {
+            JobEvent::Failed { job, task, attempt } => {
                 self.fact(&job, cache).failed.insert((task, attempt));
             }
         }
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -26,7 +26,7 @@
 pub use names::Key;
 pub use settings::{Rules, Settings};
 
-use dillcleat_controller::{Input, Node, Now, Output, RequestId};
+use dillcleat_controller::{Input, Node, Output, RequestId, Timestamp};
 use std::rc::Rc;
 
 /// A client's request.
@@ -88,7 +88,12 @@
         }
     }
 
-    fn door(&mut self, now: Now, out: &mut Vec<Out>, act: impl FnOnce(&mut Door, &mut door::Ctx)) {
+    fn door(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Out>,
+        act: impl FnOnce(&mut Door, &mut door::Ctx),
+    ) {
         let mut ctx = door::Ctx {
             now,
             node: &mut self.node,
@@ -99,21 +104,21 @@
         }
     }
 
-    pub fn handle(&mut self, now: Now, input: Input) -> Vec<Out> {
+    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Out> {
         if self.door.is_none() {
             let outputs = self.node.handle(now, input).into_iter();
             return outputs.map(Out::Core).collect();
         }
         let mut out = Vec::new();
         match input {
-            Input::State { id, reply } if Door::owns(id) => {
+            Input::Store { id, reply } if Door::owns(id) => {
                 self.door(now, &mut out, |door, ctx| door.answered(ctx, id, reply));
             }
             input => {
                 let tick = matches!(input, Input::Tick);
                 for output in self.node.handle(now, input) {
                     match output {
-                        Output::Told(told) => {
+                        Output::JobEvent(told) => {
                             if let Some(door) = &mut self.door {
                                 door.told(told);
                             }
@@ -130,7 +135,7 @@
     }
 
     /// A client's request.
-    pub fn ask(&mut self, now: Now, id: RequestId, ask: Ask) -> Vec<Out> {
+    pub fn ask(&mut self, now: Timestamp, id: RequestId, ask: Ask) -> Vec<Out> {
         let mut out = Vec::new();
         self.door(now, &mut out, |door, ctx| door.ask(ctx, id, ask));
         out
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -1,9 +1,9 @@
 //! A change is carried out and its answer is lost, and somebody else changes the object
 //! before the controller tries again.
 
-use dillcleat_controller::store::{self, Types};
+use dillcleat_controller::records::{self, MachineTypesRecord};
 use dillcleat_controller::{
-    CallError, CallId, Config, Input, Node, Now, Output, RequestId, SECOND, Tuning,
+    CallError, CallId, Config, Input, Node, Output, RequestId, SECOND, Timestamp, Tuning,
 };
 use dillcleat_kube::record::{Gone, Kind, Name, Record};
 use dillcleat_kube::{Ask, Controller, Key, Out, Rules, Settings};
@@ -74,10 +74,10 @@
         for out in out {
             match out {
                 Out::Reply { reply, .. } => self.replies.push(reply.status),
-                Out::Core(Output::State { id, call, .. }) => match call {
+                Out::Core(Output::Store { id, call, .. }) => match call {
                     StateCall::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
-                            store::SHARED => vec![types()],
+                            records::SHARED => vec![types()],
                             _ => Vec::new(),
                         };
                         let reply = StateReply::Page(Page {
@@ -110,12 +110,12 @@
     }
 
     fn answer(&mut self, id: CallId, reply: Result<StateReply, CallError>) {
-        self.feed(Input::State { id, reply });
+        self.feed(Input::Store { id, reply });
     }
 }
 
-fn now() -> Now {
-    Now {
+fn now() -> Timestamp {
+    Timestamp {
         steady: 1000 * SECOND,
         wall: 1000 * SECOND,
     }
@@ -134,7 +134,11 @@
         boot_s: 5.0,
         zones: vec!["a".into()],
     }];
-    row(store::TYPES.into(), value(&Types { types }), 1)
+    row(
+        records::TYPES.into(),
+        value(&MachineTypesRecord { types }),
+        1,
+    )
 }
 
 fn name() -> Name {
--- a/crates/sched/src/floor.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -13,8 +13,8 @@
 //! by image, since a machine holds dozens and each would be entered and left with
 //! every task.
 
-use crate::room::{EPS, amount, units};
-use crate::view::{JobView, MachineView, Place, Shape};
+use crate::resources::{EPS, amount, units};
+use crate::views::{JobView, MachineView, Place, Shape};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
 use std::rc::Rc;
--- a/crates/sched/src/pass.rs
+++ b/crates/sched/src/cycle.rs
@@ -1,9 +1,9 @@
 //! One pass: fills free room.
 
-use crate::floor::{Floor, Kept, Tour};
-use crate::line::{Line, Part, Walk};
-use crate::room::EPS;
-use crate::view::{JobView, Place, Shape, TeamView};
+use crate::capacity_index::{Floor, Kept, Tour};
+use crate::job_queue::{Line, Part, Walk};
+use crate::resources::EPS;
+use crate::views::{JobView, Place, Shape, TeamView};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/sched/src/line.rs
+++ b/crates/sched/src/job_queue.rs
@@ -10,8 +10,8 @@
 //! zero, which go by what is left of them, stand apart; the owner of the line
 //! moves a job there when its time has come ([`Line::aged`]).
 
-use crate::room::Real;
-use crate::view::{Place, Shape};
+use crate::resources::Real;
+use crate::views::{Place, Shape};
 use dillcleat_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -9,16 +9,16 @@
 //! [`floor::Floor`]. Both are kept up to date by what changes, so that a pass
 //! costs what it places, however many machines and waiting tasks there are.
 
-pub mod floor;
-pub mod line;
-pub mod pass;
-pub mod plan;
-pub mod room;
-pub mod view;
-pub mod yields;
+pub mod capacity_index;
+pub mod cycle;
+pub mod job_queue;
+pub mod preemption;
+pub mod resources;
+pub mod scale_out_plan;
+pub mod views;
 
-pub use floor::Floor;
-pub use line::{Line, Pace, Rank, Standing};
-pub use pass::{Assignment, Terms, assign};
-pub use room::{Real, Room, units};
-pub use view::{Images, JobView, MachineView, Place, Shape, TeamView};
+pub use capacity_index::Floor;
+pub use cycle::{Assignment, Terms, assign};
+pub use job_queue::{Line, Pace, Rank, Standing};
+pub use resources::{Real, Room, units};
+pub use views::{Images, JobView, MachineView, Place, Shape, TeamView};
--- a/crates/sched/src/yields.rs
+++ b/crates/sched/src/preemption.rs
@@ -1,7 +1,7 @@
 //! Running work that makes room for replicas in a hurry.
 
-use crate::room::Room;
-use crate::view::{JobView, MachineView, TeamView};
+use crate::resources::Room;
+use crate::views::{JobView, MachineView, TeamView};
 use dillcleat_wire::user::Priority;
 
 /// A running task that may be stopped to make room.
--- a/crates/sched/src/plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,9 +1,9 @@
 //! What to rent for work that finds no room.
 
-use crate::floor::{Floor, Kept};
-use crate::pass::fill;
-use crate::room::{Real, Room};
-use crate::view::{Images, JobView, MachineView, Shape, TeamView};
+use crate::capacity_index::{Floor, Kept};
+use crate::cycle::fill;
+use crate::resources::{Real, Room};
+use crate::views::{Images, JobView, MachineView, Shape, TeamView};
 use dillcleat_wire::cloud::{MAX_RENT, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/views.rs
@@ -1,6 +1,6 @@
 //! Jobs, machines and teams as a pass sees them.
 
-use crate::room::{EPS, Room, units};
+use crate::resources::{EPS, Room, units};
 use dillcleat_wire::user::{JobSpec, Kind};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Job, floor, line, machine, team};
-use dillcleat_sched::floor::Kept;
-use dillcleat_sched::yields::{Victim, make_room};
+use dillcleat_sched::capacity_index::Kept;
+use dillcleat_sched::preemption::{Victim, make_room};
 use dillcleat_sched::{Floor, JobView, MachineView, Place, Room, TeamView, Terms, assign};
 use dillcleat_wire::user::{JobSpec, Kind, Priority};
 use std::rc::Rc;
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Job, machine};
-use dillcleat_sched::plan::{Market, Offer, Refusals, plan};
+use dillcleat_sched::scale_out_plan::{Market, Offer, Refusals, plan};
 use dillcleat_sched::{Floor, MachineView, Shape, TeamView};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::{JobSpec, Kind};
--- a/crates/simulator/src/alone.rs
+++ b/crates/simulator/src/alone.rs
@@ -5,7 +5,7 @@
 use crate::objects::TOKEN;
 use crate::processes::machine;
 use crate::state::{PageLimit, StateService, Watches};
-use dillcleat_controller::{CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output};
+use dillcleat_controller::{CallId, Config, Input, MILLISECOND, Micros, Node, Output, Timestamp};
 use dillcleat_controller::{RequestId, SECOND};
 use dillcleat_kube::{Ask, Controller, Out, Reply, Rules};
 use dillcleat_wire::state::StateReply;
@@ -102,7 +102,7 @@
             let Some(ev) = self.what.remove(&order) else {
                 continue;
             };
-            let now = Now {
+            let now = Timestamp {
                 steady: 1_000 * SECOND + at,
                 wall: WALL + at,
             };
@@ -113,7 +113,7 @@
                 Ev::WatchEnds(watch) => {
                     if let Some((id, changes)) = self.watches.end(watch, &self.state) {
                         let reply = Ok(StateReply::Changes(changes));
-                        self.at(at + STATE_TIME / 2, Ev::Input(Input::State { id, reply }));
+                        self.at(at + STATE_TIME / 2, Ev::Input(Input::Store { id, reply }));
                     }
                     continue;
                 }
@@ -128,13 +128,13 @@
 
     fn carry(&mut self, out: Out) {
         match out {
-            Out::Core(Output::State { id, call, .. }) => {
+            Out::Core(Output::Store { id, call, .. }) => {
                 self.calls += 1;
                 let at = self.now + STATE_TIME;
                 match self.state.call(&call, self.now) {
                     Some(reply) => self.at(
                         at,
-                        Ev::Input(Input::State {
+                        Ev::Input(Input::Store {
                             id,
                             reply: Ok(reply),
                         }),
@@ -147,7 +147,7 @@
                 }
                 for (id, changes) in self.watches.changed(&self.state, |_| true) {
                     let reply = Ok(StateReply::Changes(changes));
-                    self.at(at, Ev::Input(Input::State { id, reply }));
+                    self.at(at, Ev::Input(Input::Store { id, reply }));
                 }
             }
             Out::Core(Output::Cloud { id, call, .. }) => {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,10 +11,10 @@
 use crate::rules::Place;
 use crate::state::{PageLimit, StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_controller::store::{self, Chunk, MachineRecord, OpenJob, Types};
+use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord, OpenJob, TaskChunk};
 use dillcleat_controller::{
-    Answer, CallError, CallId, Config, Counts, Input, MILLISECOND, Micros, Node, Now, Output,
-    RequestId, SECOND, Tuning,
+    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    SchedulerCounters, Timestamp, Tuning,
 };
 use dillcleat_wire::TaskName;
 use dillcleat_wire::cloud::{CloudCall, MachineType};
@@ -107,7 +107,7 @@
     /// The most orders that were under way at once.
     pub most_orders: usize,
     /// What passes did, from the election on.
-    pub counts: Counts,
+    pub counts: SchedulerCounters,
     /// From the election to the first launch after it.
     pub first_launch: Option<Micros>,
     /// When every machine had been answered in the new term, from the election.
@@ -276,8 +276,8 @@
         let mut state = StateService::new(16 * 1024, 48).paged(PageLimit::FULL);
         let types = vec![machine_type()];
         state.put(
-            store::TYPES.into(),
-            &Types {
+            records::TYPES.into(),
+            &MachineTypesRecord {
                 types: types.clone(),
             },
         );
@@ -335,7 +335,7 @@
                 zone: place.zone.clone(),
                 spot: place.spot,
             };
-            self.state.put(store::machine_key(&name), &record);
+            self.state.put(records::machine_key(&name), &record);
             let host = Host {
                 machine_type: TYPE.into(),
                 zone: place.zone.clone(),
@@ -374,7 +374,7 @@
             self.workers[i as usize].report_at = first;
             self.plan(i);
         }
-        self.open_jobs = self.state.keys(store::OPEN).len();
+        self.open_jobs = self.state.keys(records::OPEN).len();
         self.at(self.now, Ev::Tick);
         self.at(self.now + SECOND, Ev::Note);
     }
@@ -421,7 +421,7 @@
             unmarked: true,
             at_most: None,
         };
-        self.state.put(store::open_key(&spec.id), &job);
+        self.state.put(records::open_key(&spec.id), &job);
     }
 
     /// Fills these machines with jobs' tasks, as stored placements.
@@ -435,7 +435,7 @@
             let spec = self.spec(kind);
             self.record(&spec);
             let play_run = self.plays.get(&spec.id).map_or(0, |p| p.run);
-            let mut chunk = Chunk::default();
+            let mut chunk = TaskChunk::default();
             for index in 0..spec.tasks.min(places.len() as u32) {
                 let Some(machine) = places.pop() else {
                     break;
@@ -450,8 +450,10 @@
                 chunk.p.push((index, 1, worker.name.clone(), 1));
             }
             // Jobs are no larger than a chunk here.
-            self.state
-                .put(store::tasks_key(&spec.id, store::Span::Chunk(0)), &chunk);
+            self.state.put(
+                records::tasks_key(&spec.id, records::TaskRange::Chunk(0)),
+                &chunk,
+            );
         }
     }
 
@@ -474,7 +476,10 @@
             }
         }
         self.result.malformed.clone_from(&self.state.malformed);
-        self.result.counts = self.node.as_ref().map_or(Counts::default(), Node::counts);
+        self.result.counts = self
+            .node
+            .as_ref()
+            .map_or(SchedulerCounters::default(), Node::counts);
     }
 
     pub fn into_measured(self) -> Measured {
@@ -521,7 +526,7 @@
         let Some(node) = self.node.as_mut() else {
             return;
         };
-        let now = Now {
+        let now = Timestamp {
             steady: SECOND * 1000 + self.now,
             wall: WALL + self.now,
         };
@@ -529,12 +534,12 @@
             Input::Tick => "tick",
             Input::Request { target, .. } if target == REPORT_PATH => "report",
             Input::Request { .. } => "submission",
-            Input::State { .. } => "answer of the state service",
+            Input::Store { .. } => "answer of the state service",
             Input::Cloud { .. } => "answer of the cloud",
-            Input::Orders { .. } => "answer to orders",
-            Input::Mesh { .. } => "sibling's message",
+            Input::Commands { .. } => "answer to orders",
+            Input::Peer { .. } => "sibling's message",
         };
-        if matches!(input, Input::Orders { .. }) {
+        if matches!(input, Input::Commands { .. }) {
             self.orders_open -= 1;
         }
         let placed = node.counts().placed;
@@ -561,7 +566,7 @@
         }
         // An answer lets the next batch go out, of up to 48 changes.
         let sent = |o: &Output| match o {
-            Output::State {
+            Output::Store {
                 call: StateCall::Txn(txn),
                 ..
             } => txn.then.len() as u64,
@@ -615,7 +620,7 @@
                     },
                 );
             }
-            Output::State { id, call, .. } => {
+            Output::Store { id, call, .. } => {
                 let call = Box::new(call);
                 self.at(after + STATE_TIME / 2, Ev::State { id, call });
             }
@@ -623,7 +628,7 @@
                 let call = Box::new(call);
                 self.at(after + CLOUD_TIME / 2, Ev::Cloud { id, call });
             }
-            Output::Orders {
+            Output::Commands {
                 id,
                 addr,
                 orders,
@@ -647,12 +652,12 @@
                     }
                     _ => {
                         let reply = Err(CallError::NoAnswer);
-                        let input = Box::new(Input::Orders { id, reply });
+                        let input = Box::new(Input::Commands { id, reply });
                         self.at(after + timeout, Ev::Node(input));
                     }
                 }
             }
-            Output::Mesh { .. } | Output::Told(_) => {}
+            Output::Peer { .. } | Output::JobEvent(_) => {}
         }
     }
 
@@ -697,7 +702,7 @@
                 worker.pass(self.now, LEASE, &self.plays);
                 let (status, report, _) = worker.orders(&orders, self.now, &self.plays);
                 let body = dillcleat_wire::encode(&report);
-                let input = Box::new(Input::Orders {
+                let input = Box::new(Input::Commands {
                     id,
                     reply: Ok((status, body)),
                 });
@@ -749,7 +754,7 @@
     }
 
     fn state_answer(&mut self, id: CallId, answer: StateReply) {
-        let input = Box::new(Input::State {
+        let input = Box::new(Input::Store {
             id,
             reply: Ok(answer),
         });
@@ -848,7 +853,7 @@
     fn refill(&mut self) {
         let missing = self
             .open_jobs
-            .saturating_sub(self.state.keys(store::OPEN).len() + self.submitting);
+            .saturating_sub(self.state.keys(records::OPEN).len() + self.submitting);
         for _ in 0..missing {
             let spec = self.spec(Kind::Batch);
             self.next += 1;
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -4,7 +4,7 @@
 //! scenarios. Each output is hashed in its wire form, never in a debug form, so
 //! that renaming a Rust type or field does not change the digest.
 
-use dillcleat_controller::{Micros, Output, Told};
+use dillcleat_controller::{JobEvent, Micros, Output};
 use dillcleat_kube::Out;
 use sha2::{Digest, Sha256};
 
@@ -61,7 +61,7 @@
                 self.answer(Kind::Answer, id.0, answer.status, &answer.body);
                 self.number(u64::from(answer.retry_after.unwrap_or(0)));
             }
-            Output::State { id, call, timeout } => {
+            Output::Store { id, call, timeout } => {
                 self.kind(Kind::State, id.0);
                 self.request(call.request());
                 self.number(*timeout);
@@ -77,7 +77,7 @@
                 self.number(*timeout);
                 self.number(*within);
             }
-            Output::Orders {
+            Output::Commands {
                 id,
                 addr,
                 orders,
@@ -88,16 +88,16 @@
                 self.bytes(&dillcleat_wire::encode(orders));
                 self.number(*timeout);
             }
-            Output::Mesh { message } => {
+            Output::Peer { message } => {
                 self.kind(Kind::Mesh, 0);
                 self.bytes(&message.encode());
             }
-            Output::Told(Told::Ended { job, state }) => {
+            Output::JobEvent(JobEvent::Ended { job, state }) => {
                 self.kind(Kind::Ended, 0);
                 self.bytes(job.as_bytes());
                 self.bytes(&dillcleat_wire::encode(state));
             }
-            Output::Told(Told::Failed { job, task, attempt }) => {
+            Output::JobEvent(JobEvent::Failed { job, task, attempt }) => {
                 self.kind(Kind::Failed, 0);
                 self.bytes(job.as_bytes());
                 self.number(u64::from(*task));
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -5,7 +5,7 @@
 use crate::rules::Place;
 use crate::state::StateService;
 use crate::worker::{Play, Worker};
-use dillcleat_controller::store::OpenJob;
+use dillcleat_controller::records::OpenJob;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineType, Names, Rent};
 use dillcleat_wire::state::{Change, StateCall, StateReply, Txn};
@@ -36,7 +36,7 @@
         };
         for change in &txn.then {
             if let Change::Put { key, value, .. } = change
-                && key.starts_with(dillcleat_controller::store::OPEN)
+                && key.starts_with(dillcleat_controller::records::OPEN)
                 && let Some(open) = dillcleat_wire::state::read::<OpenJob>(value)
             {
                 let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the state service.
 
-use dillcleat_controller::{MILLISECOND, Micros, store};
+use dillcleat_controller::{MILLISECOND, Micros, records};
 use dillcleat_wire::state::{Change, Changes, Event, Page, Row, StateCall, StateReply, Txn, Value};
 use dillcleat_wire::state::{TXN_BYTES, json_size};
 use std::collections::{BTreeMap, VecDeque};
@@ -364,8 +364,8 @@
 
     /// The latest term of the controllers.
     pub fn term(&self) -> u64 {
-        let row = self.keys.get(store::TERM);
-        row.and_then(|e| dillcleat_wire::state::read::<store::Term>(&e.value))
+        let row = self.keys.get(records::TERM);
+        row.and_then(|e| dillcleat_wire::state::read::<records::TermRecord>(&e.value))
             .map_or(0, |t| t.term)
     }
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -21,8 +21,8 @@
 use crate::worker::{Happening, PATIENCE, Play, Worker};
 use dillcleat_controller::config::DeadlineAim;
 use dillcleat_controller::{
-    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId,
-    SECOND, Tuning,
+    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    Timestamp, Tuning,
 };
 use dillcleat_kube::{Ask, Controller, Out};
 use dillcleat_peer_protocol::Message;
@@ -105,10 +105,10 @@
         Input::Tick => "tick",
         Input::Request { target, .. } if target == REPORT_PATH => "report",
         Input::Request { .. } => "user's request",
-        Input::State { .. } => "answer of the state service",
+        Input::Store { .. } => "answer of the state service",
         Input::Cloud { .. } => "answer of the cloud",
-        Input::Orders { .. } => "answer to orders",
-        Input::Mesh { .. } => "sibling's message",
+        Input::Commands { .. } => "answer to orders",
+        Input::Peer { .. } => "sibling's message",
     }
 }
 
@@ -682,7 +682,7 @@
     fn wake(&mut self, node: usize, input: Input) {
         let now = self.clocks(node);
         let compared = self.compared();
-        if let Input::State {
+        if let Input::Store {
             reply: Ok(reply), ..
         } = &input
         {
@@ -721,8 +721,8 @@
         }
     }
 
-    fn clocks(&self, node: usize) -> Now {
-        Now {
+    fn clocks(&self, node: usize) -> Timestamp {
+        Timestamp {
             // Steady clocks may run 0.05% fast.
             steady: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
             wall: WALL + self.now + (node as u64) * SECOND / 10,
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -1,13 +1,13 @@
 //! What gets across, and when.
 
 use super::*;
-use dillcleat_controller::store::Lead;
+use dillcleat_controller::records::LeaderRecord;
 use dillcleat_kube::Door;
 use dillcleat_wire::state::Change;
 
 /// Whether a call hands in a job: as with the users' protocol.
 fn submits(call: &StateCall) -> bool {
-    let open = |c: &Change| matches!(c, Change::Put { key, .. } if key.starts_with(dillcleat_controller::store::OPEN));
+    let open = |c: &Change| matches!(c, Change::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
     matches!(call, StateCall::Txn(txn) if txn.then.iter().any(open))
 }
 
@@ -71,7 +71,10 @@
 
     /// Who leads, by the state service.
     pub(super) fn leads(&self, node: usize) -> Led {
-        match self.state.read::<Lead>(dillcleat_controller::store::LEAD) {
+        match self
+            .state
+            .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
+        {
             Some((lead, _)) if lead.member == format!("node-{node}") => Led::Itself,
             Some(_) => Led::Another,
             None => Led::Nobody,
@@ -186,7 +189,7 @@
     fn carry_core(&mut self, node: usize, epoch: u32, output: Output) {
         match output {
             Output::Answer { id, answer } => self.answer(node, id.0, answer),
-            Output::State { id, call, timeout } => {
+            Output::Store { id, call, timeout } => {
                 let held = self.nodes[node].state_cut;
                 let aside = Door::owns(id) && !submits(&call);
                 if let Some((at, caller)) = self.call_to(None, node, epoch, id, held, aside) {
@@ -194,7 +197,7 @@
                     self.at(at, Ev::State { caller, call });
                 }
                 let reply = Err(CallError::NoAnswer);
-                self.input(self.now + timeout, node, epoch, Input::State { id, reply });
+                self.input(self.now + timeout, node, epoch, Input::Store { id, reply });
             }
             Output::Cloud {
                 id,
@@ -229,7 +232,7 @@
                 }
                 self.input(self.now + timeout, node, epoch, Input::Cloud { id, reply });
             }
-            Output::Orders {
+            Output::Commands {
                 id,
                 addr,
                 orders,
@@ -250,10 +253,15 @@
                     self.at(at, ev);
                 }
                 let reply = Err(CallError::NoAnswer);
-                self.input(self.now + timeout, node, epoch, Input::Orders { id, reply });
+                self.input(
+                    self.now + timeout,
+                    node,
+                    epoch,
+                    Input::Commands { id, reply },
+                );
             }
-            Output::Told(_) => {}
-            Output::Mesh { message } => {
+            Output::JobEvent(_) => {}
+            Output::Peer { message } => {
                 for to in (0..self.nodes.len()).filter(|to| *to != node) {
                     let (at, whole) = self.passage(0);
                     let Some(at) = self.held(Self::site(node), Self::site(to), at) else {
@@ -267,7 +275,7 @@
                     {
                         let from = format!("node-{node}");
                         let epoch = self.nodes[to].epoch;
-                        self.input(at, to, epoch, Input::Mesh { from, message });
+                        self.input(at, to, epoch, Input::Peer { from, message });
                     }
                 }
             }
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::rules::Rule;
 use crate::scenario::Moment;
-use dillcleat_controller::store;
+use dillcleat_controller::records;
 use dillcleat_wire::state::{Changes, Event};
 use dillcleat_wire::worker::Command;
 
 /// The jobs that an answer of the state service shows to be cancelled.
 pub(super) fn cancelled(reply: &StateReply) -> Vec<String> {
-    let of = |key: &str| key.strip_prefix(store::CANCELLED).map(str::to_string);
+    let of = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
     match reply {
         StateReply::Found(row) => of(&row.key).into_iter().collect(),
         StateReply::Page(page) => page.rows.iter().filter_map(|r| of(&r.key)).collect(),
@@ -73,7 +73,7 @@
                 heard: true,
                 ..caller
             };
-            return self.reply(caller, Input::State { id, reply });
+            return self.reply(caller, Input::Store { id, reply });
         }
         let late = self.now < self.late_writes_until
             && matches!(call, StateCall::Txn(_))
@@ -109,7 +109,7 @@
         match answer {
             Some(answer) => {
                 let reply = Ok(answer);
-                self.reply(caller, Input::State { id, reply });
+                self.reply(caller, Input::Store { id, reply });
                 self.next_leader();
             }
             None => {
@@ -187,7 +187,7 @@
         if whole {
             let reply = Ok(StateReply::Changes(changes));
             let id = caller.id;
-            self.input(at, caller.node, caller.epoch, Input::State { id, reply });
+            self.input(at, caller.node, caller.epoch, Input::Store { id, reply });
         }
     }
 }
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -113,7 +113,7 @@
         self.reply_from(
             zone,
             caller,
-            Input::Orders {
+            Input::Commands {
                 id: caller.id,
                 reply,
             },
--- a/crates/simulator/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -1,6 +1,6 @@
 //! What a submission that waits for other jobs is answered.
 
-use dillcleat_controller::store::{self, JobMark, Mark};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{Config, Input, RequestId, SECOND};
 use dillcleat_simulator::alone::{Alone, Ev};
 use dillcleat_simulator::objects::rules_for;
@@ -15,9 +15,9 @@
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
-    let ended = |s| JobMark { s, n: 1 };
-    state.put(store::job_key("req-71"), &ended(Mark::Done));
-    state.put(store::job_key("req-72"), &ended(Mark::Cancelled));
+    let ended = |s| JobStateRecord { s, n: 1 };
+    state.put(records::job_key("req-71"), &ended(RecordedState::Done));
+    state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
     let mut alone = Alone::new(one, rules_for(10, 1), state);
     alone.until(10 * SECOND);
     alone
@@ -50,7 +50,7 @@
     }
     let stored = alone
         .state
-        .read::<store::OpenJob>(&store::open_key(&spec.id));
+        .read::<records::OpenJob>(&records::open_key(&spec.id));
     (reply.status, why, stored.map(|(job, _)| job.spec.awaits))
 }
 
@@ -68,8 +68,8 @@
         submit(&mut a, &batch("req-10", &["req-1", "req-72"])).0,
         201
     );
-    let mark = a.state.read::<JobMark>(&store::job_key("req-10"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled));
+    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-10"));
+    assert_eq!(mark.map(|(mark, _)| mark.s), Some(RecordedState::Cancelled));
     for (bad, why) in [
         ("req-99", "req-99, which was never accepted"),
         ("req-4", "req-4, which was never accepted"),
@@ -97,14 +97,14 @@
 #[test]
 fn a_service_of_another_node_is_never_waited_for() {
     let mut a = alone();
-    let open = store::OpenJob {
+    let open = records::OpenJob {
         spec: spec("req-8", Kind::Service, &[]),
         at: 1,
         chunk: 8,
         unmarked: true,
         at_most: None,
     };
-    a.state.put(store::open_key("req-8"), &open);
+    a.state.put(records::open_key("req-8"), &open);
     let (status, why, _) = submit(&mut a, &spec("req-9", Kind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
@@ -138,10 +138,14 @@
     );
     a.until(a.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
-        let mark = a.state.read::<JobMark>(&store::job_key(id));
-        assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled), "{id}");
+        let mark = a.state.read::<JobStateRecord>(&records::job_key(id));
+        assert_eq!(
+            mark.map(|(mark, _)| mark.s),
+            Some(RecordedState::Cancelled),
+            "{id}"
+        );
     }
-    assert_eq!(a.state.keys(store::QUEUE), [""; 0]);
+    assert_eq!(a.state.keys(records::QUEUE), [""; 0]);
 }
 
 /// A dependency that is neither open nor marked, as a leader sees one whose description
@@ -154,23 +158,27 @@
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
-    let open = store::OpenJob {
+    let open = records::OpenJob {
         spec: spec("req-8", Kind::Batch, &["req-77"]),
         at: 1,
         chunk: 8,
         unmarked: true,
         at_most: None,
     };
-    state.put(store::open_key("req-8"), &open);
+    state.put(records::open_key("req-8"), &open);
     let mut a = Alone::new(one, rules_for(10, 1), state);
     a.until(10 * SECOND);
-    assert!(a.state.read::<JobMark>(&store::job_key("req-8")).is_none());
-    let mark = JobMark {
-        s: Mark::Cancelled,
+    assert!(
+        a.state
+            .read::<JobStateRecord>(&records::job_key("req-8"))
+            .is_none()
+    );
+    let mark = JobStateRecord {
+        s: RecordedState::Cancelled,
         n: 1,
     };
-    a.state.put(store::job_key("req-77"), &mark);
+    a.state.put(records::job_key("req-77"), &mark);
     a.until(15 * SECOND);
-    let mark = a.state.read::<JobMark>(&store::job_key("req-8"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled));
+    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-8"));
+    assert_eq!(mark.map(|(mark, _)| mark.s), Some(RecordedState::Cancelled));
 }
