--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -47,7 +47,7 @@
         false => records::open_key(&name),
     };
     let step = Step::Name { naming, name, mark };
-    ctx.state_soon(StateCall::Get { key }, Continuation::Admission(step));
+    ctx.state_soon(StoreRequest::Get { key }, Continuation::Admission(step));
 }
 
 const NEVER: &str = "which was never accepted";
@@ -104,19 +104,19 @@
         naming_no: u64,
         name: String,
         mark: bool,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let known = match &reply {
-            Ok(StateReply::Found(row)) if mark => {
-                let mark = row.read::<JobStateRecord>();
+            Ok(StoreResponse::Found(row)) if mark => {
+                let mark = row.decode_value::<JobStateRecord>();
                 mark.map(|mark| KnownJob::marked(mark, row.version))
             }
-            Ok(StateReply::Found(row)) => {
-                row.read::<OpenJob>().map(|job| KnownJob::open(&job, row))
-            }
+            Ok(StoreResponse::Found(row)) => row
+                .decode_value::<OpenJob>()
+                .map(|job| KnownJob::open(&job, row)),
             _ => None,
         };
-        if matches!(reply, Ok(StateReply::Absent { .. })) && !mark {
+        if matches!(reply, Ok(StoreResponse::NotFound { .. })) && !mark {
             // It has ended, or never was.
             self.calls.charge(1.0, ctx.now.steady);
             return read(ctx, naming_no, name, true);
@@ -130,7 +130,7 @@
                 self.cache.put(&name, known);
                 naming.found(&name, known);
             }
-            (None, Ok(StateReply::Absent { .. })) => naming.refuse(&name, NEVER),
+            (None, Ok(StoreResponse::NotFound { .. })) => naming.refuse(&name, NEVER),
             (None, _) => naming.unknown = true,
         }
         naming.left -= 1;
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -17,8 +17,8 @@
 use crate::request_budget::{RequestBudget, RequestPriority};
 use crate::{Answer, Config, MILLISECOND, Micros, RequestId, SECOND};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::state::{self, StateCall, StateReply, Txn};
-use dillcleat_wire::user::{JobSpec, JobState, JobStatus, Kind, is_job_id, parse_submission};
+use dillcleat_wire::store::{self, StoreRequest, StoreResponse, Transaction};
+use dillcleat_wire::user::{JobKind, JobSpec, JobState, JobStatus, is_job_id, parse_submission};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -73,8 +73,8 @@
         return Some("a task fits no allowed machine type");
     }
     let at_once = match spec.kind {
-        Kind::Batch => 1.0,
-        Kind::Service => f64::from(spec.tasks),
+        JobKind::Batch => 1.0,
+        JobKind::Service => f64::from(spec.tasks),
     };
     // A limit of 0 means that there is none.
     let over = |need: f64, max: f64| max > 0.0 && need * at_once > max + 1e-9;
@@ -150,7 +150,7 @@
         let known = KnownJob {
             mark,
             version: 0,
-            service: job.spec.kind == Kind::Service,
+            service: job.spec.kind == JobKind::Service,
         };
         self.cache.put(&job.spec.id, known);
     }
@@ -226,7 +226,7 @@
             at_most: None,
         };
         let (bytes, most) = (
-            state::json_size(&state::value(&job)),
+            store::json_size(&store::encode_value(&job)),
             ctx.config.value_bytes,
         );
         if bytes > most {
@@ -258,7 +258,7 @@
         // One write: the state service's writes are what bounds submissions. With
         // a mark of its own for each, a burst of small jobs waited for 10 s
         // (incidents 1846, bdf3).
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .compare(records::job_key(id), 0)
             .compare(records::open_key(id), 0)
             .put(records::open_key(id), &*job);
@@ -267,7 +267,10 @@
             job,
             since,
         };
-        ctx.state_soon(StateCall::Txn(txn), Continuation::Admission(step));
+        ctx.state_soon(
+            StoreRequest::Transaction(txn),
+            Continuation::Admission(step),
+        );
     }
 
     pub fn poll(&mut self, ctx: &mut Context, request: RequestId, id: String) {
@@ -321,7 +324,7 @@
             return ctx.answer(ask.request(), Answer::later("too many requests"));
         }
         self.under_way += 1;
-        let call = StateCall::Get {
+        let call = StoreRequest::Get {
             key: records::open_key(&id),
         };
         ctx.state(call, Continuation::Admission(Step::Lookup { id, ask }));
@@ -332,7 +335,7 @@
     fn look_for_mark(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
         self.under_way += 1;
         self.calls.charge(1.0, ctx.now.steady);
-        let call = StateCall::Get {
+        let call = StoreRequest::Get {
             key: records::job_key(&id),
         };
         ctx.state(call, Continuation::Admission(Step::Ended { id, ask }));
@@ -346,7 +349,7 @@
             return;
         }
         let mut jobs: Vec<String> = Vec::new();
-        let mut txn = Txn::default();
+        let mut txn = Transaction::default();
         let limit = ctx.config.txn_ops * 4;
         let mut later = Vec::new();
         for (id, ask) in std::mem::take(&mut self.waiting) {
@@ -376,7 +379,7 @@
             // Lost, it answered none of up to `limit` jobs: with transactions lost one after the
             // other a job was once without an answer for 90 s (seed 3909 of meetings).
             ctx.state_soon(
-                StateCall::Txn(txn),
+                StoreRequest::Transaction(txn),
                 Continuation::Admission(Step::Check { jobs }),
             );
         }
@@ -401,7 +404,7 @@
             (Some(known), PendingRequest::Cancel { request, since })
                 if known.mark.s == RecordedState::Open =>
             {
-                let txn = Txn::default()
+                let txn = Transaction::default()
                     .compare(records::job_key(id), known.version)
                     .put(
                         records::job_key(id),
@@ -419,7 +422,10 @@
                     request,
                     since,
                 };
-                ctx.state(StateCall::Txn(txn), Continuation::Admission(step));
+                ctx.state(
+                    StoreRequest::Transaction(txn),
+                    Continuation::Admission(step),
+                );
             }
             (Some(known), ask) => {
                 let status = self.status(id, known.mark);
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl Admission {
-    pub fn reply(&mut self, ctx: &mut Context, step: Step, reply: Result<StateReply, CallError>) {
+    pub fn reply(
+        &mut self,
+        ctx: &mut Context,
+        step: Step,
+        reply: Result<StoreResponse, CallError>,
+    ) {
         match step {
             Step::Lookup { id, ask } => {
                 self.under_way -= 1;
@@ -18,7 +23,7 @@
                 for id in jobs {
                     let asks = self.checking.remove(&id).unwrap_or_default();
                     match &reply {
-                        Ok(StateReply::Committed { .. }) => {
+                        Ok(StoreResponse::Committed { .. }) => {
                             let job_cache = self.cache.get(&id);
                             for ask in asks {
                                 match job_cache {
@@ -27,7 +32,7 @@
                                 }
                             }
                         }
-                        Ok(StateReply::Conflict { failed, .. }) => {
+                        Ok(StoreResponse::Conflict { failed, .. }) => {
                             let changed = failed.contains(&records::job_key(&id));
                             for ask in asks {
                                 match self.cache.get(&id) {
@@ -69,10 +74,10 @@
         ctx: &mut Context,
         id: String,
         ask: PendingRequest,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            Ok(StateReply::Found(row)) => match row.read::<OpenJob>() {
+            Ok(StoreResponse::Found(row)) => match row.decode_value::<OpenJob>() {
                 Some(job) => {
                     let known = KnownJob::open(&job, &row);
                     self.cache.put(&id, known);
@@ -88,7 +93,7 @@
                     );
                 }
             },
-            Ok(StateReply::Absent { .. }) => self.look_for_mark(ctx, id, ask),
+            Ok(StoreResponse::NotFound { .. }) => self.look_for_mark(ctx, id, ask),
             _ => ctx.answer(ask.request(), Answer::later("the state is out of reach")),
         }
     }
@@ -98,10 +103,10 @@
         ctx: &mut Context,
         id: &str,
         ask: PendingRequest,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            Ok(StateReply::Found(row)) => match row.read::<JobStateRecord>() {
+            Ok(StoreResponse::Found(row)) => match row.decode_value::<JobStateRecord>() {
                 Some(mark) => {
                     let known = KnownJob::marked(mark, row.version);
                     self.learn(id, known);
@@ -117,14 +122,14 @@
             },
             // It has been stored since then, and this node may have told its user: looked
             // at again, it is not called unknown.
-            Ok(StateReply::Absent { .. })
+            Ok(StoreResponse::NotFound { .. })
                 if (self.cache.get(id)).is_some_and(|known| {
                     known.version == 0 || known.mark.s != RecordedState::Open
                 }) =>
             {
                 self.ask(ctx, id.to_string(), ask);
             }
-            Ok(StateReply::Absent { .. }) => self.settle(ctx, id, None, ask),
+            Ok(StoreResponse::NotFound { .. }) => self.settle(ctx, id, None, ask),
             _ => ctx.answer(ask.request(), Answer::later("the state is out of reach")),
         }
     }
@@ -135,11 +140,11 @@
         request: RequestId,
         job: Rc<OpenJob>,
         since: Micros,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let id = job.spec.id.clone();
         match reply {
-            Ok(StateReply::Committed { .. }) => {
+            Ok(StoreResponse::Committed { .. }) => {
                 self.under_way -= 1;
                 self.admitted(&job);
                 let due = match job.spec.deadline_s {
@@ -171,7 +176,7 @@
             // It was described and had no mark: open, unless its end has come between
             // that and this answer, of which this node then knows. To read both again
             // took a slow submission past 200 ms.
-            Ok(StateReply::Conflict { failed, .. })
+            Ok(StoreResponse::Conflict { failed, .. })
                 if failed == [records::open_key(&id)] && self.cache.end(&id).is_none() =>
             {
                 self.under_way -= 1;
@@ -184,7 +189,7 @@
                 ctx.answer(request, Answer::body(200, &status));
             }
             // It exists, perhaps by an earlier try of ours whose answer was lost.
-            Ok(StateReply::Conflict { .. }) => {
+            Ok(StoreResponse::Conflict { .. }) => {
                 self.under_way -= 1;
                 log::info!("{id} is known already, perhaps by an earlier try");
                 self.ask(ctx, id, PendingRequest::Tell(request));
@@ -197,7 +202,7 @@
             {
                 self.create(ctx, request, job, since);
             }
-            Ok(StateReply::Malformed) => {
+            Ok(StoreResponse::Malformed) => {
                 self.under_way -= 1;
                 log::error!("the state service calls the record of {id} malformed");
                 // A repeated submission may hold more than the one that was taken.
@@ -217,10 +222,10 @@
         id: String,
         request: RequestId,
         since: Micros,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            Ok(StateReply::Committed { .. }) => {
+            Ok(StoreResponse::Committed { .. }) => {
                 let n = self.cache.get(&id).map_or(0, |k| k.mark.n);
                 let mark = JobStateRecord {
                     s: RecordedState::Cancelled,
@@ -232,7 +237,7 @@
                 ctx.answer(request, Answer::body(200, &status));
             }
             // Its end came first, or an earlier try was carried out: read which.
-            Ok(StateReply::Conflict { .. }) => {
+            Ok(StoreResponse::Conflict { .. }) => {
                 self.look_for_mark(ctx, id, PendingRequest::Cancel { request, since });
             }
             Err(_) if ctx.now.steady < since + CREATE_TIME => {
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -4,9 +4,9 @@
 use crate::leadership_guard::CloudPermit;
 use crate::token_bucket::TokenBucket;
 use crate::{MILLISECOND, Micros, Output, SECOND, Timestamp};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::StateCall;
-use dillcleat_wire::worker::Orders;
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::StoreRequest;
+use dillcleat_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,9 +29,9 @@
 pub const ORDERS_TIMEOUT: Micros = 1500 * MILLISECOND;
 
 /// How long this call to the state service may take.
-pub fn state_timeout(call: &StateCall) -> Micros {
+pub fn state_timeout(call: &StoreRequest) -> Micros {
     match call {
-        StateCall::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STATE_TIMEOUT,
+        StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STATE_TIMEOUT,
         _ => STATE_TIMEOUT,
     }
 }
@@ -61,7 +61,7 @@
     next: u64,
     waiting: HashMap<CallId, Waiting>,
     /// Calls that are made a second time if they are slow, in the order of their times.
-    urgent: VecDeque<(Micros, CallId, StateCall)>,
+    urgent: VecDeque<(Micros, CallId, StoreRequest)>,
     /// Second calls that may be made now.
     allowed: TokenBucket,
 }
@@ -95,7 +95,7 @@
     }
 
     /// The calls to be made a second time now.
-    fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StateCall)> {
+    fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
         let per_s = config.state_rps * SECOND_PART;
         self.allowed.grow(now, per_s, per_s.max(1.0));
         let mut again = Vec::new();
@@ -127,7 +127,7 @@
 }
 
 impl Context<'_> {
-    pub fn state(&mut self, call: StateCall, waiter: Continuation) -> CallId {
+    pub fn state(&mut self, call: StoreRequest, waiter: Continuation) -> CallId {
         let timeout = state_timeout(&call);
         let id = self.calls.open(waiter, self.now);
         self.out.push(Output::Store { id, call, timeout });
@@ -136,7 +136,7 @@
 
     /// A call that a user waits for, and that does no harm when it is made twice: it is,
     /// if its answer is slow.
-    pub fn state_soon(&mut self, call: StateCall, waiter: Continuation) {
+    pub fn state_soon(&mut self, call: StoreRequest, waiter: Continuation) {
         let id = self.state(call.clone(), waiter);
         // The state service answers most within 10 ms and some in a few hundred: of two
         // answers one is rarely slow.
@@ -156,7 +156,7 @@
     }
 
     /// The one door to the cloud: without a permit no call goes out.
-    pub fn cloud(&mut self, call: CloudCall, permit: &CloudPermit, waiter: Continuation) {
+    pub fn cloud(&mut self, call: CloudRequest, permit: &CloudPermit, waiter: Continuation) {
         if !permit.covers(&call) {
             log::error!("no permit for {call:?}");
             return;
@@ -170,7 +170,7 @@
         });
     }
 
-    pub fn orders(&mut self, addr: String, orders: Orders, waiter: Continuation) -> CallId {
+    pub fn orders(&mut self, addr: String, orders: CommandBatch, waiter: Continuation) -> CallId {
         let id = self.calls.open(waiter, self.now);
         self.out.push(Output::Commands {
             id,
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -2,7 +2,7 @@
 
 use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
 use crate::{Micros, SECOND};
-use dillcleat_wire::cloud::{CloudCall, MAX_DELETE, Rent};
+use dillcleat_wire::cloud::{CloudRequest, MAX_DELETE, ScaleOut};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 /// A rental that has no final answer yet.
 #[derive(Debug, Clone)]
 pub struct PendingScaleOut {
-    pub rent: Rent,
+    pub rent: ScaleOut,
     pub since: Micros,
     /// An earlier try may have been carried out: its name must be repeated
     /// until there is an answer.
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudRequestKind {
     Delete,
-    Rent,
+    ScaleOut,
     List,
     Types,
 }
@@ -163,7 +163,7 @@
         now: Micros,
         most: usize,
         permit: impl Fn(CloudAction) -> Option<CloudPermit>,
-    ) -> Option<(CloudRequestKind, CloudCall, CloudPermit)> {
+    ) -> Option<(CloudRequestKind, CloudRequest, CloudPermit)> {
         self.tokens = (self.tokens
             + crate::seconds(now.saturating_sub(self.refilled)) * self.rate * 0.9)
             .min(self.rate.max(1.0));
@@ -171,7 +171,7 @@
         if self.busy || now < self.pause_until || self.tokens < 1.0 {
             return None;
         }
-        let rent = permit(CloudAction::Rent);
+        let rent = permit(CloudAction::ScaleOut);
         if rent.is_none() {
             // By the time that there is a permit again another plan fits better.
             self.rentals
@@ -188,7 +188,7 @@
         let next = if let Some(ground) = heaviest {
             let names = delete.iter().map(|n| n.to_string()).collect();
             self.deleting = delete;
-            let call = CloudCall::Delete(names);
+            let call = CloudRequest::Delete(names);
             (
                 CloudRequestKind::Delete,
                 call,
@@ -197,20 +197,20 @@
         } else if now >= self.types_at {
             (
                 CloudRequestKind::Types,
-                CloudCall::Types,
+                CloudRequest::Types,
                 permit(CloudAction::Look)?,
             )
         } else if let Some((r, permit)) = self.rentals.front().zip(rent) {
             (
-                CloudRequestKind::Rent,
-                CloudCall::Rent(r.rent.clone()),
+                CloudRequestKind::ScaleOut,
+                CloudRequest::ScaleOut(r.rent.clone()),
                 permit,
             )
         } else if now >= self.list_at {
             let after = self.list_after.clone();
             (
                 CloudRequestKind::List,
-                CloudCall::List { after },
+                CloudRequest::List { after },
                 permit(CloudAction::Look)?,
             )
         } else {
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform and the operator set.
 
 use crate::{Micros, SECOND, micros};
-use dillcleat_wire::platform::{Platform, Team, one_line};
+use dillcleat_wire::platform::{PlatformSettings, Team, one_line};
 use serde::Deserialize;
 
 /// The operator's own settings; every one has a default.
@@ -174,7 +174,7 @@
 }
 
 impl Config {
-    pub fn new(p: &Platform, tuning: Tuning) -> Config {
+    pub fn new(p: &PlatformSettings, tuning: Tuning) -> Config {
         let c = &p.cluster;
         let next = &c.state.next;
         let bytes = |kb: f64| (kb * 1024.0) as usize;
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -11,7 +11,7 @@
 use crate::store_latency::{StoreLatency, lease_time};
 use crate::{MILLISECOND, Micros, SECOND, micros};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::state::{Event, StateCall, StateReply, Txn};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction, WatchEvent};
 use std::rc::Rc;
 
 const RETRY: Micros = 250 * MILLISECOND;
@@ -136,7 +136,7 @@
         match self.phase {
             Phase::Reading { at } if now >= at => {
                 self.phase = Phase::Busy;
-                let call = StateCall::List {
+                let call = StoreRequest::List {
                     prefix: records::SHARED.into(),
                     after: None,
                 };
@@ -146,13 +146,13 @@
             Phase::Leading { lease, .. } if now >= self.extend_at => {
                 self.extend_at = now + micros(ctx.config.tuning.lead_ttl_s) / 4;
                 let waiter = Continuation::Election(Step::Extend { lease });
-                ctx.state(StateCall::Extend { lease }, waiter);
+                ctx.state(StoreRequest::RenewLease { lease }, waiter);
             }
             _ => {}
         }
         if !self.watching && matches!(self.phase, Phase::Waiting | Phase::Leading { .. }) {
             self.watching = true;
-            let call = StateCall::Watch {
+            let call = StoreRequest::Watch {
                 prefix: records::SHARED.into(),
                 after: self.revision,
                 hold_ms: WATCH_MS,
@@ -181,7 +181,7 @@
         self.phase = Phase::Busy;
         let ttl_ms = lease_time(ctx.config, self.latency.recent(now)) / 1000;
         ctx.state(
-            StateCall::NewLease { ttl_ms },
+            StoreRequest::GrantLease { ttl_ms },
             Continuation::Election(Step::NewLease),
         );
     }
@@ -201,7 +201,7 @@
         self.abstain_until = ctx.now.steady + abstain;
         self.reread(ctx, RETRY);
         ctx.state(
-            StateCall::EndLease { lease },
+            StoreRequest::RevokeLease { lease },
             Continuation::Election(Step::Drop),
         );
         Some(LeadershipChange::Deposed)
@@ -229,22 +229,24 @@
         ctx: &mut Context,
         step: Step,
         sent: Micros,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
         match (step, reply) {
-            (Step::Read, Ok(StateReply::Page(page))) => {
+            (Step::Read, Ok(StoreResponse::RangePage(page))) => {
                 self.revision = page.revision;
                 self.lead = None;
                 for row in &page.rows {
                     match row.key.as_str() {
-                        records::LEAD => self.lead = row.read(),
+                        records::LEAD => self.lead = row.decode_value(),
                         records::TERM => {
-                            if let Some(t) = row.read::<TermRecord>() {
+                            if let Some(t) = row.decode_value::<TermRecord>() {
                                 (self.term, self.term_version) = (t.term, row.version);
                             }
                         }
                         records::TYPES => {
-                            self.types = row.read::<MachineTypesRecord>().map(|t| Rc::new(t.types));
+                            self.types = row
+                                .decode_value::<MachineTypesRecord>()
+                                .map(|t| Rc::new(t.types));
                             self.types_version = row.version;
                         }
                         _ => {}
@@ -258,7 +260,7 @@
                         log::info!("ending this member's earlier lease {lease}");
                         self.phase = Phase::Busy;
                         ctx.state(
-                            StateCall::EndLease { lease },
+                            StoreRequest::RevokeLease { lease },
                             Continuation::Election(Step::EndOwn),
                         );
                     }
@@ -269,20 +271,20 @@
                 }
                 None
             }
-            (Step::EndOwn, Ok(StateReply::Extended | StateReply::LeaseGone)) => {
+            (Step::EndOwn, Ok(StoreResponse::LeaseRenewed | StoreResponse::LeaseExpired)) => {
                 self.reread(ctx, 0);
                 None
             }
             // Asked before this node stopped running; it reads anew.
             (Step::NewLease | Step::Read | Step::EndOwn, _) if self.phase != Phase::Busy => None,
-            (Step::NewLease, Ok(StateReply::Lease { lease })) => {
+            (Step::NewLease, Ok(StoreResponse::Lease { lease })) => {
                 let term = self.term + 1;
                 let lead = LeaderRecord {
                     member: ctx.config.member.clone(),
                     lease,
                     term,
                 };
-                let txn = Txn::default()
+                let txn = Transaction::default()
                     .compare(records::LEAD, 0)
                     .compare(records::TERM, self.term_version)
                     .put(records::TERM, &TermRecord { term })
@@ -290,12 +292,12 @@
                 self.taking = Some(lease);
                 let since = sent;
                 ctx.state(
-                    StateCall::Txn(txn),
+                    StoreRequest::Transaction(txn),
                     Continuation::Election(Step::Take { lease, term, since }),
                 );
                 None
             }
-            (Step::Take { lease, term, since }, Ok(StateReply::Committed { revision }))
+            (Step::Take { lease, term, since }, Ok(StoreResponse::Committed { revision }))
                 if self.taking == Some(lease) =>
             {
                 self.phase = Phase::Leading { lease, term };
@@ -321,7 +323,7 @@
                 // it, since the key cannot be set with an ended lease.
                 log::info!("not elected: {reply:?}");
                 ctx.state(
-                    StateCall::EndLease { lease },
+                    StoreRequest::RevokeLease { lease },
                     Continuation::Election(Step::Drop),
                 );
                 self.reread(ctx, RETRY);
@@ -333,14 +335,17 @@
             }
             // Of a term before: this node was elected again meanwhile.
             (Step::Extend { lease }, _) if !self.leads_by(lease) => None,
-            (Step::Extend { .. }, Ok(StateReply::LeaseGone)) => {
+            (Step::Extend { .. }, Ok(StoreResponse::LeaseExpired)) => {
                 self.step_down(ctx, "the lease has ended", 0)
             }
-            (Step::Extend { .. }, Ok(StateReply::Extended)) => {
+            (Step::Extend { .. }, Ok(StoreResponse::LeaseRenewed)) => {
                 self.proved = self.proved.max(sent);
                 None
             }
-            (Step::Extend { .. }, Err(_) | Ok(StateReply::TooMany | StateReply::Unavailable)) => {
+            (
+                Step::Extend { .. },
+                Err(_) | Ok(StoreResponse::RateLimited | StoreResponse::Unavailable),
+            ) => {
                 // Try again soon: after an outage the lease has its full time.
                 self.extend_at = self.extend_at.min(sent + micros(0.4).max(RETRY));
                 None
@@ -356,12 +361,12 @@
     fn watched(
         &mut self,
         ctx: &mut Context,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
-        let Ok(StateReply::Changes(changes)) = reply else {
+        let Ok(StoreResponse::WatchBatch(changes)) = reply else {
             if self.phase == Phase::Waiting {
                 self.reread(ctx, RETRY);
-            } else if matches!(reply, Ok(StateReply::TooOld)) {
+            } else if matches!(reply, Ok(StoreResponse::Compacted)) {
                 return self.step_down(ctx, "lost sight of the state", 0);
             }
             return None;
@@ -372,34 +377,36 @@
         let seen = self.revision;
         self.revision = seen.max(changes.revision);
         let mut change = None;
-        let new = |event: &Event| match event {
-            Event::Put { version, .. } | Event::Delete { version, .. } => *version > seen,
+        let new = |event: &WatchEvent| match event {
+            WatchEvent::Put { version, .. } | WatchEvent::Delete { version, .. } => *version > seen,
         };
         for event in changes.events.into_iter().filter(new) {
             match event {
-                Event::Put {
+                WatchEvent::Put {
                     key,
                     value,
                     version,
                 } => match key.as_str() {
-                    records::LEAD => self.lead = dillcleat_wire::state::read(&value),
+                    records::LEAD => self.lead = dillcleat_wire::store::decode_value(&value),
                     records::TERM => {
-                        if let Some(t) = dillcleat_wire::state::read::<TermRecord>(&value)
+                        if let Some(t) = dillcleat_wire::store::decode_value::<TermRecord>(&value)
                             && version > self.term_version
                         {
                             (self.term, self.term_version) = (t.term, version);
                         }
                     }
                     records::TYPES => {
-                        if let Some(t) = dillcleat_wire::state::read::<MachineTypesRecord>(&value) {
+                        if let Some(t) =
+                            dillcleat_wire::store::decode_value::<MachineTypesRecord>(&value)
+                        {
                             self.types = Some(Rc::new(t.types));
                         }
                         self.types_version = version;
                     }
                     _ => {}
                 },
-                Event::Delete { key, .. } if key == records::LEAD => self.lead = None,
-                Event::Delete { .. } => {}
+                WatchEvent::Delete { key, .. } if key == records::LEAD => self.lead = None,
+                WatchEvent::Delete { .. } => {}
             }
         }
         if let Phase::Leading { term, .. } = self.phase
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -6,7 +6,7 @@
 //! before, and no rule rests on any.
 
 use crate::{Config, Micros, SECOND};
-use dillcleat_peer_protocol::{Learned, LearnedJob};
+use dillcleat_peer_protocol::{Estimates, JobEstimate};
 use std::collections::HashMap;
 
 /// What was not told again for so long is not believed: its job has ended, or the
@@ -20,7 +20,7 @@
     term: u64,
     clock: f64,
     classes: Vec<(String, f64)>,
-    jobs: HashMap<String, (LearnedJob, Micros)>,
+    jobs: HashMap<String, (JobEstimate, Micros)>,
 }
 
 /// What a new leader takes over.
@@ -28,13 +28,13 @@
 pub struct InheritedEstimates {
     clock: f64,
     pub classes: HashMap<String, f64>,
-    jobs: HashMap<String, LearnedJob>,
+    jobs: HashMap<String, JobEstimate>,
 }
 
 impl HeardEstimates {
     /// Takes in what a leader tells. A later term's leader has what the one before
     /// knew, as far as it was heard, and has gone on from there.
-    pub fn take(&mut self, config: &Config, learned: Learned, now: Micros) {
+    pub fn take(&mut self, config: &Config, learned: Estimates, now: Micros) {
         if learned.term < self.term {
             return;
         }
@@ -83,7 +83,7 @@
 
 impl InheritedEstimates {
     /// What was learned of a job, with its credit as of when the leader was last heard.
-    pub fn take(&mut self, id: &str) -> Option<LearnedJob> {
+    pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut job = self.jobs.remove(id)?;
         if std::mem::take(&mut job.ages) {
             job.credit += self.clock;
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -2,8 +2,8 @@
 
 use crate::Config;
 use crate::records::{JobStateRecord, OpenJob, RecordedState};
-use dillcleat_wire::state::Row;
-use dillcleat_wire::user::Kind;
+use dillcleat_wire::store::KeyValue;
+use dillcleat_wire::user::JobKind;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Debug, Clone, Copy)]
@@ -17,14 +17,14 @@
 
 impl KnownJob {
     /// As its description tells of it.
-    pub fn open(job: &OpenJob, row: &Row) -> KnownJob {
+    pub fn open(job: &OpenJob, row: &KeyValue) -> KnownJob {
         KnownJob {
             mark: JobStateRecord {
                 s: RecordedState::Open,
                 n: job.spec.tasks,
             },
             version: job.mark_version(row.version),
-            service: job.spec.kind == Kind::Service,
+            service: job.spec.kind == JobKind::Service,
         }
     }
 
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 /// Whether a call that got no success may have been carried out, or may still be.
-fn uncertain(reply: &Result<CloudReply, CallError>) -> bool {
+fn uncertain(reply: &Result<CloudResponse, CallError>) -> bool {
     matches!(reply, Err(CallError::NoAnswer))
 }
 
@@ -26,7 +26,7 @@
         // Right after the start the machines are still becoming known.
         if now < self.ready_since + 2 * SECOND
             || !self.fresh(ctx)
-            || !self.may(ctx, CloudAction::Rent)
+            || !self.may(ctx, CloudAction::ScaleOut)
         {
             return;
         }
@@ -54,7 +54,7 @@
         if self.derived.line.is_empty() && lost.is_empty() && ahead <= 0.0 {
             return;
         }
-        let mut floor = Floor::without_images();
+        let mut floor = CapacityIndex::without_images();
         let up = self.derived.sums.up.iter();
         let mut there: BTreeMap<Rc<str>, u32> = up.map(|(z, n)| (z.clone(), *n as u32)).collect();
         for view in booting {
@@ -65,7 +65,7 @@
             floor.add(view);
         }
         let seen: u32 = there.values().sum();
-        let market = Market {
+        let market = PlanInputs {
             types: &types,
             refusals: &self.refusals,
             dark: self.dark.keys().cloned().collect(),
@@ -79,7 +79,7 @@
         let depth = self.plan_depth;
         let jobs = self.unserved(ctx, &cut_off, &lost).take(depth);
         let jobs = jobs.inspect(|_| looked_at += 1);
-        let wanted = plan(jobs, &mut floor, &mut teams, &market, reserve, ahead);
+        let wanted = plan_scale_out(jobs, &mut floor, &mut teams, &market, reserve, ahead);
         self.counts.machines += u64::from(seen);
         self.counts.planned += looked_at as u64;
         // Whoever comes after many that nothing is rented for has a turn as well.
@@ -92,7 +92,7 @@
             let request = self.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
             self.cloud_queue.rentals.push_back(PendingScaleOut {
-                rent: Rent {
+                rent: ScaleOut {
                     request,
                     machine_type,
                     zone,
@@ -106,7 +106,7 @@
     }
 
     /// Replicas on machines that are cut off, by job: a plan rents for them ahead.
-    fn lost_replicas(&self, cut_off: &BTreeSet<Rc<str>>) -> BTreeMap<Place, u32> {
+    fn lost_replicas(&self, cut_off: &BTreeSet<Rc<str>>) -> BTreeMap<SlabIndex, u32> {
         let mut lost = BTreeMap::new();
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
             for (id, _) in m.slots.keys().filter(|(id, _)| self.is_service(id)) {
@@ -125,8 +125,8 @@
         &'a self,
         ctx: &'a Context,
         cut_off: &'a BTreeSet<Rc<str>>,
-        lost: &'a BTreeMap<Place, u32>,
-    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<Shape>)> {
+        lost: &'a BTreeMap<SlabIndex, u32>,
+    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
         let waiting = self.derived.line.all(self.clock);
@@ -177,7 +177,7 @@
                 // What has run longer than thought may run on as long again.
                 let left = (run - elapsed).max(elapsed * 0.2);
                 if left <= horizon {
-                    free.give(&slot.room);
+                    free.add(&slot.room);
                 }
             }
             if free.cpus > 1e-6 {
@@ -333,27 +333,30 @@
         &mut self,
         ctx: &mut Context,
         errand: CloudRequestKind,
-        reply: Result<CloudReply, CallError>,
+        reply: Result<CloudResponse, CallError>,
     ) {
         let now = ctx.now.steady;
         self.cloud_queue.busy = false;
         match (errand, reply) {
-            (CloudRequestKind::Delete, Ok(CloudReply::Deleted)) => {
+            (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
                 for name in self.cloud_queue.deleted() {
                     self.machine_gone(ctx, &name, "deleted");
                 }
             }
-            (CloudRequestKind::Rent, Ok(CloudReply::Rented(names))) => {
+            (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
                 if let Some(r) = self.cloud_queue.rentals.pop_front() {
                     self.rented(ctx, &r.rent, &names);
                 }
             }
-            (CloudRequestKind::Rent, Ok(CloudReply::NoCapacity | CloudReply::Malformed)) => {
+            (
+                CloudRequestKind::ScaleOut,
+                Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
+            ) => {
                 if let Some(r) = self.cloud_queue.rentals.pop_front() {
                     self.refused(ctx, &r.rent, 0);
                 }
             }
-            (CloudRequestKind::Rent, other) => {
+            (CloudRequestKind::ScaleOut, other) => {
                 self.cloud_queue.pause(now);
                 self.cloud_queue.not_rented(now, uncertain(&other));
             }
@@ -362,11 +365,11 @@
                 self.cloud_queue.pause(now);
                 self.cloud_queue.not_deleted(uncertain(&other));
             }
-            (CloudRequestKind::Types, Ok(CloudReply::Types(types))) => {
+            (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
                 self.cloud_queue.types_at = now + 60 * SECOND;
                 self.new_types(types);
             }
-            (CloudRequestKind::List, Ok(CloudReply::Listed(list))) => self.listed(ctx, list),
+            (CloudRequestKind::List, Ok(CloudResponse::Listed(list))) => self.listed(ctx, list),
             (CloudRequestKind::Types, _) => {
                 self.cloud_queue.types_at = now + 2 * SECOND;
                 self.cloud_queue.pause(now);
@@ -402,7 +405,7 @@
         self.notes.push(LeaderEvent::Types(types));
     }
 
-    pub(super) fn rented(&mut self, ctx: &Context, rent: &Rent, names: &[String]) {
+    pub(super) fn rented(&mut self, ctx: &Context, rent: &ScaleOut, names: &[String]) {
         let now = ctx.now.steady;
         log::info!(
             "rented {}: {} of {}: {}",
@@ -429,7 +432,7 @@
         }
     }
 
-    pub(super) fn refused(&mut self, ctx: &Context, rent: &Rent, got: usize) {
+    pub(super) fn refused(&mut self, ctx: &Context, rent: &ScaleOut, got: usize) {
         log::info!(
             "no more {} in {}, spot {}: {got} of {}",
             rent.machine_type,
@@ -451,7 +454,7 @@
             if self.gone.contains_key(&l.name) {
                 continue;
             }
-            if l.condition == Condition::Failed {
+            if l.condition == InstanceState::Failed {
                 self.machine_gone(ctx, &l.name, "listed as failed");
                 self.cloud_queue
                     .delete(Rc::from(l.name), DeletionReason::Failed);
@@ -460,7 +463,7 @@
             if !self.machines.contains_key(&l.name) {
                 log::info!("{}: a machine not known before is listed", l.name);
                 let mut m = Machine::new(&l.name, &l.machine_type, &l.zone, l.spot, now);
-                m.expected = l.condition == Condition::Booting;
+                m.expected = l.condition == InstanceState::Booting;
                 self.machines.insert(m.name.clone(), m);
             }
             let Some(m) = self.machines.get_mut(&l.name) else {
@@ -469,7 +472,7 @@
             if m.machine_type.is_empty() {
                 m.describe(&l.machine_type, &l.zone, l.spot);
             }
-            if !m.up && l.condition == Condition::Booting {
+            if !m.up && l.condition == InstanceState::Booting {
                 // Leaders change; how long it has been booting does not. A
                 // machine that never comes up is paid for until it is deleted.
                 let age = micros(l.age_s).min(now);
@@ -478,7 +481,7 @@
             }
             if m.addr.is_none()
                 && let Some(addr) = l.addr.filter(|a| !a.is_empty())
-                && l.condition == Condition::Running
+                && l.condition == InstanceState::Running
             {
                 m.addr = Some(addr);
                 m.wants_push = true;
@@ -495,10 +498,10 @@
     }
 
     /// Jobs whose counts have changed since they were last shown.
-    pub fn progress(&mut self) -> Vec<Progress> {
+    pub fn progress(&mut self) -> Vec<JobProgress> {
         let mut changed = Vec::new();
         let unshown = self.derived.unshown.iter();
-        let some: Vec<Place> = unshown
+        let some: Vec<SlabIndex> = unshown
             .take(dillcleat_peer_protocol::MAX_PROGRESS)
             .collect();
         for place in some {
@@ -511,7 +514,7 @@
             if let Some(job) = self.jobs.quiet(place) {
                 job.shown = (done, running);
             }
-            changed.push(Progress {
+            changed.push(JobProgress {
                 job: id,
                 done,
                 running,
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -115,7 +115,7 @@
             if m.ready && commands.is_empty() && !probe {
                 continue;
             }
-            let orders = Orders {
+            let orders = CommandBatch {
                 token: self.term,
                 session: m.session,
                 commands,
@@ -138,7 +138,7 @@
         let now = ctx.now.steady;
         self.command_dispatch.ended();
         let report = match &reply {
-            Ok((200 | 409, body)) => match dillcleat_wire::decode::<Report>(body) {
+            Ok((200 | 409, body)) => match dillcleat_wire::decode::<Heartbeat>(body) {
                 Ok(r) if r.machine == machine => Some(r),
                 Ok(_) => None,
                 Err(e) => {
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -34,7 +34,7 @@
     /// How many of the job's waiting tasks the fleet as it is cannot start in
     /// time.
     pub fn late(&mut self, leader: &Leader, ctx: &Context, job: &Job, waiting: u32) -> u32 {
-        if job.spec.kind != Kind::Batch {
+        if job.spec.kind != JobKind::Batch {
             return 0;
         }
         let run = leader.expected_run(ctx.config, job);
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -105,7 +105,7 @@
             if self.dependency_graph.needed(&id) || self.is_orphan(&id) {
                 let key = records::job_key(&id);
                 let waiter = self.waiter(Step::Dependency { id });
-                ctx.state(StateCall::Get { key }, waiter);
+                ctx.state(StoreRequest::Get { key }, waiter);
             } else {
                 self.dependency_proofs.under_way -= 1;
             }
@@ -117,11 +117,11 @@
         &mut self,
         ctx: &Context,
         id: Rc<str>,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         self.dependency_proofs.under_way -= 1;
         let mark = match &reply {
-            Ok(StateReply::Found(row)) => row.read::<JobStateRecord>().map(|m| m.s),
+            Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>().map(|m| m.s),
             _ => None,
         };
         match mark {
@@ -135,7 +135,7 @@
             }
             Some(RecordedState::Open) | None => {
                 let pause = match reply {
-                    Ok(StateReply::Absent { .. } | StateReply::Found(_)) => AGAIN,
+                    Ok(StoreResponse::NotFound { .. } | StoreResponse::Found(_)) => AGAIN,
                     _ => RETRY,
                 };
                 let orphan = self.is_orphan(&id);
@@ -162,7 +162,7 @@
             log::info!("{ready}: ready, all that it waited for is done");
             job.held = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
-            self.service_came |= job.spec.kind == Kind::Service;
+            self.service_came |= job.spec.kind == JobKind::Service;
             self.pass_at = ctx.now.steady;
         }
     }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -9,8 +9,8 @@
 //! processor had 2,487 leases run out unanswered.
 
 use super::*;
-use dillcleat_sched::resources::amount;
-use dillcleat_sched::{Pace, Rank, Real, Standing};
+use dillcleat_sched::resources::from_millionths;
+use dillcleat_sched::{AgeingState, OrderedFloat, QueueEntry, QueueRank};
 use roaring::RoaringBitmap;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -111,35 +111,35 @@
     }
 
     pub fn fleet_cpus(&self) -> f64 {
-        amount(self.ready)
+        from_millionths(self.ready)
     }
 
     pub fn coming_cpus(&self) -> f64 {
-        amount(self.coming)
+        from_millionths(self.coming)
     }
 
     pub fn lent_cpus(&self) -> BTreeMap<Rc<str>, f64> {
         let lent = self.lent.iter();
-        lent.map(|(zone, cpus)| (zone.clone(), amount(*cpus)))
+        lent.map(|(zone, cpus)| (zone.clone(), from_millionths(*cpus)))
             .collect()
     }
 
     pub fn training_cpus(&self) -> f64 {
-        amount(self.training)
+        from_millionths(self.training)
     }
 
     pub fn array_cpus(&self) -> f64 {
-        amount(self.arrays)
+        from_millionths(self.arrays)
     }
 
     pub fn replica_cpus(&self) -> f64 {
-        amount(self.replicas)
+        from_millionths(self.replicas)
     }
 
     /// The most room that a service of the expected wait has kept for it.
     pub fn reserve(&self, wait: usize) -> f64 {
         let kept = self.reserves.get(wait).and_then(|r| r.last_key_value());
-        kept.map_or(0.0, |(cpus, _)| amount(*cpus))
+        kept.map_or(0.0, |(cpus, _)| from_millionths(*cpus))
     }
 
     /// Whether services use the image.
@@ -147,10 +147,10 @@
         self.images.contains_key(image)
     }
 
-    pub fn team_views(&self, config: &Config) -> Vec<TeamView> {
+    pub fn team_views(&self, config: &Config) -> Vec<TeamAllowance> {
         let left = |max: f64, used: i64| {
             if max > 0.0 {
-                max - amount(used)
+                max - from_millionths(used)
             } else {
                 f64::INFINITY
             }
@@ -158,13 +158,13 @@
         let of = |sums: &[(i64, i64)], i: usize| sums.get(i).copied().unwrap_or_default();
         let known = config.teams.iter().enumerate().map(|(i, t)| {
             let (taken, claimed) = (of(&self.teams, i), of(&self.claims, i));
-            TeamView {
+            TeamAllowance {
                 cpus_left: left(t.cpus_max, taken.0 + claimed.0),
                 gpus_left: left(t.gpus_max, taken.1 + claimed.1),
             }
         });
         // Nothing is placed of teams that are not in the settings.
-        let unknown = TeamView {
+        let unknown = TeamAllowance {
             cpus_left: 0.0,
             gpus_left: 0.0,
         };
@@ -175,14 +175,14 @@
 /// Something that changes by time alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Job(Place),
-    Machine(Place),
+    Job(SlabIndex),
+    Machine(SlabIndex),
 }
 
 #[derive(Debug)]
 pub(super) struct DerivedState {
-    pub line: Line,
-    pub floor: Floor,
+    pub line: JobQueue,
+    pub floor: CapacityIndex,
     pub sums: Sums,
     jobs: Vec<Option<JobPart>>,
     machines: Vec<Option<MachinePart>>,
@@ -202,7 +202,7 @@
     entered: [Vec<Micros>; 2],
 }
 
-fn member(set: &mut RoaringBitmap, place: Place, is: bool) {
+fn member(set: &mut RoaringBitmap, place: SlabIndex, is: bool) {
     if is {
         set.insert(place);
     } else {
@@ -220,7 +220,7 @@
 }
 
 /// The slot of a place in a list that grows as needed.
-fn slot<T: Clone>(list: &mut Vec<T>, place: Place, vacant: T) -> &mut T {
+fn slot<T: Clone>(list: &mut Vec<T>, place: SlabIndex, vacant: T) -> &mut T {
     let i = place as usize;
     if i >= list.len() {
         list.resize(i + 1, vacant);
@@ -231,8 +231,8 @@
 impl DerivedState {
     pub fn new(config: &Config) -> DerivedState {
         DerivedState {
-            line: Line::default(),
-            floor: Floor::new(),
+            line: JobQueue::default(),
+            floor: CapacityIndex::new(),
             sums: Sums::new(config),
             jobs: Vec::new(),
             machines: Vec::new(),
@@ -278,7 +278,7 @@
         Some(due)
     }
 
-    fn set_job(&mut self, place: Place, part: Option<JobPart>) -> Vec<Rc<str>> {
+    fn set_job(&mut self, place: SlabIndex, part: Option<JobPart>) -> Vec<Rc<str>> {
         let old = slot(&mut self.jobs, place, None);
         if *old == part {
             return Vec::new();
@@ -321,7 +321,7 @@
             .collect()
     }
 
-    fn set_machine(&mut self, place: Place, part: Option<MachinePart>) {
+    fn set_machine(&mut self, place: SlabIndex, part: Option<MachinePart>) {
         let old = slot(&mut self.machines, place, None);
         if *old == part {
             return;
@@ -457,7 +457,7 @@
         }
     }
 
-    fn refresh_job(&mut self, ctx: &Context, place: Place) {
+    fn refresh_job(&mut self, ctx: &Context, place: SlabIndex) {
         if let Some(job) = self.jobs.quiet(place) {
             job.pace(self.clock);
             job.hunger(ctx);
@@ -467,9 +467,11 @@
                 let standing = self.standing(ctx, id, job);
                 // One that does not age while it fails may have come to zero as
                 // well; left out, it once stood by an old guess (seed 2291 as Jobs).
-                let guessed = standing.as_ref().is_some_and(|s| s.pace != Pace::Ageing)
+                let guessed = standing
+                    .as_ref()
+                    .is_some_and(|s| s.pace != AgeingState::Ageing)
                     && job.samples.is_empty()
-                    && job.spec.kind == Kind::Batch;
+                    && job.spec.kind == JobKind::Batch;
                 let part = job.part(ctx.config, guessed);
                 (Some(part), standing, self.job_due(ctx, job))
             }
@@ -487,7 +489,7 @@
     }
 
     /// Where a job stands that waits and may be served.
-    fn standing(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<Standing> {
+    fn standing(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
         let now = ctx.now.steady;
         let waits = job.cancelled.is_none()
             && !job.held
@@ -501,11 +503,11 @@
             return None;
         }
         let (pace, size) = match job.ageing_since {
-            Some(_) if job.aged_at() <= self.clock => (Pace::Aged, 0.0),
-            Some(_) => (Pace::Ageing, job.aged_at()),
-            None => (Pace::Fixed, (job.size - job.credit).max(0.0)),
+            Some(_) if job.aged_at() <= self.clock => (AgeingState::Aged, 0.0),
+            Some(_) => (AgeingState::Ageing, job.aged_at()),
+            None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
         };
-        let remaining = if size > 0.0 || job.spec.kind == Kind::Service {
+        let remaining = if size > 0.0 || job.spec.kind == JobKind::Service {
             0.0
         } else if Self::overdue(ctx, job) {
             // Beyond every use of its end it comes last.
@@ -514,16 +516,16 @@
             let left = job.tasks.len() as f64 - f64::from(job.done);
             left * job.spec.cpus * self.run_time(ctx.config, job)
         };
-        let rank = |first: bool, size: f64, remaining: f64| Rank {
-            service: Reverse(first && job.spec.kind == Kind::Service),
+        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(first && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
             tiny: Reverse(first && job.tiny(ctx.config)),
-            size: Real(size),
-            remaining: Real(remaining),
+            size: OrderedFloat(size),
+            remaining: OrderedFloat(remaining),
             submitted: job.ready_at,
             id: id.clone(),
         };
-        Some(Standing {
+        Some(QueueEntry {
             team: job.team,
             shape: job.shape.clone(),
             pace,
@@ -550,7 +552,7 @@
         .min()
     }
 
-    fn refresh_machine(&mut self, ctx: &Context, place: Place) {
+    fn refresh_machine(&mut self, ctx: &Context, place: SlabIndex) {
         let now = ctx.now.steady;
         let missing = Self::missing(ctx.config);
         let (part, view, due) = match self.machines.at(place) {
@@ -590,8 +592,8 @@
     }
 }
 
-fn m_part(m: &Machine, total: Option<Room>, now: Micros, missing: Micros) -> MachinePart {
-    let cpus = total.map_or(0, |t| units(t.cpus));
+fn m_part(m: &Machine, total: Option<Resources>, now: Micros, missing: Micros) -> MachinePart {
+    let cpus = total.map_or(0, |t| to_millionths(t.cpus));
     let up = m.up && !m.leaving;
     let booting = !m.ready && !m.leaving;
     MachinePart {
@@ -609,7 +611,7 @@
             .slots
             .values()
             .filter(|s| s.of_reserve)
-            .map(|s| units(s.room.cpus))
+            .map(|s| to_millionths(s.room.cpus))
             .sum(),
     }
 }
@@ -617,7 +619,7 @@
 impl Job {
     /// Lets the job age, or not, from this reading of the clock on.
     fn pace(&mut self, clock: f64) {
-        let ages = self.spec.kind == Kind::Batch
+        let ages = self.spec.kind == JobKind::Batch
             && self.cancelled.is_none()
             && !self.held
             && !self.ending
@@ -656,9 +658,9 @@
     }
 
     fn part(&self, config: &Config, guessed: bool) -> JobPart {
-        let service = self.spec.kind == Kind::Service;
+        let service = self.spec.kind == JobKind::Service;
         let placed = self.placed() as i64;
-        let cpus = units(self.spec.cpus);
+        let cpus = to_millionths(self.spec.cpus);
         let training = if self.trained || self.tiny(config) {
             0
         } else {
@@ -670,7 +672,7 @@
         JobPart {
             team: self.team,
             cpus: placed.saturating_mul(cpus),
-            gpus: placed.saturating_mul(units(self.spec.gpus)),
+            gpus: placed.saturating_mul(to_millionths(self.spec.gpus)),
             training,
             ages: self.ageing_since.is_some(),
             service,
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -1,24 +1,26 @@
 //! What is told of what this leader has learned, for one that follows.
 
 use super::*;
-use dillcleat_peer_protocol::{Learned, LearnedJob, MAX_CLASSES, MAX_LEARNED, MAX_SAMPLES};
+use dillcleat_peer_protocol::{
+    Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_SAMPLES,
+};
 
 /// Jobs that are told again in turn in one message, and places that are looked at for
 /// them, services and what has gone among them. With a hundred a message a leader of
 /// forty arrays spoke ten times as much among controllers, for nothing.
 const IN_TURN: usize = 16;
-const LOOKED_AT: Place = 128;
+const LOOKED_AT: SlabIndex = 128;
 
 impl Leader {
     /// Some of what was learned: jobs of which it has changed, and then the next ones
     /// in turn, so that who missed something hears it a little later. What ageing does
     /// to a job need not be told again: it follows from the clock.
-    pub fn learned(&mut self) -> Option<Learned> {
+    pub fn learned(&mut self) -> Option<Estimates> {
         if self.stage != RecoveryStage::Ready {
             return None;
         }
         let mut jobs = Vec::new();
-        while jobs.len() < MAX_LEARNED
+        while jobs.len() < MAX_JOB_ESTIMATES
             && let Some(place) = self.taught.pop_first()
         {
             jobs.extend(self.learned_of(place));
@@ -26,7 +28,7 @@
         let all = self.jobs.places();
         let mut told = 0;
         for _ in 0..all.min(LOOKED_AT) {
-            if jobs.len() >= MAX_LEARNED || told >= IN_TURN {
+            if jobs.len() >= MAX_JOB_ESTIMATES || told >= IN_TURN {
                 break;
             }
             self.told_next = (self.told_next + 1) % all;
@@ -38,14 +40,14 @@
     }
 
     /// All of it, for this node itself when it leads no more.
-    pub fn all_learned(&self) -> Option<Learned> {
+    pub fn all_learned(&self) -> Option<Estimates> {
         let jobs = (0..self.jobs.places()).filter_map(|place| self.learned_of(place));
         (self.stage == RecoveryStage::Ready).then(|| self.told(jobs.collect()))
     }
 
-    fn told(&self, jobs: Vec<LearnedJob>) -> Learned {
+    fn told(&self, jobs: Vec<JobEstimate>) -> Estimates {
         let classes = self.guesses.iter().take(MAX_CLASSES);
-        Learned {
+        Estimates {
             term: self.term,
             clock: self.clock,
             classes: classes.map(|(class, s)| (class.clone(), *s)).collect(),
@@ -53,13 +55,13 @@
         }
     }
 
-    fn learned_of(&self, place: Place) -> Option<LearnedJob> {
+    fn learned_of(&self, place: SlabIndex) -> Option<JobEstimate> {
         let (id, job) = self.jobs.at(place)?;
-        if job.spec.kind != Kind::Batch || job.cancelled.is_some() || job.ending {
+        if job.spec.kind != JobKind::Batch || job.cancelled.is_some() || job.ending {
             return None;
         }
         let samples = job.samples.iter().take(MAX_SAMPLES);
-        Some(LearnedJob {
+        Some(JobEstimate {
             job: id.to_string(),
             initial_size: job.initial_size,
             size: job.size,
@@ -75,7 +77,7 @@
         let Some(learned) = self.inherited.take(id) else {
             return;
         };
-        if job.spec.kind != Kind::Batch {
+        if job.spec.kind != JobKind::Batch {
             return;
         }
         self.inherited_jobs += 1;
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -57,7 +57,7 @@
         since.is_some_and(|at| ctx.now.steady >= at + ctx.config.blind_limit())
     }
 
-    pub fn checkin(&mut self, ctx: &mut Context, report: &Report) -> Answer {
+    pub fn checkin(&mut self, ctx: &mut Context, report: &Heartbeat) -> Answer {
         if report.token > self.term {
             self.notes.push(LeaderEvent::Higher(report.token));
             return Answer::refusal(421, "a later term has begun");
@@ -65,7 +65,7 @@
         if !self.entitled(ctx) {
             return Answer::later("the state is out of reach");
         }
-        let mut answer = ReportAnswer {
+        let mut answer = HeartbeatReply {
             token: self.term,
             commands: Vec::new(),
         };
@@ -102,7 +102,7 @@
         self.read_within(ctx, SIGHT)
     }
 
-    pub(super) fn take_report(&mut self, ctx: &Context, r: &Report, source: HeartbeatSource) {
+    pub(super) fn take_report(&mut self, ctx: &Context, r: &Heartbeat, source: HeartbeatSource) {
         let now = ctx.now.steady;
         if !self.machines.contains_key(r.machine.as_str()) {
             log::info!("{}: a machine not known before reports", r.machine);
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -158,7 +158,7 @@
             TaskEvent::Exited {
                 task,
                 attempt,
-                why: Why::Done,
+                why: ExitReason::Done,
                 ran,
             } => {
                 log::debug!("{}/{} is done on {machine}", task.0, task.1);
@@ -174,7 +174,7 @@
                 );
                 self.back_to_waiting(&task, attempt);
                 self.blame(ctx, machine, &task, why);
-                if why == Why::Error {
+                if why == ExitReason::Error {
                     self.notes.push(LeaderEvent::Failed {
                         job: task.0.to_string(),
                         task: task.1,
@@ -284,12 +284,15 @@
         })
     }
 
-    pub(super) fn blame(&mut self, ctx: &Context, machine: &str, key: &TaskKey, why: Why) {
+    pub(super) fn blame(&mut self, ctx: &Context, machine: &str, key: &TaskKey, why: ExitReason) {
         let now = ctx.now.steady;
         let Some(job) = self.jobs.get(&key.0) else {
             return;
         };
-        if why == Why::Error && job.spec.kind == Kind::Service && self.serves(job, &key.0, now) {
+        if why == ExitReason::Error
+            && job.spec.kind == JobKind::Service
+            && self.serves(job, &key.0, now)
+        {
             self.proves(&key.0);
         }
         let (Some(job), Some(m)) = (self.jobs.get_mut(&key.0), self.machines.get_mut(machine))
@@ -297,8 +300,8 @@
             return;
         };
         match why {
-            Why::NoRoom => m.blocked_until = now + 3 * SECOND,
-            Why::Error => {
+            ExitReason::NoRoom => m.blocked_until = now + 3 * SECOND,
+            ExitReason::Error => {
                 m.error_jobs.insert(key.0.clone());
                 let name = m.name.clone();
                 if job.record.proven() {
@@ -313,8 +316,10 @@
                     );
                 }
             }
-            Why::Stopped | Why::Done => {}
-            Why::Busy | Why::Unknown | Why::Other => job.blocked_until = now + 2 * SECOND,
+            ExitReason::Stopped | ExitReason::Done => {}
+            ExitReason::Busy | ExitReason::Unknown | ExitReason::Other => {
+                job.blocked_until = now + 2 * SECOND
+            }
         }
     }
 }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -35,21 +35,27 @@
 use crate::records::{
     self, CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
-use crate::sched::preemption::{Victim, make_room};
-use crate::sched::scale_out_plan::{Market, Refusals, plan};
-use crate::sched::{self, Floor, JobView, Line, MachineView, Place, Room, Shape, TeamView};
+use crate::sched::preemption::{PreemptionCandidate, choose_preemptions};
+use crate::sched::scale_out_plan::{PlanInputs, RefusedOfferings, plan_scale_out};
+use crate::sched::{
+    self, CapacityIndex, JobQueue, JobView, MachineView, ResourceRequest, Resources, SlabIndex,
+    TeamAllowance,
+};
 use crate::slab::Slab;
 use crate::write_queue::{PendingWrite, WriteBatch, WriteQueue, WriteRate};
 use crate::{
     Answer, CallId, Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros, seconds,
 };
-use dillcleat_peer_protocol::Progress;
-use dillcleat_sched::units;
+use dillcleat_peer_protocol::JobProgress;
+use dillcleat_sched::to_millionths;
 use dillcleat_wire::TaskName;
-use dillcleat_wire::cloud::{CloudReply, Condition, MachineList, MachineType, Rent};
-use dillcleat_wire::state::{self, Change, Event, Page, Row, StateCall, StateReply, Txn, Value};
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
-use dillcleat_wire::worker::{Command, Orders, Report, ReportAnswer, Why};
+use dillcleat_wire::cloud::{CloudResponse, InstanceState, MachineList, MachineType, ScaleOut};
+use dillcleat_wire::store::{
+    self, KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value,
+    WatchEvent,
+};
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
+use dillcleat_wire::worker::{Command, CommandBatch, ExitReason, Heartbeat, HeartbeatReply};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -71,7 +77,7 @@
 /// Part of the store's writes that records nobody waits for may take.
 const LATER_PART: f64 = 0.3;
 /// Bound of a transaction's size; the rest of the limit is for its frame.
-const BATCH_BYTES: usize = state::TXN_BYTES * 3 / 4;
+const BATCH_BYTES: usize = store::MAX_TRANSACTION_BYTES * 3 / 4;
 
 /// The machine types as they are in the store, and the version of their record.
 #[derive(Debug, Clone, Default)]
@@ -163,7 +169,7 @@
     /// Since when it could have had room for a task and got none, as far as this leader
     /// knows.
     waits_since: Option<Micros>,
-    shape: Rc<Shape>,
+    shape: Rc<ResourceRequest>,
     trained: bool,
     record: FailureRecord,
     blocked_until: Micros,
@@ -203,8 +209,8 @@
             credit: 0.0,
             ageing_since: None,
             waits_since: None,
-            shape: Rc::new(Shape::of(&open.spec)),
-            trained: open.spec.kind == Kind::Service,
+            shape: Rc::new(ResourceRequest::of(&open.spec)),
+            trained: open.spec.kind == JobKind::Service,
             record: FailureRecord::default(),
             blocked_until: 0,
             shown: (0, 0),
@@ -291,7 +297,7 @@
     reload_at: Option<(Micros, RecoveryPage)>,
     queue_revision: Option<u64>,
     /// Cancellations that were read before the jobs that they are of.
-    cancelled_rows: Vec<Row>,
+    cancelled_rows: Vec<KeyValue>,
     /// When the first page of the queue was asked for.
     load_sent: Micros,
     /// When the last answered read of the cancellations was sent; None before a new
@@ -325,7 +331,7 @@
     /// refused one.
     value_bytes: usize,
     cloud_queue: CloudQueue,
-    refusals: Refusals,
+    refusals: RefusedOfferings,
     boot_estimator: BootEstimator,
     /// Waiting jobs that the next rental plan looks at.
     plan_depth: usize,
@@ -346,9 +352,9 @@
     /// Jobs that were taken up as the leader before knew them.
     inherited_jobs: usize,
     /// Jobs of which something was learned that siblings have yet to be told.
-    taught: BTreeSet<Place>,
+    taught: BTreeSet<SlabIndex>,
     /// Of the others the one that was told last.
-    told_next: Place,
+    told_next: SlabIndex,
     /// A guess has changed since waiting jobs were last ordered by them.
     guesses_changed: bool,
     /// When tasks may be stopped for replicas again.
@@ -406,7 +412,7 @@
             write_rate: WriteRate::new(ctx.config.state_write_rps_before),
             value_bytes: ctx.config.value_bytes_before,
             cloud_queue: CloudQueue::new(ctx.config.cloud_rps, now),
-            refusals: Refusals::default(),
+            refusals: RefusedOfferings::default(),
             boot_estimator: BootEstimator::default(),
             plan_depth: PLAN_JOBS,
             dark: BTreeMap::new(),
@@ -449,11 +455,11 @@
         ctx: &mut Context,
         step: Step,
         sent: Micros,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         match step {
             Step::LoadMachines | Step::LoadQueue | Step::LoadTasks => match reply {
-                Ok(StateReply::Page(page)) => self.loaded(ctx, &step, page),
+                Ok(StoreResponse::RangePage(page)) => self.loaded(ctx, &step, page),
                 _ => {
                     if let Some((at, _)) = &mut self.reload_at {
                         *at = ctx.now.steady + RETRY;
@@ -470,13 +476,18 @@
         }
     }
 
-    fn watched(&mut self, ctx: &mut Context, sent: Micros, reply: Result<StateReply, CallError>) {
+    fn watched(
+        &mut self,
+        ctx: &mut Context,
+        sent: Micros,
+        reply: Result<StoreResponse, CallError>,
+    ) {
         match reply {
-            Ok(StateReply::Changes(changes)) => {
+            Ok(StoreResponse::WatchBatch(changes)) => {
                 self.last_consistent_read = self.last_consistent_read.max(Some(sent));
                 self.queue_revision = Some(changes.revision);
                 for event in changes.events {
-                    if let Event::Put {
+                    if let WatchEvent::Put {
                         key,
                         value,
                         version,
@@ -487,7 +498,7 @@
                 }
                 self.watch_at = Some(ctx.now.steady);
             }
-            Ok(StateReply::TooOld) => {
+            Ok(StoreResponse::Compacted) => {
                 log::error!("lost sight of the queue");
                 self.notes.push(LeaderEvent::Outdated);
             }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -23,7 +23,7 @@
             // Cancellations up to here are in what is read now.
             self.load_sent = ctx.now.steady;
         }
-        let call = StateCall::List {
+        let call = StoreRequest::List {
             prefix: prefix.into(),
             after: after.clone(),
         };
@@ -32,7 +32,7 @@
         ctx.state(call, waiter);
     }
 
-    pub(super) fn loaded(&mut self, ctx: &mut Context, step: &Step, page: Page) {
+    pub(super) fn loaded(&mut self, ctx: &mut Context, step: &Step, page: RangePage) {
         let last = page.rows.last().map(|r| r.key.clone());
         let more = page.more && last.is_some();
         let next = match step {
@@ -97,12 +97,12 @@
         self.load(ctx, next);
     }
 
-    pub(super) fn load_machines(&mut self, ctx: &Context, rows: &[Row]) {
+    pub(super) fn load_machines(&mut self, ctx: &Context, rows: &[KeyValue]) {
         for row in rows {
             let Some(name) = row.key.strip_prefix(records::MACHINES) else {
                 continue;
             };
-            let Some(r) = row.read::<MachineRecord>() else {
+            let Some(r) = row.decode_value::<MachineRecord>() else {
                 log::error!("{}: not a machine's record", row.key);
                 continue;
             };
@@ -177,7 +177,7 @@
             if self.jobs.contains_key(id) {
                 return;
             }
-            let Some(open) = state::read::<OpenJob>(value) else {
+            let Some(open) = store::decode_value::<OpenJob>(value) else {
                 log::error!("{key}: not a job's description");
                 return self.undescribed(ctx, id, value);
             };
@@ -189,7 +189,7 @@
             });
             let version = open.mark_version(version);
             let guess = self.guess(ctx.config, &open.spec.class);
-            self.service_came |= open.spec.kind == Kind::Service;
+            self.service_came |= open.spec.kind == JobKind::Service;
             let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
             self.inherit(id, &mut job);
             let id: Rc<str> = Rc::from(id);
@@ -213,7 +213,7 @@
         }
     }
 
-    pub(super) fn task_row(&mut self, ctx: &Context, row: &Row) {
+    pub(super) fn task_row(&mut self, ctx: &Context, row: &KeyValue) {
         let Some((id, span)) = records::parse_tasks_key(&row.key) else {
             return;
         };
@@ -221,7 +221,7 @@
             return self.orphan_row(id, row);
         };
         let id = id.clone();
-        let Some(chunk) = row.read::<TaskChunk>() else {
+        let Some(chunk) = row.decode_value::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
             return self.set_aside(ctx, &id, span, &row.key);
         };
@@ -309,7 +309,7 @@
 
 /// When a cancellation was confirmed at the earliest, by the record of it.
 fn confirmed(ctx: &Context, value: &Value) -> Micros {
-    let at = state::read::<CancelledJob>(value).map_or(0, |c| c.at);
+    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.at);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
     ctx.now.steady.saturating_sub(ago.min(ctx.config.cancel))
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -58,7 +58,7 @@
         }
         if self.watch_at.is_some_and(|at| ctx.now.steady >= at) {
             self.watch_at = None;
-            let call = StateCall::Watch {
+            let call = StoreRequest::Watch {
                 prefix: records::QUEUE.into(),
                 after: self.queue_revision.unwrap_or(0),
                 hold_ms: WATCH_MS,
@@ -148,7 +148,7 @@
     }
 
     /// A job as a pass or a plan sees it, with up to so many waiting tasks.
-    pub(super) fn job_view(&self, ctx: &Context, place: Place) -> Option<JobView<'_>> {
+    pub(super) fn job_view(&self, ctx: &Context, place: SlabIndex) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(place)?;
         let most = if job.record.doubtful() { 1 } else { PASS_TASKS };
         Some(JobView {
@@ -193,7 +193,7 @@
 
     pub(super) fn is_service(&self, id: &Rc<str>) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|j| j.spec.kind == Kind::Service && j.cancelled.is_none())
+        job.is_some_and(|j| j.spec.kind == JobKind::Service && j.cancelled.is_none())
     }
 
     /// Where a job's tasks are or may be, `but` for some machines. Only the rules
@@ -211,12 +211,12 @@
         zones
     }
 
-    pub(super) fn total(&self, machine_type: &str) -> Option<Room> {
+    pub(super) fn total(&self, machine_type: &str) -> Option<Resources> {
         self.types
             .as_ref()?
             .iter()
             .find(|t| t.name == machine_type)
-            .map(Room::of_type)
+            .map(Resources::of_type)
     }
 
     pub(super) fn view(&self, m: &Machine) -> Option<MachineView> {
@@ -224,7 +224,7 @@
         Some(Self::view_with(m, free))
     }
 
-    pub(super) fn view_with(m: &Machine, free: Room) -> MachineView {
+    pub(super) fn view_with(m: &Machine, free: Resources) -> MachineView {
         MachineView {
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
@@ -260,7 +260,7 @@
         let sums = &self.derived.sums;
         let mut teams = sums.team_views(ctx.config);
         let share = sums.fleet_cpus() * ctx.config.tuning.training_share;
-        let terms = sched::Terms {
+        let terms = sched::CycleLimits {
             clock: self.clock,
             training_cpus: share - sums.training_cpus(),
             reserve: self.reserve(ctx.config),
@@ -269,7 +269,8 @@
         // marked, and with that the floor is as the machines are.
         let mut floor = std::mem::take(&mut self.derived.floor);
         let view = |place| self.job_view(ctx, place);
-        let (made, seen) = sched::assign(&self.derived.line, view, &mut floor, &mut teams, terms);
+        let (made, seen) =
+            sched::run_cycle(&self.derived.line, view, &mut floor, &mut teams, terms);
         self.derived.floor = floor;
         self.counts.passes += 1;
         self.counts.jobs += seen as u64;
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -28,11 +28,11 @@
         let mut waiting = self
             .derived
             .line
-            .walk(sched::job_queue::Part::First, self.clock);
+            .cursor(sched::job_queue::QueueSection::First, self.clock);
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
-        while let Some(turn) = waiting.next_turn() {
-            waiting.go_on(turn.lane);
+        while let Some(turn) = waiting.next_job() {
+            waiting.advance(turn.lane);
             match self.job_view(ctx, turn.place) {
                 Some(job) if !job.service() => break,
                 Some(job) if self.hurried(ctx.config, &job.spec.class) => jobs.push(job),
@@ -56,7 +56,7 @@
             };
             for (key, slot) in m.slots.iter().filter(|(_, s)| !s.service) {
                 if slot.yielding {
-                    view.free.give(&slot.room);
+                    view.free.add(&slot.room);
                     continue;
                 }
                 let Some(job) = self.jobs.get(&key.0) else {
@@ -64,7 +64,7 @@
                 };
                 if slot.stored && slot.seen.is_some() {
                     keys.push((m.name.clone(), key.clone()));
-                    victims.push(Victim {
+                    victims.push(PreemptionCandidate {
                         machine: machines.len(),
                         room: slot.room,
                         priority: job.priority,
@@ -75,7 +75,7 @@
             machines.push(view);
         }
         let mut teams = self.derived.sums.team_views(ctx.config);
-        let stopped = make_room(&mut jobs, &mut machines, &mut teams, &victims);
+        let stopped = choose_preemptions(&mut jobs, &mut machines, &mut teams, &victims);
         self.room_at = now + ROOM_GAP;
         for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
             let Some(m) = self.machines.get_mut(&machine) else {
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -28,7 +28,7 @@
             };
             let ran = slot.running_since.map_or(0, |at| now.saturating_sub(at));
             let left = self.expected_run(ctx.config, job) - seconds(ran);
-            job.spec.kind == Kind::Batch
+            job.spec.kind == JobKind::Batch
                 && slot.stored
                 && slot.seen.is_some()
                 && !slot.cancelled
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -21,7 +21,7 @@
             }
             self.write_queue.resend_at = None;
             if let Some(b) = &self.write_queue.batch {
-                let call = StateCall::Txn(b.txn.clone());
+                let call = StoreRequest::Transaction(b.txn.clone());
                 let waiter = self.waiter(Step::WriteQueue);
                 ctx.state(call, waiter);
             }
@@ -38,7 +38,7 @@
         }
         let room = self.write_rate.room(ctx.now.steady).min(ctx.config.txn_ops);
         let mut batch = WriteBatch {
-            txn: Txn::default().compare(records::TERM, self.term_version),
+            txn: Transaction::default().compare(records::TERM, self.term_version),
             items: Vec::new(),
             placed: Vec::new(),
             uncertain: false,
@@ -56,8 +56,8 @@
             }
             let new = batch.txn.then[before.0..].iter();
             let sizes = new.map(|change| match change {
-                Change::Put { key, value, .. } => (key.len(), state::json_size(value)),
-                Change::Delete { .. } => (0, 0),
+                Mutation::Put { key, value, .. } => (key.len(), store::json_size(value)),
+                Mutation::Delete { .. } => (0, 0),
             });
             let sizes: Vec<(usize, usize)> = sizes.collect();
             if sizes.iter().any(|(_, value)| *value > self.value_bytes) {
@@ -73,7 +73,7 @@
             return;
         }
         self.write_rate.take(batch.txn.then.len());
-        let call = StateCall::Txn(batch.txn.clone());
+        let call = StoreRequest::Transaction(batch.txn.clone());
         self.write_queue.batch = Some(batch);
         let waiter = self.waiter(Step::WriteQueue);
         ctx.state(call, waiter);
@@ -98,7 +98,7 @@
     /// Adds an item's changes and conditions; false if it needs none.
     pub(super) fn add(&self, item: &PendingWrite, batch: &mut WriteBatch) -> bool {
         let txn = std::mem::take(&mut batch.txn);
-        let with_job = |txn: Txn, id: &str, version: u64| {
+        let with_job = |txn: Transaction, id: &str, version: u64| {
             let key = records::job_key(id);
             if txn.compare.iter().any(|c| c.key == key) {
                 txn
@@ -188,13 +188,13 @@
         added
     }
 
-    pub(super) fn written(&mut self, ctx: &mut Context, reply: Result<StateReply, CallError>) {
+    pub(super) fn written(&mut self, ctx: &mut Context, reply: Result<StoreResponse, CallError>) {
         let Some(mut batch) = self.write_queue.batch.take() else {
             return;
         };
         match reply {
-            Ok(StateReply::Committed { revision }) => self.applied(ctx, batch, revision),
-            Ok(StateReply::Conflict { failed, .. }) => {
+            Ok(StoreResponse::Committed { revision }) => self.applied(ctx, batch, revision),
+            Ok(StoreResponse::Conflict { failed, .. }) => {
                 if failed.iter().any(|k| k == records::TERM) {
                     self.notes.push(LeaderEvent::Outdated);
                     return;
@@ -213,18 +213,18 @@
                     }
                     self.write_queue.batch = Some(batch);
                     let waiter = self.waiter(Step::Reread { key: key.clone() });
-                    ctx.state(StateCall::Get { key }, waiter);
+                    ctx.state(StoreRequest::Get { key }, waiter);
                     return;
                 }
                 self.conflict(ctx, batch, &failed);
             }
-            Ok(StateReply::Malformed) => self.over_limit(ctx, batch),
-            Ok(StateReply::LeaseGone) => {
+            Ok(StoreResponse::Malformed) => self.over_limit(ctx, batch),
+            Ok(StoreResponse::LeaseExpired) => {
                 log::error!("the state service misses a lease that no batch has");
                 self.notes.push(LeaderEvent::Outdated);
             }
             other => {
-                if matches!(other, Ok(StateReply::TooMany)) {
+                if matches!(other, Ok(StoreResponse::RateLimited)) {
                     // Perhaps by the lower limit, which nobody tells of.
                     self.write_rate.limit(ctx.config.state_write_rps);
                 }
@@ -249,7 +249,7 @@
             Some(key) => {
                 self.write_queue.batch = Some(batch);
                 let waiter = self.waiter(Step::Reread { key: key.clone() });
-                ctx.state(StateCall::Get { key }, waiter);
+                ctx.state(StoreRequest::Get { key }, waiter);
             }
             None => self.again_smaller(ctx, batch),
         }
@@ -261,16 +261,18 @@
         &mut self,
         ctx: &mut Context,
         key: String,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let Some(batch) = self.write_queue.batch.take() else {
             return;
         };
         let before = batch.version(&key);
         match reply {
-            Ok(StateReply::Found(row)) if row.version == before => self.again_smaller(ctx, batch),
-            Ok(StateReply::Absent { .. }) if before == 0 => self.again_smaller(ctx, batch),
-            Ok(StateReply::Found(row)) => self.applied(ctx, batch, row.version),
+            Ok(StoreResponse::Found(row)) if row.version == before => {
+                self.again_smaller(ctx, batch)
+            }
+            Ok(StoreResponse::NotFound { .. }) if before == 0 => self.again_smaller(ctx, batch),
+            Ok(StoreResponse::Found(row)) => self.applied(ctx, batch, row.version),
             _ => {
                 self.write_queue.batch = Some(batch);
                 self.read_later(ctx, key.clone(), Step::Reread { key });
@@ -294,7 +296,7 @@
         {
             if let Some((_, key, step)) = self.reads.pop_front() {
                 let waiter = self.waiter(step);
-                ctx.state(StateCall::Get { key }, waiter);
+                ctx.state(StoreRequest::Get { key }, waiter);
             }
         }
     }
@@ -349,7 +351,7 @@
                 // By an earlier try, or by the leader before, later than this one has read.
                 batch.items.retain(|item| *item != PendingWrite::Types);
                 let waiter = self.waiter(Step::TypesVersion);
-                ctx.state(StateCall::Get { key: key.clone() }, waiter);
+                ctx.state(StoreRequest::Get { key: key.clone() }, waiter);
             } else {
                 log::error!("{key}: written by somebody else");
                 self.notes.push(LeaderEvent::Outdated);
@@ -360,9 +362,9 @@
     }
 
     /// The machine types are written again once the version of their record is known.
-    pub(super) fn types_version(&mut self, ctx: &Context, reply: Result<StateReply, CallError>) {
+    pub(super) fn types_version(&mut self, ctx: &Context, reply: Result<StoreResponse, CallError>) {
         match reply {
-            Ok(StateReply::Found(row)) => {
+            Ok(StoreResponse::Found(row)) => {
                 self.types_version = row.version;
                 self.write_queue.push(PendingWrite::Types);
             }
@@ -384,7 +386,7 @@
         }
         let waiter = self.waiter(Step::Ended { id: id.clone() });
         let key = records::job_key(id);
-        ctx.state(StateCall::Get { key }, waiter);
+        ctx.state(StoreRequest::Get { key }, waiter);
     }
 
     /// The record of a job whose end came from elsewhere, or from an earlier
@@ -393,12 +395,12 @@
         &mut self,
         ctx: &mut Context,
         id: Rc<str>,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
-        let Ok(StateReply::Found(row)) = reply else {
+        let Ok(StoreResponse::Found(row)) = reply else {
             return self.read_later(ctx, records::job_key(&id), Step::Ended { id });
         };
-        match row.read::<JobStateRecord>() {
+        match row.decode_value::<JobStateRecord>() {
             Some(mark) if mark.s == RecordedState::Done => self.job_done(ctx, &id, mark),
             Some(mark) if mark.s == RecordedState::Cancelled => {
                 if self.jobs.get(&id).is_some_and(|job| !job.stopped) {
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -8,7 +8,7 @@
 //! has ended, or a leader comes that can read it.
 
 use super::*;
-use dillcleat_wire::user::Claim;
+use dillcleat_wire::user::ResourceClaim;
 
 /// When the mark of an orphan is looked for again, if there was none.
 pub(super) const AGAIN: Micros = 30 * SECOND;
@@ -34,9 +34,13 @@
 impl Leader {
     /// A description can't be read: the job takes part in nothing.
     pub(super) fn undescribed(&mut self, ctx: &Context, id: &str, value: &Value) {
-        let claim = state::read::<records::OpenClaim>(value).and_then(|open| {
-            let Claim { team, cpus, gpus } = open.spec;
-            Some((ctx.config.team(&team)?, units(cpus), units(gpus)))
+        let claim = store::decode_value::<records::OpenClaim>(value).and_then(|open| {
+            let ResourceClaim { team, cpus, gpus } = open.spec;
+            Some((
+                ctx.config.team(&team)?,
+                to_millionths(cpus),
+                to_millionths(gpus),
+            ))
         });
         let orphan = self.unknown_jobs.entry(Rc::from(id)).or_default();
         orphan.described = true;
@@ -63,7 +67,7 @@
     }
 
     /// A record of a job that is not known: neither dropped nor forgotten.
-    pub(super) fn orphan_row(&mut self, id: &str, row: &Row) {
+    pub(super) fn orphan_row(&mut self, id: &str, row: &KeyValue) {
         let id: Rc<str> = Rc::from(id);
         let orphan = self.unknown_jobs.entry(id.clone()).or_default();
         orphan.records.push(row.key.clone());
@@ -71,7 +75,7 @@
             // Most likely it has ended, and only the clearing was not finished.
             self.dependency_proofs.look_for(id);
         }
-        let Some(chunk) = row.read::<TaskChunk>() else {
+        let Some(chunk) = row.decode_value::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
             orphan.anywhere = true;
             return;
@@ -92,7 +96,7 @@
         orphan.described = true;
         orphan.anywhere = true;
         orphan.cancelled = job.cancelled;
-        let (cpus, gpus) = (units(job.spec.cpus), units(job.spec.gpus));
+        let (cpus, gpus) = (to_millionths(job.spec.cpus), to_millionths(job.spec.gpus));
         let known = job.team < ctx.config.teams.len();
         orphan.claim = known.then_some((job.team, cpus, gpus));
         // How many of the record's tasks are placed is not known.
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,7 +1,7 @@
 //! Zones that have fallen silent.
 
 use super::*;
-use dillcleat_peer_protocol::Silence;
+use dillcleat_peer_protocol::SilentZone;
 
 /// After so many leases a machine is deleted though there is no other room for
 /// what was on it: its zone may be gone for good.
@@ -132,7 +132,7 @@
     }
 
     /// Zones that have fallen silent, and since when, for a leader to come.
-    pub fn silences(&self, now: Micros) -> Vec<Silence> {
+    pub fn silences(&self, now: Micros) -> Vec<SilentZone> {
         let mut heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         for m in self.cut_off().iter().filter_map(|m| self.machines.get(m)) {
             let latest = heard.entry(&m.zone).or_default();
@@ -141,7 +141,7 @@
         let quiet = |at: Micros| now.saturating_sub(at) / MILLISECOND;
         let heard = heard.into_iter().take(dillcleat_peer_protocol::MAX_ZONES);
         heard
-            .map(|(zone, at)| Silence {
+            .map(|(zone, at)| SilentZone {
                 zone: zone.to_string(),
                 quiet_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
             })
@@ -168,7 +168,7 @@
     use super::*;
     use crate::machines::Machine;
 
-    fn machine(kind: Kind, tasks: u32, cpus: f64) -> Machine {
+    fn machine(kind: JobKind, tasks: u32, cpus: f64) -> Machine {
         let mut m = Machine::new("m", "t", "z", false, 0);
         let spec = JobSpec::plain("req-1", kind, tasks, cpus);
         for i in 0..tasks {
@@ -187,16 +187,16 @@
             replicas: 5.0,
             arrays: 4.0,
         };
-        let replicas = machine(Kind::Service, 2, 2.0);
-        let array = machine(Kind::Batch, 1, 3.0);
-        let empty = machine(Kind::Batch, 0, 0.0);
+        let replicas = machine(JobKind::Service, 2, 2.0);
+        let array = machine(JobKind::Batch, 1, 3.0);
+        let empty = machine(JobKind::Batch, 0, 0.0);
         assert!(elsewhere.takes(&replicas));
         assert!(!elsewhere.takes(&replicas), "one CPU is left for replicas");
         assert!(elsewhere.takes(&array));
         assert!(!elsewhere.takes(&array));
         assert!(elsewhere.takes(&empty), "nothing on it needs room");
         elsewhere.expect(&array);
-        assert!(!elsewhere.takes(&machine(Kind::Batch, 1, 0.5)));
+        assert!(!elsewhere.takes(&machine(JobKind::Batch, 1, 0.5)));
         assert!(elsewhere.takes(&empty));
     }
 }
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -11,7 +11,7 @@
 //! out when the cut ended (docs/incidents/rosterwise-nz-fleet-late-deletion.md).
 
 use crate::{Config, Micros, SECOND, micros};
-use dillcleat_wire::cloud::CloudCall;
+use dillcleat_wire::cloud::CloudRequest;
 
 /// The longest that a proof may be old, however long the loan is.
 const OLDEST: Micros = 4 * SECOND;
@@ -50,7 +50,7 @@
 pub enum CloudAction {
     /// Changes nothing.
     Look,
-    Rent,
+    ScaleOut,
     Delete(DeletionReason),
 }
 
@@ -78,7 +78,7 @@
         let until = match action {
             CloudAction::Look => Micros::MAX,
             _ if self.proved(config, now) => self.proved + proof_time(config),
-            CloudAction::Rent | CloudAction::Delete(_) => return None,
+            CloudAction::ScaleOut | CloudAction::Delete(_) => return None,
         };
         let lasting = action != CloudAction::Look;
         Some(CloudPermit { until, lasting })
@@ -87,8 +87,8 @@
 
 impl CloudPermit {
     /// Whether it permits a call such as this.
-    pub fn covers(&self, call: &CloudCall) -> bool {
-        let lasting = matches!(call, CloudCall::Rent(_) | CloudCall::Delete(_));
+    pub fn covers(&self, call: &CloudRequest) -> bool {
+        let lasting = matches!(call, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_));
         self.lasting || !lasting
     }
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -34,10 +34,10 @@
 pub use node::Node;
 
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::{CloudCall, CloudReply};
-use dillcleat_wire::state::{StateCall, StateReply};
+use dillcleat_wire::cloud::{CloudRequest, CloudResponse};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
 use dillcleat_wire::user::JobState;
-use dillcleat_wire::worker::Orders;
+use dillcleat_wire::worker::CommandBatch;
 
 /// Whole microseconds, of the steady clock or of the time of day.
 pub type Micros = u64;
@@ -93,11 +93,11 @@
     },
     Store {
         id: CallId,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     },
     Cloud {
         id: CallId,
-        reply: Result<CloudReply, CallError>,
+        reply: Result<CloudResponse, CallError>,
     },
     /// A worker's answer to orders: its status and body.
     Commands {
@@ -118,12 +118,12 @@
     },
     Store {
         id: CallId,
-        call: StateCall,
+        call: StoreRequest,
         timeout: Micros,
     },
     Cloud {
         id: CallId,
-        call: CloudCall,
+        call: CloudRequest,
         timeout: Micros,
         /// For how long it may be put on its way. What could not be sent by then is
         /// not sent any more: its sender may have lost the lead.
@@ -132,7 +132,7 @@
     Commands {
         id: CallId,
         addr: String,
-        orders: Orders,
+        orders: CommandBatch,
         timeout: Micros,
     },
     /// To every other controller that is connected.
@@ -178,7 +178,7 @@
     pub fn refusal(status: u16, error: impl Into<String>) -> Self {
         Answer::body(
             status,
-            &dillcleat_wire::user::Refusal {
+            &dillcleat_wire::user::ErrorReply {
                 error: error.into(),
             },
         )
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -7,11 +7,11 @@
 
 use crate::failure_attribution::MachineStrikes;
 use crate::node::WORKER_PATIENCE;
-use crate::sched::{Images, Place, Room};
+use crate::sched::{Images, Resources, SlabIndex};
 use crate::{CallId, Micros, micros};
 use dillcleat_wire::TaskName;
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{Command, Report, TaskState, Why};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{Command, ExitReason, Heartbeat, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -22,13 +22,13 @@
 pub struct TaskSlot {
     pub attempt: u64,
     pub session: u64,
-    pub room: Room,
+    pub room: Resources,
     /// A replica of a service.
     pub service: bool,
     /// It takes room that was kept for services.
     pub of_reserve: bool,
     /// The number of its job, for estimates: a job that has gone gives it on.
-    pub job: Place,
+    pub job: SlabIndex,
     /// The placement is in the store; before that nothing is sent.
     pub stored: bool,
     /// Its job is cancelled: it is to be stopped, and never launched.
@@ -67,7 +67,7 @@
     Exited {
         task: TaskKey,
         attempt: u64,
-        why: Why,
+        why: ExitReason,
         ran: Option<Micros>,
     },
     /// Gone without a result: a later session, or absent by proof.
@@ -198,14 +198,14 @@
     pub fn slot(
         attempt: u64,
         session: u64,
-        (job, spec): (Place, &JobSpec),
+        (job, spec): (SlabIndex, &JobSpec),
         stored: bool,
     ) -> TaskSlot {
         TaskSlot {
             attempt,
             session,
-            room: Room::of_task(spec),
-            service: spec.kind == Kind::Service,
+            room: Resources::of_task(spec),
+            service: spec.kind == JobKind::Service,
             of_reserve: false,
             job,
             stored,
@@ -218,10 +218,10 @@
         }
     }
 
-    pub fn free(&self, total: Room) -> Room {
+    pub fn free(&self, total: Resources) -> Resources {
         let mut free = total;
         for slot in self.slots.values() {
-            free.take(&slot.room);
+            free.subtract(&slot.room);
         }
         free
     }
@@ -312,7 +312,7 @@
     /// Takes a report in. Nothing but a newer one changes anything.
     pub fn report(
         &mut self,
-        r: &Report,
+        r: &Heartbeat,
         source: HeartbeatSource,
         term: u64,
         now: Micros,
@@ -377,7 +377,7 @@
                     events.push(TaskEvent::Exited {
                         task: key,
                         attempt: t.attempt,
-                        why: t.why.unwrap_or(Why::Other),
+                        why: t.why.unwrap_or(ExitReason::Other),
                         ran: slot
                             .running_since
                             .filter(|_| slot.watched)
@@ -449,7 +449,7 @@
                 && !self.unanswered.contains(&launch)
                 && !self.in_push(&launch)
             {
-                commands.push(Command::Forget {
+                commands.push(Command::Reap {
                     task: task.clone(),
                     attempt: *attempt,
                 });
@@ -475,7 +475,7 @@
                     commands.push(stop(key, slot));
                 }
             } else if slot.seen.is_none() && !self.in_push(&(name(key), slot.attempt)) {
-                commands.push(Command::Start {
+                commands.push(Command::Launch {
                     task: name(key),
                     attempt: slot.attempt,
                 });
@@ -496,7 +496,7 @@
     pub fn answered_with(&mut self, commands: &[Command]) {
         let at = (self.session, self.seq);
         for c in commands {
-            if let Command::Start { task, attempt } = c
+            if let Command::Launch { task, attempt } = c
                 && let Some(slot) = self
                     .slots
                     .get_mut(&(Rc::from(task.job.as_str()), task.index))
@@ -511,7 +511,7 @@
         let launches = commands
             .iter()
             .filter_map(|c| match c {
-                Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+                Command::Launch { task, attempt } => Some((task.clone(), *attempt)),
                 _ => None,
             })
             .collect();
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -16,9 +16,9 @@
     SchedulerCounters, Timestamp, micros,
 };
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::state::StateReply;
+use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JobSpec, JobState, Route, route};
-use dillcleat_wire::worker::{Elsewhere, Report};
+use dillcleat_wire::worker::{Heartbeat, LeaderRedirect};
 use std::collections::HashMap;
 
 const BEAT: Micros = 500 * MILLISECOND;
@@ -213,12 +213,12 @@
                 body,
             } => self.request(now, &mut out, id, &method, &target, &body),
             Input::Store { id, reply } => {
-                if matches!(&reply, Ok(r) if *r != StateReply::Unavailable) {
+                if matches!(&reply, Ok(r) if *r != StoreResponse::Unavailable) {
                     self.served_at = Some(now.steady);
                 }
                 let failed = matches!(
                     reply,
-                    Err(_) | Ok(StateReply::Unavailable | StateReply::TooMany)
+                    Err(_) | Ok(StoreResponse::Unavailable | StoreResponse::RateLimited)
                 );
                 let answered = reply.is_ok();
                 let closed = ctx.calls.close(id, failed);
@@ -488,7 +488,7 @@
     }
 
     fn report(&mut self, now: Timestamp, out: &mut Vec<Output>, body: &[u8]) -> Answer {
-        let report = match dillcleat_wire::decode::<Report>(body) {
+        let report = match dillcleat_wire::decode::<Heartbeat>(body) {
             Ok(r) => {
                 self.worker_at = now.steady;
                 r
@@ -510,7 +510,7 @@
             return answer;
         }
         let report_to = self.lead(now).map(str::to_string);
-        Answer::body(421, &Elsewhere { report_to })
+        Answer::body(421, &LeaderRedirect { report_to })
     }
 
     /// Which other node leads, as far as is known: by the store, unless a sibling says
@@ -565,7 +565,7 @@
 
     fn beat(&mut self, out: &mut Vec<Output>, now: Timestamp, asked: u32) {
         out.push(Output::Peer {
-            message: Message::Beat {
+            message: Message::Heartbeat {
                 term: self.leadership.term(),
                 leads: self.leader.is_some(),
                 served: self.served(now),
@@ -577,12 +577,12 @@
             let silent = leader.silences(now.steady);
             if !silent.is_empty() {
                 out.push(Output::Peer {
-                    message: Message::Silent(silent),
+                    message: Message::SilentZones(silent),
                 });
             }
             if let Some(learned) = leader.learned() {
                 out.push(Output::Peer {
-                    message: Message::Learned(learned),
+                    message: Message::Estimates(learned),
                 });
             }
             let progress = leader.progress();
@@ -592,7 +592,7 @@
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
                 out.push(Output::Peer {
-                    message: Message::Progress(told),
+                    message: Message::JobProgress(told),
                 });
             }
         }
@@ -601,7 +601,7 @@
     fn mesh(&mut self, now: Timestamp, out: &mut Vec<Output>, from: String, message: Message) {
         match message {
             Message::Hello { .. } => {}
-            Message::Beat {
+            Message::Heartbeat {
                 term,
                 leads,
                 served,
@@ -629,7 +629,7 @@
                 let change = self.leadership.outdated(&mut ctx, term);
                 self.follow(now, out, change);
             }
-            Message::Silent(zones) => {
+            Message::SilentZones(zones) => {
                 let heard = |ms: u32| now.steady.saturating_sub(u64::from(ms) * MILLISECOND);
                 self.silent = zones
                     .into_iter()
@@ -637,11 +637,11 @@
                     .collect();
                 self.silent_at = now.steady;
             }
-            Message::Learned(learned) => {
+            Message::Estimates(learned) => {
                 self.learned.take(&self.config, learned, now.steady);
             }
             // A leader that has a successor may not know it yet.
-            Message::Progress(jobs) => {
+            Message::JobProgress(jobs) => {
                 if self.leader.is_none() && !self.siblings.has_successor(&from, now.steady) {
                     self.admission.progress.heard(jobs);
                 }
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -6,7 +6,7 @@
 //! new leader has had the time to hear its machines.
 
 use crate::{Micros, SECOND};
-use dillcleat_peer_protocol::{MAX_PROGRESS, Progress};
+use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS};
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
@@ -40,8 +40,8 @@
         self.jobs.get(job).map(|c| (c.done, c.running))
     }
 
-    fn put(&mut self, told: Progress, own: bool) {
-        let Progress { job, done, running } = told;
+    fn put(&mut self, told: JobProgress, own: bool) {
+        let JobProgress { job, done, running } = told;
         // That is also what is told of a job that has ended.
         if (done, running) == (0, 0) {
             self.jobs.remove(&job);
@@ -58,14 +58,14 @@
     }
 
     /// A leader elsewhere has told this.
-    pub fn heard(&mut self, told: Vec<Progress>) {
+    pub fn heard(&mut self, told: Vec<JobProgress>) {
         for progress in told {
             self.put(progress, false);
         }
     }
 
     /// The leader of this process tells this.
-    pub fn shown(&mut self, told: &[Progress]) {
+    pub fn shown(&mut self, told: &[JobProgress]) {
         for progress in told {
             self.put(progress.clone(), true);
         }
@@ -94,17 +94,17 @@
 
     /// What the leader of this process has to tell besides what has changed, `all` of
     /// which is told, or there is more.
-    pub fn tell(&mut self, all: bool, now: Micros) -> Vec<Vec<Progress>> {
+    pub fn tell(&mut self, all: bool, now: Micros) -> Vec<Vec<JobProgress>> {
         if all && self.heard_at.is_some_and(|at| now >= at) {
             self.heard_at = None;
             self.tell_all();
         }
-        let nothing = |job: String| Progress {
+        let nothing = |job: String| JobProgress {
             job,
             done: 0,
             running: 0,
         };
-        let mut told: Vec<Progress> = self.over.drain(..).map(nothing).collect();
+        let mut told: Vec<JobProgress> = self.over.drain(..).map(nothing).collect();
         if let Some(after) = self.after.take() {
             let rest = self.jobs.range::<str, _>((Excluded(&*after), Unbounded));
             let page: Vec<(String, Counts)> = rest
@@ -116,7 +116,7 @@
             }
             for (job, Counts { done, running, own }) in page {
                 if own {
-                    told.push(Progress { job, done, running });
+                    told.push(JobProgress { job, done, running });
                 } else if self.heard_at.is_none() {
                     // A leader before this one has told it, and it is so no more.
                     self.jobs.remove(&job);
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -19,7 +19,7 @@
 //! A new leader so reads what is unfinished only, however many jobs have ended.
 
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::user::{Claim, JobSpec, JobState};
+use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
 use serde::{Deserialize, Serialize};
 
 pub const SHARED: &str = "s/";
@@ -150,7 +150,7 @@
 /// a form that is not known here.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
-    pub spec: Claim,
+    pub spec: ResourceClaim,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/controller/src/slab.rs
+++ b/crates/controller/src/slab.rs
@@ -5,7 +5,7 @@
 //! it (an index, a sum) can be brought up to date by looking at the marked ones
 //! alone. Nothing can be changed unmarked but by [`Slab::quiet`].
 
-use dillcleat_sched::Place;
+use dillcleat_sched::SlabIndex;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -18,9 +18,9 @@
 #[derive(Debug)]
 pub struct Slab<T> {
     held: Vec<Option<Held<T>>>,
-    by_name: HashMap<Rc<str>, Place>,
-    vacant: Vec<Place>,
-    marked: Vec<Place>,
+    by_name: HashMap<Rc<str>, SlabIndex>,
+    vacant: Vec<SlabIndex>,
+    marked: Vec<SlabIndex>,
     is_marked: Vec<bool>,
 }
 
@@ -45,7 +45,7 @@
         self.by_name.is_empty()
     }
 
-    pub fn place(&self, name: &str) -> Option<Place> {
+    pub fn place(&self, name: &str) -> Option<SlabIndex> {
         self.by_name.get(name).copied()
     }
 
@@ -69,26 +69,26 @@
         self.quiet(place)
     }
 
-    pub fn at(&self, place: Place) -> Option<(&Rc<str>, &T)> {
+    pub fn at(&self, place: SlabIndex) -> Option<(&Rc<str>, &T)> {
         let held = self.held.get(place as usize)?.as_ref()?;
         Some((&held.name, &held.value))
     }
 
     /// To change what nothing is derived from.
-    pub fn quiet(&mut self, place: Place) -> Option<&mut T> {
+    pub fn quiet(&mut self, place: SlabIndex) -> Option<&mut T> {
         let held = self.held.get_mut(place as usize)?.as_mut()?;
         Some(&mut held.value)
     }
 
     /// Puts a thing on the slab, in place of one of the same name.
-    pub fn insert(&mut self, name: Rc<str>, value: T) -> Place {
+    pub fn insert(&mut self, name: Rc<str>, value: T) -> SlabIndex {
         let place = match self.place(&name) {
             Some(place) => place,
             None => self.vacant.pop().unwrap_or_else(|| {
                 self.held.push(None);
                 self.is_marked.push(false);
                 // As many as fit memory.
-                (self.held.len() - 1) as Place
+                (self.held.len() - 1) as SlabIndex
             }),
         };
         self.by_name.insert(name.clone(), place);
@@ -104,7 +104,7 @@
         self.held[place as usize].take().map(|h| h.value)
     }
 
-    pub fn mark(&mut self, place: Place) {
+    pub fn mark(&mut self, place: SlabIndex) {
         if let Some(marked) = self.is_marked.get_mut(place as usize)
             && !*marked
         {
@@ -117,13 +117,13 @@
     pub fn mark_all(&mut self) {
         for place in 0..self.held.len() {
             if self.held[place].is_some() {
-                self.mark(place as Place);
+                self.mark(place as SlabIndex);
             }
         }
     }
 
     /// What is marked, in the order in which it was, no longer marked.
-    pub fn take_marked(&mut self) -> Vec<Place> {
+    pub fn take_marked(&mut self) -> Vec<SlabIndex> {
         for place in &self.marked {
             self.is_marked[*place as usize] = false;
         }
@@ -136,8 +136,8 @@
     }
 
     /// All numbers that have been given are below it.
-    pub fn places(&self) -> Place {
-        self.held.len() as Place
+    pub fn places(&self) -> SlabIndex {
+        self.held.len() as SlabIndex
     }
 
     /// What each number stands for; None for those that are vacant.
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -9,7 +9,7 @@
 use crate::machines::TaskKey;
 use crate::records::TaskRange;
 use crate::token_bucket::TokenBucket;
-use dillcleat_wire::state::Txn;
+use dillcleat_wire::store::Transaction;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
 /// A batch under way.
 #[derive(Debug, Clone)]
 pub struct WriteBatch {
-    pub txn: Txn,
+    pub txn: Transaction,
     pub items: Vec<PendingWrite>,
     /// New placements in it: task, attempt.
     pub placed: Vec<(TaskKey, u64)>,
--- a/crates/controller/tests/answers.rs
+++ b/crates/controller/tests/answers.rs
@@ -5,7 +5,7 @@
 
 use common::users::{Driven, Store, spec, with};
 use dillcleat_controller::{Micros, SECOND, records};
-use dillcleat_wire::state::{StateCall, StateReply, Value};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
 const START: Micros = 1000 * SECOND;
@@ -141,7 +141,7 @@
     let cancellation = node.cancel(JOB);
     node.settle(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
-    let conflict = StateReply::Conflict {
+    let conflict = StoreResponse::Conflict {
         failed: vec![records::job_key(JOB)],
         revision: 2,
     };
@@ -209,7 +209,7 @@
         let end = done_first.then(|| store.done(JOB));
         let reply = store.carry_out(&call);
         let end = end.unwrap_or_else(|| store.done(JOB));
-        assert_eq!(matches!(end, StateReply::Committed { .. }), done_first);
+        assert_eq!(matches!(end, StoreResponse::Committed { .. }), done_first);
         // The others are asked before the one that cancels hears of its transaction.
         let asking: [Asking; 4] = [
             |n| n.poll(JOB),
@@ -286,7 +286,7 @@
     assert_eq!(node.sent.len(), 3);
     node.serve(&mut store);
     let (both, call) = node.sent.pop().expect("a comparison");
-    let StateCall::Txn(txn) = &call else {
+    let StoreRequest::Transaction(txn) = &call else {
         panic!("{call:?}");
     };
     assert_eq!(txn.compare.len(), 2);
--- a/crates/controller/tests/blind.rs
+++ b/crates/controller/tests/blind.rs
@@ -6,7 +6,7 @@
 use common::step;
 use dillcleat_controller::{Input, RequestId, SECOND};
 use dillcleat_wire::encode;
-use dillcleat_wire::worker::Report;
+use dillcleat_wire::worker::Heartbeat;
 
 #[test]
 fn reports_are_answered_only_while_a_cancellation_could_still_be_obeyed() {
@@ -18,7 +18,7 @@
     for s in 1..60 {
         let at = start + s * SECOND;
         step(&mut node, at, Input::Tick, &[]);
-        let report = Report {
+        let report = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -6,14 +6,18 @@
     CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
     Timestamp,
 };
-use dillcleat_wire::cloud::{CloudCall, CloudReply, Condition, ListedMachine, MachineList};
-use dillcleat_wire::cloud::{MachineType, Rent};
-use dillcleat_wire::state::{
-    Change, Changes, Compare, Event, Page, Row, StateCall, StateReply, Txn, Value, value,
+use dillcleat_wire::cloud::{
+    CloudRequest, CloudResponse, InstanceState, ListedMachine, MachineList,
+};
+use dillcleat_wire::cloud::{MachineType, ScaleOut};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction, Value,
+    WatchBatch, WatchEvent, encode_value,
 };
 use dillcleat_wire::user::{JobSpec, cancel_path};
 use dillcleat_wire::worker::{
-    Command, Orders, REPORT_PATH, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, CommandBatch, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, TaskState,
+    TaskStatus,
 };
 use dillcleat_wire::{TaskName, decode, encode};
 use std::collections::BTreeMap;
@@ -23,18 +27,18 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    rows: BTreeMap<String, Row>,
-    events: Vec<(u64, String, Event)>,
+    rows: BTreeMap<String, KeyValue>,
+    events: Vec<(u64, String, WatchEvent)>,
     revision: u64,
 }
 
 impl Store {
-    fn carry_out(&mut self, txn: &Txn) -> StateReply {
-        let version = |c: &&Compare| self.rows.get(&c.key).map_or(0, |r| r.version);
+    fn carry_out(&mut self, txn: &Transaction) -> StoreResponse {
+        let version = |c: &&Precondition| self.rows.get(&c.key).map_or(0, |r| r.version);
         let unequal = txn.compare.iter().filter(|c| version(c) != c.version);
         let failed: Vec<String> = unequal.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return StateReply::Conflict {
+            return StoreResponse::Conflict {
                 failed,
                 revision: self.revision,
             };
@@ -43,38 +47,38 @@
         for change in &txn.then {
             self.change(change.clone());
         }
-        StateReply::Committed {
+        StoreResponse::Committed {
             revision: self.revision,
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: Mutation) {
         let version = self.revision;
         let (key, event) = match change {
-            Change::Put { key, value, lease } => {
-                let row = Row {
+            Mutation::Put { key, value, lease } => {
+                let row = KeyValue {
                     key: key.clone(),
                     value: value.clone(),
                     version,
                     lease,
                 };
                 self.rows.insert(key.clone(), row);
-                let put = Event::Put {
+                let put = WatchEvent::Put {
                     key: key.clone(),
                     value,
                     version,
                 };
                 (key, put)
             }
-            Change::Delete { key } => {
+            Mutation::Delete { key } => {
                 self.rows.remove(&key);
-                (key.clone(), Event::Delete { key, version })
+                (key.clone(), WatchEvent::Delete { key, version })
             }
         };
         self.events.push((version, key, event));
     }
 
-    fn since(&self, prefix: &str, after: u64) -> Vec<Event> {
+    fn since(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let events = self.events.iter();
         let new = events.filter(|(at, key, _)| *at > after && key.starts_with(prefix));
         new.map(|(_, _, event)| event.clone()).collect()
@@ -84,7 +88,7 @@
 #[derive(Debug, Clone)]
 struct Task {
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     ends: Micros,
 }
 
@@ -114,16 +118,16 @@
     /// It does nothing for now, and then goes on.
     pub hung: bool,
     /// Orders that came while it hung.
-    held: Vec<Orders>,
+    held: Vec<CommandBatch>,
     /// Every task that starts here fails at once.
     pub faulty: bool,
 }
 
 impl Worker {
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         let tasks = self.tasks.iter();
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: format!("{}:9000", self.name),
             machine_type: "t".into(),
@@ -134,7 +138,7 @@
             token: self.token,
             notice_s: None,
             tasks: tasks
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: t.state,
@@ -215,7 +219,7 @@
         let record = records::MachineTypesRecord {
             types: types.clone(),
         };
-        store.carry_out(&Txn::default().put(records::TYPES, &record));
+        store.carry_out(&Transaction::default().put(records::TYPES, &record));
         Fleet {
             node: Node::new(config.clone()),
             config,
@@ -288,7 +292,8 @@
             spec,
         };
         let key = records::open_key(&open.spec.id);
-        self.store.carry_out(&Txn::default().put(key, &open));
+        self.store
+            .carry_out(&Transaction::default().put(key, &open));
     }
 
     /// A user cancels the job here; the answer's status.
@@ -332,9 +337,9 @@
 
     /// Sets a record as another node would.
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
-        let change = Change::Put {
+        let change = Mutation::Put {
             key,
-            value: value(record),
+            value: encode_value(record),
             lease: None,
         };
         self.store.revision += 1;
@@ -401,7 +406,7 @@
             for task in w.tasks.values_mut() {
                 if task.state == TaskState::Running && at >= task.ends {
                     task.state = TaskState::Exited;
-                    task.why = Some(Why::Done);
+                    task.why = Some(ExitReason::Done);
                     w.report_at = w.report_at.min(at + SECOND / 2);
                 }
             }
@@ -431,7 +436,7 @@
             let answered = !out && (!events.is_empty() || at >= *until);
             if answered {
                 let revision = store.revision;
-                let reply = Ok(StateReply::Changes(Changes { revision, events }));
+                let reply = Ok(StoreResponse::WatchBatch(WatchBatch { revision, events }));
                 due.push(Input::Store { id: *id, reply });
             }
             !answered
@@ -451,10 +456,10 @@
             }
             w.report_at = at + every;
             let body = encode(&w.report());
-            let Some((200, body)) = self.request("POST", REPORT_PATH.into(), body) else {
+            let Some((200, body)) = self.request("POST", HEARTBEAT_PATH.into(), body) else {
                 continue;
             };
-            let answer: ReportAnswer = decode(&body).expect("an answer to a report");
+            let answer: HeartbeatReply = decode(&body).expect("an answer to a report");
             let w = self.worker(&name);
             if w.deaf {
                 // It waits for the answer, and then pauses.
@@ -477,7 +482,7 @@
         let at = self.at;
         for command in commands {
             match command {
-                Command::Start { task, attempt } => {
+                Command::Launch { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.worker(name).tasks.contains_key(&key) {
                         continue;
@@ -497,7 +502,7 @@
                             true => TaskState::Exited,
                             false => TaskState::Running,
                         },
-                        why: faulty.then_some(Why::Error),
+                        why: faulty.then_some(ExitReason::Error),
                         ends,
                     };
                     w.tasks.insert(key, task_now);
@@ -513,11 +518,11 @@
                         && t.state == TaskState::Running
                     {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Stopped);
+                        t.why = Some(ExitReason::Stopped);
                         w.report_at = w.report_at.min(at + SECOND / 2);
                     }
                 }
-                Command::Forget { task, attempt } => {
+                Command::Reap { task, attempt } => {
                     let w = self.worker(name);
                     w.tasks.remove(&(task.clone(), *attempt));
                 }
@@ -526,7 +531,7 @@
     }
 
     /// Orders reach a worker; status and body of its answer.
-    fn ordered(&mut self, name: &str, orders: &Orders) -> (u16, Vec<u8>) {
+    fn ordered(&mut self, name: &str, orders: &CommandBatch) -> (u16, Vec<u8>) {
         let at = self.at;
         let w = self.worker(name);
         if orders.token < w.token || orders.session != w.session {
@@ -594,14 +599,14 @@
         answers
     }
 
-    fn state(&mut self, id: CallId, call: &StateCall) -> Option<Input> {
+    fn state(&mut self, id: CallId, call: &StoreRequest) -> Option<Input> {
         let revision = self.store.revision;
-        let prefixed = |prefix: &str| -> Vec<Row> {
+        let prefixed = |prefix: &str| -> Vec<KeyValue> {
             let rows = self.store.rows.values();
             let of = rows.filter(|r| r.key.starts_with(prefix));
             of.cloned().collect()
         };
-        if let StateCall::Watch {
+        if let StoreRequest::Watch {
             prefix,
             after,
             hold_ms,
@@ -612,21 +617,21 @@
             return None;
         }
         if self.outage {
-            let reply = Ok(StateReply::Unavailable);
+            let reply = Ok(StoreResponse::Unavailable);
             return Some(Input::Store { id, reply });
         }
-        self.reads += usize::from(matches!(call, StateCall::Get { .. }));
+        self.reads += usize::from(matches!(call, StoreRequest::Get { .. }));
         let reply = match call {
-            StateCall::Get { key } => match self.store.rows.get(key) {
-                Some(row) => StateReply::Found(row.clone()),
-                None => StateReply::Absent { revision },
+            StoreRequest::Get { key } => match self.store.rows.get(key) {
+                Some(row) => StoreResponse::Found(row.clone()),
+                None => StoreResponse::NotFound { revision },
             },
-            StateCall::List { prefix, .. } => StateReply::Page(Page {
+            StoreRequest::List { prefix, .. } => StoreResponse::RangePage(RangePage {
                 rows: prefixed(prefix),
                 more: false,
                 revision,
             }),
-            StateCall::Txn(txn) => {
+            StoreRequest::Transaction(txn) => {
                 let reply = self.store.carry_out(txn);
                 if self.write_lag > 0 && !txn.then.is_empty() {
                     let reply = Ok(reply);
@@ -636,19 +641,19 @@
                 }
                 reply
             }
-            StateCall::NewLease { .. } => StateReply::Lease { lease: revision },
-            StateCall::EndLease { lease } => {
-                let bound = |r: &&Row| r.lease == Some(*lease);
+            StoreRequest::GrantLease { .. } => StoreResponse::Lease { lease: revision },
+            StoreRequest::RevokeLease { lease } => {
+                let bound = |r: &&KeyValue| r.lease == Some(*lease);
                 let rows = self.store.rows.values().filter(bound);
                 let keys: Vec<String> = rows.map(|r| r.key.clone()).collect();
                 self.store.revision += 1;
                 for key in keys {
-                    self.store.change(Change::Delete { key });
+                    self.store.change(Mutation::Delete { key });
                 }
-                StateReply::Extended
+                StoreResponse::LeaseRenewed
             }
-            StateCall::Extend { .. } => StateReply::Extended,
-            StateCall::Watch { .. } => return None,
+            StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+            StoreRequest::Watch { .. } => return None,
         };
         Some(Input::Store {
             id,
@@ -656,19 +661,19 @@
         })
     }
 
-    fn cloud(&mut self, id: CallId, call: CloudCall) -> Option<Input> {
+    fn cloud(&mut self, id: CallId, call: CloudRequest) -> Option<Input> {
         if self.outage || self.cloud_out {
-            let reply = Ok(CloudReply::Refused { status: 503 });
+            let reply = Ok(CloudResponse::Refused { status: 503 });
             return Some(Input::Cloud { id, reply });
         }
         let mut lag = 0;
         let reply = match call {
-            CloudCall::Types => CloudReply::Types(self.types.clone()),
-            CloudCall::Rent(rent) => {
+            CloudRequest::Types => CloudResponse::Types(self.types.clone()),
+            CloudRequest::ScaleOut(rent) => {
                 lag = self.rent_lag;
                 self.rent(&rent)
             }
-            CloudCall::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for name in names {
                     let w = self.workers.remove(&name);
                     let tasks = w.into_iter().flat_map(|w| w.tasks.into_iter());
@@ -677,9 +682,9 @@
                     self.killed.extend(running);
                     self.deleted.push((self.at, name));
                 }
-                CloudReply::Deleted
+                CloudResponse::Deleted
             }
-            CloudCall::List { .. } => self.list(),
+            CloudRequest::List { .. } => self.list(),
         };
         let input = Input::Cloud {
             id,
@@ -692,13 +697,13 @@
         Some(input)
     }
 
-    fn rent(&mut self, rent: &Rent) -> CloudReply {
+    fn rent(&mut self, rent: &ScaleOut) -> CloudResponse {
         let key = (rent.zone.clone(), rent.spot);
         let left = self.stock.entry(key).or_default();
         let count = rent.count.min(*left);
         *left -= count;
         if count == 0 {
-            return CloudReply::NoCapacity;
+            return CloudResponse::NoCapacity;
         }
         let up = self.at + self.boot;
         let mut names = Vec::new();
@@ -709,10 +714,10 @@
             (w.up, w.leased_from, w.report_at) = (up, up, up);
             names.push(name);
         }
-        CloudReply::Rented(names)
+        CloudResponse::ScaledOut(names)
     }
 
-    fn list(&self) -> CloudReply {
+    fn list(&self) -> CloudResponse {
         let then = self.at.saturating_sub(self.list_lag);
         let listed = self.workers.values().filter(|w| w.rented <= then);
         let machines = listed
@@ -723,13 +728,13 @@
                 zone: w.zone.clone(),
                 spot: w.spot,
                 condition: match w.up <= then {
-                    true => Condition::Running,
-                    false => Condition::Booting,
+                    true => InstanceState::Running,
+                    false => InstanceState::Booting,
                 },
                 age_s: (then - w.rented) as f64 / SECOND as f64,
             })
             .collect();
-        CloudReply::Listed(MachineList {
+        CloudResponse::Listed(MachineList {
             machines,
             more: false,
         })
--- a/crates/controller/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -5,10 +5,10 @@
 use dillcleat_controller::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::encode;
-use dillcleat_wire::state::{Changes, Event, Page, Row, StateReply};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::store::{KeyValue, RangePage, StoreResponse, WatchBatch, WatchEvent};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{
-    Command, REPORT_PATH, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
 };
 
 pub const START: Micros = 1000 * SECOND;
@@ -20,7 +20,7 @@
 }
 
 /// When its user was told that the job is cancelled.
-pub fn cancelled(at: Micros) -> Row {
+pub fn cancelled(at: Micros) -> KeyValue {
     row(records::cancelled_key(JOB), &CancelledJob { at })
 }
 
@@ -28,7 +28,7 @@
     pub node: Node,
     pub config: Config,
     pub around: Around,
-    pub rows: Vec<Row>,
+    pub rows: Vec<KeyValue>,
     pub session: u64,
     pub seq: u64,
     /// The highest token that the machine has seen.
@@ -50,7 +50,7 @@
         let config = config_with_team();
         let spec = JobSpec {
             team: "t".into(),
-            ..JobSpec::plain(JOB, Kind::Batch, tasks, 1.0)
+            ..JobSpec::plain(JOB, JobKind::Batch, tasks, 1.0)
         };
         let open = OpenJob {
             spec,
@@ -96,17 +96,17 @@
     /// The machine reports; the commands of the answer, if it renews the lease.
     pub fn reports(&mut self, at: Micros) -> Option<Vec<Command>> {
         self.seq += 1;
-        let task = TaskReport {
+        let task = TaskStatus {
             task: format!("{JOB}/0").parse().expect("a task's name"),
             attempt: 1,
             state: match self.completed {
                 true => TaskState::Exited,
                 false => TaskState::Running,
             },
-            why: self.completed.then_some(Why::Done),
+            why: self.completed.then_some(ExitReason::Done),
             saved: None,
         };
-        let report = Report {
+        let report = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
@@ -121,14 +121,14 @@
         let input = Input::Request {
             id: RequestId(self.seq),
             method: "POST".into(),
-            target: REPORT_PATH.into(),
+            target: HEARTBEAT_PATH.into(),
             body: encode(&report),
         };
         self.around.bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
                 let body = self.around.bodies.pop().expect("an answer");
-                let answer: ReportAnswer = dillcleat_wire::decode(&body).expect("an answer");
+                let answer: HeartbeatReply = dillcleat_wire::decode(&body).expect("an answer");
                 Some(answer.commands)
             }
             [503 | 421] => None,
@@ -137,13 +137,13 @@
     }
 
     /// Watches that are open are answered.
-    pub fn watched(&mut self, at: Micros, events: Vec<Event>) {
+    pub fn watched(&mut self, at: Micros, events: Vec<WatchEvent>) {
         for id in std::mem::take(&mut self.around.watches) {
-            let changes = Changes {
+            let changes = WatchBatch {
                 revision: 3,
                 events: events.clone(),
             };
-            let reply = Ok(StateReply::Changes(changes));
+            let reply = Ok(StoreResponse::WatchBatch(changes));
             self.step(at, Input::Store { id, reply });
         }
     }
@@ -155,7 +155,7 @@
             let at = from + s * SECOND;
             self.step(at, Input::Tick);
             // The lease is renewed, siblings are heard, users are answered.
-            let message = Message::Beat {
+            let message = Message::Heartbeat {
                 term: 1,
                 leads: false,
                 served: true,
@@ -171,8 +171,8 @@
         last
     }
 
-    pub fn event(row: Row) -> Event {
-        Event::Put {
+    pub fn event(row: KeyValue) -> WatchEvent {
+        WatchEvent::Put {
             key: row.key,
             value: row.value,
             version: 3,
@@ -181,8 +181,8 @@
 }
 
 /// The only page of a listing.
-pub fn page(rows: &[Row]) -> Result<StateReply, CallError> {
-    Ok(StateReply::Page(Page {
+pub fn page(rows: &[KeyValue]) -> Result<StoreResponse, CallError> {
+    Ok(StoreResponse::RangePage(RangePage {
         rows: rows.to_vec(),
         more: false,
         revision: 1,
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -11,11 +11,13 @@
 use dillcleat_controller::{
     CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, Tuning,
 };
-use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineList, MachineType};
+use dillcleat_wire::cloud::{CloudRequest, CloudResponse, MachineList, MachineType};
 use dillcleat_wire::encode;
-use dillcleat_wire::platform::{Platform, Team};
-use dillcleat_wire::state::{Page, Row, StateCall, StateReply, Txn, value};
-use dillcleat_wire::worker::{REPORT_PATH, Report};
+use dillcleat_wire::platform::{PlatformSettings, Team};
+use dillcleat_wire::store::{
+    KeyValue, RangePage, StoreRequest, StoreResponse, Transaction, encode_value,
+};
+use dillcleat_wire::worker::{HEARTBEAT_PATH, Heartbeat};
 
 const SETTINGS: &str = r#"
 member = "n0"
@@ -52,7 +54,7 @@
 "#;
 
 pub fn node() -> Node {
-    let platform = Platform::parse(SETTINGS).expect("good settings");
+    let platform = PlatformSettings::parse(SETTINGS).expect("good settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
@@ -86,11 +88,11 @@
 }
 
 /// Its record.
-pub fn types(cpus: f64) -> Row {
+pub fn types(cpus: f64) -> KeyValue {
     let types = vec![machine_type(cpus)];
-    Row {
+    KeyValue {
         key: records::TYPES.into(),
-        value: value(&MachineTypesRecord { types }),
+        value: encode_value(&MachineTypesRecord { types }),
         version: 1,
         lease: None,
     }
@@ -99,13 +101,13 @@
 /// The same with a sibling in zone b and one in zone c.
 pub fn node_of_three_zones() -> Node {
     let text = include_str!("../../../../deploy/example-node.toml");
-    let platform = Platform::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("good settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
 /// Answers every call but watches, so that the node leads and stays leader.
 /// `machines` are on record in the store.
-pub fn step(node: &mut Node, at: Micros, input: Input, machines: &[Row]) -> Vec<u16> {
+pub fn step(node: &mut Node, at: Micros, input: Input, machines: &[KeyValue]) -> Vec<u16> {
     step_and_calls(node, at, input, machines).0
 }
 
@@ -114,8 +116,8 @@
     node: &mut Node,
     at: Micros,
     input: Input,
-    machines: &[Row],
-) -> (Vec<u16>, Vec<CloudCall>) {
+    machines: &[KeyValue],
+) -> (Vec<u16>, Vec<CloudRequest>) {
     step_with(node, at, input, machines, &mut Around::default())
 }
 
@@ -126,16 +128,16 @@
     /// What the cloud says that it rents; in fact it has nothing.
     pub types: Vec<MachineType>,
     /// The records of the lead, the term and the machine types.
-    pub shared: Vec<Row>,
+    pub shared: Vec<KeyValue>,
     /// Rows of the queue.
-    pub queue: Vec<Row>,
+    pub queue: Vec<KeyValue>,
     /// Rows of tasks.
-    pub tasks: Vec<Row>,
+    pub tasks: Vec<KeyValue>,
     /// A listing of this prefix waits for an answer.
     pub held: Option<&'static str>,
     pub listings: Vec<CallId>,
     /// A record that reads of its key find.
-    pub found: Option<Row>,
+    pub found: Option<KeyValue>,
     /// Transactions that compare this key fail for it, and reads of single keys are
     /// refused. Without it there is no such key.
     pub conflict: Option<String>,
@@ -156,7 +158,7 @@
     /// Leases that were let go.
     pub let_go: Vec<u64>,
     /// Transactions that were sent.
-    pub writes: Vec<Txn>,
+    pub writes: Vec<Transaction>,
     /// Bodies of the answers that were given.
     pub bodies: Vec<Vec<u8>>,
     /// The revision after which the queue was watched last.
@@ -200,9 +202,9 @@
     node: &mut Node,
     at: Micros,
     input: Input,
-    machines: &[Row],
+    machines: &[KeyValue],
     around: &mut Around,
-) -> (Vec<u16>, Vec<CloudCall>) {
+) -> (Vec<u16>, Vec<CloudRequest>) {
     let now = Timestamp {
         steady: at,
         wall: at,
@@ -219,7 +221,7 @@
                 }
                 Output::Store {
                     id,
-                    call: StateCall::Watch { prefix, after, .. },
+                    call: StoreRequest::Watch { prefix, after, .. },
                     ..
                 } => {
                     if prefix == records::QUEUE {
@@ -229,22 +231,22 @@
                 }
                 Output::Store {
                     id,
-                    call: StateCall::List { prefix, .. },
+                    call: StoreRequest::List { prefix, .. },
                     ..
                 } if around.held.is_some_and(|held| held == prefix) => around.listings.push(id),
                 Output::Store {
                     id,
-                    call: StateCall::Extend { .. },
+                    call: StoreRequest::RenewLease { .. },
                     ..
                 } if around.held_renewals => around.renewals.push(id),
                 Output::Store {
                     id,
-                    call: StateCall::Txn(_),
+                    call: StoreRequest::Transaction(_),
                     ..
                 } if around.held_txns => around.txns.push(id),
                 Output::Store {
                     id,
-                    call: StateCall::Txn(txn),
+                    call: StoreRequest::Transaction(txn),
                     ..
                 } if around
                     .lost
@@ -262,7 +264,7 @@
                 }),
                 Output::Store { id, call, .. } => {
                     let reply = match call {
-                        StateCall::List { prefix, .. } => StateReply::Page(Page {
+                        StoreRequest::List { prefix, .. } => StoreResponse::RangePage(RangePage {
                             rows: match prefix.as_str() {
                                 records::MACHINES => machines.to_vec(),
                                 records::QUEUE => around.queue.clone(),
@@ -273,47 +275,47 @@
                             more: false,
                             revision: 1,
                         }),
-                        StateCall::NewLease { ttl_ms } => {
+                        StoreRequest::GrantLease { ttl_ms } => {
                             around.leases.push(ttl_ms);
                             let lease = around.leases.len() as u64;
-                            StateReply::Lease { lease }
+                            StoreResponse::Lease { lease }
                         }
-                        StateCall::Txn(txn) => {
+                        StoreRequest::Transaction(txn) => {
                             around.writes.push(txn.clone());
                             let failed = txn.compare.into_iter().map(|c| c.key);
                             match failed
                                 .into_iter()
                                 .find(|k| around.conflict.as_ref() == Some(k))
                             {
-                                Some(key) => StateReply::Conflict {
+                                Some(key) => StoreResponse::Conflict {
                                     failed: [key]
                                         .into_iter()
                                         .chain(around.fails_too.clone())
                                         .collect(),
                                     revision: 2,
                                 },
-                                None => StateReply::Committed { revision: 2 },
+                                None => StoreResponse::Committed { revision: 2 },
                             }
                         }
-                        StateCall::Get { key }
+                        StoreRequest::Get { key }
                             if around.found.as_ref().is_some_and(|r| r.key == key) =>
                         {
                             match &around.found {
-                                Some(row) => StateReply::Found(row.clone()),
-                                None => StateReply::Unavailable,
+                                Some(row) => StoreResponse::Found(row.clone()),
+                                None => StoreResponse::Unavailable,
                             }
                         }
-                        StateCall::Get { .. } if around.conflict.is_none() => {
-                            StateReply::Absent { revision: 2 }
+                        StoreRequest::Get { .. } if around.conflict.is_none() => {
+                            StoreResponse::NotFound { revision: 2 }
                         }
-                        StateCall::Get { .. } => {
+                        StoreRequest::Get { .. } => {
                             around.refused += 1;
-                            StateReply::Unavailable
+                            StoreResponse::Unavailable
                         }
-                        StateCall::Extend { .. } => StateReply::Extended,
-                        StateCall::EndLease { lease } => {
+                        StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+                        StoreRequest::RevokeLease { lease } => {
                             around.let_go.push(lease);
-                            StateReply::Extended
+                            StoreResponse::LeaseRenewed
                         }
                         _ => continue,
                     };
@@ -324,10 +326,10 @@
                 }
                 Output::Cloud { id, call, .. } => {
                     let reply = match &call {
-                        CloudCall::Types => CloudReply::Types(around.types.clone()),
-                        CloudCall::Rent(_) => CloudReply::NoCapacity,
-                        CloudCall::Delete(_) => CloudReply::Deleted,
-                        CloudCall::List { .. } => CloudReply::Listed(MachineList {
+                        CloudRequest::Types => CloudResponse::Types(around.types.clone()),
+                        CloudRequest::ScaleOut(_) => CloudResponse::NoCapacity,
+                        CloudRequest::Delete(_) => CloudResponse::Deleted,
+                        CloudRequest::List { .. } => CloudResponse::Listed(MachineList {
                             machines: Vec::new(),
                             more: false,
                         }),
@@ -347,20 +349,20 @@
 }
 
 /// A record as an earlier leader has left it.
-pub fn row<T: serde::Serialize>(key: String, record: &T) -> Row {
-    Row {
+pub fn row<T: serde::Serialize>(key: String, record: &T) -> KeyValue {
+    KeyValue {
         key,
-        value: value(record),
+        value: encode_value(record),
         version: 1,
         lease: None,
     }
 }
 
 /// A machine as an earlier leader has put it on record.
-pub fn recorded(machine: &str, zone: &str) -> Row {
-    Row {
+pub fn recorded(machine: &str, zone: &str) -> KeyValue {
+    KeyValue {
         key: records::machine_key(machine),
-        value: value(&MachineRecord {
+        value: encode_value(&MachineRecord {
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
             zone: zone.into(),
@@ -373,7 +375,7 @@
 
 /// The request in which a machine without tasks reports to a leader of term 1.
 pub fn report(machine: &str, zone: &str, seq: u64) -> Input {
-    let report = Report {
+    let report = Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:7".into(),
         machine_type: "t".into(),
@@ -388,7 +390,7 @@
     Input::Request {
         id: RequestId(1),
         method: "POST".into(),
-        target: REPORT_PATH.into(),
+        target: HEARTBEAT_PATH.into(),
         body: encode(&report),
     }
 }
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -5,8 +5,13 @@
 use dillcleat_controller::{
     CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp,
 };
-use dillcleat_wire::state::{Change, Compare, Page, Row, StateCall, StateReply, Txn, Value, value};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, JobStatus, Kind, cancel_path, poll_path};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction, Value,
+    encode_value,
+};
+use dillcleat_wire::user::{
+    JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, cancel_path, poll_path,
+};
 use dillcleat_wire::{decode, encode};
 use std::collections::BTreeMap;
 
@@ -18,9 +23,9 @@
 }
 
 impl Store {
-    fn row(&self, key: &str) -> Option<Row> {
+    fn row(&self, key: &str) -> Option<KeyValue> {
         let (version, value) = self.rows.get(key)?;
-        Some(Row {
+        Some(KeyValue {
             key: key.into(),
             value: value.clone(),
             version: *version,
@@ -28,35 +33,35 @@
         })
     }
 
-    pub fn carry_out(&mut self, call: &StateCall) -> StateReply {
+    pub fn carry_out(&mut self, call: &StoreRequest) -> StoreResponse {
         let revision = self.revision;
         let txn = match call {
-            StateCall::Get { key } => {
-                let absent = StateReply::Absent { revision };
-                return self.row(key).map_or(absent, StateReply::Found);
+            StoreRequest::Get { key } => {
+                let absent = StoreResponse::NotFound { revision };
+                return self.row(key).map_or(absent, StoreResponse::Found);
             }
-            StateCall::Txn(txn) => txn,
+            StoreRequest::Transaction(txn) => txn,
             other => panic!("unexpected {other:?}"),
         };
-        let version = |c: &&Compare| self.rows.get(&c.key).map_or(0, |(v, _)| *v);
+        let version = |c: &&Precondition| self.rows.get(&c.key).map_or(0, |(v, _)| *v);
         let unequal = txn.compare.iter().filter(|c| version(c) != c.version);
         let failed: Vec<String> = unequal.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return StateReply::Conflict { failed, revision };
+            return StoreResponse::Conflict { failed, revision };
         }
         self.revision += 1;
         for change in &txn.then {
             match change {
-                Change::Put { key, value, .. } => {
+                Mutation::Put { key, value, .. } => {
                     self.rows
                         .insert(key.clone(), (self.revision, value.clone()));
                 }
-                Change::Delete { key } => {
+                Mutation::Delete { key } => {
                     self.rows.remove(key);
                 }
             }
         }
-        StateReply::Committed {
+        StoreResponse::Committed {
             revision: self.revision,
         }
     }
@@ -64,28 +69,28 @@
     /// A job's mark, if it has one.
     pub fn mark(&self, id: &str) -> Option<RecordedState> {
         let row = self.row(&records::job_key(id))?;
-        row.read::<JobStateRecord>().map(|mark| mark.s)
+        row.decode_value::<JobStateRecord>().map(|mark| mark.s)
     }
 
     /// What a leader writes once a job's last task is done.
-    pub fn done(&mut self, id: &str) -> StateReply {
+    pub fn done(&mut self, id: &str) -> StoreResponse {
         let mark = JobStateRecord {
             s: RecordedState::Done,
             n: 2,
         };
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .compare(records::job_key(id), 0)
             .put(records::job_key(id), &mark)
             .delete(records::open_key(id));
-        self.carry_out(&StateCall::Txn(txn))
+        self.carry_out(&StoreRequest::Transaction(txn))
     }
 
     /// What a leader writes once the tasks of a cancelled job are gone.
     pub fn clear(&mut self, id: &str) {
-        let txn = Txn::default()
+        let txn = Transaction::default()
             .delete(records::open_key(id))
             .delete(records::cancelled_key(id));
-        self.carry_out(&StateCall::Txn(txn));
+        self.carry_out(&StoreRequest::Transaction(txn));
     }
 }
 
@@ -102,10 +107,10 @@
 pub struct Driven {
     pub node: Node,
     pub at: Micros,
-    pub sent: Vec<(CallId, StateCall)>,
+    pub sent: Vec<(CallId, StoreRequest)>,
     pub told: Vec<Answered>,
     /// The row of machine types that it reads.
-    pub types: Row,
+    pub types: KeyValue,
     requests: u64,
 }
 
@@ -143,15 +148,17 @@
                         state: decode::<JobStatus>(&answer.body).ok().map(|s| s.state),
                     }),
                     Output::Store { id, call, .. } => match call {
-                        StateCall::List { .. } => inputs.push(Input::Store {
+                        StoreRequest::List { .. } => inputs.push(Input::Store {
                             id,
-                            reply: Ok(StateReply::Page(Page {
+                            reply: Ok(StoreResponse::RangePage(RangePage {
                                 rows: vec![self.types.clone()],
                                 more: false,
                                 revision: 1,
                             })),
                         }),
-                        StateCall::Get { .. } | StateCall::Txn(_) if about_a_job(&call) => {
+                        StoreRequest::Get { .. } | StoreRequest::Transaction(_)
+                            if about_a_job(&call) =>
+                        {
                             self.sent.push((id, call));
                         }
                         _ => {}
@@ -190,12 +197,12 @@
     }
 
     /// The oldest call that waits.
-    pub fn take(&mut self) -> (CallId, StateCall) {
+    pub fn take(&mut self) -> (CallId, StoreRequest) {
         assert!(!self.sent.is_empty(), "no call waits");
         self.sent.remove(0)
     }
 
-    pub fn reply(&mut self, id: CallId, reply: Result<StateReply, CallError>) {
+    pub fn reply(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
         self.feed(Input::Store { id, reply });
     }
 
@@ -228,22 +235,22 @@
     }
 }
 
-fn about_a_job(call: &StateCall) -> bool {
+fn about_a_job(call: &StoreRequest) -> bool {
     let is = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN);
     match call {
-        StateCall::Get { key } => is(key),
-        StateCall::Txn(txn) => txn.compare.iter().any(|c| is(&c.key)),
+        StoreRequest::Get { key } => is(key),
+        StoreRequest::Transaction(txn) => txn.compare.iter().any(|c| is(&c.key)),
         _ => false,
     }
 }
 
 pub fn spec(id: &str) -> JobSpec {
-    JobSpec::plain(id, Kind::Batch, 2, 1.0)
+    JobSpec::plain(id, JobKind::Batch, 2, 1.0)
 }
 
 /// A submission with one field replaced, or left out.
 pub fn with(id: &str, name: &str, field: Option<Value>) -> Vec<u8> {
-    let Value::Map(mut fields) = value(&spec(id)) else {
+    let Value::Map(mut fields) = encode_value(&spec(id)) else {
         panic!("a submission is a map");
     };
     fields.retain(|(key, _)| key.as_str() != Some(name));
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -6,8 +6,8 @@
 use common::{Around, node_of_three_zones, recorded, report, step_with};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::{Changes, Row, StateReply};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::{KeyValue, StoreResponse, WatchBatch};
 
 const START: Micros = 1000 * SECOND;
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -19,7 +19,7 @@
 
 struct Day {
     node: Node,
-    rows: Vec<Row>,
+    rows: Vec<KeyValue>,
     at: Micros,
     around: Around,
     /// Machines that report.
@@ -47,7 +47,7 @@
         let now = START + self.at;
         let (_, calls) = step_with(&mut self.node, now, input, &self.rows, &mut self.around);
         for call in calls {
-            if let CloudCall::Delete(names) = call {
+            if let CloudRequest::Delete(names) = call {
                 self.deletions.push((self.at, names));
             }
         }
@@ -59,19 +59,19 @@
         while self.at < end {
             self.step(Input::Tick);
             for id in std::mem::take(&mut self.around.watches) {
-                let quiet = Changes {
+                let quiet = WatchBatch {
                     revision: 2,
                     events: Vec::new(),
                 };
                 let reply = match self.around.state {
-                    true => Ok(StateReply::Changes(quiet)),
+                    true => Ok(StoreResponse::WatchBatch(quiet)),
                     false => Err(CallError::NoAnswer),
                 };
                 self.step(Input::Store { id, reply });
             }
             if self.at.is_multiple_of(SECOND / 2) {
                 for (name, served) in self.siblings {
-                    let message = Message::Beat {
+                    let message = Message::Heartbeat {
                         term: 0,
                         leads: false,
                         served: *served,
--- a/crates/controller/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -7,14 +7,14 @@
     Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp, Tuning, micros,
 };
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::state::Row;
-use dillcleat_wire::worker::Elsewhere;
+use dillcleat_wire::store::KeyValue;
+use dillcleat_wire::worker::LeaderRedirect;
 
 /// The word of a sibling that the state service answers.
 fn beat(term: u64, leads: bool, hears: bool) -> Input {
     Input::Peer {
         from: "n1".into(),
-        message: Message::Beat {
+        message: Message::Heartbeat {
             term,
             leads,
             served: true,
@@ -28,7 +28,7 @@
 /// having `heard` one report or none, while a sibling that knows of a term says whether
 /// it hears any. `pause` is a gap in its ticks after two seconds.
 fn leads_for(heard: bool, (term, hears): (u64, bool), pause: Micros) -> Micros {
-    let machines: Vec<Row> = (0..3).map(|i| recorded(&format!("m{i}"), "a")).collect();
+    let machines: Vec<KeyValue> = (0..3).map(|i| recorded(&format!("m{i}"), "a")).collect();
     let mut node = common::node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &machines);
@@ -91,7 +91,7 @@
         });
         let answer = answers.next_back().expect("each report is answered");
         assert_eq!(answer.status, 421);
-        let body = dillcleat_wire::decode::<Elsewhere>(&answer.body);
+        let body = dillcleat_wire::decode::<LeaderRedirect>(&answer.body);
         body.expect("a good body").report_to
     };
     assert_eq!(sent_to(&mut node), None);
--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -9,7 +9,7 @@
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::state::StateReply;
+use dillcleat_wire::store::StoreResponse;
 
 /// How many of the requests lead to a call of the state service, and how many
 /// are refused.
@@ -39,7 +39,7 @@
     }
     let count = calls.len() as u32;
     for id in calls {
-        let reply = Ok(StateReply::Unavailable);
+        let reply = Ok(StoreResponse::Unavailable);
         node.handle(now, Input::Store { id, reply });
     }
     (count, refused)
@@ -69,7 +69,7 @@
             steady: at,
             wall: at,
         };
-        let message = Message::Beat {
+        let message = Message::Heartbeat {
             term: 0,
             leads: false,
             served: true,
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -7,10 +7,10 @@
 use common::{config_with_team, row, step_with};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, records};
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::CloudCall;
+use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::encode;
-use dillcleat_wire::state::Change;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, cancel_path};
+use dillcleat_wire::store::Mutation;
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, cancel_path};
 use dillcleat_wire::worker::Command;
 
 /// Whoever was told at once after the last read is owed the end of the tasks, and the
@@ -116,7 +116,7 @@
     let mut gap = Gap::leading();
     assert!(gap.reports(SECOND).is_some());
     gap.around.held = Some(records::QUEUE);
-    let message = Message::Beat {
+    let message = Message::Heartbeat {
         term: 7,
         leads: false,
         served: true,
@@ -186,7 +186,7 @@
     let mut deleted = false;
     for t in 12..400 {
         let at = t * 100 * MILLISECOND;
-        let message = Message::Beat {
+        let message = Message::Heartbeat {
             term: 1,
             leads: false,
             served: false,
@@ -197,7 +197,7 @@
         gap.step(at, Input::Peer { from, message });
         let now = START + at;
         let (_, calls) = step_with(&mut gap.node, now, Input::Tick, &gap.rows, &mut gap.around);
-        deleted |= calls.iter().any(|c| matches!(c, CloudCall::Delete(_)));
+        deleted |= calls.iter().any(|c| matches!(c, CloudRequest::Delete(_)));
     }
     assert!(!deleted);
 }
@@ -266,7 +266,7 @@
     let id = "req-000002";
     let spec = JobSpec {
         team: "t".into(),
-        ..JobSpec::plain(id, Kind::Batch, 1, 1.0)
+        ..JobSpec::plain(id, JobKind::Batch, 1, 1.0)
     };
     gap.around.writes.clear();
     let input = Input::Request {
@@ -277,7 +277,7 @@
     };
     assert_eq!(gap.step(3 * SECOND, input), [201]);
     let open = records::open_key(id);
-    let puts = |c: &Change| matches!(c, Change::Put { key, .. } if *key == open);
+    let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == open);
     let submission = gap.around.writes.iter().find(|t| t.then.iter().any(puts));
     let compared = &submission.expect("it is stored").compare;
     for key in [records::job_key(id), open.clone()] {
@@ -300,7 +300,7 @@
     };
     assert_eq!(gap.step(SECOND, input), [200]);
     let cancelled = records::cancelled_key(JOB);
-    let puts = |c: &Change| matches!(c, Change::Put { key, .. } if *key == cancelled);
+    let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == cancelled);
     let mut writes = gap.around.writes.iter();
     let cancellation = writes.find(|t| t.then.iter().any(puts));
     let compared = &cancellation.expect("it is stored").compare;
@@ -323,7 +323,7 @@
     let writes = &gap.around.writes;
     assert!(writes.len() > 1, "an end and a placement");
     for txn in writes {
-        let term = |c: &dillcleat_wire::state::Compare| c.key == records::TERM;
+        let term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM;
         assert!(txn.compare.iter().any(term), "{txn:?}");
     }
 }
@@ -340,7 +340,7 @@
         let now = START + at;
         let tick = Input::Tick;
         let (_, calls) = step_with(&mut gap.node, now, tick, &gap.rows, &mut gap.around);
-        let deletes = |c: &CloudCall| matches!(c, CloudCall::Delete(_));
+        let deletes = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
         if calls.iter().any(deletes) {
             deleted.get_or_insert(at);
         }
@@ -365,7 +365,7 @@
         let now = START + at;
         let tick = Input::Tick;
         let (_, calls) = step_with(&mut gap.node, now, tick, &gap.rows, &mut gap.around);
-        let deletion = |c: &CloudCall| matches!(c, CloudCall::Delete(_));
+        let deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
         deleted += calls.into_iter().filter(deletion).count();
         gap.watched(at, Vec::new());
         // Until the deletion it reports; what arrives later was sent before.
@@ -395,7 +395,7 @@
         }
         let commands = gap.reports(3 * SECOND).expect("an answer");
         assert!(
-            matches!(&commands[..], [Command::Forget { .. }]),
+            matches!(&commands[..], [Command::Reap { .. }]),
             "{tasks}: {commands:?}"
         );
     }
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -10,14 +10,16 @@
 };
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::{Change, Event, Page, Row, StateReply, read};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::{
+    KeyValue, Mutation, RangePage, StoreResponse, WatchEvent, decode_value,
+};
 use dillcleat_wire::worker::Command;
 
 /// Answers the listing that waits.
-fn listed(gap: &mut Gap, at: Micros, rows: &[Row], more: bool, revision: u64) {
+fn listed(gap: &mut Gap, at: Micros, rows: &[KeyValue], more: bool, revision: u64) {
     let id = gap.around.listings.pop().expect("a listing");
-    let reply = Ok(StateReply::Page(Page {
+    let reply = Ok(StoreResponse::RangePage(RangePage {
         rows: rows.to_vec(),
         more,
         revision,
@@ -34,7 +36,7 @@
     let key = tasks();
     let changes = gap.around.writes.iter().rev().flat_map(|t| &t.then);
     let mut records = changes.filter_map(|c| match c {
-        Change::Put { key: k, value, .. } if *k == key => read::<TaskChunk>(value),
+        Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
         _ => None,
     });
     records.next().map_or(Vec::new(), |c| c.p)
@@ -42,7 +44,7 @@
 
 fn drops(gap: &Gap, key: &str) -> bool {
     let mut changes = gap.around.writes.iter().flat_map(|t| &t.then);
-    changes.any(|c| matches!(c, Change::Delete { key: k } if k == key))
+    changes.any(|c| matches!(c, Mutation::Delete { key: k } if k == key))
 }
 
 fn stops(commands: Option<Vec<Command>>) -> bool {
@@ -91,7 +93,7 @@
     for t in 10..900 {
         let at = t * 100 * MILLISECOND;
         if t % 50 == 0 {
-            let message = Message::Beat {
+            let message = Message::Heartbeat {
                 term: 1000,
                 leads: false,
                 served: true,
@@ -153,7 +155,7 @@
         gap.around.cloud = !(10..450).contains(&t);
         let now = START + at;
         let (_, calls) = step_with(&mut gap.node, now, Input::Tick, &gap.rows, &mut gap.around);
-        deleted |= gap.around.cloud && calls.iter().any(|c| matches!(c, CloudCall::Delete(_)));
+        deleted |= gap.around.cloud && calls.iter().any(|c| matches!(c, CloudRequest::Delete(_)));
         gap.watched(at, Vec::new());
         if t % 10 == 0 {
             gap.step(at, report("n", "a", t + 1));
@@ -248,7 +250,7 @@
     gap.step(0, Input::Tick);
     let take = gap.around.txns.pop().expect("a transaction");
     gap.step(2 * SECOND, Input::Tick);
-    let reply = Ok(StateReply::Committed { revision: 2 });
+    let reply = Ok(StoreResponse::Committed { revision: 2 });
     gap.step(2 * SECOND, Input::Store { id: take, reply });
     assert_eq!(gap.node.leading(), None);
 }
@@ -280,7 +282,7 @@
             gap.step(t * 100 * MILLISECOND, Input::Tick);
         }
         let commands = gap.reports(SECOND).expect("an answer");
-        let starts = |c: &Command| matches!(c, Command::Start { task, .. } if task.index == 1);
+        let starts = |c: &Command| matches!(c, Command::Launch { task, .. } if task.index == 1);
         assert_eq!(commands.iter().any(starts), !is_cancelled);
         assert_eq!(stops(Some(commands)), is_cancelled);
     }
@@ -337,7 +339,7 @@
     let mut gap = Gap::leading();
     gap.has_task = false;
     let starts = |commands: Option<Vec<Command>>| match commands.as_deref() {
-        Some([Command::Start { .. }]) => true,
+        Some([Command::Launch { .. }]) => true,
         Some([]) => false,
         other => panic!("{other:?}"),
     };
@@ -370,7 +372,9 @@
 #[test]
 fn a_job_is_cleared_only_once_its_cancellation_is_read() {
     let mut gap = Gap::of(2);
-    let mut waits = gap.around.queue[0].read::<OpenJob>().expect("a job");
+    let mut waits = gap.around.queue[0]
+        .decode_value::<OpenJob>()
+        .expect("a job");
     (waits.spec.id, waits.spec.awaits) = ("req-000002".into(), vec![JOB.into()]);
     gap.around
         .queue
@@ -431,7 +435,7 @@
 fn news_of_before_a_read_are_none() {
     let mut gap = Gap::leading();
     // It makes way for a sibling that workers reach, for a while.
-    let message = Message::Beat {
+    let message = Message::Heartbeat {
         term: 7,
         leads: false,
         served: true,
@@ -449,7 +453,7 @@
         lease: 8,
         term: 1,
     };
-    let event = Event::Put {
+    let event = WatchEvent::Put {
         key: records::LEAD.into(),
         value: row(records::LEAD.into(), &lead).value,
         // All keys were read as of this revision.
@@ -471,7 +475,7 @@
         gap.step(t * 100 * MILLISECOND, Input::Tick);
     }
     let renewal = gap.around.renewals.pop().expect("a renewal");
-    let message = Message::Beat {
+    let message = Message::Heartbeat {
         term: 7,
         leads: false,
         served: true,
@@ -486,7 +490,7 @@
     }
     let term = gap.node.leading();
     assert!(term.is_some());
-    let reply = Ok(StateReply::LeaseGone);
+    let reply = Ok(StoreResponse::LeaseExpired);
     gap.step(SECOND, Input::Store { id: renewal, reply });
     assert_eq!(gap.node.leading(), term);
 }
@@ -506,7 +510,7 @@
     assert!(gap.node.leading().is_some());
     gap.around.held = None;
     let deposed = |gap: &mut Gap, at: Micros| {
-        let message = Message::Beat {
+        let message = Message::Heartbeat {
             term: 1000,
             leads: false,
             served: true,
@@ -550,7 +554,7 @@
     let mut gap = Gap::leading();
     gap.has_task = false;
     let start = gap.reports(SECOND).expect("an answer");
-    assert!(matches!(&start[..], [Command::Start { .. }]));
+    assert!(matches!(&start[..], [Command::Launch { .. }]));
     gap.seq -= 1;
     assert_eq!(gap.reports(SECOND), Some(vec![]));
     assert_eq!(gap.reports(3 * SECOND / 2), Some(start));
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -6,13 +6,15 @@
 use dillcleat_controller::{Input, MILLISECOND, Micros, Output, RequestId, SECOND, Timestamp};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::state::{Changes, Page, Row, StateCall, StateReply, value};
+use dillcleat_wire::store::{
+    KeyValue, RangePage, StoreRequest, StoreResponse, WatchBatch, encode_value,
+};
 
 /// Users go where `/up` says 200. A follower whose watch was held for longer
 /// than it takes to be called cut off was in and out of the load balancer.
 #[test]
 fn an_idle_follower_stays_healthy() {
-    let row = |key: &str, value| Row {
+    let row = |key: &str, value| KeyValue {
         key: key.into(),
         value,
         version: 1,
@@ -27,9 +29,9 @@
         types: Vec::<MachineType>::new(),
     };
     let rows = vec![
-        row(records::LEAD, value(&lead)),
-        row(records::TERM, value(&TermRecord { term: 1 })),
-        row(records::TYPES, value(&types)),
+        row(records::LEAD, encode_value(&lead)),
+        row(records::TERM, encode_value(&TermRecord { term: 1 })),
+        row(records::TYPES, encode_value(&types)),
     ];
     let mut node = common::node();
     let start = 1000 * SECOND;
@@ -37,7 +39,7 @@
     for at in (start..start + 60 * SECOND).step_by(50 * MILLISECOND as usize) {
         let beat = Input::Peer {
             from: "n1".into(),
-            message: Message::Beat {
+            message: Message::Heartbeat {
                 term: 1,
                 leads: true,
                 served: true,
@@ -67,17 +69,17 @@
                 match output {
                     Output::Answer { answer, .. } => assert_eq!(answer.status, 200, "at {at}"),
                     Output::Store { id, call, .. } => match call {
-                        StateCall::List { .. } => inputs.push(Input::Store {
+                        StoreRequest::List { .. } => inputs.push(Input::Store {
                             id,
-                            reply: Ok(StateReply::Page(Page {
+                            reply: Ok(StoreResponse::RangePage(RangePage {
                                 rows: rows.clone(),
                                 more: false,
                                 revision: 1,
                             })),
                         }),
                         // Nothing changes: a watch is answered when its time is up.
-                        StateCall::Watch { hold_ms, .. } => {
-                            let reply = Ok(StateReply::Changes(Changes {
+                        StoreRequest::Watch { hold_ms, .. } => {
+                            let reply = Ok(StoreResponse::WatchBatch(WatchBatch {
                                 revision: 1,
                                 events: Vec::new(),
                             }));
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -5,18 +5,18 @@
 use common::{Around, step_with};
 use dillcleat_controller::records::{OpenJob, open_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
-use dillcleat_peer_protocol::{Learned, LearnedJob, Message};
-use dillcleat_wire::state::{Row, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_peer_protocol::{Estimates, JobEstimate, Message};
+use dillcleat_wire::store::{KeyValue, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec};
 
 const START: Micros = 1000 * SECOND;
 
-fn learned(term: u64, credit: f64, size: f64) -> Learned {
-    Learned {
+fn learned(term: u64, credit: f64, size: f64) -> Estimates {
+    Estimates {
         term,
         clock: 500.0,
         classes: vec![("merge".into(), 33.0)],
-        jobs: vec![LearnedJob {
+        jobs: vec![JobEstimate {
             job: "req-1".into(),
             initial_size: 6000.0,
             size,
@@ -30,11 +30,11 @@
 
 /// What a leader that is elected `after` it was told so tells of the job, with its
 /// clock at zero: its size, its credit and its samples.
-fn taken_up(told: Learned, after: Micros) -> (f64, f64, usize) {
+fn taken_up(told: Estimates, after: Micros) -> (f64, f64, usize) {
     let mut node: Node = common::node_of_three_zones();
     let spec = JobSpec {
         team: "books".into(),
-        ..JobSpec::plain("req-1", Kind::Batch, 50, 2.0)
+        ..JobSpec::plain("req-1", JobKind::Batch, 50, 2.0)
     };
     let open = OpenJob {
         spec,
@@ -44,14 +44,14 @@
         at_most: None,
     };
     let mut around = Around::default();
-    around.queue.push(Row {
+    around.queue.push(KeyValue {
         key: open_key("req-1"),
-        value: value(&open),
+        value: encode_value(&open),
         version: 3,
         lease: None,
     });
     let from = "n1".to_string();
-    let message = Message::Learned(told);
+    let message = Message::Estimates(told);
     step_with(
         &mut node,
         START,
@@ -70,7 +70,7 @@
     let mut jobs = Vec::new();
     for output in node.handle(now, Input::Tick) {
         if let Output::Peer {
-            message: Message::Learned(l),
+            message: Message::Estimates(l),
         } = output
         {
             jobs.extend(l.jobs);
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -6,13 +6,13 @@
 use dillcleat_controller::config::DeadlineAim;
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
-use dillcleat_wire::cloud::{CloudCall, MachineType};
-use dillcleat_wire::state::{Row, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::cloud::{CloudRequest, MachineType};
+use dillcleat_wire::store::{KeyValue, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec};
 
 const START: Micros = 1000 * SECOND;
 
-fn open(spec: JobSpec) -> Row {
+fn open(spec: JobSpec) -> KeyValue {
     let key = records::open_key(&spec.id);
     let job = OpenJob {
         at: START,
@@ -21,9 +21,9 @@
         at_most: None,
         spec,
     };
-    Row {
+    KeyValue {
         key,
-        value: value(&job),
+        value: encode_value(&job),
         version: 1,
         lease: None,
     }
@@ -34,7 +34,7 @@
         class: class.into(),
         spot: true,
         estimate_s: 10.0,
-        ..JobSpec::plain(id, Kind::Batch, 4, 1.0)
+        ..JobSpec::plain(id, JobKind::Batch, 4, 1.0)
     }
 }
 
@@ -60,7 +60,7 @@
     let mut ticks = (0..6 * SECOND).step_by(100 * MILLISECOND as usize);
     ticks.any(|at| {
         let (_, calls) = step_with(&mut node, START + at, Input::Tick, &[], &mut around);
-        let ordinary = |c: &CloudCall| matches!(c, CloudCall::Rent(rent) if !rent.spot);
+        let ordinary = |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(rent) if !rent.spot);
         calls.iter().any(ordinary)
     })
 }
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -9,9 +9,11 @@
     CallError, Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp,
 };
 use dillcleat_wire::decode;
-use dillcleat_wire::state::{Change, Page, Row, StateCall, StateReply, Txn, json_size};
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{Command, ReportAnswer};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, json_size,
+};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{Command, HeartbeatReply};
 use std::collections::BTreeSet;
 
 const TASKS: u32 = 150;
@@ -23,15 +25,15 @@
     at: Micros,
     /// What the state service answers to the leader's batches, one after the other,
     /// then that they are committed; and to a look at a chunk.
-    answers: Vec<Result<StateReply, CallError>>,
-    chunk: StateReply,
-    batches: Vec<Txn>,
+    answers: Vec<Result<StoreResponse, CallError>>,
+    chunk: StoreResponse,
+    batches: Vec<Transaction>,
     looks: usize,
     launched: BTreeSet<String>,
 }
 
 impl Led {
-    fn new(answers: Vec<Result<StateReply, CallError>>, chunk: StateReply) -> Led {
+    fn new(answers: Vec<Result<StoreResponse, CallError>>, chunk: StoreResponse) -> Led {
         let mut config = common::config_with_team();
         (config.value_bytes, config.txn_ops) = (LOW, 16);
         let mut led = Led {
@@ -56,17 +58,17 @@
 
     fn launches(&mut self, commands: &[Command]) {
         for command in commands {
-            if let Command::Start { task, .. } = command {
+            if let Command::Launch { task, .. } = command {
                 self.launched.insert(task.to_string());
             }
         }
     }
 
-    fn rows(prefix: &str) -> Vec<Row> {
+    fn rows(prefix: &str) -> Vec<KeyValue> {
         let job = OpenJob {
             spec: JobSpec {
                 spot: false,
-                ..JobSpec::plain("req-1", Kind::Batch, TASKS, 0.25)
+                ..JobSpec::plain("req-1", JobKind::Batch, TASKS, 0.25)
             },
             at: 1,
             chunk: 204,
@@ -96,7 +98,7 @@
                         continue;
                     }
                     Output::Answer { answer, .. } => {
-                        if let Ok(answer) = decode::<ReportAnswer>(&answer.body) {
+                        if let Ok(answer) = decode::<HeartbeatReply>(&answer.body) {
                             self.launches(&answer.commands);
                         }
                         continue;
@@ -104,26 +106,26 @@
                     _ => continue,
                 };
                 let reply = match call {
-                    StateCall::Watch { .. } => continue,
-                    StateCall::List { prefix, .. } => Ok(StateReply::Page(Page {
+                    StoreRequest::Watch { .. } => continue,
+                    StoreRequest::List { prefix, .. } => Ok(StoreResponse::RangePage(RangePage {
                         rows: Led::rows(&prefix),
                         more: false,
                         revision: 1,
                     })),
-                    StateCall::NewLease { .. } => Ok(StateReply::Lease { lease: 1 }),
-                    StateCall::Get { .. } => {
+                    StoreRequest::GrantLease { .. } => Ok(StoreResponse::Lease { lease: 1 }),
+                    StoreRequest::Get { .. } => {
                         self.looks += 1;
                         Ok(self.chunk.clone())
                     }
-                    StateCall::Txn(txn) if txn.then.iter().any(is_tasks) => {
+                    StoreRequest::Transaction(txn) if txn.then.iter().any(is_tasks) => {
                         self.batches.push(txn);
                         match self.answers.is_empty() {
-                            true => Ok(StateReply::Committed { revision: 9 }),
+                            true => Ok(StoreResponse::Committed { revision: 9 }),
                             false => self.answers.remove(0),
                         }
                     }
-                    StateCall::Txn(_) => Ok(StateReply::Committed { revision: 2 }),
-                    _ => Ok(StateReply::Extended),
+                    StoreRequest::Transaction(_) => Ok(StoreResponse::Committed { revision: 2 }),
+                    _ => Ok(StoreResponse::LeaseRenewed),
                 };
                 inputs.push(Input::Store { id, reply });
             }
@@ -131,12 +133,12 @@
     }
 }
 
-fn is_tasks(change: &Change) -> bool {
-    matches!(change, Change::Put { key, .. } if key.starts_with(records::TASKS))
+fn is_tasks(change: &Mutation) -> bool {
+    matches!(change, Mutation::Put { key, .. } if key.starts_with(records::TASKS))
 }
 
-fn refused() -> Result<StateReply, CallError> {
-    Ok(StateReply::Malformed)
+fn refused() -> Result<StoreResponse, CallError> {
+    Ok(StoreResponse::Malformed)
 }
 
 /// Every task is launched, from records that fit, in the term in which it began.
@@ -145,7 +147,7 @@
     assert_eq!(led.launched.len(), TASKS as usize);
     let mut covered = 0;
     for change in led.batches.iter().skip(1).flat_map(|txn| &txn.then) {
-        if let Change::Put { key, value, .. } = change
+        if let Mutation::Put { key, value, .. } = change
             && let Some((_, TaskRange::Part { from, to, .. })) = parse_tasks_key(key)
         {
             assert!(json_size(value) <= LOW, "{key}");
@@ -157,7 +159,7 @@
 
 #[test]
 fn a_chunk_that_does_not_fit_any_more_is_written_in_parts() {
-    let led = Led::new(vec![refused()], StateReply::Absent { revision: 3 });
+    let led = Led::new(vec![refused()], StoreResponse::NotFound { revision: 3 });
     assert_eq!(led.looks, 0);
     goes_on(&led);
 }
@@ -166,7 +168,10 @@
 #[test]
 fn a_try_without_an_answer_is_looked_for() {
     let lost = Err(CallError::NoAnswer);
-    let led = Led::new(vec![lost, refused()], StateReply::Absent { revision: 3 });
+    let led = Led::new(
+        vec![lost, refused()],
+        StoreResponse::NotFound { revision: 3 },
+    );
     assert_eq!(led.looks, 1);
     goes_on(&led);
 }
@@ -179,7 +184,7 @@
         records::tasks_key("req-1", TaskRange::Chunk(0)),
         &records::TaskChunk::default(),
     );
-    let found = StateReply::Found(Row {
+    let found = StoreResponse::Found(KeyValue {
         version: 7,
         ..stored
     });
@@ -195,7 +200,7 @@
 #[test]
 fn the_same_bytes_are_not_sent_for_ever() {
     let refusals = (0..1000).map(|_| refused()).collect();
-    let led = Led::new(refusals, StateReply::Absent { revision: 3 });
+    let led = Led::new(refusals, StoreResponse::NotFound { revision: 3 });
     assert_eq!(led.node.leading(), Some(1));
     assert!(led.batches.len() < 40, "{} batches", led.batches.len());
 }
--- a/crates/controller/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_answers.rs
@@ -5,7 +5,7 @@
 
 use common::users::{Driven, Store, spec, with};
 use dillcleat_controller::{CallError, MILLISECOND, Micros, SECOND};
-use dillcleat_wire::state::StateReply;
+use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
 const START: Micros = 1000 * SECOND;
@@ -105,7 +105,7 @@
         node.lose(&mut store);
         assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), CANCELLED);
         // Done comes too late.
-        assert!(matches!(store.done(JOB), StateReply::Conflict { .. }));
+        assert!(matches!(store.done(JOB), StoreResponse::Conflict { .. }));
         if clear {
             store.clear(JOB);
         }
@@ -134,7 +134,7 @@
     let malformed = |node: &mut Driven| {
         let submission = node.submit(&spec(JOB));
         let (id, _) = node.take();
-        node.reply(id, Ok(StateReply::Malformed));
+        node.reply(id, Ok(StoreResponse::Malformed));
         submission
     };
     let submission = malformed(&mut node);
@@ -191,8 +191,8 @@
     let stores = [unknown, accepted, over];
     let faults = [
         Err(CallError::NoAnswer),
-        Ok(StateReply::Unavailable),
-        Ok(StateReply::Malformed),
+        Ok(StoreResponse::Unavailable),
+        Ok(StoreResponse::Malformed),
     ];
     for case in 0..180 {
         let (ask, fault) = (asking[case % 5], &faults[case / 5 % 3]);
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -5,8 +5,8 @@
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob, RecordedState};
 use dillcleat_controller::{Input, Output, RequestId, SECOND, Timestamp};
 use dillcleat_wire::decode;
-use dillcleat_wire::state::{Row, StateCall, StateReply, Value, value};
-use dillcleat_wire::user::{JobSpec, JobState, JobStatus, Kind};
+use dillcleat_wire::store::{KeyValue, StoreRequest, StoreResponse, Value, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec, JobState, JobStatus};
 use std::collections::BTreeMap;
 
 /// Polls a fresh node for the job with these records in the store, key to
@@ -34,16 +34,16 @@
                 other => panic!("unexpected {other:?}"),
             };
             let reply = match call {
-                StateCall::Get { key } => match store.get(&key) {
-                    Some((version, value)) => StateReply::Found(Row {
+                StoreRequest::Get { key } => match store.get(&key) {
+                    Some((version, value)) => StoreResponse::Found(KeyValue {
                         key,
                         value: value.clone(),
                         version: *version,
                         lease: None,
                     }),
-                    None => StateReply::Absent { revision: 9 },
+                    None => StoreResponse::NotFound { revision: 9 },
                 },
-                StateCall::Txn(txn) => {
+                StoreRequest::Transaction(txn) => {
                     let version = |key: &str| store.get(key).map_or(0, |(v, _)| *v);
                     let failed: Vec<String> = txn
                         .compare
@@ -52,9 +52,9 @@
                         .map(|c| c.key.clone())
                         .collect();
                     if failed.is_empty() {
-                        StateReply::Committed { revision: 9 }
+                        StoreResponse::Committed { revision: 9 }
                     } else {
-                        StateReply::Conflict {
+                        StoreResponse::Conflict {
                             failed,
                             revision: 9,
                         }
@@ -70,8 +70,8 @@
 }
 
 fn description(unmarked: bool) -> Value {
-    value(&OpenJob {
-        spec: JobSpec::plain("req-1", Kind::Batch, 2, 1.0),
+    encode_value(&OpenJob {
+        spec: JobSpec::plain("req-1", JobKind::Batch, 2, 1.0),
         at: 1,
         chunk: 8,
         unmarked,
@@ -84,7 +84,7 @@
 #[test]
 fn a_job_is_open_while_it_is_described_and_has_no_mark_of_its_end() {
     let open = records::open_key("req-1");
-    let mark = |s| value(&JobStateRecord { s, n: 2 });
+    let mark = |s| encode_value(&JobStateRecord { s, n: 2 });
     let key = records::job_key("req-1");
     let found = |rows: Vec<(&String, u64, Value)>| {
         let rows = rows.into_iter().map(|(k, n, v)| (k.clone(), (n, v)));
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -7,13 +7,13 @@
 use dillcleat_controller::machines::Machine;
 use dillcleat_controller::records;
 use dillcleat_controller::{Micros, SECOND};
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
 fn job(number: u32, tasks: u32) -> JobSpec {
     let id = format!("req-{number:06}");
     JobSpec {
         spot: false,
-        ..JobSpec::plain(&id, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(&id, JobKind::Batch, tasks, 1.0)
     }
 }
 
@@ -191,7 +191,7 @@
     fleet.pass(5 * SECOND);
     fleet.submit(JobSpec {
         priority: Priority::High,
-        ..JobSpec::plain("req-000002", Kind::Service, 1, 1.0)
+        ..JobSpec::plain("req-000002", JobKind::Service, 1, 1.0)
     });
     fleet.pass(5 * SECOND);
     assert_eq!(fleet.worker("m0").running(), 4, "no room is made there");
--- a/crates/controller/tests/new_machines.rs
+++ b/crates/controller/tests/new_machines.rs
@@ -5,7 +5,7 @@
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
 use dillcleat_controller::{MILLISECOND, Micros, SECOND};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 
 /// Two jobs find no machine at all; what is rented is up a second later. The answers to
 /// writes and rentals take seconds and the list is far behind; the leader ends at `end`.
@@ -18,7 +18,7 @@
     let case = format!("end {end}, rentals {rent_lag}, list {list_lag}");
     fleet.pass(3 * SECOND);
     for (id, tasks) in [("req-000001", 9), ("req-000002", 5)] {
-        let spec = JobSpec::plain(id, Kind::Batch, tasks, 1.0);
+        let spec = JobSpec::plain(id, JobKind::Batch, tasks, 1.0);
         fleet.submit(JobSpec {
             spot: false,
             ..spec
@@ -55,7 +55,7 @@
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.stock.insert(("a".into(), false), 1);
     fleet.boot = boot;
-    let spec = JobSpec::plain("req-000001", Kind::Batch, 1, 1.0);
+    let spec = JobSpec::plain("req-000001", JobKind::Batch, 1, 1.0);
     fleet.submit(JobSpec {
         spot: false,
         ..spec
--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -7,8 +7,8 @@
 use common::users::{Driven, Store, spec, with};
 use dillcleat_controller::records::{MachineTypesRecord, RecordedState};
 use dillcleat_controller::{CallError, Config, Micros, SECOND, records};
-use dillcleat_wire::state::{StateCall, StateReply, Value, value};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, Kind};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Value, encode_value};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState};
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
@@ -24,7 +24,7 @@
 
 /// Submissions that are not in their form, each wrong in one field.
 fn malformed() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = value(&spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&spec(JOB)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
@@ -101,7 +101,7 @@
     add("unknown zone", |s| s.zone = Some("z".into()));
     add("a task beyond the team's limit", |s| s.cpus = 4.5);
     add("a service beyond the team's limit", |s| {
-        (s.kind, s.tasks, s.spot) = (Kind::Service, 5, false);
+        (s.kind, s.tasks, s.spot) = (JobKind::Service, 5, false);
     });
     add("one zone and several", |s| {
         (s.one_zone, s.spread) = (true, true)
@@ -118,7 +118,7 @@
 fn submit(
     node: &mut Driven,
     body: &[u8],
-    mut reply: impl FnMut(&StateCall) -> Result<StateReply, CallError>,
+    mut reply: impl FnMut(&StoreRequest) -> Result<StoreResponse, CallError>,
 ) -> (u16, Option<JobState>) {
     let request = node.request("POST", JOBS_PATH.into(), body.to_vec());
     for _ in 0..20 {
@@ -187,8 +187,8 @@
     let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
     let all = [malformed(), unfit(), vec![good]].concat();
     let replies = [
-        Ok(StateReply::Unavailable),
-        Ok(StateReply::TooMany),
+        Ok(StoreResponse::Unavailable),
+        Ok(StoreResponse::RateLimited),
         Err(CallError::NotSent),
         Err(CallError::NoAnswer),
     ];
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -9,19 +9,21 @@
 };
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
 use dillcleat_wire::encode;
-use dillcleat_wire::state::{Change, Changes, Event, Row, StateReply, Value, read, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, StoreResponse, Value, WatchBatch, WatchEvent, decode_value, encode_value,
+};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{
-    Command, REPORT_PATH, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
 };
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-000001";
 
-fn described(id: &str, tasks: u32) -> Row {
+fn described(id: &str, tasks: u32) -> KeyValue {
     let spec = JobSpec {
         team: "t".into(),
-        ..JobSpec::plain(id, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
     };
     let open = OpenJob {
         spec,
@@ -35,7 +37,7 @@
 
 /// The same in a form of a version to come: it is known what each task takes of which
 /// team's limit, and nothing else.
-fn undescribed(id: &str) -> Row {
+fn undescribed(id: &str) -> KeyValue {
     let mut row = described(id, 1);
     if let Value::Map(record) = &mut row.value
         && let Some((_, Value::Map(spec))) = record.iter_mut().find(|(k, _)| k == &"spec".into())
@@ -46,14 +48,14 @@
             }
         }
     }
-    assert!(row.read::<OpenJob>().is_none());
+    assert!(row.decode_value::<OpenJob>().is_none());
     row
 }
 
 struct Day {
     node: Node,
     around: Around,
-    rows: Vec<Row>,
+    rows: Vec<KeyValue>,
     seq: u64,
     /// What machines have seen.
     token: u64,
@@ -61,7 +63,7 @@
 
 impl Day {
     /// A node that is about to lead, with `placed` tasks of a job on the machine m.
-    fn new(config: Config, queue: Vec<Row>, placed: u32) -> Day {
+    fn new(config: Config, queue: Vec<KeyValue>, placed: u32) -> Day {
         let chunk = TaskChunk {
             p: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
             ..TaskChunk::default()
@@ -96,13 +98,13 @@
         }
     }
 
-    fn watched(&mut self, at: Micros, events: Vec<Event>) {
+    fn watched(&mut self, at: Micros, events: Vec<WatchEvent>) {
         for id in std::mem::take(&mut self.around.watches) {
-            let changes = Changes {
+            let changes = WatchBatch {
                 revision: 3,
                 events: events.clone(),
             };
-            let reply = Ok(StateReply::Changes(changes));
+            let reply = Ok(StoreResponse::WatchBatch(changes));
             self.step(at, Input::Store { id, reply });
         }
     }
@@ -115,14 +117,14 @@
         of: Option<TaskState>,
     ) -> Option<Vec<Command>> {
         self.seq += 1;
-        let task = of.map(|state| TaskReport {
+        let task = of.map(|state| TaskStatus {
             task: format!("{JOB}/0").parse().expect("a task's name"),
             attempt: 1,
             state,
-            why: (state == TaskState::Exited).then_some(Why::Done),
+            why: (state == TaskState::Exited).then_some(ExitReason::Done),
             saved: None,
         });
-        let report = Report {
+        let report = Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
@@ -137,14 +139,14 @@
         let input = Input::Request {
             id: RequestId(self.seq),
             method: "POST".into(),
-            target: REPORT_PATH.into(),
+            target: HEARTBEAT_PATH.into(),
             body: encode(&report),
         };
         self.around.bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
                 let body = self.around.bodies.pop().expect("an answer");
-                let answer: ReportAnswer = dillcleat_wire::decode(&body).expect("an answer");
+                let answer: HeartbeatReply = dillcleat_wire::decode(&body).expect("an answer");
                 Some(answer.commands)
             }
             _ => None,
@@ -156,8 +158,8 @@
         let changes = self.around.writes.iter().flat_map(|t| &t.then);
         changes
             .filter_map(|c| match c {
-                Change::Delete { key } => Some(key.as_str()),
-                Change::Put { .. } => None,
+                Mutation::Delete { key } => Some(key.as_str()),
+                Mutation::Put { .. } => None,
             })
             .collect()
     }
@@ -167,7 +169,7 @@
         let key = records::tasks_key(id, TaskRange::Chunk(0));
         let changes = self.around.writes.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
-            Change::Put { key: k, value, .. } if *k == key => read::<TaskChunk>(value),
+            Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
         });
         records.next_back().map_or(0, |c| c.p.len())
@@ -186,7 +188,7 @@
     let other_teams = Day::new(teamless, vec![described(JOB, 2)], 1);
     let other_form = Day::new(config_with_team(), vec![undescribed(JOB)], 1);
     let mut other_record = Day::new(config_with_team(), vec![described(JOB, 2)], 1);
-    other_record.around.tasks[0].value = value(&"of a new form");
+    other_record.around.tasks[0].value = encode_value(&"of a new form");
     for (of, mut day) in [other_teams, other_form, other_record]
         .into_iter()
         .enumerate()
@@ -234,9 +236,9 @@
 #[test]
 fn records_of_a_cancelled_job_stay_while_its_description_does() {
     let mut waits = described("req-000002", 1);
-    let mut open = waits.read::<OpenJob>().expect("a description");
+    let mut open = waits.decode_value::<OpenJob>().expect("a description");
     open.spec.awaits = vec![JOB.into()];
-    waits.value = value(&open);
+    waits.value = encode_value(&open);
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB), waits], 1);
     let mark = JobStateRecord {
         s: RecordedState::Cancelled,
@@ -260,7 +262,7 @@
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
     let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
-    let event = Event::Put {
+    let event = WatchEvent::Put {
         key: cancelled.key,
         value: cancelled.value,
         version: 3,
@@ -295,7 +297,7 @@
         let queue = vec![cancelled.clone(), undescribed(JOB)];
         let mut day = Day::new(config_with_team(), queue, 1);
         if !readable {
-            day.around.tasks[0].value = value(&"of a new form");
+            day.around.tasks[0].value = encode_value(&"of a new form");
         }
         day.pass(0, SECOND);
         day.token = 0;
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -5,12 +5,12 @@
 };
 use dillcleat_controller::store_latency::lease_time;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::platform::Platform;
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::platform::PlatformSettings;
 
 fn config(lead_ttl_s: f64) -> Config {
     let text = include_str!("../../../deploy/example-node.toml");
-    let platform = Platform::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("good settings");
     let tuning = Tuning {
         lead_ttl_s,
         ..Tuning::default()
@@ -35,7 +35,7 @@
             proved: sent,
             ..LeadershipProof::default()
         };
-        for action in DELETIONS.into_iter().chain([CloudAction::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             let given = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100_000, action);
             let permit = permit.expect("proved a moment ago");
@@ -49,7 +49,7 @@
             assert!(given(last - 1) && !given(last), "{ttl} {action:?}");
         }
         let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
-        assert!(look.is_some_and(|l| !l.covers(&CloudCall::Delete(Vec::new()))));
+        assert!(look.is_some_and(|l| !l.covers(&CloudRequest::Delete(Vec::new()))));
     }
 }
 
@@ -80,7 +80,7 @@
     let config = config(2.5);
     for apart in [false, true] {
         let proof = LeadershipProof { proved: 0, apart };
-        for action in DELETIONS.into_iter().chain([CloudAction::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             assert!(proof.permit(&config, 100 * SECOND, action).is_none());
         }
     }
