--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -8,22 +8,22 @@
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
-use dillcleat_peer_protocol::{Message, Progress};
+use dillcleat_peer_protocol::{JobProgress, Message};
 use dillcleat_wire::encode;
-use dillcleat_wire::state::{StateCall, StateReply};
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{REPORT_PATH, Report, TaskReport, TaskState, Why};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{ExitReason, HEARTBEAT_PATH, Heartbeat, TaskState, TaskStatus};
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
 
-fn told(job: &str, done: u32, running: u32) -> Progress {
+fn told(job: &str, done: u32, running: u32) -> JobProgress {
     let job = job.into();
-    Progress { job, done, running }
+    JobProgress { job, done, running }
 }
 
 fn beat(term: u64, leads: bool) -> Message {
-    Message::Beat {
+    Message::Heartbeat {
         term,
         leads,
         served: true,
@@ -44,7 +44,7 @@
 }
 
 /// What the beats of half a second tell. The lead is kept, other calls go unanswered.
-fn tells(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<Progress> {
+fn tells(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -55,14 +55,14 @@
         for output in node.handle(now, Input::Tick) {
             match output {
                 Output::Peer {
-                    message: Message::Progress(jobs),
+                    message: Message::JobProgress(jobs),
                 } => all.extend(jobs),
                 Output::Store {
                     id,
-                    call: StateCall::Extend { .. },
+                    call: StoreRequest::RenewLease { .. },
                     ..
                 } => {
-                    let reply = Ok(StateReply::Extended);
+                    let reply = Ok(StoreResponse::LeaseRenewed);
                     step_with(node, *at, Input::Store { id, reply }, &[], around);
                 }
                 _ => {}
@@ -76,7 +76,7 @@
 fn leader() -> (Node, Micros, Around) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
-        spec: JobSpec::plain(JOB, Kind::Batch, 1, 1.0),
+        spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
         at: START,
         chunk: 25,
         unmarked: true,
@@ -104,14 +104,14 @@
 }
 
 fn reports(node: &mut Node, at: Micros, seq: u64, state: TaskState, around: &mut Around) {
-    let task = TaskReport {
+    let task = TaskStatus {
         task: format!("{JOB}/0").parse().expect("a task's name"),
         attempt: 1,
         state,
-        why: (state == TaskState::Exited).then_some(Why::Done),
+        why: (state == TaskState::Exited).then_some(ExitReason::Done),
         saved: None,
     };
-    let report = Report {
+    let report = Heartbeat {
         machine: "m".into(),
         addr: "127.0.0.1:7".into(),
         machine_type: "t".into(),
@@ -126,7 +126,7 @@
     let input = Input::Request {
         id: RequestId(seq),
         method: "POST".into(),
-        target: REPORT_PATH.into(),
+        target: HEARTBEAT_PATH.into(),
         body: encode(&report),
     };
     step_with(node, at, input, &[], around);
@@ -160,7 +160,7 @@
 fn a_new_leader_takes_back_what_is_so_no_more() {
     let mut node = Node::new(config_with_team());
     let others = vec![told(JOB, 0, 3), told("req-2", 1, 1)];
-    hear(&mut node, START, "n1", Message::Progress(others));
+    hear(&mut node, START, "n1", Message::JobProgress(others));
     let (mut at, mut around) = (START, Around::default());
     step_with(&mut node, at, Input::Tick, &[], &mut around);
     assert_eq!(node.leading(), Some(1));
@@ -186,7 +186,7 @@
 #[test]
 fn the_word_of_a_leader_with_a_successor_does_not_count() {
     let mut node = Node::new(config_with_team());
-    let one = |done, running| Message::Progress(vec![told(JOB, done, running)]);
+    let one = |done, running| Message::JobProgress(vec![told(JOB, done, running)]);
     hear(&mut node, START, "n1", beat(1, true));
     hear(&mut node, START, "n1", one(0, 3));
     assert_eq!(node.progress(JOB), Some((0, 3)));
@@ -211,12 +211,12 @@
         &mut node,
         START,
         "n1",
-        Message::Progress(vec![told(JOB, 0, 3)]),
+        Message::JobProgress(vec![told(JOB, 0, 3)]),
     );
     let mut known = 0;
     for i in 0..60_000 {
         let job = format!("req-9{i}");
-        let progress = Message::Progress(vec![told(&job, 1, 0)]);
+        let progress = Message::JobProgress(vec![told(&job, 1, 0)]);
         hear(&mut node, START, "n1", progress);
     }
     for i in 0..60_000 {
--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -4,15 +4,15 @@
 
 use dillcleat_controller::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey};
 use dillcleat_controller::{Micros, SECOND};
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{Command, Report, TaskReport, TaskState, Why};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
 use std::rc::Rc;
 
 const TERM: u64 = 5;
 const NOW: Micros = 1000 * SECOND;
 
-fn report(session: u64, seq: u64, token: u64, tasks: &[(u64, TaskState)]) -> Report {
-    Report {
+fn report(session: u64, seq: u64, token: u64, tasks: &[(u64, TaskState)]) -> Heartbeat {
+    Heartbeat {
         machine: "m".into(),
         addr: "a:1".into(),
         machine_type: "t".into(),
@@ -24,11 +24,11 @@
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(attempt, state)| TaskReport {
+            .map(|(attempt, state)| TaskStatus {
                 task: "req-1/0".parse().expect("a task's name"),
                 attempt: *attempt,
                 state: *state,
-                why: (*state == TaskState::Exited).then_some(Why::Error),
+                why: (*state == TaskState::Exited).then_some(ExitReason::Error),
                 saved: None,
             })
             .collect(),
@@ -36,7 +36,7 @@
 }
 
 fn spec() -> JobSpec {
-    JobSpec::plain("req-1", Kind::Batch, 1, 1.0)
+    JobSpec::plain("req-1", JobKind::Batch, 1, 1.0)
 }
 
 fn key() -> TaskKey {
@@ -61,7 +61,7 @@
     m
 }
 
-fn take(m: &mut Machine, r: &Report, source: HeartbeatSource) -> Vec<TaskEvent> {
+fn take(m: &mut Machine, r: &Heartbeat, source: HeartbeatSource) -> Vec<TaskEvent> {
     m.report(r, source, TERM, NOW)
 }
 
@@ -104,7 +104,7 @@
     let slot = Machine::slot(1, 1, (0, &spec()), true);
     m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let launch = m.commands(true, |_, _| true);
-    assert!(matches!(launch[..], [Command::Start { .. }]));
+    assert!(matches!(launch[..], [Command::Launch { .. }]));
     m.pushed(dillcleat_controller::CallId(1), &launch);
     m.push_ended(dillcleat_controller::CallId(1), true);
     if let Some(slot) = m.slots.get_mut(&key()) {
@@ -129,7 +129,7 @@
     );
     assert!(matches!(
         m.commands(true, |_, _| true)[..],
-        [Command::Forget { .. }]
+        [Command::Reap { .. }]
     ));
 }
 
--- a/crates/controller/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -6,7 +6,7 @@
 use common::users::{Driven, Store, spec, with};
 use dillcleat_controller::records::{self, RecordedState};
 use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
-use dillcleat_wire::state::{StateCall, StateReply, Value};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 use fastrand::Rng;
 use std::collections::{HashMap, HashSet};
@@ -64,8 +64,8 @@
 struct Call {
     node: (usize, u32),
     id: CallId,
-    call: StateCall,
-    reply: Option<StateReply>,
+    call: StoreRequest,
+    reply: Option<StoreResponse>,
 }
 
 struct World {
@@ -77,7 +77,7 @@
     nodes: Vec<(Driven, u32)>,
     calls: Vec<Call>,
     /// Calls that were given up and may yet be carried out.
-    late: Vec<StateCall>,
+    late: Vec<StoreRequest>,
     requests: HashMap<(usize, u32, u64), Request>,
     told: HashMap<&'static str, Known>,
     /// The same of what each node has told by itself, from its start on.
@@ -284,7 +284,7 @@
                     46..50 => self.lose(i),
                     50..52 if self.calls[i].reply.is_none() => {
                         let busy = self.rng.bool();
-                        let refused = [StateReply::Unavailable, StateReply::TooMany];
+                        let refused = [StoreResponse::Unavailable, StoreResponse::RateLimited];
                         self.calls[i].reply = Some(refused[usize::from(busy)].clone());
                     }
                     _ if self.calls[i].reply.is_some() => self.deliver(i),
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -4,9 +4,9 @@
 
 use common::{recorded, report, step_and_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::{Message, Silence};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::Row;
+use dillcleat_peer_protocol::{Message, SilentZone};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::KeyValue;
 
 const START: Micros = 1000 * SECOND;
 
@@ -18,12 +18,12 @@
 /// began, which had `quiet_ms` from the leader before. In the cut zone machine 0
 /// alone reports, if `one_reports`.
 fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
-    let rows: Vec<Row> = (0..9)
+    let rows: Vec<KeyValue> = (0..9)
         .map(|i| recorded(&format!("m{i}"), zone(i)))
         .collect();
     let mut node = common::node();
     if let Some(quiet_ms) = quiet_ms {
-        let message = Message::Silent(vec![Silence {
+        let message = Message::SilentZones(vec![SilentZone {
             zone: "cut".into(),
             quiet_ms,
         }]);
@@ -35,7 +35,7 @@
         let now = START + at;
         let (_, calls) = step_and_calls(&mut node, now, Input::Tick, &rows);
         for call in calls {
-            if let CloudCall::Delete(names) = call {
+            if let CloudRequest::Delete(names) = call {
                 deleted.extend(names.into_iter().map(|name| (name, at)));
             }
         }
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -8,13 +8,13 @@
     CallError, CallId, Input, MILLISECOND, Micros, Node, Output, RequestId, Timestamp,
 };
 use dillcleat_wire::encode;
-use dillcleat_wire::state::{Page, StateCall, StateReply, Txn};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind};
+use dillcleat_wire::store::{RangePage, StoreRequest, StoreResponse, Transaction};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec};
 
 const START: Micros = 1000 * SECOND;
 
 /// Transactions that a node sends at this time, and the statuses it answers.
-fn step(node: &mut Node, at: Micros, input: Input) -> (Vec<(CallId, Txn)>, Vec<u16>) {
+fn step(node: &mut Node, at: Micros, input: Input) -> (Vec<(CallId, Transaction)>, Vec<u16>) {
     let now = Timestamp {
         steady: at,
         wall: at,
@@ -26,10 +26,10 @@
             match output {
                 Output::Answer { answer, .. } => answered.push(answer.status),
                 Output::Store { id, call, .. } => match call {
-                    StateCall::Txn(txn) => sent.push((id, txn)),
-                    StateCall::List { .. } => inputs.push(Input::Store {
+                    StoreRequest::Transaction(txn) => sent.push((id, txn)),
+                    StoreRequest::List { .. } => inputs.push(Input::Store {
                         id,
-                        reply: Ok(StateReply::Page(Page {
+                        reply: Ok(StoreResponse::RangePage(RangePage {
                             rows: vec![common::types(8.0)],
                             more: false,
                             revision: 1,
@@ -51,7 +51,7 @@
         id: RequestId(1),
         method: "POST".into(),
         target: JOBS_PATH.into(),
-        body: encode(&JobSpec::plain("req-1", Kind::Batch, 2, 1.0)),
+        body: encode(&JobSpec::plain("req-1", JobKind::Batch, 2, 1.0)),
     };
     let (sent, answered) = step(&mut node, START, request);
     assert_eq!((sent.len(), answered.len()), (1, 0));
@@ -62,7 +62,7 @@
     node: &mut Node,
     at: Micros,
     id: CallId,
-    reply: Result<StateReply, CallError>,
+    reply: Result<StoreResponse, CallError>,
 ) -> Vec<u16> {
     step(node, at, Input::Store { id, reply }).1
 }
@@ -80,9 +80,9 @@
     // Once is enough.
     let later = soon + 100 * MILLISECOND;
     assert!(step(&mut node, later, Input::Tick).0.is_empty());
-    let done = Ok(StateReply::Committed { revision: 2 });
+    let done = Ok(StoreResponse::Committed { revision: 2 });
     assert_eq!(reply(&mut node, later, *second, done), [201]);
-    let conflict = Ok(StateReply::Conflict {
+    let conflict = Ok(StoreResponse::Conflict {
         failed: vec![records::open_key("req-1")],
         revision: 2,
     });
@@ -97,7 +97,7 @@
     let at = START + 100 * MILLISECOND;
     let (sent, _) = step(&mut node, at, Input::Tick);
     let conflict = |keys: &[String]| {
-        Ok(StateReply::Conflict {
+        Ok(StoreResponse::Conflict {
             failed: keys.to_vec(),
             revision: 2,
         })
@@ -117,7 +117,7 @@
             &mut node,
             at,
             first,
-            Ok(StateReply::Committed { revision: 2 })
+            Ok(StoreResponse::Committed { revision: 2 })
         ),
         [0; 0]
     );
@@ -134,9 +134,9 @@
     let at = START + 100 * MILLISECOND;
     let (sent, _) = step(&mut node, at, Input::Tick);
     assert_eq!(
-        reply(&mut node, at, sent[0].0, Ok(StateReply::TooMany)),
+        reply(&mut node, at, sent[0].0, Ok(StoreResponse::RateLimited)),
         [0; 0]
     );
-    let done = Ok(StateReply::Committed { revision: 2 });
+    let done = Ok(StoreResponse::Committed { revision: 2 });
     assert_eq!(reply(&mut node, at, first, done), [201]);
 }
--- a/crates/controller/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -8,7 +8,7 @@
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{MILLISECOND, SECOND};
 use dillcleat_wire::encode;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, poll_path};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, poll_path};
 
 const JOBS: u32 = 240;
 
@@ -26,7 +26,7 @@
     for n in 0..JOBS {
         let spec = JobSpec {
             team: "t".into(),
-            ..JobSpec::plain(&id(n), Kind::Batch, 1, 1.0)
+            ..JobSpec::plain(&id(n), JobKind::Batch, 1, 1.0)
         };
         fleet.runs.insert(id(n), 3 * SECOND);
         assert_eq!(fleet.ask("POST", JOBS_PATH.into(), encode(&spec)), 201);
@@ -49,7 +49,7 @@
     fleet.pass(60 * SECOND);
     for n in 0..JOBS {
         let mark = fleet.record(&records::job_key(&id(n))).expect("a mark");
-        let mark: JobStateRecord = dillcleat_wire::state::read(&mark).expect("a mark");
+        let mark: JobStateRecord = dillcleat_wire::store::decode_value(&mark).expect("a mark");
         assert_ne!(mark.s, RecordedState::Open, "{}", id(n));
     }
     assert_eq!(fleet.keys("j/"), JOBS as usize);
--- a/crates/controller/tests/team_limits.rs
+++ b/crates/controller/tests/team_limits.rs
@@ -6,7 +6,7 @@
 use common::{config_with_team, machine_type};
 use dillcleat_controller::records;
 use dillcleat_controller::{Micros, SECOND};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 
 const LIMIT: u32 = 4;
 
@@ -20,7 +20,7 @@
 }
 
 /// As many tasks as the limit allows, by CPUs or by accelerators.
-fn job(id: &str, kind: Kind, gpus: bool) -> JobSpec {
+fn job(id: &str, kind: JobKind, gpus: bool) -> JobSpec {
     JobSpec {
         gpus: if gpus { 1.0 } else { 0.0 },
         spot: false,
@@ -29,7 +29,7 @@
 }
 
 /// A team at its limit, with all its tasks on one of two machines.
-fn at_limit(kind: Kind, gpus: bool) -> Fleet {
+fn at_limit(kind: JobKind, gpus: bool) -> Fleet {
     let mut config = config_with_team();
     match gpus {
         true => config.teams[0].gpus_max = f64::from(LIMIT),
@@ -95,7 +95,7 @@
 /// exceeds the limit (the workers check it), and none of it is lost.
 #[test]
 fn the_limit_is_freed_on_the_same_proof_as_the_place() {
-    for kind in [Kind::Batch, Kind::Service] {
+    for kind in [JobKind::Batch, JobKind::Service] {
         for gpus in [false, true] {
             for ends in [Ends::Never, Ends::Before, Ends::After, Ends::Both] {
                 let next = job("req-000002", kind, gpus);
@@ -117,14 +117,14 @@
 #[test]
 fn a_placement_that_is_being_written_holds_the_limit_until_it_is_settled() {
     for ends in [Ends::Never, Ends::After] {
-        let mut fleet = at_limit(Kind::Batch, false);
+        let mut fleet = at_limit(JobKind::Batch, false);
         assert_eq!(fleet.cancel("req-000001"), 200);
         fleet.pass(5 * SECOND);
         fleet.write_lag = 3 * SECOND;
-        fleet.submit(job("req-000002", Kind::Batch, false));
+        fleet.submit(job("req-000002", JobKind::Batch, false));
         fleet.pass(SECOND);
         fleet.cancel("req-000002");
-        fleet.submit(job("req-000003", Kind::Batch, false));
+        fleet.submit(job("req-000003", JobKind::Batch, false));
         fleet.pass(SECOND / 2);
         if matches!(ends, Ends::After) {
             fleet.new_leader();
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -6,8 +6,8 @@
     parse_tasks_key, tasks_key,
 };
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::state::{Value, read, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::store::{Value, decode_value, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use serde::{Deserialize, Serialize};
 
 const OPEN: &str = "84a473706563de0014a3726566a57265712d31a36c6f74a163a46465736ba174a762696e64696e67\
@@ -48,7 +48,7 @@
             zone: Some("a".into()),
             types: Some(vec!["g8".into()]),
             awaits,
-            ..JobSpec::plain("req-1", Kind::Batch, 200, 4.0)
+            ..JobSpec::plain("req-1", JobKind::Batch, 200, 4.0)
         },
         at: 1_700_000_000_000_000,
         chunk: 204,
@@ -66,8 +66,8 @@
         T: for<'a> Deserialize<'a> + Serialize + PartialEq + std::fmt::Debug,
     {
         let record = stored(hex);
-        assert_eq!(read::<T>(&record).as_ref(), Some(&is));
-        assert_eq!(value(&is), record);
+        assert_eq!(decode_value::<T>(&record).as_ref(), Some(&is));
+        assert_eq!(encode_value(&is), record);
     }
     same(OPEN, described(Vec::new()));
     let chunk = TaskChunk {
@@ -125,8 +125,8 @@
 
 #[test]
 fn production_reads_a_job_that_waits() {
-    let record = value(&described(vec!["req-7".into()]));
-    let old: OldJob = read(&record).expect("unknown fields are passed over");
+    let record = encode_value(&described(vec!["req-7".into()]));
+    let old: OldJob = decode_value(&record).expect("unknown fields are passed over");
     assert_eq!((old.spec.id.as_str(), old.spec.tasks), ("req-1", 200));
     assert_eq!((old.spec.deadline_s, old.at_most), (Some(60.0), None));
     assert_eq!((old.chunk, old.unmarked), (204, true));
--- a/crates/controller/tests/waiting.rs
+++ b/crates/controller/tests/waiting.rs
@@ -5,7 +5,7 @@
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
 use dillcleat_controller::{Config, Micros, SECOND};
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
 /// No job waits for longer beside a machine that fits.
 const BOUND: Micros = 90 * SECOND;
@@ -20,14 +20,14 @@
 fn service(replicas: u32) -> JobSpec {
     JobSpec {
         priority: Priority::High,
-        ..JobSpec::plain("req-000900", Kind::Service, replicas, 1.0)
+        ..JobSpec::plain("req-000900", JobKind::Service, replicas, 1.0)
     }
 }
 
 fn batch(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         class: "b".into(),
-        ..JobSpec::plain(id, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
     }
 }
 
--- a/crates/controller/tests/zones.rs
+++ b/crates/controller/tests/zones.rs
@@ -5,14 +5,14 @@
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
 use dillcleat_controller::SECOND;
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
 const JOB: &str = "req-000001";
 
 fn job(tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        ..JobSpec::plain(JOB, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(JOB, JobKind::Batch, tasks, 1.0)
     }
 }
 
--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -7,8 +7,8 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use dillcleat_controller::{CallError, Config, Tuning};
 use dillcleat_kube::{Key, Rules, Settings};
-use dillcleat_wire::platform::{Platform, one_line};
-use dillcleat_wire::user::{self, JobSpec, JobStatus, Kind, Priority, Refusal};
+use dillcleat_wire::platform::{PlatformSettings, one_line};
+use dillcleat_wire::user::{self, ErrorReply, JobKind, JobSpec, JobStatus, Priority};
 use smol::Timer;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -168,7 +168,7 @@
 
 /// What a controller is started with.
 struct Start {
-    platform: Platform,
+    platform: PlatformSettings,
     config: Config,
     /// For Kubernetes-shaped clients, if they are served.
     rules: Option<Rules>,
@@ -195,7 +195,7 @@
 }
 
 fn settings(file: &Path, tuning: Option<&Path>) -> Result<Start, CliError> {
-    let platform = Platform::parse(&read(file)?)
+    let platform = PlatformSettings::parse(&read(file)?)
         .map_err(|e| CliError::Settings(file.display().to_string(), e.to_string()))?;
     let from_env = std::env::var_os("DILLCLEAT_TUNING").map(PathBuf::from);
     let (tuning, rules) = match tuning.map(Path::to_path_buf).or(from_env) {
@@ -211,7 +211,7 @@
 }
 
 /// The objectives from which no decision follows, by kind and class.
-fn unused(platform: &Platform) -> Vec<String> {
+fn unused(platform: &PlatformSettings) -> Vec<String> {
     let all = platform.cluster.objectives.iter();
     all.filter(|o| !o.steers())
         .map(|o| match &o.class {
@@ -300,9 +300,9 @@
             class: self.class,
             team: self.team,
             kind: if self.service {
-                Kind::Service
+                JobKind::Service
             } else {
-                Kind::Batch
+                JobKind::Batch
             },
             priority: self.priority,
             tasks: self.tasks,
@@ -347,7 +347,7 @@
             match reply {
                 Ok((200 | 201, body)) => return Ok(body),
                 Ok((status @ (400 | 404 | 405 | 413 | 422), body)) => {
-                    let cause = dillcleat_wire::decode::<Refusal>(&body)
+                    let cause = dillcleat_wire::decode::<ErrorReply>(&body)
                         .map_or_else(|_| format!("status {status}"), |r| r.error);
                     return Err(CliError::Refused(cause));
                 }
--- a/crates/dillcleat/src/mesh.rs
+++ b/crates/dillcleat/src/mesh.rs
@@ -2,7 +2,7 @@
 //! sends on its own connections only; what it accepts, it reads.
 
 use dillcleat_controller::Input;
-use dillcleat_peer_protocol::{FrameError, Message, frame_len};
+use dillcleat_peer_protocol::{FrameError, Message, frame_length};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use smol::Timer;
 use smol::channel::{Receiver, Sender};
@@ -91,7 +91,7 @@
         timed(READ_TIME, async { stream.read_exact(&mut head).await.ok() })
             .await
             .ok_or(ListenError::Gone)?;
-        let mut frame = vec![0; frame_len(head)?];
+        let mut frame = vec![0; frame_length(head)?];
         timed(READ_TIME, async {
             stream.read_exact(&mut frame).await.ok()
         })
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -9,10 +9,10 @@
 };
 use dillcleat_kube::{Controller, Out, Rules};
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::platform::Platform;
-use dillcleat_wire::state::StateCall;
-use dillcleat_wire::worker::{COMMANDS_PATH, Orders, REPORT_PATH};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::store::StoreRequest;
+use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch, HEARTBEAT_PATH};
 use futures_lite::FutureExt;
 use smol::channel::{Receiver, Sender};
 use smol::net::{TcpListener, TcpStream};
@@ -56,7 +56,11 @@
 
 pub(crate) type Executor = Rc<LocalExecutor<'static>>;
 
-pub fn run(platform: &Platform, config: Config, rules: Option<Rules>) -> Result<(), CliError> {
+pub fn run(
+    platform: &PlatformSettings,
+    config: Config,
+    rules: Option<Rules>,
+) -> Result<(), CliError> {
     let ex: Executor = Rc::new(LocalExecutor::new());
     smol::block_on(ex.clone().run(serve(ex, platform, config, rules)))
 }
@@ -79,7 +83,7 @@
 
 async fn serve(
     ex: Executor,
-    platform: &Platform,
+    platform: &PlatformSettings,
     config: Config,
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
@@ -263,7 +267,7 @@
     }
 }
 
-async fn state_call(shared: Rc<Shared>, id: CallId, call: StateCall, timeout: Micros) {
+async fn state_call(shared: Rc<Shared>, id: CallId, call: StoreRequest, timeout: Micros) {
     let (method, target, body) = call.request();
     let time = Duration::from_micros(timeout);
     let reply = shared
@@ -287,7 +291,7 @@
     }
 }
 
-async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudCall, limits: Limits) {
+async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudRequest, limits: Limits) {
     let (method, target, body) = call.request();
     let reply = shared
         .cloud
@@ -307,7 +311,7 @@
     shared: Rc<Shared>,
     id: CallId,
     addr: String,
-    orders: Orders,
+    orders: CommandBatch,
     timeout: Micros,
 ) {
     let body = dillcleat_wire::encode(&orders);
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -5,7 +5,7 @@
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
 use dillcleat_simulator::processes::{self, Process, until};
 use dillcleat_simulator::worker::Play;
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -66,7 +66,7 @@
     String::from_utf8_lossy(said).trim().to_string()
 }
 
-fn play(id: &str, kind: Kind) -> Play {
+fn play(id: &str, kind: JobKind) -> Play {
     Play {
         spec: JobSpec {
             image: "img".into(),
@@ -85,13 +85,13 @@
     let (clients, mesh) = (addrs[..3].to_vec(), addrs[3..].to_vec());
     let names = (0..3).map(|i| (format!("n{i}"), clients[i])).collect();
     let world = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
-    world.knows(play("req-1", Kind::Batch));
-    world.knows(play("req-2", Kind::Service));
+    world.knows(play("req-1", JobKind::Batch));
+    world.knows(play("req-2", JobKind::Service));
     world.knows(Play {
         run: 8 * SECOND,
-        ..play("req-3", Kind::Batch)
+        ..play("req-3", JobKind::Batch)
     });
-    world.knows(play("req-4", Kind::Batch));
+    world.knows(play("req-4", JobKind::Batch));
     let files: Vec<PathBuf> = (0..3)
         .map(|i| {
             file(
--- a/crates/kube/src/cache.rs
+++ b/crates/kube/src/cache.rs
@@ -4,7 +4,7 @@
 //! many clients read and watch.
 
 use crate::record::{Kind, Name, OBJECTS, Object, Record};
-use dillcleat_wire::state::{Changes, Event, Page, Value};
+use dillcleat_wire::store::{RangePage, Value, WatchBatch, WatchEvent};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -108,7 +108,7 @@
     /// A page of the reading of everything. When it was the last one, the objects are
     /// known as of the first: what came in between is in the changes from there on.
     /// Returns the key after which the next page begins.
-    pub fn page(&mut self, page: Page, first: bool) -> Option<String> {
+    pub fn page(&mut self, page: RangePage, first: bool) -> Option<String> {
         if first {
             self.loading = None;
         }
@@ -140,11 +140,13 @@
 
     /// Takes changes up; returns those that are new here. The same may come twice, by
     /// the watch and by a look.
-    pub fn apply(&mut self, changes: Changes) -> Vec<Turn> {
+    pub fn apply(&mut self, changes: WatchBatch) -> Vec<Turn> {
         let mut new = Vec::new();
         for event in changes.events {
             let (key, version) = match &event {
-                Event::Put { key, version, .. } | Event::Delete { key, version } => (key, *version),
+                WatchEvent::Put { key, version, .. } | WatchEvent::Delete { key, version } => {
+                    (key, *version)
+                }
             };
             if !key.starts_with(OBJECTS) || version <= self.revision.unwrap_or(0) {
                 continue;
@@ -153,8 +155,8 @@
                 continue;
             };
             let made = match &event {
-                Event::Put { value, .. } => object(key, value, version).map(Rc::new),
-                Event::Delete { .. } => None,
+                WatchEvent::Put { value, .. } => object(key, value, version).map(Rc::new),
+                WatchEvent::Delete { .. } => None,
             };
             let old = match &made {
                 Some(o) => self.objects.insert(name.clone(), o.clone()),
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -24,7 +24,7 @@
 use dillcleat_controller::{
     CallError, CallId, JobEvent, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
-use dillcleat_wire::state::{StateCall, StateReply, Txn};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction};
 use dillcleat_wire::user::JobState;
 use serde_json::{Value, json};
 use std::collections::{HashMap, VecDeque};
@@ -205,7 +205,7 @@
         &self.cache
     }
 
-    fn call(&mut self, ctx: &mut Ctx, call: StateCall, waiting: Waiting) {
+    fn call(&mut self, ctx: &mut Ctx, call: StoreRequest, waiting: Waiting) {
         self.next += 1;
         let id = CallId(OWN | self.next);
         let timeout = state_timeout(&call);
@@ -361,7 +361,7 @@
         }
         self.looking = true;
         let requests = std::mem::take(&mut self.waiting).into();
-        let call = StateCall::Watch {
+        let call = StoreRequest::Watch {
             prefix: OBJECTS.into(),
             after,
             hold_ms: 0,
@@ -403,7 +403,7 @@
             let prefix = OBJECTS.to_string();
             self.call(
                 ctx,
-                StateCall::List { prefix, after },
+                StoreRequest::List { prefix, after },
                 Waiting::Page { first },
             );
         }
@@ -411,7 +411,7 @@
             && now >= at
         {
             self.watch_at = None;
-            let call = StateCall::Watch {
+            let call = StoreRequest::Watch {
                 prefix: OBJECTS.into(),
                 after,
                 hold_ms: HOLD_MS,
@@ -446,7 +446,7 @@
             }
             match wish {
                 Wish::Change(name, txn) => {
-                    self.call(ctx, StateCall::Txn(txn), Waiting::Keep(name));
+                    self.call(ctx, StoreRequest::Transaction(txn), Waiting::Keep(name));
                 }
                 Wish::Look(job) => self.look_at_job(ctx, job),
             }
@@ -455,11 +455,11 @@
 
     fn look_at_job(&mut self, ctx: &mut Ctx, job: String) {
         let key = records::job_key(&job);
-        self.call(ctx, StateCall::Get { key }, Waiting::KeepLook(job));
+        self.call(ctx, StoreRequest::Get { key }, Waiting::KeepLook(job));
     }
 
     /// An answer of the state service.
-    pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StateReply, CallError>) {
+    pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StoreResponse, CallError>) {
         let Some(waiting) = self.calls.remove(&id) else {
             return;
         };
@@ -486,9 +486,9 @@
             Waiting::Before(creation) => self.used_before(ctx, *creation, reply),
             Waiting::Write(change) => self.written(ctx, *change, reply),
             Waiting::Keep(name) => {
-                let committed = matches!(reply, Ok(StateReply::Committed { .. }));
+                let committed = matches!(reply, Ok(StoreResponse::Committed { .. }));
                 self.keeper.changed(&name, committed, ctx.now.wall);
-                if let Ok(StateReply::Conflict { failed, .. }) = reply {
+                if let Ok(StoreResponse::Conflict { failed, .. }) = reply {
                     // It ended by itself at that moment.
                     let job = failed.iter().find_map(|k| k.strip_prefix("j/"));
                     if let Some(job) = job {
@@ -498,7 +498,7 @@
             }
             Waiting::KeepLook(job) => {
                 let mark = match reply {
-                    Ok(StateReply::Found(row)) => row.read::<JobStateRecord>(),
+                    Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>(),
                     _ => None,
                 };
                 let ended: Option<JobState> = mark.and_then(|m| m.s.ended());
@@ -508,9 +508,9 @@
         self.keep(ctx);
     }
 
-    fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StateReply, CallError>) {
+    fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StoreResponse, CallError>) {
         let now = ctx.now.steady;
-        let Ok(StateReply::Page(page)) = reply else {
+        let Ok(StoreResponse::RangePage(page)) = reply else {
             self.load = Some((now + RETRY, None));
             return;
         };
@@ -524,11 +524,11 @@
     }
 
     /// Takes changes up and tells them on; false if there were none to be had.
-    fn changed(&mut self, ctx: &mut Ctx, reply: Result<StateReply, CallError>) -> bool {
+    fn changed(&mut self, ctx: &mut Ctx, reply: Result<StoreResponse, CallError>) -> bool {
         // Only a leader's keeper works off what it is told.
         let leads = ctx.node.fence().is_some();
         match reply {
-            Ok(StateReply::Changes(changes)) => {
+            Ok(StoreResponse::WatchBatch(changes)) => {
                 for turn in self.cache.apply(changes) {
                     let sent = self.watches.turned(&turn, ctx.now.wall);
                     self.send(ctx, sent);
@@ -538,7 +538,7 @@
                 }
                 true
             }
-            Ok(StateReply::TooOld) => {
+            Ok(StoreResponse::Compacted) => {
                 log::info!("lost sight of the objects, reading them again");
                 let sent = self.watches.lost();
                 self.send(ctx, sent);
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -9,7 +9,7 @@
 use crate::fault::{Cause, Why};
 use crate::record::{JobState as Kept, Kind};
 use crate::translate::{PREFIX, Wanted};
-use dillcleat_wire::state;
+use dillcleat_wire::store;
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{DeleteOptions, Status, StatusDetails};
 
 /// A create that is under way.
@@ -123,7 +123,7 @@
         job: Option<&OpenJob>,
     ) -> Result<(), Fault> {
         let most = ctx.node.config().value_bytes;
-        let job = job.map_or(0, |job| state::json_size(&state::value(job)));
+        let job = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
         let size = record.size().max(job);
         if size <= most {
             return Ok(());
@@ -238,7 +238,7 @@
     }
 
     fn send_creation(&mut self, ctx: &mut Ctx, creation: Creation) {
-        let mut txn = Txn::default()
+        let mut txn = Transaction::default()
             .compare(creation.name.key(), 0)
             .compare(creation.name.deleted_key(), creation.before)
             .put(creation.name.key(), &creation.record);
@@ -246,18 +246,18 @@
             txn = submit(txn, job);
         }
         let waiting = Waiting::Create(Box::new(creation));
-        self.call(ctx, StateCall::Txn(txn), waiting);
+        self.call(ctx, StoreRequest::Transaction(txn), waiting);
     }
 
     pub(super) fn created(
         &mut self,
         ctx: &mut Ctx,
         mut creation: Creation,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
         let fault = match reply {
-            Ok(StateReply::Committed { revision }) => {
+            Ok(StoreResponse::Committed { revision }) => {
                 self.writes -= 1;
                 if let Some(job) = &creation.job {
                     ctx.node.admitted(job);
@@ -277,7 +277,7 @@
                 let shown = self.shown(ctx, &creation.request, &object);
                 return self.reply(ctx, id, 201, &shown);
             }
-            Ok(StateReply::Conflict { failed, .. }) => {
+            Ok(StoreResponse::Conflict { failed, .. }) => {
                 let hit = |key: String| failed.contains(&key);
                 if hit(creation.name.key()) {
                     // It is there, perhaps by an earlier try of ours whose answer
@@ -288,7 +288,7 @@
                 if hit(creation.name.deleted_key()) {
                     let key = creation.name.deleted_key();
                     let waiting = Waiting::Before(Box::new(creation));
-                    return self.call(ctx, StateCall::Get { key }, waiting);
+                    return self.call(ctx, StoreRequest::Get { key }, waiting);
                 }
                 log::error!("{}: its reference belongs to another job", creation.name);
                 conflict(&creation.name, "its reference belongs to another job")
@@ -298,8 +298,8 @@
                 creation.request.uncertain |= e == CallError::NoAnswer;
                 return self.send_creation(ctx, creation);
             }
-            Ok(StateReply::TooMany) if !creation.request.uncertain => Fault::TooMany,
-            Ok(StateReply::Malformed) => {
+            Ok(StoreResponse::RateLimited) if !creation.request.uncertain => Fault::TooMany,
+            Ok(StoreResponse::Malformed) => {
                 log::error!("{}: the state service calls it malformed", creation.name);
                 Fault::BadRequest("the object cannot be stored".into())
             }
@@ -346,12 +346,12 @@
         &mut self,
         ctx: &mut Ctx,
         creation: Creation,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
         self.writes -= 1;
         let (gone, version) = match reply {
-            Ok(StateReply::Found(row)) => match row.read::<Gone>() {
+            Ok(StoreResponse::Found(row)) => match row.decode_value::<Gone>() {
                 Some(gone) => (gone, row.version),
                 None => {
                     log::error!("{}: not what an object leaves", row.key);
@@ -442,7 +442,7 @@
             self.reply(ctx, request.id, 200, &shown);
             return Ok(());
         }
-        let mut txn = Txn::default()
+        let mut txn = Transaction::default()
             .compare(name.key(), object.version)
             .put(name.key(), &record);
         if let Some(job) = &job {
@@ -463,7 +463,11 @@
             uid: record.uid.clone(),
             record: Some(record),
         };
-        self.call(ctx, StateCall::Txn(txn), Waiting::Write(Box::new(change)));
+        self.call(
+            ctx,
+            StoreRequest::Transaction(txn),
+            Waiting::Write(Box::new(change)),
+        );
         Ok(())
     }
 
@@ -579,7 +583,7 @@
         open: bool,
     ) -> Result<(), Fault> {
         let state = &object.record.state;
-        let mut txn = Txn::default().compare(object.name.key(), object.version);
+        let mut txn = Transaction::default().compare(object.name.key(), object.version);
         if let Some(job) = state.job.as_ref().filter(|_| open && state.end.is_none()) {
             txn = keeper::cancel(txn, object, job, ctx.now.wall);
         }
@@ -597,7 +601,11 @@
             record: None,
             uid: object.record.uid.clone(),
         };
-        self.call(ctx, StateCall::Txn(txn), Waiting::Write(Box::new(change)));
+        self.call(
+            ctx,
+            StoreRequest::Transaction(txn),
+            Waiting::Write(Box::new(change)),
+        );
         Ok(())
     }
 
@@ -605,7 +613,7 @@
         &mut self,
         ctx: &mut Ctx,
         change: Change,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         self.writes -= 1;
         let Change {
@@ -616,7 +624,7 @@
         } = change;
         let id = request.id;
         let fault = match (reply, record) {
-            (Ok(StateReply::Committed { revision }), Some(record)) => {
+            (Ok(StoreResponse::Committed { revision }), Some(record)) => {
                 log::info!("{name} {uid}: changed by {}", request.token.name);
                 let object = Object {
                     name,
@@ -626,11 +634,11 @@
                 let shown = self.shown(ctx, &request, &object);
                 return self.reply(ctx, id, 200, &shown);
             }
-            (Ok(StateReply::Committed { .. }), None) => {
+            (Ok(StoreResponse::Committed { .. }), None) => {
                 log::info!("{name} {uid}: deleted by {}", request.token.name);
                 return self.reply(ctx, id, 200, &deleted(&name, &uid));
             }
-            (Ok(StateReply::Conflict { failed, .. }), record) => {
+            (Ok(StoreResponse::Conflict { failed, .. }), record) => {
                 let object_changed = failed.contains(&name.key());
                 let object = self.cache.get(&name).cloned();
                 match (object, record) {
@@ -655,8 +663,8 @@
                 }
                 return self.wait(ctx, request);
             }
-            (Ok(StateReply::TooMany), _) => Fault::TooMany,
-            (Ok(StateReply::Malformed), _) => {
+            (Ok(StoreResponse::RateLimited), _) => Fault::TooMany,
+            (Ok(StoreResponse::Malformed), _) => {
                 log::error!("{name}: the state service calls it malformed");
                 Fault::BadRequest("the object cannot be stored".into())
             }
@@ -667,7 +675,7 @@
 }
 
 /// Adds a job's submission to a transaction.
-fn submit(txn: Txn, job: &OpenJob) -> Txn {
+fn submit(txn: Transaction, job: &OpenJob) -> Transaction {
     let id = &job.spec.id;
     txn.compare(records::job_key(id), 0)
         .compare(records::open_key(id), 0)
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -9,7 +9,7 @@
 use crate::view::completions;
 use dillcleat_controller::records::{self, CancelledJob, JobStateRecord, RecordedState};
 use dillcleat_controller::{JobEvent, Micros, SECOND};
-use dillcleat_wire::state::Txn;
+use dillcleat_wire::store::Transaction;
 use dillcleat_wire::user::JobState;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -95,7 +95,7 @@
 }
 
 /// Cancels the job of an object in the same transaction as something else.
-pub(crate) fn cancel(txn: Txn, object: &Object, job: &str, wall: Micros) -> Txn {
+pub(crate) fn cancel(txn: Transaction, object: &Object, job: &str, wall: Micros) -> Transaction {
     let mark = JobStateRecord {
         s: RecordedState::Cancelled,
         n: completions(object),
@@ -106,7 +106,7 @@
 }
 
 /// Deletes an object and keeps what its name needs.
-pub(crate) fn delete(txn: Txn, object: &Object) -> Txn {
+pub(crate) fn delete(txn: Transaction, object: &Object) -> Transaction {
     let gone = Gone {
         uid: object.record.uid.clone(),
         run: object.record.run,
@@ -118,9 +118,9 @@
 
 impl Step {
     /// The transaction that does it; None if there is nothing to do.
-    fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Txn> {
+    fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
         let key = object.name.key();
-        let mut txn = Txn::default()
+        let mut txn = Transaction::default()
             .compare(records::TERM, fence)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
@@ -147,7 +147,7 @@
 /// A call that the keeper wants made.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Wish {
-    Change(Name, Txn),
+    Change(Name, Transaction),
     /// Read whether this job has ended.
     Look(String),
 }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -4,7 +4,7 @@
 //! - `k/d/RESOURCE/NAMESPACE/NAME`: that there was one of this name, and its run.
 
 use dillcleat_controller::Micros;
-use dillcleat_wire::state::{self, Value as StateValue};
+use dillcleat_wire::store::{self, Value as StateValue};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -142,11 +142,11 @@
 impl Record {
     /// Its size in the state service, in bytes of the JSON form.
     pub fn size(&self) -> usize {
-        state::json_size(&state::value(self))
+        store::json_size(&store::encode_value(self))
     }
 
     pub fn read(value: &StateValue) -> Option<Record> {
-        state::read(value)
+        store::decode_value(value)
     }
 }
 
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -4,7 +4,7 @@
 use crate::fields::{self, OF_JOB};
 use crate::quantity;
 use crate::settings::Settings;
-use dillcleat_wire::user::{self, JobSpec, Kind, Priority};
+use dillcleat_wire::user::{self, JobKind, JobSpec, Priority};
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::{Affinity, Container, PodSpec, PodTemplateSpec};
 use serde_json::{Value, json};
@@ -374,7 +374,7 @@
             id: String::new(),
             class: self.class(notes),
             team: team.to_string(),
-            kind: Kind::Batch,
+            kind: JobKind::Batch,
             priority: self.priority(pod),
             tasks,
             cpus,
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -8,9 +8,10 @@
 use dillcleat_kube::record::{Gone, Kind, Name, Record};
 use dillcleat_kube::{Ask, Controller, Key, Out, Rules, Settings};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::platform::Platform;
-use dillcleat_wire::state::{
-    Change, Changes, Event, Page, Row, StateCall, StateReply, Txn, Value, value,
+use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::store::{
+    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value, WatchBatch,
+    WatchEvent, encode_value,
 };
 use serde_json::json;
 
@@ -30,8 +31,8 @@
     Rules::new(settings, key)
 }
 
-fn row(key: String, value: Value, version: u64) -> Row {
-    Row {
+fn row(key: String, value: Value, version: u64) -> KeyValue {
+    KeyValue {
         key,
         value,
         version,
@@ -41,7 +42,7 @@
 
 struct Driven {
     controller: Controller,
-    txns: Vec<(CallId, Txn)>,
+    txns: Vec<(CallId, Transaction)>,
     gets: Vec<CallId>,
     /// Looks at what has changed.
     looks: Vec<CallId>,
@@ -52,7 +53,7 @@
     /// A controller that knows the machine types, and of no object as of revision 5.
     fn new() -> Driven {
         let text = include_str!("../../../deploy/example-node.toml");
-        let platform = Platform::parse(text).expect("good settings");
+        let platform = PlatformSettings::parse(text).expect("good settings");
         let node = Node::new(Config::new(&platform, Tuning::default()));
         let mut driven = Driven {
             controller: Controller::new(node, Some(rules())),
@@ -75,21 +76,21 @@
             match out {
                 Out::Reply { reply, .. } => self.replies.push(reply.status),
                 Out::Core(Output::Store { id, call, .. }) => match call {
-                    StateCall::List { prefix, .. } => {
+                    StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
                             records::SHARED => vec![types()],
                             _ => Vec::new(),
                         };
-                        let reply = StateReply::Page(Page {
+                        let reply = StoreResponse::RangePage(RangePage {
                             rows,
                             more: false,
                             revision: 5,
                         });
                         self.answer(id, Ok(reply));
                     }
-                    StateCall::Txn(txn) => self.txns.push((id, txn)),
-                    StateCall::Get { .. } => self.gets.push(id),
-                    StateCall::Watch { hold_ms: 0, .. } => self.looks.push(id),
+                    StoreRequest::Transaction(txn) => self.txns.push((id, txn)),
+                    StoreRequest::Get { .. } => self.gets.push(id),
+                    StoreRequest::Watch { hold_ms: 0, .. } => self.looks.push(id),
                     _ => {}
                 },
                 _ => {}
@@ -103,13 +104,13 @@
     }
 
     /// The oldest look finds these changes.
-    fn look(&mut self, revision: u64, events: Vec<Event>) {
+    fn look(&mut self, revision: u64, events: Vec<WatchEvent>) {
         let id = self.looks.remove(0);
-        let changes = Changes { revision, events };
-        self.answer(id, Ok(StateReply::Changes(changes)));
+        let changes = WatchBatch { revision, events };
+        self.answer(id, Ok(StoreResponse::WatchBatch(changes)));
     }
 
-    fn answer(&mut self, id: CallId, reply: Result<StateReply, CallError>) {
+    fn answer(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
         self.feed(Input::Store { id, reply });
     }
 }
@@ -121,7 +122,7 @@
     }
 }
 
-fn types() -> Row {
+fn types() -> KeyValue {
     let types = vec![MachineType {
         name: "t".into(),
         cpus: 8.0,
@@ -136,7 +137,7 @@
     }];
     row(
         records::TYPES.into(),
-        value(&MachineTypesRecord { types }),
+        encode_value(&MachineTypesRecord { types }),
         1,
     )
 }
@@ -150,7 +151,7 @@
 }
 
 /// Asks for an object; returns the transaction that is sent.
-fn created(driven: &mut Driven) -> (CallId, Txn) {
+fn created(driven: &mut Driven) -> (CallId, Transaction) {
     let requests = json!({"cpu": "1", "memory": "1G"});
     let container = json!({"name": "main", "image": "i", "resources": {"requests": requests}});
     let body = json!({
@@ -183,7 +184,7 @@
         driven.answer(first, Err(CallError::NoAnswer));
     }
     let (id, _) = driven.txns.last().cloned().expect("it is tried again");
-    let conflict = StateReply::Conflict {
+    let conflict = StoreResponse::Conflict {
         failed: vec![name().deleted_key()],
         revision: 9,
     };
@@ -194,7 +195,7 @@
         job: Some("req-1".into()),
     };
     let get = driven.gets.pop().expect("what it left is read");
-    let found = StateReply::Found(row(name().deleted_key(), value(&gone), left));
+    let found = StoreResponse::Found(row(name().deleted_key(), encode_value(&gone), left));
     driven.answer(get, Ok(found));
     (driven.replies, driven.txns.len())
 }
@@ -217,13 +218,13 @@
         let mut driven = Driven::new();
         let (_, txn) = created(&mut driven);
         let put = txn.then.into_iter().find_map(|c| match c {
-            Change::Put { key, value, .. } if key == name().key() => Some(value),
+            Mutation::Put { key, value, .. } if key == name().key() => Some(value),
             _ => None,
         });
         let record = put.as_ref().and_then(Record::read).expect("an object");
-        let made = |record: &Record, version| Event::Put {
+        let made = |record: &Record, version| WatchEvent::Put {
             key: name().key(),
-            value: value(record),
+            value: encode_value(record),
             version,
         };
         driven.txns.clear();
@@ -242,7 +243,7 @@
             ..record
         };
         let key = name().key();
-        let between = vec![Event::Delete { key, version: 7 }, made(&next, 8)];
+        let between = vec![WatchEvent::Delete { key, version: 7 }, made(&next, 8)];
         driven.look(8, if replaced { between } else { Vec::new() });
         let told = if replaced { vec![200] } else { vec![] };
         let sent = if replaced { 1 } else { 2 };
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -10,7 +10,7 @@
 pub const VERSION: u8 = 4;
 /// The version before, of which every frame is one of this version as well: in a
 /// rolling upgrade new nodes hear old ones, old ones do without the new ones' hints.
-const BEFORE: u8 = 3;
+const PREVIOUS_VERSION: u8 = 3;
 /// Bound of one frame's length field.
 pub const MAX_FRAME: usize = 64 * 1024;
 /// Bound of the jobs in one progress message.
@@ -20,7 +20,7 @@
 pub const MAX_ZONES: usize = 100;
 
 /// Bound of the jobs in one message about what was learned.
-pub const MAX_LEARNED: usize = 100;
+pub const MAX_JOB_ESTIMATES: usize = 100;
 /// Bound of the classes in one.
 pub const MAX_CLASSES: usize = 64;
 /// Bound of a job's samples in one.
@@ -28,7 +28,7 @@
 
 /// What a leader has learned of an array, for one that follows.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LearnedJob {
+pub struct JobEstimate {
     pub job: String,
     /// Size as of the first guess, in CPU-seconds.
     pub initial_size: f64,
@@ -45,7 +45,7 @@
 
 /// What a leader has learned, in part: each message brings some jobs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Learned {
+pub struct Estimates {
     /// The leader's term.
     pub term: u64,
     /// What ageing has taken off any array that was active all the time, in
@@ -53,12 +53,12 @@
     pub clock: f64,
     /// Mean run times by class, in seconds.
     pub classes: Vec<(String, f64)>,
-    pub jobs: Vec<LearnedJob>,
+    pub jobs: Vec<JobEstimate>,
 }
 
 /// A zone that has fallen silent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Silence {
+pub struct SilentZone {
     pub zone: String,
     /// Since any of its machines was heard, in milliseconds.
     pub quiet_ms: u32,
@@ -66,7 +66,7 @@
 
 /// How far a job is, for display.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Progress {
+pub struct JobProgress {
     pub job: String,
     pub done: u32,
     pub running: u32,
@@ -79,7 +79,7 @@
     /// Sent about twice a second: the highest term seen, whether the sender
     /// leads in it, whether the state service serves the sender, whether
     /// workers reach it, and how many requests a second users make of it.
-    Beat {
+    Heartbeat {
         term: u64,
         leads: bool,
         served: bool,
@@ -87,11 +87,11 @@
         asked: u32,
     },
     /// From the leader: the progress of some jobs.
-    Progress(Vec<Progress>),
+    JobProgress(Vec<JobProgress>),
     /// From the leader: zones that have fallen silent as a whole.
-    Silent(Vec<Silence>),
+    SilentZones(Vec<SilentZone>),
     /// From the leader: what it has learned of some jobs.
-    Learned(Learned),
+    Estimates(Estimates),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -115,7 +115,7 @@
 }
 
 /// The length that a frame's first four bytes announce.
-pub fn frame_len(head: [u8; 4]) -> Result<usize, FrameError> {
+pub fn frame_length(head: [u8; 4]) -> Result<usize, FrameError> {
     match u32::from_be_bytes(head) as usize {
         n if n > MAX_FRAME => Err(FrameError::TooLong(n)),
         n if n < 2 => Err(FrameError::Short),
@@ -136,7 +136,7 @@
     out.extend_from_slice(&number.to_bits().to_be_bytes());
 }
 
-fn put_learned(out: &mut Vec<u8>, learned: &Learned) {
+fn put_learned(out: &mut Vec<u8>, learned: &Estimates) {
     out.extend_from_slice(&learned.term.to_be_bytes());
     put_f64(out, learned.clock);
     let n = learned.classes.len().min(MAX_CLASSES);
@@ -145,7 +145,7 @@
         put_text(out, class);
         put_f64(out, *mean);
     }
-    let n = learned.jobs.len().min(MAX_LEARNED);
+    let n = learned.jobs.len().min(MAX_JOB_ESTIMATES);
     out.extend_from_slice(&(n as u16).to_be_bytes());
     for j in &learned.jobs[..n] {
         put_text(out, &j.job);
@@ -171,7 +171,7 @@
                 out.push(1);
                 put_text(&mut out, member);
             }
-            Message::Beat {
+            Message::Heartbeat {
                 term,
                 leads,
                 served,
@@ -185,7 +185,7 @@
                 out.push(u8::from(*hears));
                 out.extend_from_slice(&asked.to_be_bytes());
             }
-            Message::Progress(jobs) => {
+            Message::JobProgress(jobs) => {
                 out.push(3);
                 let n = jobs.len().min(MAX_PROGRESS);
                 out.extend_from_slice(&(n as u16).to_be_bytes());
@@ -195,7 +195,7 @@
                     out.extend_from_slice(&j.running.to_be_bytes());
                 }
             }
-            Message::Silent(zones) => {
+            Message::SilentZones(zones) => {
                 out.push(4);
                 let n = zones.len().min(MAX_ZONES);
                 out.extend_from_slice(&(n as u16).to_be_bytes());
@@ -204,7 +204,7 @@
                     out.extend_from_slice(&z.quiet_ms.to_be_bytes());
                 }
             }
-            Message::Learned(learned) => {
+            Message::Estimates(learned) => {
                 out.push(5);
                 put_learned(&mut out, learned);
             }
@@ -218,12 +218,12 @@
     pub fn decode(frame: &[u8]) -> Result<Message, FrameError> {
         let mut r = Reader(frame);
         match r.u8()? {
-            VERSION | BEFORE => {}
+            VERSION | PREVIOUS_VERSION => {}
             v => return Err(FrameError::Version(v)),
         }
         let message = match r.u8()? {
             1 => Message::Hello { member: r.text()? },
-            2 => Message::Beat {
+            2 => Message::Heartbeat {
                 term: r.u64()?,
                 leads: r.flag()?,
                 served: r.flag()?,
@@ -234,26 +234,26 @@
                 let n = r.count(MAX_PROGRESS)?;
                 let mut jobs = Vec::with_capacity(n);
                 for _ in 0..n {
-                    jobs.push(Progress {
+                    jobs.push(JobProgress {
                         job: r.text()?,
                         done: r.u32()?,
                         running: r.u32()?,
                     });
                 }
-                Message::Progress(jobs)
+                Message::JobProgress(jobs)
             }
             4 => {
                 let n = r.count(MAX_ZONES)?;
                 let mut zones = Vec::with_capacity(n);
                 for _ in 0..n {
-                    zones.push(Silence {
+                    zones.push(SilentZone {
                         zone: r.text()?,
                         quiet_ms: r.u32()?,
                     });
                 }
-                Message::Silent(zones)
+                Message::SilentZones(zones)
             }
-            5 => Message::Learned(r.learned()?),
+            5 => Message::Estimates(r.learned()?),
             k => return Err(FrameError::Kind(k)),
         };
         if r.0.is_empty() {
@@ -313,17 +313,17 @@
             .ok_or(FrameError::Number)
     }
 
-    fn learned(&mut self) -> Result<Learned, FrameError> {
+    fn learned(&mut self) -> Result<Estimates, FrameError> {
         let (term, clock) = (self.u64()?, self.f64()?);
         let n = self.count(MAX_CLASSES)?;
         let mut classes = Vec::with_capacity(n);
         for _ in 0..n {
             classes.push((self.text()?, self.f64()?));
         }
-        let n = self.count(MAX_LEARNED)?;
+        let n = self.count(MAX_JOB_ESTIMATES)?;
         let mut jobs = Vec::with_capacity(n);
         for _ in 0..n {
-            let mut job = LearnedJob {
+            let mut job = JobEstimate {
                 job: self.text()?,
                 initial_size: self.f64()?,
                 size: self.f64()?,
@@ -337,7 +337,7 @@
             }
             jobs.push(job);
         }
-        Ok(Learned {
+        Ok(Estimates {
             term,
             clock,
             classes,
@@ -366,27 +366,27 @@
             Message::Hello {
                 member: "a-0".into(),
             },
-            Message::Beat {
+            Message::Heartbeat {
                 term: u64::MAX,
                 leads: true,
                 served: false,
                 hears: true,
                 asked: 70_000,
             },
-            Message::Progress(vec![Progress {
+            Message::JobProgress(vec![JobProgress {
                 job: "req-1".into(),
                 done: 3,
                 running: 4,
             }]),
-            Message::Silent(vec![Silence {
+            Message::SilentZones(vec![SilentZone {
                 zone: "a".into(),
                 quiet_ms: 9_000,
             }]),
-            Message::Learned(Learned {
+            Message::Estimates(Estimates {
                 term: 7,
                 clock: 12.5,
                 classes: vec![("merge".into(), 40.25)],
-                jobs: vec![LearnedJob {
+                jobs: vec![JobEstimate {
                     job: "req-1".into(),
                     initial_size: 240.0,
                     size: 120.5,
@@ -400,7 +400,7 @@
         for m in messages {
             let frame = m.encode();
             let head = [frame[0], frame[1], frame[2], frame[3]];
-            assert_eq!(frame_len(head), Ok(frame.len() - 4));
+            assert_eq!(frame_length(head), Ok(frame.len() - 4));
             assert_eq!(Message::decode(&frame[4..]), Ok(m));
             for cut in 4..frame.len() {
                 assert!(Message::decode(&frame[4..cut]).is_err());
@@ -415,14 +415,14 @@
             other[4] = 9;
             assert_eq!(Message::decode(&other[4..]), Err(FrameError::Version(9)));
         }
-        assert!(frame_len([255; 4]).is_err());
+        assert!(frame_length([255; 4]).is_err());
     }
 
     /// An age that is no number would put its job first or last for good.
     #[test]
     fn numbers_that_are_none_are_refused() {
         for clock in [f64::NAN, f64::INFINITY] {
-            let frame = Message::Learned(Learned {
+            let frame = Message::Estimates(Estimates {
                 term: 1,
                 clock,
                 classes: Vec::new(),
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -13,16 +13,16 @@
 //! by image, since a machine holds dozens and each would be entered and left with
 //! every task.
 
-use crate::resources::{EPS, amount, units};
-use crate::views::{JobView, MachineView, Place, Shape};
+use crate::resources::{EPS, from_millionths, to_millionths};
+use crate::views::{JobView, MachineView, ResourceRequest, SlabIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
 use std::rc::Rc;
 
 /// Free CPUs and memory in millionths, then the machine.
-type ByRoom = BTreeSet<(i64, i64, Place)>;
+type ByRoom = BTreeSet<(i64, i64, SlabIndex)>;
 /// Images of services that are held, then the same.
-type ByWarm = BTreeSet<(u32, i64, i64, Place)>;
+type ByWarm = BTreeSet<(u32, i64, i64, SlabIndex)>;
 
 /// With more machines that have room the images that they hold are indexed, and
 /// with fewer than half as many no longer.
@@ -37,14 +37,14 @@
 }
 
 impl Ranks {
-    fn insert(&mut self, k: &Keys, place: Place) {
+    fn insert(&mut self, k: &Keys, place: SlabIndex) {
         self.by_room.insert((k.cpus, k.memory, place));
         if !k.spot {
             self.by_warm.insert((k.warm, k.cpus, k.memory, place));
         }
     }
 
-    fn remove(&mut self, k: &Keys, place: Place) {
+    fn remove(&mut self, k: &Keys, place: SlabIndex) {
         self.by_room.remove(&(k.cpus, k.memory, place));
         if !k.spot {
             self.by_warm.remove(&(k.warm, k.cpus, k.memory, place));
@@ -66,8 +66,8 @@
         Keys {
             spot: m.spot,
             warm: m.warm,
-            cpus: units(m.free.cpus).max(0),
-            memory: units(m.free.memory_gb).max(0),
+            cpus: to_millionths(m.free.cpus).max(0),
+            memory: to_millionths(m.free.memory_gb).max(0),
         }
     }
 
@@ -83,13 +83,13 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Floor {
+pub struct CapacityIndex {
     views: Vec<Option<MachineView>>,
     /// Ordinary, then spot.
     ranks: [Ranks; 2],
     holding: [HashMap<Rc<str>, Ranks>; 2],
     /// Machines without CPUs left.
-    full: BTreeSet<Place>,
+    full: BTreeSet<SlabIndex>,
     /// How many machines are mute.
     mute: usize,
     /// Free ordinary CPUs by zone, in millionths.
@@ -102,26 +102,26 @@
     indexed: bool,
 }
 
-impl Floor {
-    pub fn new() -> Floor {
-        Floor {
+impl CapacityIndex {
+    pub fn new() -> CapacityIndex {
+        CapacityIndex {
             images: true,
-            ..Floor::default()
+            ..CapacityIndex::default()
         }
     }
 
     /// A floor on which held images count for nothing: enough to tell whether
     /// there is room.
-    pub fn without_images() -> Floor {
-        Floor::default()
+    pub fn without_images() -> CapacityIndex {
+        CapacityIndex::default()
     }
 
-    pub fn view(&self, place: Place) -> Option<&MachineView> {
+    pub fn view(&self, place: SlabIndex) -> Option<&MachineView> {
         self.views.get(place as usize)?.as_ref()
     }
 
     /// Puts a machine as it is now; None takes it from the floor.
-    pub fn set(&mut self, place: Place, view: Option<MachineView>) {
+    pub fn set(&mut self, place: SlabIndex, view: Option<MachineView>) {
         let i = place as usize;
         if i >= self.views.len() {
             self.views.resize(i + 1, None);
@@ -142,10 +142,10 @@
     /// Adds a machine that has no place of its own yet.
     pub fn add(&mut self, view: MachineView) {
         // As many machines as places at the most.
-        self.set(self.views.len() as Place, Some(view));
+        self.set(self.views.len() as SlabIndex, Some(view));
     }
 
-    fn leave(&mut self, place: Place, m: &MachineView) {
+    fn leave(&mut self, place: SlabIndex, m: &MachineView) {
         self.mute -= usize::from(m.mute);
         let keys = Keys::of(m);
         let counts = keys.counts(m);
@@ -174,7 +174,7 @@
         }
     }
 
-    fn enter(&mut self, place: Place, m: &MachineView) {
+    fn enter(&mut self, place: SlabIndex, m: &MachineView) {
         self.mute += usize::from(m.mute);
         let keys = Keys::of(m);
         let counts = keys.counts(m);
@@ -192,7 +192,7 @@
         }
     }
 
-    fn hold(holding: &mut [HashMap<Rc<str>, Ranks>; 2], place: Place, m: &MachineView) {
+    fn hold(holding: &mut [HashMap<Rc<str>, Ranks>; 2], place: SlabIndex, m: &MachineView) {
         let keys = Keys::of(m);
         let holding = &mut holding[usize::from(m.spot)];
         for (image, _) in m.images.iter() {
@@ -206,7 +206,7 @@
         self.mute > 0
     }
 
-    pub fn is_mute(&self, place: Place) -> bool {
+    pub fn is_mute(&self, place: SlabIndex) -> bool {
         self.view(place).is_some_and(|m| m.mute)
     }
 
@@ -233,22 +233,25 @@
         }
     }
 
-    fn holds(&self, place: Place, image: &str) -> bool {
+    fn holds(&self, place: SlabIndex, image: &str) -> bool {
         self.view(place).is_some_and(|m| m.holds_image(image))
     }
 
     /// Free ordinary CPUs in a zone.
     pub fn ordinary(&self, zone: &str) -> f64 {
-        self.ordinary.get(zone).copied().map_or(0.0, amount)
+        self.ordinary
+            .get(zone)
+            .copied()
+            .map_or(0.0, from_millionths)
     }
 
     /// Free CPUs of all ordinary or of all spot machines.
     pub fn free(&self, spot: bool) -> f64 {
-        amount(self.free[usize::from(spot)])
+        from_millionths(self.free[usize::from(spot)])
     }
 
     /// Machines with room that hold an image.
-    pub fn holders(&self, image: &str) -> Vec<Place> {
+    pub fn holders(&self, image: &str) -> Vec<SlabIndex> {
         let with_room = self.ranks.iter().flat_map(|r| &r.by_room);
         with_room
             .map(|(_, _, place)| *place)
@@ -265,17 +268,17 @@
         self.ordinary(&m.zone) - job.spec.cpus + EPS >= reserve
     }
 
-    fn open(&self, kept: Kept, job: &JobView, m: &MachineView) -> bool {
+    fn open(&self, kept: ReservePolicy, job: &JobView, m: &MachineView) -> bool {
         match kept {
-            Kept::Reserve(reserve) => !job.avoids(m) && self.spares(reserve, job, m),
-            Kept::Faulty => !job.avoids(m),
-            Kept::Nothing => true,
+            ReservePolicy::Reserve(reserve) => !job.avoids(m) && self.spares(reserve, job, m),
+            ReservePolicy::Faulty => !job.avoids(m),
+            ReservePolicy::Nothing => true,
         }
     }
 
     /// Whether what is left in the machine's zone, with a task of the job on it, is
     /// less than what is kept for services.
-    pub fn short(&self, place: Place, reserve: f64, job: &JobView) -> bool {
+    pub fn short(&self, place: SlabIndex, reserve: f64, job: &JobView) -> bool {
         let bound = !job.service() && reserve > 0.0;
         let there = self
             .view(place)
@@ -284,23 +287,23 @@
     }
 
     /// Machines that take nothing but tasks without CPUs.
-    pub fn without_cpus(&self) -> Vec<Place> {
+    pub fn without_cpus(&self) -> Vec<SlabIndex> {
         self.full.iter().copied().collect()
     }
 
     /// Whether any job like this one would find room.
-    pub fn any(&self, job: &JobView, kept: Kept) -> bool {
+    pub fn any(&self, job: &JobView, kept: ReservePolicy) -> bool {
         let need = job.room();
-        let least = units(need.cpus);
-        let fits = |place: &Place| {
+        let least = to_millionths(need.cpus);
+        let fits = |place: &SlabIndex| {
             self.view(*place).is_some_and(|m| {
                 // Where it has failed itself is of no matter to others like it.
                 let open = match kept {
-                    Kept::Reserve(reserve) => !m.condemned && self.spares(reserve, job, m),
-                    Kept::Faulty => !m.condemned,
-                    Kept::Nothing => true,
+                    ReservePolicy::Reserve(reserve) => !m.condemned && self.spares(reserve, job, m),
+                    ReservePolicy::Faulty => !m.condemned,
+                    ReservePolicy::Nothing => true,
                 };
-                m.free.holds(&need) && job.kind_allows(m) && open
+                m.free.fits(&need) && job.kind_allows(m) && open
             })
         };
         let kinds = if job.spec.spot {
@@ -318,10 +321,10 @@
     /// and returns how many.
     pub fn put(
         &mut self,
-        place: Place,
+        place: SlabIndex,
         job: &mut JobView,
-        teams: &mut [crate::TeamView],
-        kept: Kept,
+        teams: &mut [crate::TeamAllowance],
+        kept: ReservePolicy,
         most: u32,
     ) -> u32 {
         let need = job.room();
@@ -330,7 +333,7 @@
             return 0;
         };
         while made < most
-            && m.free.holds(&need)
+            && m.free.fits(&need)
             && job.permits(&m)
             && self.open(kept, job, &m)
             && job.team_allows(teams)
@@ -342,7 +345,7 @@
                 && !m.condemned
                 && let Some(free) = self.ordinary.get_mut(&m.zone)
             {
-                *free -= units(need.cpus);
+                *free -= to_millionths(need.cpus);
             }
         }
         if made > 0 {
@@ -351,7 +354,7 @@
                 && let Some(free) = self.ordinary.get_mut(&m.zone)
             {
                 // The change of the view counts it once more.
-                *free += units(need.cpus) * i64::from(made);
+                *free += to_millionths(need.cpus) * i64::from(made);
             }
             self.set(place, Some(m));
         }
@@ -361,7 +364,7 @@
 
 /// What is kept from a job.
 #[derive(Debug, Clone, Copy)]
-pub enum Kept {
+pub enum ReservePolicy {
     /// So many CPUs of ordinary room in each zone, and machines on which it or others
     /// failed.
     Reserve(f64),
@@ -370,13 +373,13 @@
     Nothing,
 }
 
-impl Kept {
+impl ReservePolicy {
     /// What is kept from the jobs of a shape, beside the reserve.
-    pub fn from(shape: &Shape, reserve: f64) -> Kept {
+    pub fn from(shape: &ResourceRequest, reserve: f64) -> ReservePolicy {
         if shape.starving() {
-            Kept::Nothing
+            ReservePolicy::Nothing
         } else {
-            Kept::Reserve(reserve)
+            ReservePolicy::Reserve(reserve)
         }
     }
 }
@@ -385,15 +388,15 @@
 #[derive(Debug, Clone, Copy)]
 enum At {
     Start,
-    Room(i64, i64, Place),
-    Warm(u32, i64, i64, Place),
+    Room(i64, i64, SlabIndex),
+    Warm(u32, i64, i64, SlabIndex),
 }
 
 /// Goes over the machines with room for a job, best first. A machine that has
 /// taken a task ranks no better for it than those still to come, so the floor
 /// may change on the way.
 #[derive(Debug)]
-pub struct Tour {
+pub struct CandidateIter {
     stage: usize,
     at: At,
     least: i64,
@@ -408,17 +411,17 @@
     }
 }
 
-impl Tour {
-    pub fn new(job: &JobView) -> Tour {
-        Tour {
+impl CandidateIter {
+    pub fn new(job: &JobView) -> CandidateIter {
+        CandidateIter {
             stage: 0,
             at: At::Start,
-            least: units(job.spec.cpus).max(1),
+            least: to_millionths(job.spec.cpus).max(1),
         }
     }
 
     /// The next machine with the CPUs that a task needs.
-    pub fn next(&mut self, floor: &Floor, job: &JobView) -> Option<Place> {
+    pub fn next(&mut self, floor: &CapacityIndex, job: &JobView) -> Option<SlabIndex> {
         while let Some((spot, holds)) = stages(job).get(self.stage).copied() {
             let kind = usize::from(spot);
             let ranks = match (holds, floor.indexed) {
@@ -441,7 +444,7 @@
         None
     }
 
-    fn step(&mut self, ranks: &Ranks, spot: bool, holds: bool, job: &JobView) -> Option<Place> {
+    fn step(&mut self, ranks: &Ranks, spot: bool, holds: bool, job: &JobView) -> Option<SlabIndex> {
         if job.service() && !holds {
             return self.emptiest(&ranks.by_room);
         }
@@ -451,7 +454,7 @@
         self.coldest(&ranks.by_warm)
     }
 
-    fn fullest(&mut self, set: &ByRoom) -> Option<Place> {
+    fn fullest(&mut self, set: &ByRoom) -> Option<SlabIndex> {
         let from = match self.at {
             At::Room(c, m, p) => Bound::Excluded((c, m, p)),
             _ => Bound::Included((self.least, 0, 0)),
@@ -461,7 +464,7 @@
         Some(p)
     }
 
-    fn emptiest(&mut self, set: &ByRoom) -> Option<Place> {
+    fn emptiest(&mut self, set: &ByRoom) -> Option<SlabIndex> {
         let to = match self.at {
             At::Room(c, m, p) => Bound::Excluded((c, m, p)),
             _ => Bound::Unbounded,
@@ -475,7 +478,7 @@
         Some(p)
     }
 
-    fn coldest(&mut self, set: &ByWarm) -> Option<Place> {
+    fn coldest(&mut self, set: &ByWarm) -> Option<SlabIndex> {
         let mut from = match self.at {
             At::Warm(w, c, m, p) => Bound::Excluded((w, c, m, p)),
             _ => Bound::Included((0, self.least, 0, 0)),
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -1,17 +1,17 @@
 //! One pass: fills free room.
 
-use crate::capacity_index::{Floor, Kept, Tour};
-use crate::job_queue::{Line, Part, Walk};
+use crate::capacity_index::{CandidateIter, CapacityIndex, ReservePolicy};
+use crate::job_queue::{JobQueue, QueueCursor, QueueSection};
 use crate::resources::EPS;
-use crate::views::{JobView, Place, Shape, TeamView};
+use crate::views::{JobView, ResourceRequest, SlabIndex, TeamAllowance};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// So many tasks of the job go to the machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    pub job: Place,
-    pub machine: Place,
+    pub job: SlabIndex,
+    pub machine: SlabIndex,
     pub tasks: u32,
     /// It takes room that was kept for services.
     pub of_reserve: bool,
@@ -19,7 +19,7 @@
 
 /// What bounds a pass besides teams and room.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct CycleLimits {
     /// The reading of the line's clock.
     pub clock: f64,
     /// CPUs that training tasks may still take.
@@ -41,22 +41,22 @@
 /// best while it may take more; and taking one never opens a machine that was
 /// closed. Looking for the best one anew for every task would place them the
 /// same, at many times the cost.
-pub fn fill(
+pub fn place_tasks(
     job: &mut JobView,
-    floor: &mut Floor,
-    teams: &mut [TeamView],
+    floor: &mut CapacityIndex,
+    teams: &mut [TeamAllowance],
     reserve: f64,
     most: u32,
-    mut made: impl FnMut(Place, u32, bool),
+    mut made: impl FnMut(SlabIndex, u32, bool),
 ) {
-    let kept = Kept::Reserve(reserve);
+    let kept = ReservePolicy::Reserve(reserve);
     let placed = fill_with(job, floor, teams, kept, most, |machine, tasks| {
         made(machine, tasks, false);
     });
     if placed > 0 || !job.starving {
         return;
     }
-    for kept in [Kept::Faulty, Kept::Nothing] {
+    for kept in [ReservePolicy::Faulty, ReservePolicy::Nothing] {
         let mut at = None;
         fill_with(job, floor, teams, kept, most.min(1), |machine, _| {
             at = Some(machine);
@@ -70,11 +70,11 @@
 /// The same for one way of filling; returns how many it placed.
 fn fill_with(
     job: &mut JobView,
-    floor: &mut Floor,
-    teams: &mut [TeamView],
-    kept: Kept,
+    floor: &mut CapacityIndex,
+    teams: &mut [TeamAllowance],
+    kept: ReservePolicy,
     most: u32,
-    mut made: impl FnMut(Place, u32),
+    mut made: impl FnMut(SlabIndex, u32),
 ) -> u32 {
     let wanted = most.min(job.waiting);
     let mut left = wanted;
@@ -82,7 +82,7 @@
     // and arrays more than what their leases end: on days on which a third of the machines
     // or a whole zone was mute (docs/results.md).
     for mute in [false, true] {
-        let mut tour = Tour::new(job);
+        let mut tour = CandidateIter::new(job);
         while left > 0 && (!mute || floor.any_mute()) && job.team_allows(teams) {
             let Some(machine) = tour.next(floor, job) else {
                 break;
@@ -97,7 +97,7 @@
             }
         }
     }
-    if left > 0 && crate::units(job.spec.cpus) == 0 {
+    if left > 0 && crate::to_millionths(job.spec.cpus) == 0 {
         // What needs no CPUs may go where none are left.
         for machine in floor.without_cpus() {
             let tasks = floor.put(machine, job, teams, kept, left);
@@ -110,23 +110,23 @@
     wanted - left
 }
 
-struct Pass<'a, 'f, V> {
+struct Cycle<'a, 'f, V> {
     view: V,
-    floor: &'f mut Floor,
-    teams: &'f mut [TeamView],
-    terms: Terms,
+    floor: &'f mut CapacityIndex,
+    teams: &'f mut [TeamAllowance],
+    terms: CycleLimits,
     /// Views of the jobs that were looked at.
-    seen: BTreeMap<Place, JobView<'a>>,
+    seen: BTreeMap<SlabIndex, JobView<'a>>,
     /// Shapes for which there is no room left.
-    closed: BTreeSet<Rc<Shape>>,
+    closed: BTreeSet<Rc<ResourceRequest>>,
     made: Vec<Assignment>,
 }
 
-impl<'a, V: Fn(Place) -> Option<JobView<'a>>> Pass<'a, '_, V> {
+impl<'a, V: Fn(SlabIndex) -> Option<JobView<'a>>> Cycle<'a, '_, V> {
     /// Serves jobs in the order of the walk; `training` tells that only training
     /// tasks are placed.
-    fn serve(&mut self, mut walk: Walk<'_>, training: bool) {
-        while let Some(turn) = walk.next_turn() {
+    fn serve(&mut self, mut walk: QueueCursor<'_>, training: bool) {
+        while let Some(turn) = walk.next_job() {
             if self.closed.contains(turn.shape) {
                 continue;
             }
@@ -135,7 +135,7 @@
                 std::collections::btree_map::Entry::Vacant(e) => match (self.view)(turn.place) {
                     Some(job) => e.insert(job),
                     None => {
-                        walk.go_on(turn.lane);
+                        walk.advance(turn.lane);
                         continue;
                     }
                 },
@@ -162,7 +162,7 @@
             let made = &mut self.made;
             let mut placed = 0;
             let reserve = self.terms.reserve;
-            fill(
+            place_tasks(
                 job,
                 self.floor,
                 self.teams,
@@ -183,25 +183,29 @@
                 self.terms.training_cpus -= f64::from(placed) * cpus;
             }
             let short = placed < most && job.waiting > 0 && job.team_allows(self.teams);
-            if short && !self.floor.any(job, Kept::from(turn.shape, reserve)) {
+            if short
+                && !self
+                    .floor
+                    .any(job, ReservePolicy::from(turn.shape, reserve))
+            {
                 self.closed.insert(turn.shape.clone());
                 continue;
             }
-            walk.go_on(turn.lane);
+            walk.advance(turn.lane);
         }
     }
 }
 
 /// One pass: fills free room. `view` tells what a job of the line is like. The
 /// floor and the teams are left as they are after the pass.
-pub fn assign<'a>(
-    line: &Line,
-    view: impl Fn(Place) -> Option<JobView<'a>>,
-    floor: &mut Floor,
-    teams: &mut [TeamView],
-    terms: Terms,
+pub fn run_cycle<'a>(
+    line: &JobQueue,
+    view: impl Fn(SlabIndex) -> Option<JobView<'a>>,
+    floor: &mut CapacityIndex,
+    teams: &mut [TeamAllowance],
+    terms: CycleLimits,
 ) -> (Vec<Assignment>, usize) {
-    let mut pass = Pass {
+    let mut pass = Cycle {
         view,
         floor,
         teams,
@@ -210,9 +214,9 @@
         closed: BTreeSet::new(),
         made: Vec::new(),
     };
-    pass.serve(line.walk(Part::First, terms.clock), false);
-    pass.serve(line.walk(Part::Training, terms.clock), true);
-    pass.serve(line.walk(Part::Rest, terms.clock), false);
+    pass.serve(line.cursor(QueueSection::First, terms.clock), false);
+    pass.serve(line.cursor(QueueSection::Training, terms.clock), true);
+    pass.serve(line.cursor(QueueSection::Rest, terms.clock), false);
     let seen = pass.seen.len();
     (pass.made, seen)
 }
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -10,8 +10,8 @@
 //! zero, which go by what is left of them, stand apart; the owner of the line
 //! moves a job there when its time has come ([`Line::aged`]).
 
-use crate::resources::Real;
-use crate::views::{Place, Shape};
+use crate::resources::OrderedFloat;
+use crate::views::{ResourceRequest, SlabIndex};
 use dillcleat_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
@@ -19,7 +19,7 @@
 
 /// How a job's virtual size moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pace {
+pub enum AgeingState {
     /// It has aged to zero.
     Aged,
     /// It is `size` less the reading of the clock.
@@ -30,14 +30,14 @@
 
 /// Where a job stands in its lane, first to last.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct QueueRank {
     pub service: Reverse<bool>,
     pub priority: Reverse<Priority>,
     pub tiny: Reverse<bool>,
     /// The virtual size, or what it is with the clock added ([`Pace`]).
-    pub size: Real,
+    pub size: OrderedFloat,
     /// What is left to run: orders jobs that have aged to zero, and 0 for others.
-    pub remaining: Real,
+    pub remaining: OrderedFloat,
     /// Time of day of the submission: older first among equals.
     pub submitted: u64,
     pub id: Rc<str>,
@@ -45,16 +45,16 @@
 
 /// A waiting job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Standing {
+pub struct QueueEntry {
     pub team: usize,
-    pub shape: Rc<Shape>,
-    pub pace: Pace,
-    pub rank: Rank,
+    pub shape: Rc<ResourceRequest>,
+    pub pace: AgeingState,
+    pub rank: QueueRank,
     /// Its place among jobs that train, by initial size.
-    pub training: Option<Rank>,
+    pub training: Option<QueueRank>,
 }
 
-impl Standing {
+impl QueueEntry {
     /// Services and tiny jobs go before training tasks.
     fn goes_first(&self) -> bool {
         self.rank.service.0 || self.rank.tiny.0
@@ -62,21 +62,21 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Lane {
+struct SubQueueKey {
     team: usize,
-    shape: Rc<Shape>,
-    pace: Pace,
+    shape: Rc<ResourceRequest>,
+    pace: AgeingState,
 }
 
 #[derive(Debug, Default)]
-struct Lanes(BTreeMap<Lane, BTreeSet<(Rank, Place)>>);
+struct SubQueues(BTreeMap<SubQueueKey, BTreeSet<(QueueRank, SlabIndex)>>);
 
-impl Lanes {
-    fn insert(&mut self, lane: Lane, rank: Rank, place: Place) {
+impl SubQueues {
+    fn insert(&mut self, lane: SubQueueKey, rank: QueueRank, place: SlabIndex) {
         self.0.entry(lane).or_default().insert((rank, place));
     }
 
-    fn remove(&mut self, lane: &Lane, rank: Rank, place: Place) {
+    fn remove(&mut self, lane: &SubQueueKey, rank: QueueRank, place: SlabIndex) {
         if let Some(jobs) = self.0.get_mut(lane) {
             jobs.remove(&(rank, place));
             if jobs.is_empty() {
@@ -88,7 +88,7 @@
 
 /// Which jobs a walk goes over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum QueueSection {
     /// Services and tiny jobs.
     First,
     /// Jobs with training tasks to place, by initial size.
@@ -98,18 +98,18 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Line {
-    standings: Vec<Option<Standing>>,
-    first: Lanes,
-    training: Lanes,
-    rest: Lanes,
+pub struct JobQueue {
+    standings: Vec<Option<QueueEntry>>,
+    first: SubQueues,
+    training: SubQueues,
+    rest: SubQueues,
     /// Ageing jobs by the reading of the clock at which they are at zero.
-    zeros: BTreeSet<(Real, Place)>,
+    zeros: BTreeSet<(OrderedFloat, SlabIndex)>,
 }
 
-impl Line {
+impl JobQueue {
     /// Puts a job where it stands now; None takes it out of the line.
-    pub fn set(&mut self, place: Place, standing: Option<Standing>) {
+    pub fn set(&mut self, place: SlabIndex, standing: Option<QueueEntry>) {
         let i = place as usize;
         if i >= self.standings.len() {
             self.standings.resize(i + 1, None);
@@ -126,20 +126,20 @@
         }
     }
 
-    fn lane(s: &Standing, pace: Pace) -> Lane {
-        Lane {
+    fn lane(s: &QueueEntry, pace: AgeingState) -> SubQueueKey {
+        SubQueueKey {
             team: s.team,
             shape: s.shape.clone(),
             pace,
         }
     }
 
-    fn leave(&mut self, place: Place, s: Standing) {
-        if s.pace == Pace::Ageing {
+    fn leave(&mut self, place: SlabIndex, s: QueueEntry) {
+        if s.pace == AgeingState::Ageing {
             self.zeros.remove(&(s.rank.size, place));
         }
         let lane = Self::lane(&s, s.pace);
-        let training = Self::lane(&s, Pace::Fixed);
+        let training = Self::lane(&s, AgeingState::Fixed);
         let lanes = if s.goes_first() {
             &mut self.first
         } else {
@@ -151,8 +151,8 @@
         }
     }
 
-    fn enter(&mut self, place: Place, s: &Standing) {
-        if s.pace == Pace::Ageing {
+    fn enter(&mut self, place: SlabIndex, s: &QueueEntry) {
+        if s.pace == AgeingState::Ageing {
             self.zeros.insert((s.rank.size, place));
         }
         let lanes = if s.goes_first() {
@@ -162,13 +162,13 @@
         };
         lanes.insert(Self::lane(s, s.pace), s.rank.clone(), place);
         if let Some(rank) = &s.training {
-            let lane = Self::lane(s, Pace::Fixed);
+            let lane = Self::lane(s, AgeingState::Fixed);
             self.training.insert(lane, rank.clone(), place);
         }
     }
 
     /// A job that has aged to zero by now and stands among those that have not.
-    pub fn aged(&self, clock: f64) -> Option<Place> {
+    pub fn aged(&self, clock: f64) -> Option<SlabIndex> {
         let (at, place) = self.zeros.first()?;
         (at.0 <= clock).then_some(*place)
     }
@@ -178,27 +178,27 @@
     }
 
     /// Goes over a part of the line, in order.
-    pub fn walk(&self, part: Part, clock: f64) -> Walk<'_> {
+    pub fn cursor(&self, part: QueueSection, clock: f64) -> QueueCursor<'_> {
         let lanes = match part {
-            Part::First => &self.first,
-            Part::Training => &self.training,
-            Part::Rest => &self.rest,
+            QueueSection::First => &self.first,
+            QueueSection::Training => &self.training,
+            QueueSection::Rest => &self.rest,
         };
-        let mut walk = Walk {
+        let mut walk = QueueCursor {
             lanes: lanes.0.iter().map(|(l, jobs)| (l, jobs.iter())).collect(),
             heads: BinaryHeap::new(),
             clock,
         };
         for lane in 0..walk.lanes.len() {
-            walk.go_on(lane);
+            walk.advance(lane);
         }
         walk
     }
 
     /// Every job of the line in the order in which it competes, training aside.
-    pub fn all(&self, clock: f64) -> impl Iterator<Item = Place> + '_ {
-        let mut first = self.walk(Part::First, clock);
-        let mut rest = self.walk(Part::Rest, clock);
+    pub fn all(&self, clock: f64) -> impl Iterator<Item = SlabIndex> + '_ {
+        let mut first = self.cursor(QueueSection::First, clock);
+        let mut rest = self.cursor(QueueSection::Rest, clock);
         // Priority comes before being tiny, so the two are merged.
         std::iter::from_fn(move || {
             let first_is_next = match (first.heads.peek(), rest.heads.peek()) {
@@ -206,8 +206,8 @@
                 (a, _) => a.is_some(),
             };
             let walk = if first_is_next { &mut first } else { &mut rest };
-            let turn = walk.next_turn()?;
-            walk.go_on(turn.lane);
+            let turn = walk.next_job()?;
+            walk.advance(turn.lane);
             Some(turn.place)
         })
     }
@@ -219,8 +219,8 @@
     service: Reverse<bool>,
     priority: Reverse<Priority>,
     tiny: Reverse<bool>,
-    size: Real,
-    remaining: Real,
+    size: OrderedFloat,
+    remaining: OrderedFloat,
     submitted: u64,
     id: &'l str,
 }
@@ -228,33 +228,33 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Head<'l> {
     key: Key<'l>,
-    place: Place,
+    place: SlabIndex,
     lane: usize,
 }
 
 /// Whose turn it is.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn<'l> {
-    pub place: Place,
+pub struct QueuedJob<'l> {
+    pub place: SlabIndex,
     pub lane: usize,
-    pub shape: &'l Rc<Shape>,
+    pub shape: &'l Rc<ResourceRequest>,
 }
 
 /// A lane goes on only when told to: a lane that is left stays left.
 #[derive(Debug)]
-pub struct Walk<'l> {
-    lanes: Vec<(&'l Lane, btree_set::Iter<'l, (Rank, Place)>)>,
+pub struct QueueCursor<'l> {
+    lanes: Vec<(&'l SubQueueKey, btree_set::Iter<'l, (QueueRank, SlabIndex)>)>,
     heads: BinaryHeap<Reverse<Head<'l>>>,
     clock: f64,
 }
 
-impl<'l> Walk<'l> {
+impl<'l> QueueCursor<'l> {
     /// The first of the heads of all lanes. Its lane then waits for
     /// [`Walk::go_on`].
-    pub fn next_turn(&mut self) -> Option<Turn<'l>> {
+    pub fn next_job(&mut self) -> Option<QueuedJob<'l>> {
         let Reverse(head) = self.heads.pop()?;
         let lane = self.lanes[head.lane].0;
-        Some(Turn {
+        Some(QueuedJob {
             place: head.place,
             lane: head.lane,
             shape: &lane.shape,
@@ -262,21 +262,21 @@
     }
 
     /// Lets the next job of a lane come forward.
-    pub fn go_on(&mut self, lane: usize) {
+    pub fn advance(&mut self, lane: usize) {
         let (kind, jobs) = &mut self.lanes[lane];
         let Some((rank, place)) = jobs.next() else {
             return;
         };
         let size = match kind.pace {
-            Pace::Aged => 0.0,
-            Pace::Ageing => (rank.size.0 - self.clock).max(0.0),
-            Pace::Fixed => rank.size.0,
+            AgeingState::Aged => 0.0,
+            AgeingState::Ageing => (rank.size.0 - self.clock).max(0.0),
+            AgeingState::Fixed => rank.size.0,
         };
         let key = Key {
             service: rank.service,
             priority: rank.priority,
             tiny: rank.tiny,
-            size: Real(size),
+            size: OrderedFloat(size),
             remaining: rank.remaining,
             submitted: rank.submitted,
             id: &rank.id,
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -17,8 +17,8 @@
 pub mod scale_out_plan;
 pub mod views;
 
-pub use capacity_index::Floor;
-pub use cycle::{Assignment, Terms, assign};
-pub use job_queue::{Line, Pace, Rank, Standing};
-pub use resources::{Real, Room, units};
-pub use views::{Images, JobView, MachineView, Place, Shape, TeamView};
+pub use capacity_index::CapacityIndex;
+pub use cycle::{Assignment, CycleLimits, run_cycle};
+pub use job_queue::{AgeingState, JobQueue, QueueEntry, QueueRank};
+pub use resources::{OrderedFloat, Resources, to_millionths};
+pub use views::{Images, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance};
--- a/crates/sched/src/preemption.rs
+++ b/crates/sched/src/preemption.rs
@@ -1,14 +1,14 @@
 //! Running work that makes room for replicas in a hurry.
 
-use crate::resources::Room;
-use crate::views::{JobView, MachineView, TeamView};
+use crate::resources::Resources;
+use crate::views::{JobView, MachineView, TeamAllowance};
 use dillcleat_wire::user::Priority;
 
 /// A running task that may be stopped to make room.
 #[derive(Debug, Clone)]
-pub struct Victim {
+pub struct PreemptionCandidate {
     pub machine: usize,
-    pub room: Room,
+    pub room: Resources,
     pub priority: Priority,
     /// How long it has run, in microseconds: the work that is lost.
     pub ran: u64,
@@ -24,7 +24,7 @@
     job: &JobView,
     machines: &[MachineView],
     on: &[Vec<usize>],
-    victims: &[Victim],
+    victims: &[PreemptionCandidate],
 ) -> Option<(usize, Vec<usize>)> {
     let need = job.room();
     let mut best: Option<(Loss, usize, Vec<usize>)> = None;
@@ -36,18 +36,18 @@
         let mut chosen = Vec::new();
         let mut lost = 0;
         for &v in &on[m] {
-            if free.holds(&need) {
+            if free.fits(&need) {
                 break;
             }
             if victims[v].priority < job.spec.priority {
-                free.give(&victims[v].room);
+                free.add(&victims[v].room);
                 lost += victims[v].ran;
                 chosen.push(v);
             }
         }
         let image = view.holds_image(&job.spec.image);
         let loss = (!chosen.is_empty(), !image, lost);
-        if free.holds(&need) && best.as_ref().is_none_or(|(least, _, _)| loss < *least) {
+        if free.fits(&need) && best.as_ref().is_none_or(|(least, _, _)| loss < *least) {
             best = Some((loss, m, chosen));
         }
     }
@@ -59,11 +59,11 @@
 /// stopped, where the least of it is lost. `machines` counts as free what has
 /// been told to stop already, so that one replica stops no second task while the
 /// first one ends.
-pub fn make_room(
+pub fn choose_preemptions(
     jobs: &mut [JobView],
     machines: &mut [MachineView],
-    teams: &mut [TeamView],
-    victims: &[Victim],
+    teams: &mut [TeamAllowance],
+    victims: &[PreemptionCandidate],
 ) -> Vec<usize> {
     let mut on: Vec<Vec<usize>> = vec![Vec::new(); machines.len()];
     for (i, v) in victims.iter().enumerate() {
@@ -79,7 +79,7 @@
                 break;
             };
             for v in chosen {
-                machines[m].free.give(&victims[v].room);
+                machines[m].free.add(&victims[v].room);
                 on[m].retain(|o| *o != v);
                 stopped.push(v);
             }
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -9,29 +9,29 @@
 
 /// An amount in whole millionths, for sums that are kept up to date by adding
 /// and taking away for weeks: those of floats would drift.
-pub fn units(amount: f64) -> i64 {
+pub fn to_millionths(amount: f64) -> i64 {
     // A cast from a float saturates, and NaN becomes 0.
     (amount * 1e6).round() as i64
 }
 
 /// The amount of so many millionths.
-pub fn amount(units: i64) -> f64 {
+pub fn from_millionths(units: i64) -> f64 {
     units as f64 / 1e6
 }
 
 /// A float with a total order, for keys.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Real(pub f64);
+pub struct OrderedFloat(pub f64);
 
-impl Eq for Real {}
+impl Eq for OrderedFloat {}
 
-impl PartialOrd for Real {
+impl PartialOrd for OrderedFloat {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Real {
+impl Ord for OrderedFloat {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -39,49 +39,49 @@
 
 /// An amount of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Room {
-    pub fn of_type(t: &MachineType) -> Room {
-        Room {
+impl Resources {
+    pub fn of_type(t: &MachineType) -> Resources {
+        Resources {
             cpus: t.cpus,
             gpus: t.gpus,
             memory_gb: t.memory_gb,
         }
     }
 
-    pub fn of_task(s: &JobSpec) -> Room {
-        Room {
+    pub fn of_task(s: &JobSpec) -> Resources {
+        Resources {
             cpus: s.cpus,
             gpus: s.gpus,
             memory_gb: s.memory_gb,
         }
     }
 
-    pub fn holds(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         self.cpus + EPS >= need.cpus
             && self.gpus + EPS >= need.gpus
             && self.memory_gb + EPS >= need.memory_gb
     }
 
-    pub fn take(&mut self, need: &Room) {
+    pub fn subtract(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.memory_gb -= need.memory_gb;
     }
 
-    pub fn give(&mut self, room: &Room) {
+    pub fn add(&mut self, room: &Resources) {
         self.cpus += room.cpus;
         self.gpus += room.gpus;
         self.memory_gb += room.memory_gb;
     }
 
     /// How many times `need` fits.
-    pub fn times(&self, need: &Room) -> u32 {
+    pub fn count_fitting(&self, need: &Resources) -> u32 {
         let of = |have: f64, need: f64| {
             if need > EPS {
                 ((have + EPS) / need) as u32
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,27 +1,27 @@
 //! What to rent for work that finds no room.
 
-use crate::capacity_index::{Floor, Kept};
-use crate::cycle::fill;
-use crate::resources::{Real, Room};
-use crate::views::{Images, JobView, MachineView, Shape, TeamView};
-use dillcleat_wire::cloud::{MAX_RENT, MachineType};
+use crate::capacity_index::{CapacityIndex, ReservePolicy};
+use crate::cycle::place_tasks;
+use crate::resources::{OrderedFloat, Resources};
+use crate::views::{Images, JobView, MachineView, ResourceRequest, TeamAllowance};
+use dillcleat_wire::cloud::{MAX_SCALE_OUT, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// What a rental is for: type, zone, and whether it is a spot machine.
-pub type Offer = (String, String, bool);
+pub type InstanceOffering = (String, String, bool);
 
 /// Offers that were refused lately, with the time until which not to ask.
 #[derive(Debug, Default)]
-pub struct Refusals(HashMap<Offer, u64>);
+pub struct RefusedOfferings(HashMap<InstanceOffering, u64>);
 
-impl Refusals {
+impl RefusedOfferings {
     /// `until` is in microseconds of the steady clock.
-    pub fn refuse(&mut self, offer: Offer, until: u64) {
+    pub fn refuse(&mut self, offer: InstanceOffering, until: u64) {
         self.0.insert(offer, until);
     }
 
-    pub fn open(&self, offer: &Offer, now: u64) -> bool {
+    pub fn open(&self, offer: &InstanceOffering, now: u64) -> bool {
         self.0.get(offer).is_none_or(|until| now >= *until)
     }
 }
@@ -32,9 +32,9 @@
 }
 
 /// What is known of what the cloud rents.
-pub struct Market<'a> {
+pub struct PlanInputs<'a> {
     pub types: &'a [MachineType],
-    pub refusals: &'a Refusals,
+    pub refusals: &'a RefusedOfferings,
     /// Zones in which nothing is rented.
     pub dark: BTreeSet<Rc<str>>,
     /// Types and zones in which what was rented last is late.
@@ -50,14 +50,14 @@
 
 /// An offer that is open, as a plan sees it.
 struct Choice {
-    offer: Offer,
+    offer: InstanceOffering,
     price: f64,
     /// What was rented last of it is late.
     slow: bool,
     machine: MachineView,
 }
 
-fn choices(market: &Market) -> Vec<Choice> {
+fn choices(market: &PlanInputs) -> Vec<Choice> {
     let mut choices = Vec::new();
     for t in market.types {
         let machine_type: Rc<str> = Rc::from(t.name.as_str());
@@ -77,7 +77,7 @@
                         machine_type: machine_type.clone(),
                         zone: Rc::from(zone.as_str()),
                         spot,
-                        free: Room::of_type(t),
+                        free: Resources::of_type(t),
                         images: Images::default(),
                         warm: 0,
                         avoid: Vec::new(),
@@ -133,8 +133,8 @@
 }
 
 impl Kind {
-    fn of(need: &Room, choices: &[Choice]) -> Kind {
-        let times = choices.iter().map(|c| c.machine.free.times(need));
+    fn of(need: &Resources, choices: &[Choice]) -> Kind {
+        let times = choices.iter().map(|c| c.machine.free.count_fitting(need));
         Kind {
             closed: None,
             most: times.max().unwrap_or(0),
@@ -156,7 +156,7 @@
             && self
                 .types
                 .iter()
-                .any(|t| t.spot_price.is_some() && Room::of_type(t).holds(&need));
+                .any(|t| t.spot_price.is_some() && Resources::of_type(t).fits(&need));
         // Services do not wait for what is late while other offers arrive, and
         // of equal offers nobody does.
         let mut best: Option<Rated> = None;
@@ -169,12 +169,12 @@
             } else {
                 job.waiting.min(job.late)
             };
-            let slots = c.machine.free.times(&need).min(most);
+            let slots = c.machine.free.count_fitting(&need).min(most);
             if slots == 0 || (cheap_only && !c.machine.spot) || !job.allows(&c.machine) {
                 continue;
             }
             let cost = c.price / f64::from(slots);
-            if self.wanted[i] >= MAX_RENT {
+            if self.wanted[i] >= MAX_SCALE_OUT {
                 // More of it is asked for once this is answered. To go on to a
                 // dearer offer meanwhile once rented all ordinary machines at
                 // the start of a day (rosterwise-nz-grown).
@@ -217,7 +217,7 @@
     /// other work alone, the room is used up by the first service that comes. What is
     /// lent counts as free: rented anew, it would be lent again to the next that
     /// starves, and so on for as long as any does.
-    fn spare(&mut self, floor: &Floor, lent: &BTreeMap<Rc<str>, f64>, ahead: f64) {
+    fn spare(&mut self, floor: &CapacityIndex, lent: &BTreeMap<Rc<str>, f64>, ahead: f64) {
         if ahead <= 0.0 {
             return;
         }
@@ -234,11 +234,11 @@
             let cost = |c: &Choice| c.price * count(c);
             let cheapest = (0..choices.len())
                 .filter(|&i| !choices[i].machine.spot && choices[i].machine.zone == zone)
-                .min_by_key(|&i| Real(cost(&choices[i])));
+                .min_by_key(|&i| OrderedFloat(cost(&choices[i])));
             if let Some(c) = cheapest {
                 // A float's cast to an integer saturates.
                 let count = count(&choices[c]) as u32;
-                self.wanted[c] = self.wanted[c].saturating_add(count).min(MAX_RENT);
+                self.wanted[c] = self.wanted[c].saturating_add(count).min(MAX_SCALE_OUT);
             }
         }
     }
@@ -250,14 +250,14 @@
 /// the time that a rented one could be up; what fits there waits for it.
 /// `reserve` is kept from spot work in each zone, `ahead` of it is rented before
 /// anything needs it.
-pub fn plan<'a>(
-    jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<Shape>)>,
-    floor: &mut Floor,
-    teams: &mut [TeamView],
-    market: &Market,
+pub fn plan_scale_out<'a>(
+    jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)>,
+    floor: &mut CapacityIndex,
+    teams: &mut [TeamAllowance],
+    market: &PlanInputs,
     reserve: f64,
     ahead: f64,
-) -> Vec<(Offer, u32)> {
+) -> Vec<(InstanceOffering, u32)> {
     let choices = choices(market);
     let mut plan = Plan {
         types: market.types,
@@ -267,7 +267,7 @@
     };
     // Which was wanted first: the cloud takes a call or two a second.
     let mut first: Vec<usize> = Vec::new();
-    let mut kinds: BTreeMap<Rc<Shape>, Kind> = BTreeMap::new();
+    let mut kinds: BTreeMap<Rc<ResourceRequest>, Kind> = BTreeMap::new();
     // Rented machines with room to spare.
     let mut added = 0;
     let mut lent = market.lent.clone();
@@ -282,13 +282,13 @@
         };
         if kind.closed != Some(added) && job.team_allows(teams) {
             let mut on = Vec::new();
-            fill(job, floor, teams, reserve, u32::MAX, |machine, _, of| {
+            place_tasks(job, floor, teams, reserve, u32::MAX, |machine, _, of| {
                 on.extend(of.then_some(machine));
             });
             for m in on.into_iter().filter_map(|machine| floor.view(machine)) {
                 *lent.entry(m.zone.clone()).or_default() += need.cpus;
             }
-            if job.waiting > 0 && !floor.any(job, Kept::from(shape, reserve)) {
+            if job.waiting > 0 && !floor.any(job, ReservePolicy::from(shape, reserve)) {
                 kind.closed = Some(added);
             }
         }
@@ -303,7 +303,7 @@
             }
             *plan.there.entry(new.zone.clone()).or_default() += 1;
             while job.team_allows(teams)
-                && new.free.holds(&need)
+                && new.free.fits(&need)
                 && job.allows(&new)
                 && job.put(&mut new, teams)
             {
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -1,12 +1,12 @@
 //! Jobs, machines and teams as a pass sees them.
 
-use crate::resources::{EPS, Room, units};
-use dillcleat_wire::user::{JobSpec, Kind};
+use crate::resources::{EPS, Resources, to_millionths};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Which job or machine: a small number that it keeps for as long as it is known.
-pub type Place = u32;
+pub type SlabIndex = u32;
 
 /// Images and their sizes in GB, shared by a machine and its views.
 pub type Images = Rc<Vec<(Rc<str>, f64)>>;
@@ -17,7 +17,7 @@
     pub machine_type: Rc<str>,
     pub zone: Rc<str>,
     pub spot: bool,
-    pub free: Room,
+    pub free: Resources,
     /// Images that it holds or is fetching.
     pub images: Images,
     /// How many of them services use.
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct TeamView {
+pub struct TeamAllowance {
     /// CPUs and GPUs that tasks of the team may still take.
     pub cpus_left: f64,
     pub gpus_left: f64,
@@ -47,7 +47,7 @@
 /// What decides, for every job alike, which machines a task may run on. Where
 /// one job finds no room at all, no other of the same shape does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Shape {
+pub struct ResourceRequest {
     /// In millionths, as are the next two.
     cpus: i64,
     gpus: i64,
@@ -59,14 +59,14 @@
     starving: bool,
 }
 
-impl Shape {
-    pub fn of(spec: &JobSpec) -> Shape {
-        Shape {
-            cpus: units(spec.cpus),
-            gpus: units(spec.gpus),
-            memory: units(spec.memory_gb),
+impl ResourceRequest {
+    pub fn of(spec: &JobSpec) -> ResourceRequest {
+        ResourceRequest {
+            cpus: to_millionths(spec.cpus),
+            gpus: to_millionths(spec.gpus),
+            memory: to_millionths(spec.memory_gb),
             spot: spec.spot,
-            service: spec.kind == Kind::Service,
+            service: spec.kind == JobKind::Service,
             types: spec.types.clone(),
             zone: spec.zone.clone(),
             starving: false,
@@ -74,8 +74,8 @@
     }
 
     /// The same of a job that is starving or not ([`JobView::starving`]).
-    pub fn when(&self, starving: bool) -> Shape {
-        Shape {
+    pub fn when(&self, starving: bool) -> ResourceRequest {
+        ResourceRequest {
             starving,
             ..self.clone()
         }
@@ -88,7 +88,7 @@
 
 #[derive(Debug, Clone)]
 pub struct JobView<'a> {
-    pub place: Place,
+    pub place: SlabIndex,
     pub id: &'a str,
     pub spec: &'a JobSpec,
     pub image: &'a Rc<str>,
@@ -109,12 +109,12 @@
 }
 
 impl JobView<'_> {
-    pub fn room(&self) -> Room {
-        Room::of_task(self.spec)
+    pub fn room(&self) -> Resources {
+        Resources::of_task(self.spec)
     }
 
     pub fn service(&self) -> bool {
-        self.spec.kind == Kind::Service
+        self.spec.kind == JobKind::Service
     }
 
     /// Whether the job's rules allow one more task in this zone.
@@ -155,18 +155,18 @@
         self.permits(m) && !self.avoids(m)
     }
 
-    pub fn team_allows(&self, teams: &[TeamView]) -> bool {
+    pub fn team_allows(&self, teams: &[TeamAllowance]) -> bool {
         let t = &teams[self.team];
         t.cpus_left + EPS >= self.spec.cpus && t.gpus_left + EPS >= self.spec.gpus
     }
 
     /// Takes the room of the job's next task on the machine. False if none waits.
-    pub fn put(&mut self, m: &mut MachineView, teams: &mut [TeamView]) -> bool {
+    pub fn put(&mut self, m: &mut MachineView, teams: &mut [TeamAllowance]) -> bool {
         if self.waiting == 0 {
             return false;
         }
         self.waiting -= 1;
-        m.free.take(&self.room());
+        m.free.subtract(&self.room());
         if !m.holds_image(self.image) {
             Rc::make_mut(&mut m.images).push((self.image.clone(), self.spec.image_gb));
         }
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -4,10 +4,10 @@
 #![allow(dead_code)]
 
 use dillcleat_sched::{
-    Floor, Images, JobView, Line, MachineView, Pace, Place, Rank, Real, Room, Shape, Standing,
-    TeamView,
+    AgeingState, CapacityIndex, Images, JobQueue, JobView, MachineView, OrderedFloat, QueueEntry,
+    QueueRank, ResourceRequest, Resources, SlabIndex, TeamAllowance,
 };
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -61,26 +61,26 @@
     }
 
     /// Its standing at a reading of the clock, if it ages or (`fixed`) does not.
-    pub fn standing(&self, clock: f64, fixed: bool) -> Standing {
-        let rank = |first: bool, size: f64, remaining: f64| Rank {
-            service: Reverse(first && self.spec.kind == Kind::Service),
+    pub fn standing(&self, clock: f64, fixed: bool) -> QueueEntry {
+        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(first && self.spec.kind == JobKind::Service),
             priority: Reverse(self.spec.priority),
             tiny: Reverse(first && self.tiny),
-            size: Real(size),
-            remaining: Real(remaining),
+            size: OrderedFloat(size),
+            remaining: OrderedFloat(remaining),
             submitted: self.submitted,
             id: Rc::from(self.spec.id.as_str()),
         };
         let (pace, size, remaining) = if fixed {
-            (Pace::Fixed, self.virtual_size, 0.0)
+            (AgeingState::Fixed, self.virtual_size, 0.0)
         } else if self.virtual_size <= 0.0 {
-            (Pace::Aged, 0.0, self.remaining)
+            (AgeingState::Aged, 0.0, self.remaining)
         } else {
-            (Pace::Ageing, self.virtual_size + clock, 0.0)
+            (AgeingState::Ageing, self.virtual_size + clock, 0.0)
         };
-        Standing {
+        QueueEntry {
             team: self.team,
-            shape: Rc::new(Shape::of(&self.spec).when(self.starving)),
+            shape: Rc::new(ResourceRequest::of(&self.spec).when(self.starving)),
             pace,
             rank: rank(true, size, remaining),
             training: (self.training > 0).then(|| rank(false, self.initial_size, 0.0)),
@@ -88,19 +88,19 @@
     }
 }
 
-pub fn line(jobs: &[Job]) -> Line {
-    let mut line = Line::default();
+pub fn line(jobs: &[Job]) -> JobQueue {
+    let mut line = JobQueue::default();
     for (place, job) in jobs.iter().enumerate() {
-        let fixed = job.spec.kind == Kind::Service;
-        line.set(place as Place, Some(job.standing(0.0, fixed)));
+        let fixed = job.spec.kind == JobKind::Service;
+        line.set(place as SlabIndex, Some(job.standing(0.0, fixed)));
     }
     line
 }
 
-pub fn floor(machines: &[MachineView]) -> Floor {
-    let mut floor = Floor::new();
+pub fn floor(machines: &[MachineView]) -> CapacityIndex {
+    let mut floor = CapacityIndex::new();
     for (place, m) in machines.iter().enumerate() {
-        floor.set(place as Place, Some(m.clone()));
+        floor.set(place as SlabIndex, Some(m.clone()));
     }
     floor
 }
@@ -110,7 +110,7 @@
         machine_type: "m".into(),
         zone: zone.into(),
         spot,
-        free: Room {
+        free: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: 64.0,
@@ -123,8 +123,8 @@
     }
 }
 
-pub fn team(cpus: f64) -> Vec<TeamView> {
-    vec![TeamView {
+pub fn team(cpus: f64) -> Vec<TeamAllowance> {
+    vec![TeamAllowance {
         cpus_left: cpus,
         gpus_left: f64::INFINITY,
     }]
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -3,31 +3,34 @@
 mod common;
 
 use common::{Job, floor, line, machine, team};
-use dillcleat_sched::capacity_index::Kept;
-use dillcleat_sched::preemption::{Victim, make_room};
-use dillcleat_sched::{Floor, JobView, MachineView, Place, Room, TeamView, Terms, assign};
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
+use dillcleat_sched::capacity_index::ReservePolicy;
+use dillcleat_sched::preemption::{PreemptionCandidate, choose_preemptions};
+use dillcleat_sched::{
+    CapacityIndex, CycleLimits, JobView, MachineView, Resources, SlabIndex, TeamAllowance,
+    run_cycle,
+};
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 use std::rc::Rc;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
-    JobSpec::plain(id, Kind::Batch, tasks, 1.0)
+    JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
 }
 
 /// Each placement of a pass as job and machine, one for each task.
 fn pass(
     jobs: &[Job],
-    floor: &mut Floor,
-    teams: &mut [TeamView],
+    floor: &mut CapacityIndex,
+    teams: &mut [TeamAllowance],
     training_cpus: f64,
     reserve: f64,
-) -> Vec<(Place, Place)> {
-    let terms = Terms {
+) -> Vec<(SlabIndex, SlabIndex)> {
+    let terms = CycleLimits {
         clock: 0.0,
         training_cpus,
         reserve,
     };
-    let view = |place: Place| jobs.get(place as usize).map(Job::view);
-    let (made, _) = assign(&line(jobs), view, floor, teams, terms);
+    let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
+    let (made, _) = run_cycle(&line(jobs), view, floor, teams, terms);
     made.into_iter()
         .flat_map(|a| std::iter::repeat_n((a.job, a.machine), a.tasks as usize))
         .collect()
@@ -59,7 +62,7 @@
 #[test]
 fn services_then_tiny_then_training_then_smallest_virtual_size() {
     let mut service = spec("service", 2);
-    service.kind = Kind::Service;
+    service.kind = JobKind::Service;
     let mut jobs = vec![
         Job::new(spec("big", 9), 900.0, 2),
         Job::new(spec("small", 9), 100.0, 0),
@@ -119,7 +122,7 @@
     ]);
     let jobs = [Job::new(s, 1.0, 0)];
     let made = pass(&jobs, &mut room, &mut team(99.0), 0.0, 0.0);
-    let on = |m: Place| made.iter().filter(|x| x.1 == m).count();
+    let on = |m: SlabIndex| made.iter().filter(|x| x.1 == m).count();
     assert_eq!((on(0), on(1), on(2)), (0, 3, 1));
     let mut one = spec("one", 4);
     one.one_zone = true;
@@ -139,7 +142,7 @@
     let ordinary = made.iter().filter(|a| a.1 == 0).count();
     assert_eq!((ordinary, made.len()), (2, 3));
     let mut service = spec("service", 9);
-    service.kind = Kind::Service;
+    service.kind = JobKind::Service;
     service.spot = false;
     let jobs = [Job::new(service, 0.0, 0)];
     assert_eq!(pass(&jobs, &mut room, &mut team(99.0), 0.0, 3.0).len(), 3);
@@ -160,18 +163,18 @@
 type Plain<'a> = (&'a Job, JobView<'a>);
 
 /// The best machine for the job's next task, looked for among all.
-fn best(job: &JobView, machines: &[MachineView], kept: Kept) -> Option<usize> {
+fn best(job: &JobView, machines: &[MachineView], kept: ReservePolicy) -> Option<usize> {
     let need = job.room();
     let spared = |m: &MachineView, reserve: f64| {
         let ordinary = |o: &&MachineView| !o.spot && !o.condemned && o.zone == m.zone;
         let free: f64 = machines.iter().filter(ordinary).map(|o| o.free.cpus).sum();
-        let bound = !m.spot && job.spec.spot && job.spec.kind == Kind::Batch;
+        let bound = !m.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
         reserve <= 0.0 || !bound || free - need.cpus + 1e-6 >= reserve
     };
     let rank = |i: usize, m: &MachineView| {
         let image = m.images.iter().any(|(i, _)| **i == *job.spec.image);
         let spot = m.spot == job.spec.spot;
-        let service = job.spec.kind == Kind::Service;
+        let service = job.spec.kind == JobKind::Service;
         let sign = if service && !image { 1.0 } else { -1.0 };
         let warm = if service || m.spot { 0 } else { m.warm };
         let (cpus, memory) = (m.free.cpus * sign, m.free.memory_gb * sign);
@@ -180,11 +183,11 @@
     };
     let mut found: Option<usize> = None;
     for (i, view) in machines.iter().enumerate() {
-        if view.free.holds(&need)
+        if view.free.fits(&need)
             && match kept {
-                Kept::Reserve(reserve) => job.allows(view) && spared(view, reserve),
-                Kept::Faulty => job.allows(view),
-                Kept::Nothing => true,
+                ReservePolicy::Reserve(reserve) => job.allows(view) && spared(view, reserve),
+                ReservePolicy::Faulty => job.allows(view),
+                ReservePolicy::Nothing => true,
             }
             && job.permits(view)
             && found.is_none_or(|b| rank(i, view) > rank(b, &machines[b]))
@@ -199,7 +202,7 @@
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| {
         let (a, b) = (jobs[a].0, jobs[b].0);
-        let service = |j: &Job| j.spec.kind == Kind::Service;
+        let service = |j: &Job| j.spec.kind == JobKind::Service;
         service(b)
             .cmp(&service(a))
             .then(b.spec.priority.cmp(&a.spec.priority))
@@ -216,28 +219,32 @@
 fn plain(
     jobs: &mut [Plain],
     machines: &mut [MachineView],
-    teams: &mut [TeamView],
+    teams: &mut [TeamAllowance],
     mut training_cpus: f64,
     reserve: f64,
-) -> Vec<(Place, Place)> {
-    let mut place = |jobs: &mut [Plain], i: usize| -> Option<(Place, Place)> {
+) -> Vec<(SlabIndex, SlabIndex)> {
+    let mut place = |jobs: &mut [Plain], i: usize| -> Option<(SlabIndex, SlabIndex)> {
         let job = &mut jobs[i].1;
         if job.waiting == 0 || !job.team_allows(teams) {
             return None;
         }
-        let ways = [Kept::Reserve(reserve), Kept::Faulty, Kept::Nothing];
+        let ways = [
+            ReservePolicy::Reserve(reserve),
+            ReservePolicy::Faulty,
+            ReservePolicy::Nothing,
+        ];
         let ways = ways.into_iter().take(if job.starving { 3 } else { 1 });
         let m = ways
             .into_iter()
             .find_map(|kept| best(job, machines, kept))?;
         job.starving = false;
         job.put(&mut machines[m], teams);
-        Some((i as Place, m as Place))
+        Some((i as SlabIndex, m as SlabIndex))
     };
     let mut made = Vec::new();
     let order = order(jobs);
     for &i in &order {
-        if jobs[i].0.spec.kind == Kind::Service || jobs[i].0.tiny {
+        if jobs[i].0.spec.kind == JobKind::Service || jobs[i].0.tiny {
             while let Some(a) = place(jobs, i) {
                 made.push(a);
             }
@@ -286,7 +293,7 @@
     }
     let service = rng.u8(..3) == 0;
     if service {
-        s.kind = Kind::Service;
+        s.kind = JobKind::Service;
     }
     let training = if service { 0 } else { rng.u32(..3) };
     let mut job = Job::new(s, f64::from(rng.u32(1..1000)), training);
@@ -331,13 +338,13 @@
         let jobs: Vec<Job> = (0..rng.usize(1..14))
             .map(|i| random_job(&mut rng, i))
             .collect();
-        let mut room = Floor::new();
+        let mut room = CapacityIndex::new();
         let mut machines = Vec::new();
         for place in 0..rng.usize(1..20) {
             for _ in 0..rng.usize(1..3) {
                 // What stood there before leaves nothing behind.
                 let m = random_machine(&mut rng);
-                room.set(place as Place, Some(m.clone()));
+                room.set(place as SlabIndex, Some(m.clone()));
                 machines.truncate(place);
                 machines.push(m);
             }
@@ -355,7 +362,7 @@
         let fast = pass(&jobs, &mut room, &mut teams, training, reserve);
         assert_eq!(fast, slow, "seed {seed}");
         for (place, m) in machines.iter().enumerate() {
-            let left = room.view(place as Place).map(|m| m.free);
+            let left = room.view(place as SlabIndex).map(|m| m.free);
             assert_eq!(left, Some(m.free), "seed {seed}");
         }
         placed += fast.len();
@@ -371,7 +378,7 @@
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut clock = 0.0;
-        let mut line = dillcleat_sched::Line::default();
+        let mut line = dillcleat_sched::JobQueue::default();
         let mut jobs: Vec<Option<(Job, bool)>> = vec![None; 12];
         for _ in 0..200 {
             let i = rng.usize(..jobs.len());
@@ -379,7 +386,7 @@
                 0 => jobs[i] = None,
                 1 | 2 => {
                     let job = random_job(&mut rng, i);
-                    let fixed = job.spec.kind == Kind::Service || rng.u8(..8) == 0;
+                    let fixed = job.spec.kind == JobKind::Service || rng.u8(..8) == 0;
                     jobs[i] = Some((job, fixed));
                 }
                 3 => {
@@ -396,16 +403,16 @@
                 }
             }
             let standing = jobs[i].as_ref().map(|(j, fixed)| j.standing(clock, *fixed));
-            line.set(i as Place, standing);
+            line.set(i as SlabIndex, standing);
             while let Some(place) = line.aged(clock) {
                 let job = jobs[place as usize].as_ref();
                 let standing = job.map(|(j, fixed)| j.standing(clock, *fixed));
                 line.set(place, standing);
             }
-            let there: Vec<(Place, &Job, bool)> = jobs
+            let there: Vec<(SlabIndex, &Job, bool)> = jobs
                 .iter()
                 .enumerate()
-                .filter_map(|(i, j)| j.as_ref().map(|(j, fixed)| (i as Place, j, *fixed)))
+                .filter_map(|(i, j)| j.as_ref().map(|(j, fixed)| (i as SlabIndex, j, *fixed)))
                 .collect();
             let seen: Vec<Job> = there
                 .iter()
@@ -420,8 +427,8 @@
                 })
                 .collect();
             let views: Vec<Plain> = seen.iter().map(|j| (j, j.view())).collect();
-            let plain: Vec<Place> = order(&views).into_iter().map(|i| there[i].0).collect();
-            let indexed: Vec<Place> = line.all(clock).collect();
+            let plain: Vec<SlabIndex> = order(&views).into_iter().map(|i| there[i].0).collect();
+            let indexed: Vec<SlabIndex> = line.all(clock).collect();
             assert_eq!(indexed, plain, "seed {seed}");
             compared += plain.len();
         }
@@ -433,7 +440,7 @@
 #[test]
 fn replicas_stop_the_least_work_and_no_more_than_they_need() {
     let mut service = spec("service", 3);
-    service.kind = Kind::Service;
+    service.kind = JobKind::Service;
     service.priority = Priority::Production;
     service.spot = false;
     service.image = "held".into();
@@ -446,9 +453,9 @@
         m[0].images = Rc::new(vec![(Rc::from("held"), 1.0)]);
         m
     };
-    let victim = |machine: usize, priority: Priority, ran: u64| Victim {
+    let victim = |machine: usize, priority: Priority, ran: u64| PreemptionCandidate {
         machine,
-        room: Room {
+        room: Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -465,13 +472,13 @@
     ];
     let job = Job::new(service, 0.0, 0);
     let mut jobs = vec![job.view()];
-    let stopped = make_room(&mut jobs, &mut machines(), &mut team(99.0), &victims);
+    let stopped = choose_preemptions(&mut jobs, &mut machines(), &mut team(99.0), &victims);
     // One takes the free room of y, which so has its image; the others stop
     // what has run least, there and on x.
     assert_eq!(stopped, [3, 1]);
     assert_eq!(jobs[0].waiting, 0);
     // A team at its limit stops nobody.
     let mut jobs = vec![job.view()];
-    let stopped = make_room(&mut jobs, &mut machines(), &mut team(1.0), &victims);
+    let stopped = choose_preemptions(&mut jobs, &mut machines(), &mut team(1.0), &victims);
     assert_eq!(stopped, [0; 0]);
 }
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -3,10 +3,12 @@
 mod common;
 
 use common::{Job, machine};
-use dillcleat_sched::scale_out_plan::{Market, Offer, Refusals, plan};
-use dillcleat_sched::{Floor, MachineView, Shape, TeamView};
+use dillcleat_sched::scale_out_plan::{
+    InstanceOffering, PlanInputs, RefusedOfferings, plan_scale_out,
+};
+use dillcleat_sched::{CapacityIndex, MachineView, ResourceRequest, TeamAllowance};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -30,7 +32,7 @@
     ]
 }
 
-fn job(id: &str, kind: Kind, tasks: u32, late: u32) -> Job {
+fn job(id: &str, kind: JobKind, tasks: u32, late: u32) -> Job {
     Job {
         late,
         ..Job::new(JobSpec::plain(id, kind, tasks, 4.0), 1.0, 0)
@@ -44,13 +46,13 @@
     refused: &[(&str, &str, bool)],
     dark: &[&str],
     ahead: f64,
-) -> Vec<(Offer, u32)> {
-    let mut refusals = Refusals::default();
+) -> Vec<(InstanceOffering, u32)> {
+    let mut refusals = RefusedOfferings::default();
     for (t, z, spot) in refused {
         refusals.refuse((t.to_string(), z.to_string(), *spot), 9);
     }
     let types = types();
-    let market = Market {
+    let market = PlanInputs {
         types: &types,
         refusals: &refusals,
         slow: BTreeSet::new(),
@@ -59,20 +61,23 @@
         lent: BTreeMap::new(),
         now: 1,
     };
-    let mut teams = vec![TeamView {
+    let mut teams = vec![TeamAllowance {
         cpus_left: f64::INFINITY,
         gpus_left: f64::INFINITY,
     }];
-    let mut floor = Floor::without_images();
+    let mut floor = CapacityIndex::without_images();
     for m in coming {
         floor.add(m.clone());
     }
-    let shapes: Vec<_> = jobs.iter().map(|j| Rc::new(Shape::of(&j.spec))).collect();
+    let shapes: Vec<_> = jobs
+        .iter()
+        .map(|j| Rc::new(ResourceRequest::of(&j.spec)))
+        .collect();
     let jobs = jobs.iter().map(Job::view).zip(&shapes);
-    plan(jobs, &mut floor, &mut teams, &market, ahead, ahead)
+    plan_scale_out(jobs, &mut floor, &mut teams, &market, ahead, ahead)
 }
 
-fn offers(wanted: &[(Offer, u32)]) -> Vec<(&str, &str, bool, u32)> {
+fn offers(wanted: &[(InstanceOffering, u32)]) -> Vec<(&str, &str, bool, u32)> {
     wanted
         .iter()
         .map(|((t, z, s), n)| (t.as_str(), z.as_str(), *s, *n))
@@ -89,7 +94,7 @@
 /// no more of them than they need.
 #[test]
 fn late_tasks_rent_ordinary_machines_once_spot_machines_are_refused() {
-    let batch = |late| [job("batch", Kind::Batch, 20, late)];
+    let batch = |late| [job("batch", JobKind::Batch, 20, late)];
     assert_eq!(rent(&batch(0), &[], &SPOT, &[], 0.0), []);
     let wanted = rent(&batch(5), &[], &SPOT, &[], 0.0);
     assert_eq!(
@@ -104,7 +109,7 @@
 /// though more spot machines were to be had a second later.
 #[test]
 fn a_plan_does_not_go_on_to_dearer_offers() {
-    let jobs = [job("batch", Kind::Batch, 1000, 1000)];
+    let jobs = [job("batch", JobKind::Batch, 1000, 1000)];
     let wanted = rent(&jobs, &[], &[], &[], 0.0);
     assert_eq!(offers(&wanted), [("large", "a", true, 50)]);
 }
@@ -114,8 +119,8 @@
 #[test]
 fn nothing_is_rented_in_dark_zones_and_services_go_first() {
     let jobs = [
-        job("service", Kind::Service, 2, 0),
-        job("batch", Kind::Batch, 4, 0),
+        job("service", JobKind::Service, 2, 0),
+        job("batch", JobKind::Batch, 4, 0),
     ];
     let wanted = rent(&jobs, &[], &[], &["a"], 0.0);
     assert_eq!(
@@ -129,16 +134,19 @@
 #[test]
 fn a_plan_counts_what_is_coming_and_what_is_left_over() {
     let coming = [machine("b", 8.0, true)];
-    let jobs = [job("one", Kind::Batch, 5, 0), job("two", Kind::Batch, 2, 0)];
+    let jobs = [
+        job("one", JobKind::Batch, 5, 0),
+        job("two", JobKind::Batch, 2, 0),
+    ];
     let wanted = rent(&jobs, &coming, &[], &[], 0.0);
     assert_eq!(wanted.iter().map(|(_, n)| n).sum::<u32>(), 5, "{wanted:?}");
     // Two of six CPUs fit a large machine alone and leave four of them.
-    let mut wide = job("wide", Kind::Batch, 2, 0);
+    let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
-    let jobs = [wide, job("narrow", Kind::Batch, 1, 0)];
+    let jobs = [wide, job("narrow", JobKind::Batch, 1, 0)];
     let wanted = rent(&jobs, &[], &[], &[], 0.0);
     assert_eq!(offers(&wanted), [("large", "a", true, 1)]);
-    let jobs: Vec<Job> = (0..9).map(|_| job("same", Kind::Batch, 8, 0)).collect();
+    let jobs: Vec<Job> = (0..9).map(|_| job("same", JobKind::Batch, 8, 0)).collect();
     let wanted = rent(&jobs, &coming, &[], &[], 0.0);
     let machines = |name: &str| {
         let of_type = wanted.iter().filter(|((t, _, _), _)| t == name);
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -3,10 +3,14 @@
 mod common;
 
 use common::{Job, floor, line, machine, team};
-use dillcleat_sched::scale_out_plan::{Market, Offer, Refusals, plan};
-use dillcleat_sched::{Assignment, Floor, MachineView, Place, Shape, Terms, assign};
+use dillcleat_sched::scale_out_plan::{
+    InstanceOffering, PlanInputs, RefusedOfferings, plan_scale_out,
+};
+use dillcleat_sched::{
+    Assignment, CapacityIndex, CycleLimits, MachineView, ResourceRequest, SlabIndex, run_cycle,
+};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -16,18 +20,18 @@
 fn job(id: &str, starving: bool) -> Job {
     Job {
         starving,
-        ..Job::new(JobSpec::plain(id, Kind::Batch, 10, 1.0), 1.0, 0)
+        ..Job::new(JobSpec::plain(id, JobKind::Batch, 10, 1.0), 1.0, 0)
     }
 }
 
-fn pass(jobs: &[Job], floor: &mut Floor, training_cpus: f64) -> Vec<Assignment> {
-    let terms = Terms {
+fn pass(jobs: &[Job], floor: &mut CapacityIndex, training_cpus: f64) -> Vec<Assignment> {
+    let terms = CycleLimits {
         clock: 0.0,
         training_cpus,
         reserve: RESERVE,
     };
-    let view = |place: Place| jobs.get(place as usize).map(Job::view);
-    assign(&line(jobs), view, floor, &mut team(99.0), terms).0
+    let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
+    run_cycle(&line(jobs), view, floor, &mut team(99.0), terms).0
 }
 
 /// How many tasks each job gets, and how many of all in the reserve.
@@ -35,7 +39,7 @@
     let made = pass(jobs, &mut floor(machines), 0.0);
     let of = |i| made.iter().filter(|a| a.job == i).map(|a| a.tasks).sum();
     let kept = made.iter().filter(|a| a.of_reserve).map(|a| a.tasks).sum();
-    ((0..jobs.len() as Place).map(of).collect(), kept)
+    ((0..jobs.len() as SlabIndex).map(of).collect(), kept)
 }
 
 /// With no spot machine to be had such a job once waited for ever beside the reserve.
@@ -94,7 +98,7 @@
 
 /// What is rented, with every spot offer refused, beside `free` CPUs in the one zone
 /// and others that are lent.
-fn rent(jobs: &[Job], free: f64, lent: f64) -> Vec<(Offer, u32)> {
+fn rent(jobs: &[Job], free: f64, lent: f64) -> Vec<(InstanceOffering, u32)> {
     let types = [MachineType {
         name: "m".into(),
         cpus: 4.0,
@@ -107,9 +111,9 @@
         boot_s: 15.0,
         zones: vec!["a".into()],
     }];
-    let mut refusals = Refusals::default();
+    let mut refusals = RefusedOfferings::default();
     refusals.refuse(("m".into(), "a".into(), true), 9);
-    let market = Market {
+    let market = PlanInputs {
         types: &types,
         refusals: &refusals,
         slow: BTreeSet::new(),
@@ -118,12 +122,12 @@
         lent: BTreeMap::from([("a".into(), lent)]),
         now: 1,
     };
-    let mut floor = Floor::without_images();
+    let mut floor = CapacityIndex::without_images();
     floor.add(machine("a", free, false));
-    let shape = |j: &Job| Rc::new(Shape::of(&j.spec).when(j.starving));
+    let shape = |j: &Job| Rc::new(ResourceRequest::of(&j.spec).when(j.starving));
     let shapes: Vec<_> = jobs.iter().map(shape).collect();
     let jobs = jobs.iter().map(Job::view).zip(&shapes);
-    plan(jobs, &mut floor, &mut team(99.0), &market, RESERVE, RESERVE)
+    plan_scale_out(jobs, &mut floor, &mut team(99.0), &market, RESERVE, RESERVE)
 }
 
 /// Rented anew for each that starves, ordinary machines would be paid for without end by
--- a/crates/simulator/examples/doors.rs
+++ b/crates/simulator/examples/doors.rs
@@ -12,7 +12,7 @@
 use dillcleat_simulator::objects::rules_for;
 use dillcleat_simulator::state::StateService;
 use dillcleat_simulator::world::config;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind as NativeKind};
+use dillcleat_wire::user::{JOBS_PATH, JobKind as NativeKind, JobSpec};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
--- a/crates/simulator/src/alone.rs
+++ b/crates/simulator/src/alone.rs
@@ -8,7 +8,7 @@
 use dillcleat_controller::{CallId, Config, Input, MILLISECOND, Micros, Node, Output, Timestamp};
 use dillcleat_controller::{RequestId, SECOND};
 use dillcleat_kube::{Ask, Controller, Out, Reply, Rules};
-use dillcleat_wire::state::StateReply;
+use dillcleat_wire::store::StoreResponse;
 use serde_json::Value;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -112,7 +112,7 @@
                 Ev::Ask(id, ask) => self.controller.ask(now, id, ask),
                 Ev::WatchEnds(watch) => {
                     if let Some((id, changes)) = self.watches.end(watch, &self.state) {
-                        let reply = Ok(StateReply::Changes(changes));
+                        let reply = Ok(StoreResponse::WatchBatch(changes));
                         self.at(at + STATE_TIME / 2, Ev::Input(Input::Store { id, reply }));
                     }
                     continue;
@@ -146,7 +146,7 @@
                     }
                 }
                 for (id, changes) in self.watches.changed(&self.state, |_| true) {
-                    let reply = Ok(StateReply::Changes(changes));
+                    let reply = Ok(StoreResponse::WatchBatch(changes));
                     self.at(at, Ev::Input(Input::Store { id, reply }));
                 }
             }
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -2,7 +2,8 @@
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{
-    CloudCall, CloudReply, Condition, LIST_PAGE, ListedMachine, MachineList, MachineType,
+    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_PAGE_ROWS, MachineList,
+    MachineType,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -73,8 +74,8 @@
                 zone: h.zone.clone(),
                 spot: h.spot,
                 condition: match h.up_at {
-                    Some(at) if at <= now => Condition::Running,
-                    _ => Condition::Booting,
+                    Some(at) if at <= now => InstanceState::Running,
+                    _ => InstanceState::Booting,
                 },
                 age_s: 0.0,
             })
@@ -89,24 +90,24 @@
     /// for the world to act upon.
     pub fn call(
         &mut self,
-        call: &CloudCall,
+        call: &CloudRequest,
         now: Micros,
         boot: impl Fn(&str) -> Option<Micros>,
-    ) -> (CloudReply, Vec<String>, Vec<String>) {
+    ) -> (CloudResponse, Vec<String>, Vec<String>) {
         if now < self.out_until {
-            return (CloudReply::Refused { status: 503 }, vec![], vec![]);
+            return (CloudResponse::Refused { status: 503 }, vec![], vec![]);
         }
         match call {
-            CloudCall::Types => (CloudReply::Types(self.types.clone()), vec![], vec![]),
-            CloudCall::Rent(r) => {
+            CloudRequest::Types => (CloudResponse::Types(self.types.clone()), vec![], vec![]),
+            CloudRequest::ScaleOut(r) => {
                 if let Some(names) = self.answered.get(&r.request) {
-                    return (CloudReply::Rented(names.clone()), vec![], vec![]);
+                    return (CloudResponse::ScaledOut(names.clone()), vec![], vec![]);
                 }
                 let key = (r.machine_type.clone(), r.zone.clone(), r.spot);
                 let left = self.capacity.get_mut(&key);
                 let n = left.as_ref().map_or(0, |n| (**n).min(r.count));
                 if n == 0 {
-                    return (CloudReply::NoCapacity, vec![], vec![]);
+                    return (CloudResponse::NoCapacity, vec![], vec![]);
                 }
                 if let Some(left) = left {
                     *left -= n;
@@ -126,23 +127,23 @@
                     names.push(name);
                 }
                 self.answered.insert(r.request.clone(), names.clone());
-                (CloudReply::Rented(names.clone()), names, vec![])
+                (CloudResponse::ScaledOut(names.clone()), names, vec![])
             }
-            CloudCall::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 let gone = names.iter().filter(|n| self.remove(n)).cloned().collect();
-                (CloudReply::Deleted, vec![], gone)
+                (CloudResponse::Deleted, vec![], gone)
             }
-            CloudCall::List { after } => {
+            CloudRequest::List { after } => {
                 let known = self.history.front().map_or(&[][..], |(_, l)| l);
                 let from = after
                     .as_ref()
                     .map_or(0, |a| known.partition_point(|m| m.name <= *a));
                 let rest = &known[from..];
                 let list = MachineList {
-                    machines: rest.iter().take(LIST_PAGE as usize).cloned().collect(),
-                    more: rest.len() > LIST_PAGE as usize,
+                    machines: rest.iter().take(MAX_PAGE_ROWS as usize).cloned().collect(),
+                    more: rest.len() > MAX_PAGE_ROWS as usize,
                 };
-                (CloudReply::Listed(list), vec![], vec![])
+                (CloudResponse::Listed(list), vec![], vec![])
             }
         }
     }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -17,11 +17,11 @@
     SchedulerCounters, Timestamp, Tuning,
 };
 use dillcleat_wire::TaskName;
-use dillcleat_wire::cloud::{CloudCall, MachineType};
+use dillcleat_wire::cloud::{CloudRequest, MachineType};
 use dillcleat_wire::platform::Team;
-use dillcleat_wire::state::{StateCall, StateReply};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, Priority};
-use dillcleat_wire::worker::{Command, Orders, REPORT_PATH, ReportAnswer};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, Priority};
+use dillcleat_wire::worker::{Command, CommandBatch, HEARTBEAT_PATH, HeartbeatReply};
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -126,19 +126,19 @@
     Node(Box<Input>),
     State {
         id: CallId,
-        call: Box<StateCall>,
+        call: Box<StoreRequest>,
     },
     WatchEnds {
         watch: u64,
     },
     Cloud {
         id: CallId,
-        call: Box<CloudCall>,
+        call: Box<CloudRequest>,
     },
     Orders {
         id: CallId,
         machine: u32,
-        orders: Box<Orders>,
+        orders: Box<CommandBatch>,
     },
     Worker {
         machine: u32,
@@ -352,11 +352,11 @@
         self.cloud.note(0);
         let (ordinary, spot): (Vec<u32>, Vec<u32>) =
             (0..self.setting.machines).partition(|i| i.is_multiple_of(ORDINARY));
-        self.seat(&ordinary, Kind::Service);
-        self.seat(&spot, Kind::Batch);
+        self.seat(&ordinary, JobKind::Service);
+        self.seat(&spot, JobKind::Batch);
         let mut waiting = 0;
         while waiting < self.setting.waiting {
-            let spec = self.spec(Kind::Batch);
+            let spec = self.spec(JobKind::Batch);
             waiting += spec.tasks;
             self.record(&spec);
         }
@@ -365,7 +365,7 @@
         for _ in 0..self.setting.held {
             let spec = JobSpec {
                 awaits: vec![root.clone()],
-                ..self.spec(Kind::Batch)
+                ..self.spec(JobKind::Batch)
             };
             self.record(&spec);
         }
@@ -379,9 +379,9 @@
         self.at(self.now + SECOND, Ev::Note);
     }
 
-    fn spec(&mut self, kind: Kind) -> JobSpec {
+    fn spec(&mut self, kind: JobKind) -> JobSpec {
         self.jobs += 1;
-        let service = kind == Kind::Service;
+        let service = kind == JobKind::Service;
         let id = format!("req-{:06}", self.jobs);
         let tasks = if service {
             REPLICAS
@@ -425,7 +425,7 @@
     }
 
     /// Fills these machines with jobs' tasks, as stored placements.
-    fn seat(&mut self, machines: &[u32], kind: Kind) {
+    fn seat(&mut self, machines: &[u32], kind: JobKind) {
         let mut places: Vec<u32> = machines
             .iter()
             .flat_map(|m| std::iter::repeat_n(*m, self.setting.slots as usize))
@@ -440,7 +440,7 @@
                 let Some(machine) = places.pop() else {
                     break;
                 };
-                let until = (kind == Kind::Batch).then(|| self.now + self.rng.u64(..=play_run));
+                let until = (kind == JobKind::Batch).then(|| self.now + self.rng.u64(..=play_run));
                 let task = TaskName {
                     job: spec.id.clone(),
                     index,
@@ -502,7 +502,7 @@
 
     fn wake(&mut self, input: Input) {
         // As in the service, reports stand in a line of their own, behind.
-        let report = matches!(&input, Input::Request { target, .. } if target == REPORT_PATH);
+        let report = matches!(&input, Input::Request { target, .. } if target == HEARTBEAT_PATH);
         self.lines[usize::from(report)].push_back(input);
         self.serve();
     }
@@ -532,7 +532,7 @@
         };
         let kind = match &input {
             Input::Tick => "tick",
-            Input::Request { target, .. } if target == REPORT_PATH => "report",
+            Input::Request { target, .. } if target == HEARTBEAT_PATH => "report",
             Input::Request { .. } => "submission",
             Input::Store { .. } => "answer of the state service",
             Input::Cloud { .. } => "answer of the cloud",
@@ -567,7 +567,7 @@
         // An answer lets the next batch go out, of up to 48 changes.
         let sent = |o: &Output| match o {
             Output::Store {
-                call: StateCall::Txn(txn),
+                call: StoreRequest::Transaction(txn),
                 ..
             } => txn.then.len() as u64,
             _ => 0,
@@ -585,7 +585,7 @@
     fn launches(&mut self, commands: &[Command]) {
         let starts = commands
             .iter()
-            .filter(|c| matches!(c, Command::Start { .. }))
+            .filter(|c| matches!(c, Command::Launch { .. }))
             .count() as u64;
         if self.measuring() {
             self.result.starts += starts;
@@ -606,7 +606,7 @@
                     self.submitting -= 1;
                     return;
                 };
-                if let Ok(a) = dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     self.launches(&a.commands);
                 }
                 let answer = Box::new(answer);
@@ -676,7 +676,7 @@
             Ev::State { id, call } => self.state_call(id, &call),
             Ev::WatchEnds { watch } => {
                 if let Some((id, changes)) = self.watches.end(watch, &self.state) {
-                    self.state_answer(id, StateReply::Changes(changes));
+                    self.state_answer(id, StoreResponse::WatchBatch(changes));
                 }
             }
             Ev::Cloud { id, call } => {
@@ -724,9 +724,9 @@
         }
     }
 
-    fn state_call(&mut self, id: CallId, call: &StateCall) {
+    fn state_call(&mut self, id: CallId, call: &StoreRequest) {
         let (changes, bytes) = match call {
-            StateCall::Txn(txn) => (txn.then.len(), dillcleat_wire::encode(txn).len()),
+            StoreRequest::Transaction(txn) => (txn.then.len(), dillcleat_wire::encode(txn).len()),
             _ => (0, 0),
         };
         if self.measuring() {
@@ -738,7 +738,7 @@
             self.state.call(call, self.now)
         } else {
             self.result.too_many += 1;
-            Some(StateReply::TooMany)
+            Some(StoreResponse::RateLimited)
         };
         match answer {
             Some(answer) => self.state_answer(id, answer),
@@ -749,11 +749,11 @@
             }
         }
         for (id, changes) in self.watches.changed(&self.state, |_| true) {
-            self.state_answer(id, StateReply::Changes(changes));
+            self.state_answer(id, StoreResponse::WatchBatch(changes));
         }
     }
 
-    fn state_answer(&mut self, id: CallId, answer: StateReply) {
+    fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
         let input = Box::new(Input::Store {
             id,
             reply: Ok(answer),
@@ -800,7 +800,7 @@
                 let asker = (machine, self.now, report.session);
                 self.unanswered.insert(self.next, asker);
                 let body = dillcleat_wire::encode(&report);
-                self.request(REPORT_PATH, body);
+                self.request(HEARTBEAT_PATH, body);
             }
         }
         if self.measuring() {
@@ -831,7 +831,7 @@
         }
         worker.under_way = None;
         let left = (worker.leased_until(LEASE)).saturating_sub(self.now);
-        match dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+        match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
             Ok(a) if answer.status == 200 => {
                 self.result.least_left = self.result.least_left.min(left);
                 worker.pass(self.now, LEASE, &self.plays);
@@ -855,7 +855,7 @@
             .open_jobs
             .saturating_sub(self.state.keys(records::OPEN).len() + self.submitting);
         for _ in 0..missing {
-            let spec = self.spec(Kind::Batch);
+            let spec = self.spec(JobKind::Batch);
             self.next += 1;
             self.submitting += 1;
             self.request(JOBS_PATH, dillcleat_wire::encode(&spec));
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -7,9 +7,11 @@
 use crate::worker::{Play, Worker};
 use dillcleat_controller::records::OpenJob;
 use dillcleat_controller::{Micros, SECOND};
-use dillcleat_wire::cloud::{CloudCall, CloudReply, MachineType, Names, Rent};
-use dillcleat_wire::state::{Change, StateCall, StateReply, Txn};
-use dillcleat_wire::worker::{COMMANDS_PATH, Elsewhere, Orders, REPORT_PATH, ReportAnswer};
+use dillcleat_wire::cloud::{CloudRequest, CloudResponse, MachineNames, MachineType, ScaleOut};
+use dillcleat_wire::store::{Mutation, StoreRequest, StoreResponse, Transaction};
+use dillcleat_wire::worker::{
+    COMMANDS_PATH, CommandBatch, HEARTBEAT_PATH, HeartbeatReply, LeaderRedirect,
+};
 use dillcleat_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -30,14 +32,14 @@
 impl Inner {
     /// Users upload elsewhere what their jobs do. Of jobs that nobody told of, tasks
     /// run as long as was estimated.
-    fn learn(&mut self, call: &StateCall) {
-        let StateCall::Txn(txn) = call else {
+    fn learn(&mut self, call: &StoreRequest) {
+        let StoreRequest::Transaction(txn) = call else {
             return;
         };
         for change in &txn.then {
-            if let Change::Put { key, value, .. } = change
+            if let Mutation::Put { key, value, .. } = change
                 && key.starts_with(dillcleat_controller::records::OPEN)
-                && let Some(open) = dillcleat_wire::state::read::<OpenJob>(value)
+                && let Some(open) = dillcleat_wire::store::decode_value::<OpenJob>(value)
             {
                 let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
                 let id = open.spec.id.clone();
@@ -146,7 +148,7 @@
             return (400, Vec::new());
         };
         let hold = match &call {
-            StateCall::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
+            StoreRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
             _ => Duration::ZERO,
         };
         let asked = Instant::now();
@@ -157,7 +159,7 @@
             if let Some(reply) = inner.state.call(&call, now) {
                 return state_answer(reply);
             }
-            if let StateCall::Watch { prefix, after, .. } = &call
+            if let StoreRequest::Watch { prefix, after, .. } = &call
                 && asked.elapsed() >= hold
             {
                 return (200, encode(&inner.state.changes(prefix, *after)));
@@ -169,16 +171,16 @@
 
     fn serve_cloud(&self, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
         let call = match (method, target.split('?').next()) {
-            ("GET", Some("/flavors")) => CloudCall::Types,
-            ("POST", Some("/hosts")) => match decode::<Rent>(body) {
-                Ok(rent) => CloudCall::Rent(rent),
+            ("GET", Some("/flavors")) => CloudRequest::Types,
+            ("POST", Some("/hosts")) => match decode::<ScaleOut>(body) {
+                Ok(rent) => CloudRequest::ScaleOut(rent),
                 Err(_) => return (400, Vec::new()),
             },
-            ("POST", Some("/hosts/delete")) => match decode::<Names>(body) {
-                Ok(names) => CloudCall::Delete(names.machines),
+            ("POST", Some("/hosts/delete")) => match decode::<MachineNames>(body) {
+                Ok(names) => CloudRequest::Delete(names.machines),
                 Err(_) => return (400, Vec::new()),
             },
-            ("GET", Some("/hosts")) => CloudCall::List { after: None },
+            ("GET", Some("/hosts")) => CloudRequest::List { after: None },
             _ => return (404, Vec::new()),
         };
         let now = self.now();
@@ -209,18 +211,18 @@
                 .insert(name, Worker::new(place, cpus, 0.0, now, 0));
         }
         match reply {
-            CloudReply::Types(types) => {
+            CloudResponse::Types(types) => {
                 (200, encode(&dillcleat_wire::cloud::MachineTypes { types }))
             }
-            CloudReply::Rented(machines) => (200, encode(&Names { machines })),
-            CloudReply::Listed(list) => (200, encode(&list)),
-            CloudReply::Deleted => (200, Vec::new()),
-            CloudReply::NoCapacity => {
+            CloudResponse::ScaledOut(machines) => (200, encode(&MachineNames { machines })),
+            CloudResponse::Listed(list) => (200, encode(&list)),
+            CloudResponse::Deleted => (200, Vec::new()),
+            CloudResponse::NoCapacity => {
                 let error = "no capacity".to_string();
-                (503, encode(&dillcleat_wire::user::Refusal { error }))
+                (503, encode(&dillcleat_wire::user::ErrorReply { error }))
             }
-            CloudReply::Refused { status } => (status, Vec::new()),
-            CloudReply::Malformed => (400, Vec::new()),
+            CloudResponse::Refused { status } => (status, Vec::new()),
+            CloudResponse::Malformed => (400, Vec::new()),
         }
     }
 
@@ -230,7 +232,7 @@
         if (method, target) != ("POST", COMMANDS_PATH) {
             return (404, Vec::new());
         }
-        let Ok(orders) = decode::<Orders>(body) else {
+        let Ok(orders) = decode::<CommandBatch>(body) else {
             return (400, Vec::new());
         };
         let now = self.now();
@@ -264,7 +266,7 @@
             }
             for (name, node, report) in due {
                 let addr = self.nodes[node % self.nodes.len()].1;
-                let answer = post(addr, REPORT_PATH, &encode(&report));
+                let answer = post(addr, HEARTBEAT_PATH, &encode(&report));
                 let mut inner = self.inner();
                 let Inner { workers, plays, .. } = &mut *inner;
                 let Some(w) = workers.get_mut(&name) else {
@@ -272,12 +274,14 @@
                 };
                 match answer {
                     Some((200, body)) => {
-                        if let Ok(a) = decode::<ReportAnswer>(&body) {
+                        if let Ok(a) = decode::<HeartbeatReply>(&body) {
                             w.answered(&a, report.session, now, self.now(), plays);
                         }
                     }
                     Some((421, body)) => {
-                        let to = decode::<Elsewhere>(&body).ok().and_then(|e| e.report_to);
+                        let to = decode::<LeaderRedirect>(&body)
+                            .ok()
+                            .and_then(|e| e.report_to);
                         let to = to.and_then(|m| self.nodes.iter().position(|(n, _)| *n == m));
                         w.node = to.unwrap_or(node + 1);
                     }
@@ -288,7 +292,7 @@
     }
 }
 
-fn state_call(method: &str, target: &str, body: &[u8]) -> Option<StateCall> {
+fn state_call(method: &str, target: &str, body: &[u8]) -> Option<StoreRequest> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let param = |name: &str| {
         query
@@ -299,60 +303,60 @@
     };
     let lease = |rest: &str| rest.parse::<u64>().ok();
     Some(match method {
-        "GET" if path == "/kv" => StateCall::List {
+        "GET" if path == "/kv" => StoreRequest::List {
             prefix: param("under")?,
             after: param("from"),
         },
-        "GET" if path == "/changes" => StateCall::Watch {
+        "GET" if path == "/changes" => StoreRequest::Watch {
             prefix: param("under")?,
             after: param("from")?.parse().ok()?,
             hold_ms: param("hold_ms")?.parse().ok()?,
         },
-        "GET" => StateCall::Get {
+        "GET" => StoreRequest::Get {
             key: path.strip_prefix("/kv/")?.to_string(),
         },
-        "POST" if path == "/txn" => StateCall::Txn(decode::<Txn>(body).ok()?),
-        "POST" if path == "/holds" => StateCall::NewLease {
+        "POST" if path == "/txn" => StoreRequest::Transaction(decode::<Transaction>(body).ok()?),
+        "POST" if path == "/holds" => StoreRequest::GrantLease {
             ttl_ms: decode::<Ttl>(body).ok()?.ttl_ms,
         },
-        "POST" => StateCall::Extend {
+        "POST" => StoreRequest::RenewLease {
             lease: lease(path.strip_prefix("/holds/")?.strip_suffix("/extend")?)?,
         },
-        "DELETE" => StateCall::EndLease {
+        "DELETE" => StoreRequest::RevokeLease {
             lease: lease(path.strip_prefix("/holds/")?)?,
         },
         _ => return None,
     })
 }
 
-fn state_answer(reply: StateReply) -> (u16, Vec<u8>) {
+fn state_answer(reply: StoreResponse) -> (u16, Vec<u8>) {
     match reply {
-        StateReply::Found(row) => (200, encode(&row)),
-        StateReply::Absent { revision } => (
+        StoreResponse::Found(row) => (200, encode(&row)),
+        StoreResponse::NotFound { revision } => (
             404,
             encode(&Revision {
                 ledger_no: revision,
             }),
         ),
-        StateReply::Page(page) => (200, encode(&page)),
-        StateReply::Committed { revision } => (
+        StoreResponse::RangePage(page) => (200, encode(&page)),
+        StoreResponse::Committed { revision } => (
             200,
             encode(&Revision {
                 ledger_no: revision,
             }),
         ),
-        StateReply::Conflict { failed, revision } => {
+        StoreResponse::Conflict { failed, revision } => {
             let ledger_no = revision;
             (409, encode(&Failed { failed, ledger_no }))
         }
-        StateReply::Lease { lease } => (200, encode(&Loan { loan: lease })),
-        StateReply::LeaseGone => (404, Vec::new()),
-        StateReply::Extended => (200, Vec::new()),
-        StateReply::Changes(changes) => (200, encode(&changes)),
-        StateReply::TooOld => (410, Vec::new()),
-        StateReply::TooMany => (429, Vec::new()),
-        StateReply::Unavailable => (503, Vec::new()),
-        StateReply::Malformed => (400, Vec::new()),
+        StoreResponse::Lease { lease } => (200, encode(&Loan { loan: lease })),
+        StoreResponse::LeaseExpired => (404, Vec::new()),
+        StoreResponse::LeaseRenewed => (200, Vec::new()),
+        StoreResponse::WatchBatch(changes) => (200, encode(&changes)),
+        StoreResponse::Compacted => (410, Vec::new()),
+        StoreResponse::RateLimited => (429, Vec::new()),
+        StoreResponse::Unavailable => (503, Vec::new()),
+        StoreResponse::Malformed => (400, Vec::new()),
     }
 }
 
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -1,8 +1,11 @@
 //! A stand-in for the state service.
 
 use dillcleat_controller::{MILLISECOND, Micros, records};
-use dillcleat_wire::state::{Change, Changes, Event, Page, Row, StateCall, StateReply, Txn, Value};
-use dillcleat_wire::state::{TXN_BYTES, json_size};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value, WatchBatch,
+    WatchEvent,
+};
+use dillcleat_wire::store::{MAX_TRANSACTION_BYTES, json_size};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Changes that the service still knows; a watch that starts further back is
@@ -43,7 +46,7 @@
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
     revision: u64,
-    log: VecDeque<(u64, Event)>,
+    log: VecDeque<(u64, WatchEvent)>,
     /// The latest change that is no longer in the log.
     forgotten: u64,
     page: PageLimit,
@@ -96,7 +99,7 @@
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
         self.revision += 1;
         let entry = Entry {
-            value: dillcleat_wire::state::value(record),
+            value: dillcleat_wire::store::encode_value(record),
             version: self.revision,
             lease: None,
         };
@@ -104,7 +107,7 @@
         self.forgotten = self.revision;
     }
 
-    fn note(&mut self, event: Event) {
+    fn note(&mut self, event: WatchEvent) {
         self.log.push_back((self.revision, event));
         while self.log.len() > KEPT_CHANGES {
             if let Some((revision, _)) = self.log.pop_front() {
@@ -166,7 +169,7 @@
 
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            let event = Event::Delete {
+            let event = WatchEvent::Delete {
                 key: key.into(),
                 version: self.revision,
             };
@@ -175,35 +178,35 @@
     }
 
     /// Carries a call out; None for a watch that has to wait.
-    pub fn call(&mut self, call: &StateCall, now: Micros) -> Option<StateReply> {
+    pub fn call(&mut self, call: &StoreRequest, now: Micros) -> Option<StoreResponse> {
         self.expire(now);
         if self.out(now) {
             // Open watches stay open; everything else is refused.
             return match call {
-                StateCall::Watch { .. } => None,
-                _ => Some(StateReply::Unavailable),
+                StoreRequest::Watch { .. } => None,
+                _ => Some(StoreResponse::Unavailable),
             };
         }
         Some(match call {
-            StateCall::Get { key } => match self.keys.get(key) {
-                Some(e) => StateReply::Found(Row {
+            StoreRequest::Get { key } => match self.keys.get(key) {
+                Some(e) => StoreResponse::Found(KeyValue {
                     key: key.clone(),
                     value: e.value.clone(),
                     version: e.version,
                     lease: e.lease,
                 }),
-                None => StateReply::Absent {
+                None => StoreResponse::NotFound {
                     revision: self.revision,
                 },
             },
-            StateCall::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let mut found = self
                     .keys
                     .range(after.clone().unwrap_or_else(|| prefix.clone())..)
                     .take_while(|(k, _)| k.starts_with(prefix.as_str()))
                     .filter(|(k, _)| after.as_ref().is_none_or(|a| *k > a))
                     .peekable();
-                let mut rows: Vec<Row> = Vec::new();
+                let mut rows: Vec<KeyValue> = Vec::new();
                 let mut bytes = 0;
                 while let Some((k, e)) = found.peek() {
                     bytes += k.len() + json_size(&e.value) + 32;
@@ -211,7 +214,7 @@
                     if full && !rows.is_empty() {
                         break;
                     }
-                    rows.push(Row {
+                    rows.push(KeyValue {
                         key: k.to_string(),
                         value: e.value.clone(),
                         version: e.version,
@@ -219,51 +222,53 @@
                     });
                     found.next();
                 }
-                StateReply::Page(Page {
+                StoreResponse::RangePage(RangePage {
                     more: found.peek().is_some(),
                     rows,
                     revision: self.revision,
                 })
             }
-            StateCall::Txn(txn) => self.txn(txn),
-            StateCall::NewLease { ttl_ms } => {
+            StoreRequest::Transaction(txn) => self.txn(txn),
+            StoreRequest::GrantLease { ttl_ms } => {
                 let lease = self.next_lease;
                 self.next_lease += 1;
                 let ttl = ttl_ms * MILLISECOND;
                 self.leases.insert(lease, (ttl, now + ttl));
-                StateReply::Lease { lease }
+                StoreResponse::Lease { lease }
             }
-            StateCall::Extend { lease } => match self.leases.get_mut(lease) {
+            StoreRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
-                    StateReply::Extended
+                    StoreResponse::LeaseRenewed
                 }
-                None => StateReply::LeaseGone,
+                None => StoreResponse::LeaseExpired,
             },
-            StateCall::EndLease { lease } => {
+            StoreRequest::RevokeLease { lease } => {
                 if self.end_lease(*lease) {
-                    StateReply::Extended
+                    StoreResponse::LeaseRenewed
                 } else {
-                    StateReply::LeaseGone
+                    StoreResponse::LeaseExpired
                 }
             }
-            StateCall::Watch { after, .. } if *after < self.forgotten => StateReply::TooOld,
-            StateCall::Watch { prefix, after, .. } => {
+            StoreRequest::Watch { after, .. } if *after < self.forgotten => {
+                StoreResponse::Compacted
+            }
+            StoreRequest::Watch { prefix, after, .. } => {
                 let changes = self.changes(prefix, *after);
                 if changes.events.is_empty() {
                     return None;
                 }
-                StateReply::Changes(changes)
+                StoreResponse::WatchBatch(changes)
             }
         })
     }
 
-    pub fn changes(&self, prefix: &str, after: u64) -> Changes {
-        let key = |e: &Event| match e {
-            Event::Put { key, .. } | Event::Delete { key, .. } => key.clone(),
+    pub fn changes(&self, prefix: &str, after: u64) -> WatchBatch {
+        let key = |e: &WatchEvent| match e {
+            WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.clone(),
         };
         let first = self.log.partition_point(|(r, _)| *r <= after);
-        Changes {
+        WatchBatch {
             revision: self.revision,
             events: self
                 .log
@@ -274,19 +279,19 @@
         }
     }
 
-    fn too_large(&mut self, what: String) -> StateReply {
+    fn too_large(&mut self, what: String) -> StoreResponse {
         if self.lowered {
             self.refused += 1;
         } else {
             self.malformed.push(what);
         }
-        StateReply::Malformed
+        StoreResponse::Malformed
     }
 
-    fn txn(&mut self, txn: &Txn) -> StateReply {
+    fn txn(&mut self, txn: &Transaction) -> StoreResponse {
         let mut bytes = 0;
         for change in &txn.then {
-            if let Change::Put { key, value, .. } = change {
+            if let Mutation::Put { key, value, .. } = change {
                 let size = json_size(value);
                 bytes += size + key.len();
                 if size > self.value_bytes {
@@ -295,7 +300,7 @@
                 }
             }
         }
-        if bytes > TXN_BYTES
+        if bytes > MAX_TRANSACTION_BYTES
             || txn.then.len() > self.txn_ops
             || txn.compare.len() > 4 * self.txn_ops
         {
@@ -308,8 +313,8 @@
         }
         // Whatever only a leader writes is fenced by its term. Chunks carry
         // versions besides, so no run would show the lack of it soon.
-        let leaders = |c: &Change| match c {
-            Change::Put { key, .. } | Change::Delete { key } => {
+        let leaders = |c: &Mutation| match c {
+            Mutation::Put { key, .. } | Mutation::Delete { key } => {
                 key.starts_with("t/") || key.starts_with("m/")
             }
         };
@@ -324,13 +329,13 @@
             .map(|c| c.key.clone())
             .collect();
         let gone = txn.then.iter().any(
-            |c| matches!(c, Change::Put { lease: Some(l), .. } if !self.leases.contains_key(l)),
+            |c| matches!(c, Mutation::Put { lease: Some(l), .. } if !self.leases.contains_key(l)),
         );
         if gone {
-            return StateReply::LeaseGone;
+            return StoreResponse::LeaseExpired;
         }
         if !failed.is_empty() {
-            return StateReply::Conflict {
+            return StoreResponse::Conflict {
                 failed,
                 revision: self.revision,
             };
@@ -340,24 +345,24 @@
         }
         for change in &txn.then {
             match change {
-                Change::Put { key, value, lease } => {
+                Mutation::Put { key, value, lease } => {
                     let entry = Entry {
                         value: value.clone(),
                         version: self.revision,
                         lease: *lease,
                     };
                     self.keys.insert(key.clone(), entry);
-                    let event = Event::Put {
+                    let event = WatchEvent::Put {
                         key: key.clone(),
                         value: value.clone(),
                         version: self.revision,
                     };
                     self.note(event);
                 }
-                Change::Delete { key } => self.delete(key),
+                Mutation::Delete { key } => self.delete(key),
             }
         }
-        StateReply::Committed {
+        StoreResponse::Committed {
             revision: self.revision,
         }
     }
@@ -365,14 +370,17 @@
     /// The latest term of the controllers.
     pub fn term(&self) -> u64 {
         let row = self.keys.get(records::TERM);
-        row.and_then(|e| dillcleat_wire::state::read::<records::TermRecord>(&e.value))
+        row.and_then(|e| dillcleat_wire::store::decode_value::<records::TermRecord>(&e.value))
             .map_or(0, |t| t.term)
     }
 
     /// The record under a key, and its version.
     pub fn read<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<(T, u64)> {
         let entry = self.keys.get(key)?;
-        Some((dillcleat_wire::state::read(&entry.value)?, entry.version))
+        Some((
+            dillcleat_wire::store::decode_value(&entry.value)?,
+            entry.version,
+        ))
     }
 
     /// Keys under a prefix, for looking at what a run leaves behind.
@@ -401,8 +409,8 @@
 impl<T: Copy> Watches<T> {
     /// Opens a watch; None if the call is none. Returns its number and for how
     /// long it is held.
-    pub fn open(&mut self, who: T, call: &StateCall) -> Option<(u64, Micros)> {
-        let StateCall::Watch {
+    pub fn open(&mut self, who: T, call: &StoreRequest) -> Option<(u64, Micros)> {
+        let StoreRequest::Watch {
             prefix,
             after,
             hold_ms,
@@ -416,13 +424,17 @@
     }
 
     /// Ends a watch whose time is over.
-    pub fn end(&mut self, watch: u64, state: &StateService) -> Option<(T, Changes)> {
+    pub fn end(&mut self, watch: u64, state: &StateService) -> Option<(T, WatchBatch)> {
         let (who, prefix, after) = self.open.remove(&watch)?;
         Some((who, state.changes(&prefix, after)))
     }
 
     /// Ends those that have something to tell to whom `may` be told.
-    pub fn changed(&mut self, state: &StateService, may: impl Fn(T) -> bool) -> Vec<(T, Changes)> {
+    pub fn changed(
+        &mut self,
+        state: &StateService,
+        may: impl Fn(T) -> bool,
+    ) -> Vec<(T, WatchBatch)> {
         let mut told = Vec::new();
         self.open.retain(|_, (who, prefix, after)| {
             if !may(*who) {
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -3,8 +3,10 @@
 use crate::rules::Place;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{Command, Orders, Report, ReportAnswer, TaskReport, TaskState, Why};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{
+    Command, CommandBatch, ExitReason, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
+};
 use std::collections::BTreeMap;
 
 /// A machine reports that had a report answered so short a while ago.
@@ -15,7 +17,7 @@
 #[derive(Debug, Clone)]
 struct Running {
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     /// When the image is there, or the run ends.
     until: Option<Micros>,
     cpus: f64,
@@ -86,9 +88,9 @@
         }
     }
 
-    pub fn report(&mut self, now: Micros) -> Report {
+    pub fn report(&mut self, now: Micros) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: format!("{}:9000", self.name),
             machine_type: self.place.machine_type.clone(),
@@ -103,7 +105,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), r)| TaskReport {
+                .map(|((task, attempt), r)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: r.state,
@@ -176,16 +178,16 @@
                         let fails = faulty || play.is_some_and(|p| p.fails);
                         r.until = match play {
                             _ if fails => Some(now + SECOND / 5),
-                            Some(p) if p.spec.kind == Kind::Batch => Some(now + p.run),
+                            Some(p) if p.spec.kind == JobKind::Batch => Some(now + p.run),
                             _ => None,
                         };
                         if fails {
-                            r.why = Some(Why::Error);
+                            r.why = Some(ExitReason::Error);
                         }
                     }
                     _ => {
                         let done = r.why.is_none();
-                        r.why.get_or_insert(Why::Done);
+                        r.why.get_or_insert(ExitReason::Done);
                         r.state = TaskState::Exited;
                         r.until = None;
                         happenings.push(Happening::Leaves {
@@ -214,7 +216,7 @@
     /// The answer to a report that was sent at `sent` in `session`.
     pub fn answered(
         &mut self,
-        answer: &ReportAnswer,
+        answer: &HeartbeatReply,
         session: u64,
         sent: Micros,
         now: Micros,
@@ -234,10 +236,10 @@
     /// Orders sent straight to the worker: status, report and happenings.
     pub fn orders(
         &mut self,
-        orders: &Orders,
+        orders: &CommandBatch,
         now: Micros,
         jobs: &BTreeMap<String, Play>,
-    ) -> (u16, Report, Vec<Happening>) {
+    ) -> (u16, Heartbeat, Vec<Happening>) {
         if orders.token < self.token || orders.session != self.session {
             return (409, self.report(now), Vec::new());
         }
@@ -255,7 +257,7 @@
         let mut happenings = Vec::new();
         for c in commands {
             match c {
-                Command::Start { task, attempt } => self.start(task, *attempt, now, jobs),
+                Command::Launch { task, attempt } => self.start(task, *attempt, now, jobs),
                 Command::Stop { task, attempt, .. } => {
                     if let Some(r) = self.tasks.get_mut(&(task.clone(), *attempt))
                         && r.state != TaskState::Exited
@@ -267,11 +269,11 @@
                             });
                         }
                         r.state = TaskState::Exited;
-                        r.why = Some(Why::Stopped);
+                        r.why = Some(ExitReason::Stopped);
                         r.until = None;
                     }
                 }
-                Command::Forget { task, attempt } => {
+                Command::Reap { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self
                         .tasks
@@ -326,11 +328,11 @@
         let play = jobs.get(&task.job);
         let (cpus, gpus) = play.map_or((0.0, 0.0), |p| (p.spec.cpus, p.spec.gpus));
         let refused = if play.is_none() {
-            Some(Why::Unknown)
+            Some(ExitReason::Unknown)
         } else if busy {
-            Some(Why::Busy)
+            Some(ExitReason::Busy)
         } else if cpus > free_cpus + 1e-6 || gpus > free_gpus + 1e-6 {
-            Some(Why::NoRoom)
+            Some(ExitReason::NoRoom)
         } else {
             None
         };
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -15,7 +15,7 @@
     /// The Job that an array of the day is handed in as.
     pub(super) fn plan(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
         let throughout = match self.scenario.form {
-            _ if spec.kind != Kind::Batch => return None,
+            _ if spec.kind != JobKind::Batch => return None,
             Form::Native => return None,
             Form::Twin | Form::Shadow => false,
             Form::Objects => true,
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -26,12 +26,14 @@
 };
 use dillcleat_kube::{Ask, Controller, Out};
 use dillcleat_peer_protocol::Message;
-use dillcleat_wire::cloud::{CloudCall, MachineType};
+use dillcleat_wire::cloud::{CloudRequest, MachineType};
 use dillcleat_wire::platform::Team;
-use dillcleat_wire::state::{StateCall, StateReply};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, JobStatus, Kind, Priority};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, Priority};
 use dillcleat_wire::user::{cancel_path, poll_path};
-use dillcleat_wire::worker::{Elsewhere, Orders, REPORT_PATH, Report, ReportAnswer};
+use dillcleat_wire::worker::{
+    CommandBatch, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, LeaderRedirect,
+};
 use fastrand::Rng;
 use sha2::{Digest, Sha256};
 use std::cmp::Reverse;
@@ -103,7 +105,7 @@
     match input {
         _ if !leads => "a follower's input",
         Input::Tick => "tick",
-        Input::Request { target, .. } if target == REPORT_PATH => "report",
+        Input::Request { target, .. } if target == HEARTBEAT_PATH => "report",
         Input::Request { .. } => "user's request",
         Input::Store { .. } => "answer of the state service",
         Input::Cloud { .. } => "answer of the cloud",
@@ -125,7 +127,7 @@
     },
     State {
         caller: Caller,
-        call: Box<StateCall>,
+        call: Box<StoreRequest>,
     },
     /// A request of a Kubernetes-shaped client arrives.
     Ask {
@@ -138,12 +140,12 @@
     Rewatch,
     Cloud {
         caller: Caller,
-        call: Box<CloudCall>,
+        call: Box<CloudRequest>,
     },
     Orders {
         caller: Caller,
         addr: String,
-        orders: Box<Orders>,
+        orders: Box<CommandBatch>,
     },
     WatchEnds {
         watch: u64,
@@ -152,12 +154,12 @@
     Checkin {
         machine: String,
         node: usize,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     /// A copy of a report arrives. Nobody hears the answer.
     Copy {
         node: usize,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     CheckinAnswer {
         machine: String,
@@ -396,7 +398,7 @@
     pub(crate) answers_lost: Spell,
     pub(crate) reports_for_next: Spell,
     /// Copies of reports for the next leader, and the last term that one had.
-    kept_reports: Vec<Report>,
+    kept_reports: Vec<Heartbeat>,
     last_term: u64,
     pub(crate) boots: Boots,
     checker: Checker,
@@ -643,7 +645,7 @@
             .iter()
             .filter(|u| {
                 u.accepted
-                    && u.spec.kind == Kind::Batch
+                    && u.spec.kind == JobKind::Batch
                     && u.cancel_at.is_none()
                     && u.ended != Some(JobState::Done)
                     && !(u.ended.is_some() && self.checker.doomed(&u.spec.id))
@@ -835,11 +837,11 @@
                     sent: self.now,
                 };
                 let body = dillcleat_wire::encode(&*report);
-                self.ask(node, asker, "POST", REPORT_PATH.into(), body);
+                self.ask(node, asker, "POST", HEARTBEAT_PATH.into(), body);
             }
             Ev::Copy { node, report } => {
                 let body = dillcleat_wire::encode(&*report);
-                self.ask(node, Asker::Nobody, "POST", REPORT_PATH.into(), body);
+                self.ask(node, Asker::Nobody, "POST", HEARTBEAT_PATH.into(), body);
             }
             Ev::CheckinAnswer {
                 machine,
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -3,12 +3,12 @@
 use super::*;
 use dillcleat_controller::records::LeaderRecord;
 use dillcleat_kube::Door;
-use dillcleat_wire::state::Change;
+use dillcleat_wire::store::Mutation;
 
 /// Whether a call hands in a job: as with the users' protocol.
-fn submits(call: &StateCall) -> bool {
-    let open = |c: &Change| matches!(c, Change::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
-    matches!(call, StateCall::Txn(txn) if txn.then.iter().any(open))
+fn submits(call: &StoreRequest) -> bool {
+    let open = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
+    matches!(call, StoreRequest::Transaction(txn) if txn.then.iter().any(open))
 }
 
 /// How a message gets from one place to another.
--- a/crates/simulator/src/world/odd.rs
+++ b/crates/simulator/src/world/odd.rs
@@ -85,7 +85,7 @@
         let id = format!("req-{}", 700_000 + self.odd_requests);
         let spec = JobSpec {
             team: "bound".into(),
-            ..JobSpec::plain(&id, Kind::Batch, 2, 1.0)
+            ..JobSpec::plain(&id, JobKind::Batch, 2, 1.0)
         };
         let mut body = serde_json::to_value(spec).unwrap_or_default();
         let status = match self.side.bool() {
--- a/crates/simulator/src/world/pipelines.rs
+++ b/crates/simulator/src/world/pipelines.rs
@@ -29,7 +29,7 @@
                 };
                 if others > 0 && rng.u8(..6) == 0 {
                     let other = rng.usize(..others);
-                    if self.users[other].spec.kind == Kind::Batch {
+                    if self.users[other].spec.kind == JobKind::Batch {
                         needs.push(other);
                     }
                 }
@@ -83,7 +83,7 @@
             image: format!("img-{}", rng.u8(..4)),
             ..JobSpec::plain(
                 &format!("req-{:06}", 1000 + job * 7),
-                Kind::Batch,
+                JobKind::Batch,
                 tasks,
                 1.0,
             )
--- a/crates/simulator/src/world/pressing.rs
+++ b/crates/simulator/src/world/pressing.rs
@@ -101,7 +101,7 @@
             let u = &self.users[*job];
             let (on, done) = self.checker.tasks(&u.spec.id);
             let play = self.plays.get(&u.spec.id);
-            let long = u.spec.kind == Kind::Service
+            let long = u.spec.kind == JobKind::Service
                 || u.spec.tasks > on + done
                 || play.is_some_and(|p| p.run > 10 * SECOND);
             let open = u.ended.is_none() && u.cancel_at.is_none_or(|at| at > self.now);
@@ -140,7 +140,7 @@
             let spec = JobSpec {
                 class: "stream".into(),
                 team: if n % 3 == 0 { "bound" } else { "free" }.into(),
-                ..JobSpec::plain(&id, Kind::Batch, 1, 1.0)
+                ..JobSpec::plain(&id, JobKind::Batch, 1, 1.0)
             };
             let play = Play {
                 run: self.side.u64(SECOND..8 * SECOND),
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/world/services.rs
@@ -4,19 +4,19 @@
 use crate::rules::Rule;
 use crate::scenario::Moment;
 use dillcleat_controller::records;
-use dillcleat_wire::state::{Changes, Event};
+use dillcleat_wire::store::{WatchBatch, WatchEvent};
 use dillcleat_wire::worker::Command;
 
 /// The jobs that an answer of the state service shows to be cancelled.
-pub(super) fn cancelled(reply: &StateReply) -> Vec<String> {
+pub(super) fn cancelled(reply: &StoreResponse) -> Vec<String> {
     let of = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
     match reply {
-        StateReply::Found(row) => of(&row.key).into_iter().collect(),
-        StateReply::Page(page) => page.rows.iter().filter_map(|r| of(&r.key)).collect(),
-        StateReply::Changes(changes) => {
-            let put = |e: &Event| match e {
-                Event::Put { key, .. } => of(key),
-                Event::Delete { .. } => None,
+        StoreResponse::Found(row) => of(&row.key).into_iter().collect(),
+        StoreResponse::RangePage(page) => page.rows.iter().filter_map(|r| of(&r.key)).collect(),
+        StoreResponse::WatchBatch(changes) => {
+            let put = |e: &WatchEvent| match e {
+                WatchEvent::Put { key, .. } => of(key),
+                WatchEvent::Delete { .. } => None,
             };
             changes.events.iter().filter_map(put).collect()
         }
@@ -28,7 +28,7 @@
     /// Commands go out: none to start what their sender knows to be cancelled.
     pub(super) fn launches(&mut self, node: usize, commands: &[Command]) {
         for command in commands {
-            if let Command::Start { task, .. } = command {
+            if let Command::Launch { task, .. } = command {
                 let knows = self.nodes[node].cancelled.contains(&task.job);
                 self.checker.launches(task, knows, self.now);
             }
@@ -36,8 +36,8 @@
     }
 
     /// Ends the caller if this is its call to end at; whether the call is carried out.
-    fn ends_at_call(&mut self, caller: Caller, call: &StateCall) -> bool {
-        if matches!(call, StateCall::Watch { .. }) {
+    fn ends_at_call(&mut self, caller: Caller, call: &StoreRequest) -> bool {
+        if matches!(call, StoreRequest::Watch { .. }) {
             return true;
         }
         self.state_calls += 1;
@@ -60,14 +60,14 @@
         moment != Moment::Before
     }
 
-    pub(super) fn state_call(&mut self, caller: Caller, call: &StateCall) {
+    pub(super) fn state_call(&mut self, caller: Caller, call: &StoreRequest) {
         if !self.ends_at_call(caller, call) {
             return;
         }
         let id = caller.id;
         let refused = self.now < self.nodes[caller.node].refused_until;
-        if refused && !matches!(call, StateCall::Watch { .. }) {
-            let reply = Ok(StateReply::Unavailable);
+        if refused && !matches!(call, StoreRequest::Watch { .. }) {
+            let reply = Ok(StoreResponse::Unavailable);
             // Refused at once, whatever else goes wrong.
             let caller = Caller {
                 heard: true,
@@ -76,10 +76,11 @@
             return self.reply(caller, Input::Store { id, reply });
         }
         let late = self.now < self.late_writes_until
-            && matches!(call, StateCall::Txn(_))
+            && matches!(call, StoreRequest::Transaction(_))
             && self.side.u8(..3) == 0;
-        let lost =
-            matches!(call, StateCall::Txn(_)) && !caller.waited && self.befalls(self.answers_lost);
+        let lost = matches!(call, StoreRequest::Transaction(_))
+            && !caller.waited
+            && self.befalls(self.answers_lost);
         let caller = Caller {
             heard: caller.heard && !lost,
             ..caller
@@ -102,7 +103,7 @@
         let rng = self.luck(caller.aside);
         let too_many = rng.u16(..500) == 0 || (busy && rng.u8(..5) == 0);
         let answer = if too_many {
-            Some(StateReply::TooMany)
+            Some(StoreResponse::RateLimited)
         } else {
             self.state.call(call, self.now)
         };
@@ -121,7 +122,7 @@
         self.wake_watches();
     }
 
-    pub(super) fn cloud_call(&mut self, caller: Caller, call: &CloudCall) {
+    pub(super) fn cloud_call(&mut self, caller: Caller, call: &CloudRequest) {
         let id = caller.id;
         let mut rng = self.rng.fork();
         let mut never = rng.u8(..20) == 0;
@@ -178,14 +179,14 @@
         }
     }
 
-    pub(super) fn watch_answer(&mut self, caller: Caller, changes: Changes) {
+    pub(super) fn watch_answer(&mut self, caller: Caller, changes: WatchBatch) {
         let held = self.nodes[caller.node].state_cut;
         let Some(held) = self.held(None, Self::site(caller.node), held) else {
             return;
         };
         let (at, whole) = self.passage_of(held, caller.aside);
         if whole {
-            let reply = Ok(StateReply::Changes(changes));
+            let reply = Ok(StoreResponse::WatchBatch(changes));
             let id = caller.id;
             self.input(at, caller.node, caller.epoch, Input::Store { id, reply });
         }
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -26,7 +26,11 @@
             id: format!("req-{:06}", 1000 + job * 7),
             class: if service { "web" } else { "merge" }.into(),
             team: if rng.bool() { "bound" } else { "free" }.into(),
-            kind: if service { Kind::Service } else { Kind::Batch },
+            kind: if service {
+                JobKind::Service
+            } else {
+                JobKind::Batch
+            },
             priority: if service {
                 Priority::Production
             } else {
@@ -51,7 +55,7 @@
         };
         let mut spec = spec;
         if let (0, Some(tasks)) = (job, self.scenario.large) {
-            spec.kind = Kind::Batch;
+            spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
                 // Dozens of its tasks are placed at once.
@@ -95,7 +99,7 @@
             return 0;
         }
         let native = self.scenario.form == Form::Native;
-        if self.scenario.tight && native && spec.kind == Kind::Batch && self.side.u8(..3) == 0 {
+        if self.scenario.tight && native && spec.kind == JobKind::Batch && self.side.u8(..3) == 0 {
             spec.gpus = 1.0;
             spec.types = None;
         }
@@ -175,7 +179,7 @@
                 seq,
                 sent,
             } => {
-                if let Ok(a) = dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     self.launches(node, &a.commands);
                 }
                 let zone = self.zone_of(&machine).unwrap_or(0);
@@ -412,7 +416,7 @@
             return;
         }
         let wanted = |u: &&User| {
-            u.spec.kind == Kind::Service
+            u.spec.kind == JobKind::Service
                 && u.accepted_at.is_some_and(|at| self.now > at + STARTED)
                 && u.ended.is_none()
                 && u.cancel_at.is_none_or(|at| self.now < at)
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -48,7 +48,7 @@
                         self.at(at + again, Ev::Copy { node, report });
                     }
                     if self.befalls(self.reports_for_next) {
-                        self.kept_reports.push(Report::clone(&report));
+                        self.kept_reports.push(Heartbeat::clone(&report));
                     }
                     self.at(
                         at,
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(super) fn orders(&mut self, caller: Caller, addr: String, orders: Box<Orders>) {
+    pub(super) fn orders(&mut self, caller: Caller, addr: String, orders: Box<CommandBatch>) {
         let machine = addr.trim_end_matches(":9000").to_string();
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
@@ -180,7 +180,7 @@
         match answer.status {
             200 => {
                 let mut happenings = w.pass(self.now, self.config.lease, &self.plays);
-                match dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+                match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     Ok(a) => {
                         happenings.extend(w.answered(&a, session, sent, self.now, &self.plays))
                     }
@@ -189,7 +189,7 @@
                 self.tell(machine, happenings);
             }
             421 => {
-                let to = dillcleat_wire::decode::<Elsewhere>(&answer.body)
+                let to = dillcleat_wire::decode::<LeaderRedirect>(&answer.body)
                     .ok()
                     .and_then(|e| e.report_to)
                     .and_then(|m| m.strip_prefix("node-")?.parse::<usize>().ok())
--- a/crates/simulator/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -6,7 +6,7 @@
 use dillcleat_simulator::objects::rules_for;
 use dillcleat_simulator::state::StateService;
 use dillcleat_simulator::world::config;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, Refusal, cancel_path};
+use dillcleat_wire::user::{ErrorReply, JOBS_PATH, JobKind, JobSpec, cancel_path};
 
 fn alone() -> Alone {
     let one = Config {
@@ -23,7 +23,7 @@
     alone
 }
 
-fn spec(id: &str, kind: Kind, awaits: &[&str]) -> JobSpec {
+fn spec(id: &str, kind: JobKind, awaits: &[&str]) -> JobSpec {
     JobSpec {
         team: "free".into(),
         awaits: awaits.iter().map(|a| a.to_string()).collect(),
@@ -44,7 +44,7 @@
     alone.until(alone.now + SECOND);
     let found = alone.answers.iter().position(|(of, _)| *of == id);
     let (_, reply) = alone.answers.swap_remove(found.expect("an answer"));
-    let why = dillcleat_wire::decode::<Refusal>(&reply.body).map_or(String::new(), |r| r.error);
+    let why = dillcleat_wire::decode::<ErrorReply>(&reply.body).map_or(String::new(), |r| r.error);
     if reply.status == 503 {
         assert_eq!(reply.retry_after, Some(1));
     }
@@ -57,9 +57,9 @@
 #[test]
 fn names_must_have_been_accepted() {
     let mut a = alone();
-    let batch = |id: &str, awaits: &[&str]| spec(id, Kind::Batch, awaits);
+    let batch = |id: &str, awaits: &[&str]| spec(id, JobKind::Batch, awaits);
     assert_eq!(submit(&mut a, &batch("req-1", &[])).0, 201);
-    assert_eq!(submit(&mut a, &spec("req-2", Kind::Service, &[])).0, 201);
+    assert_eq!(submit(&mut a, &spec("req-2", JobKind::Service, &[])).0, 201);
     // Known here, or by its records alone: accepted. What is done is not waited for.
     let (status, _, stored) = submit(&mut a, &batch("req-3", &["req-1", "req-71"]));
     assert_eq!((status, stored), (201, Some(vec!["req-1".into()])));
@@ -98,14 +98,14 @@
 fn a_service_of_another_node_is_never_waited_for() {
     let mut a = alone();
     let open = records::OpenJob {
-        spec: spec("req-8", Kind::Service, &[]),
+        spec: spec("req-8", JobKind::Service, &[]),
         at: 1,
         chunk: 8,
         unmarked: true,
         at_most: None,
     };
     a.state.put(records::open_key("req-8"), &open);
-    let (status, why, _) = submit(&mut a, &spec("req-9", Kind::Batch, &["req-8"]));
+    let (status, why, _) = submit(&mut a, &spec("req-9", JobKind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
 }
@@ -115,9 +115,9 @@
 #[test]
 fn who_comes_while_a_cancellation_goes_down_the_line() {
     let mut a = alone();
-    assert_eq!(submit(&mut a, &spec("req-1", Kind::Batch, &[])).0, 201);
+    assert_eq!(submit(&mut a, &spec("req-1", JobKind::Batch, &[])).0, 201);
     assert_eq!(
-        submit(&mut a, &spec("req-2", Kind::Batch, &["req-1"])).0,
+        submit(&mut a, &spec("req-2", JobKind::Batch, &["req-1"])).0,
         201
     );
     let cancel = Input::Request {
@@ -128,12 +128,12 @@
     };
     a.at(a.now, Ev::Input(cancel));
     assert_eq!(
-        submit(&mut a, &spec("req-3", Kind::Batch, &["req-2"])).0,
+        submit(&mut a, &spec("req-3", JobKind::Batch, &["req-2"])).0,
         201
     );
     // And one after all is over.
     assert_eq!(
-        submit(&mut a, &spec("req-4", Kind::Batch, &["req-3"])).0,
+        submit(&mut a, &spec("req-4", JobKind::Batch, &["req-3"])).0,
         201
     );
     a.until(a.now + 5 * SECOND);
@@ -159,7 +159,7 @@
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
     let open = records::OpenJob {
-        spec: spec("req-8", Kind::Batch, &["req-77"]),
+        spec: spec("req-8", JobKind::Batch, &["req-77"]),
         at: 1,
         chunk: 8,
         unmarked: true,
--- a/crates/simulator/tests/rules_are_checked.rs
+++ b/crates/simulator/tests/rules_are_checked.rs
@@ -4,14 +4,14 @@
 use dillcleat_simulator::rules::{Limit, Place, Room};
 use dillcleat_simulator::{Checker, Rule};
 use dillcleat_wire::TaskName;
-use dillcleat_wire::user::{JobSpec, JobState, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec, JobState};
 use std::collections::BTreeMap;
 
 fn spec(tasks: u32) -> JobSpec {
     JobSpec {
         spread: true,
         spot: false,
-        ..JobSpec::plain("req-1", Kind::Batch, tasks, 4.0)
+        ..JobSpec::plain("req-1", JobKind::Batch, tasks, 4.0)
     }
 }
 
@@ -35,7 +35,7 @@
 fn waiting() -> JobSpec {
     JobSpec {
         awaits: vec!["req-1".into()],
-        ..JobSpec::plain("req-2", Kind::Batch, 1, 4.0)
+        ..JobSpec::plain("req-2", JobKind::Batch, 1, 4.0)
     }
 }
 
@@ -145,7 +145,7 @@
         (Rule::LateBegin, 1, |c| {
             let job = |id: &str, tasks, team: &str| JobSpec {
                 team: team.into(),
-                ..JobSpec::plain(id, Kind::Batch, tasks, 1.0)
+                ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
             };
             // The small one and the one that a limit holds back tell nothing.
             for spec in [
