--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -4,11 +4,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The most machines one rental request may ask for.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_SCALE_OUT: u32 = 50;
 /// The most machines one deletion may name.
 pub const MAX_DELETE: usize = 100;
 /// The most rows of one page of the machine list.
-pub const LIST_PAGE: u32 = 500;
+pub const MAX_PAGE_ROWS: u32 = 500;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ScaleOut {
     #[serde(rename = "hire_note")]
     pub request: String,
     #[serde(rename = "format")]
@@ -53,13 +53,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Names {
+pub struct MachineNames {
     #[serde(rename = "shelves")]
     pub machines: Vec<String>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Condition {
+pub enum InstanceState {
     #[serde(rename = "starting")]
     Booting,
     #[serde(rename = "running")]
@@ -83,7 +83,7 @@
     #[serde(rename = "remainders")]
     pub spot: bool,
     #[serde(rename = "condition")]
-    pub condition: Condition,
+    pub condition: InstanceState,
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -97,17 +97,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudCall {
+pub enum CloudRequest {
     Types,
-    Rent(Rent),
+    ScaleOut(ScaleOut),
     Delete(Vec<String>),
     List { after: Option<String> },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudReply {
+pub enum CloudResponse {
     Types(Vec<MachineType>),
-    Rented(Vec<String>),
+    ScaledOut(Vec<String>),
     NoCapacity,
     Deleted,
     Listed(MachineList),
@@ -124,48 +124,56 @@
     error: Option<String>,
 }
 
-impl CloudCall {
+impl CloudRequest {
     /// Method, target and body of the request.
     pub fn request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            CloudCall::Types => ("GET", "/flavors".into(), Vec::new()),
-            CloudCall::Rent(rent) => ("POST", "/hosts".into(), encode(rent)),
-            CloudCall::Delete(names) => (
+            CloudRequest::Types => ("GET", "/flavors".into(), Vec::new()),
+            CloudRequest::ScaleOut(rent) => ("POST", "/hosts".into(), encode(rent)),
+            CloudRequest::Delete(names) => (
                 "POST",
                 "/hosts/delete".into(),
-                encode(&Names {
+                encode(&MachineNames {
                     machines: names.clone(),
                 }),
             ),
-            CloudCall::List { after } => {
+            CloudRequest::List { after } => {
                 let from = after
                     .as_ref()
                     .map_or(String::new(), |a| format!("from={a}&"));
-                ("GET", format!("/hosts?{from}most={LIST_PAGE}"), Vec::new())
+                (
+                    "GET",
+                    format!("/hosts?{from}most={MAX_PAGE_ROWS}"),
+                    Vec::new(),
+                )
             }
         }
     }
 
     /// Reads the answer. Nonsense is an error and counts as no answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> Result<CloudReply, BodyError> {
+    pub fn reply(&self, status: u16, body: &[u8]) -> Result<CloudResponse, BodyError> {
         match (status, self) {
-            (200, CloudCall::Types) => Ok(CloudReply::Types(decode::<MachineTypes>(body)?.types)),
-            (200, CloudCall::Rent(_)) => Ok(CloudReply::Rented(decode::<Names>(body)?.machines)),
-            (200, CloudCall::Delete(_)) => Ok(CloudReply::Deleted),
-            (200, CloudCall::List { .. }) => Ok(CloudReply::Listed(decode(body)?)),
-            (503, CloudCall::Rent(_)) => {
+            (200, CloudRequest::Types) => {
+                Ok(CloudResponse::Types(decode::<MachineTypes>(body)?.types))
+            }
+            (200, CloudRequest::ScaleOut(_)) => Ok(CloudResponse::ScaledOut(
+                decode::<MachineNames>(body)?.machines,
+            )),
+            (200, CloudRequest::Delete(_)) => Ok(CloudResponse::Deleted),
+            (200, CloudRequest::List { .. }) => Ok(CloudResponse::Listed(decode(body)?)),
+            (503, CloudRequest::ScaleOut(_)) => {
                 let full = decode::<ErrorBody>(body)
                     .ok()
                     .and_then(|e| e.error)
                     .is_some_and(|e| e == "no capacity");
                 Ok(if full {
-                    CloudReply::NoCapacity
+                    CloudResponse::NoCapacity
                 } else {
-                    CloudReply::Refused { status }
+                    CloudResponse::Refused { status }
                 })
             }
-            (400 | 404, _) => Ok(CloudReply::Malformed),
-            (429 | 503, _) => Ok(CloudReply::Refused { status }),
+            (400 | 404, _) => Ok(CloudResponse::Malformed),
+            (429 | 503, _) => Ok(CloudResponse::Refused { status }),
             (other, _) => Err(BodyError::Malformed(format!("unexpected status {other}"))),
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod cloud;
 pub mod platform;
-pub mod state;
+pub mod store;
 pub mod user;
 pub mod worker;
 
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -3,20 +3,20 @@
 use serde::Deserialize;
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Platform {
+pub struct PlatformSettings {
     pub member: String,
     #[serde(rename = "site")]
     pub zone: String,
     pub client_listen: String,
     pub mesh_addr: String,
     #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    pub siblings: Vec<Peer>,
     pub endpoints: Endpoints,
     pub cluster: Cluster,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Sibling {
+pub struct Peer {
     pub member: String,
     #[serde(rename = "site")]
     pub zone: String,
@@ -38,8 +38,8 @@
     pub teams: Vec<Team>,
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    pub workers: Workers,
-    pub state: StateLimits,
+    pub workers: WorkerTimings,
+    pub state: StoreLimits,
     pub cloud: CloudLimits,
     pub quota: Quota,
 }
@@ -75,26 +75,26 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: u32,
     /// The limits from some moment on that nobody tells of.
     #[serde(default)]
-    pub next: NextLimits,
+    pub next: UpcomingLimits,
 }
 
 /// Limits that the state service will have. What is missing stays as it is.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct NextLimits {
+pub struct UpcomingLimits {
     pub rps: Option<f64>,
     pub write_rps: Option<f64>,
     pub value_kb: Option<f64>,
@@ -118,11 +118,11 @@
 #[error("{0}")]
 pub struct PlatformError(pub String);
 
-impl Platform {
+impl PlatformSettings {
     /// Reads the file's text. Unknown fields are ignored; what is missing or
     /// out of range is named.
-    pub fn parse(text: &str) -> Result<Platform, PlatformError> {
-        let p: Platform =
+    pub fn parse(text: &str) -> Result<PlatformSettings, PlatformError> {
+        let p: PlatformSettings =
             toml::from_str(text).map_err(|e| PlatformError(one_line(&e.to_string())))?;
         let c = &p.cluster;
         let checks = [
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/store.rs
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 
 /// The most rows of one page of a listing.
-pub const LIST_PAGE: u32 = 1000;
+pub const MAX_PAGE_ROWS: u32 = 1000;
 /// The bound of a whole transaction, in the JSON form.
-pub const TXN_BYTES: usize = 64 * 1024;
+pub const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "v")]
@@ -22,15 +22,15 @@
     pub lease: Option<u64>,
 }
 
-impl Row {
+impl KeyValue {
     /// The row's value as a typed record; None if it is not one.
-    pub fn read<T: DeserializeOwned>(&self) -> Option<T> {
-        read(&self.value)
+    pub fn decode_value<T: DeserializeOwned>(&self) -> Option<T> {
+        decode_value(&self.value)
     }
 }
 
 /// A stored value as a typed record; None if it is not one.
-pub fn read<T: DeserializeOwned>(value: &Value) -> Option<T> {
+pub fn decode_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     // By way of bytes: the typed decoder knows enums in the form in which
     // they were written, the one over values does not.
     let mut bytes = Vec::new();
@@ -39,7 +39,7 @@
 }
 
 /// A typed record as a value to store: a map with text keys.
-pub fn value<T: Serialize>(record: &T) -> Value {
+pub fn encode_value<T: Serialize>(record: &T) -> Value {
     rmp_serde::to_vec_named(record)
         .ok()
         .and_then(|bytes| rmpv::decode::read_value(&mut bytes.as_slice()).ok())
@@ -78,7 +78,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Compare {
+pub struct Precondition {
     #[serde(rename = "k")]
     pub key: String,
     #[serde(rename = "entry_no")]
@@ -87,7 +87,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Mutation {
     Put {
         #[serde(rename = "set")]
         key: String,
@@ -103,16 +103,16 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "when")]
-    pub compare: Vec<Compare>,
+    pub compare: Vec<Precondition>,
     #[serde(rename = "then", default, skip_serializing_if = "Vec::is_empty")]
-    pub then: Vec<Change>,
+    pub then: Vec<Mutation>,
 }
 
-impl Txn {
+impl Transaction {
     pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
-        self.compare.push(Compare {
+        self.compare.push(Precondition {
             key: key.into(),
             version,
         });
@@ -120,33 +120,33 @@
     }
 
     pub fn put<T: Serialize>(mut self, key: impl Into<String>, record: &T) -> Self {
-        self.then.push(Change::Put {
+        self.then.push(Mutation::Put {
             key: key.into(),
-            value: value(record),
+            value: encode_value(record),
             lease: None,
         });
         self
     }
 
     pub fn put_leased<T: Serialize>(mut self, key: &str, record: &T, lease: u64) -> Self {
-        self.then.push(Change::Put {
+        self.then.push(Mutation::Put {
             key: key.into(),
-            value: value(record),
+            value: encode_value(record),
             lease: Some(lease),
         });
         self
     }
 
     pub fn delete(mut self, key: impl Into<String>) -> Self {
-        self.then.push(Change::Delete { key: key.into() });
+        self.then.push(Mutation::Delete { key: key.into() });
         self
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Page {
+pub struct RangePage {
     #[serde(rename = "rows")]
-    pub rows: Vec<Row>,
+    pub rows: Vec<KeyValue>,
     #[serde(default)]
     pub more: bool,
     #[serde(rename = "ledger_no")]
@@ -156,7 +156,7 @@
 /// One change seen by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     Put {
         #[serde(rename = "set")]
         key: String,
@@ -174,15 +174,15 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchBatch {
     #[serde(rename = "ledger_no")]
     pub revision: u64,
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateCall {
+pub enum StoreRequest {
     Get {
         key: String,
     },
@@ -190,14 +190,14 @@
         prefix: String,
         after: Option<String>,
     },
-    Txn(Txn),
-    NewLease {
+    Transaction(Transaction),
+    GrantLease {
         ttl_ms: u64,
     },
-    Extend {
+    RenewLease {
         lease: u64,
     },
-    EndLease {
+    RevokeLease {
         lease: u64,
     },
     Watch {
@@ -208,13 +208,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
-    Found(Row),
+pub enum StoreResponse {
+    Found(KeyValue),
     /// No such key; the revision at which that was so.
-    Absent {
+    NotFound {
         revision: u64,
     },
-    Page(Page),
+    RangePage(RangePage),
     Committed {
         revision: u64,
     },
@@ -226,13 +226,13 @@
         lease: u64,
     },
     /// The lease has ended, or is no such lease.
-    LeaseGone,
-    Extended,
-    Changes(Changes),
+    LeaseExpired,
+    LeaseRenewed,
+    WatchBatch(WatchBatch),
     /// The watch starts too far back.
-    TooOld,
+    Compacted,
     /// Not executed: over a limit.
-    TooMany,
+    RateLimited,
     /// Not executed: an outage, or this node alone is refused.
     Unavailable,
     /// The request itself was at fault.
@@ -258,7 +258,7 @@
 }
 
 #[derive(Deserialize)]
-struct Loan {
+struct LeaseBody {
     #[serde(rename = "loan")]
     lease: u64,
 }
@@ -268,28 +268,32 @@
     error: Option<String>,
 }
 
-impl StateCall {
+impl StoreRequest {
     /// Method, target and body of the request.
     pub fn request(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            StateCall::Get { key } => ("GET", format!("/kv/{key}"), Vec::new()),
-            StateCall::List { prefix, after } => {
+            StoreRequest::Get { key } => ("GET", format!("/kv/{key}"), Vec::new()),
+            StoreRequest::List { prefix, after } => {
                 let from = after
                     .as_ref()
                     .map_or(String::new(), |a| format!("&from={a}"));
                 (
                     "GET",
-                    format!("/kv?under={prefix}{from}&most={LIST_PAGE}"),
+                    format!("/kv?under={prefix}{from}&most={MAX_PAGE_ROWS}"),
                     Vec::new(),
                 )
             }
-            StateCall::Txn(txn) => ("POST", "/txn".into(), encode(txn)),
-            StateCall::NewLease { ttl_ms } => {
+            StoreRequest::Transaction(txn) => ("POST", "/txn".into(), encode(txn)),
+            StoreRequest::GrantLease { ttl_ms } => {
                 ("POST", "/holds".into(), encode(&Ttl { ttl_ms: *ttl_ms }))
             }
-            StateCall::Extend { lease } => ("POST", format!("/holds/{lease}/extend"), Vec::new()),
-            StateCall::EndLease { lease } => ("DELETE", format!("/holds/{lease}"), Vec::new()),
-            StateCall::Watch {
+            StoreRequest::RenewLease { lease } => {
+                ("POST", format!("/holds/{lease}/extend"), Vec::new())
+            }
+            StoreRequest::RevokeLease { lease } => {
+                ("DELETE", format!("/holds/{lease}"), Vec::new())
+            }
+            StoreRequest::Watch {
                 prefix,
                 after,
                 hold_ms,
@@ -302,51 +306,51 @@
     }
 
     /// Reads the answer. Nonsense is an error and counts as no answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> Result<StateReply, BodyError> {
+    pub fn reply(&self, status: u16, body: &[u8]) -> Result<StoreResponse, BodyError> {
         match (status, self) {
-            (429, _) => return Ok(StateReply::TooMany),
-            (503, _) => return Ok(StateReply::Unavailable),
-            (400, StateCall::Txn(_)) => {
+            (429, _) => return Ok(StoreResponse::RateLimited),
+            (503, _) => return Ok(StoreResponse::Unavailable),
+            (400, StoreRequest::Transaction(_)) => {
                 let lease = decode::<ErrorBody>(body)
                     .ok()
                     .and_then(|e| e.error)
                     .is_some_and(|e| e == "no such lease");
                 return Ok(if lease {
-                    StateReply::LeaseGone
+                    StoreResponse::LeaseExpired
                 } else {
-                    StateReply::Malformed
+                    StoreResponse::Malformed
                 });
             }
-            (400, _) => return Ok(StateReply::Malformed),
+            (400, _) => return Ok(StoreResponse::Malformed),
             _ => {}
         }
         match (status, self) {
-            (200, StateCall::Get { .. }) => Ok(StateReply::Found(decode(body)?)),
-            (404, StateCall::Get { .. }) => Ok(StateReply::Absent {
+            (200, StoreRequest::Get { .. }) => Ok(StoreResponse::Found(decode(body)?)),
+            (404, StoreRequest::Get { .. }) => Ok(StoreResponse::NotFound {
                 revision: decode::<Revision>(body)?.revision,
             }),
-            (200, StateCall::List { .. }) => Ok(StateReply::Page(decode(body)?)),
-            (200, StateCall::Txn(_)) => Ok(StateReply::Committed {
+            (200, StoreRequest::List { .. }) => Ok(StoreResponse::RangePage(decode(body)?)),
+            (200, StoreRequest::Transaction(_)) => Ok(StoreResponse::Committed {
                 revision: decode::<Revision>(body)?.revision,
             }),
-            (409, StateCall::Txn(_)) => {
+            (409, StoreRequest::Transaction(_)) => {
                 let f: Failed = decode(body)?;
-                Ok(StateReply::Conflict {
+                Ok(StoreResponse::Conflict {
                     failed: f.failed,
                     revision: f.revision,
                 })
             }
-            (200, StateCall::NewLease { .. }) => Ok(StateReply::Lease {
-                lease: decode::<Loan>(body)?.lease,
+            (200, StoreRequest::GrantLease { .. }) => Ok(StoreResponse::Lease {
+                lease: decode::<LeaseBody>(body)?.lease,
             }),
-            (200, StateCall::Extend { .. } | StateCall::EndLease { .. }) => {
-                Ok(StateReply::Extended)
+            (200, StoreRequest::RenewLease { .. } | StoreRequest::RevokeLease { .. }) => {
+                Ok(StoreResponse::LeaseRenewed)
             }
-            (404, StateCall::Extend { .. } | StateCall::EndLease { .. }) => {
-                Ok(StateReply::LeaseGone)
+            (404, StoreRequest::RenewLease { .. } | StoreRequest::RevokeLease { .. }) => {
+                Ok(StoreResponse::LeaseExpired)
             }
-            (200, StateCall::Watch { .. }) => Ok(StateReply::Changes(decode(body)?)),
-            (410, StateCall::Watch { .. }) => Ok(StateReply::TooOld),
+            (200, StoreRequest::Watch { .. }) => Ok(StoreResponse::WatchBatch(decode(body)?)),
+            (410, StoreRequest::Watch { .. }) => Ok(StoreResponse::Compacted),
             (other, _) => Err(BodyError::Malformed(format!("unexpected status {other}"))),
         }
     }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -15,7 +15,7 @@
 const MAX_LIST: usize = 32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks that each run to completion.
     #[serde(rename = "batch")]
     Batch,
@@ -39,7 +39,7 @@
 
 /// What each task of a job takes of its team's limit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Claim {
+pub struct ResourceClaim {
     #[serde(rename = "desk")]
     pub team: String,
     #[serde(rename = "vcpus")]
@@ -58,7 +58,7 @@
     #[serde(rename = "desk")]
     pub team: String,
     #[serde(rename = "binding")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "urgency")]
     pub priority: Priority,
     #[serde(rename = "leaves")]
@@ -98,7 +98,7 @@
 impl JobSpec {
     /// A job of equal tasks without any special wishes, to start from: of class `c`
     /// and team `t`, with image `i` of 1 GB. Arrays may run on spot machines.
-    pub fn plain(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
+    pub fn plain(id: &str, kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
         JobSpec {
             id: id.into(),
             class: "c".into(),
@@ -115,7 +115,7 @@
             zone: None,
             one_zone: false,
             spread: false,
-            spot: kind == Kind::Batch,
+            spot: kind == JobKind::Batch,
             estimate_s: 1.0,
             checkpoint_s: 0.0,
             save_s: 0.0,
@@ -243,8 +243,8 @@
             return Err(Bad("ref is not in its form"));
         }
         let kind = match self.binding.ok_or(Missing("binding"))?.as_str() {
-            "batch" => Kind::Batch,
-            "standing" => Kind::Service,
+            "batch" => JobKind::Batch,
+            "standing" => JobKind::Service,
             _ => return Err(Bad("binding must be batch or standing")),
         };
         let priority = match self.urgency.ok_or(Missing("urgency"))?.as_str() {
@@ -334,7 +334,7 @@
 
 /// The body of every refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorReply {
     pub error: String,
 }
 
@@ -355,7 +355,7 @@
     let path = target.split('?').next().unwrap_or(target);
     let (route, allowed) = if path == HEALTH_PATH {
         (Route::Health, "GET")
-    } else if path == crate::worker::REPORT_PATH {
+    } else if path == crate::worker::HEARTBEAT_PATH {
         (Route::Report, "POST")
     } else if path == JOBS_PATH {
         (Route::Submit, "POST")
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::TaskName;
 use serde::{Deserialize, Serialize};
 
-pub const REPORT_PATH: &str = "/checkin";
+pub const HEARTBEAT_PATH: &str = "/checkin";
 pub const COMMANDS_PATH: &str = "/orders";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "leaf")]
     pub task: TaskName,
     #[serde(rename = "printing")]
@@ -48,13 +48,13 @@
     #[serde(rename = "condition")]
     pub state: TaskState,
     #[serde(rename = "colophon", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "shelf")]
     pub machine: String,
     pub addr: String,
@@ -73,14 +73,14 @@
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "leaves")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "slip_kind")]
 pub enum Command {
     #[serde(rename = "launch")]
-    Start {
+    Launch {
         #[serde(rename = "leaf")]
         task: TaskName,
         #[serde(rename = "printing")]
@@ -96,7 +96,7 @@
         grace_s: u32,
     },
     #[serde(rename = "reap")]
-    Forget {
+    Reap {
         #[serde(rename = "leaf")]
         task: TaskName,
         #[serde(rename = "printing")]
@@ -106,7 +106,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatReply {
     #[serde(rename = "seal")]
     pub token: u64,
     #[serde(rename = "slips")]
@@ -115,14 +115,14 @@
 
 /// Sends a worker to the node that acts for the controllers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct LeaderRedirect {
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none", default)]
     pub report_to: Option<String>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct CommandBatch {
     #[serde(rename = "seal")]
     pub token: u64,
     #[serde(rename = "tenure")]
--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -1,6 +1,6 @@
 //! Submissions as users may send them: what is refused, and what is not.
 
-use dillcleat_wire::state::json_size;
+use dillcleat_wire::store::json_size;
 use dillcleat_wire::user::{Route, Submission, is_job_id, parse_submission, route};
 use rmpv::Value;
 
@@ -143,7 +143,7 @@
         b[at] = (x >> 24) as u8;
         b.truncate(b.len() - (x >> 60) as usize);
         let _ = parse_submission(&b);
-        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Report>(&b);
+        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Heartbeat>(&b);
     }
 }
 
