--- /dev/null
+++ b/crates/core/tests/golden_records.rs
@@ -0,0 +1,336 @@
+//! The keys and records in the state service, as version 84a8104 reads and writes them.
+
+use dillcleat_core::store::{
+    CANCELLED, CancelledJob, Chunk, JobMark, LEAD, Lead, MACHINES, MachineRecord, Mark, OPEN,
+    OpenClaim, OpenJob, QUEUE, SHARED, Span, TASKS, TERM, TYPES, Term, Types, cancelled_key,
+    job_key, machine_key, open_key, parse_tasks_key, tasks_key,
+};
+use dillcleat_wire::cloud::MachineType;
+use dillcleat_wire::state::{Value, read, value};
+use dillcleat_wire::user::{Claim, JobSpec, JobState, Kind, Priority};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::fmt::Debug;
+
+/// Asserts that `bytes` are read as `record`.
+fn assert_read<T: DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
+    let stored: Value = rmpv::decode::read_value(&mut &bytes[..]).expect("a value");
+    assert_eq!(read::<T>(&stored).as_ref(), Some(record));
+}
+
+/// Asserts that `bytes` are read as `record`, and that `record` is written as `bytes`.
+fn assert_keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
+    assert_read(bytes, record);
+    let mut written = Vec::new();
+    rmpv::encode::write_value(&mut written, &value(record)).expect("written to memory");
+    assert_eq!(
+        written.escape_ascii().to_string(),
+        bytes.escape_ascii().to_string(),
+        "{record:?}"
+    );
+}
+
+#[test]
+fn every_key_stays_as_it_is() {
+    assert_eq!(
+        (SHARED, QUEUE, OPEN, CANCELLED),
+        ("s/", "q/", "q/o/", "q/c/")
+    );
+    assert_eq!((TASKS, MACHINES), ("t/", "m/"));
+    assert_eq!((LEAD, TERM, TYPES), ("s/lead", "s/term", "s/types"));
+    assert_eq!(job_key("req-1"), "j/req-1");
+    assert_eq!(open_key("req-1"), "q/o/req-1");
+    assert_eq!(cancelled_key("req-1"), "q/c/req-1");
+    assert_eq!(machine_key("host-1"), "m/host-1");
+}
+
+#[test]
+fn every_key_of_tasks_stays_as_it_is() {
+    let keeps = |key: &str, span| {
+        assert_eq!(tasks_key("req-1", span), key);
+        assert_eq!(parse_tasks_key(key), Some(("req-1", span)));
+    };
+    keeps("t/req-1/00000", Span::Chunk(0));
+    keeps("t/req-1/00012", Span::Chunk(12));
+    keeps(
+        "t/req-1/00001/000102-000126",
+        Span::Part {
+            chunk: 1,
+            from: 102,
+            to: 126,
+        },
+    );
+    assert_eq!(parse_tasks_key("t/req-1"), None);
+    assert_eq!(parse_tasks_key("j/req-1/00000"), None);
+    assert_eq!(parse_tasks_key("t/req-1/x"), None);
+    assert_eq!(parse_tasks_key("t/req-1/00001/000102"), None);
+}
+
+#[test]
+fn the_leader_keeps_its_bytes() {
+    let lead = Lead {
+        member: "n1".into(),
+        lease: 31,
+        term: 7,
+    };
+    assert_keeps(b"\x83\xa6member\xa2n1\xa5lease\x1f\xa4term\x07", &lead);
+}
+
+#[test]
+fn the_term_keeps_its_bytes() {
+    assert_keeps(b"\x81\xa4term\xce\x00\x01\x11\x70", &Term { term: 70_000 });
+}
+
+#[test]
+fn machine_types_keep_their_bytes() {
+    let types = Types {
+        types: vec![
+            MachineType {
+                name: "g8".into(),
+                cpus: 8.0,
+                gpus: 1.0,
+                memory_gb: 32.0,
+                cache_gb: 100.0,
+                fetch_gb_per_s: 0.5,
+                price: 2.25,
+                spot_price: Some(0.75),
+                boot_s: 40.0,
+                zones: vec!["a".into(), "b".into()],
+            },
+            MachineType {
+                name: "c2".into(),
+                cpus: 2.0,
+                gpus: 0.0,
+                memory_gb: 4.0,
+                cache_gb: 0.0,
+                fetch_gb_per_s: 0.0,
+                price: 0.5,
+                spot_price: None,
+                boot_s: 0.0,
+                zones: Vec::new(),
+            },
+        ],
+    };
+    assert_keeps(
+        b"\
+            \x81\xa5types\x92\x8a\xa4name\xa2g8\xa5vcpus\xcb\x40\x20\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x40\x00\x00\x00\x00\x00\x00\
+            \xa8cache_gb\xcb\x40\x59\x00\x00\x00\x00\x00\x00\
+            \xadpull_gb_per_s\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\
+            \xa4rate\xcb\x40\x02\x00\x00\x00\x00\x00\x00\
+            \xa9low_price\xcb\x3f\xe8\x00\x00\x00\x00\x00\x00\
+            \xa6boot_s\xcb\x40\x44\x00\x00\x00\x00\x00\x00\xa5rooms\x92\xa1a\xa1b\x8a\
+            \xa4name\xa2c2\xa5vcpus\xcb\x40\x00\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xa8cache_gb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+            \xadpull_gb_per_s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+            \xa4rate\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa9low_price\xc0\
+            \xa6boot_s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5rooms\x90",
+        &types,
+    );
+}
+
+fn full_job() -> JobSpec {
+    JobSpec {
+        id: "req-412".into(),
+        class: "merge".into(),
+        team: "books".into(),
+        kind: Kind::Batch,
+        priority: Priority::High,
+        tasks: 200,
+        cpus: 4.0,
+        gpus: 1.0,
+        memory_gb: 14.5,
+        image: "img-07".into(),
+        image_gb: 2.5,
+        types: Some(vec!["g8".into(), "c2".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 30.0,
+        checkpoint_s: 60.0,
+        save_s: 5.0,
+        deadline_s: Some(900.0),
+        awaits: vec!["req-7".into()],
+    }
+}
+
+fn plain_service() -> JobSpec {
+    JobSpec {
+        kind: Kind::Service,
+        priority: Priority::Production,
+        types: None,
+        zone: None,
+        deadline_s: None,
+        awaits: Vec::new(),
+        ..full_job()
+    }
+}
+
+#[test]
+fn an_open_job_with_every_field_keeps_its_bytes() {
+    let open = OpenJob {
+        spec: full_job(),
+        at: 1_700_000_000_000_000,
+        chunk: 128,
+        unmarked: true,
+        at_most: Some(12),
+    };
+    assert_keeps(
+        b"\
+            \x85\xa4spec\xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
+            \xa7binding\xa5batch\xa7urgency\xa4high\xa6leaves\xcc\xc8\
+            \xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x2d\x00\x00\x00\x00\x00\x00\xa7edition\xa6img-07\
+            \xa7pull_gb\xcb\x40\x04\x00\x00\x00\x00\x00\x00\xa7formats\x92\xa2g8\xa2c2\
+            \xa4room\xa1a\xaasame_place\xc3\xa6spread\xc2\xaaremainders\xc3\
+            \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
+            \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
+            \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\
+            \xa5due_s\xcb\x40\x8c\x20\x00\x00\x00\x00\x00\xa6awaits\x91\xa5req-7\
+            \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\xcc\x80\xa8unmarked\xc3\
+            \xa7at_most\x0c",
+        &open,
+    );
+}
+
+#[test]
+fn an_open_job_without_optional_fields_keeps_its_bytes() {
+    let open = OpenJob {
+        spec: plain_service(),
+        at: 1_700_000_000_000_000,
+        chunk: 8,
+        unmarked: false,
+        at_most: None,
+    };
+    assert_keeps(
+        b"\
+            \x84\xa4spec\xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
+            \xa7binding\xa8standing\xa7urgency\xaaproduction\xa6leaves\xcc\xc8\
+            \xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x2d\x00\x00\x00\x00\x00\x00\xa7edition\xa6img-07\
+            \xa7pull_gb\xcb\x40\x04\x00\x00\x00\x00\x00\x00\xa7formats\xc0\xa4room\xc0\
+            \xaasame_place\xc3\xa6spread\xc2\xaaremainders\xc3\
+            \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
+            \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
+            \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0\
+            \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\x08\xa8unmarked\xc2",
+        &open,
+    );
+    assert_read(
+        b"\
+            \x83\xa4spec\xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
+            \xa7binding\xa8standing\xa7urgency\xaaproduction\xa6leaves\xcc\xc8\
+            \xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x2d\x00\x00\x00\x00\x00\x00\xa7edition\xa6img-07\
+            \xa7pull_gb\xcb\x40\x04\x00\x00\x00\x00\x00\x00\xa7formats\xc0\xa4room\xc0\
+            \xaasame_place\xc3\xa6spread\xc2\xaaremainders\xc3\
+            \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
+            \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
+            \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0\
+            \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\x08",
+        &open,
+    );
+}
+
+#[test]
+fn what_an_open_job_claims_is_read_from_its_record() {
+    let claim = OpenClaim {
+        spec: Claim {
+            team: "books".into(),
+            cpus: 4.0,
+            gpus: 1.0,
+        },
+    };
+    assert_read(
+        b"\
+            \x84\xa4spec\xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
+            \xa7binding\xa5batch\xa7urgency\xa4high\xa6leaves\xcc\xc8\
+            \xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x2d\x00\x00\x00\x00\x00\x00\xa7edition\xa6img-07\
+            \xa7pull_gb\xcb\x40\x04\x00\x00\x00\x00\x00\x00\xa7formats\x92\xa2g8\xa2c2\
+            \xa4room\xa1a\xaasame_place\xc3\xa6spread\xc2\xaaremainders\xc3\
+            \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
+            \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
+            \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\
+            \xa5due_s\xcb\x40\x8c\x20\x00\x00\x00\x00\x00\xa6awaits\x91\xa5req-7\
+            \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\xcc\x80\xa8unmarked\xc3",
+        &claim,
+    );
+}
+
+#[test]
+fn every_mark_of_a_job_keeps_its_bytes() {
+    let mark = |s| JobMark { s, n: 200 };
+    assert_keeps(b"\x82\xa1s\xa1o\xa1n\xcc\xc8", &mark(Mark::Open));
+    assert_keeps(b"\x82\xa1s\xa1d\xa1n\xcc\xc8", &mark(Mark::Done));
+    assert_keeps(b"\x82\xa1s\xa1c\xa1n\xcc\xc8", &mark(Mark::Cancelled));
+}
+
+#[test]
+fn every_mark_is_shown_to_users_as_before() {
+    assert_eq!(Mark::Open.ended(), None);
+    assert_eq!(Mark::Done.ended(), Some(JobState::Done));
+    assert_eq!(Mark::Cancelled.ended(), Some(JobState::Cancelled));
+}
+
+#[test]
+fn a_cancelled_job_keeps_its_bytes() {
+    let cancelled = CancelledJob {
+        at: 1_700_000_000_000_000,
+    };
+    assert_keeps(
+        b"\x81\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00",
+        &cancelled,
+    );
+}
+
+/// All numbers differ, so that none is taken for another.
+#[test]
+fn the_tasks_of_a_chunk_keep_their_bytes() {
+    let chunk = Chunk {
+        p: vec![
+            (3, 2, "host-1".into(), 300),
+            (4, 70_000, "host-2".into(), 1),
+        ],
+        w: vec![(5, 6)],
+        d: vec![(0, 2), (7, 127)],
+    };
+    assert_keeps(
+        b"\
+            \x83\xa1p\x92\x94\x03\x02\xa6host-1\xcd\x01\x2c\x94\x04\xce\x00\x01\x11\x70\
+            \xa6host-2\x01\xa1w\x91\x92\x05\x06\xa1d\x92\x92\x00\x02\x92\x07\x7f",
+        &chunk,
+    );
+    let empty = Chunk {
+        p: Vec::new(),
+        w: Vec::new(),
+        d: Vec::new(),
+    };
+    assert_keeps(b"\x83\xa1p\x90\xa1w\x90\xa1d\x90", &empty);
+}
+
+#[test]
+fn a_machine_keeps_its_bytes() {
+    let machine = |spot| MachineRecord {
+        addr: "10.1.0.1:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot,
+    };
+    assert_keeps(
+        b"\x84\xa4addr\xad10.1.0.1:9000\xacmachine_type\xa2g8\xa4zone\xa1a\xa4spot\xc3",
+        &machine(true),
+    );
+    assert_keeps(
+        b"\x84\xa4addr\xad10.1.0.1:9000\xacmachine_type\xa2g8\xa4zone\xa1a\xa4spot\xc2",
+        &machine(false),
+    );
+}
--- /dev/null
+++ b/crates/mesh/tests/golden_bytes.rs
@@ -0,0 +1,171 @@
+//! The frames among controllers, as version 84a8104 reads and writes them.
+
+use dillcleat_mesh::{
+    FrameError, Learned, LearnedJob, MAX_CLASSES, MAX_FRAME, MAX_LEARNED, MAX_PROGRESS,
+    MAX_SAMPLES, MAX_ZONES, Message, Progress, Silence, VERSION, frame_len,
+};
+
+/// Asserts that `frame` is read as `message`, also when it comes from the version
+/// before, and that `message` is written as `frame`.
+fn assert_keeps(frame: &[u8], message: &Message) {
+    assert_eq!(
+        message.encode().escape_ascii().to_string(),
+        frame.escape_ascii().to_string()
+    );
+    let (head, content) = frame.split_first_chunk::<4>().expect("a length");
+    assert_eq!(frame_len(*head), Ok(content.len()));
+    assert_eq!(Message::decode(content).as_ref(), Ok(message));
+    let mut before = content.to_vec();
+    before[0] = 3;
+    assert_eq!(Message::decode(&before).as_ref(), Ok(message));
+}
+
+#[test]
+fn the_version_and_the_limits_stay_as_they_are() {
+    assert_eq!((VERSION, MAX_FRAME), (4, 65_536));
+    assert_eq!((MAX_PROGRESS, MAX_ZONES, MAX_LEARNED), (500, 100, 100));
+    assert_eq!((MAX_CLASSES, MAX_SAMPLES), (64, 16));
+}
+
+#[test]
+fn a_hello_keeps_its_bytes() {
+    let hello = Message::Hello {
+        member: "n1".into(),
+    };
+    assert_keeps(b"\x00\x00\x00\x06\x04\x01\x00\x02n1", &hello);
+}
+
+/// Each flag is set in one frame alone, so that none is taken for another.
+#[test]
+fn a_beat_keeps_its_bytes() {
+    let beat = |leads, served, hears| Message::Beat {
+        term: 0x0102_0304_0506_0708,
+        leads,
+        served,
+        hears,
+        asked: 70_000,
+    };
+    assert_keeps(
+        b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x01\x00\x00\x00\x01\x11\x70",
+        &beat(true, false, false),
+    );
+    assert_keeps(
+        b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x01\x00\x00\x01\x11\x70",
+        &beat(false, true, false),
+    );
+    assert_keeps(
+        b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x00\x01\x00\x01\x11\x70",
+        &beat(false, false, true),
+    );
+}
+
+#[test]
+fn progress_keeps_its_bytes() {
+    let progress = Message::Progress(vec![
+        Progress {
+            job: "req-1".into(),
+            done: 3,
+            running: 4,
+        },
+        Progress {
+            job: "req-22".into(),
+            done: 100_000,
+            running: 0,
+        },
+    ]);
+    assert_keeps(
+        b"\
+            \x00\x00\x00\x23\x04\x03\x00\x02\x00\x05req-1\x00\x00\x00\x03\x00\x00\x00\x04\
+            \x00\x06req-22\x00\x01\x86\xa0\x00\x00\x00\x00",
+        &progress,
+    );
+    assert_keeps(
+        b"\x00\x00\x00\x04\x04\x03\x00\x00",
+        &Message::Progress(Vec::new()),
+    );
+}
+
+#[test]
+fn silent_zones_keep_their_bytes() {
+    let silent = Message::Silent(vec![Silence {
+        zone: "a".into(),
+        quiet_ms: 9_000,
+    }]);
+    assert_keeps(
+        b"\x00\x00\x00\x0b\x04\x04\x00\x01\x00\x01a\x00\x00\x23\x28",
+        &silent,
+    );
+    assert_keeps(
+        b"\x00\x00\x00\x04\x04\x04\x00\x00",
+        &Message::Silent(Vec::new()),
+    );
+}
+
+#[test]
+fn what_was_learned_keeps_its_bytes() {
+    let learned = Message::Learned(Learned {
+        term: 7,
+        clock: 12.5,
+        classes: vec![("merge".into(), 40.25)],
+        jobs: vec![
+            LearnedJob {
+                job: "req-1".into(),
+                initial_size: 240.0,
+                size: 120.5,
+                credit: -3.0,
+                ages: true,
+                trained: false,
+                samples: vec![30.0, 31.5],
+            },
+            LearnedJob {
+                job: "req-2".into(),
+                initial_size: 1.0,
+                size: 2.0,
+                credit: 0.0,
+                ages: false,
+                trained: true,
+                samples: Vec::new(),
+            },
+        ],
+    });
+    assert_keeps(
+        b"\
+            \x00\x00\x00\x7b\x04\x05\x00\x00\x00\x00\x00\x00\x00\x07\
+            \x40\x29\x00\x00\x00\x00\x00\x00\x00\x01\x00\x05merge\
+            \x40\x44\x20\x00\x00\x00\x00\x00\x00\x02\x00\x05req-1\
+            \x40\x6e\x00\x00\x00\x00\x00\x00\x40\x5e\x20\x00\x00\x00\x00\x00\
+            \xc0\x08\x00\x00\x00\x00\x00\x00\x01\x00\x00\x02\x40\x3e\x00\x00\x00\x00\x00\x00\
+            \x40\x3f\x80\x00\x00\x00\x00\x00\x00\x05req-2\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \x40\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00",
+        &learned,
+    );
+    let nothing = Message::Learned(Learned {
+        term: 7,
+        clock: 0.0,
+        classes: Vec::new(),
+        jobs: Vec::new(),
+    });
+    assert_keeps(
+        b"\
+        \x00\x00\x00\x16\x04\x05\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x00\x00\x00\x00\x00\
+        \x00\x00\x00\x00",
+        &nothing,
+    );
+}
+
+#[test]
+fn what_is_no_frame_of_this_version_is_refused_as_before() {
+    let refused = |content: &[u8], error| assert_eq!(Message::decode(content), Err(error));
+    refused(b"\x02\x01\x00\x02n1", FrameError::Version(2));
+    refused(b"\x05\x01\x00\x02n1", FrameError::Version(5));
+    refused(b"\x04\x00", FrameError::Kind(0));
+    refused(b"\x04\x06", FrameError::Kind(6));
+    refused(b"\x04\x01\x00\x02n", FrameError::Short);
+    refused(b"\x04\x01\x00\x02n1x", FrameError::Long);
+    refused(b"\x04\x01\x00\x01\xff", FrameError::Text);
+    refused(
+        b"\x04\x02\x00\x00\x00\x00\x00\x00\x00\x07\x02\x00\x00\x00\x00\x00\x00",
+        FrameError::Flag,
+    );
+    refused(b"\x04\x03\x01\xf5", FrameError::TooLong(501));
+}
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Platform {
     pub member: String,
     #[serde(rename = "site")]
@@ -15,7 +15,7 @@
     pub cluster: Cluster,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Sibling {
     pub member: String,
     #[serde(rename = "site")]
@@ -23,13 +23,13 @@
     pub peer_addr: String,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Endpoints {
     pub cloud: String,
     pub state: String,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Cluster {
     pub size: u32,
     pub zones: Vec<String>,
@@ -44,7 +44,7 @@
     pub quota: Quota,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
     pub name: String,
     #[serde(default)]
@@ -57,7 +57,7 @@
     pub gpus_max: f64,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Objective {
     pub kind: String,
     pub class: Option<String>,
@@ -74,14 +74,14 @@
     }
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Workers {
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
@@ -93,7 +93,7 @@
 }
 
 /// Limits that the state service will have. What is missing stays as it is.
-#[derive(Debug, Clone, Default, Deserialize)]
+#[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct NextLimits {
     pub rps: Option<f64>,
     pub write_rps: Option<f64>,
@@ -101,13 +101,13 @@
     pub txn_ops: Option<u32>,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CloudLimits {
     pub rps: f64,
     pub list_lag_s: f64,
 }
 
-#[derive(Debug, Clone, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Quota {
     pub cpu_share: f64,
     pub mem_mb: f64,
--- /dev/null
+++ b/crates/wire/tests/golden_cloud.rs
@@ -0,0 +1,284 @@
+//! The requests to the cloud and the bytes of its answers, as version 84a8104 reads and
+//! writes them.
+
+mod golden;
+
+use dillcleat_wire::cloud::{
+    CloudCall, CloudReply, Condition, LIST_PAGE, ListedMachine, MAX_DELETE, MAX_RENT, MachineList,
+    MachineType, MachineTypes, Names, Rent,
+};
+use golden::{assert_keeps, assert_read};
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 32.0,
+        cache_gb: 100.0,
+        fetch_gb_per_s: 0.5,
+        price: 2.25,
+        spot_price: Some(0.75),
+        boot_s: 40.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+fn plain_machine_type() -> MachineType {
+    MachineType {
+        name: "c2".into(),
+        cpus: 2.0,
+        gpus: 0.0,
+        memory_gb: 4.0,
+        cache_gb: 0.0,
+        fetch_gb_per_s: 0.0,
+        price: 0.5,
+        spot_price: None,
+        boot_s: 0.0,
+        zones: Vec::new(),
+    }
+}
+
+#[test]
+fn limits_stay_as_they_are() {
+    assert_eq!((MAX_RENT, MAX_DELETE, LIST_PAGE), (50, 100, 500));
+}
+
+#[test]
+fn machine_types_keep_their_bytes() {
+    let types = MachineTypes {
+        types: vec![machine_type(), plain_machine_type()],
+    };
+    assert_keeps(
+        b"\
+        \x81\xa7formats\x92\x8a\xa4name\xa2g8\xa5vcpus\xcb\x40\x20\x00\x00\x00\x00\x00\x00\
+        \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+        \xa6ram_gb\xcb\x40\x40\x00\x00\x00\x00\x00\x00\
+        \xa8cache_gb\xcb\x40\x59\x00\x00\x00\x00\x00\x00\
+        \xadpull_gb_per_s\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\
+        \xa4rate\xcb\x40\x02\x00\x00\x00\x00\x00\x00\
+        \xa9low_price\xcb\x3f\xe8\x00\x00\x00\x00\x00\x00\
+        \xa6boot_s\xcb\x40\x44\x00\x00\x00\x00\x00\x00\xa5rooms\x92\xa1a\xa1b\x8a\xa4name\xa2c2\
+        \xa5vcpus\xcb\x40\x00\x00\x00\x00\x00\x00\x00\
+        \xacaccelerators\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+        \xa6ram_gb\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+        \xa8cache_gb\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+        \xadpull_gb_per_s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\
+        \xa4rate\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa9low_price\xc0\
+        \xa6boot_s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa5rooms\x90",
+        &types,
+    );
+}
+
+#[test]
+fn a_machine_type_may_leave_out_what_has_a_default() {
+    assert_read(
+        b"\
+            \x85\xa4name\xa2c2\xa5vcpus\xcb\x40\x00\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
+            \xa4rate\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa5rooms\x90",
+        &plain_machine_type(),
+    );
+}
+
+fn listed(condition: Condition) -> ListedMachine {
+    ListedMachine {
+        name: "host-1".into(),
+        addr: Some("10.1.0.1:9000".into()),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        condition,
+        age_s: 12.5,
+    }
+}
+
+#[test]
+fn every_condition_of_a_machine_keeps_its_bytes() {
+    assert_keeps(
+        b"\
+        \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+        \xaaremainders\xc3\xa9condition\xa8starting\
+        \xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
+        &listed(Condition::Booting),
+    );
+    assert_keeps(
+        b"\
+        \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+        \xaaremainders\xc3\xa9condition\xa7running\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
+        &listed(Condition::Running),
+    );
+    assert_keeps(
+        b"\
+        \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+        \xaaremainders\xc3\xa9condition\xa6failed\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
+        &listed(Condition::Failed),
+    );
+    assert_keeps(
+        b"\
+        \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+        \xaaremainders\xc3\xa9condition\xa5Other\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
+        &listed(Condition::Other),
+    );
+}
+
+#[test]
+fn an_unknown_condition_is_another() {
+    assert_read(
+        b"\
+        \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+        \xaaremainders\xc3\xa9condition\xa7melting\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
+        &listed(Condition::Other),
+    );
+}
+
+fn bare_machine() -> ListedMachine {
+    ListedMachine {
+        name: "host-2".into(),
+        addr: None,
+        machine_type: "c2".into(),
+        zone: "b".into(),
+        spot: false,
+        condition: Condition::Booting,
+        age_s: 0.0,
+    }
+}
+
+#[test]
+fn a_list_of_machines_keeps_its_bytes() {
+    let list = MachineList {
+        machines: vec![bare_machine()],
+        more: true,
+    };
+    assert_keeps(
+        b"\
+            \x82\xa7shelves\x91\x87\xa3ref\xa6host-2\xa4addr\xc0\xa6format\xa2c2\xa4room\xa1b\
+            \xaaremainders\xc2\xa9condition\xa8starting\
+            \xa6held_s\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xa4more\xc3",
+        &list,
+    );
+    let last = MachineList {
+        machines: vec![bare_machine()],
+        more: false,
+    };
+    assert_read(
+        b"\
+        \x81\xa7shelves\x91\x85\xa3ref\xa6host-2\xa6format\xa2c2\xa4room\xa1b\xaaremainders\xc2\
+        \xa9condition\xa8starting",
+        &last,
+    );
+}
+
+fn rent() -> Rent {
+    Rent {
+        request: "n0-17".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 50,
+    }
+}
+
+#[test]
+fn bodies_of_requests_are_read_as_they_are_written() {
+    assert_keeps(
+        b"\x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\xa5count\x32",
+        &rent(),
+    );
+    let names = Names {
+        machines: vec!["host-1".into(), "host-2".into()],
+    };
+    assert_keeps(b"\x81\xa7shelves\x92\xa6host-1\xa6host-2", &names);
+}
+
+#[test]
+fn every_request_keeps_its_method_target_and_bytes() {
+    let sends = |call: CloudCall, method: &str, target: &str, body: &[u8]| {
+        assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
+    };
+    sends(CloudCall::Types, "GET", "/flavors", b"");
+    sends(
+        CloudCall::Rent(rent()),
+        "POST",
+        "/hosts",
+        b"\
+            \x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\
+            \xa5count\x32",
+    );
+    sends(
+        CloudCall::Delete(vec!["host-1".into(), "host-2".into()]),
+        "POST",
+        "/hosts/delete",
+        b"\x81\xa7shelves\x92\xa6host-1\xa6host-2",
+    );
+    sends(
+        CloudCall::List { after: None },
+        "GET",
+        "/hosts?most=500",
+        b"",
+    );
+    sends(
+        CloudCall::List {
+            after: Some("host-1".into()),
+        },
+        "GET",
+        "/hosts?from=host-1&most=500",
+        b"",
+    );
+}
+
+#[test]
+fn every_answer_is_read_as_before() {
+    let reads = |call: &CloudCall, status, body: &[u8], reply: CloudReply| {
+        assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
+    };
+    let types = CloudCall::Types;
+    let rent = CloudCall::Rent(rent());
+    let delete = CloudCall::Delete(vec!["host-1".into()]);
+    let list = CloudCall::List { after: None };
+
+    reads(
+        &types,
+        200,
+        b"\
+            \x81\xa7formats\x91\x8a\xa4name\xa2g8\xa5vcpus\xcb\x40\x20\x00\x00\x00\x00\x00\x00\
+            \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
+            \xa6ram_gb\xcb\x40\x40\x00\x00\x00\x00\x00\x00\
+            \xa8cache_gb\xcb\x40\x59\x00\x00\x00\x00\x00\x00\
+            \xadpull_gb_per_s\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\
+            \xa4rate\xcb\x40\x02\x00\x00\x00\x00\x00\x00\
+            \xa9low_price\xcb\x3f\xe8\x00\x00\x00\x00\x00\x00\
+            \xa6boot_s\xcb\x40\x44\x00\x00\x00\x00\x00\x00\xa5rooms\x92\xa1a\xa1b",
+        CloudReply::Types(vec![machine_type()]),
+    );
+    reads(
+        &rent,
+        200,
+        b"\x81\xa7shelves\x91\xa6host-1",
+        CloudReply::Rented(vec!["host-1".into()]),
+    );
+    reads(&delete, 200, b"", CloudReply::Deleted);
+    reads(
+        &list,
+        200,
+        b"\
+            \x82\xa7shelves\x91\x85\xa3ref\xa6host-2\xa6format\xa2c2\xa4room\xa1b\
+            \xaaremainders\xc2\xa9condition\xa8starting\xa4more\xc3",
+        CloudReply::Listed(MachineList {
+            machines: vec![bare_machine()],
+            more: true,
+        }),
+    );
+    let full = b"\x81\xa5error\xabno\x20capacity";
+    reads(&rent, 503, full, CloudReply::NoCapacity);
+    reads(&list, 503, full, CloudReply::Refused { status: 503 });
+    let other = b"\x81\xa5error\xa4down";
+    reads(&rent, 503, other, CloudReply::Refused { status: 503 });
+    for call in [&types, &rent, &delete, &list] {
+        reads(call, 429, b"", CloudReply::Refused { status: 429 });
+        reads(call, 503, b"", CloudReply::Refused { status: 503 });
+        reads(call, 400, b"", CloudReply::Malformed);
+        reads(call, 404, b"", CloudReply::Malformed);
+        assert!(call.reply(500, b"").is_err(), "{call:?}");
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/golden_settings.rs
@@ -0,0 +1,226 @@
+//! The platform's settings file with every key, as version 84a8104 reads it.
+
+use dillcleat_wire::platform::{
+    CloudLimits, Cluster, Endpoints, NextLimits, Objective, Platform, Quota, Sibling, StateLimits,
+    Team, Workers,
+};
+
+const FULL: &str = r#"
+member = "n0"
+site = "a"
+client_listen = "127.0.0.1:8080"
+mesh_addr = "127.0.0.1:8090"
+
+[[siblings]]
+member = "n1"
+site = "b"
+peer_addr = "127.0.0.1:8091"
+
+[endpoints]
+cloud = "127.0.0.1:8070"
+state = "127.0.0.1:8071"
+
+[cluster]
+size = 3
+zones = ["a", "b"]
+clock_error_ms = 250.0
+
+[[cluster.teams]]
+name = "books"
+cpus = 32.0
+cpus_max = 64.0
+gpus = 2.0
+gpus_max = 4.0
+
+[[cluster.objectives]]
+kind = "deadline"
+class = "merge"
+within_s = 30.0
+share = 0.95
+times = 1.5
+
+[cluster.workers]
+report_s = 2.0
+lease_s = 14.0
+cancel_s = 44.0
+
+[cluster.state]
+rps = 200.0
+write_rps = 80.0
+value_kb = 16.0
+txn_ops = 48
+
+[cluster.state.next]
+rps = 100.0
+write_rps = 40.0
+value_kb = 8.0
+txn_ops = 24
+
+[cluster.cloud]
+rps = 4.0
+list_lag_s = 5.0
+
+[cluster.quota]
+cpu_share = 0.5
+mem_mb = 72.0
+max_connections = 500
+"#;
+
+/// The same without anything that may be missing, and with a key that is not known.
+const SHORT: &str = r#"
+colour = "red"
+member = "n0"
+site = "a"
+client_listen = "127.0.0.1:8080"
+mesh_addr = "127.0.0.1:8090"
+endpoints = { cloud = "127.0.0.1:8070", state = "127.0.0.1:8071" }
+
+[cluster]
+size = 3
+zones = ["a", "b"]
+clock_error_ms = 250.0
+workers = { report_s = 2.0, lease_s = 14.0, cancel_s = 44.0 }
+state = { rps = 200.0, write_rps = 80.0, value_kb = 16.0, txn_ops = 48 }
+cloud = { rps = 4.0, list_lag_s = 5.0 }
+quota = { cpu_share = 0.5, mem_mb = 72.0, max_connections = 500 }
+"#;
+
+fn full() -> Platform {
+    Platform {
+        member: "n0".into(),
+        zone: "a".into(),
+        client_listen: "127.0.0.1:8080".into(),
+        mesh_addr: "127.0.0.1:8090".into(),
+        siblings: vec![Sibling {
+            member: "n1".into(),
+            zone: "b".into(),
+            peer_addr: "127.0.0.1:8091".into(),
+        }],
+        endpoints: Endpoints {
+            cloud: "127.0.0.1:8070".into(),
+            state: "127.0.0.1:8071".into(),
+        },
+        cluster: Cluster {
+            size: 3,
+            zones: vec!["a".into(), "b".into()],
+            clock_error_ms: 250.0,
+            teams: vec![Team {
+                name: "books".into(),
+                cpus: 32.0,
+                cpus_max: 64.0,
+                gpus: 2.0,
+                gpus_max: 4.0,
+            }],
+            objectives: vec![Objective {
+                kind: "deadline".into(),
+                class: Some("merge".into()),
+                within_s: Some(30.0),
+                share: Some(0.95),
+                times: Some(1.5),
+            }],
+            workers: Workers {
+                report_s: 2.0,
+                lease_s: 14.0,
+                cancel_s: 44.0,
+            },
+            state: StateLimits {
+                rps: 200.0,
+                write_rps: 80.0,
+                value_kb: 16.0,
+                txn_ops: 48,
+                next: NextLimits {
+                    rps: Some(100.0),
+                    write_rps: Some(40.0),
+                    value_kb: Some(8.0),
+                    txn_ops: Some(24),
+                },
+            },
+            cloud: CloudLimits {
+                rps: 4.0,
+                list_lag_s: 5.0,
+            },
+            quota: Quota {
+                cpu_share: 0.5,
+                mem_mb: 72.0,
+                max_connections: 500,
+            },
+        },
+    }
+}
+
+fn short() -> Platform {
+    let mut short = full();
+    short.siblings = Vec::new();
+    short.cluster.teams = Vec::new();
+    short.cluster.objectives = Vec::new();
+    short.cluster.state.next = NextLimits {
+        rps: None,
+        write_rps: None,
+        value_kb: None,
+        txn_ops: None,
+    };
+    short
+}
+
+#[test]
+fn every_key_is_read() {
+    assert_eq!(Platform::parse(FULL), Ok(full()));
+}
+
+#[test]
+fn what_may_be_missing_has_its_default() {
+    assert_eq!(Platform::parse(SHORT), Ok(short()));
+}
+
+#[test]
+fn a_team_and_an_objective_may_be_bare() {
+    let text =
+        format!("{SHORT}\n[[cluster.teams]]\nname = \"t\"\n[[cluster.objectives]]\nkind = \"k\"\n");
+    let mut expected = short();
+    expected.cluster.teams = vec![Team {
+        name: "t".into(),
+        cpus: 0.0,
+        cpus_max: 0.0,
+        gpus: 0.0,
+        gpus_max: 0.0,
+    }];
+    expected.cluster.objectives = vec![Objective {
+        kind: "k".into(),
+        class: None,
+        within_s: None,
+        share: None,
+        times: None,
+    }];
+    assert_eq!(Platform::parse(&text), Ok(expected));
+}
+
+/// A key that may not be missing is called by its name in the file.
+#[test]
+fn a_missing_key_is_named() {
+    for key in [
+        "member",
+        "site",
+        "client_listen",
+        "mesh_addr",
+        "cloud",
+        "state",
+        "size",
+        "zones",
+        "clock_error_ms",
+        "report_s",
+        "lease_s",
+        "cancel_s",
+        "rps",
+        "write_rps",
+        "value_kb",
+        "txn_ops",
+        "list_lag_s",
+        "cpu_share",
+        "mem_mb",
+        "max_connections",
+    ] {
+        let without = FULL.replacen(&format!("\n{key} = "), "\nother = ", 1);
+        let error = Platform::parse(&without).expect_err(key).to_string();
+        assert!(error.contains(&format!("missing field `{key}`")), "{error}");
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/golden_state.rs
@@ -0,0 +1,324 @@
+//! The requests to the state service and the bytes of its answers, as version 84a8104
+//! reads and writes them.
+
+mod golden;
+
+use dillcleat_wire::state::{
+    Change, Changes, Compare, Event, LIST_PAGE, Page, Row, StateCall, StateReply, TXN_BYTES, Txn,
+    Value,
+};
+use golden::{assert_keeps, assert_read};
+
+fn number(n: u64) -> Value {
+    Value::Map(vec![(Value::from("n"), Value::from(n))])
+}
+
+fn row(lease: Option<u64>) -> Row {
+    Row {
+        key: "s/lead".into(),
+        value: number(7),
+        version: 12,
+        lease,
+    }
+}
+
+#[test]
+fn limits_stay_as_they_are() {
+    assert_eq!((LIST_PAGE, TXN_BYTES), (1000, 65_536));
+}
+
+#[test]
+fn a_row_keeps_its_bytes() {
+    assert_keeps(
+        b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
+        &row(Some(31)),
+    );
+    assert_keeps(
+        b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\xc0",
+        &row(None),
+    );
+    assert_read(
+        b"\x83\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c",
+        &row(None),
+    );
+}
+
+#[test]
+fn every_kind_of_value_keeps_its_bytes() {
+    let holds = |value| Row {
+        key: "x".into(),
+        value,
+        version: 1,
+        lease: None,
+    };
+    assert_keeps(
+        b"\x84\xa1k\xa1x\xa1v\xc0\xa8entry_no\x01\xa4loan\xc0",
+        &holds(Value::Nil),
+    );
+    assert_keeps(
+        b"\
+            \x84\xa1k\xa1x\xa1v\x95\xc3\xfd\xce\x00\x01\x11\x70\
+            \xcb\x3f\xf8\x00\x00\x00\x00\x00\x00\xa1a\xa8entry_no\x01\xa4loan\xc0",
+        &holds(Value::Array(vec![
+            Value::from(true),
+            Value::from(-3),
+            Value::from(70_000),
+            Value::from(1.5),
+            Value::from("a"),
+        ])),
+    );
+}
+
+#[test]
+fn a_page_keeps_its_bytes() {
+    let page = Page {
+        rows: vec![row(Some(31))],
+        more: true,
+        revision: 900,
+    };
+    assert_keeps(
+        b"\
+        \x83\xa4rows\x91\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f\
+        \xa4more\xc3\xa9ledger_no\xcd\x03\x84",
+        &page,
+    );
+    let last = Page {
+        rows: Vec::new(),
+        more: false,
+        revision: 900,
+    };
+    assert_keeps(
+        b"\x83\xa4rows\x90\xa4more\xc2\xa9ledger_no\xcd\x03\x84",
+        &last,
+    );
+    assert_read(b"\x82\xa4rows\x90\xa9ledger_no\xcd\x03\x84", &last);
+}
+
+fn txn() -> Txn {
+    Txn {
+        compare: vec![Compare {
+            key: "s/lead".into(),
+            version: 12,
+        }],
+        then: vec![
+            Change::Put {
+                key: "s/term".into(),
+                value: number(8),
+                lease: None,
+            },
+            Change::Put {
+                key: "s/lead".into(),
+                value: number(7),
+                lease: Some(31),
+            },
+            Change::Delete {
+                key: "q/c/1".into(),
+            },
+        ],
+    }
+}
+
+#[test]
+fn every_change_of_a_transaction_keeps_its_bytes() {
+    assert_keeps(
+        b"\
+            \x82\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x0c\xa4then\x93\x82\xa3set\xa6s/term\
+            \xa1v\x81\xa1n\x08\x83\xa3set\xa6s/lead\xa1v\x81\xa1n\x07\xa4loan\x1f\x81\
+            \xa4drop\xa5q/c/1",
+        &txn(),
+    );
+}
+
+#[test]
+fn a_transaction_without_changes_keeps_its_bytes() {
+    let txn = Txn {
+        compare: vec![Compare {
+            key: "s/lead".into(),
+            version: 0,
+        }],
+        then: Vec::new(),
+    };
+    assert_keeps(b"\x81\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x00", &txn);
+    let empty = Txn {
+        compare: Vec::new(),
+        then: Vec::new(),
+    };
+    assert_keeps(b"\x81\xa4when\x90", &empty);
+}
+
+#[test]
+fn every_event_of_a_watch_keeps_its_bytes() {
+    let changes = Changes {
+        revision: 901,
+        events: vec![
+            Event::Put {
+                key: "q/o/1".into(),
+                value: number(7),
+                version: 900,
+            },
+            Event::Delete {
+                key: "q/c/1".into(),
+                version: 901,
+            },
+        ],
+    };
+    assert_keeps(
+        b"\
+            \x82\xa9ledger_no\xcd\x03\x85\xa6events\x92\x83\xa3set\xa5q/o/1\xa1v\x81\xa1n\x07\
+            \xa8entry_no\xcd\x03\x84\x82\xa4drop\xa5q/c/1\xa8entry_no\xcd\x03\x85",
+        &changes,
+    );
+    let quiet = Changes {
+        revision: 901,
+        events: Vec::new(),
+    };
+    assert_keeps(b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90", &quiet);
+    assert_read(b"\x81\xa9ledger_no\xcd\x03\x85", &quiet);
+}
+
+#[test]
+fn every_request_keeps_its_method_target_and_bytes() {
+    let sends = |call: StateCall, method: &str, target: &str, body: &[u8]| {
+        assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
+    };
+    let get = StateCall::Get {
+        key: "s/lead".into(),
+    };
+    sends(get, "GET", "/kv/s/lead", b"");
+    let list = StateCall::List {
+        prefix: "q/o/".into(),
+        after: None,
+    };
+    sends(list, "GET", "/kv?under=q/o/&most=1000", b"");
+    let next = StateCall::List {
+        prefix: "q/o/".into(),
+        after: Some("q/o/req-1".into()),
+    };
+    sends(next, "GET", "/kv?under=q/o/&from=q/o/req-1&most=1000", b"");
+    sends(
+        StateCall::Txn(txn()),
+        "POST",
+        "/txn",
+        b"\
+            \x82\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x0c\xa4then\x93\x82\xa3set\xa6s/term\
+            \xa1v\x81\xa1n\x08\x83\xa3set\xa6s/lead\xa1v\x81\xa1n\x07\xa4loan\x1f\x81\
+            \xa4drop\xa5q/c/1",
+    );
+    sends(
+        StateCall::NewLease { ttl_ms: 1250 },
+        "POST",
+        "/holds",
+        b"\x81\xa6ttl_ms\xcd\x04\xe2",
+    );
+    let extend = StateCall::Extend { lease: 31 };
+    sends(extend, "POST", "/holds/31/extend", b"");
+    let end = StateCall::EndLease { lease: 31 };
+    sends(end, "DELETE", "/holds/31", b"");
+    let watch = StateCall::Watch {
+        prefix: "q/".into(),
+        after: 900,
+        hold_ms: 2000,
+    };
+    sends(watch, "GET", "/changes?under=q/&from=900&hold_ms=2000", b"");
+}
+
+fn every_call() -> [StateCall; 7] {
+    [
+        StateCall::Get { key: "x".into() },
+        StateCall::List {
+            prefix: "x".into(),
+            after: None,
+        },
+        StateCall::Txn(txn()),
+        StateCall::NewLease { ttl_ms: 1250 },
+        StateCall::Extend { lease: 31 },
+        StateCall::EndLease { lease: 31 },
+        StateCall::Watch {
+            prefix: "x".into(),
+            after: 900,
+            hold_ms: 2000,
+        },
+    ]
+}
+
+#[test]
+fn every_answer_is_read_as_before() {
+    let reads = |call: &StateCall, status, body: &[u8], reply: StateReply| {
+        assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
+    };
+    let [get, list, txn, new_lease, extend, end, watch] = &every_call();
+
+    reads(
+        get,
+        200,
+        b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
+        StateReply::Found(row(Some(31))),
+    );
+    let absent = StateReply::Absent { revision: 900 };
+    reads(get, 404, b"\x81\xa9ledger_no\xcd\x03\x84", absent);
+    let absent = StateReply::Absent { revision: 0 };
+    reads(get, 404, b"\x81\xa5error\xabno\x20such\x20key", absent);
+    let page = Page {
+        rows: Vec::new(),
+        more: true,
+        revision: 900,
+    };
+    reads(
+        list,
+        200,
+        b"\x83\xa4rows\x90\xa4more\xc3\xa9ledger_no\xcd\x03\x84",
+        StateReply::Page(page),
+    );
+    let committed = StateReply::Committed { revision: 901 };
+    reads(txn, 200, b"\x81\xa9ledger_no\xcd\x03\x85", committed);
+    let conflict = |revision| StateReply::Conflict {
+        failed: vec!["s/lead".into()],
+        revision,
+    };
+    reads(
+        txn,
+        409,
+        b"\x82\xa6failed\x91\xa6s/lead\xa9ledger_no\xcd\x03\x85",
+        conflict(901),
+    );
+    reads(txn, 409, b"\x81\xa6failed\x91\xa6s/lead", conflict(0));
+    let no_lease = b"\x81\xa5error\xadno\x20such\x20lease";
+    reads(txn, 400, no_lease, StateReply::LeaseGone);
+    reads(
+        txn,
+        400,
+        b"\x81\xa5error\xa9too\x20large",
+        StateReply::Malformed,
+    );
+    let lease = StateReply::Lease { lease: 31 };
+    reads(new_lease, 200, b"\x81\xa4loan\x1f", lease);
+    for call in [extend, end] {
+        reads(call, 200, b"", StateReply::Extended);
+        reads(call, 404, b"", StateReply::LeaseGone);
+    }
+    let changes = Changes {
+        revision: 901,
+        events: Vec::new(),
+    };
+    reads(
+        watch,
+        200,
+        b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90",
+        StateReply::Changes(changes),
+    );
+    reads(watch, 410, b"", StateReply::TooOld);
+}
+
+#[test]
+fn refusals_of_any_request_are_read_as_before() {
+    for call in every_call() {
+        assert_eq!(call.reply(429, b""), Ok(StateReply::TooMany), "{call:?}");
+        assert_eq!(
+            call.reply(503, b""),
+            Ok(StateReply::Unavailable),
+            "{call:?}"
+        );
+        assert_eq!(call.reply(400, b""), Ok(StateReply::Malformed), "{call:?}");
+        assert!(call.reply(500, b"").is_err(), "{call:?}");
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/golden_worker.rs
@@ -0,0 +1,270 @@
+//! The bytes of the workers' protocol, as version 84a8104 reads and writes them.
+
+mod golden;
+
+use dillcleat_wire::TaskName;
+use dillcleat_wire::worker::{
+    COMMANDS_PATH, Command, Elsewhere, Orders, REPORT_PATH, Report, ReportAnswer, TaskReport,
+    TaskState, Why,
+};
+use golden::{assert_keeps, assert_read};
+
+fn task(index: u32) -> TaskName {
+    TaskName {
+        job: "req-1".into(),
+        index,
+    }
+}
+
+#[test]
+fn paths_stay_as_they_are() {
+    assert_eq!(REPORT_PATH, "/checkin");
+    assert_eq!(COMMANDS_PATH, "/orders");
+}
+
+#[test]
+fn every_command_keeps_its_bytes() {
+    let launch = ReportAnswer {
+        token: 9,
+        commands: vec![Command::Start {
+            task: task(0),
+            attempt: 1,
+        }],
+    };
+    assert_keeps(
+        b"\
+            \x82\xa4seal\x09\xa5slips\x91\x83\xa9slip_kind\xa6launch\xa4leaf\xa7req-1/0\
+            \xa8printing\x01",
+        &launch,
+    );
+    let stop = ReportAnswer {
+        token: 300,
+        commands: vec![Command::Stop {
+            task: task(12),
+            attempt: 70_000,
+            grace_s: 30,
+        }],
+    };
+    assert_keeps(
+        b"\
+            \x82\xa4seal\xcd\x01\x2c\xa5slips\x91\x84\xa9slip_kind\xa4stop\xa4leaf\xa8req-1/12\
+            \xa8printing\xce\x00\x01\x11\x70\xa9closing_s\x1e",
+        &stop,
+    );
+    let forget = ReportAnswer {
+        token: 0,
+        commands: vec![Command::Forget {
+            task: task(99_999),
+            attempt: 2,
+        }],
+    };
+    assert_keeps(
+        b"\
+            \x82\xa4seal\x00\xa5slips\x91\x83\xa9slip_kind\xa4reap\xa4leaf\xabreq-1/99999\
+            \xa8printing\x02",
+        &forget,
+    );
+}
+
+#[test]
+fn an_answer_without_commands_keeps_its_bytes() {
+    let answer = ReportAnswer {
+        token: 9,
+        commands: Vec::new(),
+    };
+    assert_keeps(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
+}
+
+#[test]
+fn commands_sent_to_a_worker_keep_their_bytes() {
+    let orders = Orders {
+        token: 9,
+        session: 4,
+        commands: vec![
+            Command::Start {
+                task: task(0),
+                attempt: 1,
+            },
+            Command::Stop {
+                task: task(1),
+                attempt: 2,
+                grace_s: 0,
+            },
+        ],
+    };
+    assert_keeps(
+        b"\
+            \x83\xa4seal\x09\xa6tenure\x04\xa5slips\x92\x83\xa9slip_kind\xa6launch\
+            \xa4leaf\xa7req-1/0\xa8printing\x01\x84\xa9slip_kind\xa4stop\xa4leaf\xa7req-1/1\
+            \xa8printing\x02\xa9closing_s\x00",
+        &orders,
+    );
+}
+
+#[test]
+fn an_answer_that_sends_elsewhere_keeps_its_bytes() {
+    let known = Elsewhere {
+        report_to: Some("n1".into()),
+    };
+    assert_keeps(b"\x81\xa5clerk\xa2n1", &known);
+    let unknown = Elsewhere { report_to: None };
+    assert_keeps(b"\x80", &unknown);
+}
+
+fn task_report(state: TaskState, why: Option<Why>, saved: Option<bool>) -> TaskReport {
+    TaskReport {
+        task: task(3),
+        attempt: 5,
+        state,
+        why,
+        saved,
+    }
+}
+
+#[test]
+fn every_task_state_keeps_its_bytes() {
+    let keeps = |bytes: &[u8], state| assert_keeps(bytes, &task_report(state, None, None));
+    keeps(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7pulling",
+        TaskState::Fetching,
+    );
+    keeps(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7running",
+        TaskState::Running,
+    );
+    keeps(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8flushing",
+        TaskState::Saving,
+    );
+    keeps(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended",
+        TaskState::Exited,
+    );
+    keeps(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5Other",
+        TaskState::Other,
+    );
+}
+
+#[test]
+fn an_unknown_task_state_is_another() {
+    assert_read(
+        b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8painting",
+        &task_report(TaskState::Other, None, None),
+    );
+}
+
+#[test]
+fn every_reason_of_an_exit_keeps_its_bytes() {
+    let keeps = |bytes: &[u8], why| {
+        assert_keeps(bytes, &task_report(TaskState::Exited, Some(why), None));
+    };
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa4done",
+        Why::Done,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted",
+        Why::Stopped,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5error",
+        Why::Error,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_room",
+        Why::NoRoom,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6in_use",
+        Why::Busy,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_such",
+        Why::Unknown,
+    );
+    keeps(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5Other",
+        Why::Other,
+    );
+}
+
+#[test]
+fn an_unknown_reason_is_another() {
+    let report = task_report(TaskState::Exited, Some(Why::Other), None);
+    assert_read(
+        b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5burnt",
+        &report,
+    );
+}
+
+#[test]
+fn what_a_task_saved_keeps_its_bytes() {
+    let saved = |saved| task_report(TaskState::Exited, Some(Why::Stopped), Some(saved));
+    assert_keeps(
+        b"\
+        \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
+        \xa4kept\xc3",
+        &saved(true),
+    );
+    assert_keeps(
+        b"\
+        \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
+        \xa4kept\xc2",
+        &saved(false),
+    );
+}
+
+fn report(notice_s: Option<f64>, tasks: Vec<TaskReport>) -> Report {
+    Report {
+        machine: "host-1".into(),
+        addr: "10.1.0.1:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 4,
+        seq: 1_000,
+        token: 9,
+        notice_s,
+        tasks,
+    }
+}
+
+#[test]
+fn a_report_keeps_its_bytes() {
+    assert_keeps(
+        b"\
+            \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+            \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa8recall_s\xc0\
+            \xa6leaves\x90",
+        &report(None, Vec::new()),
+    );
+    assert_keeps(
+        b"\
+            \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+            \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\
+            \xa8recall_s\xcb\x40\x3b\x80\x00\x00\x00\x00\x00\xa6leaves\x91\x83\
+            \xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7running",
+        &report(
+            Some(27.5),
+            vec![task_report(TaskState::Running, None, None)],
+        ),
+    );
+}
+
+#[test]
+fn a_report_may_leave_out_the_notice_and_hold_unknown_keys() {
+    assert_read(
+        b"\
+            \x89\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+            \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6leaves\x90",
+        &report(None, Vec::new()),
+    );
+    assert_read(
+        b"\
+            \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
+            \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6colour\xa3red\
+            \xa6leaves\x90",
+        &report(None, Vec::new()),
+    );
+}
