--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -9,49 +9,66 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
     /// Training tasks of a job (the paper's t).
+    #[serde(rename = "training_tasks")]
     pub training_tasks: u32,
     /// Share of the fleet's CPUs that training tasks may take (the paper's T).
+    #[serde(rename = "training_share")]
     pub training_share: f64,
     /// Longest time between two scheduling passes, in seconds.
+    #[serde(rename = "pass_s")]
     pub pass_s: f64,
     /// Shortest time between two passes, in seconds. A change causes a pass,
     /// and on a large fleet there are dozens a second.
+    #[serde(rename = "pass_gap_s")]
     pub pass_gap_s: f64,
     /// First guess of a task's run time, in seconds, before anything is learned.
+    #[serde(rename = "first_guess_s")]
     pub first_guess_s: f64,
     /// Shortest time-to-live of the leader's lease, in seconds. It is longer while the
     /// state service is slow (`latency::lease_time`).
+    #[serde(rename = "lead_ttl_s")]
     pub lead_ttl_s: f64,
     /// Idle time after which a machine is returned, in seconds.
+    #[serde(rename = "idle_s")]
     pub idle_s: f64,
     /// Usual time of an image fetch, in seconds, for what a rental would bring.
+    #[serde(rename = "fetch_s")]
     pub fetch_s: f64,
     /// How many times as long as a rental would take work may wait for room
     /// that running tasks are about to leave, before a machine is rented for it.
+    #[serde(rename = "patience")]
     pub patience: f64,
     /// Replicas per zone for which ordinary room is kept from spot work, for
     /// services that must start sooner than a machine boots.
+    #[serde(rename = "reserve_replicas")]
     pub reserve_replicas: u32,
     /// Share of the fleet's CPUs that may be rented ahead for such services.
+    #[serde(rename = "spare_share")]
     pub spare_share: f64,
     /// Late tasks rent ordinary machines only in classes of which at least this
     /// share is to end by some multiple of the deadline.
+    #[serde(rename = "late_share")]
     pub late_share: f64,
     /// How many times its expected fetch and run time a task must start before
     /// its deadline; what will start later may rent ordinary machines.
+    #[serde(rename = "late_factor")]
     pub late_factor: f64,
     /// Pause after a rental was refused for want of machines, in seconds.
+    #[serde(rename = "refused_pause_s")]
     pub refused_pause_s: f64,
     /// Time without room after which one task of a job may go where it otherwise may
     /// not: into room kept for services, or to a machine on which it has failed. In
     /// seconds; half of the 90 s that no job may wait beside a machine that fits, since
     /// its launch and its image take time as well.
+    #[serde(rename = "starve_s")]
     pub starve_s: f64,
     /// Share of the fleet that one call may delete: a call that is held up on its
     /// way may be carried out when nobody wants it any more.
+    #[serde(rename = "delete_share")]
     pub delete_share: f64,
     /// After how long without an answer a call to the state service that a user waits
     /// for is made a second time, in seconds; 0: never.
+    #[serde(rename = "again_s")]
     pub again_s: f64,
 }
 
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -83,13 +83,17 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lead {
+    #[serde(rename = "member")]
     pub member: String,
+    #[serde(rename = "lease")]
     pub lease: u64,
+    #[serde(rename = "term")]
     pub term: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Term {
+    #[serde(rename = "term")]
     pub term: u64,
 }
 
@@ -116,25 +120,30 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobMark {
+    #[serde(rename = "s")]
     pub s: Mark,
     /// The job's number of tasks.
+    #[serde(rename = "n")]
     pub n: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
+    #[serde(rename = "spec")]
     pub spec: JobSpec,
     /// Time of day of the submission, in microseconds.
+    #[serde(rename = "at")]
     pub at: u64,
     /// Tasks per chunk. Fixed with the job, so that a later change of the
     /// settings does not move tasks between chunks.
+    #[serde(rename = "chunk")]
     pub chunk: u32,
     /// There is no mark of the job as long as it is open. False in descriptions
     /// that an earlier version wrote.
-    #[serde(default)]
+    #[serde(rename = "unmarked", default)]
     pub unmarked: bool,
     /// The most of its tasks that may be placed at once, if it is not all.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
     pub at_most: Option<u32>,
 }
 
@@ -150,12 +159,14 @@
 /// a form that is not known here.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
+    #[serde(rename = "spec")]
     pub spec: Claim,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledJob {
     /// Time of day of the cancellation, in microseconds.
+    #[serde(rename = "at")]
     pub at: u64,
 }
 
@@ -163,22 +174,30 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Chunk {
     /// Placed tasks: number, attempt, machine, session.
+    #[serde(rename = "p")]
     pub p: Vec<(u32, u64, String, u64)>,
     /// Waiting tasks that were placed before: number, last attempt.
+    #[serde(rename = "w")]
     pub w: Vec<(u32, u64)>,
     /// Done tasks, as ranges from..=to.
+    #[serde(rename = "d")]
     pub d: Vec<(u32, u32)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
+    #[serde(rename = "addr")]
     pub addr: String,
+    #[serde(rename = "machine_type")]
     pub machine_type: String,
+    #[serde(rename = "zone")]
     pub zone: String,
+    #[serde(rename = "spot")]
     pub spot: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Types {
+    #[serde(rename = "types")]
     pub types: Vec<MachineType>,
 }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -99,7 +99,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     /// Time of day, in microseconds.
+    #[serde(rename = "at")]
     pub at: Micros,
+    #[serde(rename = "why")]
     pub why: Ending,
 }
 
@@ -122,18 +124,22 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
+    #[serde(rename = "uid")]
     pub uid: String,
     /// Which object of its name it is, from 1 on.
+    #[serde(rename = "run")]
     pub run: u32,
     /// Time of day of its creation, in microseconds.
     #[serde(rename = "at")]
     pub created: Micros,
     #[serde(rename = "gen")]
     pub generation: u32,
+    #[serde(rename = "labels")]
     pub labels: BTreeMap<String, String>,
     #[serde(rename = "notes")]
     pub annotations: BTreeMap<String, String>,
     /// As the client wrote it, with the defaults filled in.
+    #[serde(rename = "spec")]
     pub spec: Value,
     #[serde(rename = "st")]
     pub state: JobState,
@@ -153,8 +159,11 @@
 /// What stays of a name whose object is deleted: the next run's number follows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gone {
+    #[serde(rename = "uid")]
     pub uid: String,
+    #[serde(rename = "run")]
     pub run: u32,
+    #[serde(rename = "job")]
     pub job: Option<String>,
 }
 
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -11,29 +11,31 @@
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Where it listens, IP:PORT. Without `tls` only a loopback address is taken.
+    #[serde(rename = "listen")]
     pub listen: SocketAddr,
     /// Certificate and key, as PEM files. Read again when they change.
-    #[serde(default)]
+    #[serde(rename = "tls", default)]
     pub tls: Option<Tls>,
     /// A file of at least 64 hexadecimal digits, the same at every controller. Names
     /// of jobs and the kept form of tokens follow from it: it does not change.
+    #[serde(rename = "key_file")]
     pub key_file: PathBuf,
     /// The class of jobs that name none.
-    #[serde(default)]
+    #[serde(rename = "class", default)]
     pub class: Option<String>,
     /// Classes in which a name may be used again after its object was deleted.
-    #[serde(default)]
+    #[serde(rename = "repeats", default)]
     pub repeats: Vec<String>,
     /// How clients call accelerators among the resources.
-    #[serde(default = "accelerator")]
+    #[serde(rename = "accelerator", default = "accelerator")]
     pub accelerator: String,
     /// The most objects. Every controller holds all of them.
-    #[serde(default = "max_objects")]
+    #[serde(rename = "max_objects", default = "max_objects")]
     pub max_objects: usize,
     /// The most clients that may watch at one controller.
-    #[serde(default = "max_watches")]
+    #[serde(rename = "max_watches", default = "max_watches")]
     pub max_watches: usize,
-    #[serde(default)]
+    #[serde(rename = "tokens", default)]
     pub tokens: Vec<Token>,
 }
 
@@ -52,7 +54,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tls {
+    #[serde(rename = "cert")]
     pub cert: PathBuf,
+    #[serde(rename = "key")]
     pub key: PathBuf,
 }
 
@@ -61,12 +65,16 @@
 #[serde(deny_unknown_fields)]
 pub struct Token {
     /// Whom it was given to, for the log.
+    #[serde(rename = "name")]
     pub name: String,
     /// Its MAC under the operators' key, in hexadecimal digits.
+    #[serde(rename = "mac")]
     pub mac: String,
     /// Namespaces, or `*`.
+    #[serde(rename = "namespaces")]
     pub namespaces: Vec<String>,
     /// Of `get`, `list`, `watch`, `create`, `update`, `patch` and `delete`, or `*`.
+    #[serde(rename = "verbs")]
     pub verbs: Vec<String>,
 }
 
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -12,6 +12,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
+    #[serde(rename = "name")]
     pub name: String,
     #[serde(rename = "vcpus")]
     pub cpus: f64,
@@ -19,7 +20,7 @@
     pub gpus: f64,
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    #[serde(default)]
+    #[serde(rename = "cache_gb", default)]
     pub cache_gb: f64,
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
@@ -27,7 +28,7 @@
     pub price: f64,
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
-    #[serde(default)]
+    #[serde(rename = "boot_s", default)]
     pub boot_s: f64,
     #[serde(rename = "rooms")]
     pub zones: Vec<String>,
@@ -49,6 +50,7 @@
     pub zone: String,
     #[serde(rename = "remainders")]
     pub spot: bool,
+    #[serde(rename = "count")]
     pub count: u32,
 }
 
@@ -66,7 +68,7 @@
     Running,
     #[serde(rename = "failed")]
     Failed,
-    #[serde(other)]
+    #[serde(rename = "Other", other)]
     Other,
 }
 
@@ -74,7 +76,7 @@
 pub struct ListedMachine {
     #[serde(rename = "ref")]
     pub name: String,
-    #[serde(default)]
+    #[serde(rename = "addr", default)]
     pub addr: Option<String>,
     #[serde(rename = "format")]
     pub machine_type: String,
@@ -92,7 +94,7 @@
 pub struct MachineList {
     #[serde(rename = "shelves")]
     pub machines: Vec<ListedMachine>,
-    #[serde(default)]
+    #[serde(rename = "more", default)]
     pub more: bool,
 }
 
@@ -121,6 +123,7 @@
 
 #[derive(Deserialize)]
 struct ErrorBody {
+    #[serde(rename = "error")]
     error: Option<String>,
 }
 
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -4,65 +4,87 @@
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Platform {
+    #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "site")]
     pub zone: String,
+    #[serde(rename = "client_listen")]
     pub client_listen: String,
+    #[serde(rename = "mesh_addr")]
     pub mesh_addr: String,
-    #[serde(default)]
+    #[serde(rename = "siblings", default)]
     pub siblings: Vec<Sibling>,
+    #[serde(rename = "endpoints")]
     pub endpoints: Endpoints,
+    #[serde(rename = "cluster")]
     pub cluster: Cluster,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Sibling {
+    #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "site")]
     pub zone: String,
+    #[serde(rename = "peer_addr")]
     pub peer_addr: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Endpoints {
+    #[serde(rename = "cloud")]
     pub cloud: String,
+    #[serde(rename = "state")]
     pub state: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Cluster {
+    #[serde(rename = "size")]
     pub size: u32,
+    #[serde(rename = "zones")]
     pub zones: Vec<String>,
+    #[serde(rename = "clock_error_ms")]
     pub clock_error_ms: f64,
-    #[serde(default)]
+    #[serde(rename = "teams", default)]
     pub teams: Vec<Team>,
-    #[serde(default)]
+    #[serde(rename = "objectives", default)]
     pub objectives: Vec<Objective>,
+    #[serde(rename = "workers")]
     pub workers: Workers,
+    #[serde(rename = "state")]
     pub state: StateLimits,
+    #[serde(rename = "cloud")]
     pub cloud: CloudLimits,
+    #[serde(rename = "quota")]
     pub quota: Quota,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
+    #[serde(rename = "name")]
     pub name: String,
-    #[serde(default)]
+    #[serde(rename = "cpus", default)]
     pub cpus: f64,
-    #[serde(default)]
+    #[serde(rename = "cpus_max", default)]
     pub cpus_max: f64,
-    #[serde(default)]
+    #[serde(rename = "gpus", default)]
     pub gpus: f64,
-    #[serde(default)]
+    #[serde(rename = "gpus_max", default)]
     pub gpus_max: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Objective {
+    #[serde(rename = "kind")]
     pub kind: String,
+    #[serde(rename = "class")]
     pub class: Option<String>,
+    #[serde(rename = "within_s")]
     pub within_s: Option<f64>,
+    #[serde(rename = "share")]
     pub share: Option<f64>,
+    #[serde(rename = "times")]
     pub times: Option<f64>,
 }
 
@@ -76,41 +98,57 @@
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Workers {
+    #[serde(rename = "report_s")]
     pub report_s: f64,
+    #[serde(rename = "lease_s")]
     pub lease_s: f64,
+    #[serde(rename = "cancel_s")]
     pub cancel_s: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StateLimits {
+    #[serde(rename = "rps")]
     pub rps: f64,
+    #[serde(rename = "write_rps")]
     pub write_rps: f64,
+    #[serde(rename = "value_kb")]
     pub value_kb: f64,
+    #[serde(rename = "txn_ops")]
     pub txn_ops: u32,
     /// The limits from some moment on that nobody tells of.
-    #[serde(default)]
+    #[serde(rename = "next", default)]
     pub next: NextLimits,
 }
 
 /// Limits that the state service will have. What is missing stays as it is.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct NextLimits {
+    #[serde(rename = "rps")]
     pub rps: Option<f64>,
+    #[serde(rename = "write_rps")]
     pub write_rps: Option<f64>,
+    #[serde(rename = "value_kb")]
     pub value_kb: Option<f64>,
+    #[serde(rename = "txn_ops")]
     pub txn_ops: Option<u32>,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CloudLimits {
+    #[serde(rename = "rps")]
     pub rps: f64,
+    #[serde(rename = "list_lag_s")]
     pub list_lag_s: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Quota {
+    #[serde(rename = "cpu_share")]
     pub cpu_share: f64,
+    #[serde(rename = "mem_mb")]
     pub mem_mb: f64,
+    #[serde(rename = "max_connections")]
     pub max_connections: u32,
 }
 
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -147,7 +147,7 @@
 pub struct Page {
     #[serde(rename = "rows")]
     pub rows: Vec<Row>,
-    #[serde(default)]
+    #[serde(rename = "more", default)]
     pub more: bool,
     #[serde(rename = "ledger_no")]
     pub revision: u64,
@@ -177,7 +177,7 @@
 pub struct Changes {
     #[serde(rename = "ledger_no")]
     pub revision: u64,
-    #[serde(default)]
+    #[serde(rename = "events", default)]
     pub events: Vec<Event>,
 }
 
@@ -247,6 +247,7 @@
 
 #[derive(Deserialize)]
 struct Failed {
+    #[serde(rename = "failed")]
     failed: Vec<String>,
     #[serde(rename = "ledger_no", default)]
     revision: u64,
@@ -254,6 +255,7 @@
 
 #[derive(Serialize)]
 struct Ttl {
+    #[serde(rename = "ttl_ms")]
     ttl_ms: u64,
 }
 
@@ -265,6 +267,7 @@
 
 #[derive(Deserialize)]
 struct ErrorBody {
+    #[serde(rename = "error")]
     error: Option<String>,
 }
 
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -79,6 +79,7 @@
     pub zone: Option<String>,
     #[serde(rename = "same_place")]
     pub one_zone: bool,
+    #[serde(rename = "spread")]
     pub spread: bool,
     #[serde(rename = "remainders")]
     pub spot: bool,
@@ -156,25 +157,45 @@
 struct RawSpec {
     #[serde(rename = "ref")]
     id: Option<String>,
+    #[serde(rename = "lot")]
     lot: Option<String>,
+    #[serde(rename = "desk")]
     desk: Option<String>,
+    #[serde(rename = "binding")]
     binding: Option<String>,
+    #[serde(rename = "urgency")]
     urgency: Option<String>,
+    #[serde(rename = "leaves")]
     leaves: Option<u64>,
+    #[serde(rename = "vcpus")]
     vcpus: Option<f64>,
+    #[serde(rename = "accelerators")]
     accelerators: Option<f64>,
+    #[serde(rename = "ram_gb")]
     ram_gb: Option<f64>,
+    #[serde(rename = "edition")]
     edition: Option<String>,
+    #[serde(rename = "pull_gb")]
     pull_gb: Option<f64>,
+    #[serde(rename = "formats")]
     formats: Option<Vec<String>>,
+    #[serde(rename = "room")]
     room: Option<String>,
+    #[serde(rename = "same_place")]
     same_place: Option<bool>,
+    #[serde(rename = "spread")]
     spread: Option<bool>,
+    #[serde(rename = "remainders")]
     remainders: Option<bool>,
+    #[serde(rename = "reckon_s")]
     reckon_s: Option<f64>,
+    #[serde(rename = "bookmark_s")]
     bookmark_s: Option<f64>,
+    #[serde(rename = "shelve_s")]
     shelve_s: Option<f64>,
+    #[serde(rename = "due_s")]
     due_s: Option<f64>,
+    #[serde(rename = "awaits")]
     awaits: Option<Value>,
 }
 
@@ -326,15 +347,16 @@
     pub id: String,
     #[serde(rename = "condition")]
     pub state: JobState,
-    #[serde(skip_serializing_if = "Option::is_none", default)]
+    #[serde(rename = "done", skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    #[serde(skip_serializing_if = "Option::is_none", default)]
+    #[serde(rename = "running", skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
 
 /// The body of every refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
+    #[serde(rename = "error")]
     pub error: String,
 }
 
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -17,7 +17,7 @@
     #[serde(rename = "ended")]
     Exited,
     /// Anything this version does not know; the task counts as present.
-    #[serde(other)]
+    #[serde(rename = "Other", other)]
     Other,
 }
 
@@ -35,7 +35,7 @@
     Busy,
     #[serde(rename = "no_such")]
     Unknown,
-    #[serde(other)]
+    #[serde(rename = "Other", other)]
     Other,
 }
 
@@ -57,6 +57,7 @@
 pub struct Report {
     #[serde(rename = "shelf")]
     pub machine: String,
+    #[serde(rename = "addr")]
     pub addr: String,
     #[serde(rename = "format")]
     pub machine_type: String,
