--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -30,7 +30,7 @@
 
     /// What is known of a name.
     fn found(&mut self, name: &str, known: KnownJob) {
-        match known.mark.s {
+        match known.mark.state {
             RecordedState::Done => self.done.push(name.to_string()),
             RecordedState::Open if known.service => {
                 self.refuse(name, "a service, which is never done");
@@ -47,7 +47,7 @@
         false => records::open_key(&name),
     };
     let step = Step::Name { naming, name, mark };
-    ctx.state_soon(StoreRequest::Get { key }, Continuation::Admission(step));
+    ctx.hedged_store_request(StoreRequest::Get { key }, Continuation::Admission(step));
 }
 
 const NEVER: &str = "which was never accepted";
@@ -55,7 +55,7 @@
 impl Admission {
     /// Takes a submission that waits for other jobs.
     pub(super) fn name(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let id = job.spec.id.clone();
         let mut naming = Naming {
             request,
@@ -67,7 +67,7 @@
             job,
         };
         let mut unseen = Vec::new();
-        for name in naming.job.spec.awaits.clone() {
+        for name in naming.job.spec.depends_on.clone() {
             match self.cache.get(&name) {
                 Some(job_cache) => naming.found(&name, job_cache),
                 None if name == id || !is_job_id(&name) => naming.refuse(&name, NEVER),
@@ -118,7 +118,7 @@
         };
         if matches!(reply, Ok(StoreResponse::NotFound { .. })) && !mark {
             // It has ended, or never was.
-            self.calls.charge(1.0, ctx.now.steady);
+            self.calls.charge(1.0, ctx.now.monotonic);
             return read(ctx, naming_no, name, true);
         }
         self.under_way -= 1;
@@ -149,7 +149,11 @@
             None if naming.unknown => Answer::later("the state is out of reach"),
             None => {
                 let done = &naming.done;
-                naming.job.spec.awaits.retain(|name| !done.contains(name));
+                naming
+                    .job
+                    .spec
+                    .depends_on
+                    .retain(|name| !done.contains(name));
                 self.under_way += 1;
                 return self.create(ctx, request, Rc::new(naming.job), naming.since);
             }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -81,7 +81,7 @@
     if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
         return Some("the job needs more than its team's limit");
     }
-    if spec.one_zone && spec.spread && spec.tasks > 1 {
+    if spec.single_zone && spec.spread && spec.tasks > 1 {
         return Some("one zone and a spread over zones exclude each other");
     }
     None
@@ -144,8 +144,8 @@
     /// A job is in the store, and open.
     pub fn admitted(&mut self, job: &OpenJob) {
         let mark = JobStateRecord {
-            s: RecordedState::Open,
-            n: job.spec.tasks,
+            state: RecordedState::Open,
+            task_count: job.spec.tasks,
         };
         let known = KnownJob {
             mark,
@@ -157,7 +157,7 @@
 
     /// What a read or write of the store has said of a job's end is known from now on.
     fn learn(&mut self, id: &str, known: KnownJob) {
-        if known.mark.s == RecordedState::Cancelled {
+        if known.mark.state == RecordedState::Cancelled {
             self.cancelled.push(id.to_string());
         }
         self.cache.put(id, known);
@@ -176,8 +176,8 @@
 
     fn status(&self, id: &str, mark: JobStateRecord) -> JobStatus {
         let (done, running) = self.progress.get(id).unwrap_or((0, 0));
-        let (state, done, running) = match mark.s {
-            RecordedState::Done => (JobState::Done, mark.n, 0),
+        let (state, done, running) = match mark.state {
+            RecordedState::Done => (JobState::Done, mark.task_count, 0),
             RecordedState::Cancelled => (JobState::Cancelled, done, 0),
             RecordedState::Open if running > 0 => (JobState::Running, done, running),
             RecordedState::Open => (JobState::Queued, done, 0),
@@ -223,7 +223,7 @@
             at: ctx.now.wall,
             chunk: ctx.config.chunk_tasks,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
         let (bytes, most) = (
             store::json_size(&store::encode_value(&job)),
@@ -241,16 +241,16 @@
         if let Some(cause) = unfit(ctx.config, types, &job.spec) {
             return self.ask(ctx, id, refuse(422, cause.into()));
         }
-        if !job.spec.awaits.is_empty() {
+        if !job.spec.depends_on.is_empty() {
             return self.name(ctx, request, job);
         }
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         // Both or neither: a call taken for a change that is not to be had was lost to polls.
         if self.under_way >= MAX_UNDER_WAY || !self.grant(1.0, 1.0, RequestPriority::Change, now) {
             return ctx.answer(request, Answer::later("too many requests"));
         }
         self.under_way += 1;
-        self.create(ctx, request, Rc::new(job), ctx.now.steady);
+        self.create(ctx, request, Rc::new(job), ctx.now.monotonic);
     }
 
     fn create(&self, ctx: &mut Context, request: RequestId, job: Rc<OpenJob>, since: Micros) {
@@ -267,7 +267,7 @@
             job,
             since,
         };
-        ctx.state_soon(
+        ctx.hedged_store_request(
             StoreRequest::Transaction(txn),
             Continuation::Admission(step),
         );
@@ -286,7 +286,7 @@
         if !is_job_id(&id) {
             return ctx.answer(request, Answer::refusal(404, "no such job"));
         }
-        let since = ctx.now.steady;
+        let since = ctx.now.monotonic;
         self.ask(ctx, id, PendingRequest::Cancel { request, since });
     }
 
@@ -319,7 +319,7 @@
         if self.under_way >= MAX_UNDER_WAY
             || !self
                 .calls
-                .take(1.0, RequestPriority::of(&ask), ctx.now.steady)
+                .take(1.0, RequestPriority::of(&ask), ctx.now.monotonic)
         {
             return ctx.answer(ask.request(), Answer::later("too many requests"));
         }
@@ -327,24 +327,26 @@
         let call = StoreRequest::Get {
             key: records::open_key(&id),
         };
-        ctx.state(call, Continuation::Admission(Step::Lookup { id, ask }));
+        ctx.store_request(call, Continuation::Admission(Step::Lookup { id, ask }));
     }
 
     /// Reads the mark of a job that is not open, or whose end has just come.
     /// Whoever is not found here was not there when it was looked for.
     fn look_for_mark(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
         self.under_way += 1;
-        self.calls.charge(1.0, ctx.now.steady);
+        self.calls.charge(1.0, ctx.now.monotonic);
         let call = StoreRequest::Get {
             key: records::job_key(&id),
         };
-        ctx.state(call, Continuation::Admission(Step::Ended { id, ask }));
+        ctx.store_request(call, Continuation::Admission(Step::Ended { id, ask }));
     }
 
     fn check(&mut self, ctx: &mut Context) {
         if self.waiting.is_empty()
             || self.checks >= MAX_CHECKS
-            || !self.calls.take(1.0, RequestPriority::Poll, ctx.now.steady)
+            || !self
+                .calls
+                .take(1.0, RequestPriority::Poll, ctx.now.monotonic)
         {
             return;
         }
@@ -357,7 +359,7 @@
                 self.lookup(ctx, id, ask);
                 continue;
             };
-            if known.mark.s != RecordedState::Open {
+            if known.mark.state != RecordedState::Open {
                 self.settle(ctx, &id, Some(known), ask);
                 continue;
             }
@@ -378,7 +380,7 @@
             self.checks += 1;
             // Lost, it answered none of up to `limit` jobs: with transactions lost one after the
             // other a job was once without an answer for 90 s (seed 3909 of meetings).
-            ctx.state_soon(
+            ctx.hedged_store_request(
                 StoreRequest::Transaction(txn),
                 Continuation::Admission(Step::Check { jobs }),
             );
@@ -402,15 +404,15 @@
             }
             (None, ask) => ctx.answer(ask.request(), Answer::refusal(404, "no such job")),
             (Some(known), PendingRequest::Cancel { request, since })
-                if known.mark.s == RecordedState::Open =>
+                if known.mark.state == RecordedState::Open =>
             {
                 let txn = Transaction::default()
                     .compare(records::job_key(id), known.version)
                     .put(
                         records::job_key(id),
                         &JobStateRecord {
-                            s: RecordedState::Cancelled,
-                            n: known.mark.n,
+                            state: RecordedState::Cancelled,
+                            task_count: known.mark.task_count,
                         },
                     )
                     .put(
@@ -422,7 +424,7 @@
                     request,
                     since,
                 };
-                ctx.state(
+                ctx.store_request(
                     StoreRequest::Transaction(txn),
                     Continuation::Admission(step),
                 );
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -38,7 +38,8 @@
                                 match self.cache.get(&id) {
                                     // The others were equal at that same moment.
                                     Some(job_cache)
-                                        if !changed || job_cache.mark.s != RecordedState::Open =>
+                                        if !changed
+                                            || job_cache.mark.state != RecordedState::Open =>
                                     {
                                         self.settle(ctx, &id, Some(job_cache), ask);
                                     }
@@ -124,7 +125,7 @@
             // at again, it is not called unknown.
             Ok(StoreResponse::NotFound { .. })
                 if (self.cache.get(id)).is_some_and(|known| {
-                    known.version == 0 || known.mark.s != RecordedState::Open
+                    known.version == 0 || known.mark.state != RecordedState::Open
                 }) =>
             {
                 self.ask(ctx, id.to_string(), ask);
@@ -151,7 +152,7 @@
                     Some(due) => format!("due in {due} s"),
                     None => "no deadline".to_string(),
                 };
-                let after = match job.spec.awaits.as_slice() {
+                let after = match job.spec.depends_on.as_slice() {
                     [] => String::new(),
                     names => format!(", after {}", names.join(" ")),
                 };
@@ -182,8 +183,8 @@
                 self.under_way -= 1;
                 log::info!("{id} is known already, perhaps by an earlier try");
                 let mark = JobStateRecord {
-                    s: RecordedState::Open,
-                    n: job.spec.tasks,
+                    state: RecordedState::Open,
+                    task_count: job.spec.tasks,
                 };
                 let status = self.status(&id, mark);
                 ctx.answer(request, Answer::body(200, &status));
@@ -197,8 +198,8 @@
             // It may yet be carried out. The same transaction again settles
             // it: it either commits or finds the record. It costs as much again.
             Err(_)
-                if ctx.now.steady < since + CREATE_TIME
-                    && self.grant(1.0, 1.0, RequestPriority::Change, ctx.now.steady) =>
+                if ctx.now.monotonic < since + CREATE_TIME
+                    && self.grant(1.0, 1.0, RequestPriority::Change, ctx.now.monotonic) =>
             {
                 self.create(ctx, request, job, since);
             }
@@ -226,10 +227,10 @@
     ) {
         match reply {
             Ok(StoreResponse::Committed { .. }) => {
-                let n = self.cache.get(&id).map_or(0, |k| k.mark.n);
+                let n = self.cache.get(&id).map_or(0, |k| k.mark.task_count);
                 let mark = JobStateRecord {
-                    s: RecordedState::Cancelled,
-                    n,
+                    state: RecordedState::Cancelled,
+                    task_count: n,
                 };
                 self.learn(&id, KnownJob::ended(mark));
                 log::info!("cancelled {id}");
@@ -240,7 +241,7 @@
             Ok(StoreResponse::Conflict { .. }) => {
                 self.look_for_mark(ctx, id, PendingRequest::Cancel { request, since });
             }
-            Err(_) if ctx.now.steady < since + CREATE_TIME => {
+            Err(_) if ctx.now.monotonic < since + CREATE_TIME => {
                 self.lookup(ctx, id, PendingRequest::Cancel { request, since });
             }
             _ => ctx.answer(request, Answer::later("the state is out of reach")),
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -70,7 +70,7 @@
     fn open(&mut self, waiter: Continuation, now: Timestamp) -> CallId {
         self.next += 1;
         let id = CallId(self.next);
-        let since = now.steady;
+        let since = now.monotonic;
         let waiting = Waiting {
             waiter,
             since,
@@ -127,7 +127,7 @@
 }
 
 impl Context<'_> {
-    pub fn state(&mut self, call: StoreRequest, waiter: Continuation) -> CallId {
+    pub fn store_request(&mut self, call: StoreRequest, waiter: Continuation) -> CallId {
         let timeout = state_timeout(&call);
         let id = self.calls.open(waiter, self.now);
         self.out.push(Output::Store { id, call, timeout });
@@ -136,27 +136,32 @@
 
     /// A call that a user waits for, and that does no harm when it is made twice: it is,
     /// if its answer is slow.
-    pub fn state_soon(&mut self, call: StoreRequest, waiter: Continuation) {
-        let id = self.state(call.clone(), waiter);
+    pub fn hedged_store_request(&mut self, call: StoreRequest, waiter: Continuation) {
+        let id = self.store_request(call.clone(), waiter);
         // The state service answers most within 10 ms and some in a few hundred: of two
         // answers one is rarely slow.
         let slow = crate::micros(self.config.tuning.again_s);
         if slow > 0 {
-            let due = self.now.steady + slow;
+            let due = self.now.monotonic + slow;
             self.calls.urgent.push_back((due, id, call));
         }
     }
 
     /// Makes calls whose answers are slow a second time.
-    pub fn hasten(&mut self) {
-        for (id, call) in self.calls.slow(self.config, self.now.steady) {
+    pub fn send_hedged_requests(&mut self) {
+        for (id, call) in self.calls.slow(self.config, self.now.monotonic) {
             let timeout = state_timeout(&call);
             self.out.push(Output::Store { id, call, timeout });
         }
     }
 
     /// The one door to the cloud: without a permit no call goes out.
-    pub fn cloud(&mut self, call: CloudRequest, permit: &CloudPermit, waiter: Continuation) {
+    pub fn cloud_request(
+        &mut self,
+        call: CloudRequest,
+        permit: &CloudPermit,
+        waiter: Continuation,
+    ) {
         if !permit.covers(&call) {
             log::error!("no permit for {call:?}");
             return;
@@ -166,11 +171,16 @@
             id,
             call,
             timeout: CLOUD_TIMEOUT,
-            within: permit.within(self.now.steady),
+            within: permit.within(self.now.monotonic),
         });
     }
 
-    pub fn orders(&mut self, addr: String, orders: CommandBatch, waiter: Continuation) -> CallId {
+    pub fn send_commands(
+        &mut self,
+        addr: String,
+        orders: CommandBatch,
+        waiter: Continuation,
+    ) -> CallId {
         let id = self.calls.open(waiter, self.now);
         self.out.push(Output::Commands {
             id,
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -14,7 +14,7 @@
 /// A rental that has no final answer yet.
 #[derive(Debug, Clone)]
 pub struct PendingScaleOut {
-    pub rent: ScaleOut,
+    pub request: ScaleOut,
     pub since: Micros,
     /// An earlier try may have been carried out: its name must be repeated
     /// until there is an answer.
@@ -24,7 +24,7 @@
 /// A machine that is to be deleted.
 #[derive(Debug, Clone, Copy)]
 struct PendingDeletion {
-    ground: DeletionReason,
+    reason: DeletionReason,
     /// An earlier try may be carried out any time.
     uncertain: bool,
 }
@@ -42,7 +42,7 @@
     deleting: Vec<Rc<str>>,
     /// Deletions and rentals take turns.
     deleted_last: bool,
-    pub rentals: VecDeque<PendingScaleOut>,
+    pub scale_outs: VecDeque<PendingScaleOut>,
     pub list_at: Micros,
     pub list_after: Option<String>,
     pub types_at: Micros,
@@ -69,7 +69,7 @@
             deletes: BTreeMap::new(),
             deleting: Vec::new(),
             deleted_last: false,
-            rentals: VecDeque::new(),
+            scale_outs: VecDeque::new(),
             list_at: now,
             list_after: None,
             types_at: now,
@@ -87,9 +87,12 @@
     /// Has a machine deleted; of several grounds the weightiest stands.
     pub fn delete(&mut self, name: Rc<str>, ground: DeletionReason) {
         let uncertain = false;
-        let new = PendingDeletion { ground, uncertain };
+        let new = PendingDeletion {
+            reason: ground,
+            uncertain,
+        };
         let deletion = self.deletes.entry(name).or_insert(new);
-        deletion.ground = deletion.ground.min(ground);
+        deletion.reason = deletion.reason.min(ground);
     }
 
     /// Machines that are to be deleted.
@@ -100,7 +103,7 @@
     /// Whether the machine is to be deleted for a cancelled task.
     pub fn urgent(&self, name: &str) -> bool {
         let deletion = self.deletes.get(name);
-        deletion.is_some_and(|d| d.ground == DeletionReason::Cancelled)
+        deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
 
     /// The machine that was to be deleted for its silence is heard: it stays, unless
@@ -109,7 +112,7 @@
         let Some(d) = self.deletes.get(name) else {
             return false;
         };
-        let stays = d.ground == DeletionReason::Silent
+        let stays = d.reason == DeletionReason::Silent
             && !d.uncertain
             && !self.deleting.iter().any(|n| **n == *name);
         if stays {
@@ -150,7 +153,7 @@
                 Failed => MAX_DELETE - names.len(),
                 _ => most.saturating_sub(names.len()),
             };
-            let of = self.deletes.iter().filter(|(_, d)| d.ground == ground);
+            let of = self.deletes.iter().filter(|(_, d)| d.reason == ground);
             names.extend(of.map(|(name, _)| name.clone()).take(room));
         }
         names
@@ -174,17 +177,17 @@
         let rent = permit(CloudAction::ScaleOut);
         if rent.is_none() {
             // By the time that there is a permit again another plan fits better.
-            self.rentals
+            self.scale_outs
                 .retain(|r| r.uncertain || now < r.since + STALE);
         }
-        let rent = rent.filter(|_| !self.rentals.is_empty());
+        let rent = rent.filter(|_| !self.scale_outs.is_empty());
         let mut delete = Vec::new();
         if !self.deletes.is_empty() && (rent.is_none() || !self.deleted_last) {
             let given = |ground| permit(CloudAction::Delete(ground)).is_some();
             delete = self.some(most.clamp(FEW, MAX_DELETE), given);
         }
         let grounds = delete.iter().filter_map(|n| self.deletes.get(n));
-        let heaviest = grounds.map(|d| d.ground).min();
+        let heaviest = grounds.map(|d| d.reason).min();
         let next = if let Some(ground) = heaviest {
             let names = delete.iter().map(|n| n.to_string()).collect();
             self.deleting = delete;
@@ -200,10 +203,10 @@
                 CloudRequest::Types,
                 permit(CloudAction::Look)?,
             )
-        } else if let Some((r, permit)) = self.rentals.front().zip(rent) {
+        } else if let Some((r, permit)) = self.scale_outs.front().zip(rent) {
             (
                 CloudRequestKind::ScaleOut,
-                CloudRequest::ScaleOut(r.rent.clone()),
+                CloudRequest::ScaleOut(r.request.clone()),
                 permit,
             )
         } else if now >= self.list_at {
@@ -224,10 +227,10 @@
 
     /// What an answer, or none, to a rental means for it.
     pub fn not_rented(&mut self, now: Micros, uncertain: bool) {
-        if let Some(r) = self.rentals.front_mut() {
+        if let Some(r) = self.scale_outs.front_mut() {
             r.uncertain |= uncertain;
             if !r.uncertain && now > r.since + STALE {
-                self.rentals.pop_front();
+                self.scale_outs.pop_front();
             }
         }
     }
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -159,9 +159,9 @@
     pub member: String,
     /// The zone that this controller is in.
     pub zone: String,
-    pub siblings: Vec<String>,
+    pub peers: Vec<String>,
     /// Those of them in other zones.
-    pub far_siblings: Vec<String>,
+    pub peers_in_other_zones: Vec<String>,
     pub teams: Vec<Team>,
     pub report: Micros,
     pub lease: Micros,
@@ -199,9 +199,9 @@
         Config {
             member: p.member.clone(),
             zone: p.zone.clone(),
-            siblings: p.siblings.iter().map(|s| s.member.clone()).collect(),
-            far_siblings: p
-                .siblings
+            peers: p.peers.iter().map(|s| s.member.clone()).collect(),
+            peers_in_other_zones: p
+                .peers
                 .iter()
                 .filter(|s| s.zone != p.zone)
                 .map(|s| s.member.clone())
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -132,7 +132,7 @@
     }
 
     pub fn tick(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         match self.phase {
             Phase::Reading { at } if now >= at => {
                 self.phase = Phase::Busy;
@@ -140,13 +140,13 @@
                     prefix: records::SHARED.into(),
                     after: None,
                 };
-                ctx.state(call, Continuation::Election(Step::Read));
+                ctx.store_request(call, Continuation::Election(Step::Read));
             }
             Phase::Waiting => self.consider(ctx),
             Phase::Leading { lease, .. } if now >= self.extend_at => {
                 self.extend_at = now + micros(ctx.config.tuning.lead_ttl_s) / 4;
                 let waiter = Continuation::Election(Step::Extend { lease });
-                ctx.state(StoreRequest::RenewLease { lease }, waiter);
+                ctx.store_request(StoreRequest::RenewLease { lease }, waiter);
             }
             _ => {}
         }
@@ -157,13 +157,13 @@
                 after: self.revision,
                 hold_ms: WATCH_MS,
             };
-            ctx.state(call, Continuation::Election(Step::Watch));
+            ctx.store_request(call, Continuation::Election(Step::Watch));
         }
     }
 
     /// Tries to be elected if nobody leads.
     fn consider(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         if self.lead.is_some() {
             self.vacant_since = None;
             return;
@@ -180,7 +180,7 @@
         }
         self.phase = Phase::Busy;
         let ttl_ms = lease_time(ctx.config, self.latency.recent(now)) / 1000;
-        ctx.state(
+        ctx.store_request(
             StoreRequest::GrantLease { ttl_ms },
             Continuation::Election(Step::NewLease),
         );
@@ -198,9 +198,9 @@
             return None;
         };
         log::info!("stepping down from term {term}: {why}");
-        self.abstain_until = ctx.now.steady + abstain;
+        self.abstain_until = ctx.now.monotonic + abstain;
         self.reread(ctx, RETRY);
-        ctx.state(
+        ctx.store_request(
             StoreRequest::RevokeLease { lease },
             Continuation::Election(Step::Drop),
         );
@@ -220,7 +220,7 @@
 
     fn reread(&mut self, ctx: &Context, pause: Micros) {
         self.phase = Phase::Reading {
-            at: ctx.now.steady + pause,
+            at: ctx.now.monotonic + pause,
         };
     }
 
@@ -259,7 +259,7 @@
                         let lease = lead.lease;
                         log::info!("ending this member's earlier lease {lease}");
                         self.phase = Phase::Busy;
-                        ctx.state(
+                        ctx.store_request(
                             StoreRequest::RevokeLease { lease },
                             Continuation::Election(Step::EndOwn),
                         );
@@ -291,7 +291,7 @@
                     .put_leased(records::LEAD, &lead, lease);
                 self.taking = Some(lease);
                 let since = sent;
-                ctx.state(
+                ctx.store_request(
                     StoreRequest::Transaction(txn),
                     Continuation::Election(Step::Take { lease, term, since }),
                 );
@@ -311,7 +311,7 @@
                     lease,
                     term,
                 });
-                self.extend_at = ctx.now.steady + micros(ctx.config.tuning.lead_ttl_s) / 4;
+                self.extend_at = ctx.now.monotonic + micros(ctx.config.tuning.lead_ttl_s) / 4;
                 log::info!("leading in term {term}");
                 Some(LeadershipChange::Elected {
                     term,
@@ -322,7 +322,7 @@
                 // Lost the race, or unknown: a lease that is let go settles
                 // it, since the key cannot be set with an ended lease.
                 log::info!("not elected: {reply:?}");
-                ctx.state(
+                ctx.store_request(
                     StoreRequest::RevokeLease { lease },
                     Continuation::Election(Step::Drop),
                 );
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -44,7 +44,7 @@
                 ..HeardEstimates::default()
             };
         }
-        self.clock = learned.clock;
+        self.clock = learned.virtual_time;
         if !learned.classes.is_empty() {
             self.classes = learned.classes;
         }
@@ -85,7 +85,7 @@
     /// What was learned of a job, with its credit as of when the leader was last heard.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut job = self.jobs.remove(id)?;
-        if std::mem::take(&mut job.ages) {
+        if std::mem::take(&mut job.is_ageing) {
             job.credit += self.clock;
         }
         let sane = job.size > 0.0 && job.initial_size > 0.0 && job.credit >= 0.0;
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -20,8 +20,8 @@
     pub fn open(job: &OpenJob, row: &KeyValue) -> KnownJob {
         KnownJob {
             mark: JobStateRecord {
-                s: RecordedState::Open,
-                n: job.spec.tasks,
+                state: RecordedState::Open,
+                task_count: job.spec.tasks,
             },
             version: job.mark_version(row.version),
             service: job.spec.kind == JobKind::Service,
@@ -70,13 +70,13 @@
     /// How the job ended, if that was seen.
     pub fn end(&self, id: &str) -> Option<KnownJob> {
         self.get(id)
-            .filter(|known| known.mark.s != RecordedState::Open)
+            .filter(|known| known.mark.state != RecordedState::Open)
     }
 
     pub fn put(&mut self, id: &str, known: KnownJob) {
         if let Some(old) = self.jobs.get_mut(id) {
             // An ended job stays ended, whatever a late answer says.
-            if old.mark.s == RecordedState::Open {
+            if old.mark.state == RecordedState::Open {
                 *old = known;
             }
             return;
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -12,33 +12,33 @@
 
 impl Leader {
     pub(super) fn tend_fleet(&mut self, ctx: &Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let cut_off = self.cut_off();
         self.drop_silent(ctx, &cut_off);
         if self.may(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.return_idle(ctx);
         }
         let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
-        self.gone.retain(|_, at| *at > keep);
+        self.removed_machines.retain(|_, at| *at > keep);
         let Some(types) = self.types.clone() else {
             return;
         };
         // Right after the start the machines are still becoming known.
         if now < self.ready_since + 2 * SECOND
-            || !self.fresh(ctx)
+            || !self.has_recent_read(ctx)
             || !self.may(ctx, CloudAction::ScaleOut)
         {
             return;
         }
         let (booting, slow) = self.booting(&types, now);
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
-            if self.dark.insert(m.zone.clone(), now).is_none() {
+            if self.partitioned_zones.insert(m.zone.clone(), now).is_none() {
                 log::info!("zone {} has fallen silent", m.zone);
             }
         }
-        self.dark.retain(|_, at| now < *at + DARK);
+        self.partitioned_zones.retain(|_, at| now < *at + DARK);
         // What is asked for is answered first: refusals change the plan.
-        if !self.cloud_queue.rentals.is_empty() {
+        if !self.cloud_queue.scale_outs.is_empty() {
             return;
         }
         let mut teams = self.derived.sums.team_views(ctx.config);
@@ -51,7 +51,7 @@
         }
         let ahead = self.ahead(ctx.config);
         // With nothing waiting and no room wanted ahead there is nothing to plan.
-        if self.derived.line.is_empty() && lost.is_empty() && ahead <= 0.0 {
+        if self.derived.job_queue.is_empty() && lost.is_empty() && ahead <= 0.0 {
             return;
         }
         let mut floor = CapacityIndex::without_images();
@@ -68,7 +68,7 @@
         let market = PlanInputs {
             types: &types,
             refusals: &self.refusals,
-            dark: self.dark.keys().cloned().collect(),
+            dark: self.partitioned_zones.keys().cloned().collect(),
             slow,
             there,
             lent: self.derived.sums.lent_cpus(),
@@ -91,8 +91,8 @@
         for ((machine_type, zone, spot), count) in wanted {
             let request = self.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
-            self.cloud_queue.rentals.push_back(PendingScaleOut {
-                rent: ScaleOut {
+            self.cloud_queue.scale_outs.push_back(PendingScaleOut {
+                request: ScaleOut {
                     request,
                     machine_type,
                     zone,
@@ -129,7 +129,7 @@
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
-        let waiting = self.derived.line.all(self.clock);
+        let waiting = self.derived.job_queue.all(self.virtual_time);
         let waiting = waiting.filter(|place| !lost.contains_key(place));
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
@@ -142,7 +142,7 @@
                 view.waiting += n;
                 view.zones = self.zones(job, cut_off);
             }
-            view.late = served.late(self, ctx, job, view.waiting);
+            view.at_risk_tasks = served.late(self, ctx, job, view.waiting);
             Some((view, &job.shape))
         })
     }
@@ -150,7 +150,7 @@
     /// Machines with the room that will be free by the time that a rented one
     /// could be up: renting for what fits there would gain nothing.
     fn freeing(&self, ctx: &Context, cut_off: &BTreeSet<Rc<str>>) -> Vec<MachineView> {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let horizon =
             (self.soonest_boot() + ctx.config.tuning.fetch_s) * ctx.config.tuning.patience;
         // A number for each job instead of a look-up for each of its tasks.
@@ -162,8 +162,9 @@
         let mut views = Vec::new();
         // Room behind a report that got lost is about to be there again.
         let lease = ctx.config.lease;
-        let there =
-            |m: &&Machine| m.open(now) && !m.out_of_touch(now, lease) && !cut_off.contains(&m.name);
+        let there = |m: &&Machine| {
+            m.accepts_tasks(now) && !m.unreachable_for(now, lease) && !cut_off.contains(&m.name)
+        };
         for m in self.machines.values().filter(there) {
             let Some(total) = self.total(&m.machine_type) else {
                 continue;
@@ -177,7 +178,7 @@
                 // What has run longer than thought may run on as long again.
                 let left = (run - elapsed).max(elapsed * 0.2);
                 if left <= horizon {
-                    free.add(&slot.room);
+                    free.add(&slot.resources);
                 }
             }
             if free.cpus > 1e-6 {
@@ -191,7 +192,7 @@
     /// what was on them is gone. Those of zones that are `cut` off have rules of
     /// their own.
     fn drop_silent(&mut self, ctx: &Context, cut: &BTreeSet<Rc<str>>) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let silence = (ctx.config.lease * 4 / 10).max(2 * ctx.config.report + SECOND);
         let up: usize = self.derived.sums.up.values().sum();
         // Many at once look like a cut or a stall that may heal before leases
@@ -204,7 +205,8 @@
         // sooner once cost a third of all replicas the time that others took
         // to boot (rough, brunnmatt-books-grown).
         let mut elsewhere = self.elsewhere(cut);
-        let may = self.entitled(ctx) && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
+        let may = self.may_answer_heartbeats(ctx)
+            && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
         let doubts = self.doubts(ctx.config);
         let types = self.types.clone();
         let types = types.as_deref().map_or(&[][..], Vec::as_slice);
@@ -219,7 +221,7 @@
             let quiet = now.saturating_sub(m.heard_at);
             // One report that got lost costs a worker up to 5 s. Whether the
             // machine is there shows sooner when it is asked.
-            if m.ready && quiet > missing && !m.wants_push {
+            if m.ready && quiet > missing && !m.needs_command {
                 probed.push(place);
             }
             let limit = if !m.up {
@@ -246,7 +248,8 @@
                 && quiet >= limit
                 && !elsewhere.takes(m);
             let doubted = doubts && quiet < ctx.config.lease * CUT_LEASES;
-            let taken = m.gone_by.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
+            let taken =
+                m.interrupted_at.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
             // Whom only the leader before found silent has time to report first.
             let asked = !m.up || m.ready || now >= self.ready_since + missing;
             if may && ((quiet >= limit && asked && !waits && !doubted) || taken) {
@@ -257,17 +260,17 @@
         for place in probed {
             if let Some(m) = self.machines.quiet(place) {
                 m.probe = true;
-                m.wants_push = true;
+                m.needs_command = true;
                 self.command_dispatch.plain(m.name.clone());
             }
         }
         for name in dropped {
-            self.let_go(&name, DeletionReason::Silent);
+            self.delete_machine(&name, DeletionReason::Silent);
         }
     }
 
     pub(super) fn return_idle(&mut self, ctx: &Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let idle = micros(ctx.config.tuning.idle_s);
         // What the reserve needs stays: it would be rented again at once.
         let reserve = self.ahead(ctx.config);
@@ -292,12 +295,12 @@
             let empty = now.saturating_sub(m.empty_since);
             // A machine costs a minute at least, so it may as well wait for it.
             let minute = now >= m.known_since + 55 * SECOND;
-            let tired = m.condemned || m.gone_by.is_some();
+            let tired = m.cordoned || m.interrupted_at.is_some();
             if !tired && empty >= idle && minute && !m.spot && reserve > 0.0 {
                 let machine_cpus = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
                 let free = spare
                     .entry(m.zone.clone())
-                    .or_insert_with(|| self.derived.floor.ordinary(&m.zone));
+                    .or_insert_with(|| self.derived.capacity.ordinary(&m.zone));
                 if *free - machine_cpus + 1e-6 < reserve {
                     continue;
                 }
@@ -309,18 +312,19 @@
             }
         }
         for name in returned {
-            self.let_go(&name, DeletionReason::Returned);
+            self.delete_machine(&name, DeletionReason::Returned);
         }
     }
 
     /// A machine is gone for sure.
     pub(super) fn machine_gone(&mut self, ctx: &Context, name: &str, why: &'static str) {
-        self.gone.insert(name.to_string(), ctx.now.steady);
+        self.removed_machines
+            .insert(name.to_string(), ctx.now.monotonic);
         let Some(mut m) = self.machines.remove(name) else {
             return;
         };
         log::info!("{name} is gone: {why}");
-        for event in m.drain(why) {
+        for event in m.take_lost_tasks(why) {
             self.slot_event(ctx, name, event);
         }
         if m.recorded {
@@ -335,7 +339,7 @@
         errand: CloudRequestKind,
         reply: Result<CloudResponse, CallError>,
     ) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         self.cloud_queue.busy = false;
         match (errand, reply) {
             (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
@@ -344,16 +348,16 @@
                 }
             }
             (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
-                if let Some(r) = self.cloud_queue.rentals.pop_front() {
-                    self.rented(ctx, &r.rent, &names);
+                if let Some(r) = self.cloud_queue.scale_outs.pop_front() {
+                    self.rented(ctx, &r.request, &names);
                 }
             }
             (
                 CloudRequestKind::ScaleOut,
                 Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
             ) => {
-                if let Some(r) = self.cloud_queue.rentals.pop_front() {
-                    self.refused(ctx, &r.rent, 0);
+                if let Some(r) = self.cloud_queue.scale_outs.pop_front() {
+                    self.refused(ctx, &r.request, 0);
                 }
             }
             (CloudRequestKind::ScaleOut, other) => {
@@ -402,11 +406,11 @@
             self.types_stored = false;
             self.write_queue.push(PendingWrite::Types);
         }
-        self.notes.push(LeaderEvent::Types(types));
+        self.events.push(LeaderEvent::Types(types));
     }
 
     pub(super) fn rented(&mut self, ctx: &Context, rent: &ScaleOut, names: &[String]) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         log::info!(
             "rented {}: {} of {}: {}",
             rent.request,
@@ -415,7 +419,7 @@
             names.join(" ")
         );
         for name in names {
-            if self.gone.contains_key(name) {
+            if self.removed_machines.contains_key(name) {
                 continue;
             }
             if !self.machines.contains_key(name) {
@@ -441,20 +445,20 @@
             rent.count
         );
         let offer = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
-        let until = ctx.now.steady + micros(ctx.config.tuning.refused_pause_s);
+        let until = ctx.now.monotonic + micros(ctx.config.tuning.refused_pause_s);
         self.refusals.refuse(offer, until);
         // Look for another offer at once.
-        self.fleet_at = ctx.now.steady;
+        self.next_fleet_check_at = ctx.now.monotonic;
     }
 
     pub(super) fn listed(&mut self, ctx: &Context, list: MachineList) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let last = list.machines.last().map(|m| m.name.clone());
         for l in list.machines {
-            if self.gone.contains_key(&l.name) {
+            if self.removed_machines.contains_key(&l.name) {
                 continue;
             }
-            if l.condition == InstanceState::Failed {
+            if l.state == InstanceState::Failed {
                 self.machine_gone(ctx, &l.name, "listed as failed");
                 self.cloud_queue
                     .delete(Rc::from(l.name), DeletionReason::Failed);
@@ -463,7 +467,7 @@
             if !self.machines.contains_key(&l.name) {
                 log::info!("{}: a machine not known before is listed", l.name);
                 let mut m = Machine::new(&l.name, &l.machine_type, &l.zone, l.spot, now);
-                m.expected = l.condition == InstanceState::Booting;
+                m.expected = l.state == InstanceState::Booting;
                 self.machines.insert(m.name.clone(), m);
             }
             let Some(m) = self.machines.get_mut(&l.name) else {
@@ -472,7 +476,7 @@
             if m.machine_type.is_empty() {
                 m.describe(&l.machine_type, &l.zone, l.spot);
             }
-            if !m.up && l.condition == InstanceState::Booting {
+            if !m.up && l.state == InstanceState::Booting {
                 // Leaders change; how long it has been booting does not. A
                 // machine that never comes up is paid for until it is deleted.
                 let age = micros(l.age_s).min(now);
@@ -481,10 +485,10 @@
             }
             if m.addr.is_none()
                 && let Some(addr) = l.addr.filter(|a| !a.is_empty())
-                && l.condition == InstanceState::Running
+                && l.state == InstanceState::Running
             {
                 m.addr = Some(addr);
-                m.wants_push = true;
+                m.needs_command = true;
                 self.command_dispatch.plain(m.name.clone());
             }
         }
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -80,9 +80,9 @@
 }
 
 impl Leader {
-    pub(super) fn push_orders(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
-        if !self.entitled(ctx) {
+    pub(super) fn send_commands(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        if !self.may_answer_heartbeats(ctx) {
             return;
         }
         while let Some(name) = self.command_dispatch.next(now) {
@@ -90,11 +90,11 @@
                 continue;
             };
             // One at a time: when the one under way ends, it is looked at again.
-            if !m.wants_push || m.push.is_some() || m.addr.is_none() {
+            if !m.needs_command || m.commands_in_flight.is_some() || m.addr.is_none() {
                 continue;
             }
-            if now < m.push_after {
-                self.command_dispatch.later(m.push_after, name, true);
+            if now < m.next_command_at {
+                self.command_dispatch.later(m.next_command_at, name, true);
                 continue;
             }
             let commands = if m.ready {
@@ -110,32 +110,32 @@
             let Some(m) = place.and_then(|place| self.machines.quiet(place)) else {
                 continue;
             };
-            m.wants_push = false;
+            m.needs_command = false;
             let probe = std::mem::take(&mut m.probe);
             if m.ready && commands.is_empty() && !probe {
                 continue;
             }
             let orders = CommandBatch {
-                token: self.term,
-                session: m.session,
+                fencing_token: self.term,
+                incarnation: m.incarnation,
                 commands,
             };
             let addr = m.addr.clone().unwrap_or_default();
             let sent = orders.commands.clone();
-            let id = ctx.orders(addr, orders, waiter);
-            m.pushed(id, &sent);
+            let id = ctx.send_commands(addr, orders, waiter);
+            m.commands_sent(id, &sent);
             self.command_dispatch.sent();
         }
     }
 
-    pub fn orders_reply(
+    pub fn commands_reply(
         &mut self,
         ctx: &mut Context,
         id: CallId,
         machine: &str,
         reply: Result<(u16, Vec<u8>), CallError>,
     ) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         self.command_dispatch.ended();
         let report = match &reply {
             Ok((200 | 409, body)) => match dillcleat_wire::decode::<Heartbeat>(body) {
@@ -158,36 +158,38 @@
             Ok((200, _)) => report.is_none(),
             _ => true,
         };
-        m.push_ended(id, unanswered);
+        m.commands_finished(id, unanswered);
         // One that does not answer does not take the turns of those that do.
         let answers = report.is_some();
         if answers {
-            m.unheard_since = None;
+            m.unresponsive_since = None;
         } else {
-            m.unheard_since.get_or_insert(now);
+            m.unresponsive_since.get_or_insert(now);
         }
         match report {
-            Some(r) if r.token > self.term => self.notes.push(LeaderEvent::Higher(r.token)),
+            Some(r) if r.fencing_token > self.term => {
+                self.events.push(LeaderEvent::Higher(r.fencing_token))
+            }
             Some(r) => {
                 let was_ready = m.ready;
-                self.take_report(ctx, &r, HeartbeatSource::Orders);
+                self.apply_heartbeat(ctx, &r, HeartbeatSource::Orders);
                 if let Some(m) = self.machines.get_mut(machine)
                     && !m.ready
                     && !was_ready
                 {
                     // Another session than thought: once more with the right one.
-                    m.wants_push = true;
-                    m.push_after = now + RETRY;
+                    m.needs_command = true;
+                    m.next_command_at = now + RETRY;
                 }
             }
             None => {
-                m.wants_push = true;
-                m.push_after = now + SECOND;
+                m.needs_command = true;
+                m.next_command_at = now + SECOND;
             }
         }
         // Also what came to be wanted while this was under way.
-        if let Some(m) = self.machines.get(machine).filter(|m| m.wants_push) {
-            let at = m.push_after.max(now);
+        if let Some(m) = self.machines.get(machine).filter(|m| m.needs_command) {
+            let at = m.next_command_at.max(now);
             self.command_dispatch.later(at, m.name.clone(), answers);
         }
     }
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -54,7 +54,7 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let awaits = job.spec.awaits.clone();
+        let awaits = job.spec.depends_on.clone();
         let mut cancelled = false;
         for name in awaits {
             let known = self.jobs.name(&name).cloned();
@@ -75,7 +75,7 @@
         if self.dependency_graph.waits(id)
             && let Some(job) = self.jobs.get_mut(id)
         {
-            job.held = true;
+            job.blocked_on_dependencies = true;
         }
         if cancelled {
             self.write_queue.push(PendingWrite::Cancel(id.clone()));
@@ -101,11 +101,11 @@
     /// Reads marks of dependencies that are not open here.
     pub(super) fn look_for_proofs(&mut self, ctx: &mut Context) {
         let per_s = ctx.config.state_rps * PROOFS_PART;
-        while let Some(id) = self.dependency_proofs.next(ctx.now.steady, per_s) {
+        while let Some(id) = self.dependency_proofs.next(ctx.now.monotonic, per_s) {
             if self.dependency_graph.needed(&id) || self.is_orphan(&id) {
                 let key = records::job_key(&id);
                 let waiter = self.waiter(Step::Dependency { id });
-                ctx.state(StoreRequest::Get { key }, waiter);
+                ctx.store_request(StoreRequest::Get { key }, waiter);
             } else {
                 self.dependency_proofs.under_way -= 1;
             }
@@ -121,7 +121,7 @@
     ) {
         self.dependency_proofs.under_way -= 1;
         let mark = match &reply {
-            Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>().map(|m| m.s),
+            Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>().map(|m| m.state),
             _ => None,
         };
         match mark {
@@ -147,7 +147,7 @@
                     };
                     self.dependency_proofs
                         .wanted
-                        .insert(id, ctx.now.steady + pause);
+                        .insert(id, ctx.now.monotonic + pause);
                 }
             }
         }
@@ -160,10 +160,10 @@
                 continue;
             };
             log::info!("{ready}: ready, all that it waited for is done");
-            job.held = false;
+            job.blocked_on_dependencies = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
-            self.service_came |= job.spec.kind == JobKind::Service;
-            self.pass_at = ctx.now.steady;
+            self.service_submitted |= job.spec.kind == JobKind::Service;
+            self.schedule_at = ctx.now.monotonic;
         }
     }
 
@@ -180,15 +180,15 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.cancelled.get_or_insert(ctx.now.steady);
+        job.cancelled.get_or_insert(ctx.now.monotonic);
         job.stopped = true;
         let n = job.spec.tasks;
         let placed = job.placed();
         let mark = JobStateRecord {
-            s: RecordedState::Cancelled,
-            n,
+            state: RecordedState::Cancelled,
+            task_count: n,
         };
-        self.notes.push(LeaderEvent::Ended(id.to_string(), mark));
+        self.events.push(LeaderEvent::Ended(id.to_string(), mark));
         if placed > 0 {
             // It waits, and yet something of it was started: by a version that knows
             // of no waiting.
@@ -294,8 +294,9 @@
     pub(super) fn audit_waits(&self) -> bool {
         let edges = self.jobs.iter().all(|(id, job)| {
             let waits = self.dependency_graph.waits(id);
-            let named = |d: &Rc<str>| job.spec.awaits.iter().any(|a| **a == **d);
-            (job.stopped || job.held == waits) && self.dependency_graph.dependencies(id).all(named)
+            let named = |d: &Rc<str>| job.spec.depends_on.iter().any(|a| **a == **d);
+            (job.stopped || job.blocked_on_dependencies == waits)
+                && self.dependency_graph.dependencies(id).all(named)
         });
         let known = self.dependency_graph.awaited().all(|id| {
             let open = self.jobs.contains_key(id);
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -181,8 +181,8 @@
 
 #[derive(Debug)]
 pub(super) struct DerivedState {
-    pub line: JobQueue,
-    pub floor: CapacityIndex,
+    pub job_queue: JobQueue,
+    pub capacity: CapacityIndex,
     pub sums: Sums,
     jobs: Vec<Option<JobPart>>,
     machines: Vec<Option<MachinePart>>,
@@ -231,8 +231,8 @@
 impl DerivedState {
     pub fn new(config: &Config) -> DerivedState {
         DerivedState {
-            line: JobQueue::default(),
-            floor: CapacityIndex::new(),
+            job_queue: JobQueue::default(),
+            capacity: CapacityIndex::new(),
             sums: Sums::new(config),
             jobs: Vec::new(),
             machines: Vec::new(),
@@ -394,7 +394,7 @@
 impl Leader {
     /// Brings the index up to date with what was touched and what is due.
     pub(super) fn refresh(&mut self, ctx: &Context) {
-        while let Some(due) = self.derived.next_due(ctx.now.steady) {
+        while let Some(due) = self.derived.next_due(ctx.now.monotonic) {
             match due {
                 Due::Job(place) => self.jobs.mark(place),
                 Due::Machine(place) => self.machines.mark(place),
@@ -403,7 +403,7 @@
         for place in self.jobs.take_marked() {
             self.refresh_job(ctx, place);
         }
-        while let Some(place) = self.derived.line.aged(self.clock) {
+        while let Some(place) = self.derived.job_queue.aged(self.virtual_time) {
             self.refresh_job(ctx, place);
         }
         for place in self.machines.take_marked() {
@@ -422,11 +422,18 @@
         self.machines.mark_all();
         self.refresh(ctx);
         let new = &self.derived;
-        let line = |i: &DerivedState| i.line.all(self.clock).collect::<Vec<_>>();
+        let line = |i: &DerivedState| i.job_queue.all(self.virtual_time).collect::<Vec<_>>();
         let mut places = 0..self.machines.places();
         // Of machines without room nobody asks which images they hold.
-        let warm = |m: &MachineView| if m.free.cpus > 0.0 { m.warm } else { 0 };
-        let view = |i: &DerivedState, place| i.floor.view(place).map(|m| (m.free, warm(m), m.spot));
+        let warm = |m: &MachineView| {
+            if m.free.cpus > 0.0 {
+                m.service_images
+            } else {
+                0
+            }
+        };
+        let view =
+            |i: &DerivedState, place| i.capacity.view(place).map(|m| (m.free, warm(m), m.spot));
         [
             ("who waits for whom", self.audit_waits()),
             ("sums", old.sums == new.sums),
@@ -450,7 +457,7 @@
     /// again, once a second: at every task's end it would be a walk over all of
     /// them each time.
     pub(super) fn mark_guessed(&mut self) {
-        if std::mem::take(&mut self.guesses_changed) {
+        if std::mem::take(&mut self.run_time_estimates_changed) {
             for place in &self.derived.guessed {
                 self.jobs.mark(place);
             }
@@ -459,7 +466,7 @@
 
     fn refresh_job(&mut self, ctx: &Context, place: SlabIndex) {
         if let Some(job) = self.jobs.quiet(place) {
-            job.pace(self.clock);
+            job.pace(self.virtual_time);
             job.hunger(ctx);
         }
         let (part, standing, due) = match self.jobs.at(place) {
@@ -469,7 +476,7 @@
                 // well; left out, it once stood by an old guess (seed 2291 as Jobs).
                 let guessed = standing
                     .as_ref()
-                    .is_some_and(|s| s.pace != AgeingState::Ageing)
+                    .is_some_and(|s| s.ageing != AgeingState::Ageing)
                     && job.samples.is_empty()
                     && job.spec.kind == JobKind::Batch;
                 let part = job.part(ctx.config, guessed);
@@ -477,9 +484,9 @@
             }
             None => (None, None, None),
         };
-        self.derived.line.set(place, standing);
+        self.derived.job_queue.set(place, standing);
         for image in self.derived.set_job(place, part) {
-            for machine in self.derived.floor.holders(&image) {
+            for machine in self.derived.capacity.holders(&image) {
                 self.machines.mark(machine);
             }
         }
@@ -490,9 +497,9 @@
 
     /// Where a job stands that waits and may be served.
     fn standing(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let waits = job.cancelled.is_none()
-            && !job.held
+            && !job.blocked_on_dependencies
             && job.team < ctx.config.teams.len()
             && job.placeable() > 0
             && now >= job.blocked_until
@@ -503,7 +510,7 @@
             return None;
         }
         let (pace, size) = match job.ageing_since {
-            Some(_) if job.aged_at() <= self.clock => (AgeingState::Aged, 0.0),
+            Some(_) if job.aged_at() <= self.virtual_time => (AgeingState::Aged, 0.0),
             Some(_) => (AgeingState::Ageing, job.aged_at()),
             None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
         };
@@ -527,8 +534,8 @@
         };
         Some(QueueEntry {
             team: job.team,
-            shape: job.shape.clone(),
-            pace,
+            request: job.shape.clone(),
+            ageing: pace,
             rank: rank(true, size, remaining),
             training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
         })
@@ -536,7 +543,7 @@
 
     /// When a job's standing changes by time alone.
     fn job_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         // As the time of day has it.
         let useless = Self::of_use_until(ctx.config, job)
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
@@ -553,7 +560,7 @@
     }
 
     fn refresh_machine(&mut self, ctx: &Context, place: SlabIndex) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let missing = Self::missing(ctx.config);
         let (part, view, due) = match self.machines.at(place) {
             Some((_, m)) => {
@@ -562,12 +569,12 @@
                 // A launch to a machine that is gone, behind a cut or deaf would hold
                 // its task until there is proof that it did not arrive; at one that is
                 // mute it may end with the lease.
-                let there = m.usable(now) && m.hears(now, missing);
+                let there = m.accepts_tasks_as_last_resort(now) && m.is_reachable(now, missing);
                 let view = total.filter(|_| there).map(|total| {
                     let mut view = Self::view_with(m, m.free(total));
-                    view.mute = !m.in_touch(now, missing);
+                    view.outbound_unreachable = !m.is_reachable_both_ways(now, missing);
                     if !m.spot {
-                        view.warm = self.warm(m);
+                        view.service_images = self.warm(m);
                     }
                     view
                 });
@@ -579,7 +586,7 @@
             None => (None, None, None),
         };
         self.derived.set_machine(place, part);
-        self.derived.floor.set(place, view);
+        self.derived.capacity.set(place, view);
         if let Some(at) = due {
             self.derived.remind(at, Due::Machine(place));
         }
@@ -601,7 +608,7 @@
         up,
         silent: up && now >= m.heard_at + missing,
         booting,
-        noticed: m.gone_by.is_some() && !m.leaving,
+        noticed: m.interrupted_at.is_some() && !m.leaving,
         empty: m.slots.is_empty() && m.ready && !m.leaving,
         lends: m.slots.values().any(|s| !s.service).then_some(m.spot),
         recorded: m.recorded && !m.leaving,
@@ -610,8 +617,8 @@
         lent: m
             .slots
             .values()
-            .filter(|s| s.of_reserve)
-            .map(|s| to_millionths(s.room.cpus))
+            .filter(|s| s.uses_service_headroom)
+            .map(|s| to_millionths(s.resources.cpus))
             .sum(),
     }
 }
@@ -621,7 +628,7 @@
     fn pace(&mut self, clock: f64) {
         let ages = self.spec.kind == JobKind::Batch
             && self.cancelled.is_none()
-            && !self.held
+            && !self.blocked_on_dependencies
             && !self.ending
             && !self.record.doubtful();
         match (ages, self.ageing_since) {
@@ -637,8 +644,9 @@
     /// Notes since when the job waits, and whether it is starving. A pause after an
     /// error is a part of its wait.
     fn hunger(&mut self, ctx: &Context) {
-        let waits = self.cancelled.is_none() && !self.held && self.placeable() > 0;
-        let now = ctx.now.steady;
+        let waits =
+            self.cancelled.is_none() && !self.blocked_on_dependencies && self.placeable() > 0;
+        let now = ctx.now.monotonic;
         self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
@@ -666,7 +674,7 @@
         } else {
             placed.min(i64::from(config.tuning.training_tasks)) * cpus
         };
-        let serving = service && self.cancelled.is_none() && !self.held;
+        let serving = service && self.cancelled.is_none() && !self.blocked_on_dependencies;
         let mut waits = config.waits.iter();
         let wait = waits.position(|(class, _)| *class == self.spec.class);
         JobPart {
@@ -682,12 +690,14 @@
                 0
             },
             image: serving.then(|| self.image.clone()),
-            reserve: wait.filter(|_| service && !self.held).map(|wait| {
-                // A zone takes up to half of a spread service.
-                let share = self.spec.tasks.div_ceil(2);
-                let replicas = config.tuning.reserve_replicas.max(share);
-                (wait, i64::from(replicas).saturating_mul(cpus))
-            }),
+            reserve: wait
+                .filter(|_| service && !self.blocked_on_dependencies)
+                .map(|wait| {
+                    // A zone takes up to half of a spread service.
+                    let share = self.spec.tasks.div_ceil(2);
+                    let replicas = config.tuning.reserve_replicas.max(share);
+                    (wait, i64::from(replicas).saturating_mul(cpus))
+                }),
             cancelled: self.cancelled.is_some(),
             guessed,
             unshown: (self.done, self.running.len() as u32) != self.shown,
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -21,7 +21,7 @@
         }
         let mut jobs = Vec::new();
         while jobs.len() < MAX_JOB_ESTIMATES
-            && let Some(place) = self.taught.pop_first()
+            && let Some(place) = self.unreplicated_estimates.pop_first()
         {
             jobs.extend(self.learned_of(place));
         }
@@ -31,8 +31,8 @@
             if jobs.len() >= MAX_JOB_ESTIMATES || told >= IN_TURN {
                 break;
             }
-            self.told_next = (self.told_next + 1) % all;
-            let learned = self.learned_of(self.told_next);
+            self.next_replicated = (self.next_replicated + 1) % all;
+            let learned = self.learned_of(self.next_replicated);
             told += usize::from(learned.is_some());
             jobs.extend(learned);
         }
@@ -46,10 +46,10 @@
     }
 
     fn told(&self, jobs: Vec<JobEstimate>) -> Estimates {
-        let classes = self.guesses.iter().take(MAX_CLASSES);
+        let classes = self.run_time_estimates.iter().take(MAX_CLASSES);
         Estimates {
             term: self.term,
-            clock: self.clock,
+            virtual_time: self.virtual_time,
             classes: classes.map(|(class, s)| (class.clone(), *s)).collect(),
             jobs,
         }
@@ -66,7 +66,7 @@
             initial_size: job.initial_size,
             size: job.size,
             credit: job.credit - job.ageing_since.unwrap_or(0.0),
-            ages: job.ageing_since.is_some(),
+            is_ageing: job.ageing_since.is_some(),
             trained: job.trained,
             samples: samples.copied().collect(),
         })
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -25,7 +25,7 @@
             up: m.up,
             ready: m.ready,
             recorded: m.recorded,
-            noticed: m.gone_by.is_some(),
+            noticed: m.interrupted_at.is_some(),
             strays: !m.strays.is_empty(),
         }
     }
@@ -36,61 +36,63 @@
     /// lease from the sending of its report. A cancellation that this leader has not read
     /// of was confirmed after its last read; for want of answers in time the leases then
     /// end what it cancels, whatever else is out of reach.
-    pub(super) fn entitled(&self, ctx: &Context) -> bool {
-        self.read_within(ctx, ctx.config.blind_limit())
+    pub(super) fn may_answer_heartbeats(&self, ctx: &Context) -> bool {
+        self.last_read_within(ctx, ctx.config.blind_limit())
     }
 
     /// Whether the last read of the cancellations was sent so short a time ago.
-    fn read_within(&self, ctx: &Context, time: Micros) -> bool {
+    fn last_read_within(&self, ctx: &Context, time: Micros) -> bool {
         self.last_consistent_read
-            .is_some_and(|at| ctx.now.steady < at + time)
+            .is_some_and(|at| ctx.now.monotonic < at + time)
     }
 
     /// Whether a cancelled task may have been on the machine for so long that its lease
     /// is to run out. Its stop may not arrive, its launch may be held up on the way, its
     /// deletion may have no proof of the lead or find the cloud out: time alone ends it.
-    fn expires(&self, ctx: &Context, m: &Machine) -> bool {
+    fn lease_must_expire(&self, ctx: &Context, m: &Machine) -> bool {
         let held = m.slots.iter().filter(|(_, s)| s.cancelled && s.stored);
         let jobs = held.filter_map(|((id, _), _)| self.jobs.get(id));
         let since = jobs.filter_map(|job| job.cancelled);
         let since = since.chain(self.orphan_cancelled_on(m)).min();
-        since.is_some_and(|at| ctx.now.steady >= at + ctx.config.blind_limit())
+        since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
     }
 
-    pub fn checkin(&mut self, ctx: &mut Context, report: &Heartbeat) -> Answer {
-        if report.token > self.term {
-            self.notes.push(LeaderEvent::Higher(report.token));
+    pub fn heartbeat(&mut self, ctx: &mut Context, report: &Heartbeat) -> Answer {
+        if report.fencing_token > self.term {
+            self.events.push(LeaderEvent::Higher(report.fencing_token));
             return Answer::refusal(421, "a later term has begun");
         }
-        if !self.entitled(ctx) {
+        if !self.may_answer_heartbeats(ctx) {
             return Answer::later("the state is out of reach");
         }
         let mut answer = HeartbeatReply {
-            token: self.term,
+            fencing_token: self.term,
             commands: Vec::new(),
         };
         // A report of a machine that is gone was held up on its way.
-        if self.stage == RecoveryStage::Ready && !self.gone.contains_key(&report.machine) {
+        if self.stage == RecoveryStage::Ready
+            && !self.removed_machines.contains_key(&report.machine)
+        {
             let last = self.machines.get(report.machine.as_str());
-            let last = last.filter(|m| m.up).map(|m| (m.session, m.seq));
+            let last = last.filter(|m| m.up).map(|m| (m.incarnation, m.sequence));
             // A copy of the latest report has been answered: nobody waits for this answer,
             // and what it launched would wait for the next report.
-            let copy = last == Some((report.session, report.seq));
-            self.take_report(ctx, report, HeartbeatSource::Checkin);
+            let copy = last == Some((report.incarnation, report.sequence));
+            self.apply_heartbeat(ctx, report, HeartbeatSource::Checkin);
             if let Some(m) = self.machines.get(report.machine.as_str()) {
-                if self.expires(ctx, m) {
+                if self.lease_must_expire(ctx, m) {
                     return Answer::later("a cancelled task is not seen gone");
                 }
-                let current = (m.session, m.seq) == (report.session, report.seq);
+                let current = (m.incarnation, m.sequence) == (report.incarnation, report.sequence);
                 if m.ready && current && !copy {
                     answer.commands = self.commands(ctx, m);
                 }
             }
             let place = self.machines.place(&report.machine);
             if let Some(m) = place.and_then(|place| self.machines.quiet(place)) {
-                m.answered_with(&answer.commands);
+                m.record_reply_launches(&answer.commands);
                 if !answer.commands.is_empty() {
-                    m.wants_push = false;
+                    m.needs_command = false;
                 }
             }
         }
@@ -98,12 +100,17 @@
     }
 
     /// Sure sight of the state, so that starting tasks is right.
-    pub(super) fn fresh(&self, ctx: &Context) -> bool {
-        self.read_within(ctx, SIGHT)
+    pub(super) fn has_recent_read(&self, ctx: &Context) -> bool {
+        self.last_read_within(ctx, SIGHT)
     }
 
-    pub(super) fn take_report(&mut self, ctx: &Context, r: &Heartbeat, source: HeartbeatSource) {
-        let now = ctx.now.steady;
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        ctx: &Context,
+        r: &Heartbeat,
+        source: HeartbeatSource,
+    ) {
+        let now = ctx.now.monotonic;
         if !self.machines.contains_key(r.machine.as_str()) {
             log::info!("{}: a machine not known before reports", r.machine);
             let m = Machine::new(&r.machine, "", "", false, now);
@@ -118,7 +125,7 @@
             return;
         };
         m.describe(&r.machine_type, &r.zone, r.spot);
-        if !self.dark.is_empty() && self.dark.remove(&m.zone).is_some() {
+        if !self.partitioned_zones.is_empty() && self.partitioned_zones.remove(&m.zone).is_some() {
             log::info!("zone {} is heard again", m.zone);
         }
         if !m.up {
@@ -134,17 +141,21 @@
             }
         }
         let was_ready = m.ready;
-        let new = r.session > m.session;
-        let newer = !m.up || (r.session, r.seq) > (m.session, m.seq);
-        if m.gone_by.is_none() && r.notice_s.is_some() {
-            log::info!("{} is to be taken back in {:?} s", m.name, r.notice_s);
+        let new = r.incarnation > m.incarnation;
+        let newer = !m.up || (r.incarnation, r.sequence) > (m.incarnation, m.sequence);
+        if m.interrupted_at.is_none() && r.interruption_notice_s.is_some() {
+            log::info!(
+                "{} is to be taken back in {:?} s",
+                m.name,
+                r.interruption_notice_s
+            );
         }
-        let events = m.report(r, source, self.term, now);
+        let events = m.apply_heartbeat(r, source, self.term, now);
         let mut in_touch = false;
         if newer && source == HeartbeatSource::Checkin {
             let missing = Self::missing(ctx.config);
             let heard_by = ctx.config.lease + ctx.config.report + SECOND;
-            in_touch = m.checked_in(now, new, heard_by, missing);
+            in_touch = m.heartbeat_received(now, new, heard_by, missing);
             if m.probe {
                 self.command_dispatch.plain(m.name.clone());
             }
@@ -156,10 +167,10 @@
         }
         if !was_ready {
             // A new machine, or one that has yet to see this term's seal.
-            m.wants_push = true;
-            m.push_after = 0;
+            m.needs_command = true;
+            m.next_command_at = 0;
             self.command_dispatch.plain(m.name.clone());
-            self.pass_at = now;
+            self.schedule_at = now;
         }
         // Heard before its deletion went out.
         let stays = m.leaving && m.heard_at == now && self.cloud_queue.withdraw(&r.machine);
@@ -180,12 +191,12 @@
         for event in events {
             self.slot_event(ctx, &r.machine, event);
         }
-        if r.notice_s.is_some() {
+        if r.interruption_notice_s.is_some() {
             self.leave(ctx, &r.machine);
         }
     }
 
-    pub(super) fn settled(&self, task: &TaskName, attempt: u64) -> bool {
+    pub(super) fn is_end_stored(&self, task: &TaskName, attempt: u64) -> bool {
         let known = self.jobs.place(&task.job).and_then(|p| self.jobs.at(p));
         let Some((id, job)) = known else {
             // Its end is stored, or it never was a job.
@@ -208,11 +219,11 @@
     /// reaped. The stop of what is cancelled needs neither: no cancellation is taken back,
     /// and this answer renews the lease of what it doesn't stop.
     pub(super) fn commands(&self, ctx: &Context, m: &Machine) -> Vec<Command> {
-        if !self.fresh(ctx) {
+        if !self.has_recent_read(ctx) {
             return m.cancelled().chain(self.orphan_stops(m)).collect();
         }
-        let lasting = self.proof.proved(ctx.config, ctx.now.steady);
-        let mut commands = m.commands(lasting, |task, attempt| self.settled(task, attempt));
+        let lasting = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
+        let mut commands = m.commands(lasting, |task, attempt| self.is_end_stored(task, attempt));
         commands.retain(|c| !matches!(c, Command::Stop { task, .. } if self.stays(task)));
         commands
     }
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -17,7 +17,7 @@
         }
         self.leaves_line(ctx, id);
         self.cancel_dependents(id);
-        self.notes.push(LeaderEvent::Stopped(id.to_string()));
+        self.events.push(LeaderEvent::Stopped(id.to_string()));
         let unstored: Vec<u32> = self.mark_cancelled(id);
         for i in unstored {
             // A placement that is being written may already be stored.
@@ -47,7 +47,7 @@
             let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.stopped) else {
                 continue;
             };
-            job.cancelled.get_or_insert(ctx.now.steady);
+            job.cancelled.get_or_insert(ctx.now.monotonic);
             // One that still loads stops its cancelled jobs as it starts.
             if self.stage == RecoveryStage::Ready {
                 self.stop_job(ctx, &id);
@@ -69,8 +69,8 @@
             };
             slot.cancelled = true;
             if slot.stored {
-                m.wants_push = true;
-                m.push_after = 0;
+                m.needs_command = true;
+                m.next_command_at = 0;
                 self.command_dispatch.urgent(m.name.clone());
             } else {
                 unstored.push(i);
@@ -138,7 +138,7 @@
     pub(super) fn slot_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
         // A start frees no room; everything else may.
         if !matches!(event, TaskEvent::Running(_)) {
-            self.pass_at = ctx.now.steady;
+            self.schedule_at = ctx.now.monotonic;
         }
         match event {
             TaskEvent::Running(key) => {
@@ -147,7 +147,11 @@
                     job.running.insert(key.1);
                 }
             }
-            TaskEvent::Lost { task, attempt, why } => {
+            TaskEvent::Lost {
+                task,
+                attempt,
+                reason: why,
+            } => {
                 log::info!(
                     "{}/{} attempt {attempt} on {machine} is gone: {why}",
                     task.0,
@@ -158,14 +162,17 @@
             TaskEvent::Exited {
                 task,
                 attempt,
-                why: ExitReason::Done,
+                reason: ExitReason::Done,
                 ran,
             } => {
                 log::debug!("{}/{} is done on {machine}", task.0, task.1);
                 self.task_done(ctx, &task, attempt, ran);
             }
             TaskEvent::Exited {
-                task, attempt, why, ..
+                task,
+                attempt,
+                reason: why,
+                ..
             } => {
                 log::info!(
                     "{}/{} attempt {attempt} on {machine} ended: {why:?}",
@@ -175,7 +182,7 @@
                 self.back_to_waiting(&task, attempt);
                 self.blame(ctx, machine, &task, why);
                 if why == ExitReason::Error {
-                    self.notes.push(LeaderEvent::Failed {
+                    self.events.push(LeaderEvent::Failed {
                         job: task.0.to_string(),
                         task: task.1,
                         attempt,
@@ -222,7 +229,7 @@
             let ran = seconds(ran);
             let t = ctx.config.tuning.training_tasks.max(1) as usize;
             if !job.trained {
-                self.taught.extend(place);
+                self.unreplicated_estimates.extend(place);
                 job.samples.push(ran);
                 if job.samples.len() >= t.min(job.tasks.len()) {
                     let mean = job.samples.iter().sum::<f64>() / job.samples.len() as f64;
@@ -231,9 +238,12 @@
                 }
             }
             let first = ctx.config.tuning.first_guess_s;
-            let guess = self.guesses.entry(job.spec.class.clone()).or_insert(first);
+            let guess = self
+                .run_time_estimates
+                .entry(job.spec.class.clone())
+                .or_insert(first);
             *guess += (ran - *guess) * 0.05;
-            self.guesses_changed = true;
+            self.run_time_estimates_changed = true;
         }
         if job.cancelled.is_some() {
             return self.check_clear(&key.0);
@@ -262,8 +272,8 @@
             return;
         };
         m.strikes.add(id);
-        if m.strikes.condemn() && !m.condemned {
-            m.condemned = true;
+        if m.strikes.condemn() && !m.cordoned {
+            m.cordoned = true;
             log::info!("{machine} fails several jobs: it takes no more and is returned");
         }
     }
@@ -285,7 +295,7 @@
     }
 
     pub(super) fn blame(&mut self, ctx: &Context, machine: &str, key: &TaskKey, why: ExitReason) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let Some(job) = self.jobs.get(&key.0) else {
             return;
         };
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -112,7 +112,7 @@
     /// On which machine, in which of its sessions, and whether that is stored.
     Placed {
         machine: Rc<str>,
-        session: u64,
+        incarnation: u64,
         stored: bool,
     },
     Done,
@@ -138,13 +138,13 @@
     /// the last job that it waited for was seen to be done.
     ready_at: u64,
     /// It waits for other jobs, and takes part in nothing.
-    held: bool,
+    blocked_on_dependencies: bool,
     /// The highest priority of its own and of the jobs that wait for it.
     priority: Priority,
     /// By when it has to end for the jobs that wait for it, as the time of day has it.
     due: Option<Micros>,
     /// The most tasks that may be placed at once.
-    at_most: Option<u32>,
+    parallelism_limit: Option<u32>,
     spans: TaskRanges,
     tasks: Vec<Task>,
     waiting: BTreeSet<u32>,
@@ -185,10 +185,10 @@
             version,
             submitted: open.at,
             ready_at: open.at,
-            held: false,
+            blocked_on_dependencies: false,
             priority: open.spec.priority,
             due: None,
-            at_most: open.at_most,
+            parallelism_limit: open.parallelism_limit,
             spans: TaskRanges::new(n, open.chunk, part_tasks),
             tasks: vec![
                 Task {
@@ -229,7 +229,7 @@
 
     /// How many of its waiting tasks may be placed now.
     fn placeable(&self) -> usize {
-        let most = self.at_most.map_or(usize::MAX, |n| n as usize);
+        let most = self.parallelism_limit.map_or(usize::MAX, |n| n as usize);
         self.waiting.len().min(most.saturating_sub(self.placed()))
     }
 
@@ -259,14 +259,18 @@
         for i in self.spans.range(span) {
             let t = &self.tasks[i as usize];
             match &t.state {
-                TaskPlacement::Waiting if t.attempt > 0 => chunk.w.push((i, t.attempt)),
+                TaskPlacement::Waiting if t.attempt > 0 => chunk.waiting.push((i, t.attempt)),
                 TaskPlacement::Waiting => {}
                 TaskPlacement::Placed {
-                    machine, session, ..
-                } => chunk.p.push((i, t.attempt, machine.to_string(), *session)),
-                TaskPlacement::Done => match chunk.d.last_mut() {
+                    machine,
+                    incarnation: session,
+                    ..
+                } => chunk
+                    .placed
+                    .push((i, t.attempt, machine.to_string(), *session)),
+                TaskPlacement::Done => match chunk.done.last_mut() {
                     Some((_, last)) if *last + 1 == i => *last = i,
-                    _ => chunk.d.push((i, i)),
+                    _ => chunk.done.push((i, i)),
                 },
             }
         }
@@ -305,9 +309,9 @@
     /// says nothing of what others have confirmed.
     last_consistent_read: Option<Micros>,
     /// Since when reports are not answered, for want of a sure look.
-    blind_since: Option<Micros>,
+    no_consistent_read_since: Option<Micros>,
     /// Its right to act, as its node saw it last.
-    pub proof: LeadershipProof,
+    pub leadership_proof: LeadershipProof,
     watch_at: Option<Micros>,
     jobs: Slab<Job>,
     /// Which of the open jobs wait for which.
@@ -320,9 +324,9 @@
     derived: DerivedState,
     /// What ageing has taken off any job that was active all the time, in
     /// CPU-seconds.
-    clock: f64,
+    virtual_time: f64,
     command_dispatch: CommandDispatch,
-    gone: HashMap<String, Micros>,
+    removed_machines: HashMap<String, Micros>,
     write_queue: WriteQueue,
     /// Reads that were not answered, by when they are made again.
     reads: VecDeque<(Micros, String, Step)>,
@@ -337,36 +341,36 @@
     plan_depth: usize,
     /// Zones that fell silent as a whole, and when: what is rented there would
     /// be paid for and never heard of.
-    dark: BTreeMap<Rc<str>, Micros>,
+    partitioned_zones: BTreeMap<Rc<str>, Micros>,
     /// Zones that were silent already under the leader before, and when they
     /// were heard last.
-    silent_before: HashMap<String, Micros>,
+    zones_silent_before: HashMap<String, Micros>,
     types: Option<Rc<Vec<MachineType>>>,
     types_stored: bool,
     /// The version of their record.
     types_version: u64,
     /// Mean run time per class, learned from finished tasks, in seconds.
-    guesses: HashMap<String, f64>,
+    run_time_estimates: HashMap<String, f64>,
     /// What the leader before has learned, for jobs that are taken up.
     inherited: InheritedEstimates,
     /// Jobs that were taken up as the leader before knew them.
     inherited_jobs: usize,
     /// Jobs of which something was learned that siblings have yet to be told.
-    taught: BTreeSet<SlabIndex>,
+    unreplicated_estimates: BTreeSet<SlabIndex>,
     /// Of the others the one that was told last.
-    told_next: SlabIndex,
+    next_replicated: SlabIndex,
     /// A guess has changed since waiting jobs were last ordered by them.
-    guesses_changed: bool,
+    run_time_estimates_changed: bool,
     /// When tasks may be stopped for replicas again.
-    room_at: Micros,
+    next_preemption_at: Micros,
     /// A service was submitted since the last pass: its users do not wait for a
     /// tick.
-    service_came: bool,
-    pass_at: Micros,
-    passed_at: Micros,
-    fleet_at: Micros,
+    service_submitted: bool,
+    schedule_at: Micros,
+    last_scheduled_at: Micros,
+    next_fleet_check_at: Micros,
     ready_since: Micros,
-    notes: Vec<LeaderEvent>,
+    events: Vec<LeaderEvent>,
     pub counts: SchedulerCounters,
 }
 
@@ -385,7 +389,7 @@
         VersionedMachineTypes { types, version }: VersionedMachineTypes,
         inherited: InheritedEstimates,
     ) -> Leader {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let mut leader = Leader {
             term,
             term_version,
@@ -395,8 +399,8 @@
             cancelled_rows: Vec::new(),
             load_sent: now,
             last_consistent_read: None,
-            blind_since: None,
-            proof: LeadershipProof::default(),
+            no_consistent_read_since: None,
+            leadership_proof: LeadershipProof::default(),
             watch_at: None,
             jobs: Slab::default(),
             dependency_graph: DependencyGraph::default(),
@@ -404,9 +408,9 @@
             unknown_jobs: BTreeMap::new(),
             machines: Slab::default(),
             derived: DerivedState::new(ctx.config),
-            clock: 0.0,
+            virtual_time: 0.0,
             command_dispatch: CommandDispatch::new(ctx.config.max_orders),
-            gone: HashMap::new(),
+            removed_machines: HashMap::new(),
             write_queue: WriteQueue::default(),
             reads: VecDeque::new(),
             write_rate: WriteRate::new(ctx.config.state_write_rps_before),
@@ -415,32 +419,32 @@
             refusals: RefusedOfferings::default(),
             boot_estimator: BootEstimator::default(),
             plan_depth: PLAN_JOBS,
-            dark: BTreeMap::new(),
-            silent_before: HashMap::new(),
+            partitioned_zones: BTreeMap::new(),
+            zones_silent_before: HashMap::new(),
             types_stored: types.is_some(),
             types_version: version,
             types,
-            guesses: inherited.classes.clone(),
+            run_time_estimates: inherited.classes.clone(),
             inherited,
             inherited_jobs: 0,
-            taught: BTreeSet::new(),
-            told_next: 0,
-            guesses_changed: false,
-            room_at: now,
-            service_came: false,
-            pass_at: now,
-            passed_at: now,
-            fleet_at: now,
+            unreplicated_estimates: BTreeSet::new(),
+            next_replicated: 0,
+            run_time_estimates_changed: false,
+            next_preemption_at: now,
+            service_submitted: false,
+            schedule_at: now,
+            last_scheduled_at: now,
+            next_fleet_check_at: now,
             ready_since: now,
-            notes: Vec::new(),
+            events: Vec::new(),
             counts: SchedulerCounters::default(),
         };
         leader.load(ctx, RecoveryPage::Queue(None));
         leader
     }
 
-    pub fn take_notes(&mut self) -> Vec<LeaderEvent> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<LeaderEvent> {
+        std::mem::take(&mut self.events)
     }
 
     fn waiter(&self, step: Step) -> Continuation {
@@ -459,16 +463,16 @@
     ) {
         match step {
             Step::LoadMachines | Step::LoadQueue | Step::LoadTasks => match reply {
-                Ok(StoreResponse::RangePage(page)) => self.loaded(ctx, &step, page),
+                Ok(StoreResponse::RangePage(page)) => self.page_loaded(ctx, &step, page),
                 _ => {
                     if let Some((at, _)) = &mut self.reload_at {
-                        *at = ctx.now.steady + RETRY;
+                        *at = ctx.now.monotonic + RETRY;
                     }
                 }
             },
-            Step::Watch => self.watched(ctx, sent, reply),
-            Step::WriteQueue => self.written(ctx, reply),
-            Step::Reread { key } => self.reread(ctx, key, reply),
+            Step::Watch => self.queue_watch_reply(ctx, sent, reply),
+            Step::WriteQueue => self.write_reply(ctx, reply),
+            Step::Reread { key } => self.reread_reply(ctx, key, reply),
             Step::TypesVersion => self.types_version(ctx, reply),
             Step::Ended { id } => self.ended(ctx, id, reply),
             Step::Dependency { id } => self.proved(ctx, id, reply),
@@ -476,7 +480,7 @@
         }
     }
 
-    fn watched(
+    fn queue_watch_reply(
         &mut self,
         ctx: &mut Context,
         sent: Micros,
@@ -496,13 +500,13 @@
                         self.queue_row(ctx, &key, &value, version);
                     }
                 }
-                self.watch_at = Some(ctx.now.steady);
+                self.watch_at = Some(ctx.now.monotonic);
             }
             Ok(StoreResponse::Compacted) => {
                 log::error!("lost sight of the queue");
-                self.notes.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::Outdated);
             }
-            _ => self.watch_at = Some(ctx.now.steady + RETRY),
+            _ => self.watch_at = Some(ctx.now.monotonic + RETRY),
         }
     }
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -21,7 +21,7 @@
         };
         if matches!(from, RecoveryPage::Queue(None)) {
             // Cancellations up to here are in what is read now.
-            self.load_sent = ctx.now.steady;
+            self.load_sent = ctx.now.monotonic;
         }
         let call = StoreRequest::List {
             prefix: prefix.into(),
@@ -29,10 +29,10 @@
         };
         self.reload_at = Some((Micros::MAX, from));
         let waiter = self.waiter(step);
-        ctx.state(call, waiter);
+        ctx.store_request(call, waiter);
     }
 
-    pub(super) fn loaded(&mut self, ctx: &mut Context, step: &Step, page: RangePage) {
+    pub(super) fn page_loaded(&mut self, ctx: &mut Context, step: &Step, page: RangePage) {
         let last = page.rows.last().map(|r| r.key.clone());
         let more = page.more && last.is_some();
         let next = match step {
@@ -106,7 +106,7 @@
                 log::error!("{}: not a machine's record", row.key);
                 continue;
             };
-            let mut m = Machine::new(name, &r.machine_type, &r.zone, r.spot, ctx.now.steady);
+            let mut m = Machine::new(name, &r.machine_type, &r.zone, r.spot, ctx.now.monotonic);
             m.addr = Some(r.addr);
             m.recorded = true;
             self.machines.insert(m.name.clone(), m);
@@ -115,7 +115,7 @@
 
     /// Everything is read: take up the work.
     pub(super) fn start(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         self.stage = RecoveryStage::Ready;
         self.ready_since = now;
         self.last_consistent_read = Some(self.load_sent);
@@ -140,8 +140,8 @@
             m.reported_at = now;
             m.known_since = now;
             m.empty_since = now;
-            m.wants_push = true;
-            match self.silent_before.get(&*m.zone) {
+            m.needs_command = true;
+            match self.zones_silent_before.get(&*m.zone) {
                 // It had reported to the leader before, or it had no record.
                 Some(heard) if m.recorded => {
                     m.up = true;
@@ -166,7 +166,7 @@
     }
 
     pub(super) fn guess(&self, config: &Config, class: &str) -> f64 {
-        self.guesses
+        self.run_time_estimates
             .get(class)
             .copied()
             .unwrap_or(config.tuning.first_guess_s)
@@ -189,13 +189,13 @@
             });
             let version = open.mark_version(version);
             let guess = self.guess(ctx.config, &open.spec.class);
-            self.service_came |= open.spec.kind == JobKind::Service;
+            self.service_submitted |= open.spec.kind == JobKind::Service;
             let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
             self.inherit(id, &mut job);
             let id: Rc<str> = Rc::from(id);
             let place = self.jobs.insert(id.clone(), job);
-            self.taught.insert(place);
-            self.pass_at = ctx.now.steady;
+            self.unreplicated_estimates.insert(place);
+            self.schedule_at = ctx.now.monotonic;
             self.joins(ctx, &id);
         } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
             let at = confirmed(ctx, value);
@@ -225,7 +225,7 @@
             log::error!("{}: not a chunk of tasks", row.key);
             return self.set_aside(ctx, &id, span, &row.key);
         };
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let types = self.types.clone();
         if matches!(span, TaskRange::Part { .. }) {
             // Parts are written once the lower limits are in force, and stand above
@@ -241,12 +241,12 @@
         };
         job.spans.set_version(span, row.version);
         let n = job.tasks.len() as u32;
-        for (i, attempt) in chunk.w {
+        for (i, attempt) in chunk.waiting {
             if let Some(t) = job.tasks.get_mut(i as usize) {
                 t.attempt = attempt;
             }
         }
-        for (from, to) in chunk.d {
+        for (from, to) in chunk.done {
             for i in from..=to.min(n.saturating_sub(1)) {
                 job.tasks[i as usize].state = TaskPlacement::Done;
                 job.waiting.remove(&i);
@@ -256,7 +256,7 @@
         if job.done > 0 {
             job.record.ran();
         }
-        for (i, attempt, machine, session) in chunk.p {
+        for (i, attempt, machine, session) in chunk.placed {
             let Some(t) = job.tasks.get_mut(i as usize) else {
                 continue;
             };
@@ -264,7 +264,7 @@
             let machine: Rc<str> = Rc::from(machine);
             t.state = TaskPlacement::Placed {
                 machine: machine.clone(),
-                session,
+                incarnation: session,
                 stored: true,
             };
             job.waiting.remove(&i);
@@ -277,7 +277,7 @@
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
             };
-            m.session = m.session.max(session);
+            m.incarnation = m.incarnation.max(session);
             let slot = Machine::slot(attempt, session, (place, &job.spec), true);
             let image = (&job.image, job.spec.image_gb);
             let cache = cache_gb(types.as_deref(), &m.machine_type);
@@ -312,5 +312,5 @@
     let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.at);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
-    ctx.now.steady.saturating_sub(ago.min(ctx.config.cancel))
+    ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
 }
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -11,52 +11,54 @@
 
 impl Leader {
     pub fn tick(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         if let Some((at, from)) = self.reload_at.clone() {
             if now >= at {
                 self.load(ctx, from);
             }
             return;
         }
-        if !self.entitled(ctx) {
-            self.blind_since.get_or_insert(now);
-        } else if let Some(since) = self.blind_since.take() {
+        if !self.may_answer_heartbeats(ctx) {
+            self.no_consistent_read_since.get_or_insert(now);
+        } else if let Some(since) = self.no_consistent_read_since.take() {
             // Whoever was refused an answer was not silent. After an outage of a
             // minute every machine once looked as if it were, and all were deleted
             // before they could report again.
             self.paused(now - since, now);
         }
-        if self.pass_due(ctx) || now >= self.passed_at + micros(ctx.config.tuning.pass_s) {
-            self.pass(ctx);
+        if self.schedule_due(ctx)
+            || now >= self.last_scheduled_at + micros(ctx.config.tuning.pass_s)
+        {
+            self.schedule(ctx);
         }
-        if now >= self.fleet_at {
-            self.fleet_at = now + SECOND;
+        if now >= self.next_fleet_check_at {
+            self.next_fleet_check_at = now + SECOND;
             self.mark_guessed();
             self.refresh(ctx);
-            self.clear_unreachable(ctx);
+            self.delete_unreachable(ctx);
             self.tend_fleet(ctx);
         }
-        self.go_on(ctx);
+        self.send_pending(ctx);
     }
 
     /// A change wants a pass, and the last one is long enough ago.
-    fn pass_due(&self, ctx: &Context) -> bool {
-        let now = ctx.now.steady;
+    fn schedule_due(&self, ctx: &Context) -> bool {
+        let now = ctx.now.monotonic;
         let gap = micros(ctx.config.tuning.pass_gap_s);
-        now >= self.pass_at && now >= self.passed_at + gap
+        now >= self.schedule_at && now >= self.last_scheduled_at + gap
     }
 
     /// Sends what is ready to be sent. Passes wait for the tick, but for one that
     /// a service's submission wants: a report is answered, and with it a lease
     /// renewed, without one in between.
-    pub fn go_on(&mut self, ctx: &mut Context) {
+    pub fn send_pending(&mut self, ctx: &mut Context) {
         if self.stage != RecoveryStage::Ready {
             return;
         }
-        if self.service_came && self.pass_due(ctx) {
-            self.pass(ctx);
+        if self.service_submitted && self.schedule_due(ctx) {
+            self.schedule(ctx);
         }
-        if self.watch_at.is_some_and(|at| ctx.now.steady >= at) {
+        if self.watch_at.is_some_and(|at| ctx.now.monotonic >= at) {
             self.watch_at = None;
             let call = StoreRequest::Watch {
                 prefix: records::QUEUE.into(),
@@ -64,30 +66,32 @@
                 hold_ms: WATCH_MS,
             };
             let waiter = self.waiter(Step::Watch);
-            ctx.state(call, waiter);
+            ctx.store_request(call, waiter);
         }
         self.look_for_proofs(ctx);
         self.read_again(ctx);
         self.write(ctx);
-        self.push_orders(ctx);
+        self.send_commands(ctx);
         self.call_cloud(ctx);
     }
 
     fn call_cloud(&mut self, ctx: &mut Context) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let fleet: usize = self.derived.sums.up.values().sum();
         let most = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
-        let permit = |action| self.proof.permit(ctx.config, now, action);
+        let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
         if let Some((errand, call, permit)) = self.cloud_queue.next(now, most, permit) {
             let waiter = self.waiter(Step::Cloud(errand));
-            ctx.cloud(call, &permit, waiter);
+            ctx.cloud_request(call, &permit, waiter);
         }
     }
 
     /// Whether it may be done now.
     pub(super) fn may(&self, ctx: &Context, action: CloudAction) -> bool {
-        let now = ctx.now.steady;
-        self.proof.permit(ctx.config, now, action).is_some()
+        let now = ctx.now.monotonic;
+        self.leadership_proof
+            .permit(ctx.config, now, action)
+            .is_some()
     }
 
     /// This process was not running for a while, or did not listen: what it did not
@@ -107,8 +111,8 @@
 
     /// Machines that hold a cancelled job's tasks and do not show their end
     /// are deleted well before the time is up.
-    pub(super) fn clear_unreachable(&mut self, ctx: &Context) {
-        let now = ctx.now.steady;
+    pub(super) fn delete_unreachable(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         let patience = ctx.config.cancel * 3 / 10;
         let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.ready_since + patience / 4 || !may {
@@ -135,12 +139,12 @@
         }
         for name in late {
             log::info!("{name}: a cancelled task is not seen gone, deleting it");
-            self.let_go(&name, DeletionReason::Cancelled);
+            self.delete_machine(&name, DeletionReason::Cancelled);
         }
     }
 
     /// Has a machine deleted.
-    pub(super) fn let_go(&mut self, name: &Rc<str>, ground: DeletionReason) {
+    pub(super) fn delete_machine(&mut self, name: &Rc<str>, ground: DeletionReason) {
         if let Some(m) = self.machines.get_mut(name) {
             m.leaving = true;
             self.cloud_queue.delete(name.clone(), ground);
@@ -152,7 +156,7 @@
         let (id, job) = self.jobs.at(place)?;
         let most = if job.record.doubtful() { 1 } else { PASS_TASKS };
         Some(JobView {
-            place,
+            index: place,
             id,
             spec: &job.spec,
             image: &job.image,
@@ -160,7 +164,7 @@
             waiting: job.placeable().min(most) as u32,
             zones: self.zones(job, &BTreeSet::new()),
             training: job.training(ctx.config),
-            late: 0,
+            at_risk_tasks: 0,
             starving: job.shape.starving(),
         })
     }
@@ -200,7 +204,7 @@
     /// of a spread and of a single zone ask for it.
     pub(super) fn zones(&self, job: &Job, but: &BTreeSet<Rc<str>>) -> BTreeMap<Rc<str>, u32> {
         let mut zones = BTreeMap::new();
-        if !job.spec.spread && !job.spec.one_zone {
+        if !job.spec.spread && !job.spec.single_zone {
             return zones;
         }
         for (_, machine) in job.on_machines().filter(|(_, m)| !but.contains(*m)) {
@@ -231,55 +235,55 @@
             spot: m.spot,
             free,
             images: m.images.clone(),
-            warm: 0,
-            avoid: m.error_jobs.iter().cloned().collect(),
-            condemned: m.condemned,
-            mute: false,
+            service_images: 0,
+            failed_jobs: m.error_jobs.iter().cloned().collect(),
+            cordoned: m.cordoned,
+            outbound_unreachable: false,
         }
     }
 
     /// One pass of the scheduler: ages, then fills free room.
-    pub(super) fn pass(&mut self, ctx: &Context) {
-        let now = ctx.now.steady;
+    pub(super) fn schedule(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         self.refresh(ctx);
-        self.age(now);
-        self.pass_at = Micros::MAX;
-        self.service_came = false;
-        self.passed_at = now;
-        if self.fresh(ctx) && self.types.is_some() {
+        self.advance_virtual_time(now);
+        self.schedule_at = Micros::MAX;
+        self.service_submitted = false;
+        self.last_scheduled_at = now;
+        if self.has_recent_read(ctx) && self.types.is_some() {
             self.refresh(ctx);
-            self.fill(ctx);
+            self.place_waiting_jobs(ctx);
             self.make_room(ctx);
         }
     }
 
-    fn fill(&mut self, ctx: &Context) {
-        if self.derived.line.is_empty() {
+    fn place_waiting_jobs(&mut self, ctx: &Context) {
+        if self.derived.job_queue.is_empty() {
             return;
         }
         let sums = &self.derived.sums;
         let mut teams = sums.team_views(ctx.config);
         let share = sums.fleet_cpus() * ctx.config.tuning.training_share;
         let terms = sched::CycleLimits {
-            clock: self.clock,
+            virtual_time: self.virtual_time,
             training_cpus: share - sums.training_cpus(),
-            reserve: self.reserve(ctx.config),
+            service_headroom: self.reserve(ctx.config),
         };
         // Taken out while the jobs are looked at; what is placed comes back
         // marked, and with that the floor is as the machines are.
-        let mut floor = std::mem::take(&mut self.derived.floor);
+        let mut floor = std::mem::take(&mut self.derived.capacity);
         let view = |place| self.job_view(ctx, place);
         let (made, seen) =
-            sched::run_cycle(&self.derived.line, view, &mut floor, &mut teams, terms);
-        self.derived.floor = floor;
+            sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
+        self.derived.capacity = floor;
         self.counts.passes += 1;
         self.counts.jobs += seen as u64;
         for a in made {
-            self.place(&a);
+            self.apply_assignment(&a);
         }
     }
 
-    fn place(&mut self, a: &sched::Assignment) {
+    fn apply_assignment(&mut self, a: &sched::Assignment) {
         let types = self.types.clone();
         let Some((id, machine)) = self.jobs.at(a.job).zip(self.machines.at(a.machine)) else {
             return;
@@ -297,11 +301,11 @@
             task.attempt += 1;
             task.state = TaskPlacement::Placed {
                 machine: machine.clone(),
-                session: m.session,
+                incarnation: m.incarnation,
                 stored: false,
             };
-            let mut slot = Machine::slot(task.attempt, m.session, (a.job, &job.spec), false);
-            slot.of_reserve = a.of_reserve;
+            let mut slot = Machine::slot(task.attempt, m.incarnation, (a.job, &job.spec), false);
+            slot.uses_service_headroom = a.uses_service_headroom;
             let held = m.images.iter().any(|(i, _)| *i == job.image);
             let image = if held { "held" } else { "missing" };
             log::debug!("placing {id}/{i} on {machine}, image {} {image}", job.image);
@@ -320,11 +324,11 @@
     }
 
     /// Cuts every active job's virtual size by its fair share of the time.
-    pub(super) fn age(&mut self, now: Micros) {
+    pub(super) fn advance_virtual_time(&mut self, now: Micros) {
         let sums = &self.derived.sums;
         if sums.ageing > 0 {
-            let time = seconds(now.saturating_sub(self.passed_at));
-            self.clock += time * sums.fleet_cpus() / sums.ageing as f64;
+            let time = seconds(now.saturating_sub(self.last_scheduled_at));
+            self.virtual_time += time * sums.fleet_cpus() / sums.ageing as f64;
         }
     }
 }
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -21,20 +21,20 @@
     /// for late arrays as well, and with the cloud's ordinary machines at an
     /// end, replicas waited behind them (rough, brunnmatt-books-grown).
     pub(super) fn make_room(&mut self, ctx: &Context) {
-        let now = ctx.now.steady;
-        if now < self.room_at {
+        let now = ctx.now.monotonic;
+        if now < self.next_preemption_at {
             return;
         }
         let mut waiting = self
             .derived
-            .line
-            .cursor(sched::job_queue::QueueSection::First, self.clock);
+            .job_queue
+            .cursor(sched::job_queue::QueueSection::First, self.virtual_time);
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
         while let Some(turn) = waiting.next_job() {
             waiting.advance(turn.lane);
-            match self.job_view(ctx, turn.place) {
-                Some(job) if !job.service() => break,
+            match self.job_view(ctx, turn.index) {
+                Some(job) if !job.is_service() => break,
                 Some(job) if self.hurried(ctx.config, &job.spec.class) => jobs.push(job),
                 _ => {}
             }
@@ -50,13 +50,13 @@
         let [ordinary, cheap] = &self.derived.lending;
         let lending = ordinary.iter().chain(cheap.iter().filter(|_| spot));
         for m in lending.filter_map(|place| Some(self.machines.at(place)?.1)) {
-            let there = m.open(now) && m.in_touch(now, missing);
+            let there = m.accepts_tasks(now) && m.is_reachable_both_ways(now, missing);
             let Some(mut view) = self.view(m).filter(|_| there) else {
                 continue;
             };
             for (key, slot) in m.slots.iter().filter(|(_, s)| !s.service) {
-                if slot.yielding {
-                    view.free.add(&slot.room);
+                if slot.preempted {
+                    view.free.add(&slot.resources);
                     continue;
                 }
                 let Some(job) = self.jobs.get(&key.0) else {
@@ -66,9 +66,9 @@
                     keys.push((m.name.clone(), key.clone()));
                     victims.push(PreemptionCandidate {
                         machine: machines.len(),
-                        room: slot.room,
+                        resources: slot.resources,
                         priority: job.priority,
-                        ran: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
+                        run_time: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
                     });
                 }
             }
@@ -76,15 +76,15 @@
         }
         let mut teams = self.derived.sums.team_views(ctx.config);
         let stopped = choose_preemptions(&mut jobs, &mut machines, &mut teams, &victims);
-        self.room_at = now + ROOM_GAP;
+        self.next_preemption_at = now + ROOM_GAP;
         for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
             };
             if let Some(slot) = m.slots.get_mut(&key) {
                 log::info!("{}/{} on {machine} makes room for replicas", key.0, key.1);
-                slot.yielding = true;
-                m.wants_push = true;
+                slot.preempted = true;
+                m.needs_command = true;
                 self.command_dispatch.urgent(machine);
             }
         }
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -14,11 +14,11 @@
     /// and lost one to a spot machine, which was placed again only after the
     /// notice had run out and the silence was seen (operations of both ops).
     pub(super) fn leave(&mut self, ctx: &Context, machine: &str) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let Some(m) = self.machines.get(machine) else {
             return;
         };
-        let Some(gone_by) = m.gone_by else {
+        let Some(gone_by) = m.interrupted_at else {
             return;
         };
         let notice = seconds(gone_by.saturating_sub(now));
@@ -32,7 +32,7 @@
                 && slot.stored
                 && slot.seen.is_some()
                 && !slot.cancelled
-                && !slot.yielding
+                && !slot.preempted
                 && left > notice * HOPELESS
         };
         let stop: Vec<TaskKey> = m
@@ -47,10 +47,10 @@
         for key in stop {
             log::info!("{}/{} leaves {machine}, which is taken back", key.0, key.1);
             if let Some(slot) = m.slots.get_mut(&key) {
-                slot.yielding = true;
+                slot.preempted = true;
             }
         }
-        m.wants_push = true;
+        m.needs_command = true;
         self.command_dispatch.urgent(m.name.clone());
     }
 }
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -16,27 +16,30 @@
 impl Leader {
     pub(super) fn write(&mut self, ctx: &mut Context) {
         if let Some(at) = self.write_queue.resend_at {
-            if ctx.now.steady < at {
+            if ctx.now.monotonic < at {
                 return;
             }
             self.write_queue.resend_at = None;
             if let Some(b) = &self.write_queue.batch {
                 let call = StoreRequest::Transaction(b.txn.clone());
                 let waiter = self.waiter(Step::WriteQueue);
-                ctx.state(call, waiter);
+                ctx.store_request(call, waiter);
             }
             return;
         }
         if self.write_queue.batch.is_some() {
             return;
         }
-        self.write_queue.take_back(ctx.now.steady);
+        self.write_queue.take_back(ctx.now.monotonic);
         let part = ctx.config.state_write_rps * LATER_PART;
-        self.write_queue.refill(ctx.now.steady, part);
+        self.write_queue.refill(ctx.now.monotonic, part);
         if self.write_queue.is_idle() {
             return;
         }
-        let room = self.write_rate.room(ctx.now.steady).min(ctx.config.txn_ops);
+        let room = self
+            .write_rate
+            .room(ctx.now.monotonic)
+            .min(ctx.config.txn_ops);
         let mut batch = WriteBatch {
             txn: Transaction::default().compare(records::TERM, self.term_version),
             items: Vec::new(),
@@ -76,7 +79,7 @@
         let call = StoreRequest::Transaction(batch.txn.clone());
         self.write_queue.batch = Some(batch);
         let waiter = self.waiter(Step::WriteQueue);
-        ctx.state(call, waiter);
+        ctx.store_request(call, waiter);
     }
 
     /// A record that does not fit a value any more.
@@ -92,7 +95,7 @@
             return;
         }
         log::error!("{item:?}: does not fit a value of the state service");
-        self.write_queue.put_aside(item, ctx.now.steady + ASIDE);
+        self.write_queue.put_aside(item, ctx.now.monotonic + ASIDE);
     }
 
     /// Adds an item's changes and conditions; false if it needs none.
@@ -129,8 +132,8 @@
             PendingWrite::Done(id) => match self.jobs.get(id) {
                 Some(job) if job.cancelled.is_none() => {
                     let mark = JobStateRecord {
-                        s: RecordedState::Done,
-                        n: job.spec.tasks,
+                        state: RecordedState::Done,
+                        task_count: job.spec.tasks,
                     };
                     let txn = with_job(txn, id, job.version)
                         .put(records::job_key(id), &mark)
@@ -142,8 +145,8 @@
             PendingWrite::Cancel(id) => match self.jobs.get(id) {
                 Some(job) if job.cancelled.is_none() && self.dependency_graph.waits(id) => {
                     let mark = JobStateRecord {
-                        s: RecordedState::Cancelled,
-                        n: job.spec.tasks,
+                        state: RecordedState::Cancelled,
+                        task_count: job.spec.tasks,
                     };
                     // One change: its description goes when there is time for it.
                     let txn = with_job(txn, id, job.version).put(records::job_key(id), &mark);
@@ -188,7 +191,11 @@
         added
     }
 
-    pub(super) fn written(&mut self, ctx: &mut Context, reply: Result<StoreResponse, CallError>) {
+    pub(super) fn write_reply(
+        &mut self,
+        ctx: &mut Context,
+        reply: Result<StoreResponse, CallError>,
+    ) {
         let Some(mut batch) = self.write_queue.batch.take() else {
             return;
         };
@@ -196,7 +203,7 @@
             Ok(StoreResponse::Committed { revision }) => self.applied(ctx, batch, revision),
             Ok(StoreResponse::Conflict { failed, .. }) => {
                 if failed.iter().any(|k| k == records::TERM) {
-                    self.notes.push(LeaderEvent::Outdated);
+                    self.events.push(LeaderEvent::Outdated);
                     return;
                 }
                 let own = failed
@@ -213,7 +220,7 @@
                     }
                     self.write_queue.batch = Some(batch);
                     let waiter = self.waiter(Step::Reread { key: key.clone() });
-                    ctx.state(StoreRequest::Get { key }, waiter);
+                    ctx.store_request(StoreRequest::Get { key }, waiter);
                     return;
                 }
                 self.conflict(ctx, batch, &failed);
@@ -221,7 +228,7 @@
             Ok(StoreResponse::Malformed) => self.over_limit(ctx, batch),
             Ok(StoreResponse::LeaseExpired) => {
                 log::error!("the state service misses a lease that no batch has");
-                self.notes.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::Outdated);
             }
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
@@ -230,7 +237,7 @@
                 }
                 batch.uncertain |= other.is_err();
                 self.write_queue.batch = Some(batch);
-                self.write_queue.resend_at = Some(ctx.now.steady + RETRY);
+                self.write_queue.resend_at = Some(ctx.now.monotonic + RETRY);
             }
         }
     }
@@ -249,7 +256,7 @@
             Some(key) => {
                 self.write_queue.batch = Some(batch);
                 let waiter = self.waiter(Step::Reread { key: key.clone() });
-                ctx.state(StoreRequest::Get { key }, waiter);
+                ctx.store_request(StoreRequest::Get { key }, waiter);
             }
             None => self.again_smaller(ctx, batch),
         }
@@ -257,7 +264,7 @@
 
     /// Whether an earlier try of the batch was applied, by a key of it that only this
     /// leader writes.
-    pub(super) fn reread(
+    pub(super) fn reread_reply(
         &mut self,
         ctx: &mut Context,
         key: String,
@@ -283,7 +290,7 @@
     /// A read that was not answered is made again after a pause: made at once, it was
     /// refused hundreds of times a second in an outage.
     fn read_later(&mut self, ctx: &Context, key: String, step: Step) {
-        let at = ctx.now.steady + RETRY;
+        let at = ctx.now.monotonic + RETRY;
         self.reads.push_back((at, key, step));
     }
 
@@ -292,11 +299,11 @@
         while self
             .reads
             .front()
-            .is_some_and(|(at, ..)| ctx.now.steady >= *at)
+            .is_some_and(|(at, ..)| ctx.now.monotonic >= *at)
         {
             if let Some((_, key, step)) = self.reads.pop_front() {
                 let waiter = self.waiter(step);
-                ctx.state(StoreRequest::Get { key }, waiter);
+                ctx.store_request(StoreRequest::Get { key }, waiter);
             }
         }
     }
@@ -318,7 +325,7 @@
             } else {
                 log::error!("{item:?}: refused by the state service");
                 self.write_queue
-                    .put_aside(item.clone(), ctx.now.steady + ASIDE);
+                    .put_aside(item.clone(), ctx.now.monotonic + ASIDE);
             }
             return self.write(ctx);
         }
@@ -351,10 +358,10 @@
                 // By an earlier try, or by the leader before, later than this one has read.
                 batch.items.retain(|item| *item != PendingWrite::Types);
                 let waiter = self.waiter(Step::TypesVersion);
-                ctx.state(StoreRequest::Get { key: key.clone() }, waiter);
+                ctx.store_request(StoreRequest::Get { key: key.clone() }, waiter);
             } else {
                 log::error!("{key}: written by somebody else");
-                self.notes.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::Outdated);
             }
         }
         self.give_back(batch);
@@ -380,13 +387,13 @@
             // No placement of it is written from now on. When it was confirmed is not
             // known. Until its row is read answers end with the last read, which is
             // older, and then the row says when.
-            job.cancelled.get_or_insert(ctx.now.steady);
+            job.cancelled.get_or_insert(ctx.now.monotonic);
             job.ending = false;
             self.mark_cancelled(id);
         }
         let waiter = self.waiter(Step::Ended { id: id.clone() });
         let key = records::job_key(id);
-        ctx.state(StoreRequest::Get { key }, waiter);
+        ctx.store_request(StoreRequest::Get { key }, waiter);
     }
 
     /// The record of a job whose end came from elsewhere, or from an earlier
@@ -401,15 +408,15 @@
             return self.read_later(ctx, records::job_key(&id), Step::Ended { id });
         };
         match row.decode_value::<JobStateRecord>() {
-            Some(mark) if mark.s == RecordedState::Done => self.job_done(ctx, &id, mark),
-            Some(mark) if mark.s == RecordedState::Cancelled => {
+            Some(mark) if mark.state == RecordedState::Done => self.job_done(ctx, &id, mark),
+            Some(mark) if mark.state == RecordedState::Cancelled => {
                 if self.jobs.get(&id).is_some_and(|job| !job.stopped) {
                     self.stop_job(ctx, &id);
                 }
             }
             other => {
                 log::error!("{id}: unexpected record {other:?}");
-                self.notes.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::Outdated);
             }
         }
     }
@@ -418,7 +425,7 @@
         log::info!("{id}: done");
         self.forget_job(ctx, id);
         self.dependency_done(ctx, id);
-        self.notes.push(LeaderEvent::Ended(id.to_string(), mark));
+        self.events.push(LeaderEvent::Ended(id.to_string(), mark));
     }
 
     /// A batch is in the store: do what waited for it.
@@ -440,8 +447,8 @@
                         ctx,
                         id,
                         JobStateRecord {
-                            s: RecordedState::Done,
-                            n,
+                            state: RecordedState::Done,
+                            task_count: n,
                         },
                     );
                 }
@@ -473,7 +480,7 @@
                 && let Some(slot) = m.slots.get_mut(&key)
             {
                 slot.stored = true;
-                m.wants_push = true;
+                m.needs_command = true;
                 self.command_dispatch.urgent(m.name.clone());
                 // Of a cancelled job nothing was launched: it is not there.
                 if slot.cancelled {
@@ -483,6 +490,6 @@
             }
         }
         self.write(ctx);
-        self.push_orders(ctx);
+        self.send_commands(ctx);
     }
 }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -60,7 +60,7 @@
         let machines = self.unknown_jobs.get(id).map(|o| o.machines.clone());
         for name in machines.unwrap_or_default() {
             if let Some(m) = self.machines.get_mut(&name) {
-                m.wants_push = true;
+                m.needs_command = true;
                 self.command_dispatch.urgent(name);
             }
         }
@@ -80,8 +80,8 @@
             orphan.anywhere = true;
             return;
         };
-        orphan.placed += chunk.p.len() as i64;
-        let machines = chunk.p.into_iter().map(|(_, _, machine, _)| machine);
+        orphan.placed += chunk.placed.len() as i64;
+        let machines = chunk.placed.into_iter().map(|(_, _, machine, _)| machine);
         orphan.machines.extend(machines.map(Rc::from));
     }
 
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -22,7 +22,7 @@
     fn need(&mut self, m: &Machine) -> (&mut f64, f64) {
         let cpus = |service: bool| -> f64 {
             let slots = m.slots.values().filter(|s| s.service == service);
-            slots.map(|s| s.room.cpus).sum()
+            slots.map(|s| s.resources.cpus).sum()
         };
         let (replicas, arrays) = (cpus(true), cpus(false));
         if replicas > 0.0 {
@@ -53,8 +53,8 @@
     /// Room for what is on the machines that are cut off.
     pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
         let (ordinary, spot) = (
-            self.derived.floor.free(false),
-            self.derived.floor.free(true),
+            self.derived.capacity.free(false),
+            self.derived.capacity.free(true),
         );
         let lending = self.derived.lending[0].iter();
         let lent: f64 = lending
@@ -62,7 +62,7 @@
             .filter_map(|place| self.machines.at(place))
             .filter(|(name, _)| !cut.contains(*name))
             .flat_map(|(_, m)| m.slots.values().filter(|s| !s.service))
-            .map(|s| s.room.cpus)
+            .map(|s| s.resources.cpus)
             .sum();
         let mut elsewhere = SpareCapacity {
             replicas: ordinary + lent,
@@ -110,7 +110,7 @@
     /// Such a leader may reach the state service all the same, and so prove that it
     /// leads. To believe what it does not hear would be the end of every other zone.
     pub(super) fn doubts(&self, config: &Config) -> bool {
-        if !self.proof.apart {
+        if !self.leadership_proof.apart {
             return false;
         }
         let far = |zone: &str| *zone != *config.zone;
@@ -143,7 +143,7 @@
         heard
             .map(|(zone, at)| SilentZone {
                 zone: zone.to_string(),
-                quiet_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
+                silent_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
             })
             .collect()
     }
@@ -153,7 +153,7 @@
     /// that begins with this term: a leader that ended in the middle of a cut
     /// once left them down for 15 s more (zone, brunnmatt-books-fleet).
     pub fn expect_silence(&mut self, heard: HashMap<String, Micros>) {
-        self.silent_before = heard;
+        self.zones_silent_before = heard;
     }
 
     /// Machines that are up and have missed a report.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
     /// The steady clock: intervals are measured on it.
-    pub steady: Micros,
+    pub monotonic: Micros,
     /// The time of day: only what outlives a process is stamped with it.
     pub wall: Micros,
 }
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -21,12 +21,12 @@
 #[derive(Debug, Clone)]
 pub struct TaskSlot {
     pub attempt: u64,
-    pub session: u64,
-    pub room: Resources,
+    pub incarnation: u64,
+    pub resources: Resources,
     /// A replica of a service.
     pub service: bool,
     /// It takes room that was kept for services.
-    pub of_reserve: bool,
+    pub uses_service_headroom: bool,
     /// The number of its job, for estimates: a job that has gone gives it on.
     pub job: SlabIndex,
     /// The placement is in the store; before that nothing is sent.
@@ -34,7 +34,7 @@
     /// Its job is cancelled: it is to be stopped, and never launched.
     pub cancelled: bool,
     /// It makes room for a replica: it is to be stopped, to run elsewhere.
-    pub yielding: bool,
+    pub preempted: bool,
     pub seen: Option<TaskState>,
     pub running_since: Option<Micros>,
     /// The whole run was watched, so its time may be learned from.
@@ -67,14 +67,14 @@
     Exited {
         task: TaskKey,
         attempt: u64,
-        why: ExitReason,
+        reason: ExitReason,
         ran: Option<Micros>,
     },
     /// Gone without a result: a later session, or absent by proof.
     Lost {
         task: TaskKey,
         attempt: u64,
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -88,8 +88,8 @@
     pub machine_type: Rc<str>,
     pub zone: Rc<str>,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     /// It has reported under this term's seal.
     pub ready: bool,
     /// It has reported at all, so it is up.
@@ -103,21 +103,21 @@
     pub reported_at: Micros,
     /// Since when it is not known to hear: orders had no answer, and nothing has shown
     /// since that any message reaches it.
-    pub unheard_since: Option<Micros>,
-    pub gone_by: Option<Micros>,
+    pub unresponsive_since: Option<Micros>,
+    pub interrupted_at: Option<Micros>,
     /// Being returned: takes no more tasks.
     pub leaving: bool,
     /// Takes no more tasks, but as a last resort, and is returned when empty.
-    pub condemned: bool,
+    pub cordoned: bool,
     pub blocked_until: Micros,
     pub slots: BTreeMap<TaskKey, TaskSlot>,
     /// Exited tasks of the latest report.
     pub exited: Vec<(TaskName, u64)>,
     /// Tasks of the latest report that nobody placed there.
     pub strays: Vec<(TaskName, u64)>,
-    pub push: Option<CommandsInFlight>,
-    pub push_after: Micros,
-    pub wants_push: bool,
+    pub commands_in_flight: Option<CommandsInFlight>,
+    pub next_command_at: Micros,
+    pub needs_command: bool,
     /// Missed its report: asked by empty orders whether it is there at all.
     pub probe: bool,
     /// Launches that may still be carried out in this session.
@@ -139,25 +139,25 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             ready: false,
             up: false,
             expected: false,
             known_since: now,
             heard_at: now,
             reported_at: now,
-            unheard_since: None,
-            gone_by: None,
+            unresponsive_since: None,
+            interrupted_at: None,
             leaving: false,
-            condemned: false,
+            cordoned: false,
             blocked_until: 0,
             slots: BTreeMap::new(),
             exited: Vec::new(),
             strays: Vec::new(),
-            push: None,
-            push_after: 0,
-            wants_push: false,
+            commands_in_flight: None,
+            next_command_at: 0,
+            needs_command: false,
             probe: false,
             unanswered: BTreeSet::new(),
             images: Images::default(),
@@ -197,20 +197,20 @@
 
     pub fn slot(
         attempt: u64,
-        session: u64,
+        incarnation: u64,
         (job, spec): (SlabIndex, &JobSpec),
         stored: bool,
     ) -> TaskSlot {
         TaskSlot {
             attempt,
-            session,
-            room: Resources::of_task(spec),
+            incarnation: incarnation,
+            resources: Resources::of_task(spec),
             service: spec.kind == JobKind::Service,
-            of_reserve: false,
+            uses_service_headroom: false,
             job,
             stored,
             cancelled: false,
-            yielding: false,
+            preempted: false,
             seen: None,
             running_since: None,
             watched: !stored,
@@ -221,40 +221,40 @@
     pub fn free(&self, total: Resources) -> Resources {
         let mut free = total;
         for slot in self.slots.values() {
-            free.subtract(&slot.room);
+            free.subtract(&slot.resources);
         }
         free
     }
 
     /// May take a new task.
-    pub fn open(&self, now: Micros) -> bool {
-        !self.condemned && self.usable(now)
+    pub fn accepts_tasks(&self, now: Micros) -> bool {
+        !self.cordoned && self.accepts_tasks_as_last_resort(now)
     }
 
     /// May take a new task if there is no other place for it.
-    pub fn usable(&self, now: Micros) -> bool {
+    pub fn accepts_tasks_as_last_resort(&self, now: Micros) -> bool {
         self.ready
             && !self.leaving
-            && self.gone_by.is_none()
+            && self.interrupted_at.is_none()
             && self.strays.is_empty()
             && now >= self.blocked_until
     }
 
     /// Whether what is sent to it arrives, as far as is known. `missing` is when it has
     /// missed a report.
-    pub fn hears(&self, now: Micros, missing: Micros) -> bool {
-        now < self.heard_at + missing && self.unheard_since.is_none()
+    pub fn is_reachable(&self, now: Micros, missing: Micros) -> bool {
+        now < self.heard_at + missing && self.unresponsive_since.is_none()
     }
 
     /// Whether it is in touch both ways, so that a task placed there now is launched and
     /// keeps its lease. `missing` is when it has missed a report.
-    pub fn in_touch(&self, now: Micros, missing: Micros) -> bool {
-        now < self.reported_at + missing && self.unheard_since.is_none()
+    pub fn is_reachable_both_ways(&self, now: Micros, missing: Micros) -> bool {
+        now < self.reported_at + missing && self.unresponsive_since.is_none()
     }
 
     /// Whether it has been out of touch for so long.
-    pub fn out_of_touch(&self, now: Micros, time: Micros) -> bool {
-        let since = self.unheard_since.unwrap_or(Micros::MAX);
+    pub fn unreachable_for(&self, now: Micros, time: Micros) -> bool {
+        let since = self.unresponsive_since.unwrap_or(Micros::MAX);
         now >= self.reported_at.min(since).saturating_add(time)
     }
 
@@ -265,7 +265,7 @@
     /// that comes sooner shows that the answer to the last was heard. So does a session
     /// that goes on for longer than a lease, `heard_by` being the longest that this takes
     /// to show. Over a slow link orders may be late for ever, and answers are not.
-    pub fn checked_in(
+    pub fn heartbeat_received(
         &mut self,
         now: Micros,
         new: bool,
@@ -275,15 +275,15 @@
         let last = std::mem::replace(&mut self.reported_at, now);
         let late = now >= last + missing;
         let answered = |since| last >= since && now < last + WORKER_PATIENCE;
-        match self.unheard_since {
-            Some(_) if new => self.unheard_since = Some(now),
+        match self.unresponsive_since {
+            Some(_) if new => self.unresponsive_since = Some(now),
             Some(since) if answered(since) || now >= since + heard_by => {
-                self.unheard_since = None;
+                self.unresponsive_since = None;
             }
             Some(_) => {
                 // To be asked costs less than to wait for that.
                 self.probe = true;
-                self.wants_push = true;
+                self.needs_command = true;
                 return late;
             }
             None => return late,
@@ -292,25 +292,25 @@
     }
 
     /// Removes a slot by proof from outside, such as the machine's end.
-    pub fn drain(&mut self, why: &'static str) -> Vec<TaskEvent> {
+    pub fn take_lost_tasks(&mut self, why: &'static str) -> Vec<TaskEvent> {
         std::mem::take(&mut self.slots)
             .into_iter()
             .map(|(task, slot)| TaskEvent::Lost {
                 task,
                 attempt: slot.attempt,
-                why,
+                reason: why,
             })
             .collect()
     }
 
-    fn in_push(&self, launch: &LaunchId) -> bool {
-        self.push
+    fn is_launch_in_flight(&self, launch: &LaunchId) -> bool {
+        self.commands_in_flight
             .as_ref()
             .is_some_and(|p| p.launches.contains(launch))
     }
 
     /// Takes a report in. Nothing but a newer one changes anything.
-    pub fn report(
+    pub fn apply_heartbeat(
         &mut self,
         r: &Heartbeat,
         source: HeartbeatSource,
@@ -321,20 +321,20 @@
         // Of a machine that has yet to report to this leader a stored placement may tell
         // the session: a report of one before is old, though it is the first to come.
         let older = match self.up {
-            true => (r.session, r.seq) <= (self.session, self.seq),
-            false => r.session < self.session,
+            true => (r.incarnation, r.sequence) <= (self.incarnation, self.sequence),
+            false => r.incarnation < self.incarnation,
         };
         if older {
             return events;
         }
-        if r.session > self.session || !self.up {
+        if r.incarnation > self.incarnation || !self.up {
             // Everything of earlier sessions is killed and forgotten, and
             // orders for them are refused.
             self.unanswered.clear();
             let old: Vec<TaskKey> = self
                 .slots
                 .iter()
-                .filter(|(_, s)| s.session < r.session)
+                .filter(|(_, s)| s.incarnation < r.incarnation)
                 .map(|(k, _)| k.clone())
                 .collect();
             for task in old {
@@ -342,23 +342,23 @@
                     events.push(TaskEvent::Lost {
                         task,
                         attempt: slot.attempt,
-                        why: "a later session has begun",
+                        reason: "a later session has begun",
                     });
                 }
             }
         }
         self.up = true;
-        self.session = r.session;
-        self.seq = r.seq;
+        self.incarnation = r.incarnation;
+        self.sequence = r.sequence;
         self.heard_at = now;
         if !r.addr.is_empty() {
             self.addr = Some(r.addr.clone());
         }
-        self.gone_by = r
-            .notice_s
+        self.interrupted_at = r
+            .interruption_notice_s
             .filter(|s| s.is_finite())
             .map(|s| now + micros(s));
-        if r.token != term {
+        if r.fencing_token != term {
             // Commands of an earlier leader may still be carried out: the list
             // is no proof yet.
             return events;
@@ -377,7 +377,7 @@
                     events.push(TaskEvent::Exited {
                         task: key,
                         attempt: t.attempt,
-                        why: t.why.unwrap_or(ExitReason::Other),
+                        reason: t.reason.unwrap_or(ExitReason::Other),
                         ran: slot
                             .running_since
                             .filter(|_| slot.watched)
@@ -409,9 +409,9 @@
                     && s.stored
                     && (s.cancelled || s.seen.is_some())
                     && !self.unanswered.contains(&launch)
-                    && !self.in_push(&launch)
+                    && !self.is_launch_in_flight(&launch)
                     && s.launched_in.is_none_or(|at| {
-                        source == HeartbeatSource::Checkin && (r.session, r.seq) > at
+                        source == HeartbeatSource::Checkin && (r.incarnation, r.sequence) > at
                     })
             })
             .map(|(k, _)| k.clone())
@@ -421,7 +421,7 @@
                 events.push(TaskEvent::Lost {
                     task,
                     attempt: slot.attempt,
-                    why: "absent from a newer report",
+                    reason: "absent from a newer report",
                 });
             }
         }
@@ -447,7 +447,7 @@
             // attempt again, so it keeps what may still be launched.
             if settled(task, *attempt)
                 && !self.unanswered.contains(&launch)
-                && !self.in_push(&launch)
+                && !self.is_launch_in_flight(&launch)
             {
                 commands.push(Command::Reap {
                     task: task.clone(),
@@ -464,17 +464,17 @@
         }
         commands.extend(self.cancelled());
         for (key, slot) in &self.slots {
-            if slot.session != self.session || !slot.stored {
+            if slot.incarnation != self.incarnation || !slot.stored {
                 continue;
             }
             if slot.cancelled {
                 continue;
             }
-            if slot.yielding {
+            if slot.preempted {
                 if slot.seen.is_some() && lasting {
                     commands.push(stop(key, slot));
                 }
-            } else if slot.seen.is_none() && !self.in_push(&(name(key), slot.attempt)) {
+            } else if slot.seen.is_none() && !self.is_launch_in_flight(&(name(key), slot.attempt)) {
                 commands.push(Command::Launch {
                     task: name(key),
                     attempt: slot.attempt,
@@ -486,15 +486,15 @@
 
     /// The stops of cancelled tasks that were seen here.
     pub fn cancelled(&self) -> impl Iterator<Item = Command> {
-        let here = |s: &TaskSlot| s.session == self.session && s.stored && s.seen.is_some();
+        let here = |s: &TaskSlot| s.incarnation == self.incarnation && s.stored && s.seen.is_some();
         let slots = self.slots.iter();
         let cancelled = slots.filter(move |(_, s)| s.cancelled && here(s));
         cancelled.map(|(key, slot)| stop(key, slot))
     }
 
     /// Notes which launches went out in the answer to the latest report.
-    pub fn answered_with(&mut self, commands: &[Command]) {
-        let at = (self.session, self.seq);
+    pub fn record_reply_launches(&mut self, commands: &[Command]) {
+        let at = (self.incarnation, self.sequence);
         for c in commands {
             if let Command::Launch { task, attempt } = c
                 && let Some(slot) = self
@@ -507,7 +507,7 @@
         }
     }
 
-    pub fn pushed(&mut self, id: CallId, commands: &[Command]) {
+    pub fn commands_sent(&mut self, id: CallId, commands: &[Command]) {
         let launches = commands
             .iter()
             .filter_map(|c| match c {
@@ -515,13 +515,13 @@
                 _ => None,
             })
             .collect();
-        self.push = Some(CommandsInFlight { id, launches });
+        self.commands_in_flight = Some(CommandsInFlight { id, launches });
     }
 
     /// Ends the push under way. Without an answer its launches may still come.
-    pub fn push_ended(&mut self, id: CallId, unanswered: bool) {
-        if self.push.as_ref().is_some_and(|p| p.id == id)
-            && let Some(push) = self.push.take()
+    pub fn commands_finished(&mut self, id: CallId, unanswered: bool) {
+        if self.commands_in_flight.as_ref().is_some_and(|p| p.id == id)
+            && let Some(push) = self.commands_in_flight.take()
             && unanswered
         {
             self.unanswered.extend(push.launches);
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -38,20 +38,20 @@
     admission: Admission,
     leadership: Election,
     leader: Option<Leader>,
-    siblings: Peers,
+    peers: Peers,
     /// What a leader said last of zones that fell silent: when each was heard
     /// last, and when that was said.
-    silent: HashMap<String, Micros>,
-    silent_at: Micros,
+    silent_zones: HashMap<String, Micros>,
+    silent_zones_at: Micros,
     /// What leaders have told of what they learned.
-    learned: HeardEstimates,
+    heard_estimates: HeardEstimates,
     /// When the state service last answered this node.
-    served_at: Option<Micros>,
-    beat_at: Micros,
+    store_answered_at: Option<Micros>,
+    next_peer_heartbeat_at: Micros,
     /// When a worker last reported to this node.
-    worker_at: Micros,
+    last_heartbeat_at: Micros,
     /// When this node last did anything.
-    awake_at: Micros,
+    last_input_at: Micros,
 }
 
 impl Node {
@@ -61,14 +61,14 @@
             admission: Admission::new(&config),
             leadership: Election::new(),
             leader: None,
-            siblings: Peers::default(),
-            silent: HashMap::new(),
-            silent_at: 0,
-            learned: HeardEstimates::default(),
-            served_at: None,
-            beat_at: 0,
-            worker_at: 0,
-            awake_at: 0,
+            peers: Peers::default(),
+            silent_zones: HashMap::new(),
+            silent_zones_at: 0,
+            heard_estimates: HeardEstimates::default(),
+            store_answered_at: None,
+            next_peer_heartbeat_at: 0,
+            last_heartbeat_at: 0,
+            last_input_at: 0,
             config,
         }
     }
@@ -107,7 +107,7 @@
             at: now.wall,
             chunk: self.config.chunk_tasks,
             unmarked: true,
-            at_most: at_most.filter(|n| *n < spec.tasks),
+            parallelism_limit: at_most.filter(|n| *n < spec.tasks),
             spec,
         }
     }
@@ -125,7 +125,7 @@
         need: RequestPriority,
         now: Timestamp,
     ) -> bool {
-        self.admission.could(calls, changes, need, now.steady)
+        self.admission.could(calls, changes, need, now.monotonic)
     }
 
     /// Takes calls, and among them changes, from this node's part of what users'
@@ -137,7 +137,7 @@
         need: RequestPriority,
         now: Timestamp,
     ) -> bool {
-        self.admission.grant(calls, changes, need, now.steady)
+        self.admission.grant(calls, changes, need, now.monotonic)
     }
 
     /// A job was stored as open by whoever serves clients beside this node.
@@ -171,12 +171,12 @@
 
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
-        self.awake(now, &mut out);
+        self.detect_process_pause(now, &mut out);
         let proof = match input {
             Input::Tick => {
                 self.leadership.better = match self.hears(now) {
                     true => BetterCandidate::Nobody,
-                    false if self.siblings.better(now.steady) => BetterCandidate::Sibling,
+                    false if self.peers.better(now.monotonic) => BetterCandidate::Sibling,
                     false => BetterCandidate::Unknown,
                 };
                 self.proof(now)
@@ -194,16 +194,16 @@
             Input::Tick => {
                 self.leadership.tick(&mut ctx);
                 self.admission.tick(&mut ctx);
-                ctx.hasten();
+                ctx.send_hedged_requests();
                 if let Some(leader) = &mut self.leader {
-                    leader.proof = proof;
+                    leader.leadership_proof = proof;
                     leader.tick(&mut ctx);
                 }
-                if now.steady >= self.beat_at {
-                    self.beat_at = now.steady + BEAT;
+                if now.monotonic >= self.next_peer_heartbeat_at {
+                    self.next_peer_heartbeat_at = now.monotonic + BEAT;
                     let asked = self.share(now);
-                    self.beat(&mut out, now, asked);
-                    change = self.deaf(now, &mut out);
+                    self.send_peer_heartbeat(&mut out, now, asked);
+                    change = self.step_down_if_unreachable(now, &mut out);
                 }
             }
             Input::Request {
@@ -214,7 +214,7 @@
             } => self.request(now, &mut out, id, &method, &target, &body),
             Input::Store { id, reply } => {
                 if matches!(&reply, Ok(r) if *r != StoreResponse::Unavailable) {
-                    self.served_at = Some(now.steady);
+                    self.store_answered_at = Some(now.monotonic);
                 }
                 let failed = matches!(
                     reply,
@@ -226,8 +226,8 @@
                     && answered
                     && !waiter.watches()
                 {
-                    let took = now.steady.saturating_sub(*sent);
-                    self.leadership.latency.answered(took, now.steady);
+                    let took = now.monotonic.saturating_sub(*sent);
+                    self.leadership.latency.answered(took, now.monotonic);
                 }
                 match closed {
                     Some((Continuation::Admission(step), _)) => {
@@ -239,19 +239,19 @@
                             // Its own watch says so a moment later. In that moment it once
                             // launched what its user had been told is cancelled.
                             leader.cancelled(&mut ctx, &cancelled);
-                            leader.go_on(&mut ctx);
+                            leader.send_pending(&mut ctx);
                         }
                     }
                     Some((Continuation::Election(step), sent)) => {
                         change = self.leadership.reply(&mut ctx, step, sent, reply);
                         if let Some(leader) = &mut self.leader {
-                            leader.proof.proved = self.leadership.proved();
+                            leader.leadership_proof.proved = self.leadership.proved();
                         }
                     }
                     Some((Continuation::Leader { term, step }, sent)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
                             leader.reply(&mut ctx, step, sent, reply);
-                            leader.go_on(&mut ctx);
+                            leader.send_pending(&mut ctx);
                         }
                     }
                     Some((Continuation::Nobody, _)) | None => {}
@@ -264,7 +264,7 @@
                     && let LeaderStep::Cloud(errand) = step
                 {
                     leader.cloud_reply(&mut ctx, errand, reply);
-                    leader.go_on(&mut ctx);
+                    leader.send_pending(&mut ctx);
                 }
             }
             Input::Commands { id, reply } => {
@@ -273,14 +273,14 @@
                     && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
                     && let LeaderStep::CommandsInFlight { machine } = step
                 {
-                    leader.orders_reply(&mut ctx, id, &machine, reply);
-                    leader.go_on(&mut ctx);
+                    leader.commands_reply(&mut ctx, id, &machine, reply);
+                    leader.send_pending(&mut ctx);
                 }
             }
             Input::Peer { from, message } => self.mesh(now, &mut out, from, message),
         }
-        self.follow(now, &mut out, change);
-        self.notes(now, &mut out);
+        self.apply_leadership_change(now, &mut out, change);
+        self.handle_leader_events(now, &mut out);
         out
     }
 
@@ -289,10 +289,10 @@
     /// that woke after half a minute once found every worker silent and sent
     /// the deletion of 840 machines before it heard of its successor (incident
     /// e9a6).
-    fn awake(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        let gap = now.steady.saturating_sub(self.awake_at);
-        let first = self.awake_at == 0;
-        self.awake_at = now.steady;
+    fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let gap = now.monotonic.saturating_sub(self.last_input_at);
+        let first = self.last_input_at == 0;
+        self.last_input_at = now.monotonic;
         if first || gap < PAUSE {
             return;
         }
@@ -305,13 +305,18 @@
                 calls: &mut self.calls,
             };
             let change = self.leadership.woke(&mut ctx);
-            self.follow(now, out, change);
+            self.apply_leadership_change(now, out, change);
         } else if let Some(leader) = &mut self.leader {
-            leader.paused(gap, now.steady);
+            leader.paused(gap, now.monotonic);
         }
     }
 
-    fn follow(&mut self, now: Timestamp, out: &mut Vec<Output>, change: Option<LeadershipChange>) {
+    fn apply_leadership_change(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        change: Option<LeadershipChange>,
+    ) {
         let mut ctx = Context {
             now,
             config: &self.config,
@@ -324,32 +329,33 @@
                     types: self.leadership.types.clone(),
                     version: self.leadership.types_version,
                 };
-                let inherited = self.learned.inherit(term, now.steady);
+                let inherited = self.heard_estimates.inherit(term, now.monotonic);
                 let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
-                leader.proof.proved = self.leadership.proved();
-                if now.steady < self.silent_at + HINT {
-                    leader.expect_silence(std::mem::take(&mut self.silent));
+                leader.leadership_proof.proved = self.leadership.proved();
+                if now.monotonic < self.silent_zones_at + HINT {
+                    leader.expect_silence(std::mem::take(&mut self.silent_zones));
                 }
                 self.leader = Some(leader);
-                self.admission.progress.elected(now.steady);
-                self.beat_at = now.steady;
+                self.admission.progress.elected(now.monotonic);
+                self.next_peer_heartbeat_at = now.monotonic;
             }
             Some(LeadershipChange::Deposed) => {
                 // It may lead again before anybody else has.
                 if let Some(learned) = self.leader.take().and_then(|l| l.all_learned()) {
-                    self.learned.take(&self.config, learned, now.steady);
+                    self.heard_estimates
+                        .take(&self.config, learned, now.monotonic);
                 }
             }
             None => {}
         }
     }
 
-    fn notes(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    fn handle_leader_events(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let mut change = None;
-        for note in leader.take_notes() {
+        for note in leader.take_events() {
             let mut ctx = Context {
                 now,
                 config: &self.config,
@@ -359,7 +365,7 @@
             match note {
                 LeaderEvent::Ended(job, mark) => {
                     self.admission.ended(&job, mark);
-                    let state = mark.s.ended().unwrap_or(JobState::Done);
+                    let state = mark.state.ended().unwrap_or(JobState::Done);
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
                 LeaderEvent::Stopped(job) => {
@@ -381,7 +387,7 @@
                 }
             }
         }
-        self.follow(now, out, change);
+        self.apply_leadership_change(now, out, change);
     }
 
     fn request(
@@ -431,50 +437,57 @@
     /// In a common outage nodes stay up and say so to each request. A node
     /// that alone is refused leaves the users to its siblings.
     fn healthy(&self, now: Timestamp) -> bool {
-        let Some(served) = self.served_at else {
+        let Some(served) = self.store_answered_at else {
             return false;
         };
         if self.leadership.types.is_none() {
             return false;
         }
-        let alone = self.siblings.fresh(now.steady).any(|(_, s)| s.served);
-        now.steady < served + 3 * SECOND || !alone
+        let alone = self
+            .peers
+            .fresh(now.monotonic)
+            .any(|(_, s)| s.store_reachable);
+        now.monotonic < served + 3 * SECOND || !alone
     }
 
     /// Whether workers report to this node.
     fn hears(&self, now: Timestamp) -> bool {
-        now.steady < self.worker_at + 3 * SECOND
+        now.monotonic < self.last_heartbeat_at + 3 * SECOND
     }
 
     /// A leader that no worker reaches makes way for a sibling that they
     /// reach: their leases run on, and with them everything on the machines.
-    fn deaf(&mut self, now: Timestamp, out: &mut Vec<Output>) -> Option<LeadershipChange> {
+    fn step_down_if_unreachable(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+    ) -> Option<LeadershipChange> {
         let since = self.leader.as_ref()?.expects_reports_since()?;
         let mut patience = self.config.report * 5 / 4 + 3 * SECOND / 2;
         let term = self.leadership.leading()?;
         // Workers that a sibling has sent here would have come by now: with all
         // controllers ended at once and two of three cut off from the workers, one of
         // these once led for 13 s until it believed it.
-        let missed = self.siblings.sends_on(term, now.steady) && self.worker_at < since;
-        if self.worker_at < since {
+        let missed = self.peers.sends_on(term, now.monotonic) && self.last_heartbeat_at < since;
+        if self.last_heartbeat_at < since {
             // Its workers may still be waiting for the leader before it. To
             // make way sooner once left a fleet without a leader for 7 s
             // (incident 1ec8).
             patience += WORKER_PATIENCE;
         }
-        if now.steady < since.max(self.worker_at) + patience && !missed {
+        if now.monotonic < since.max(self.last_heartbeat_at) + patience && !missed {
             return None;
         }
-        let mut recent = self.siblings.fresh(now.steady).peekable();
+        let mut recent = self.peers.fresh(now.monotonic).peekable();
         let apart = recent.peek().is_none();
         // The one sibling that hears them may not be heard itself. A leader cut
         // off from its workers once waited for its word until every lease had
         // run out (incident e9a6). Whoever has not heard any in its term stays:
         // with every machine dead, leaders once made way for each other for
         // ever, none of them long enough to find that out (seed 10052).
-        let heard = self.worker_at >= since;
-        let waited = heard && now.steady >= self.worker_at + self.config.lease * 3 / 5;
-        if !apart && !waited && !recent.any(|(_, s)| s.hears) {
+        let heard = self.last_heartbeat_at >= since;
+        let waited = heard && now.monotonic >= self.last_heartbeat_at + self.config.lease * 3 / 5;
+        if !apart && !waited && !recent.any(|(_, s)| s.workers_reachable) {
             return None;
         }
         let mut ctx = Context {
@@ -490,7 +503,7 @@
     fn report(&mut self, now: Timestamp, out: &mut Vec<Output>, body: &[u8]) -> Answer {
         let report = match dillcleat_wire::decode::<Heartbeat>(body) {
             Ok(r) => {
-                self.worker_at = now.steady;
+                self.last_heartbeat_at = now.monotonic;
                 r
             }
             Err(e) => {
@@ -505,12 +518,12 @@
             calls: &mut self.calls,
         };
         if let Some(leader) = &mut self.leader {
-            let answer = leader.checkin(&mut ctx, &report);
-            leader.go_on(&mut ctx);
+            let answer = leader.heartbeat(&mut ctx, &report);
+            leader.send_pending(&mut ctx);
             return answer;
         }
         let report_to = self.lead(now).map(str::to_string);
-        Answer::body(421, &LeaderRedirect { report_to })
+        Answer::body(421, &LeaderRedirect { leader: report_to })
     }
 
     /// Which other node leads, as far as is known: by the store, unless a sibling says
@@ -519,18 +532,18 @@
     fn lead(&self, now: Timestamp) -> Option<&str> {
         let lead = self.leadership.lead.as_ref();
         let term = lead.map_or(0, |l| l.term);
-        if let Some(name) = self.siblings.leads_after(term, now.steady) {
+        if let Some(name) = self.peers.leads_after(term, now.monotonic) {
             return Some(name);
         }
         let lead = lead.filter(|l| l.member != self.config.member)?;
-        let gone = self.siblings.has_let_go(&lead.member, term, now.steady);
+        let gone = self.peers.has_let_go(&lead.member, term, now.monotonic);
         (!gone).then_some(lead.member.as_str())
     }
 
     /// What this node knows of its right to act as leader.
     fn proof(&self, now: Timestamp) -> LeadershipProof {
-        let heard = |name: &String| self.siblings.is_heard(name, now.steady);
-        let far = &self.config.far_siblings;
+        let heard = |name: &String| self.peers.is_heard(name, now.monotonic);
+        let far = &self.config.peers_in_other_zones;
         let apart = !far.is_empty() && !far.iter().any(heard);
         LeadershipProof {
             proved: self.leadership.proved(),
@@ -539,8 +552,8 @@
     }
 
     fn served(&self, now: Timestamp) -> bool {
-        self.served_at
-            .is_some_and(|at| now.steady < at + 3 * SECOND)
+        self.store_answered_at
+            .is_some_and(|at| now.monotonic < at + 3 * SECOND)
     }
 
     /// Takes this node's share of the state service's budget for users: users
@@ -550,31 +563,31 @@
     /// a second users make here.
     fn share(&mut self, now: Timestamp) -> u32 {
         let asked = self.admission.demand(BEAT);
-        let nodes = (self.config.siblings.len() + 1) as f64;
+        let nodes = (self.config.peers.len() + 1) as f64;
         let (mut known, mut all) = (1.0, asked);
-        for (_, s) in self.siblings.fresh(now.steady) {
+        for (_, s) in self.peers.fresh(now.monotonic) {
             known += 1.0;
-            all += f64::from(s.asked);
+            all += f64::from(s.requests_per_s);
         }
         let part = if all < 1.0 { 1.0 / known } else { asked / all };
         let share = (part * known / nodes).max(0.5 / nodes);
-        self.admission.share(share, now.steady);
+        self.admission.share(share, now.monotonic);
         // A float's cast to an integer saturates.
         asked.ceil() as u32
     }
 
-    fn beat(&mut self, out: &mut Vec<Output>, now: Timestamp, asked: u32) {
+    fn send_peer_heartbeat(&mut self, out: &mut Vec<Output>, now: Timestamp, asked: u32) {
         out.push(Output::Peer {
             message: Message::Heartbeat {
                 term: self.leadership.term(),
-                leads: self.leader.is_some(),
-                served: self.served(now),
-                hears: self.hears(now),
-                asked,
+                is_leader: self.leader.is_some(),
+                store_reachable: self.served(now),
+                workers_reachable: self.hears(now),
+                requests_per_s: asked,
             },
         });
         if let Some(leader) = &mut self.leader {
-            let silent = leader.silences(now.steady);
+            let silent = leader.silences(now.monotonic);
             if !silent.is_empty() {
                 out.push(Output::Peer {
                     message: Message::SilentZones(silent),
@@ -588,7 +601,7 @@
             let progress = leader.progress();
             self.admission.progress.shown(&progress);
             let all = progress.len() < dillcleat_peer_protocol::MAX_PROGRESS;
-            let more = self.admission.progress.tell(all, now.steady);
+            let more = self.admission.progress.tell(all, now.monotonic);
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
                 out.push(Output::Peer {
@@ -603,23 +616,23 @@
             Message::Hello { .. } => {}
             Message::Heartbeat {
                 term,
-                leads,
-                served,
-                hears,
-                asked,
+                is_leader: leads,
+                store_reachable: served,
+                workers_reachable: hears,
+                requests_per_s: asked,
             } => {
                 let sibling = PeerStatus {
-                    heard: now.steady,
+                    heard: now.monotonic,
                     term,
-                    leads,
-                    served,
-                    hears,
-                    asked,
+                    is_leader: leads,
+                    store_reachable: served,
+                    workers_reachable: hears,
+                    requests_per_s: asked,
                 };
-                if !self.siblings.is_heard(&from, now.steady) {
+                if !self.peers.is_heard(&from, now.monotonic) {
                     self.admission.progress.tell_all();
                 }
-                self.siblings.told(from, sibling);
+                self.peers.told(from, sibling);
                 let mut ctx = Context {
                     now,
                     config: &self.config,
@@ -627,22 +640,23 @@
                     calls: &mut self.calls,
                 };
                 let change = self.leadership.outdated(&mut ctx, term);
-                self.follow(now, out, change);
+                self.apply_leadership_change(now, out, change);
             }
             Message::SilentZones(zones) => {
-                let heard = |ms: u32| now.steady.saturating_sub(u64::from(ms) * MILLISECOND);
-                self.silent = zones
+                let heard = |ms: u32| now.monotonic.saturating_sub(u64::from(ms) * MILLISECOND);
+                self.silent_zones = zones
                     .into_iter()
-                    .map(|z| (z.zone, heard(z.quiet_ms)))
+                    .map(|z| (z.zone, heard(z.silent_ms)))
                     .collect();
-                self.silent_at = now.steady;
+                self.silent_zones_at = now.monotonic;
             }
             Message::Estimates(learned) => {
-                self.learned.take(&self.config, learned, now.steady);
+                self.heard_estimates
+                    .take(&self.config, learned, now.monotonic);
             }
             // A leader that has a successor may not know it yet.
             Message::JobProgress(jobs) => {
-                if self.leader.is_none() && !self.siblings.has_successor(&from, now.steady) {
+                if self.leader.is_none() && !self.peers.has_successor(&from, now.monotonic) {
                     self.admission.progress.heard(jobs);
                 }
             }
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -18,13 +18,13 @@
     pub heard: Micros,
     /// The highest term that it has seen in the store.
     pub term: u64,
-    pub leads: bool,
+    pub is_leader: bool,
     /// Whether the state service answers it.
-    pub served: bool,
+    pub store_reachable: bool,
     /// Whether workers report to it.
-    pub hears: bool,
+    pub workers_reachable: bool,
     /// Users' requests a second.
-    pub asked: u32,
+    pub requests_per_s: u32,
 }
 
 #[derive(Debug, Default)]
@@ -52,13 +52,15 @@
     /// Whether one of them would make a better leader than a node that no worker
     /// reaches. Whoever led until now may be gone, whatever its last word was.
     pub fn better(&self, now: Micros) -> bool {
-        let better = |s: &PeerStatus| s.hears && s.served && !s.leads;
+        let better = |s: &PeerStatus| s.workers_reachable && s.store_reachable && !s.is_leader;
         self.fresh(now).any(|(_, s)| better(s))
     }
 
     /// Who leads, as they say, if it is in a later term than this.
     pub fn leads_after(&self, term: u64, now: Micros) -> Option<&str> {
-        let leads = self.fresh(now).filter(|(_, s)| s.leads && s.term > term);
+        let leads = self
+            .fresh(now)
+            .filter(|(_, s)| s.is_leader && s.term > term);
         leads.max_by_key(|(_, s)| s.term).map(|(name, _)| name)
     }
 
@@ -71,13 +73,16 @@
     /// Whether this sibling says that it leads no more, knowing of the term.
     pub fn has_let_go(&self, name: &str, term: u64, now: Micros) -> bool {
         let word = self.known.get(name).filter(|s| now < s.heard + FRESH);
-        word.is_some_and(|s| !s.leads && s.term >= term)
+        word.is_some_and(|s| !s.is_leader && s.term >= term)
     }
 
     /// Whether workers have been sent on to the leader of the term, which is this node,
     /// for so long that it would have heard some. To be asked with every beat.
     pub fn sends_on(&mut self, term: u64, now: Micros) -> bool {
-        if !self.fresh(now).any(|(_, s)| s.hears && s.term >= term) {
+        if !self
+            .fresh(now)
+            .any(|(_, s)| s.workers_reachable && s.term >= term)
+        {
             self.sent_on = None;
             return false;
         }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -121,10 +121,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStateRecord {
     #[serde(rename = "s")]
-    pub s: RecordedState,
+    pub state: RecordedState,
     /// The job's number of tasks.
     #[serde(rename = "n")]
-    pub n: u32,
+    pub task_count: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -144,7 +144,7 @@
     pub unmarked: bool,
     /// The most of its tasks that may be placed at once, if it is not all.
     #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
-    pub at_most: Option<u32>,
+    pub parallelism_limit: Option<u32>,
 }
 
 impl OpenJob {
@@ -175,13 +175,13 @@
 pub struct TaskChunk {
     /// Placed tasks: number, attempt, machine, session.
     #[serde(rename = "p")]
-    pub p: Vec<(u32, u64, String, u64)>,
+    pub placed: Vec<(u32, u64, String, u64)>,
     /// Waiting tasks that were placed before: number, last attempt.
     #[serde(rename = "w")]
-    pub w: Vec<(u32, u64)>,
+    pub waiting: Vec<(u32, u64)>,
     /// Done tasks, as ranges from..=to.
     #[serde(rename = "d")]
-    pub d: Vec<(u32, u32)>,
+    pub done: Vec<(u32, u32)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -45,7 +45,7 @@
 
     pub fn new(whole: f64, config: &Config) -> Self {
         let all_per_s = whole * Self::PART;
-        let per_s = all_per_s / (config.siblings.len() + 1) as f64;
+        let per_s = all_per_s / (config.peers.len() + 1) as f64;
         RequestBudget {
             all_per_s,
             per_s,
--- a/crates/controller/tests/blind.rs
+++ b/crates/controller/tests/blind.rs
@@ -24,10 +24,10 @@
             machine_type: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: s,
-            token: 1,
-            notice_s: None,
+            incarnation: 1,
+            sequence: s,
+            fencing_token: 1,
+            interruption_notice_s: None,
             tasks: vec![],
         };
         let input = Input::Request {
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -133,17 +133,17 @@
             machine_type: "t".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: None,
             tasks: tasks
                 .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: None,
+                    reason: t.why,
+                    checkpoint_saved: None,
                 })
                 .collect(),
         }
@@ -288,7 +288,7 @@
             at: self.at,
             chunk: 25,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
             spec,
         };
         let key = records::open_key(&open.spec.id);
@@ -466,11 +466,11 @@
                 w.report_at = at + 5 * SECOND;
                 continue;
             }
-            if answer.token < w.token {
+            if answer.fencing_token < w.token {
                 continue;
             }
-            if answer.token > w.token {
-                w.token = answer.token;
+            if answer.fencing_token > w.token {
+                w.token = answer.fencing_token;
                 w.report_at = at + SECOND / 2;
             }
             w.leased_from = at;
@@ -534,11 +534,11 @@
     fn ordered(&mut self, name: &str, orders: &CommandBatch) -> (u16, Vec<u8>) {
         let at = self.at;
         let w = self.worker(name);
-        if orders.token < w.token || orders.session != w.session {
+        if orders.fencing_token < w.token || orders.incarnation != w.session {
             return (409, encode(&w.report()));
         }
-        if orders.token > w.token {
-            w.token = orders.token;
+        if orders.fencing_token > w.token {
+            w.token = orders.fencing_token;
             w.report_at = w.report_at.min(at + SECOND / 2);
         }
         self.execute(name, &orders.commands);
@@ -548,7 +548,7 @@
     /// The node takes an input and all that is answered at once; the answers it gives.
     fn handle(&mut self, input: Input) -> Vec<(u16, Vec<u8>)> {
         let now = Timestamp {
-            steady: self.at,
+            monotonic: self.at,
             wall: self.at,
         };
         let mut answers = Vec::new();
@@ -727,7 +727,7 @@
                 machine_type: "t".into(),
                 zone: w.zone.clone(),
                 spot: w.spot,
-                condition: match w.up <= then {
+                state: match w.up <= then {
                     true => InstanceState::Running,
                     false => InstanceState::Booting,
                 },
--- a/crates/controller/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -57,10 +57,10 @@
             at: START,
             chunk: 25,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
         let chunk = TaskChunk {
-            p: vec![(0, 1, "m".into(), 1)],
+            placed: vec![(0, 1, "m".into(), 1)],
             ..TaskChunk::default()
         };
         let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
@@ -103,8 +103,8 @@
                 true => TaskState::Exited,
                 false => TaskState::Running,
             },
-            why: self.completed.then_some(ExitReason::Done),
-            saved: None,
+            reason: self.completed.then_some(ExitReason::Done),
+            checkpoint_saved: None,
         };
         let report = Heartbeat {
             machine: "m".into(),
@@ -112,10 +112,10 @@
             machine_type: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: None,
             tasks: self.has_task.then_some(task).into_iter().collect(),
         };
         let input = Input::Request {
@@ -157,10 +157,10 @@
             // The lease is renewed, siblings are heard, users are answered.
             let message = Message::Heartbeat {
                 term: 1,
-                leads: false,
-                served: true,
-                hears: false,
-                asked: 9,
+                is_leader: false,
+                store_reachable: true,
+                workers_reachable: false,
+                requests_per_s: 9,
             };
             let from = "n1".to_string();
             self.step(at, Input::Peer { from, message });
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -206,7 +206,7 @@
     around: &mut Around,
 ) -> (Vec<u16>, Vec<CloudRequest>) {
     let now = Timestamp {
-        steady: at,
+        monotonic: at,
         wall: at,
     };
     let mut statuses = Vec::new();
@@ -381,10 +381,10 @@
         machine_type: "t".into(),
         zone: zone.into(),
         spot: false,
-        session: 1,
-        seq,
-        token: 1,
-        notice_s: None,
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: 1,
+        interruption_notice_s: None,
         tasks: Vec::new(),
     };
     Input::Request {
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -69,14 +69,14 @@
     /// A job's mark, if it has one.
     pub fn mark(&self, id: &str) -> Option<RecordedState> {
         let row = self.row(&records::job_key(id))?;
-        row.decode_value::<JobStateRecord>().map(|mark| mark.s)
+        row.decode_value::<JobStateRecord>().map(|mark| mark.state)
     }
 
     /// What a leader writes once a job's last task is done.
     pub fn done(&mut self, id: &str) -> StoreResponse {
         let mark = JobStateRecord {
-            s: RecordedState::Done,
-            n: 2,
+            state: RecordedState::Done,
+            task_count: 2,
         };
         let txn = Transaction::default()
             .compare(records::job_key(id), 0)
@@ -135,7 +135,7 @@
 
     pub fn feed(&mut self, input: Input) {
         let now = Timestamp {
-            steady: self.at,
+            monotonic: self.at,
             wall: self.at,
         };
         let mut inputs = vec![input];
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -73,10 +73,10 @@
                 for (name, served) in self.siblings {
                     let message = Message::Heartbeat {
                         term: 0,
-                        leads: false,
-                        served: *served,
-                        hears: false,
-                        asked: 0,
+                        is_leader: false,
+                        store_reachable: *served,
+                        workers_reachable: false,
+                        requests_per_s: 0,
                     };
                     let from = name.to_string();
                     self.step(Input::Peer { from, message });
--- a/crates/controller/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -16,10 +16,10 @@
         from: "n1".into(),
         message: Message::Heartbeat {
             term,
-            leads,
-            served: true,
-            hears,
-            asked: 0,
+            is_leader: leads,
+            store_reachable: true,
+            workers_reachable: hears,
+            requests_per_s: 0,
         },
     }
 }
@@ -80,7 +80,7 @@
 fn workers_are_sent_to_whom_a_sibling_says_leads() {
     let mut node = common::node();
     let now = Timestamp {
-        steady: 1000 * SECOND,
+        monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
     let sent_to = |node: &mut Node| {
@@ -92,12 +92,12 @@
         let answer = answers.next_back().expect("each report is answered");
         assert_eq!(answer.status, 421);
         let body = dillcleat_wire::decode::<LeaderRedirect>(&answer.body);
-        body.expect("a good body").report_to
+        body.expect("a good body").leader
     };
     assert_eq!(sent_to(&mut node), None);
-    step(&mut node, now.steady, beat(1, false, true), &[]);
+    step(&mut node, now.monotonic, beat(1, false, true), &[]);
     assert_eq!(sent_to(&mut node), None);
-    step(&mut node, now.steady, beat(2, true, false), &[]);
+    step(&mut node, now.monotonic, beat(2, true, false), &[]);
     assert_eq!(sent_to(&mut node).as_deref(), Some("n1"));
 }
 
--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -15,7 +15,7 @@
 /// are refused.
 fn flood(node: &mut Node, at: Micros, method: &str, path: &str) -> (u32, u32) {
     let now = Timestamp {
-        steady: at,
+        monotonic: at,
         wall: at,
     };
     let (mut calls, mut refused) = (Vec::new(), 0);
@@ -66,15 +66,15 @@
     let mut at = 1000 * SECOND;
     let beat = |node: &mut Node, at, from: &str, asked| {
         let now = Timestamp {
-            steady: at,
+            monotonic: at,
             wall: at,
         };
         let message = Message::Heartbeat {
             term: 0,
-            leads: false,
-            served: true,
-            hears: false,
-            asked,
+            is_leader: false,
+            store_reachable: true,
+            workers_reachable: false,
+            requests_per_s: asked,
         };
         let from = from.to_string();
         node.handle(now, Input::Peer { from, message });
@@ -93,7 +93,7 @@
     at += 10 * SECOND;
     node.handle(
         Timestamp {
-            steady: at,
+            monotonic: at,
             wall: at,
         },
         Input::Tick,
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -118,10 +118,10 @@
     gap.around.held = Some(records::QUEUE);
     let message = Message::Heartbeat {
         term: 7,
-        leads: false,
-        served: true,
-        hears: false,
-        asked: 0,
+        is_leader: false,
+        store_reachable: true,
+        workers_reachable: false,
+        requests_per_s: 0,
     };
     let from = "n1".to_string();
     gap.step(2 * SECOND, Input::Peer { from, message });
@@ -188,10 +188,10 @@
         let at = t * 100 * MILLISECOND;
         let message = Message::Heartbeat {
             term: 1,
-            leads: false,
-            served: false,
-            hears: false,
-            asked: 0,
+            is_leader: false,
+            store_reachable: false,
+            workers_reachable: false,
+            requests_per_s: 0,
         };
         let from = "n1".to_string();
         gap.step(at, Input::Peer { from, message });
--- a/crates/controller/tests/golden_answers.rs
+++ b/crates/controller/tests/golden_answers.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_body_is_a_map_with_text_keys() {
     let elsewhere = LeaderRedirect {
-        report_to: Some("n1".into()),
+        leader: Some("n1".into()),
     };
     let answer = Answer {
         status: 421,
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -151,14 +151,14 @@
         image_gb: 2.5,
         types: Some(vec!["g8".into(), "c2".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 30.0,
         checkpoint_s: 60.0,
         save_s: 5.0,
         deadline_s: Some(900.0),
-        awaits: vec!["req-7".into()],
+        depends_on: vec!["req-7".into()],
     }
 }
 
@@ -169,7 +169,7 @@
         types: None,
         zone: None,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         ..full_job()
     }
 }
@@ -181,7 +181,7 @@
         at: 1_700_000_000_000_000,
         chunk: 128,
         unmarked: true,
-        at_most: Some(12),
+        parallelism_limit: Some(12),
     };
     assert_keeps(
         b"\
@@ -209,7 +209,7 @@
         at: 1_700_000_000_000_000,
         chunk: 8,
         unmarked: false,
-        at_most: None,
+        parallelism_limit: None,
     };
     assert_keeps(
         b"\
@@ -272,7 +272,10 @@
 
 #[test]
 fn every_mark_of_a_job_keeps_its_bytes() {
-    let mark = |s| JobStateRecord { s, n: 200 };
+    let mark = |s| JobStateRecord {
+        state: s,
+        task_count: 200,
+    };
     assert_keeps(b"\x82\xa1s\xa1o\xa1n\xcc\xc8", &mark(RecordedState::Open));
     assert_keeps(b"\x82\xa1s\xa1d\xa1n\xcc\xc8", &mark(RecordedState::Done));
     assert_keeps(
@@ -303,12 +306,12 @@
 #[test]
 fn the_tasks_of_a_chunk_keep_their_bytes() {
     let chunk = TaskChunk {
-        p: vec![
+        placed: vec![
             (3, 2, "host-1".into(), 300),
             (4, 70_000, "host-2".into(), 1),
         ],
-        w: vec![(5, 6)],
-        d: vec![(0, 2), (7, 127)],
+        waiting: vec![(5, 6)],
+        done: vec![(0, 2), (7, 127)],
     };
     assert_keeps(
         b"\
@@ -317,9 +320,9 @@
         &chunk,
     );
     let empty = TaskChunk {
-        p: Vec::new(),
-        w: Vec::new(),
-        d: Vec::new(),
+        placed: Vec::new(),
+        waiting: Vec::new(),
+        done: Vec::new(),
     };
     assert_keeps(b"\x83\xa1p\x90\xa1w\x90\xa1d\x90", &empty);
 }
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -39,7 +39,7 @@
         Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
         _ => None,
     });
-    records.next().map_or(Vec::new(), |c| c.p)
+    records.next().map_or(Vec::new(), |c| c.placed)
 }
 
 fn drops(gap: &Gap, key: &str) -> bool {
@@ -95,10 +95,10 @@
         if t % 50 == 0 {
             let message = Message::Heartbeat {
                 term: 1000,
-                leads: false,
-                served: true,
-                hears: false,
-                asked: 0,
+                is_leader: false,
+                store_reachable: true,
+                workers_reachable: false,
+                requests_per_s: 0,
             };
             let from = "n1".to_string();
             gap.step(at, Input::Peer { from, message });
@@ -174,7 +174,7 @@
 fn an_old_report_takes_no_session_back() {
     let mut gap = Gap::new();
     let chunk = TaskChunk {
-        p: vec![(0, 1, "m".into(), 3)],
+        placed: vec![(0, 1, "m".into(), 3)],
         ..TaskChunk::default()
     };
     gap.around.tasks = vec![row(tasks(), &chunk)];
@@ -272,7 +272,7 @@
         gap.around.conflict = Some(tasks());
         gap.around.fails_too = is_cancelled.then(|| records::job_key(JOB));
         let chunk = TaskChunk {
-            p: stored,
+            placed: stored,
             ..TaskChunk::default()
         };
         let mut found = row(tasks(), &chunk);
@@ -375,7 +375,7 @@
     let mut waits = gap.around.queue[0]
         .decode_value::<OpenJob>()
         .expect("a job");
-    (waits.spec.id, waits.spec.awaits) = ("req-000002".into(), vec![JOB.into()]);
+    (waits.spec.id, waits.spec.depends_on) = ("req-000002".into(), vec![JOB.into()]);
     gap.around
         .queue
         .push(row(records::open_key("req-000002"), &waits));
@@ -390,8 +390,8 @@
     gap.step(2 * SECOND, Input::Tick);
     assert!(!drops(&gap, &records::open_key(JOB)));
     let mark = JobStateRecord {
-        s: RecordedState::Cancelled,
-        n: 2,
+        state: RecordedState::Cancelled,
+        task_count: 2,
     };
     gap.around.found = Some(row(records::job_key(JOB), &mark));
     gap.step(5 * SECOND / 2, Input::Tick);
@@ -437,10 +437,10 @@
     // It makes way for a sibling that workers reach, for a while.
     let message = Message::Heartbeat {
         term: 7,
-        leads: false,
-        served: true,
-        hears: true,
-        asked: 0,
+        is_leader: false,
+        store_reachable: true,
+        workers_reachable: true,
+        requests_per_s: 0,
     };
     let from = "n1".to_string();
     gap.step(SECOND, Input::Peer { from, message });
@@ -477,10 +477,10 @@
     let renewal = gap.around.renewals.pop().expect("a renewal");
     let message = Message::Heartbeat {
         term: 7,
-        leads: false,
-        served: true,
-        hears: false,
-        asked: 0,
+        is_leader: false,
+        store_reachable: true,
+        workers_reachable: false,
+        requests_per_s: 0,
     };
     let from = "n1".to_string();
     gap.step(SECOND / 2, Input::Peer { from, message });
@@ -512,10 +512,10 @@
     let deposed = |gap: &mut Gap, at: Micros| {
         let message = Message::Heartbeat {
             term: 1000,
-            leads: false,
-            served: true,
-            hears: false,
-            asked: 0,
+            is_leader: false,
+            store_reachable: true,
+            workers_reachable: false,
+            requests_per_s: 0,
         };
         let from = "n1".to_string();
         gap.step(at, Input::Peer { from, message });
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -41,10 +41,10 @@
             from: "n1".into(),
             message: Message::Heartbeat {
                 term: 1,
-                leads: true,
-                served: true,
-                hears: true,
-                asked: 0,
+                is_leader: true,
+                store_reachable: true,
+                workers_reachable: true,
+                requests_per_s: 0,
             },
         };
         let health = Input::Request {
@@ -62,7 +62,7 @@
         }
         while let Some(input) = inputs.pop() {
             let now = Timestamp {
-                steady: at,
+                monotonic: at,
                 wall: at,
             };
             for output in node.handle(now, input) {
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -14,14 +14,14 @@
 fn learned(term: u64, credit: f64, size: f64) -> Estimates {
     Estimates {
         term,
-        clock: 500.0,
+        virtual_time: 500.0,
         classes: vec![("merge".into(), 33.0)],
         jobs: vec![JobEstimate {
             job: "req-1".into(),
             initial_size: 6000.0,
             size,
             credit,
-            ages: true,
+            is_ageing: true,
             trained: true,
             samples: vec![20.0, 22.0],
         }],
@@ -41,7 +41,7 @@
         at: 0,
         chunk: 64,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
     let mut around = Around::default();
     around.queue.push(KeyValue {
@@ -64,7 +64,7 @@
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
     let now = Timestamp {
-        steady: at,
+        monotonic: at,
         wall: at,
     };
     let mut jobs = Vec::new();
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -18,7 +18,7 @@
         at: START,
         chunk: 16,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
         spec,
     };
     KeyValue {
@@ -70,11 +70,11 @@
 #[test]
 fn a_stage_is_as_urgent_as_the_deadline_at_the_end_of_its_line() {
     let middle = JobSpec {
-        awaits: vec!["req-1".into()],
+        depends_on: vec!["req-1".into()],
         ..stage("middle", "req-2")
     };
     let last = |awaits: &str| JobSpec {
-        awaits: vec![awaits.into()],
+        depends_on: vec![awaits.into()],
         deadline_s: Some(90.0),
         ..stage("last", "req-3")
     };
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -73,7 +73,7 @@
             at: 1,
             chunk: 204,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
         match prefix {
             records::SHARED => vec![common::types(64.0)],
@@ -85,7 +85,7 @@
 
     fn take(&mut self, input: Input) {
         let now = Timestamp {
-            steady: self.at,
+            monotonic: self.at,
             wall: self.at,
         };
         let mut inputs = vec![input];
--- a/crates/controller/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_answers.rs
@@ -178,7 +178,7 @@
         |n, id| n.request("POST", JOBS_PATH.into(), with(id, "leaves", None)),
         |n, id| {
             let mut spec = spec(&id.replace("req-1", "req-2"));
-            spec.awaits = vec![id.into()];
+            spec.depends_on = vec![id.into()];
             n.submit(&spec)
         },
     ];
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -14,7 +14,7 @@
 fn poll(store: &BTreeMap<String, (u64, Value)>) -> (u16, Option<JobState>) {
     let mut node = common::node();
     let now = Timestamp {
-        steady: 1000 * SECOND,
+        monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
     let mut inputs = vec![Input::Request {
@@ -75,7 +75,7 @@
         at: 1,
         chunk: 8,
         unmarked,
-        at_most: None,
+        parallelism_limit: None,
     })
 }
 
@@ -84,7 +84,12 @@
 #[test]
 fn a_job_is_open_while_it_is_described_and_has_no_mark_of_its_end() {
     let open = records::open_key("req-1");
-    let mark = |s| encode_value(&JobStateRecord { s, n: 2 });
+    let mark = |s| {
+        encode_value(&JobStateRecord {
+            state: s,
+            task_count: 2,
+        })
+    };
     let key = records::job_key("req-1");
     let found = |rows: Vec<(&String, u64, Value)>| {
         let rows = rows.into_iter().map(|(k, n, v)| (k.clone(), (n, v)));
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -207,24 +207,24 @@
 fn what_shows_that_a_machine_hears() {
     let mut m = Machine::new("m", "t", "a", false, 0);
     let (heard_by, missing) = (17 * SECOND, 3 * SECOND);
-    m.unheard_since = Some(SECOND);
-    m.checked_in(2 * SECOND, false, heard_by, missing);
-    assert!(m.probe && m.wants_push, "it is asked");
-    m.checked_in(14 * SECOND, true, heard_by, missing);
-    m.checked_in(19 * SECOND, false, heard_by, missing);
-    assert_eq!(m.unheard_since, Some(14 * SECOND));
-    assert!(!m.in_touch(19 * SECOND, missing));
-    assert!(m.checked_in(31 * SECOND, false, heard_by, missing));
-    assert!(m.in_touch(31 * SECOND, missing));
-    m.unheard_since = Some(40 * SECOND);
-    m.checked_in(41 * SECOND, false, heard_by, missing);
-    m.checked_in(46 * SECOND, false, heard_by, missing);
+    m.unresponsive_since = Some(SECOND);
+    m.heartbeat_received(2 * SECOND, false, heard_by, missing);
+    assert!(m.probe && m.needs_command, "it is asked");
+    m.heartbeat_received(14 * SECOND, true, heard_by, missing);
+    m.heartbeat_received(19 * SECOND, false, heard_by, missing);
+    assert_eq!(m.unresponsive_since, Some(14 * SECOND));
+    assert!(!m.is_reachable_both_ways(19 * SECOND, missing));
+    assert!(m.heartbeat_received(31 * SECOND, false, heard_by, missing));
+    assert!(m.is_reachable_both_ways(31 * SECOND, missing));
+    m.unresponsive_since = Some(40 * SECOND);
+    m.heartbeat_received(41 * SECOND, false, heard_by, missing);
+    m.heartbeat_received(46 * SECOND, false, heard_by, missing);
     assert!(
-        m.unheard_since.is_some(),
+        m.unresponsive_since.is_some(),
         "it may have waited for an answer"
     );
-    m.checked_in(50 * SECOND, false, heard_by, missing);
-    assert_eq!(m.unheard_since, None, "too soon for one that did");
+    m.heartbeat_received(50 * SECOND, false, heard_by, missing);
+    assert_eq!(m.unresponsive_since, None, "too soon for one that did");
 }
 
 /// Its machine hangs as the job is cancelled, and goes on when nobody can prove to lead:
--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -104,12 +104,12 @@
         (s.kind, s.tasks, s.spot) = (JobKind::Service, 5, false);
     });
     add("one zone and several", |s| {
-        (s.one_zone, s.spread) = (true, true)
+        (s.single_zone, s.spread) = (true, true)
     });
     add("waits for nobody's job", |s| {
-        s.awaits = vec!["req-404".into()]
+        s.depends_on = vec!["req-404".into()]
     });
-    add("waits for itself", |s| s.awaits = vec![JOB.into()]);
+    add("waits for itself", |s| s.depends_on = vec![JOB.into()]);
     all
 }
 
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -30,7 +30,7 @@
         at: START,
         chunk: 25,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
     row(records::open_key(id), &open)
 }
@@ -65,7 +65,7 @@
     /// A node that is about to lead, with `placed` tasks of a job on the machine m.
     fn new(config: Config, queue: Vec<KeyValue>, placed: u32) -> Day {
         let chunk = TaskChunk {
-            p: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
+            placed: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
             ..TaskChunk::default()
         };
         Day {
@@ -121,8 +121,8 @@
             task: format!("{JOB}/0").parse().expect("a task's name"),
             attempt: 1,
             state,
-            why: (state == TaskState::Exited).then_some(ExitReason::Done),
-            saved: None,
+            reason: (state == TaskState::Exited).then_some(ExitReason::Done),
+            checkpoint_saved: None,
         });
         let report = Heartbeat {
             machine: machine.into(),
@@ -130,10 +130,10 @@
             machine_type: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: 1,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: None,
             tasks: task.into_iter().collect(),
         };
         let input = Input::Request {
@@ -172,7 +172,7 @@
             Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
         });
-        records.next_back().map_or(0, |c| c.p.len())
+        records.next_back().map_or(0, |c| c.placed.len())
     }
 }
 
@@ -221,7 +221,15 @@
         Some(RecordedState::Cancelled),
     ] {
         let mut day = Day::new(config_with_team(), Vec::new(), 1);
-        day.around.found = mark.map(|s| row(records::job_key(JOB), &JobStateRecord { s, n: 1 }));
+        day.around.found = mark.map(|s| {
+            row(
+                records::job_key(JOB),
+                &JobStateRecord {
+                    state: s,
+                    task_count: 1,
+                },
+            )
+        });
         day.pass(0, 5 * SECOND);
         let key = records::tasks_key(JOB, TaskRange::Chunk(0));
         assert_eq!(day.dropped().contains(&key.as_str()), mark.is_some());
@@ -237,12 +245,12 @@
 fn records_of_a_cancelled_job_stay_while_its_description_does() {
     let mut waits = described("req-000002", 1);
     let mut open = waits.decode_value::<OpenJob>().expect("a description");
-    open.spec.awaits = vec![JOB.into()];
+    open.spec.depends_on = vec![JOB.into()];
     waits.value = encode_value(&open);
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB), waits], 1);
     let mark = JobStateRecord {
-        s: RecordedState::Cancelled,
-        n: 1,
+        state: RecordedState::Cancelled,
+        task_count: 1,
     };
     day.around.found = Some(row(records::job_key(JOB), &mark));
     day.pass(0, 5 * SECOND);
--- a/crates/controller/tests/own_cancellations.rs
+++ b/crates/controller/tests/own_cancellations.rs
@@ -40,8 +40,8 @@
     let mut gap = Gap::leading();
     assert!(!stops(&mut gap, SECOND));
     let mark = JobStateRecord {
-        s: RecordedState::Cancelled,
-        n: 1,
+        state: RecordedState::Cancelled,
+        task_count: 1,
     };
     gap.around.found = Some(common::row(records::job_key(JOB), &mark));
     let statuses = ask(&mut gap, 2 * SECOND, "GET", poll_path(JOB));
