--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -25,10 +25,10 @@
 fn beat(term: u64, leads: bool) -> Message {
     Message::Heartbeat {
         term,
-        leads,
-        served: true,
-        hears: true,
-        asked: 0,
+        is_leader: leads,
+        store_reachable: true,
+        workers_reachable: true,
+        requests_per_s: 0,
     }
 }
 
@@ -36,7 +36,7 @@
     let (from, now) = (
         from.to_string(),
         Timestamp {
-            steady: at,
+            monotonic: at,
             wall: at,
         },
     );
@@ -49,7 +49,7 @@
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
         let now = Timestamp {
-            steady: *at,
+            monotonic: *at,
             wall: *at,
         };
         for output in node.handle(now, Input::Tick) {
@@ -80,10 +80,10 @@
         at: START,
         chunk: 25,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
     let chunk = TaskChunk {
-        p: vec![(0, 1, "m".into(), 1)],
+        placed: vec![(0, 1, "m".into(), 1)],
         ..TaskChunk::default()
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
@@ -108,8 +108,8 @@
         task: format!("{JOB}/0").parse().expect("a task's name"),
         attempt: 1,
         state,
-        why: (state == TaskState::Exited).then_some(ExitReason::Done),
-        saved: None,
+        reason: (state == TaskState::Exited).then_some(ExitReason::Done),
+        checkpoint_saved: None,
     };
     let report = Heartbeat {
         machine: "m".into(),
@@ -117,10 +117,10 @@
         machine_type: "t".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
-        token: 1,
-        notice_s: None,
+        incarnation: 1,
+        sequence: seq,
+        fencing_token: 1,
+        interruption_notice_s: None,
         tasks: vec![task],
     };
     let input = Input::Request {
--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -18,18 +18,18 @@
         machine_type: "t".into(),
         zone: "z".into(),
         spot: false,
-        session,
-        seq,
-        token,
-        notice_s: None,
+        incarnation: session,
+        sequence: seq,
+        fencing_token: token,
+        interruption_notice_s: None,
         tasks: tasks
             .iter()
             .map(|(attempt, state)| TaskStatus {
                 task: "req-1/0".parse().expect("a task's name"),
                 attempt: *attempt,
                 state: *state,
-                why: (*state == TaskState::Exited).then_some(ExitReason::Error),
-                saved: None,
+                reason: (*state == TaskState::Exited).then_some(ExitReason::Error),
+                checkpoint_saved: None,
             })
             .collect(),
     }
@@ -47,7 +47,7 @@
 fn machine() -> Machine {
     let mut m = Machine::new("m", "t", "z", false, NOW);
     assert_eq!(
-        m.report(
+        m.apply_heartbeat(
             &report(1, 1, TERM, &[]),
             HeartbeatSource::Checkin,
             TERM,
@@ -62,7 +62,7 @@
 }
 
 fn take(m: &mut Machine, r: &Heartbeat, source: HeartbeatSource) -> Vec<TaskEvent> {
-    m.report(r, source, TERM, NOW)
+    m.apply_heartbeat(r, source, TERM, NOW)
 }
 
 #[test]
@@ -105,8 +105,8 @@
     m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let launch = m.commands(true, |_, _| true);
     assert!(matches!(launch[..], [Command::Launch { .. }]));
-    m.pushed(dillcleat_controller::CallId(1), &launch);
-    m.push_ended(dillcleat_controller::CallId(1), true);
+    m.commands_sent(dillcleat_controller::CallId(1), &launch);
+    m.commands_finished(dillcleat_controller::CallId(1), true);
     if let Some(slot) = m.slots.get_mut(&key()) {
         slot.cancelled = true;
     }
@@ -144,7 +144,7 @@
         50.0,
     );
     let commands = m.commands(true, |_, _| true);
-    m.answered_with(&commands);
+    m.record_reply_launches(&commands);
     if let Some(slot) = m.slots.get_mut(&key()) {
         slot.cancelled = true;
     }
--- a/crates/controller/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -133,7 +133,7 @@
             _ => {
                 let other = JOBS[self.rng.usize(..JOBS.len())];
                 let mut spec = spec(job);
-                spec.awaits = vec![other.into()];
+                spec.depends_on = vec![other.into()];
                 let told = self.told.get(other).copied().unwrap_or_default();
                 (Kind::After(told), node.submit(&spec))
             }
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -25,7 +25,7 @@
     if let Some(quiet_ms) = quiet_ms {
         let message = Message::SilentZones(vec![SilentZone {
             zone: "cut".into(),
-            quiet_ms,
+            silent_ms: quiet_ms,
         }]);
         let from = "n1".into();
         step_and_calls(&mut node, START, Input::Peer { from, message }, &rows);
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -16,7 +16,7 @@
 /// Transactions that a node sends at this time, and the statuses it answers.
 fn step(node: &mut Node, at: Micros, input: Input) -> (Vec<(CallId, Transaction)>, Vec<u16>) {
     let now = Timestamp {
-        steady: at,
+        monotonic: at,
         wall: at,
     };
     let (mut sent, mut answered) = (Vec::new(), Vec::new());
--- a/crates/controller/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -50,7 +50,7 @@
     for n in 0..JOBS {
         let mark = fleet.record(&records::job_key(&id(n))).expect("a mark");
         let mark: JobStateRecord = dillcleat_wire::store::decode_value(&mark).expect("a mark");
-        assert_ne!(mark.s, RecordedState::Open, "{}", id(n));
+        assert_ne!(mark.state, RecordedState::Open, "{}", id(n));
     }
     assert_eq!(fleet.keys("j/"), JOBS as usize);
     assert_eq!(fleet.keys(records::QUEUE), 0);
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -47,13 +47,13 @@
             deadline_s: Some(60.0),
             zone: Some("a".into()),
             types: Some(vec!["g8".into()]),
-            awaits,
+            depends_on: awaits,
             ..JobSpec::plain("req-1", JobKind::Batch, 200, 4.0)
         },
         at: 1_700_000_000_000_000,
         chunk: 204,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     }
 }
 
@@ -71,14 +71,14 @@
     }
     same(OPEN, described(Vec::new()));
     let chunk = TaskChunk {
-        p: vec![(3, 2, "host-000231".into(), 1)],
-        w: vec![(5, 1)],
-        d: vec![(0, 2)],
+        placed: vec![(3, 2, "host-000231".into(), 1)],
+        waiting: vec![(5, 1)],
+        done: vec![(0, 2)],
     };
     same(CHUNK, chunk);
     let mark = JobStateRecord {
-        s: RecordedState::Done,
-        n: 200,
+        state: RecordedState::Done,
+        task_count: 200,
     };
     same(MARK, mark);
     same(CANCELLED, CancelledJob { at: 7 });
--- a/crates/controller/tests/zones.rs
+++ b/crates/controller/tests/zones.rs
@@ -37,7 +37,7 @@
 #[test]
 fn an_array_of_one_zone_moves_as_a_whole() {
     let mut fleet = in_zone_a(JobSpec {
-        one_zone: true,
+        single_zone: true,
         ..job(8)
     });
     fleet.workers.remove("a0");
@@ -55,7 +55,7 @@
 fn what_may_run_behind_a_cut_binds_the_rest() {
     for new_leader in [false, true] {
         let mut fleet = in_zone_a(JobSpec {
-            one_zone: true,
+            single_zone: true,
             ..job(8)
         });
         fleet.workers.remove("a0");
--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -313,14 +313,14 @@
             image_gb: self.image_gb,
             types: (!self.types.is_empty()).then_some(self.types),
             zone: self.zone,
-            one_zone: self.one_zone,
+            single_zone: self.one_zone,
             spread: self.spread,
             spot: self.spot,
             estimate_s: self.estimate_s,
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: self.deadline_s,
-            awaits: self.after,
+            depends_on: self.after,
         };
         let body = dillcleat_wire::encode(&spec);
         show(&ask(&self.server, "POST", user::JOBS_PATH, &body)?)
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -116,13 +116,13 @@
         cloud_addr: platform.endpoints.cloud.clone(),
     });
     let mut speakers = Vec::new();
-    for s in &platform.siblings {
+    for s in &platform.peers {
         let (tx, rx) = smol::channel::bounded(MAX_MESSAGES);
         speakers.push(tx);
         ex.spawn(mesh::speak(config.member.clone(), s.peer_addr.clone(), rx))
             .detach();
     }
-    let names: Rc<[String]> = config.siblings.clone().into();
+    let names: Rc<[String]> = config.peers.clone().into();
     ex.spawn(accept_clients(ex.clone(), shared.clone(), clients))
         .detach();
     ex.spawn(accept_siblings(ex.clone(), shared.clone(), siblings, names))
@@ -190,7 +190,7 @@
         let begun = Instant::now();
         let now = Timestamp {
             // Zero would look like "never" to what compares times.
-            steady: (begun - start).as_micros() as Micros + 1_000_000_000,
+            monotonic: (begun - start).as_micros() as Micros + 1_000_000_000,
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros),
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -303,7 +303,7 @@
             table,
             body,
             form,
-            since: ctx.now.steady,
+            since: ctx.now.monotonic,
             from: self.cache.revision().unwrap_or(0),
             uncertain: false,
             made: None,
@@ -394,7 +394,7 @@
     }
 
     pub fn tick(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         if let Some((at, after)) = self.load.clone()
             && now >= at
         {
@@ -436,7 +436,7 @@
         let Some(fence) = ctx.node.fence().filter(|_| self.cache.revision().is_some()) else {
             return;
         };
-        let times = (ctx.now.steady, ctx.now.wall);
+        let times = (ctx.now.monotonic, ctx.now.wall);
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
@@ -466,8 +466,8 @@
         match waiting {
             Waiting::Page { first } => self.paged(ctx, first, reply),
             Waiting::Watch => match self.changed(ctx, reply) {
-                true => self.watch_at = Some(ctx.now.steady),
-                false => self.watch_at = Some(ctx.now.steady + RETRY),
+                true => self.watch_at = Some(ctx.now.monotonic),
+                false => self.watch_at = Some(ctx.now.monotonic + RETRY),
             },
             Waiting::Look(requests) => {
                 self.looking = false;
@@ -501,7 +501,7 @@
                     Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>(),
                     _ => None,
                 };
-                let ended: Option<JobState> = mark.and_then(|m| m.s.ended());
+                let ended: Option<JobState> = mark.and_then(|m| m.state.ended());
                 self.keeper.looked(&job, ended, &self.cache);
             }
         }
@@ -509,7 +509,7 @@
     }
 
     fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StoreResponse, CallError>) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let Ok(StoreResponse::RangePage(page)) = reply else {
             self.load = Some((now + RETRY, None));
             return;
@@ -543,7 +543,7 @@
                 let sent = self.watches.lost();
                 self.send(ctx, sent);
                 self.cache = Cache::default();
-                self.load = Some((ctx.now.steady, None));
+                self.load = Some((ctx.now.monotonic, None));
                 self.watch_at = None;
                 false
             }
--- a/crates/kube/src/door/read.rs
+++ b/crates/kube/src/door/read.rs
@@ -92,7 +92,7 @@
             Since::Now | Since::Any => None,
             Since::Version(version) => Some(version),
         };
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         let times = (now, now.saturating_add(query.timeout), ctx.now.wall);
         let (id, bookmarks) = (request.id, query.bookmarks);
         let opened = self.watches.open(
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -293,7 +293,7 @@
                 log::error!("{}: its reference belongs to another job", creation.name);
                 conflict(&creation.name, "its reference belongs to another job")
             }
-            Err(e) if ctx.now.steady < creation.request.since + PATIENCE => {
+            Err(e) if ctx.now.monotonic < creation.request.since + PATIENCE => {
                 // It may yet be carried out. The same transaction again settles it.
                 creation.request.uncertain |= e == CallError::NoAnswer;
                 return self.send_creation(ctx, creation);
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -97,8 +97,8 @@
 /// Cancels the job of an object in the same transaction as something else.
 pub(crate) fn cancel(txn: Transaction, object: &Object, job: &str, wall: Micros) -> Transaction {
     let mark = JobStateRecord {
-        s: RecordedState::Cancelled,
-        n: completions(object),
+        state: RecordedState::Cancelled,
+        task_count: completions(object),
     };
     txn.compare(records::job_key(job), 0)
         .put(records::job_key(job), &mark)
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -384,7 +384,7 @@
             image_gb: self.seconds(notes, "dillcleat/image-gb").unwrap_or(0.0),
             types,
             zone,
-            one_zone,
+            single_zone: one_zone,
             spread,
             spot: self.flag(notes, "dillcleat/spot"),
             estimate_s: self
@@ -395,7 +395,7 @@
                 .unwrap_or(0.0),
             save_s: self.seconds(notes, "dillcleat/save-seconds").unwrap_or(0.0),
             deadline_s: self.seconds(notes, "dillcleat/deadline-seconds"),
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         })
     }
 }
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -117,7 +117,7 @@
 
 fn now() -> Timestamp {
     Timestamp {
-        steady: 1000 * SECOND,
+        monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
     }
 }
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -37,7 +37,7 @@
     /// What ageing has taken off it, in CPU-seconds; less the leader's clock if it
     /// ages. So it stays what it is while the job ages, and need not be told again.
     pub credit: f64,
-    pub ages: bool,
+    pub is_ageing: bool,
     pub trained: bool,
     /// Run times of its training tasks, in seconds.
     pub samples: Vec<f64>,
@@ -50,7 +50,7 @@
     pub term: u64,
     /// What ageing has taken off any array that was active all the time, in
     /// CPU-seconds.
-    pub clock: f64,
+    pub virtual_time: f64,
     /// Mean run times by class, in seconds.
     pub classes: Vec<(String, f64)>,
     pub jobs: Vec<JobEstimate>,
@@ -61,7 +61,7 @@
 pub struct SilentZone {
     pub zone: String,
     /// Since any of its machines was heard, in milliseconds.
-    pub quiet_ms: u32,
+    pub silent_ms: u32,
 }
 
 /// How far a job is, for display.
@@ -81,10 +81,10 @@
     /// workers reach it, and how many requests a second users make of it.
     Heartbeat {
         term: u64,
-        leads: bool,
-        served: bool,
-        hears: bool,
-        asked: u32,
+        is_leader: bool,
+        store_reachable: bool,
+        workers_reachable: bool,
+        requests_per_s: u32,
     },
     /// From the leader: the progress of some jobs.
     JobProgress(Vec<JobProgress>),
@@ -138,7 +138,7 @@
 
 fn put_learned(out: &mut Vec<u8>, learned: &Estimates) {
     out.extend_from_slice(&learned.term.to_be_bytes());
-    put_f64(out, learned.clock);
+    put_f64(out, learned.virtual_time);
     let n = learned.classes.len().min(MAX_CLASSES);
     out.extend_from_slice(&(n as u16).to_be_bytes());
     for (class, mean) in &learned.classes[..n] {
@@ -152,7 +152,7 @@
         put_f64(out, j.initial_size);
         put_f64(out, j.size);
         put_f64(out, j.credit);
-        out.push(u8::from(j.ages));
+        out.push(u8::from(j.is_ageing));
         out.push(u8::from(j.trained));
         let n = j.samples.len().min(MAX_SAMPLES);
         out.extend_from_slice(&(n as u16).to_be_bytes());
@@ -173,10 +173,10 @@
             }
             Message::Heartbeat {
                 term,
-                leads,
-                served,
-                hears,
-                asked,
+                is_leader: leads,
+                store_reachable: served,
+                workers_reachable: hears,
+                requests_per_s: asked,
             } => {
                 out.push(2);
                 out.extend_from_slice(&term.to_be_bytes());
@@ -201,7 +201,7 @@
                 out.extend_from_slice(&(n as u16).to_be_bytes());
                 for z in &zones[..n] {
                     put_text(&mut out, &z.zone);
-                    out.extend_from_slice(&z.quiet_ms.to_be_bytes());
+                    out.extend_from_slice(&z.silent_ms.to_be_bytes());
                 }
             }
             Message::Estimates(learned) => {
@@ -225,10 +225,10 @@
             1 => Message::Hello { member: r.text()? },
             2 => Message::Heartbeat {
                 term: r.u64()?,
-                leads: r.flag()?,
-                served: r.flag()?,
-                hears: r.flag()?,
-                asked: r.u32()?,
+                is_leader: r.flag()?,
+                store_reachable: r.flag()?,
+                workers_reachable: r.flag()?,
+                requests_per_s: r.u32()?,
             },
             3 => {
                 let n = r.count(MAX_PROGRESS)?;
@@ -248,7 +248,7 @@
                 for _ in 0..n {
                     zones.push(SilentZone {
                         zone: r.text()?,
-                        quiet_ms: r.u32()?,
+                        silent_ms: r.u32()?,
                     });
                 }
                 Message::SilentZones(zones)
@@ -328,7 +328,7 @@
                 initial_size: self.f64()?,
                 size: self.f64()?,
                 credit: self.f64()?,
-                ages: self.flag()?,
+                is_ageing: self.flag()?,
                 trained: self.flag()?,
                 samples: Vec::new(),
             };
@@ -339,7 +339,7 @@
         }
         Ok(Estimates {
             term,
-            clock,
+            virtual_time: clock,
             classes,
             jobs,
         })
@@ -368,10 +368,10 @@
             },
             Message::Heartbeat {
                 term: u64::MAX,
-                leads: true,
-                served: false,
-                hears: true,
-                asked: 70_000,
+                is_leader: true,
+                store_reachable: false,
+                workers_reachable: true,
+                requests_per_s: 70_000,
             },
             Message::JobProgress(vec![JobProgress {
                 job: "req-1".into(),
@@ -380,18 +380,18 @@
             }]),
             Message::SilentZones(vec![SilentZone {
                 zone: "a".into(),
-                quiet_ms: 9_000,
+                silent_ms: 9_000,
             }]),
             Message::Estimates(Estimates {
                 term: 7,
-                clock: 12.5,
+                virtual_time: 12.5,
                 classes: vec![("merge".into(), 40.25)],
                 jobs: vec![JobEstimate {
                     job: "req-1".into(),
                     initial_size: 240.0,
                     size: 120.5,
                     credit: -3.0,
-                    ages: true,
+                    is_ageing: true,
                     trained: false,
                     samples: vec![30.0, 31.5],
                 }],
@@ -424,7 +424,7 @@
         for clock in [f64::NAN, f64::INFINITY] {
             let frame = Message::Estimates(Estimates {
                 term: 1,
-                clock,
+                virtual_time: clock,
                 classes: Vec::new(),
                 jobs: Vec::new(),
             })
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -65,7 +65,7 @@
     fn of(m: &MachineView) -> Keys {
         Keys {
             spot: m.spot,
-            warm: m.warm,
+            warm: m.service_images,
             cpus: to_millionths(m.free.cpus).max(0),
             memory: to_millionths(m.free.memory_gb).max(0),
         }
@@ -73,7 +73,7 @@
 
     /// Free CPUs of the machine, in millionths, as far as they can be counted on.
     fn counts(&self, m: &MachineView) -> i64 {
-        if m.condemned { 0 } else { self.cpus }
+        if m.cordoned { 0 } else { self.cpus }
     }
 
     /// A machine without CPUs left takes nothing but tasks that need none.
@@ -146,7 +146,7 @@
     }
 
     fn leave(&mut self, place: SlabIndex, m: &MachineView) {
-        self.mute -= usize::from(m.mute);
+        self.mute -= usize::from(m.outbound_unreachable);
         let keys = Keys::of(m);
         let counts = keys.counts(m);
         self.free[usize::from(m.spot)] -= counts;
@@ -175,7 +175,7 @@
     }
 
     fn enter(&mut self, place: SlabIndex, m: &MachineView) {
-        self.mute += usize::from(m.mute);
+        self.mute += usize::from(m.outbound_unreachable);
         let keys = Keys::of(m);
         let counts = keys.counts(m);
         self.free[usize::from(m.spot)] += counts;
@@ -207,7 +207,7 @@
     }
 
     pub fn is_mute(&self, place: SlabIndex) -> bool {
-        self.view(place).is_some_and(|m| m.mute)
+        self.view(place).is_some_and(|m| m.outbound_unreachable)
     }
 
     /// How many machines have room.
@@ -262,7 +262,7 @@
     /// Whether `reserve` CPUs of ordinary room in the machine's zone are left
     /// to services if the job takes its next task's there.
     fn spares(&self, reserve: f64, job: &JobView, m: &MachineView) -> bool {
-        if reserve <= 0.0 || m.spot || !job.spec.spot || job.service() {
+        if reserve <= 0.0 || m.spot || !job.spec.spot || job.is_service() {
             return true;
         }
         self.ordinary(&m.zone) - job.spec.cpus + EPS >= reserve
@@ -270,8 +270,10 @@
 
     fn open(&self, kept: ReservePolicy, job: &JobView, m: &MachineView) -> bool {
         match kept {
-            ReservePolicy::Reserve(reserve) => !job.avoids(m) && self.spares(reserve, job, m),
-            ReservePolicy::Faulty => !job.avoids(m),
+            ReservePolicy::Reserve(reserve) => {
+                !job.has_failed_on(m) && self.spares(reserve, job, m)
+            }
+            ReservePolicy::Faulty => !job.has_failed_on(m),
             ReservePolicy::Nothing => true,
         }
     }
@@ -279,10 +281,8 @@
     /// Whether what is left in the machine's zone, with a task of the job on it, is
     /// less than what is kept for services.
     pub fn short(&self, place: SlabIndex, reserve: f64, job: &JobView) -> bool {
-        let bound = !job.service() && reserve > 0.0;
-        let there = self
-            .view(place)
-            .filter(|m| bound && !m.spot && !m.condemned);
+        let bound = !job.is_service() && reserve > 0.0;
+        let there = self.view(place).filter(|m| bound && !m.spot && !m.cordoned);
         there.is_some_and(|m| self.ordinary(&m.zone) + EPS < reserve)
     }
 
@@ -293,14 +293,14 @@
 
     /// Whether any job like this one would find room.
     pub fn any(&self, job: &JobView, kept: ReservePolicy) -> bool {
-        let need = job.room();
+        let need = job.resources();
         let least = to_millionths(need.cpus);
         let fits = |place: &SlabIndex| {
             self.view(*place).is_some_and(|m| {
                 // Where it has failed itself is of no matter to others like it.
                 let open = match kept {
-                    ReservePolicy::Reserve(reserve) => !m.condemned && self.spares(reserve, job, m),
-                    ReservePolicy::Faulty => !m.condemned,
+                    ReservePolicy::Reserve(reserve) => !m.cordoned && self.spares(reserve, job, m),
+                    ReservePolicy::Faulty => !m.cordoned,
                     ReservePolicy::Nothing => true,
                 };
                 m.free.fits(&need) && job.kind_allows(m) && open
@@ -327,7 +327,7 @@
         kept: ReservePolicy,
         most: u32,
     ) -> u32 {
-        let need = job.room();
+        let need = job.resources();
         let mut made = 0;
         let Some(mut m) = self.view(place).cloned() else {
             return 0;
@@ -342,7 +342,7 @@
             made += 1;
             // What the zone has left for services goes down with each.
             if !m.spot
-                && !m.condemned
+                && !m.cordoned
                 && let Some(free) = self.ordinary.get_mut(&m.zone)
             {
                 *free -= to_millionths(need.cpus);
@@ -350,7 +350,7 @@
         }
         if made > 0 {
             if !m.spot
-                && !m.condemned
+                && !m.cordoned
                 && let Some(free) = self.ordinary.get_mut(&m.zone)
             {
                 // The change of the view counts it once more.
@@ -445,10 +445,10 @@
     }
 
     fn step(&mut self, ranks: &Ranks, spot: bool, holds: bool, job: &JobView) -> Option<SlabIndex> {
-        if job.service() && !holds {
+        if job.is_service() && !holds {
             return self.emptiest(&ranks.by_room);
         }
-        if spot || job.service() {
+        if spot || job.is_service() {
             return self.fullest(&ranks.by_room);
         }
         self.coldest(&ranks.by_warm)
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -14,19 +14,19 @@
     pub machine: SlabIndex,
     pub tasks: u32,
     /// It takes room that was kept for services.
-    pub of_reserve: bool,
+    pub uses_service_headroom: bool,
 }
 
 /// What bounds a pass besides teams and room.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
     /// The reading of the line's clock.
-    pub clock: f64,
+    pub virtual_time: f64,
     /// CPUs that training tasks may still take.
     pub training_cpus: f64,
     /// Ordinary room per zone, in CPUs, that work which may run on spot machines
     /// leaves to services that must start sooner than any machine can be rented.
-    pub reserve: f64,
+    pub service_headroom: f64,
 }
 
 /// Places up to `most` tasks of the job, each on the best machine there is. `made` is
@@ -45,11 +45,11 @@
     job: &mut JobView,
     floor: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
-    reserve: f64,
+    service_headroom: f64,
     most: u32,
     mut made: impl FnMut(SlabIndex, u32, bool),
 ) {
-    let kept = ReservePolicy::Reserve(reserve);
+    let kept = ReservePolicy::Reserve(service_headroom);
     let placed = fill_with(job, floor, teams, kept, most, |machine, tasks| {
         made(machine, tasks, false);
     });
@@ -62,7 +62,7 @@
             at = Some(machine);
         });
         if let Some(machine) = at {
-            return made(machine, 1, floor.short(machine, reserve, job));
+            return made(machine, 1, floor.short(machine, service_headroom, job));
         }
     }
 }
@@ -127,12 +127,12 @@
     /// tasks are placed.
     fn serve(&mut self, mut walk: QueueCursor<'_>, training: bool) {
         while let Some(turn) = walk.next_job() {
-            if self.closed.contains(turn.shape) {
+            if self.closed.contains(turn.request) {
                 continue;
             }
-            let job = match self.seen.entry(turn.place) {
+            let job = match self.seen.entry(turn.index) {
                 std::collections::btree_map::Entry::Occupied(e) => e.into_mut(),
-                std::collections::btree_map::Entry::Vacant(e) => match (self.view)(turn.place) {
+                std::collections::btree_map::Entry::Vacant(e) => match (self.view)(turn.index) {
                     Some(job) => e.insert(job),
                     None => {
                         walk.advance(turn.lane);
@@ -161,7 +161,7 @@
             };
             let made = &mut self.made;
             let mut placed = 0;
-            let reserve = self.terms.reserve;
+            let reserve = self.terms.service_headroom;
             place_tasks(
                 job,
                 self.floor,
@@ -171,10 +171,10 @@
                 |machine, tasks, of_reserve| {
                     placed += tasks;
                     made.push(Assignment {
-                        job: turn.place,
+                        job: turn.index,
                         machine,
                         tasks,
-                        of_reserve,
+                        uses_service_headroom: of_reserve,
                     });
                 },
             );
@@ -186,9 +186,9 @@
             if short
                 && !self
                     .floor
-                    .any(job, ReservePolicy::from(turn.shape, reserve))
+                    .any(job, ReservePolicy::from(turn.request, reserve))
             {
-                self.closed.insert(turn.shape.clone());
+                self.closed.insert(turn.request.clone());
                 continue;
             }
             walk.advance(turn.lane);
@@ -214,9 +214,12 @@
         closed: BTreeSet::new(),
         made: Vec::new(),
     };
-    pass.serve(line.cursor(QueueSection::First, terms.clock), false);
-    pass.serve(line.cursor(QueueSection::Training, terms.clock), true);
-    pass.serve(line.cursor(QueueSection::Rest, terms.clock), false);
+    pass.serve(line.cursor(QueueSection::First, terms.virtual_time), false);
+    pass.serve(
+        line.cursor(QueueSection::Training, terms.virtual_time),
+        true,
+    );
+    pass.serve(line.cursor(QueueSection::Rest, terms.virtual_time), false);
     let seen = pass.seen.len();
     (pass.made, seen)
 }
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -47,8 +47,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueueEntry {
     pub team: usize,
-    pub shape: Rc<ResourceRequest>,
-    pub pace: AgeingState,
+    pub request: Rc<ResourceRequest>,
+    pub ageing: AgeingState,
     pub rank: QueueRank,
     /// Its place among jobs that train, by initial size.
     pub training: Option<QueueRank>,
@@ -64,8 +64,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SubQueueKey {
     team: usize,
-    shape: Rc<ResourceRequest>,
-    pace: AgeingState,
+    request: Rc<ResourceRequest>,
+    ageing: AgeingState,
 }
 
 #[derive(Debug, Default)]
@@ -129,16 +129,16 @@
     fn lane(s: &QueueEntry, pace: AgeingState) -> SubQueueKey {
         SubQueueKey {
             team: s.team,
-            shape: s.shape.clone(),
-            pace,
+            request: s.request.clone(),
+            ageing: pace,
         }
     }
 
     fn leave(&mut self, place: SlabIndex, s: QueueEntry) {
-        if s.pace == AgeingState::Ageing {
+        if s.ageing == AgeingState::Ageing {
             self.zeros.remove(&(s.rank.size, place));
         }
-        let lane = Self::lane(&s, s.pace);
+        let lane = Self::lane(&s, s.ageing);
         let training = Self::lane(&s, AgeingState::Fixed);
         let lanes = if s.goes_first() {
             &mut self.first
@@ -152,7 +152,7 @@
     }
 
     fn enter(&mut self, place: SlabIndex, s: &QueueEntry) {
-        if s.pace == AgeingState::Ageing {
+        if s.ageing == AgeingState::Ageing {
             self.zeros.insert((s.rank.size, place));
         }
         let lanes = if s.goes_first() {
@@ -160,7 +160,7 @@
         } else {
             &mut self.rest
         };
-        lanes.insert(Self::lane(s, s.pace), s.rank.clone(), place);
+        lanes.insert(Self::lane(s, s.ageing), s.rank.clone(), place);
         if let Some(rank) = &s.training {
             let lane = Self::lane(s, AgeingState::Fixed);
             self.training.insert(lane, rank.clone(), place);
@@ -208,7 +208,7 @@
             let walk = if first_is_next { &mut first } else { &mut rest };
             let turn = walk.next_job()?;
             walk.advance(turn.lane);
-            Some(turn.place)
+            Some(turn.index)
         })
     }
 }
@@ -228,16 +228,16 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Head<'l> {
     key: Key<'l>,
-    place: SlabIndex,
+    index: SlabIndex,
     lane: usize,
 }
 
 /// Whose turn it is.
 #[derive(Debug, Clone, Copy)]
 pub struct QueuedJob<'l> {
-    pub place: SlabIndex,
+    pub index: SlabIndex,
     pub lane: usize,
-    pub shape: &'l Rc<ResourceRequest>,
+    pub request: &'l Rc<ResourceRequest>,
 }
 
 /// A lane goes on only when told to: a lane that is left stays left.
@@ -255,9 +255,9 @@
         let Reverse(head) = self.heads.pop()?;
         let lane = self.lanes[head.lane].0;
         Some(QueuedJob {
-            place: head.place,
+            index: head.index,
             lane: head.lane,
-            shape: &lane.shape,
+            request: &lane.request,
         })
     }
 
@@ -267,7 +267,7 @@
         let Some((rank, place)) = jobs.next() else {
             return;
         };
-        let size = match kind.pace {
+        let size = match kind.ageing {
             AgeingState::Aged => 0.0,
             AgeingState::Ageing => (rank.size.0 - self.clock).max(0.0),
             AgeingState::Fixed => rank.size.0,
@@ -283,7 +283,7 @@
         };
         self.heads.push(Reverse(Head {
             key,
-            place: *place,
+            index: *place,
             lane,
         }));
     }
--- a/crates/sched/src/preemption.rs
+++ b/crates/sched/src/preemption.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, Clone)]
 pub struct PreemptionCandidate {
     pub machine: usize,
-    pub room: Resources,
+    pub resources: Resources,
     pub priority: Priority,
     /// How long it has run, in microseconds: the work that is lost.
-    pub ran: u64,
+    pub run_time: u64,
 }
 
 /// What stopping tasks on a machine costs: whether any is stopped, whether the
@@ -26,7 +26,7 @@
     on: &[Vec<usize>],
     victims: &[PreemptionCandidate],
 ) -> Option<(usize, Vec<usize>)> {
-    let need = job.room();
+    let need = job.resources();
     let mut best: Option<(Loss, usize, Vec<usize>)> = None;
     for (m, view) in machines.iter().enumerate() {
         if !job.allows(view) {
@@ -40,8 +40,8 @@
                 break;
             }
             if victims[v].priority < job.spec.priority {
-                free.add(&victims[v].room);
-                lost += victims[v].ran;
+                free.add(&victims[v].resources);
+                lost += victims[v].run_time;
                 chosen.push(v);
             }
         }
@@ -70,7 +70,7 @@
         on[v.machine].push(i);
     }
     for list in &mut on {
-        list.sort_by_key(|&i| victims[i].ran);
+        list.sort_by_key(|&i| victims[i].run_time);
     }
     let mut stopped = Vec::new();
     for job in jobs {
@@ -79,7 +79,7 @@
                 break;
             };
             for v in chosen {
-                machines[m].free.add(&victims[v].room);
+                machines[m].free.add(&victims[v].resources);
                 on[m].retain(|o| *o != v);
                 stopped.push(v);
             }
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -79,10 +79,10 @@
                         spot,
                         free: Resources::of_type(t),
                         images: Images::default(),
-                        warm: 0,
-                        avoid: Vec::new(),
-                        condemned: false,
-                        mute: false,
+                        service_images: 0,
+                        failed_jobs: Vec::new(),
+                        cordoned: false,
+                        outbound_unreachable: false,
                     },
                 });
             }
@@ -146,13 +146,13 @@
 impl Plan<'_> {
     /// The cheapest open offer for the next tasks of a job.
     fn best_choice(&self, job: &JobView) -> Option<usize> {
-        let need = job.room();
+        let need = job.resources();
         // Work that may run on spot machines waits for them rather than pay the
         // ordinary price, as long as it can; where there are none at all, it
         // does not. With every spot machine taken, rosterwise-nz-grown once
         // missed a third of its deadlines beside idle ordinary offers.
         let cheap_only = job.spec.spot
-            && job.late == 0
+            && job.at_risk_tasks == 0
             && self
                 .types
                 .iter()
@@ -164,10 +164,10 @@
         for (i, c) in self.choices.iter().enumerate() {
             // An ordinary machine is rented for late tasks only, so only they
             // count.
-            let most = if c.machine.spot || !job.spec.spot || job.late == 0 {
+            let most = if c.machine.spot || !job.spec.spot || job.at_risk_tasks == 0 {
                 job.waiting
             } else {
-                job.waiting.min(job.late)
+                job.waiting.min(job.at_risk_tasks)
             };
             let slots = c.machine.free.count_fitting(&need).min(most);
             if slots == 0 || (cheap_only && !c.machine.spot) || !job.allows(&c.machine) {
@@ -185,7 +185,7 @@
             // loss takes as little as can be.
             let there = self.there.get(&c.machine.zone).copied().unwrap_or(0);
             let rated = Rated {
-                waits: job.service() && c.slow,
+                waits: job.is_service() && c.slow,
                 cost,
                 tie: (c.slow, there),
                 choice: i,
@@ -200,8 +200,8 @@
     /// The same, remembering what finds nothing.
     fn choose(&self, job: &JobView, kind: &mut Kind) -> Option<usize> {
         // Rules about the job's other tasks are its own.
-        let alike = !job.spec.spread && !job.spec.one_zone;
-        let key = (job.waiting.min(kind.most), job.late.min(kind.most));
+        let alike = !job.spec.spread && !job.spec.single_zone;
+        let key = (job.waiting.min(kind.most), job.at_risk_tasks.min(kind.most));
         if alike && kind.hopeless.contains(&key) {
             return None;
         }
@@ -272,7 +272,7 @@
     let mut added = 0;
     let mut lent = market.lent.clone();
     for (mut job, shape) in jobs {
-        let need = job.room();
+        let need = job.resources();
         let job = &mut job;
         if !kinds.contains_key(shape) {
             kinds.insert(shape.clone(), Kind::of(&need, &plan.choices));
@@ -308,7 +308,7 @@
                 && job.put(&mut new, teams)
             {
                 if !new.spot {
-                    job.late = job.late.saturating_sub(1);
+                    job.at_risk_tasks = job.at_risk_tasks.saturating_sub(1);
                 }
             }
             // What is left of it is for those that come after.
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -21,14 +21,14 @@
     /// Images that it holds or is fetching.
     pub images: Images,
     /// How many of them services use.
-    pub warm: u32,
+    pub service_images: u32,
     /// Jobs that failed on it.
-    pub avoid: Vec<Rc<str>>,
+    pub failed_jobs: Vec<Rc<str>>,
     /// It has failed several jobs: room there counts for nothing but as a last resort.
-    pub condemned: bool,
+    pub cordoned: bool,
     /// It answers orders, and its own reports don't come: what it is given may end with
     /// its lease, so all others come first.
-    pub mute: bool,
+    pub outbound_unreachable: bool,
 }
 
 impl MachineView {
@@ -88,7 +88,7 @@
 
 #[derive(Debug, Clone)]
 pub struct JobView<'a> {
-    pub place: SlabIndex,
+    pub index: SlabIndex,
     pub id: &'a str,
     pub spec: &'a JobSpec,
     pub image: &'a Rc<str>,
@@ -102,18 +102,18 @@
     /// Waiting tasks that would start too late for the deadline on the fleet as
     /// it is, so that ordinary machines may be rented for them where spot
     /// machines are not to be had. This changes what is rented, never the order.
-    pub late: u32,
+    pub at_risk_tasks: u32,
     /// It has waited for so long that one of its tasks may go where nothing else of
     /// its like may: into room that is kept for services, or where it or others failed.
     pub starving: bool,
 }
 
 impl JobView<'_> {
-    pub fn room(&self) -> Resources {
+    pub fn resources(&self) -> Resources {
         Resources::of_task(self.spec)
     }
 
-    pub fn service(&self) -> bool {
+    pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
@@ -122,7 +122,7 @@
         if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
             return false;
         }
-        if self.spec.one_zone && self.zones.iter().any(|(z, n)| **z != *zone && *n > 0) {
+        if self.spec.single_zone && self.zones.iter().any(|(z, n)| **z != *zone && *n > 0) {
             return false;
         }
         // At most half of the tasks, rounded up, may be in one zone.
@@ -147,12 +147,12 @@
     }
 
     /// Whether it has failed there, or others have.
-    pub fn avoids(&self, m: &MachineView) -> bool {
-        m.condemned || m.avoid.iter().any(|j| **j == *self.id)
+    pub fn has_failed_on(&self, m: &MachineView) -> bool {
+        m.cordoned || m.failed_jobs.iter().any(|j| **j == *self.id)
     }
 
     pub fn allows(&self, m: &MachineView) -> bool {
-        self.permits(m) && !self.avoids(m)
+        self.permits(m) && !self.has_failed_on(m)
     }
 
     pub fn team_allows(&self, teams: &[TeamAllowance]) -> bool {
@@ -166,7 +166,7 @@
             return false;
         }
         self.waiting -= 1;
-        m.free.subtract(&self.room());
+        m.free.subtract(&self.resources());
         if !m.holds_image(self.image) {
             Rc::make_mut(&mut m.images).push((self.image.clone(), self.spec.image_gb));
         }
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -47,7 +47,7 @@
 
     pub fn view(&self) -> JobView<'_> {
         JobView {
-            place: 0,
+            index: 0,
             id: &self.spec.id,
             spec: &self.spec,
             image: &self.image,
@@ -55,7 +55,7 @@
             waiting: self.spec.tasks,
             zones: BTreeMap::new(),
             training: self.training,
-            late: self.late,
+            at_risk_tasks: self.late,
             starving: self.starving,
         }
     }
@@ -80,8 +80,8 @@
         };
         QueueEntry {
             team: self.team,
-            shape: Rc::new(ResourceRequest::of(&self.spec).when(self.starving)),
-            pace,
+            request: Rc::new(ResourceRequest::of(&self.spec).when(self.starving)),
+            ageing: pace,
             rank: rank(true, size, remaining),
             training: (self.training > 0).then(|| rank(false, self.initial_size, 0.0)),
         }
@@ -116,10 +116,10 @@
             memory_gb: 64.0,
         },
         images: Images::default(),
-        warm: 0,
-        avoid: Vec::new(),
-        condemned: false,
-        mute: false,
+        service_images: 0,
+        failed_jobs: Vec::new(),
+        cordoned: false,
+        outbound_unreachable: false,
     }
 }
 
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -25,9 +25,9 @@
     reserve: f64,
 ) -> Vec<(SlabIndex, SlabIndex)> {
     let terms = CycleLimits {
-        clock: 0.0,
+        virtual_time: 0.0,
         training_cpus,
-        reserve,
+        service_headroom: reserve,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
     let (made, _) = run_cycle(&line(jobs), view, floor, teams, terms);
@@ -125,7 +125,7 @@
     let on = |m: SlabIndex| made.iter().filter(|x| x.1 == m).count();
     assert_eq!((on(0), on(1), on(2)), (0, 3, 1));
     let mut one = spec("one", 4);
-    one.one_zone = true;
+    one.single_zone = true;
     let mut room = floor(&[machine("a", 2.0, true), machine("b", 2.0, true)]);
     let jobs = [Job::new(one, 1.0, 0)];
     let made = pass(&jobs, &mut room, &mut team(99.0), 0.0, 0.0);
@@ -164,9 +164,9 @@
 
 /// The best machine for the job's next task, looked for among all.
 fn best(job: &JobView, machines: &[MachineView], kept: ReservePolicy) -> Option<usize> {
-    let need = job.room();
+    let need = job.resources();
     let spared = |m: &MachineView, reserve: f64| {
-        let ordinary = |o: &&MachineView| !o.spot && !o.condemned && o.zone == m.zone;
+        let ordinary = |o: &&MachineView| !o.spot && !o.cordoned && o.zone == m.zone;
         let free: f64 = machines.iter().filter(ordinary).map(|o| o.free.cpus).sum();
         let bound = !m.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
         reserve <= 0.0 || !bound || free - need.cpus + 1e-6 >= reserve
@@ -176,10 +176,14 @@
         let spot = m.spot == job.spec.spot;
         let service = job.spec.kind == JobKind::Service;
         let sign = if service && !image { 1.0 } else { -1.0 };
-        let warm = if service || m.spot { 0 } else { m.warm };
+        let warm = if service || m.spot {
+            0
+        } else {
+            m.service_images
+        };
         let (cpus, memory) = (m.free.cpus * sign, m.free.memory_gb * sign);
         let order = (spot, image, 9 - warm, cpus, memory, i as f64 * sign);
-        (!m.mute, order)
+        (!m.outbound_unreachable, order)
     };
     let mut found: Option<usize> = None;
     for (i, view) in machines.iter().enumerate() {
@@ -284,8 +288,8 @@
     s.memory_gb = f64::from(rng.u32(1..9));
     s.image = format!("i{}", rng.u8(..3));
     s.spot = rng.bool();
-    s.one_zone = rng.u8(..5) == 0;
-    s.spread = !s.one_zone && rng.u8(..3) == 0;
+    s.single_zone = rng.u8(..5) == 0;
+    s.spread = !s.single_zone && rng.u8(..3) == 0;
     s.zone = (rng.u8(..6) == 0).then(|| "a".to_string());
     s.types = (rng.u8(..8) == 0).then(|| vec!["other".to_string()]);
     if rng.u8(..5) == 0 {
@@ -315,15 +319,15 @@
     let zone = ["a", "b", "c"][rng.usize(..3)];
     let mut m = machine(zone, f64::from(rng.u32(..17)), rng.bool());
     m.free.memory_gb = f64::from(rng.u32(4..40));
-    m.warm = if m.spot { 0 } else { rng.u32(..3) };
+    m.service_images = if m.spot { 0 } else { rng.u32(..3) };
     m.images = Rc::new(vec![(Rc::from(format!("i{}", rng.u8(..3))), 1.0)]);
-    m.condemned = rng.u8(..9) == 0;
-    m.mute = rng.u8(..5) == 0;
+    m.cordoned = rng.u8(..9) == 0;
+    m.outbound_unreachable = rng.u8(..5) == 0;
     if rng.u8(..6) == 0 {
         m.machine_type = "other".into();
     }
     if rng.u8(..6) == 0 {
-        m.avoid = vec![Rc::from(format!("j{}", rng.u8(..4)))];
+        m.failed_jobs = vec![Rc::from(format!("j{}", rng.u8(..4)))];
     }
     m
 }
@@ -455,13 +459,13 @@
     };
     let victim = |machine: usize, priority: Priority, ran: u64| PreemptionCandidate {
         machine,
-        room: Resources {
+        resources: Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
         },
         priority,
-        ran,
+        run_time: ran,
     };
     let victims = [
         victim(0, Priority::Normal, 50),
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -26,9 +26,9 @@
 
 fn pass(jobs: &[Job], floor: &mut CapacityIndex, training_cpus: f64) -> Vec<Assignment> {
     let terms = CycleLimits {
-        clock: 0.0,
+        virtual_time: 0.0,
         training_cpus,
-        reserve: RESERVE,
+        service_headroom: RESERVE,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
     run_cycle(&line(jobs), view, floor, &mut team(99.0), terms).0
@@ -38,7 +38,11 @@
 fn placed(jobs: &[Job], machines: &[MachineView]) -> (Vec<u32>, u32) {
     let made = pass(jobs, &mut floor(machines), 0.0);
     let of = |i| made.iter().filter(|a| a.job == i).map(|a| a.tasks).sum();
-    let kept = made.iter().filter(|a| a.of_reserve).map(|a| a.tasks).sum();
+    let kept = made
+        .iter()
+        .filter(|a| a.uses_service_headroom)
+        .map(|a| a.tasks)
+        .sum();
     ((0..jobs.len() as SlabIndex).map(of).collect(), kept)
 }
 
@@ -66,7 +70,7 @@
 #[test]
 fn a_starving_job_goes_where_it_has_failed() {
     let mut failed = machine("a", 8.0, true);
-    failed.avoid = vec!["b".into()];
+    failed.failed_jobs = vec!["b".into()];
     let alone = [failed.clone()];
     assert_eq!(placed(&[job("b", false)], &alone).0, [0]);
     assert_eq!(placed(&[job("b", true)], &alone).0, [1]);
@@ -79,7 +83,7 @@
 #[test]
 fn a_starving_job_goes_to_a_condemned_machine_last() {
     let mut condemned = machine("a", 8.0, true);
-    condemned.condemned = true;
+    condemned.cordoned = true;
     let alone = [condemned.clone()];
     assert_eq!(placed(&[job("b", false)], &alone).0, [0]);
     assert_eq!(placed(&[job("b", true)], &alone).0, [1]);
--- a/crates/simulator/examples/doors.rs
+++ b/crates/simulator/examples/doors.rs
@@ -60,8 +60,8 @@
 fn deployment(rps: f64, write_rps: f64) -> Config {
     Config {
         zone: "a".into(),
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         state_rps: rps,
         state_write_rps: write_rps,
         value_bytes: 16 * 1024,
--- a/crates/simulator/src/alone.rs
+++ b/crates/simulator/src/alone.rs
@@ -103,7 +103,7 @@
                 continue;
             };
             let now = Timestamp {
-                steady: 1_000 * SECOND + at,
+                monotonic: 1_000 * SECOND + at,
                 wall: WALL + at,
             };
             let begun = Instant::now();
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -73,7 +73,7 @@
                 machine_type: h.machine_type.clone(),
                 zone: h.zone.clone(),
                 spot: h.spot,
-                condition: match h.up_at {
+                state: match h.up_at {
                     Some(at) if at <= now => InstanceState::Running,
                     _ => InstanceState::Booting,
                 },
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -244,8 +244,8 @@
     Config {
         member: "node-0".into(),
         zone: "a".into(),
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         teams: teams.collect(),
         report: REPORT,
         lease: LEASE,
@@ -364,7 +364,7 @@
         let root = format!("req-{:06}", 1);
         for _ in 0..self.setting.held {
             let spec = JobSpec {
-                awaits: vec![root.clone()],
+                depends_on: vec![root.clone()],
                 ..self.spec(JobKind::Batch)
             };
             self.record(&spec);
@@ -419,7 +419,7 @@
             at: WALL - self.rng.u64(..600 * SECOND),
             chunk: config(&self.setting).chunk_tasks,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
         self.state.put(records::open_key(&spec.id), &job);
     }
@@ -447,7 +447,7 @@
                 };
                 let worker = &mut self.workers[machine as usize];
                 worker.seat(task, 1, until, spec.cpus);
-                chunk.p.push((index, 1, worker.name.clone(), 1));
+                chunk.placed.push((index, 1, worker.name.clone(), 1));
             }
             // Jobs are no larger than a chunk here.
             self.state.put(
@@ -527,7 +527,7 @@
             return;
         };
         let now = Timestamp {
-            steady: SECOND * 1000 + self.now,
+            monotonic: SECOND * 1000 + self.now,
             wall: WALL + self.now,
         };
         let kind = match &input {
@@ -793,11 +793,11 @@
         }
         if worker.under_way.is_none() && self.now >= worker.report_at {
             let report = worker.report(self.now);
-            worker.under_way = Some((report.session, report.seq, self.now));
+            worker.under_way = Some((report.incarnation, report.sequence, self.now));
             worker.report_at = self.now + self.rng.u64(REPORT * 3 / 4..REPORT * 5 / 4);
             if !self.silent() {
                 self.next += 1;
-                let asker = (machine, self.now, report.session);
+                let asker = (machine, self.now, report.incarnation);
                 self.unanswered.insert(self.next, asker);
                 let body = dillcleat_wire::encode(&report);
                 self.request(HEARTBEAT_PATH, body);
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -275,13 +275,11 @@
                 match answer {
                     Some((200, body)) => {
                         if let Ok(a) = decode::<HeartbeatReply>(&body) {
-                            w.answered(&a, report.session, now, self.now(), plays);
+                            w.answered(&a, report.incarnation, now, self.now(), plays);
                         }
                     }
                     Some((421, body)) => {
-                        let to = decode::<LeaderRedirect>(&body)
-                            .ok()
-                            .and_then(|e| e.report_to);
+                        let to = decode::<LeaderRedirect>(&body).ok().and_then(|e| e.leader);
                         let to = to.and_then(|m| self.nodes.iter().position(|(n, _)| *n == m));
                         w.node = to.unwrap_or(node + 1);
                     }
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -136,7 +136,7 @@
             ("dillcleat/estimate-seconds", spec.estimate_s.to_string()),
             ("dillcleat/image-gb", spec.image_gb.to_string()),
             ("dillcleat/spot", spec.spot.to_string()),
-            ("dillcleat/one-zone", spec.one_zone.to_string()),
+            ("dillcleat/one-zone", spec.single_zone.to_string()),
         ]);
         if let Some(due) = spec.deadline_s {
             notes.insert("dillcleat/deadline-seconds", due.to_string());
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -307,7 +307,7 @@
         let mut next = vec![id];
         let (mut told, mut asked): (Option<Micros>, bool) = (None, false);
         while let Some(id) = next.pop() {
-            let awaits = self.jobs.get(id).map_or(&[][..], |j| &j.spec.awaits);
+            let awaits = self.jobs.get(id).map_or(&[][..], |j| &j.spec.depends_on);
             for name in awaits {
                 let Some(job) = self.jobs.get(name).filter(|_| seen.insert(name)) else {
                     continue;
@@ -371,7 +371,7 @@
             Some("type")
         } else if place.spot && !spec.spot {
             Some("kind of machine")
-        } else if spec.one_zone && elsewhere {
+        } else if spec.single_zone && elsewhere {
             Some("zone apart from the others")
         } else if spec.spread && in_zone + 1 > spec.tasks.div_ceil(2) {
             Some("zone that holds half already")
@@ -379,7 +379,7 @@
             None
         };
         let done = |id: &String| self.complete(id);
-        let early = spec.awaits.iter().find(|id| !done(id)).cloned();
+        let early = spec.depends_on.iter().find(|id| !done(id)).cloned();
         let late = job.cancel_told.is_some_and(|at| now > at + self.cancel);
         let team = spec.team.clone();
         if let Some(wrong) = wrong {
@@ -458,7 +458,7 @@
         let counts = |job: &&Job| {
             job.spec.tasks == largest[&*job.spec.class]
                 && !self.limits.contains_key(&job.spec.team)
-                && job.spec.awaits.is_empty()
+                && job.spec.depends_on.is_empty()
                 && !job.cancel_asked
         };
         let late = |job: &&Job| {
--- a/crates/simulator/src/rules/waiting.rs
+++ b/crates/simulator/src/rules/waiting.rs
@@ -35,7 +35,7 @@
         && types.is_none_or(|t| t.contains(&place.machine_type))
         && spec.zone.as_ref().is_none_or(|z| *z == place.zone)
         && (spec.spot || !place.spot)
-        && (!spec.one_zone || zones.keys().all(|z| **z == *place.zone))
+        && (!spec.single_zone || zones.keys().all(|z| **z == *place.zone))
         && (!spec.spread || there < spec.tasks.div_ceil(2))
 }
 
@@ -71,12 +71,12 @@
                 limit.holds(cpus + spec.cpus, gpus + spec.gpus)
             };
             // One before it that is cancelled takes it along.
-            let doomed = !spec.awaits.is_empty() && self.before(id).1;
+            let doomed = !spec.depends_on.is_empty() && self.before(id).1;
             waits
                 && open
                 && !doomed
                 && !fails(id)
-                && spec.awaits.iter().all(|id| self.complete(id))
+                && spec.depends_on.iter().all(|id| self.complete(id))
                 && limit.is_none_or(under)
                 && rooms.iter().any(|room| fits(spec, zones, room))
         };
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -96,10 +96,10 @@
             machine_type: self.place.machine_type.clone(),
             zone: self.place.zone.clone(),
             spot: self.place.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: self
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: self
                 .recall_at
                 .map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
             tasks: self
@@ -109,8 +109,8 @@
                     task: task.clone(),
                     attempt: *attempt,
                     state: r.state,
-                    why: r.why,
-                    saved: None,
+                    reason: r.why,
+                    checkpoint_saved: None,
                 })
                 .collect(),
         }
@@ -222,11 +222,11 @@
         now: Micros,
         jobs: &BTreeMap<String, Play>,
     ) -> Vec<Happening> {
-        if answer.token < self.token || session != self.session {
+        if answer.fencing_token < self.token || session != self.session {
             return Vec::new();
         }
-        if answer.token > self.token {
-            self.token = answer.token;
+        if answer.fencing_token > self.token {
+            self.token = answer.fencing_token;
             self.soon(now);
         }
         self.leased_from = self.leased_from.max(sent);
@@ -240,10 +240,10 @@
         now: Micros,
         jobs: &BTreeMap<String, Play>,
     ) -> (u16, Heartbeat, Vec<Happening>) {
-        if orders.token < self.token || orders.session != self.session {
+        if orders.fencing_token < self.token || orders.incarnation != self.session {
             return (409, self.report(now), Vec::new());
         }
-        self.token = orders.token;
+        self.token = orders.fencing_token;
         let happenings = self.carry_out(&orders.commands, now, jobs);
         (200, self.report(now), happenings)
     }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -470,8 +470,8 @@
     Config {
         member: name(member),
         zone: ZONES[member % 3].into(),
-        siblings: (0..nodes).filter(|i| *i != member).map(name).collect(),
-        far_siblings: (0..nodes)
+        peers: (0..nodes).filter(|i| *i != member).map(name).collect(),
+        peers_in_other_zones: (0..nodes)
             .filter(|i| i % 3 != member % 3)
             .map(name)
             .collect(),
@@ -726,7 +726,7 @@
     fn clocks(&self, node: usize) -> Timestamp {
         Timestamp {
             // Steady clocks may run 0.05% fast.
-            steady: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
+            monotonic: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
             wall: WALL + self.now + (node as u64) * SECOND / 10,
         }
     }
@@ -832,8 +832,8 @@
             } => {
                 let asker = Asker::Worker {
                     machine,
-                    session: report.session,
-                    seq: report.seq,
+                    session: report.incarnation,
+                    seq: report.sequence,
                     sent: self.now,
                 };
                 let body = dillcleat_wire::encode(&*report);
--- a/crates/simulator/src/world/pipelines.rs
+++ b/crates/simulator/src/world/pipelines.rs
@@ -75,7 +75,7 @@
             team: if rng.bool() { "bound" } else { "free" }.into(),
             priority: [Priority::BestEffort, Priority::Normal, Priority::High][rng.usize(..3)],
             spot: rng.bool(),
-            awaits: stands
+            depends_on: stands
                 .needs
                 .iter()
                 .map(|n| self.users[*n].spec.id.clone())
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -44,14 +44,14 @@
             image_gb: 1.0,
             types: (rng.u8(..5) == 0).then(|| vec!["large".to_string()]),
             zone: (rng.u8(..6) == 0).then(|| ZONES[rng.usize(..3)].to_string()),
-            one_zone,
+            single_zone: one_zone,
             spread: !one_zone && rng.u8(..3) == 0,
             spot: !service && rng.u8(..4) > 0,
             estimate_s: 10.0,
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: (!service).then_some(60.0),
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         };
         let mut spec = spec;
         if let (0, Some(tasks)) = (job, self.scenario.large) {
@@ -60,7 +60,7 @@
             if self.scenario.upgrade.is_some() {
                 // Dozens of its tasks are placed at once.
                 (spec.cpus, spec.memory_gb) = (0.25, 0.5);
-                (spec.one_zone, spec.zone) = (false, None);
+                (spec.single_zone, spec.zone) = (false, None);
             }
         }
         if spec.spread && spec.tasks > 1 {
@@ -105,11 +105,11 @@
         }
         match self.side.u8(..8) {
             0 => spec.zone = Some(ZONES[self.side.usize(..3)].to_string()),
-            1 | 2 => spec.one_zone = true,
+            1 | 2 => spec.single_zone = true,
             _ => {}
         }
         // The two exclude a spread.
-        spec.spread &= spec.zone.is_none() && !spec.one_zone;
+        spec.spread &= spec.zone.is_none() && !spec.single_zone;
         match self.side.u8(..6) {
             0 => self.side.u64(20 * SECOND..70 * SECOND),
             _ => 0,
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -27,7 +27,7 @@
                     w.report_at = self.now + SECOND;
                 } else if due {
                     let report = w.report(self.now);
-                    w.under_way = Some((report.session, report.seq, self.now));
+                    w.under_way = Some((report.incarnation, report.sequence, self.now));
                     w.report_at = self.now + self.rng.u64(15..25) * SECOND / 10;
                     let node = w.node;
                     let zone = ZONES.iter().position(|z| *z == w.place.zone).unwrap_or(0);
@@ -191,7 +191,7 @@
             421 => {
                 let to = dillcleat_wire::decode::<LeaderRedirect>(&answer.body)
                     .ok()
-                    .and_then(|e| e.report_to)
+                    .and_then(|e| e.leader)
                     .and_then(|m| m.strip_prefix("node-")?.parse::<usize>().ok())
                     .filter(|to| *to != node);
                 match to {
--- a/crates/simulator/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -10,12 +10,15 @@
 
 fn alone() -> Alone {
     let one = Config {
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
-    let ended = |s| JobStateRecord { s, n: 1 };
+    let ended = |s| JobStateRecord {
+        state: s,
+        task_count: 1,
+    };
     state.put(records::job_key("req-71"), &ended(RecordedState::Done));
     state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
     let mut alone = Alone::new(one, rules_for(10, 1), state);
@@ -26,7 +29,7 @@
 fn spec(id: &str, kind: JobKind, awaits: &[&str]) -> JobSpec {
     JobSpec {
         team: "free".into(),
-        awaits: awaits.iter().map(|a| a.to_string()).collect(),
+        depends_on: awaits.iter().map(|a| a.to_string()).collect(),
         ..JobSpec::plain(id, kind, 1, 1.0)
     }
 }
@@ -51,7 +54,11 @@
     let stored = alone
         .state
         .read::<records::OpenJob>(&records::open_key(&spec.id));
-    (reply.status, why, stored.map(|(job, _)| job.spec.awaits))
+    (
+        reply.status,
+        why,
+        stored.map(|(job, _)| job.spec.depends_on),
+    )
 }
 
 #[test]
@@ -69,7 +76,10 @@
         201
     );
     let mark = a.state.read::<JobStateRecord>(&records::job_key("req-10"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(RecordedState::Cancelled));
+    assert_eq!(
+        mark.map(|(mark, _)| mark.state),
+        Some(RecordedState::Cancelled)
+    );
     for (bad, why) in [
         ("req-99", "req-99, which was never accepted"),
         ("req-4", "req-4, which was never accepted"),
@@ -102,7 +112,7 @@
         at: 1,
         chunk: 8,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
     a.state.put(records::open_key("req-8"), &open);
     let (status, why, _) = submit(&mut a, &spec("req-9", JobKind::Batch, &["req-8"]));
@@ -140,7 +150,7 @@
     for id in ["req-1", "req-2", "req-3", "req-4"] {
         let mark = a.state.read::<JobStateRecord>(&records::job_key(id));
         assert_eq!(
-            mark.map(|(mark, _)| mark.s),
+            mark.map(|(mark, _)| mark.state),
             Some(RecordedState::Cancelled),
             "{id}"
         );
@@ -153,8 +163,8 @@
 #[test]
 fn what_is_not_there_is_not_over() {
     let one = Config {
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
@@ -163,7 +173,7 @@
         at: 1,
         chunk: 8,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
     state.put(records::open_key("req-8"), &open);
     let mut a = Alone::new(one, rules_for(10, 1), state);
@@ -174,11 +184,14 @@
             .is_none()
     );
     let mark = JobStateRecord {
-        s: RecordedState::Cancelled,
-        n: 1,
+        state: RecordedState::Cancelled,
+        task_count: 1,
     };
     a.state.put(records::job_key("req-77"), &mark);
     a.until(15 * SECOND);
     let mark = a.state.read::<JobStateRecord>(&records::job_key("req-8"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(RecordedState::Cancelled));
+    assert_eq!(
+        mark.map(|(mark, _)| mark.state),
+        Some(RecordedState::Cancelled)
+    );
 }
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -20,8 +20,8 @@
 fn one() -> Config {
     Config {
         zone: "a".into(),
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     }
 }
--- a/crates/simulator/tests/rules_are_checked.rs
+++ b/crates/simulator/tests/rules_are_checked.rs
@@ -34,7 +34,7 @@
 /// A job that waits for the other, and its task.
 fn waiting() -> JobSpec {
     JobSpec {
-        awaits: vec!["req-1".into()],
+        depends_on: vec!["req-1".into()],
         ..JobSpec::plain("req-2", JobKind::Batch, 1, 4.0)
     }
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -85,7 +85,7 @@
     #[serde(rename = "remainders")]
     pub spot: bool,
     #[serde(rename = "condition")]
-    pub condition: InstanceState,
+    pub state: InstanceState,
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -13,7 +13,7 @@
     #[serde(rename = "mesh_addr")]
     pub mesh_addr: String,
     #[serde(rename = "siblings", default)]
-    pub siblings: Vec<Peer>,
+    pub peers: Vec<Peer>,
     #[serde(rename = "endpoints")]
     pub endpoints: Endpoints,
     #[serde(rename = "cluster")]
@@ -238,11 +238,8 @@
             ("endpoints.state", &p.endpoints.state),
         ]
         .into_iter()
-        .chain(
-            p.siblings
-                .iter()
-                .map(|s| ("siblings.peer_addr", &s.peer_addr)),
-        ) {
+        .chain(p.peers.iter().map(|s| ("siblings.peer_addr", &s.peer_addr)))
+        {
             if addr.parse::<std::net::SocketAddr>().is_err() {
                 return Err(PlatformError(format!(
                     "{key}: must be IP:PORT, is {addr:?}"
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -78,7 +78,7 @@
     #[serde(rename = "room", default)]
     pub zone: Option<String>,
     #[serde(rename = "same_place")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     #[serde(rename = "spread")]
     pub spread: bool,
     #[serde(rename = "remainders")]
@@ -93,7 +93,7 @@
     pub deadline_s: Option<f64>,
     /// The jobs that have to be done before any task of this one starts, each once.
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    pub depends_on: Vec<String>,
 }
 
 impl JobSpec {
@@ -114,14 +114,14 @@
             image_gb: 1.0,
             types: None,
             zone: None,
-            one_zone: false,
+            single_zone: false,
             spread: false,
             spot: kind == JobKind::Batch,
             estimate_s: 1.0,
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         }
     }
 }
@@ -196,7 +196,7 @@
     #[serde(rename = "due_s")]
     due_s: Option<f64>,
     #[serde(rename = "awaits")]
-    awaits: Option<Value>,
+    depends_on: Option<Value>,
 }
 
 /// Whether `id` has the form of a job id: `req-` and digits.
@@ -315,14 +315,14 @@
             image_gb: amount(self.pull_gb, "pull_gb", "pull_gb is out of range")?,
             types: self.formats,
             zone: self.room,
-            one_zone: self.same_place.ok_or(Missing("same_place"))?,
+            single_zone: self.same_place.ok_or(Missing("same_place"))?,
             spread: self.spread.ok_or(Missing("spread"))?,
             spot: self.remainders.ok_or(Missing("remainders"))?,
             estimate_s: amount(self.reckon_s, "reckon_s", "reckon_s is out of range")?,
             checkpoint_s: amount(self.bookmark_s, "bookmark_s", "bookmark_s is out of range")?,
             save_s: amount(self.shelve_s, "shelve_s", "shelve_s is out of range")?,
             deadline_s,
-            awaits: names(self.awaits)?,
+            depends_on: names(self.depends_on)?,
         })
     }
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -48,9 +48,9 @@
     #[serde(rename = "condition")]
     pub state: TaskState,
     #[serde(rename = "colophon", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub reason: Option<ExitReason>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpoint_saved: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -66,13 +66,13 @@
     #[serde(rename = "remainders")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "folio")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "seal")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     #[serde(rename = "leaves")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -109,7 +109,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
     #[serde(rename = "seal")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "slips")]
     pub commands: Vec<Command>,
 }
@@ -118,16 +118,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRedirect {
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none", default)]
-    pub report_to: Option<String>,
+    pub leader: Option<String>,
 }
 
 /// Commands sent straight to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandBatch {
     #[serde(rename = "seal")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "slips")]
     pub commands: Vec<Command>,
 }
--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -184,7 +184,7 @@
 #[test]
 fn the_jobs_that_one_waits_for() {
     let list = |names: &[&str]| Value::Array(names.iter().map(|n| Value::from(*n)).collect());
-    let awaits = |v| with("awaits", v).spec.map(|s| s.awaits);
+    let awaits = |v| with("awaits", v).spec.map(|s| s.depends_on);
     for none in [Value::Nil, list(&[])] {
         assert_eq!(awaits(none), Ok(Vec::new()));
     }
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -88,7 +88,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        condition,
+        state: condition,
         age_s: 12.5,
     }
 }
@@ -139,7 +139,7 @@
         machine_type: "c2".into(),
         zone: "b".into(),
         spot: false,
-        condition: InstanceState::Booting,
+        state: InstanceState::Booting,
         age_s: 0.0,
     }
 }
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -91,7 +91,7 @@
         zone: "a".into(),
         client_listen: "127.0.0.1:8080".into(),
         mesh_addr: "127.0.0.1:8090".into(),
-        siblings: vec![Peer {
+        peers: vec![Peer {
             member: "n1".into(),
             zone: "b".into(),
             peer_addr: "127.0.0.1:8091".into(),
@@ -150,7 +150,7 @@
 
 fn short() -> PlatformSettings {
     let mut short = full();
-    short.siblings = Vec::new();
+    short.peers = Vec::new();
     short.cluster.teams = Vec::new();
     short.cluster.objectives = Vec::new();
     short.cluster.state.next = UpcomingLimits {
--- a/crates/wire/tests/golden_user.rs
+++ b/crates/wire/tests/golden_user.rs
@@ -24,14 +24,14 @@
         image_gb: 2.5,
         types: Some(vec!["g8".into(), "c2".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 30.0,
         checkpoint_s: 60.0,
         save_s: 5.0,
         deadline_s: Some(900.0),
-        awaits: vec!["req-7".into(), "req-8".into()],
+        depends_on: vec!["req-7".into(), "req-8".into()],
     }
 }
 
@@ -41,7 +41,7 @@
         types: None,
         zone: None,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         ..full_job()
     }
 }
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -25,7 +25,7 @@
 #[test]
 fn every_command_keeps_its_bytes() {
     let launch = HeartbeatReply {
-        token: 9,
+        fencing_token: 9,
         commands: vec![Command::Launch {
             task: task(0),
             attempt: 1,
@@ -38,7 +38,7 @@
         &launch,
     );
     let stop = HeartbeatReply {
-        token: 300,
+        fencing_token: 300,
         commands: vec![Command::Stop {
             task: task(12),
             attempt: 70_000,
@@ -52,7 +52,7 @@
         &stop,
     );
     let forget = HeartbeatReply {
-        token: 0,
+        fencing_token: 0,
         commands: vec![Command::Reap {
             task: task(99_999),
             attempt: 2,
@@ -69,7 +69,7 @@
 #[test]
 fn an_answer_without_commands_keeps_its_bytes() {
     let answer = HeartbeatReply {
-        token: 9,
+        fencing_token: 9,
         commands: Vec::new(),
     };
     assert_keeps(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
@@ -78,8 +78,8 @@
 #[test]
 fn commands_sent_to_a_worker_keep_their_bytes() {
     let orders = CommandBatch {
-        token: 9,
-        session: 4,
+        fencing_token: 9,
+        incarnation: 4,
         commands: vec![
             Command::Launch {
                 task: task(0),
@@ -104,10 +104,10 @@
 #[test]
 fn an_answer_that_sends_elsewhere_keeps_its_bytes() {
     let known = LeaderRedirect {
-        report_to: Some("n1".into()),
+        leader: Some("n1".into()),
     };
     assert_keeps(b"\x81\xa5clerk\xa2n1", &known);
-    let unknown = LeaderRedirect { report_to: None };
+    let unknown = LeaderRedirect { leader: None };
     assert_keeps(b"\x80", &unknown);
 }
 
@@ -116,8 +116,8 @@
         task: task(3),
         attempt: 5,
         state,
-        why,
-        saved,
+        reason: why,
+        checkpoint_saved: saved,
     }
 }
 
@@ -222,10 +222,10 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 4,
-        seq: 1_000,
-        token: 9,
-        notice_s,
+        incarnation: 4,
+        sequence: 1_000,
+        fencing_token: 9,
+        interruption_notice_s: notice_s,
         tasks,
     }
 }
