--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -25,7 +25,7 @@
     #[serde(rename = "first_guess_s")]
     pub first_guess_s: f64,
     /// Shortest time-to-live of the leader's lease, in seconds. It is longer while the
-    /// state service is slow (`latency::lease_time`).
+    /// state service is slow (`store_latency::lease_time`).
     #[serde(rename = "lead_ttl_s")]
     pub lead_ttl_s: f64,
     /// Idle time after which a machine is returned, in seconds.
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -73,7 +73,7 @@
     /// the state service and none says otherwise is no proof that it is out: the one that
     /// was elected meanwhile may not be heard (seed 11387 of the pipelines' days). What
     /// whoever was told of a cancellation is owed is left to time: who holds it is not
-    /// answered any more, and its lease ends it (`Leader::checkin`).
+    /// answered any more, and its lease ends it (`Leader::heartbeat`).
     pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         let until = match action {
             CloudAction::Look => Micros::MAX,
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -432,7 +432,7 @@
     }
 
     /// The commands that the machine needs, worked out anew each time, so that
-    /// a lost message needs no account of its own. `settled` tells whether the
+    /// a lost message needs no account of its own. `is_end_stored` tells whether the
     /// end of an exited attempt is in the store. Without leave for what is `lasting`
     /// nothing is stopped to run elsewhere.
     pub fn commands(
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -62,13 +62,13 @@
         self.saved.grow(now, self.per_s, self.per_s.max(2.0));
     }
 
-    /// Takes `n`, be it from what comes next: for what has begun.
+    /// Takes `task_count`, be it from what comes next: for what has begun.
     pub fn charge(&mut self, n: f64, now: Micros) {
         self.refill(now);
         self.saved.left -= n;
     }
 
-    /// Takes `n` if there is as much.
+    /// Takes `task_count` if there is as much.
     pub fn take(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
         let has = self.has(n, need, now);
         if has {
@@ -77,7 +77,7 @@
         has
     }
 
-    /// Whether there is as much as `n`.
+    /// Whether there is as much as `task_count`.
     pub fn has(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
         self.refill(now);
         let kept = match need {
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -15,7 +15,7 @@
 }
 
 /// When the machines of a zone are deleted that was cut off before the leader
-/// began, which had `quiet_ms` from the leader before. In the cut zone machine 0
+/// began, which had `silent_ms` from the leader before. In the cut zone machine 0
 /// alone reports, if `one_reports`.
 fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
     let rows: Vec<KeyValue> = (0..9)
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -574,7 +574,7 @@
         self.send_delete(ctx, request, &object, true)
     }
 
-    /// `open`: unless something says otherwise its job is.
+    /// `accepts_tasks`: unless something says otherwise its job is.
     fn send_delete(
         &mut self,
         ctx: &mut Ctx,
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -270,7 +270,7 @@
     }
 
     /// What is to be done now, by the leader of `term` whose record has version
-    /// `fence`. `holds`: whether a job is open at it.
+    /// `fence`. `fits`: whether a job is open at it.
     pub fn turn(
         &mut self,
         (term, fence): (u64, u64),
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,6 +1,6 @@
 //! Machines with room, ranked for the jobs that may take it.
 //!
-//! A job goes where the rank is best ([`Tour`]): spot machines take what may run
+//! A job goes where the rank is best ([`CandidateIter`]): spot machines take what may run
 //! there, so that ordinary room is left for services; a held image saves a
 //! fetch; of the rest what may run elsewhere takes the room beside which fewest
 //! images of services are held, and the fullest machine that still has room, so
@@ -259,7 +259,7 @@
             .collect()
     }
 
-    /// Whether `reserve` CPUs of ordinary room in the machine's zone are left
+    /// Whether `service_headroom` CPUs of ordinary room in the machine's zone are left
     /// to services if the job takes its next task's there.
     fn spares(&self, reserve: f64, job: &JobView, m: &MachineView) -> bool {
         if reserve <= 0.0 || m.spot || !job.spec.spot || job.is_service() {
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -8,7 +8,7 @@
 //! not change their order: a job enters with the reading of a common clock at
 //! which it will have aged to zero, and the clock alone moves. Only jobs at
 //! zero, which go by what is left of them, stand apart; the owner of the line
-//! moves a job there when its time has come ([`Line::aged`]).
+//! moves a job there when its time has come ([`JobQueue::aged`]).
 
 use crate::resources::OrderedFloat;
 use crate::views::{ResourceRequest, SlabIndex};
@@ -34,7 +34,7 @@
     pub service: Reverse<bool>,
     pub priority: Reverse<Priority>,
     pub tiny: Reverse<bool>,
-    /// The virtual size, or what it is with the clock added ([`Pace`]).
+    /// The virtual size, or what it is with the clock added ([`AgeingState`]).
     pub size: OrderedFloat,
     /// What is left to run: orders jobs that have aged to zero, and 0 for others.
     pub remaining: OrderedFloat,
@@ -250,7 +250,7 @@
 
 impl<'l> QueueCursor<'l> {
     /// The first of the heads of all lanes. Its lane then waits for
-    /// [`Walk::go_on`].
+    /// [`QueueCursor::advance`].
     pub fn next_job(&mut self) -> Option<QueuedJob<'l>> {
         let Reverse(head) = self.heads.pop()?;
         let lane = self.lanes[head.lane].0;
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -5,8 +5,8 @@
 //! smallest initial size while training slots are left, then the job of
 //! smallest aged virtual size. Jobs whose team is at its limit are skipped.
 //!
-//! Waiting jobs stand in a [`line::Line`], machines with room on a
-//! [`floor::Floor`]. Both are kept up to date by what changes, so that a pass
+//! Waiting jobs stand in a [`job_queue::JobQueue`], machines with room on a
+//! [`capacity_index::CapacityIndex`]. Both are kept up to date by what changes, so that a pass
 //! costs what it places, however many machines and waiting tasks there are.
 
 pub mod capacity_index;
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -246,9 +246,9 @@
 
 /// The machines to rent for what is left waiting, up to one rental's worth of
 /// each offer, most urgent first. `jobs` come in the order in which they compete,
-/// with their shapes. `floor` holds machines with the room that will be free by
+/// with their shapes. `capacity` holds machines with the room that will be free by
 /// the time that a rented one could be up; what fits there waits for it.
-/// `reserve` is kept from spot work in each zone, `ahead` of it is rented before
+/// `service_headroom` is kept from spot work in each zone, `ahead` of it is rented before
 /// anything needs it.
 pub fn plan_scale_out<'a>(
     jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)>,
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -6,6 +6,7 @@
 
 use dillcleat_controller::{JobEvent, Micros, Output};
 use dillcleat_kube::Out;
+use dillcleat_peer_protocol::Message;
 use sha2::{Digest, Sha256};
 
 /// Separates the kinds of output in the digest.
@@ -90,7 +91,7 @@
             }
             Output::Peer { message } => {
                 self.kind(Kind::Mesh, 0);
-                self.bytes(&message.encode());
+                self.bytes(&canonical(message).encode());
             }
             Output::JobEvent(JobEvent::Ended { job, state }) => {
                 self.kind(Kind::Ended, 0);
@@ -132,3 +133,13 @@
         self.digest.update(bytes);
     }
 }
+
+/// The message with its unordered parts in a fixed order: the classes of estimates come
+/// from a hash map, whose order differs from run to run.
+fn canonical(message: &Message) -> Message {
+    let mut message = message.clone();
+    if let Message::Estimates(estimates) = &mut message {
+        estimates.classes.sort_by(|a, b| a.0.cmp(&b.0));
+    }
+    message
+}
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A submission that was sent at `asked` was answered. What was told before it was
+    /// A submission that was sent at `requests_per_s` was answered. What was told before it was
     /// sent is known to every node.
     pub fn answered_submission(
         &mut self,
@@ -215,7 +215,7 @@
         }
     }
 
-    /// A poll or a cancellation that was sent at `asked` was answered, or was not (status
+    /// A poll or a cancellation that was sent at `requests_per_s` was answered, or was not (status
     /// 0).
     pub fn answered_poll(
         &mut self,
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -213,7 +213,7 @@
             .collect()
     }
 
-    /// The answer to a report that was sent at `sent` in `session`.
+    /// The answer to a report that was sent at `sent` in `incarnation`.
     pub fn answered(
         &mut self,
         answer: &HeartbeatReply,
