--- a/crates/dillcleat/src/door/mod.rs
+++ b/crates/dillcleat/src/door/mod.rs
@@ -2,6 +2,7 @@
 
 mod tls;
 
+use crate::connections::{Admitted, Peer};
 use crate::error::CliError;
 use crate::http::{Bad, Connection, reason};
 use crate::serve::{Counted, Executor, Shared, bind};
@@ -75,14 +76,21 @@
     Ok(())
 }
 
+/// Half of the clients' sockets stay with users and workers.
+fn may_have_more(shared: &Shared) -> bool {
+    (shared.door_clients.get() as usize) < shared.clients.limit() / 2
+}
+
 async fn accept(ex: Executor, shared: Rc<Shared>, listener: TcpListener, tls: Option<Rc<Tls>>) {
     loop {
         match listener.accept().await {
-            // Half of the clients' sockets stay with users and workers.
-            Ok((stream, _)) if shared.clients.get() < shared.max_clients / 2 => {
-                let (shared, tls) = (shared.clone(), tls.clone());
-                ex.spawn(serve(shared, stream, tls)).detach();
-            }
+            Ok((stream, _)) if may_have_more(&shared) => match shared.clients.admit().await {
+                Some(admitted) => {
+                    let (shared, tls) = (shared.clone(), tls.clone());
+                    ex.spawn(serve(shared, stream, admitted, tls)).detach();
+                }
+                None => log::debug!("too many connections"),
+            },
             Ok(_) => log::debug!("too many connections"),
             Err(e) => {
                 log::error!("cannot accept a connection: {e}");
@@ -92,14 +100,20 @@
     }
 }
 
-async fn serve(shared: Rc<Shared>, stream: TcpStream, tls: Option<Rc<Tls>>) {
-    let _counted = Counted::new(&shared, |s| &s.clients);
+async fn serve(shared: Rc<Shared>, stream: TcpStream, admitted: Admitted, tls: Option<Rc<Tls>>) {
+    let _counted = Counted::new(&shared, |s| &s.door_clients);
     let _ = stream.set_nodelay(true);
     let guarded = shared.watchdog.watch(&stream);
     match tls {
-        None => client(&shared, Connection::over(stream, guarded, HEADERS)).await,
+        None => {
+            let connection = Connection::over(stream, guarded, HEADERS);
+            client(&shared, &admitted, connection).await;
+        }
         Some(tls) => match tls.accept(stream).await {
-            Ok(stream) => client(&shared, Connection::over(stream, guarded, HEADERS)).await,
+            Ok(stream) => {
+                let connection = Connection::over(stream, guarded, HEADERS);
+                client(&shared, &admitted, connection).await;
+            }
             Err(e) => log::debug!("no TLS with a client: {e}"),
         },
     }
@@ -134,10 +148,14 @@
     }
 }
 
-async fn client<S: AsyncRead + AsyncWrite + Unpin>(shared: &Shared, mut connection: Connection<S>) {
+async fn client<S: AsyncRead + AsyncWrite + Unpin>(
+    shared: &Shared,
+    admitted: &Admitted,
+    mut connection: Connection<S>,
+) {
     const IDLE: Duration = Duration::from_secs(40);
     loop {
-        let request = match connection.request().await {
+        let request = match admitted.next_request(&mut connection).await {
             Ok(request) => request,
             Err(Bad::Gone) => return,
             Err(bad) => {
@@ -149,6 +167,7 @@
                 return;
             }
         };
+        admitted.carries(Peer::User);
         let id = RequestId(shared.next_request.get());
         shared.next_request.set(id.0 + 1);
         let (tx, lines) = smol::channel::bounded(LINES);
@@ -166,8 +185,12 @@
         if shared.asks.send(Incoming::Ask(id, ask)).await.is_err() {
             return;
         }
+        let mut close = request.close;
         let sent = match lines.recv().await {
-            Ok(Line::Reply(reply)) => connection.send(&whole(&reply, request.close), IDLE).await,
+            Ok(Line::Reply(reply)) => {
+                close |= admitted.closes_after_answer();
+                connection.send(&whole(&reply, close), IDLE).await
+            }
             Ok(Line::Stream) => {
                 let sent = stream(&mut connection, &lines).await;
                 shared.lines.borrow_mut().remove(&id);
@@ -176,7 +199,7 @@
             }
             _ => return,
         };
-        if sent.is_err() || request.close {
+        if sent.is_err() || close {
             return;
         }
     }
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -176,12 +176,18 @@
         }
     }
 
-    /// Waits for the next request.
-    pub async fn request(&mut self) -> Result<Request, Bad> {
+    /// Waits for the first bytes of the next request.
+    pub async fn request_begins(&mut self) -> Result<(), Bad> {
         if self.buffer.is_empty() {
             self.may_take(IDLE_TIME);
             self.fill().await.map_err(|_| Bad::Gone)?;
         }
+        Ok(())
+    }
+
+    /// Waits for the next request.
+    pub async fn request(&mut self) -> Result<Request, Bad> {
+        self.request_begins().await?;
         self.may_take(REQUEST_TIME);
         let request = self.read_request().await;
         // How long its answer takes is not the client's doing.
--- a/crates/dillcleat/src/main.rs
+++ b/crates/dillcleat/src/main.rs
@@ -2,6 +2,7 @@
 
 mod cli;
 mod client;
+mod connections;
 mod door;
 mod error;
 mod http;
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -1,5 +1,6 @@
 //! The controller process: sockets around a [`Node`], on one thread.
 
+use crate::connections::{Admitted, ClientConnections, Peer};
 use crate::door::{self, Incoming, Line};
 use crate::error::CliError;
 use crate::http::{Bad, Connection, Limits, Pool, Watchdog};
@@ -40,8 +41,10 @@
     reports: Sender<Input>,
     answers: RefCell<HashMap<RequestId, Sender<Answer>>>,
     pub next_request: Cell<u64>,
-    pub clients: Cell<u32>,
-    pub max_clients: u32,
+    /// Connections of users, workers and Kubernetes-shaped clients.
+    pub clients: Rc<ClientConnections>,
+    /// Those of Kubernetes-shaped clients alone.
+    pub door_clients: Cell<u32>,
     /// What Kubernetes-shaped clients ask, and who waits for lines.
     pub asks: Sender<Incoming>,
     pub lines: RefCell<HashMap<RequestId, Sender<Line>>>,
@@ -96,9 +99,9 @@
         reports,
         answers: RefCell::default(),
         next_request: Cell::new(0),
-        clients: Cell::new(0),
         // The rest is for the state service, the cloud, workers and siblings.
-        max_clients: max - (max / 4).max(24),
+        clients: Rc::new(ClientConnections::new((max - (max / 4).max(24)) as usize)),
+        door_clients: Cell::new(0),
         asks,
         lines: RefCell::default(),
         siblings_open: Cell::new(0),
@@ -340,12 +343,12 @@
 async fn accept_clients(ex: Executor, shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            // Beyond the bound the connection is closed at once: the load
-            // balancer and the workers go to another node.
-            Ok((stream, _)) if shared.clients.get() < shared.max_clients => {
-                ex.spawn(client(shared.clone(), stream)).detach();
-            }
-            Ok(_) => log::debug!("too many connections"),
+            Ok((stream, _)) => match shared.clients.admit().await {
+                Some(admitted) => ex.spawn(client(shared.clone(), stream, admitted)).detach(),
+                // Beyond the bound the connection is closed at once: the load
+                // balancer and the workers go to another node.
+                None => log::debug!("too many connections"),
+            },
             Err(e) => {
                 log::error!("cannot accept a connection: {e}");
                 Timer::after(Duration::from_millis(100)).await;
@@ -354,12 +357,11 @@
     }
 }
 
-async fn client(shared: Rc<Shared>, stream: TcpStream) {
-    let _counted = Counted::new(&shared, |s| &s.clients);
+async fn client(shared: Rc<Shared>, stream: TcpStream, admitted: Admitted) {
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, &shared.watchdog);
     loop {
-        let request = match connection.request().await {
+        let request = match admitted.next_request(&mut connection).await {
             Ok(r) => r,
             Err(Bad::Gone) => return,
             Err(bad) => {
@@ -375,10 +377,11 @@
         shared.next_request.set(id.0 + 1);
         let (tx, rx) = smol::channel::bounded(1);
         shared.answers.borrow_mut().insert(id, tx);
-        let queue = match request.target.as_str() {
-            REPORT_PATH => &shared.reports,
-            _ => &shared.inputs,
+        let (peer, queue) = match request.target.as_str() {
+            REPORT_PATH => (Peer::Worker, &shared.reports),
+            _ => (Peer::User, &shared.inputs),
         };
+        admitted.carries(peer);
         let input = Input::Request {
             id,
             method: request.method,
@@ -391,7 +394,8 @@
         let Ok(answer) = rx.recv().await else {
             return;
         };
-        if connection.answer(&answer, request.close).await.is_err() || request.close {
+        let close = request.close || admitted.closes_after_answer();
+        if connection.answer(&answer, close).await.is_err() || close {
             return;
         }
     }
