--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -308,14 +308,61 @@
     per_address: usize,
     /// Unused connections to all addresses together.
     limit: usize,
+    /// Those together with the calls under way.
+    total: usize,
+    under_way: Rc<Cell<usize>>,
+}
+
+/// Counts a call for as long as it is under way.
+struct UnderWay(Rc<Cell<usize>>);
+
+impl UnderWay {
+    fn new(count: &Rc<Cell<usize>>) -> Self {
+        count.set(count.get() + 1);
+        UnderWay(count.clone())
+    }
+}
+
+impl Drop for UnderWay {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
 }
 
 impl Pool {
     pub fn new(per_address: usize, limit: usize) -> Self {
+        Pool::bounded(per_address, limit, usize::MAX)
+    }
+
+    /// With a bound for the unused connections and the calls under way together.
+    pub fn bounded(per_address: usize, limit: usize, total: usize) -> Self {
         Pool {
             idle: Rc::new(RefCell::new(HashMap::new())),
             per_address,
             limit,
+            total,
+            under_way: Rc::default(),
+        }
+    }
+
+    /// How many unused connections may be kept now.
+    fn idle_limit(&self) -> usize {
+        let free = self.total.saturating_sub(self.under_way.get());
+        free.min(self.limit)
+    }
+
+    fn idle_count(&self) -> usize {
+        self.idle.borrow().values().map(Vec::len).sum()
+    }
+
+    /// Closes the unused connections to one address if a new one would exceed the bound.
+    fn make_room(&self) {
+        if self.idle_limit() == self.limit || self.idle_count() <= self.idle_limit() {
+            return;
+        }
+        let mut idle = self.idle.borrow_mut();
+        if let Some(addr) = idle.keys().next().cloned() {
+            idle.remove(&addr);
         }
     }
 
@@ -349,11 +396,13 @@
         limits: impl Into<Limits>,
     ) -> Result<(u16, Vec<u8>), CallError> {
         let limits: Limits = limits.into();
+        let _under_way = UnderWay::new(&self.under_way);
         let sent = std::cell::Cell::new(false);
         let work = async {
             let mut stream = match self.take(addr) {
                 Some(stream) => stream,
                 None => {
+                    self.make_room();
                     let stream = TcpStream::connect(addr)
                         .await
                         .map_err(|_| CallError::NotSent)?;
@@ -380,10 +429,10 @@
                 .map_err(|_| CallError::NoAnswer)?;
             let (status, body, keep) = read_reply(&mut stream).await.ok_or(CallError::NoAnswer)?;
             if keep {
+                let has_room = self.idle_count() < self.idle_limit();
                 let mut idle = self.idle.borrow_mut();
-                let kept: usize = idle.values().map(Vec::len).sum();
                 let streams = idle.entry(addr.to_string()).or_default();
-                if streams.len() < self.per_address && kept < self.limit {
+                if streams.len() < self.per_address && has_room {
                     streams.push((stream, Instant::now()));
                 }
             }
@@ -437,30 +486,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use smol::net::TcpListener;
-
-    /// A connection that comes about too late carries nothing: a deletion was once sent
-    /// when a cut ended, by a leader that had lost the lead (incident late-deletion).
-    #[test]
-    fn what_is_not_sent_in_time_is_not_sent() {
-        smol::block_on(async {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let addr = listener.local_addr().expect("its address").to_string();
-            let pool = Pool::new(1, 1);
-            let limits = Limits {
-                time: Duration::from_secs(5),
-                send_by: Some(Instant::now()),
-            };
-            let sent = pool
-                .call(&addr, "POST", "/hosts/delete", b"x", limits)
-                .await;
-            assert_eq!(sent, Err(CallError::NotSent));
-            let (mut stream, _) = listener.accept().await.expect("a connection");
-            let mut bytes = Vec::new();
-            stream.read_to_end(&mut bytes).await.expect("its end");
-            assert_eq!(bytes, b"");
-        });
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/dillcleat/src/http/tests.rs
@@ -0,0 +1,74 @@
+//! Tests of calls to other services.
+
+use super::*;
+use smol::net::TcpListener;
+
+/// A connection that comes about too late carries nothing: a deletion was once sent
+/// when a cut ended, by a leader that had lost the lead (incident late-deletion).
+#[test]
+fn what_is_not_sent_in_time_is_not_sent() {
+    smol::block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let addr = listener.local_addr().expect("its address").to_string();
+        let pool = Pool::new(1, 1);
+        let limits = Limits {
+            time: Duration::from_secs(5),
+            send_by: Some(Instant::now()),
+        };
+        let sent = pool
+            .call(&addr, "POST", "/hosts/delete", b"x", limits)
+            .await;
+        assert_eq!(sent, Err(CallError::NotSent));
+        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let mut bytes = Vec::new();
+        stream.read_to_end(&mut bytes).await.expect("its end");
+        assert_eq!(bytes, b"");
+    });
+}
+
+/// Answers one request on a connection, which stays open.
+async fn answer_one(stream: &mut TcpStream) {
+    let mut request = [0; 4096];
+    let _ = stream.read(&mut request).await.expect("a request");
+    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    stream.write_all(answer).await.expect("an answer is sent");
+}
+
+/// Orders under way and connections kept for later ones once took more sockets together
+/// than are reserved for them.
+#[test]
+fn calls_under_way_count_against_idle_connections() {
+    const TOTAL: usize = 2;
+    smol::block_on(async {
+        let pool = Pool::bounded(1, 2, TOTAL);
+        let time = Duration::from_secs(5);
+        let mut listeners = Vec::new();
+        for _ in 0..3 {
+            listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
+        }
+        let addr = |i: usize| -> String {
+            let addr = listeners[i].local_addr().expect("its address");
+            addr.to_string()
+        };
+        let call = async |i: usize| pool.call(&addr(i), "POST", "/", b"x", time).await;
+        let serve = async |i: usize| {
+            let (mut stream, _) = listeners[i].accept().await.expect("a connection");
+            answer_one(&mut stream).await;
+            stream
+        };
+        let (first, mut kept) = smol::future::zip(call(0), serve(0)).await;
+        assert!(first.is_ok());
+        assert_eq!(pool.idle_count(), 1);
+        // One more beside it is within the bound, which a second one is not.
+        let outer = async {
+            let (inner, _stream) = smol::future::zip(call(2), serve(2)).await;
+            assert!(inner.is_ok());
+            assert_eq!(pool.idle_count(), 0);
+            assert_eq!(kept.read(&mut [0]).await.expect("its end"), 0);
+            serve(1).await
+        };
+        let (second, _stream) = smol::future::zip(call(1), outer).await;
+        assert!(second.is_ok());
+        assert_eq!(pool.idle_count(), 1);
+    });
+}
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -110,7 +110,8 @@
         cloud: Pool::new(2, 2),
         // A fleet may have more machines than there are sockets: with one
         // kept to each, a controller would have none left for its users.
-        workers: Pool::new(1, (max / 16).max(4) as usize),
+        // Those kept count against the orders that may be under way.
+        workers: Pool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
         state_addr: platform.endpoints.state.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -3,7 +3,7 @@
 
 use dillcleat_core::SECOND;
 use dillcleat_rehearsal::loopback::{Loopback, exchange, post};
-use dillcleat_rehearsal::processes::{self, Process, until};
+use dillcleat_rehearsal::processes::{self, Process, Trio, until};
 use dillcleat_rehearsal::rules::Place;
 use dillcleat_rehearsal::worker::Worker;
 use dillcleat_wire::encode;
@@ -11,25 +11,40 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
+use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dillcleat");
 const CONTROLLERS: usize = 3;
-/// With so many sockets a controller accepts 40 connections of clients.
 const MAX_CONNECTIONS: usize = 64;
+/// So many connections of clients a controller accepts with these.
+const CLIENT_LIMIT: usize = 40;
+/// Above so many, answers to reports close their connection.
+const HIGH_WATER: usize = 35;
 const WORKERS: usize = 100;
 const USERS: usize = 4;
 const ROUNDS: usize = 4;
+const UP: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
 const PATIENCE: Duration = Duration::from_secs(4);
 
+/// One cluster runs at a time: another test's connections may take the ports that the
+/// controllers of this one are about to listen on.
+static ONE_CLUSTER: Mutex<()> = Mutex::new(());
+
+fn alone() -> MutexGuard<'static, ()> {
+    ONE_CLUSTER.lock().unwrap_or_else(|e| e.into_inner())
+}
+
 /// Controllers over stand-ins, all with few sockets.
 struct Cluster {
     clients: Vec<SocketAddr>,
     _processes: Vec<Process>,
+    _alone: MutexGuard<'static, ()>,
 }
 
 impl Cluster {
     fn start() -> Cluster {
+        let alone = alone();
         let (addrs, held) = processes::free_addrs(2 * CONTROLLERS).expect("free ports");
         let (clients, mesh) = addrs.split_at(CONTROLLERS);
         let names = clients.iter().enumerate();
@@ -47,16 +62,18 @@
         Cluster {
             clients: clients.to_vec(),
             _processes: started.expect("the program starts"),
+            _alone: alone,
         }
     }
 
-    /// The controller that answers reports with 200.
+    /// The controller that answers reports with 200, once it serves users as well.
     fn leader(&self) -> SocketAddr {
         let mut leader = None;
         until("a controller takes reports", || {
             leader = self.clients.iter().copied().find(|addr| {
                 let answer = post(*addr, REPORT_PATH, &report("probe"));
-                answer.is_some_and(|(status, _)| status == 200)
+                let leads = answer.is_some_and(|(status, _)| status == 200);
+                leads && exchange(*addr, UP).is_some_and(|(status, _)| status == 200)
             });
             leader.is_some()
         });
@@ -105,7 +122,7 @@
     }
 
     fn user(addr: SocketAddr) -> Client {
-        Client::new(addr, b"GET /up HTTP/1.1\r\n\r\n".to_vec())
+        Client::new(addr, UP.to_vec())
     }
 
     fn new(addr: SocketAddr, request: Vec<u8>) -> Client {
@@ -205,6 +222,30 @@
     assert!(workers.iter().all(|w| w.connects == 1));
 }
 
+#[test]
+fn the_least_recently_used_idle_connection_makes_room() {
+    let cluster = Cluster::start();
+    let leader = cluster.leader();
+    let mut workers: Vec<Client> = (0..HIGH_WATER).map(|i| Client::worker(leader, i)).collect();
+    for worker in &mut workers {
+        assert_eq!(worker.ask(), Some(200));
+    }
+    assert_eq!(workers[0].ask(), Some(200));
+    // Connections that have yet to send a request take what is left.
+    let silent = (HIGH_WATER..CLIENT_LIMIT).map(|_| TcpStream::connect(leader));
+    let silent = silent.collect::<std::io::Result<Vec<_>>>();
+    let mut late = Client::worker(leader, HIGH_WATER);
+    assert_eq!(late.ask(), Some(200));
+    let mut closed = Vec::new();
+    for (i, worker) in workers.iter_mut().enumerate() {
+        if worker.kept().is_none() {
+            closed.push(i);
+        }
+    }
+    assert_eq!(closed, [1]);
+    drop(silent.expect("connections"));
+}
+
 #[test]
 fn idle_connections_of_users_make_room_for_reports() {
     let cluster = Cluster::start();
@@ -218,5 +259,29 @@
     for worker in &mut workers {
         assert_eq!(worker.ask(), Some(200));
     }
-    assert!(exchange(leader, b"GET /up HTTP/1.1\r\n\r\n").is_some_and(|(s, _)| s == 200));
+    assert!(exchange(leader, UP).is_some_and(|(s, _)| s == 200));
+}
+
+/// With its 200 sockets a controller accepts 150 connections of clients, of which
+/// Kubernetes-shaped ones may have half.
+#[test]
+fn connections_of_workers_do_not_shut_out_kubernetes_clients() {
+    let _alone = alone();
+    let name = format!("{}-connections-door", std::process::id());
+    let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&dir).expect("a folder");
+    let key = dir.join("kube.key");
+    std::fs::write(&key, "0".repeat(64)).expect("a file");
+    let kube = format!("key_file = {key:?}\n");
+    let trio = Trio::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
+    until("a controller serves", || {
+        exchange(trio.clients[0], UP).is_some_and(|(status, _)| status == 200)
+    });
+    let worker = |i| Client::worker(trio.clients[0], i);
+    let mut workers: Vec<Client> = (0..2 * WORKERS).map(worker).collect();
+    for worker in &mut workers {
+        assert!(worker.ask().is_some());
+    }
+    let answer = exchange(trio.doors[0], b"GET /version HTTP/1.1\r\n\r\n");
+    assert_eq!(answer.map(|(status, _)| status), Some(401));
 }
