--- a/crates/core/src/progress.rs
+++ b/crates/core/src/progress.rs
@@ -10,8 +10,9 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Jobs that are kept.
-const MAX_JOBS: usize = 20_000;
+/// Jobs that are kept: those of 6,000 machines with ten jobs of one task each, in some
+/// 6 MB.
+const MAX_JOBS: usize = 64_000;
 /// How long a new leader's word is that it has heard its machines.
 const HEARING: Micros = 10 * SECOND;
 
