--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/view.rs
@@ -8,6 +8,9 @@
 /// Which job or machine: a small number that it keeps for as long as it is known.
 pub type Place = u32;
 
+/// The zone of a machine that has neither a record nor reported yet.
+const UNKNOWN_ZONE: &str = "";
+
 /// Images and their sizes in GB, shared by a machine and its views.
 pub type Images = Rc<Vec<(Rc<str>, f64)>>;
 
@@ -126,8 +129,14 @@
             return false;
         }
         // At most half of the tasks, rounded up, may be in one zone.
-        !self.spec.spread
-            || self.zones.get(zone).copied().unwrap_or(0) < self.spec.tasks.div_ceil(2)
+        !self.spec.spread || self.at_most_in(zone) < self.spec.tasks.div_ceil(2)
+    }
+
+    /// The job's tasks that are in this zone or may be: a machine that a new leader
+    /// knows from placements only may be in any.
+    fn at_most_in(&self, zone: &str) -> u32 {
+        let count = |zone| self.zones.get(zone).copied().unwrap_or(0);
+        count(zone) + count(UNKNOWN_ZONE)
     }
 
     /// Whether any job like this one may run there, its other tasks aside.
