--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -268,6 +268,11 @@
     pub nodes: usize,
     /// How many times as large as usual jobs, limits and the cloud are.
     pub scale: u32,
+    /// The limits around the controllers are those of the largest site, and tasks run for
+    /// a minute or two.
+    pub large_site: bool,
+    /// Tells how many bytes are allocated, if whoever plays the day counts them.
+    pub allocated: Option<fn() -> usize>,
     /// Pipelines of jobs that wait for others, and since when users have any.
     pub pipelines: usize,
     pub pipelines_from: Micros,
@@ -512,6 +517,37 @@
         }
     }
 
+    /// A day of a large fleet: `scale` times as many machines may be had and tasks are
+    /// handed in as on other days. Leaders end, each of them as the fleet has grown; the
+    /// state service is out until every lease of the fleet has ended; a zone is cut off.
+    pub fn large_fleet(seed: u64, scale: u32) -> Scenario {
+        let leader_ends = |at, down| {
+            let nodes = vec![LEADER];
+            (at, Fault::Crash { nodes, down })
+        };
+        // Leases last 14 s, and reports are answered for 26 s without a read.
+        let outage = Fault::StateOutage { time: 50 * SECOND };
+        let cut = Fault::CutZone {
+            zone: 1,
+            time: 30 * SECOND,
+        };
+        Scenario {
+            faults: vec![
+                leader_ends(70 * SECOND, SECOND / 5),
+                leader_ends(90 * SECOND, 3 * SECOND),
+                (100 * SECOND, outage),
+                leader_ends(120 * SECOND, SECOND),
+                leader_ends(160 * SECOND, SECOND),
+                (170 * SECOND, cut),
+                leader_ends(180 * SECOND, SECOND),
+            ],
+            jobs: 70,
+            scale,
+            large_site: true,
+            ..Scenario::quiet(seed)
+        }
+    }
+
     /// A day without troubles, to start from.
     pub fn quiet(seed: u64) -> Scenario {
         let busy = 200 * SECOND;
@@ -523,6 +559,8 @@
             large: None,
             nodes: 3,
             scale: 1,
+            large_site: false,
+            allocated: None,
             pipelines: 0,
             pipelines_from: SECOND,
             ends_at_call: None,
--- a/crates/rehearsal/src/troubles.rs
+++ b/crates/rehearsal/src/troubles.rs
@@ -31,7 +31,7 @@
 
     /// A node ends, and is back at the given time.
     fn ends(&mut self, node: usize, back: Micros) {
-        self.nodes[node].node = None;
+        self.dismiss(node);
         self.nodes[node].epoch += 1;
         self.at(back, Ev::Restart { node });
     }
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/rehearsal/src/world/users.rs
@@ -91,6 +91,10 @@
     /// accelerators where there are any; Jobs of Kubernetes ask for none. By how much its
     /// tasks run longer.
     fn varied(&mut self, spec: &mut JobSpec) -> Micros {
+        if self.scenario.large_site {
+            // So long that machines are rented for all that waits.
+            return self.side.u64(60 * SECOND..120 * SECOND);
+        }
         if !self.scenario.varied {
             return 0;
         }
