--- a/crates/rehearsal/examples/large_fleet.rs
+++ b/crates/rehearsal/examples/large_fleet.rs
@@ -26,7 +26,7 @@
 struct Cli {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many times as large as on other days the cloud and the jobs are: the cloud has 48 machines
+    /// How many times as large as on other days jobs and the cloud are: 48 machines
     /// for each
     #[arg(long, default_value_t = 150)]
     scale: u32,
