--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -10,6 +10,33 @@
     matches!(reply, Err(CallError::NoAnswer))
 }
 
+/// The fleet's size: what was asked of the cloud, and what is known of its answers.
+#[derive(Debug)]
+pub(super) struct Autoscaler {
+    pub cloud_queue: CloudQueue,
+    pub refusals: RefusedOfferings,
+    pub boot_estimator: BootEstimator,
+    /// Waiting jobs that the next scale-out plan looks at.
+    pub plan_depth: usize,
+    /// When the fleet is looked over next.
+    pub next_fleet_check_at: Micros,
+    /// Machines that are proved to be gone, and since when.
+    pub removed_machines: HashMap<String, Micros>,
+}
+
+impl Autoscaler {
+    pub fn new(config: &Config, now: Micros) -> Autoscaler {
+        Autoscaler {
+            cloud_queue: CloudQueue::new(config.cloud_rps, now),
+            refusals: RefusedOfferings::default(),
+            boot_estimator: BootEstimator::default(),
+            plan_depth: PLAN_JOBS,
+            next_fleet_check_at: now,
+            removed_machines: HashMap::new(),
+        }
+    }
+}
+
 impl Leader {
     pub(super) fn tend_fleet(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
@@ -19,12 +46,12 @@
             self.return_idle(ctx);
         }
         let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
-        self.removed_machines.retain(|_, at| *at > keep);
-        let Some(types) = self.types.clone() else {
+        self.autoscaler.removed_machines.retain(|_, at| *at > keep);
+        let Some(types) = self.machine_types.types.clone() else {
             return;
         };
         // Right after the start the machines are still becoming known.
-        if now < self.ready_since + 2 * SECOND
+        if now < self.recovery.ready_since + 2 * SECOND
             || !self.has_recent_read(ctx)
             || !self.may(ctx, CloudAction::ScaleOut)
         {
@@ -32,13 +59,20 @@
         }
         let (booting, slow) = self.booting(&types, now);
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
-            if self.partitioned_zones.insert(m.zone.clone(), now).is_none() {
+            if self
+                .partitions
+                .partitioned_zones
+                .insert(m.zone.clone(), now)
+                .is_none()
+            {
                 log::info!("zone {} has fallen silent", m.zone);
             }
         }
-        self.partitioned_zones.retain(|_, at| now < *at + DARK);
+        self.partitions
+            .partitioned_zones
+            .retain(|_, at| now < *at + DARK);
         // What is asked for is answered first: refusals change the plan.
-        if !self.cloud_queue.scale_outs.is_empty() {
+        if !self.autoscaler.cloud_queue.scale_outs.is_empty() {
             return;
         }
         let mut teams = self.derived.sums.team_views(ctx.config);
@@ -67,8 +101,8 @@
         let seen: u32 = there.values().sum();
         let market = PlanInputs {
             types: &types,
-            refusals: &self.refusals,
-            dark: self.partitioned_zones.keys().cloned().collect(),
+            refusals: &self.autoscaler.refusals,
+            dark: self.partitions.partitioned_zones.keys().cloned().collect(),
             slow,
             there,
             lent: self.derived.sums.lent_cpus(),
@@ -76,32 +110,35 @@
         };
         let reserve = self.reserve(ctx.config);
         let mut looked_at = 0;
-        let depth = self.plan_depth;
+        let depth = self.autoscaler.plan_depth;
         let jobs = self.unserved(ctx, &cut_off, &lost).take(depth);
         let jobs = jobs.inspect(|_| looked_at += 1);
         let wanted = plan_scale_out(jobs, &mut floor, &mut teams, &market, reserve, ahead);
-        self.counts.machines += u64::from(seen);
-        self.counts.planned += looked_at as u64;
+        self.scheduling.counts.machines += u64::from(seen);
+        self.scheduling.counts.planned += looked_at as u64;
         // Whoever comes after many that nothing is rented for has a turn as well.
-        self.plan_depth = if wanted.is_empty() && looked_at == depth {
+        self.autoscaler.plan_depth = if wanted.is_empty() && looked_at == depth {
             depth * 2
         } else {
             PLAN_JOBS
         };
         for ((machine_type, zone, spot), count) in wanted {
-            let request = self.cloud_queue.name(self.term);
+            let request = self.autoscaler.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
-            self.cloud_queue.scale_outs.push_back(PendingScaleOut {
-                request: ScaleOut {
-                    request,
-                    machine_type,
-                    zone,
-                    spot,
-                    count,
-                },
-                since: now,
-                uncertain: false,
-            });
+            self.autoscaler
+                .cloud_queue
+                .scale_outs
+                .push_back(PendingScaleOut {
+                    request: ScaleOut {
+                        request,
+                        machine_type,
+                        zone,
+                        spot,
+                        count,
+                    },
+                    since: now,
+                    uncertain: false,
+                });
         }
     }
 
@@ -129,7 +166,7 @@
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
-        let waiting = self.derived.job_queue.all(self.virtual_time);
+        let waiting = self.derived.job_queue.all(self.scheduling.virtual_time);
         let waiting = waiting.filter(|place| !lost.contains_key(place));
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
@@ -208,7 +245,7 @@
         let may = self.may_answer_heartbeats(ctx)
             && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
         let doubts = self.doubts(ctx.config);
-        let types = self.types.clone();
+        let types = self.machine_types.types.clone();
         let types = types.as_deref().map_or(&[][..], Vec::as_slice);
         let index = &self.derived;
         let suspects = &(&index.silent | &index.booting) | &index.noticed;
@@ -227,7 +264,7 @@
             let limit = if !m.up {
                 let boot = boot_time(types, &m.machine_type);
                 if m.expected {
-                    self.boot_estimator.patience(m, boot)
+                    self.autoscaler.boot_estimator.patience(m, boot)
                 } else {
                     // A record or a listing only: it should report right away.
                     silence + boot
@@ -251,7 +288,7 @@
             let taken =
                 m.interrupted_at.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
             // Whom only the leader before found silent has time to report first.
-            let asked = !m.up || m.ready || now >= self.ready_since + missing;
+            let asked = !m.up || m.ready || now >= self.recovery.ready_since + missing;
             if may && ((quiet >= limit && asked && !waits && !doubted) || taken) {
                 log::info!("{}: silent for {} s, deleting it", m.name, seconds(quiet));
                 dropped.push(m.name.clone());
@@ -318,7 +355,8 @@
 
     /// A machine is gone for sure.
     pub(super) fn machine_gone(&mut self, ctx: &Context, name: &str, why: &'static str) {
-        self.removed_machines
+        self.autoscaler
+            .removed_machines
             .insert(name.to_string(), ctx.now.monotonic);
         let Some(mut m) = self.machines.remove(name) else {
             return;
@@ -328,7 +366,8 @@
             self.slot_event(ctx, name, event);
         }
         if m.recorded {
-            self.write_queue
+            self.writer
+                .write_queue
                 .push(PendingWrite::Drop(records::machine_key(name)));
         }
     }
@@ -340,15 +379,15 @@
         reply: Result<CloudResponse, CallError>,
     ) {
         let now = ctx.now.monotonic;
-        self.cloud_queue.busy = false;
+        self.autoscaler.cloud_queue.busy = false;
         match (errand, reply) {
             (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
-                for name in self.cloud_queue.deleted() {
+                for name in self.autoscaler.cloud_queue.deleted() {
                     self.machine_gone(ctx, &name, "deleted");
                 }
             }
             (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
-                if let Some(r) = self.cloud_queue.scale_outs.pop_front() {
+                if let Some(r) = self.autoscaler.cloud_queue.scale_outs.pop_front() {
                     self.rented(ctx, &r.request, &names);
                 }
             }
@@ -356,31 +395,33 @@
                 CloudRequestKind::ScaleOut,
                 Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
             ) => {
-                if let Some(r) = self.cloud_queue.scale_outs.pop_front() {
+                if let Some(r) = self.autoscaler.cloud_queue.scale_outs.pop_front() {
                     self.refused(ctx, &r.request, 0);
                 }
             }
             (CloudRequestKind::ScaleOut, other) => {
-                self.cloud_queue.pause(now);
-                self.cloud_queue.not_rented(now, uncertain(&other));
+                self.autoscaler.cloud_queue.pause(now);
+                self.autoscaler
+                    .cloud_queue
+                    .not_rented(now, uncertain(&other));
             }
             (CloudRequestKind::Delete, other) => {
                 log::info!("the cloud does not delete: {other:?}");
-                self.cloud_queue.pause(now);
-                self.cloud_queue.not_deleted(uncertain(&other));
+                self.autoscaler.cloud_queue.pause(now);
+                self.autoscaler.cloud_queue.not_deleted(uncertain(&other));
             }
             (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
-                self.cloud_queue.types_at = now + 60 * SECOND;
+                self.autoscaler.cloud_queue.types_at = now + 60 * SECOND;
                 self.new_types(types);
             }
             (CloudRequestKind::List, Ok(CloudResponse::Listed(list))) => self.listed(ctx, list),
             (CloudRequestKind::Types, _) => {
-                self.cloud_queue.types_at = now + 2 * SECOND;
-                self.cloud_queue.pause(now);
+                self.autoscaler.cloud_queue.types_at = now + 2 * SECOND;
+                self.autoscaler.cloud_queue.pause(now);
             }
             (_, other) => {
                 log::info!("the cloud does not do {errand:?}: {other:?}");
-                self.cloud_queue.pause(now);
+                self.autoscaler.cloud_queue.pause(now);
             }
         }
     }
@@ -393,18 +434,19 @@
                 .map(|t| (t.name.clone(), t.cpus, t.gpus, t.memory_gb, t.zones.clone()))
                 .collect::<Vec<_>>()
         };
-        let same = self.types_stored
+        let same = self.machine_types.types_stored
             && self
+                .machine_types
                 .types
                 .as_ref()
                 .is_some_and(|old| shape(old) == shape(&types));
         let types = Rc::new(types);
-        self.types = Some(types.clone());
+        self.machine_types.types = Some(types.clone());
         // What they hold may be other than it was.
         self.machines.mark_all();
         if !same {
-            self.types_stored = false;
-            self.write_queue.push(PendingWrite::Types);
+            self.machine_types.types_stored = false;
+            self.writer.write_queue.push(PendingWrite::Types);
         }
         self.events.push(LeaderEvent::Types(types));
     }
@@ -419,7 +461,7 @@
             names.join(" ")
         );
         for name in names {
-            if self.removed_machines.contains_key(name) {
+            if self.autoscaler.removed_machines.contains_key(name) {
                 continue;
             }
             if !self.machines.contains_key(name) {
@@ -446,21 +488,22 @@
         );
         let offer = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
         let until = ctx.now.monotonic + micros(ctx.config.tuning.refused_pause_s);
-        self.refusals.refuse(offer, until);
+        self.autoscaler.refusals.refuse(offer, until);
         // Look for another offer at once.
-        self.next_fleet_check_at = ctx.now.monotonic;
+        self.autoscaler.next_fleet_check_at = ctx.now.monotonic;
     }
 
     pub(super) fn listed(&mut self, ctx: &Context, list: MachineList) {
         let now = ctx.now.monotonic;
         let last = list.machines.last().map(|m| m.name.clone());
         for l in list.machines {
-            if self.removed_machines.contains_key(&l.name) {
+            if self.autoscaler.removed_machines.contains_key(&l.name) {
                 continue;
             }
             if l.state == InstanceState::Failed {
                 self.machine_gone(ctx, &l.name, "listed as failed");
-                self.cloud_queue
+                self.autoscaler
+                    .cloud_queue
                     .delete(Rc::from(l.name), DeletionReason::Failed);
                 continue;
             }
@@ -493,11 +536,11 @@
             }
         }
         if list.more && last.is_some() {
-            self.cloud_queue.list_after = last;
-            self.cloud_queue.list_at = now;
+            self.autoscaler.cloud_queue.list_after = last;
+            self.autoscaler.cloud_queue.list_at = now;
         } else {
-            self.cloud_queue.list_after = None;
-            self.cloud_queue.list_at = now + 10 * SECOND;
+            self.autoscaler.cloud_queue.list_after = None;
+            self.autoscaler.cloud_queue.list_at = now + 10 * SECOND;
         }
     }
 
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -105,7 +105,7 @@
             .collect();
         for m in &booting {
             let boot = boot_time(types, &m.machine_type);
-            let state = self.boot_estimator.of(m, boot, now);
+            let state = self.autoscaler.boot_estimator.of(m, boot, now);
             match state {
                 Boot::Coming => coming.extend(self.view(m)),
                 Boot::Spell => spells.entry(m.machine_type.clone()).or_default().push(*m),
@@ -126,8 +126,9 @@
                 .filter(|m| m.machine_type == offer.0 && m.zone == offer.1);
             late.any(|m| {
                 let boot = boot_time(types, &m.machine_type);
-                self.boot_estimator.of(m, boot, now) != Boot::Coming
+                self.autoscaler.boot_estimator.of(m, boot, now) != Boot::Coming
                     && self
+                        .autoscaler
                         .boot_estimator
                         .0
                         .get(offer)
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -46,11 +46,20 @@
     }
 }
 
+/// The dependencies of open jobs.
+#[derive(Debug, Default)]
+pub(super) struct DependencyTracker {
+    /// Which of the open jobs wait for which.
+    pub dependency_graph: DependencyGraph,
+    /// Jobs that others wait for and that are not open here.
+    pub dependency_proofs: DependencyProofs,
+}
+
 impl Leader {
     /// A job was taken up: it may wait for others, and others for it.
     pub(super) fn joins(&mut self, ctx: &Context, id: &Rc<str>) {
         // That it is open is seen here: no mark needs to be read for it.
-        self.dependency_proofs.wanted.remove(id);
+        self.dependencies.dependency_proofs.wanted.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -64,25 +73,28 @@
                 // Not being open proves nothing: pages of a load are of different
                 // revisions, and a watch tells of a job after one that names it.
                 None => {
-                    self.dependency_proofs
+                    self.dependencies
+                        .dependency_proofs
                         .wanted
                         .insert(Rc::from(name.as_str()), 0);
                 }
             }
             let dependency = known.unwrap_or_else(|| Rc::from(name));
-            self.dependency_graph.add(id, dependency);
+            self.dependencies.dependency_graph.add(id, dependency);
         }
-        if self.dependency_graph.waits(id)
+        if self.dependencies.dependency_graph.waits(id)
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.blocked_on_dependencies = true;
         }
         if cancelled {
-            self.write_queue.push(PendingWrite::Cancel(id.clone()));
+            self.writer
+                .write_queue
+                .push(PendingWrite::Cancel(id.clone()));
         }
         // All at once when all are read: one by one, each of a thousand that wait for
         // one job goes over the others again.
-        if self.stage == RecoveryStage::Ready {
+        if self.recovery.stage == RecoveryStage::Ready {
             self.set_lift(ctx, id);
             self.raise(ctx, id);
         }
@@ -90,7 +102,12 @@
 
     /// Gives all jobs that were read what they have of those that wait for them.
     pub(super) fn lift_all(&mut self, ctx: &Context) {
-        let awaited: Vec<Rc<str>> = self.dependency_graph.awaited().cloned().collect();
+        let awaited: Vec<Rc<str>> = self
+            .dependencies
+            .dependency_graph
+            .awaited()
+            .cloned()
+            .collect();
         for id in awaited {
             if self.set_lift(ctx, &id) {
                 self.raise(ctx, &id);
@@ -101,13 +118,17 @@
     /// Reads marks of dependencies that are not open here.
     pub(super) fn look_for_proofs(&mut self, ctx: &mut Context) {
         let per_s = ctx.config.state_rps * PROOFS_PART;
-        while let Some(id) = self.dependency_proofs.next(ctx.now.monotonic, per_s) {
-            if self.dependency_graph.needed(&id) || self.is_orphan(&id) {
+        while let Some(id) = self
+            .dependencies
+            .dependency_proofs
+            .next(ctx.now.monotonic, per_s)
+        {
+            if self.dependencies.dependency_graph.needed(&id) || self.is_orphan(&id) {
                 let key = records::job_key(&id);
                 let waiter = self.waiter(Step::Dependency { id });
                 ctx.store_request(StoreRequest::Get { key }, waiter);
             } else {
-                self.dependency_proofs.under_way -= 1;
+                self.dependencies.dependency_proofs.under_way -= 1;
             }
         }
     }
@@ -119,7 +140,7 @@
         id: Rc<str>,
         reply: Result<StoreResponse, CallError>,
     ) {
-        self.dependency_proofs.under_way -= 1;
+        self.dependencies.dependency_proofs.under_way -= 1;
         let mark = match &reply {
             Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>().map(|m| m.state),
             _ => None,
@@ -139,13 +160,17 @@
                     _ => RETRY,
                 };
                 let orphan = self.is_orphan(&id);
-                if orphan || self.dependency_graph.needed(&id) && !self.jobs.contains_key(&id) {
+                if orphan
+                    || self.dependencies.dependency_graph.needed(&id)
+                        && !self.jobs.contains_key(&id)
+                {
                     let pause = if orphan {
                         pause.max(unknown_jobs::AGAIN)
                     } else {
                         pause
                     };
-                    self.dependency_proofs
+                    self.dependencies
+                        .dependency_proofs
                         .wanted
                         .insert(id, ctx.now.monotonic + pause);
                 }
@@ -155,23 +180,25 @@
 
     /// A job's end is proved: what waited for nothing else becomes active.
     pub(super) fn dependency_done(&mut self, ctx: &Context, id: &Rc<str>) {
-        for ready in self.dependency_graph.done(id) {
+        for ready in self.dependencies.dependency_graph.done(id) {
             let Some(job) = self.jobs.get_mut(&ready) else {
                 continue;
             };
             log::info!("{ready}: ready, all that it waited for is done");
             job.blocked_on_dependencies = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
-            self.service_submitted |= job.spec.kind == JobKind::Service;
-            self.schedule_at = ctx.now.monotonic;
+            self.scheduling.service_submitted |= job.spec.kind == JobKind::Service;
+            self.scheduling.schedule_at = ctx.now.monotonic;
         }
     }
 
     /// A job is cancelled, and with it all that need it. None of them has started.
     pub(super) fn cancel_dependents(&mut self, id: &Rc<str>) {
-        for dependent in self.dependency_graph.downstream(id) {
+        for dependent in self.dependencies.dependency_graph.downstream(id) {
             log::info!("{dependent}: cancelled with {id}, for which it waits");
-            self.write_queue.push(PendingWrite::Cancel(dependent));
+            self.writer
+                .write_queue
+                .push(PendingWrite::Cancel(dependent));
         }
     }
 
@@ -198,14 +225,20 @@
         // 282 of the days of pipelines).
         self.cancel_dependents(id);
         self.forget_job(ctx, id);
-        self.write_queue
+        self.writer
+            .write_queue
             .push(PendingWrite::Drop(records::open_key(id)));
     }
 
     /// A job waits no more, since it has ended.
     pub(super) fn leaves_line(&mut self, ctx: &Context, id: &Rc<str>) {
-        let before: Vec<Rc<str>> = self.dependency_graph.dependencies(id).cloned().collect();
-        self.dependency_graph.remove(id);
+        let before: Vec<Rc<str>> = self
+            .dependencies
+            .dependency_graph
+            .dependencies(id)
+            .cloned()
+            .collect();
+        self.dependencies.dependency_graph.remove(id);
         for dependency in before {
             let open = self.jobs.get(&dependency).is_some_and(|j| !j.stopped);
             if open && self.set_lift(ctx, &dependency) {
@@ -217,7 +250,7 @@
     /// What a job has of itself and of those that wait for it.
     fn lift(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> (Priority, Option<Micros>) {
         let mut lift = (job.spec.priority, None);
-        for dependent in self.dependency_graph.dependents(id) {
+        for dependent in self.dependencies.dependency_graph.dependents(id) {
             if let Some(dependent) = self.jobs.get(dependent) {
                 lift = self.lifted_by(ctx, lift, dependent);
             }
@@ -270,7 +303,12 @@
     /// Lets those that a job waits for have what it has, and those before them. After
     /// a fall they are worked out anew, each as often as it is on a way.
     fn raise(&mut self, ctx: &Context, id: &Rc<str>) {
-        let mut next: Vec<Rc<str>> = self.dependency_graph.dependencies(id).cloned().collect();
+        let mut next: Vec<Rc<str>> = self
+            .dependencies
+            .dependency_graph
+            .dependencies(id)
+            .cloned()
+            .collect();
         // Only a stored cycle, which no submission can make, takes so many steps.
         let mut steps = 16 * (self.jobs.len() + 1);
         while let Some(before) = next.pop() {
@@ -279,37 +317,48 @@
                 return log::error!("{id}: waits for itself");
             }
             if self.set_lift(ctx, &before) {
-                next.extend(self.dependency_graph.dependencies(&before).cloned());
+                next.extend(
+                    self.dependencies
+                        .dependency_graph
+                        .dependencies(&before)
+                        .cloned(),
+                );
             }
         }
     }
 
     /// Whether a job's cancellation is to be written, or its mark to be read.
     fn ends_with(&self, id: &Rc<str>) -> bool {
-        self.write_queue.cancels(id) || self.jobs.get(id).is_some_and(|j| j.cancelled.is_some())
+        self.writer.write_queue.cancels(id)
+            || self.jobs.get(id).is_some_and(|j| j.cancelled.is_some())
     }
 
     /// What of the waiting is not as it would be if it were derived from the jobs
     /// alone. For rehearsals.
     pub(super) fn audit_waits(&self) -> bool {
         let edges = self.jobs.iter().all(|(id, job)| {
-            let waits = self.dependency_graph.waits(id);
+            let waits = self.dependencies.dependency_graph.waits(id);
             let named = |d: &Rc<str>| job.spec.depends_on.iter().any(|a| **a == **d);
             (job.stopped || job.blocked_on_dependencies == waits)
-                && self.dependency_graph.dependencies(id).all(named)
+                && self
+                    .dependencies
+                    .dependency_graph
+                    .dependencies(id)
+                    .all(named)
         });
-        let known = self.dependency_graph.awaited().all(|id| {
+        let known = self.dependencies.dependency_graph.awaited().all(|id| {
             let open = self.jobs.contains_key(id);
-            open || self.dependency_proofs.wanted.contains_key(id)
-                || self.dependency_proofs.under_way > 0
+            open || self.dependencies.dependency_proofs.wanted.contains_key(id)
+                || self.dependencies.dependency_proofs.under_way > 0
                 || self
+                    .dependencies
                     .dependency_graph
                     .dependents(id)
                     .all(|d| self.ends_with(d))
         });
         let lifted = self.jobs.iter().all(|(id, job)| {
             let dependents = || {
-                let names = self.dependency_graph.dependents(id);
+                let names = self.dependencies.dependency_graph.dependents(id);
                 names.filter_map(|d| self.jobs.get(d))
             };
             // That one is cancelled may be seen before it is worked out anew.
@@ -319,7 +368,7 @@
             let own = job.priority == job.spec.priority || given;
             job.stopped || (own && most.is_none_or(|most| job.priority >= most))
         });
-        let lifted = lifted || self.stage == RecoveryStage::Loading;
-        edges && known && lifted && self.dependency_graph.is_sound()
+        let lifted = lifted || self.recovery.stage == RecoveryStage::Loading;
+        edges && known && lifted && self.dependencies.dependency_graph.is_sound()
     }
 }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -403,7 +403,7 @@
         for place in self.jobs.take_marked() {
             self.refresh_job(ctx, place);
         }
-        while let Some(place) = self.derived.job_queue.aged(self.virtual_time) {
+        while let Some(place) = self.derived.job_queue.aged(self.scheduling.virtual_time) {
             self.refresh_job(ctx, place);
         }
         for place in self.machines.take_marked() {
@@ -422,7 +422,11 @@
         self.machines.mark_all();
         self.refresh(ctx);
         let new = &self.derived;
-        let line = |i: &DerivedState| i.job_queue.all(self.virtual_time).collect::<Vec<_>>();
+        let line = |i: &DerivedState| {
+            i.job_queue
+                .all(self.scheduling.virtual_time)
+                .collect::<Vec<_>>()
+        };
         let mut places = 0..self.machines.places();
         // Of machines without room nobody asks which images they hold.
         let warm = |m: &MachineView| {
@@ -457,7 +461,7 @@
     /// again, once a second: at every task's end it would be a walk over all of
     /// them each time.
     pub(super) fn mark_guessed(&mut self) {
-        if std::mem::take(&mut self.run_time_estimates_changed) {
+        if std::mem::take(&mut self.estimates.run_time_estimates_changed) {
             for place in &self.derived.guessed {
                 self.jobs.mark(place);
             }
@@ -466,7 +470,7 @@
 
     fn refresh_job(&mut self, ctx: &Context, place: SlabIndex) {
         if let Some(job) = self.jobs.quiet(place) {
-            job.pace(self.virtual_time);
+            job.pace(self.scheduling.virtual_time);
             job.hunger(ctx);
         }
         let (part, standing, due) = match self.jobs.at(place) {
@@ -510,7 +514,7 @@
             return None;
         }
         let (pace, size) = match job.ageing_since {
-            Some(_) if job.aged_at() <= self.virtual_time => (AgeingState::Aged, 0.0),
+            Some(_) if job.aged_at() <= self.scheduling.virtual_time => (AgeingState::Aged, 0.0),
             Some(_) => (AgeingState::Ageing, job.aged_at()),
             None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
         };
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -42,7 +42,8 @@
 
     /// Whether the last read of the cancellations was sent so short a time ago.
     fn last_read_within(&self, ctx: &Context, time: Micros) -> bool {
-        self.last_consistent_read
+        self.queue_watch
+            .last_consistent_read
             .is_some_and(|at| ctx.now.monotonic < at + time)
     }
 
@@ -70,8 +71,11 @@
             commands: Vec::new(),
         };
         // A report of a machine that is gone was held up on its way.
-        if self.stage == RecoveryStage::Ready
-            && !self.removed_machines.contains_key(&report.machine)
+        if self.recovery.stage == RecoveryStage::Ready
+            && !self
+                .autoscaler
+                .removed_machines
+                .contains_key(&report.machine)
         {
             let last = self.machines.get(report.machine.as_str());
             let last = last.filter(|m| m.up).map(|m| (m.incarnation, m.sequence));
@@ -125,7 +129,9 @@
             return;
         };
         m.describe(&r.machine_type, &r.zone, r.spot);
-        if !self.partitioned_zones.is_empty() && self.partitioned_zones.remove(&m.zone).is_some() {
+        if !self.partitions.partitioned_zones.is_empty()
+            && self.partitions.partitioned_zones.remove(&m.zone).is_some()
+        {
             log::info!("zone {} is heard again", m.zone);
         }
         if !m.up {
@@ -137,7 +143,7 @@
             );
             m.empty_since = now;
             if m.expected {
-                self.boot_estimator.up(m, now);
+                self.autoscaler.boot_estimator.up(m, now);
             }
         }
         let was_ready = m.ready;
@@ -162,7 +168,8 @@
         }
         if !m.recorded {
             m.recorded = true;
-            self.write_queue
+            self.writer
+                .write_queue
                 .push(PendingWrite::Machine(r.machine.clone()));
         }
         if !was_ready {
@@ -170,10 +177,11 @@
             m.needs_command = true;
             m.next_command_at = 0;
             self.command_dispatch.plain(m.name.clone());
-            self.schedule_at = now;
+            self.scheduling.schedule_at = now;
         }
         // Heard before its deletion went out.
-        let stays = m.leaving && m.heard_at == now && self.cloud_queue.withdraw(&r.machine);
+        let stays =
+            m.leaving && m.heard_at == now && self.autoscaler.cloud_queue.withdraw(&r.machine);
         if stays {
             log::info!("{}: heard again, not deleting it", m.name);
             m.leaving = false;
@@ -211,7 +219,11 @@
         if job.cancelled.is_some() {
             return true;
         }
-        !job.ending && self.write_queue.settled(id, job.spans.of(task.index))
+        !job.ending
+            && self
+                .writer
+                .write_queue
+                .settled(id, job.spans.of(task.index))
     }
 
     /// What the machine is told. Work that is to run elsewhere is stopped only by who
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -29,7 +29,7 @@
                 let mut placed = b.placed.iter();
                 placed.any(|(k, a)| *k == key && Some(*a) == attempt)
             };
-            if !self.write_queue.batch.as_ref().is_some_and(written) {
+            if !self.writer.write_queue.batch.as_ref().is_some_and(written) {
                 self.unplace(&key);
             }
         }
@@ -49,7 +49,7 @@
             };
             job.cancelled.get_or_insert(ctx.now.monotonic);
             // One that still loads stops its cancelled jobs as it starts.
-            if self.stage == RecoveryStage::Ready {
+            if self.recovery.stage == RecoveryStage::Ready {
                 self.stop_job(ctx, &id);
             }
         }
@@ -103,7 +103,9 @@
             && job.placed() == 0
         {
             job.ending = true;
-            self.write_queue.push(PendingWrite::Clear(id.clone()));
+            self.writer
+                .write_queue
+                .push(PendingWrite::Clear(id.clone()));
         }
     }
 
@@ -114,7 +116,9 @@
             && job.done as usize == job.tasks.len()
         {
             job.ending = true;
-            self.write_queue.push_front(PendingWrite::Done(id.clone()));
+            self.writer
+                .write_queue
+                .push_front(PendingWrite::Done(id.clone()));
         }
     }
 
@@ -122,7 +126,8 @@
         self.leaves_line(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
             for span in job.spans.stored() {
-                self.write_queue
+                self.writer
+                    .write_queue
                     .push(PendingWrite::Drop(records::tasks_key(id, span)));
             }
         }
@@ -131,14 +136,14 @@
     pub(super) fn touch(&mut self, key: &TaskKey) {
         if let Some(job) = self.jobs.get(&key.0) {
             let item = PendingWrite::Tasks(key.0.clone(), job.spans.of(key.1));
-            self.write_queue.push(item);
+            self.writer.write_queue.push(item);
         }
     }
 
     pub(super) fn slot_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
         // A start frees no room; everything else may.
         if !matches!(event, TaskEvent::Running(_)) {
-            self.schedule_at = ctx.now.monotonic;
+            self.scheduling.schedule_at = ctx.now.monotonic;
         }
         match event {
             TaskEvent::Running(key) => {
@@ -229,7 +234,7 @@
             let ran = seconds(ran);
             let t = ctx.config.tuning.training_tasks.max(1) as usize;
             if !job.trained {
-                self.unreplicated_estimates.extend(place);
+                self.estimates.unreplicated_estimates.extend(place);
                 job.samples.push(ran);
                 if job.samples.len() >= t.min(job.tasks.len()) {
                     let mean = job.samples.iter().sum::<f64>() / job.samples.len() as f64;
@@ -239,11 +244,12 @@
             }
             let first = ctx.config.tuning.first_guess_s;
             let guess = self
+                .estimates
                 .run_time_estimates
                 .entry(job.spec.class.clone())
                 .or_insert(first);
             *guess += (ran - *guess) * 0.05;
-            self.run_time_estimates_changed = true;
+            self.estimates.run_time_estimates_changed = true;
         }
         if job.cancelled.is_some() {
             return self.check_clear(&key.0);
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -9,6 +9,8 @@
 mod estimate_replication;
 mod heartbeats;
 mod job_lifecycle;
+mod machine_types;
+mod queue_watch;
 mod recovery;
 mod scheduling;
 mod service_headroom;
@@ -18,12 +20,20 @@
 mod unknown_jobs;
 mod zone_partition;
 
+use self::autoscaling::Autoscaler;
 use self::boot_estimator::BootEstimator;
 use self::command_dispatch::CommandDispatch;
-use self::dependencies::DependencyProofs;
+use self::dependencies::DependencyTracker;
 use self::derived::DerivedState;
+use self::estimate_replication::LearnedEstimates;
+use self::machine_types::MachineTypeCatalog;
+use self::queue_watch::QueueWatch;
+use self::recovery::{Recovery, RecoveryPage, RecoveryStage};
+use self::scheduling::SchedulingState;
+use self::state_writes::StateWriter;
 use self::task_ranges::TaskRanges;
 use self::unknown_jobs::UnknownJob;
+use self::zone_partition::ZonePartitions;
 use crate::calls::{CallError, Context};
 use crate::cloud_queue::{CloudQueue, CloudRequestKind, PendingScaleOut};
 use crate::continuations::{Continuation, LeaderStep as Step};
@@ -287,98 +297,49 @@
     }
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RecoveryStage {
-    Loading,
-    Ready,
-}
-
+/// The leader of one term: it takes up what the store holds, schedules tasks, sends
+/// commands to machines and scales the fleet.
+///
+/// Each field holds the state of one concern; the module of that concern says what it
+/// guarantees.
 #[derive(Debug)]
 pub struct Leader {
+    /// The term, which is also the fencing token of every command.
     pub term: u64,
+    /// The version of the stored term; every write compares it.
     term_version: u64,
-    stage: RecoveryStage,
-    reload_at: Option<(Micros, RecoveryPage)>,
-    queue_revision: Option<u64>,
-    /// Cancellations that were read before the jobs that they are of.
-    cancelled_rows: Vec<KeyValue>,
-    /// When the first page of the queue was asked for.
-    load_sent: Micros,
-    /// When the last answered read of the cancellations was sent; None before a new
-    /// leader has read any. Nothing else moves it: a lease renewed, a beat or a write
-    /// says nothing of what others have confirmed.
-    last_consistent_read: Option<Micros>,
-    /// Since when reports are not answered, for want of a sure look.
-    no_consistent_read_since: Option<Micros>,
     /// Its right to act, as its node saw it last.
     pub leadership_proof: LeadershipProof,
-    watch_at: Option<Micros>,
+    /// Reading the store at the beginning of the term.
+    recovery: Recovery,
+    /// The watch of the stored job queue, and how recent its last read is.
+    queue_watch: QueueWatch,
+    /// Open jobs.
     jobs: Slab<Job>,
-    /// Which of the open jobs wait for which.
-    dependency_graph: DependencyGraph,
-    /// Jobs that others wait for and that are not open here.
-    dependency_proofs: DependencyProofs,
-    /// Jobs that have placements in the store and can't be taken up.
-    unknown_jobs: BTreeMap<Rc<str>, UnknownJob>,
+    /// Machines that are known.
     machines: Slab<Machine>,
+    /// Jobs that have placements in the store and no readable description.
+    unknown_jobs: BTreeMap<Rc<str>, UnknownJob>,
+    /// Which jobs wait for which.
+    dependencies: DependencyTracker,
+    /// Sums and indexes that follow from jobs and machines.
     derived: DerivedState,
-    /// What ageing has taken off any job that was active all the time, in
-    /// CPU-seconds.
-    virtual_time: f64,
+    /// When the scheduling cycle runs, and what it has done.
+    scheduling: SchedulingState,
+    /// Which machines are sent commands, and when.
     command_dispatch: CommandDispatch,
-    removed_machines: HashMap<String, Micros>,
-    write_queue: WriteQueue,
-    /// Reads that were not answered, by when they are made again.
-    reads: VecDeque<(Micros, String, Step)>,
-    write_rate: WriteRate,
-    /// What a value may take, as far as is known: less once the state service has
-    /// refused one.
-    value_bytes: usize,
-    cloud_queue: CloudQueue,
-    refusals: RefusedOfferings,
-    boot_estimator: BootEstimator,
-    /// Waiting jobs that the next rental plan looks at.
-    plan_depth: usize,
-    /// Zones that fell silent as a whole, and when: what is rented there would
-    /// be paid for and never heard of.
-    partitioned_zones: BTreeMap<Rc<str>, Micros>,
-    /// Zones that were silent already under the leader before, and when they
-    /// were heard last.
-    zones_silent_before: HashMap<String, Micros>,
-    types: Option<Rc<Vec<MachineType>>>,
-    types_stored: bool,
-    /// The version of their record.
-    types_version: u64,
-    /// Mean run time per class, learned from finished tasks, in seconds.
-    run_time_estimates: HashMap<String, f64>,
-    /// What the leader before has learned, for jobs that are taken up.
-    inherited: InheritedEstimates,
-    /// Jobs that were taken up as the leader before knew them.
-    inherited_jobs: usize,
-    /// Jobs of which something was learned that siblings have yet to be told.
-    unreplicated_estimates: BTreeSet<SlabIndex>,
-    /// Of the others the one that was told last.
-    next_replicated: SlabIndex,
-    /// A guess has changed since waiting jobs were last ordered by them.
-    run_time_estimates_changed: bool,
-    /// When tasks may be stopped for replicas again.
-    next_preemption_at: Micros,
-    /// A service was submitted since the last pass: its users do not wait for a
-    /// tick.
-    service_submitted: bool,
-    schedule_at: Micros,
-    last_scheduled_at: Micros,
-    next_fleet_check_at: Micros,
-    ready_since: Micros,
+    /// Writes to the store.
+    writer: StateWriter,
+    /// The fleet's size, and calls to the cloud.
+    autoscaler: Autoscaler,
+    /// Machine types that the cloud offers.
+    machine_types: MachineTypeCatalog,
+    /// Zones that are cut off.
+    partitions: ZonePartitions,
+    /// Run times and sizes that were learned.
+    estimates: LearnedEstimates,
+    /// What its node has yet to be told.
     events: Vec<LeaderEvent>,
-    pub counts: SchedulerCounters,
-}
-
-#[derive(Debug, Clone)]
-enum RecoveryPage {
-    Machines(Option<String>),
-    Queue(Option<String>),
-    Tasks(Option<String>),
 }
 
 impl Leader {
@@ -386,63 +347,39 @@
         ctx: &mut Context,
         term: u64,
         term_version: u64,
-        VersionedMachineTypes { types, version }: VersionedMachineTypes,
+        machine_types: VersionedMachineTypes,
         inherited: InheritedEstimates,
     ) -> Leader {
         let now = ctx.now.monotonic;
         let mut leader = Leader {
             term,
             term_version,
-            stage: RecoveryStage::Loading,
-            reload_at: None,
-            queue_revision: None,
-            cancelled_rows: Vec::new(),
-            load_sent: now,
-            last_consistent_read: None,
-            no_consistent_read_since: None,
             leadership_proof: LeadershipProof::default(),
-            watch_at: None,
+            recovery: Recovery::new(now),
+            queue_watch: QueueWatch::default(),
             jobs: Slab::default(),
-            dependency_graph: DependencyGraph::default(),
-            dependency_proofs: DependencyProofs::default(),
-            unknown_jobs: BTreeMap::new(),
             machines: Slab::default(),
+            unknown_jobs: BTreeMap::new(),
+            dependencies: DependencyTracker::default(),
             derived: DerivedState::new(ctx.config),
-            virtual_time: 0.0,
+            scheduling: SchedulingState::new(now),
             command_dispatch: CommandDispatch::new(ctx.config.max_orders),
-            removed_machines: HashMap::new(),
-            write_queue: WriteQueue::default(),
-            reads: VecDeque::new(),
-            write_rate: WriteRate::new(ctx.config.state_write_rps_before),
-            value_bytes: ctx.config.value_bytes_before,
-            cloud_queue: CloudQueue::new(ctx.config.cloud_rps, now),
-            refusals: RefusedOfferings::default(),
-            boot_estimator: BootEstimator::default(),
-            plan_depth: PLAN_JOBS,
-            partitioned_zones: BTreeMap::new(),
-            zones_silent_before: HashMap::new(),
-            types_stored: types.is_some(),
-            types_version: version,
-            types,
-            run_time_estimates: inherited.classes.clone(),
-            inherited,
-            inherited_jobs: 0,
-            unreplicated_estimates: BTreeSet::new(),
-            next_replicated: 0,
-            run_time_estimates_changed: false,
-            next_preemption_at: now,
-            service_submitted: false,
-            schedule_at: now,
-            last_scheduled_at: now,
-            next_fleet_check_at: now,
-            ready_since: now,
+            writer: StateWriter::new(ctx.config),
+            autoscaler: Autoscaler::new(ctx.config, now),
+            machine_types: MachineTypeCatalog::new(machine_types),
+            partitions: ZonePartitions::default(),
+            estimates: LearnedEstimates::new(inherited),
             events: Vec::new(),
-            counts: SchedulerCounters::default(),
         };
         leader.load(ctx, RecoveryPage::Queue(None));
         leader
     }
 
+    /// What its scheduling cycles and scale-out plans have done in its term.
+    pub fn counts(&self) -> SchedulerCounters {
+        self.scheduling.counts
+    }
+
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
     }
@@ -465,7 +402,7 @@
             Step::LoadMachines | Step::LoadQueue | Step::LoadTasks => match reply {
                 Ok(StoreResponse::RangePage(page)) => self.page_loaded(ctx, &step, page),
                 _ => {
-                    if let Some((at, _)) = &mut self.reload_at {
+                    if let Some((at, _)) = &mut self.recovery.reload_at {
                         *at = ctx.now.monotonic + RETRY;
                     }
                 }
@@ -479,34 +416,4 @@
             Step::CommandsInFlight { .. } | Step::Cloud(_) => {}
         }
     }
-
-    fn queue_watch_reply(
-        &mut self,
-        ctx: &mut Context,
-        sent: Micros,
-        reply: Result<StoreResponse, CallError>,
-    ) {
-        match reply {
-            Ok(StoreResponse::WatchBatch(changes)) => {
-                self.last_consistent_read = self.last_consistent_read.max(Some(sent));
-                self.queue_revision = Some(changes.revision);
-                for event in changes.events {
-                    if let WatchEvent::Put {
-                        key,
-                        value,
-                        version,
-                    } = event
-                    {
-                        self.queue_row(ctx, &key, &value, version);
-                    }
-                }
-                self.watch_at = Some(ctx.now.monotonic);
-            }
-            Ok(StoreResponse::Compacted) => {
-                log::error!("lost sight of the queue");
-                self.events.push(LeaderEvent::Outdated);
-            }
-            _ => self.watch_at = Some(ctx.now.monotonic + RETRY),
-        }
-    }
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -3,10 +3,51 @@
 use super::scheduling::cache_gb;
 use super::*;
 
+/// How far a new leader is in taking up its work.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RecoveryStage {
+    Loading,
+    Ready,
+}
+
+/// The page of the store that a new leader reads next; the key after which it begins.
+#[derive(Debug, Clone)]
+pub(super) enum RecoveryPage {
+    Machines(Option<String>),
+    Queue(Option<String>),
+    Tasks(Option<String>),
+}
+
+/// What a new leader has read of the store so far.
+#[derive(Debug)]
+pub(super) struct Recovery {
+    pub stage: RecoveryStage,
+    /// The page that is being read, and when it is asked for again.
+    pub reload_at: Option<(Micros, RecoveryPage)>,
+    /// Cancellations that were read before the jobs that they are of.
+    pub cancelled_rows: Vec<KeyValue>,
+    /// When the first page of the queue was asked for.
+    pub load_sent: Micros,
+    /// When everything had been read.
+    pub ready_since: Micros,
+}
+
+impl Recovery {
+    pub fn new(now: Micros) -> Recovery {
+        Recovery {
+            stage: RecoveryStage::Loading,
+            reload_at: None,
+            cancelled_rows: Vec::new(),
+            load_sent: now,
+            ready_since: now,
+        }
+    }
+}
+
 impl Leader {
     /// Term and its record's version, once everything is taken up.
     pub fn fence(&self) -> Option<(u64, u64)> {
-        (self.stage == RecoveryStage::Ready).then_some((self.term, self.term_version))
+        (self.recovery.stage == RecoveryStage::Ready).then_some((self.term, self.term_version))
     }
 
     pub fn holds(&self, job: &str) -> bool {
@@ -21,13 +62,13 @@
         };
         if matches!(from, RecoveryPage::Queue(None)) {
             // Cancellations up to here are in what is read now.
-            self.load_sent = ctx.now.monotonic;
+            self.recovery.load_sent = ctx.now.monotonic;
         }
         let call = StoreRequest::List {
             prefix: prefix.into(),
             after: after.clone(),
         };
-        self.reload_at = Some((Micros::MAX, from));
+        self.recovery.reload_at = Some((Micros::MAX, from));
         let waiter = self.waiter(step);
         ctx.store_request(call, waiter);
     }
@@ -47,7 +88,7 @@
             Step::LoadQueue => {
                 // Later pages may hold more, but the watch starts here: what
                 // it tells again changes nothing.
-                self.queue_revision.get_or_insert(page.revision);
+                self.queue_watch.queue_revision.get_or_insert(page.revision);
                 for row in page.rows {
                     // Cancellations come before descriptions in the order of
                     // keys, but a cancellation means nothing before its job is
@@ -56,26 +97,26 @@
                     if row.key.starts_with(records::OPEN) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     } else {
-                        self.cancelled_rows.push(row);
+                        self.recovery.cancelled_rows.push(row);
                     }
                 }
                 let opens = |key: &String| key.starts_with(records::OPEN);
-                if self.last_consistent_read.is_none()
+                if self.queue_watch.last_consistent_read.is_none()
                     && (!more || last.as_ref().is_some_and(opens))
                 {
                     // Every cancellation is known that was confirmed before the first
                     // page was asked for. Which machines hold its tasks is not: until
                     // that is read, all answers end as early as those to the machine
                     // that holds the oldest.
-                    let rows = self.cancelled_rows.iter();
+                    let rows = self.recovery.cancelled_rows.iter();
                     let oldest = rows.map(|row| confirmed(ctx, &row.value)).min();
-                    self.last_consistent_read =
-                        Some(oldest.unwrap_or(Micros::MAX).min(self.load_sent));
+                    self.queue_watch.last_consistent_read =
+                        Some(oldest.unwrap_or(Micros::MAX).min(self.recovery.load_sent));
                 }
                 if more {
                     RecoveryPage::Queue(last)
                 } else {
-                    for row in std::mem::take(&mut self.cancelled_rows) {
+                    for row in std::mem::take(&mut self.recovery.cancelled_rows) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     }
                     RecoveryPage::Machines(None)
@@ -88,7 +129,7 @@
                     self.task_row(ctx, row);
                 }
                 if !more {
-                    self.reload_at = None;
+                    self.recovery.reload_at = None;
                     return self.start(ctx);
                 }
                 RecoveryPage::Tasks(last)
@@ -116,10 +157,10 @@
     /// Everything is read: take up the work.
     pub(super) fn start(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        self.stage = RecoveryStage::Ready;
-        self.ready_since = now;
-        self.last_consistent_read = Some(self.load_sent);
-        self.watch_at = Some(now);
+        self.recovery.stage = RecoveryStage::Ready;
+        self.recovery.ready_since = now;
+        self.queue_watch.last_consistent_read = Some(self.recovery.load_sent);
+        self.queue_watch.watch_at = Some(now);
         let ids = |of: fn(&Job) -> bool| -> Vec<Rc<str>> {
             let jobs = self.jobs.iter();
             jobs.filter(|(_, j)| of(j))
@@ -141,7 +182,7 @@
             m.known_since = now;
             m.empty_since = now;
             m.needs_command = true;
-            match self.zones_silent_before.get(&*m.zone) {
+            match self.partitions.zones_silent_before.get(&*m.zone) {
                 // It had reported to the leader before, or it had no record.
                 Some(heard) if m.recorded => {
                     m.up = true;
@@ -159,14 +200,15 @@
             self.term,
             self.jobs.len(),
             self.machines.len(),
-            self.inherited_jobs,
-            self.dependency_graph.waiting()
+            self.estimates.inherited_jobs,
+            self.dependencies.dependency_graph.waiting()
         );
-        self.inherited = InheritedEstimates::default();
+        self.estimates.inherited = InheritedEstimates::default();
     }
 
     pub(super) fn guess(&self, config: &Config, class: &str) -> f64 {
-        self.run_time_estimates
+        self.estimates
+            .run_time_estimates
             .get(class)
             .copied()
             .unwrap_or(config.tuning.first_guess_s)
@@ -189,13 +231,13 @@
             });
             let version = open.mark_version(version);
             let guess = self.guess(ctx.config, &open.spec.class);
-            self.service_submitted |= open.spec.kind == JobKind::Service;
+            self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
             let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
             self.inherit(id, &mut job);
             let id: Rc<str> = Rc::from(id);
             let place = self.jobs.insert(id.clone(), job);
-            self.unreplicated_estimates.insert(place);
-            self.schedule_at = ctx.now.monotonic;
+            self.estimates.unreplicated_estimates.insert(place);
+            self.scheduling.schedule_at = ctx.now.monotonic;
             self.joins(ctx, &id);
         } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
             let at = confirmed(ctx, value);
@@ -206,7 +248,7 @@
                 // A write may have met its mark before, which says not since when. That
                 // is read yet, perhaps for long: this row is proof enough.
                 job.cancelled = Some(job.cancelled.map_or(at, |c| c.min(at)));
-                if !job.stopped && self.stage == RecoveryStage::Ready {
+                if !job.stopped && self.recovery.stage == RecoveryStage::Ready {
                     self.stop_job(ctx, &id);
                 }
             }
@@ -226,11 +268,11 @@
             return self.set_aside(ctx, &id, span, &row.key);
         };
         let now = ctx.now.monotonic;
-        let types = self.types.clone();
+        let types = self.machine_types.types.clone();
         if matches!(span, TaskRange::Part { .. }) {
             // Parts are written once the lower limits are in force, and stand above
             // their chunk, which came before.
-            self.value_bytes = ctx.config.value_bytes;
+            self.writer.value_bytes = ctx.config.value_bytes;
             self.unload(&id, span);
         }
         let Some(place) = self.jobs.place(&id) else {
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -9,30 +9,60 @@
     found.map_or(0.0, |t| t.cache_gb * 0.9)
 }
 
+/// When the scheduling cycle runs, and what it has done.
+#[derive(Debug)]
+pub(super) struct SchedulingState {
+    /// What ageing has taken off any job that was active all the time, in
+    /// CPU-seconds.
+    pub virtual_time: f64,
+    /// When tasks may be preempted for replicas again.
+    pub next_preemption_at: Micros,
+    /// A service was submitted since the last cycle: its users do not wait for a
+    /// tick.
+    pub service_submitted: bool,
+    /// From when on a change wants a cycle.
+    pub schedule_at: Micros,
+    pub last_scheduled_at: Micros,
+    pub counts: SchedulerCounters,
+}
+
+impl SchedulingState {
+    pub fn new(now: Micros) -> SchedulingState {
+        SchedulingState {
+            virtual_time: 0.0,
+            next_preemption_at: now,
+            service_submitted: false,
+            schedule_at: now,
+            last_scheduled_at: now,
+            counts: SchedulerCounters::default(),
+        }
+    }
+}
+
 impl Leader {
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if let Some((at, from)) = self.reload_at.clone() {
+        if let Some((at, from)) = self.recovery.reload_at.clone() {
             if now >= at {
                 self.load(ctx, from);
             }
             return;
         }
         if !self.may_answer_heartbeats(ctx) {
-            self.no_consistent_read_since.get_or_insert(now);
-        } else if let Some(since) = self.no_consistent_read_since.take() {
+            self.queue_watch.no_consistent_read_since.get_or_insert(now);
+        } else if let Some(since) = self.queue_watch.no_consistent_read_since.take() {
             // Whoever was refused an answer was not silent. After an outage of a
             // minute every machine once looked as if it were, and all were deleted
             // before they could report again.
             self.paused(now - since, now);
         }
         if self.schedule_due(ctx)
-            || now >= self.last_scheduled_at + micros(ctx.config.tuning.pass_s)
+            || now >= self.scheduling.last_scheduled_at + micros(ctx.config.tuning.pass_s)
         {
             self.schedule(ctx);
         }
-        if now >= self.next_fleet_check_at {
-            self.next_fleet_check_at = now + SECOND;
+        if now >= self.autoscaler.next_fleet_check_at {
+            self.autoscaler.next_fleet_check_at = now + SECOND;
             self.mark_guessed();
             self.refresh(ctx);
             self.delete_unreachable(ctx);
@@ -45,24 +75,28 @@
     fn schedule_due(&self, ctx: &Context) -> bool {
         let now = ctx.now.monotonic;
         let gap = micros(ctx.config.tuning.pass_gap_s);
-        now >= self.schedule_at && now >= self.last_scheduled_at + gap
+        now >= self.scheduling.schedule_at && now >= self.scheduling.last_scheduled_at + gap
     }
 
     /// Sends what is ready to be sent. Passes wait for the tick, but for one that
     /// a service's submission wants: a report is answered, and with it a lease
     /// renewed, without one in between.
     pub fn send_pending(&mut self, ctx: &mut Context) {
-        if self.stage != RecoveryStage::Ready {
+        if self.recovery.stage != RecoveryStage::Ready {
             return;
         }
-        if self.service_submitted && self.schedule_due(ctx) {
+        if self.scheduling.service_submitted && self.schedule_due(ctx) {
             self.schedule(ctx);
         }
-        if self.watch_at.is_some_and(|at| ctx.now.monotonic >= at) {
-            self.watch_at = None;
+        if self
+            .queue_watch
+            .watch_at
+            .is_some_and(|at| ctx.now.monotonic >= at)
+        {
+            self.queue_watch.watch_at = None;
             let call = StoreRequest::Watch {
                 prefix: records::QUEUE.into(),
-                after: self.queue_revision.unwrap_or(0),
+                after: self.queue_watch.queue_revision.unwrap_or(0),
                 hold_ms: WATCH_MS,
             };
             let waiter = self.waiter(Step::Watch);
@@ -80,7 +114,7 @@
         let fleet: usize = self.derived.sums.up.values().sum();
         let most = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
         let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
-        if let Some((errand, call, permit)) = self.cloud_queue.next(now, most, permit) {
+        if let Some((errand, call, permit)) = self.autoscaler.cloud_queue.next(now, most, permit) {
             let waiter = self.waiter(Step::Cloud(errand));
             ctx.cloud_request(call, &permit, waiter);
         }
@@ -106,7 +140,8 @@
     /// Since when reports of several machines should have come in.
     pub fn expects_reports_since(&self) -> Option<Micros> {
         let expected = self.derived.sums.recorded;
-        (self.stage == RecoveryStage::Ready && expected >= 2).then_some(self.ready_since)
+        (self.recovery.stage == RecoveryStage::Ready && expected >= 2)
+            .then_some(self.recovery.ready_since)
     }
 
     /// Machines that hold a cancelled job's tasks and do not show their end
@@ -115,7 +150,7 @@
         let now = ctx.now.monotonic;
         let patience = ctx.config.cancel * 3 / 10;
         let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
-        if now < self.ready_since + patience / 4 || !may {
+        if now < self.recovery.ready_since + patience / 4 || !may {
             return;
         }
         let mut late: BTreeSet<Rc<str>> = BTreeSet::new();
@@ -130,7 +165,7 @@
                 let slot = self
                     .machines
                     .get(machine)
-                    .filter(|m| !m.leaving || !self.cloud_queue.urgent(&m.name))
+                    .filter(|m| !m.leaving || !self.autoscaler.cloud_queue.urgent(&m.name))
                     .and_then(|m| m.slots.get(&(id.clone(), i)));
                 if slot.is_some_and(|s| s.cancelled && s.stored) {
                     late.insert(machine.clone());
@@ -147,7 +182,7 @@
     pub(super) fn delete_machine(&mut self, name: &Rc<str>, ground: DeletionReason) {
         if let Some(m) = self.machines.get_mut(name) {
             m.leaving = true;
-            self.cloud_queue.delete(name.clone(), ground);
+            self.autoscaler.cloud_queue.delete(name.clone(), ground);
         }
     }
 
@@ -191,7 +226,7 @@
 
     /// The boot time of the type that is up soonest, in seconds.
     pub(super) fn soonest_boot(&self) -> f64 {
-        let types = self.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
         types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
@@ -216,7 +251,8 @@
     }
 
     pub(super) fn total(&self, machine_type: &str) -> Option<Resources> {
-        self.types
+        self.machine_types
+            .types
             .as_ref()?
             .iter()
             .find(|t| t.name == machine_type)
@@ -247,10 +283,10 @@
         let now = ctx.now.monotonic;
         self.refresh(ctx);
         self.advance_virtual_time(now);
-        self.schedule_at = Micros::MAX;
-        self.service_submitted = false;
-        self.last_scheduled_at = now;
-        if self.has_recent_read(ctx) && self.types.is_some() {
+        self.scheduling.schedule_at = Micros::MAX;
+        self.scheduling.service_submitted = false;
+        self.scheduling.last_scheduled_at = now;
+        if self.has_recent_read(ctx) && self.machine_types.types.is_some() {
             self.refresh(ctx);
             self.place_waiting_jobs(ctx);
             self.make_room(ctx);
@@ -265,7 +301,7 @@
         let mut teams = sums.team_views(ctx.config);
         let share = sums.fleet_cpus() * ctx.config.tuning.training_share;
         let terms = sched::CycleLimits {
-            virtual_time: self.virtual_time,
+            virtual_time: self.scheduling.virtual_time,
             training_cpus: share - sums.training_cpus(),
             service_headroom: self.reserve(ctx.config),
         };
@@ -276,15 +312,15 @@
         let (made, seen) =
             sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
         self.derived.capacity = floor;
-        self.counts.passes += 1;
-        self.counts.jobs += seen as u64;
+        self.scheduling.counts.passes += 1;
+        self.scheduling.counts.jobs += seen as u64;
         for a in made {
             self.apply_assignment(&a);
         }
     }
 
     fn apply_assignment(&mut self, a: &sched::Assignment) {
-        let types = self.types.clone();
+        let types = self.machine_types.types.clone();
         let Some((id, machine)) = self.jobs.at(a.job).zip(self.machines.at(a.machine)) else {
             return;
         };
@@ -317,7 +353,7 @@
         }
         // Whoever gets room does not starve.
         job.waits_since = None;
-        self.counts.placed += touched.len() as u64;
+        self.scheduling.counts.placed += touched.len() as u64;
         for key in touched {
             self.touch(&key);
         }
@@ -327,8 +363,8 @@
     pub(super) fn advance_virtual_time(&mut self, now: Micros) {
         let sums = &self.derived.sums;
         if sums.ageing > 0 {
-            let time = seconds(now.saturating_sub(self.last_scheduled_at));
-            self.virtual_time += time * sums.fleet_cpus() / sums.ageing as f64;
+            let time = seconds(now.saturating_sub(self.scheduling.last_scheduled_at));
+            self.scheduling.virtual_time += time * sums.fleet_cpus() / sums.ageing as f64;
         }
     }
 }
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -22,13 +22,13 @@
     /// end, replicas waited behind them (rough, brunnmatt-books-grown).
     pub(super) fn make_room(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        if now < self.next_preemption_at {
+        if now < self.scheduling.next_preemption_at {
             return;
         }
-        let mut waiting = self
-            .derived
-            .job_queue
-            .cursor(sched::job_queue::QueueSection::First, self.virtual_time);
+        let mut waiting = self.derived.job_queue.cursor(
+            sched::job_queue::QueueSection::First,
+            self.scheduling.virtual_time,
+        );
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
         while let Some(turn) = waiting.next_job() {
@@ -76,7 +76,7 @@
         }
         let mut teams = self.derived.sums.team_views(ctx.config);
         let stopped = choose_preemptions(&mut jobs, &mut machines, &mut teams, &victims);
-        self.next_preemption_at = now + ROOM_GAP;
+        self.scheduling.next_preemption_at = now + ROOM_GAP;
         for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
@@ -94,7 +94,7 @@
     /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a
     /// fifth more (rosterwise-nz).
     pub(super) fn ahead(&self, config: &Config) -> f64 {
-        let types = self.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
         let share = config.tuning.spare_share * self.derived.sums.fleet_cpus();
         self.reserve(config).min(share / zones.len().max(1) as f64)
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -5,6 +5,29 @@
 /// When what the state service has refused by itself is tried again.
 const ASIDE: Micros = 30 * SECOND;
 
+/// The leader's writes to the store.
+#[derive(Debug)]
+pub(super) struct StateWriter {
+    pub write_queue: WriteQueue,
+    /// Reads that were not answered, by when they are made again.
+    pub reads: VecDeque<(Micros, String, Step)>,
+    pub write_rate: WriteRate,
+    /// What a value may take, as far as is known, in bytes: less once the store has
+    /// refused one.
+    pub value_bytes: usize,
+}
+
+impl StateWriter {
+    pub fn new(config: &Config) -> StateWriter {
+        StateWriter {
+            write_queue: WriteQueue::default(),
+            reads: VecDeque::new(),
+            write_rate: WriteRate::new(config.state_write_rps_before),
+            value_bytes: config.value_bytes_before,
+        }
+    }
+}
+
 impl Job {
     /// Whether this record of its tasks is written now.
     fn writes(&self, span: TaskRange) -> bool {
@@ -15,28 +38,29 @@
 
 impl Leader {
     pub(super) fn write(&mut self, ctx: &mut Context) {
-        if let Some(at) = self.write_queue.resend_at {
+        if let Some(at) = self.writer.write_queue.resend_at {
             if ctx.now.monotonic < at {
                 return;
             }
-            self.write_queue.resend_at = None;
-            if let Some(b) = &self.write_queue.batch {
+            self.writer.write_queue.resend_at = None;
+            if let Some(b) = &self.writer.write_queue.batch {
                 let call = StoreRequest::Transaction(b.txn.clone());
                 let waiter = self.waiter(Step::WriteQueue);
                 ctx.store_request(call, waiter);
             }
             return;
         }
-        if self.write_queue.batch.is_some() {
+        if self.writer.write_queue.batch.is_some() {
             return;
         }
-        self.write_queue.take_back(ctx.now.monotonic);
+        self.writer.write_queue.take_back(ctx.now.monotonic);
         let part = ctx.config.state_write_rps * LATER_PART;
-        self.write_queue.refill(ctx.now.monotonic, part);
-        if self.write_queue.is_idle() {
+        self.writer.write_queue.refill(ctx.now.monotonic, part);
+        if self.writer.write_queue.is_idle() {
             return;
         }
         let room = self
+            .writer
             .write_rate
             .room(ctx.now.monotonic)
             .min(ctx.config.txn_ops);
@@ -46,11 +70,11 @@
             placed: Vec::new(),
             uncertain: false,
         };
-        let most = self.write_queue.most.unwrap_or(usize::MAX);
+        let most = self.writer.write_queue.most.unwrap_or(usize::MAX);
         let (mut bytes, mut cancels) = (0, 0);
         while batch.txn.then.len() + 3 <= room && bytes < BATCH_BYTES && batch.items.len() < most {
-            let next = self.write_queue.pop(batch.items.len(), cancels);
-            let Some(item) = next.or_else(|| self.write_queue.pop_later()) else {
+            let next = self.writer.write_queue.pop(batch.items.len(), cancels);
+            let Some(item) = next.or_else(|| self.writer.write_queue.pop_later()) else {
                 break;
             };
             let before = batch.mark();
@@ -63,7 +87,10 @@
                 Mutation::Delete { .. } => (0, 0),
             });
             let sizes: Vec<(usize, usize)> = sizes.collect();
-            if sizes.iter().any(|(_, value)| *value > self.value_bytes) {
+            if sizes
+                .iter()
+                .any(|(_, value)| *value > self.writer.value_bytes)
+            {
                 batch.back_to(before);
                 self.too_large(ctx, item);
                 continue;
@@ -75,9 +102,9 @@
         if batch.items.is_empty() {
             return;
         }
-        self.write_rate.take(batch.txn.then.len());
+        self.writer.write_rate.take(batch.txn.then.len());
         let call = StoreRequest::Transaction(batch.txn.clone());
-        self.write_queue.batch = Some(batch);
+        self.writer.write_queue.batch = Some(batch);
         let waiter = self.waiter(Step::WriteQueue);
         ctx.store_request(call, waiter);
     }
@@ -89,13 +116,16 @@
         {
             log::info!("{id}: chunk {chunk} is written in parts from now on");
             for part in job.spans.split(*chunk).into_iter().rev() {
-                self.write_queue
+                self.writer
+                    .write_queue
                     .push_front(PendingWrite::Tasks(id.clone(), part));
             }
             return;
         }
         log::error!("{item:?}: does not fit a value of the state service");
-        self.write_queue.put_aside(item, ctx.now.monotonic + ASIDE);
+        self.writer
+            .write_queue
+            .put_aside(item, ctx.now.monotonic + ASIDE);
     }
 
     /// Adds an item's changes and conditions; false if it needs none.
@@ -143,7 +173,9 @@
                 _ => (txn, false),
             },
             PendingWrite::Cancel(id) => match self.jobs.get(id) {
-                Some(job) if job.cancelled.is_none() && self.dependency_graph.waits(id) => {
+                Some(job)
+                    if job.cancelled.is_none() && self.dependencies.dependency_graph.waits(id) =>
+                {
                     let mark = JobStateRecord {
                         state: RecordedState::Cancelled,
                         task_count: job.spec.tasks,
@@ -173,14 +205,14 @@
                 _ => (txn, false),
             },
             PendingWrite::Drop(key) => (txn.delete(key.clone()), true),
-            PendingWrite::Types => match &self.types {
+            PendingWrite::Types => match &self.machine_types.types {
                 Some(types) => {
                     let record = records::MachineTypesRecord {
                         types: types.to_vec(),
                     };
                     // An earlier try that is carried out late would set it back.
                     let txn = txn
-                        .compare(records::TYPES, self.types_version)
+                        .compare(records::TYPES, self.machine_types.types_version)
                         .put(records::TYPES, &record);
                     (txn, true)
                 }
@@ -196,7 +228,7 @@
         ctx: &mut Context,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let Some(mut batch) = self.write_queue.batch.take() else {
+        let Some(mut batch) = self.writer.write_queue.batch.take() else {
             return;
         };
         match reply {
@@ -218,7 +250,7 @@
                     for id in failed.iter().filter_map(|k| k.strip_prefix("j/")) {
                         self.mark_changed(ctx, &Rc::from(id));
                     }
-                    self.write_queue.batch = Some(batch);
+                    self.writer.write_queue.batch = Some(batch);
                     let waiter = self.waiter(Step::Reread { key: key.clone() });
                     ctx.store_request(StoreRequest::Get { key }, waiter);
                     return;
@@ -233,11 +265,11 @@
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
                     // Perhaps by the lower limit, which nobody tells of.
-                    self.write_rate.limit(ctx.config.state_write_rps);
+                    self.writer.write_rate.limit(ctx.config.state_write_rps);
                 }
                 batch.uncertain |= other.is_err();
-                self.write_queue.batch = Some(batch);
-                self.write_queue.resend_at = Some(ctx.now.monotonic + RETRY);
+                self.writer.write_queue.batch = Some(batch);
+                self.writer.write_queue.resend_at = Some(ctx.now.monotonic + RETRY);
             }
         }
     }
@@ -254,7 +286,7 @@
         match own {
             // No copy of it can be applied from now on, so one look settles it.
             Some(key) => {
-                self.write_queue.batch = Some(batch);
+                self.writer.write_queue.batch = Some(batch);
                 let waiter = self.waiter(Step::Reread { key: key.clone() });
                 ctx.store_request(StoreRequest::Get { key }, waiter);
             }
@@ -270,7 +302,7 @@
         key: String,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let Some(batch) = self.write_queue.batch.take() else {
+        let Some(batch) = self.writer.write_queue.batch.take() else {
             return;
         };
         let before = batch.version(&key);
@@ -281,7 +313,7 @@
             Ok(StoreResponse::NotFound { .. }) if before == 0 => self.again_smaller(ctx, batch),
             Ok(StoreResponse::Found(row)) => self.applied(ctx, batch, row.version),
             _ => {
-                self.write_queue.batch = Some(batch);
+                self.writer.write_queue.batch = Some(batch);
                 self.read_later(ctx, key.clone(), Step::Reread { key });
             }
         }
@@ -291,17 +323,18 @@
     /// refused hundreds of times a second in an outage.
     fn read_later(&mut self, ctx: &Context, key: String, step: Step) {
         let at = ctx.now.monotonic + RETRY;
-        self.reads.push_back((at, key, step));
+        self.writer.reads.push_back((at, key, step));
     }
 
     /// Makes the reads that are due.
     pub(super) fn read_again(&mut self, ctx: &mut Context) {
         while self
+            .writer
             .reads
             .front()
             .is_some_and(|(at, ..)| ctx.now.monotonic >= *at)
         {
-            if let Some((_, key, step)) = self.reads.pop_front() {
+            if let Some((_, key, step)) = self.writer.reads.pop_front() {
                 let waiter = self.waiter(step);
                 ctx.store_request(StoreRequest::Get { key }, waiter);
             }
@@ -310,13 +343,13 @@
 
     /// Nothing of the batch was applied, for its size.
     fn again_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
-        if self.value_bytes > ctx.config.value_bytes {
+        if self.writer.value_bytes > ctx.config.value_bytes {
             // The limits that were announced are in force: larger values are written
             // in parts.
             log::info!("values of {} bytes from now on", ctx.config.value_bytes);
-            self.value_bytes = ctx.config.value_bytes;
+            self.writer.value_bytes = ctx.config.value_bytes;
         } else if batch.items.len() > 1 {
-            self.write_queue.most = Some(batch.items.len() / 2);
+            self.writer.write_queue.most = Some(batch.items.len() / 2);
         } else if let Some(item) = batch.items.first() {
             // By itself it is refused: the same bytes again would be as well.
             let own_part = matches!(item, PendingWrite::Tasks(_, TaskRange::Chunk(_)));
@@ -324,7 +357,8 @@
                 self.too_large(ctx, item.clone());
             } else {
                 log::error!("{item:?}: refused by the state service");
-                self.write_queue
+                self.writer
+                    .write_queue
                     .put_aside(item.clone(), ctx.now.monotonic + ASIDE);
             }
             return self.write(ctx);
@@ -344,7 +378,7 @@
             }
         }
         for item in batch.items.into_iter().rev() {
-            self.write_queue.push_front(item);
+            self.writer.write_queue.push_front(item);
         }
     }
 
@@ -372,8 +406,8 @@
     pub(super) fn types_version(&mut self, ctx: &Context, reply: Result<StoreResponse, CallError>) {
         match reply {
             Ok(StoreResponse::Found(row)) => {
-                self.types_version = row.version;
-                self.write_queue.push(PendingWrite::Types);
+                self.machine_types.types_version = row.version;
+                self.writer.write_queue.push(PendingWrite::Types);
             }
             _ => self.read_later(ctx, records::TYPES.to_string(), Step::TypesVersion),
         }
@@ -430,8 +464,9 @@
 
     /// A batch is in the store: do what waited for it.
     pub(super) fn applied(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
-        self.write_queue.most = self.write_queue.most.map(|most| most * 2);
-        self.write_queue
+        self.writer.write_queue.most = self.writer.write_queue.most.map(|most| most * 2);
+        self.writer
+            .write_queue
             .most
             .take_if(|most| *most >= ctx.config.txn_ops);
         for item in &batch.items {
@@ -455,8 +490,8 @@
                 PendingWrite::Cancel(id) => self.cancelled_with(ctx, id),
                 PendingWrite::Clear(id) => self.forget_job(ctx, id),
                 PendingWrite::Types => {
-                    self.types_stored = true;
-                    self.types_version = revision;
+                    self.machine_types.types_stored = true;
+                    self.machine_types.types_version = revision;
                 }
                 PendingWrite::Machine(_) | PendingWrite::Drop(_) => {}
             }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -73,7 +73,7 @@
         orphan.records.push(row.key.clone());
         if !orphan.described {
             // Most likely it has ended, and only the clearing was not finished.
-            self.dependency_proofs.look_for(id);
+            self.dependencies.dependency_proofs.look_for(id);
         }
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
@@ -108,8 +108,8 @@
             }
             orphan.machines.insert(machine.clone());
         }
-        if self.dependency_graph.needed(id) {
-            self.dependency_proofs.look_for(id.clone());
+        if self.dependencies.dependency_graph.needed(id) {
+            self.dependencies.dependency_proofs.look_for(id.clone());
         }
     }
 
@@ -127,7 +127,7 @@
         self.ask_for_stops(id);
         if let Some(orphan) = self.unknown_jobs.remove(id) {
             for key in orphan.records {
-                self.write_queue.push(PendingWrite::Drop(key));
+                self.writer.write_queue.push(PendingWrite::Drop(key));
             }
         }
     }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -49,6 +49,17 @@
     }
 }
 
+/// Zones that are cut off.
+#[derive(Debug, Default)]
+pub(super) struct ZonePartitions {
+    /// Zones that fell silent as a whole, and when: what is rented there would
+    /// be paid for and never heard of.
+    pub partitioned_zones: BTreeMap<Rc<str>, Micros>,
+    /// Zones that were silent already under the leader before, and when they
+    /// were heard last.
+    pub zones_silent_before: HashMap<String, Micros>,
+}
+
 impl Leader {
     /// Room for what is on the machines that are cut off.
     pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
@@ -70,7 +81,7 @@
         };
         // While the cloud is out deletions pile up, and what is on those machines
         // will want its room first.
-        for name in self.cloud_queue.deletes() {
+        for name in self.autoscaler.cloud_queue.deletes() {
             if let Some(m) = self.machines.get(name) {
                 elsewhere.expect(m);
             }
@@ -153,7 +164,7 @@
     /// that begins with this term: a leader that ended in the middle of a cut
     /// once left them down for 15 s more (zone, brunnmatt-books-fleet).
     pub fn expect_silence(&mut self, heard: HashMap<String, Micros>) {
-        self.zones_silent_before = heard;
+        self.partitions.zones_silent_before = heard;
     }
 
     /// Machines that are up and have missed a report.
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -203,7 +203,7 @@
     ) -> TaskSlot {
         TaskSlot {
             attempt,
-            incarnation: incarnation,
+            incarnation,
             resources: Resources::of_task(spec),
             service: spec.kind == JobKind::Service,
             uses_service_headroom: false,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -153,7 +153,7 @@
     pub fn counts(&self) -> SchedulerCounters {
         self.leader
             .as_ref()
-            .map_or(SchedulerCounters::default(), |l| l.counts)
+            .map_or(SchedulerCounters::default(), Leader::counts)
     }
 
     /// What of that which a leader keeps up to date bit by bit is not as it would
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -13,7 +13,8 @@
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::platform::PlatformSettings;
 use dillcleat_wire::store::StoreRequest;
-use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch, HEARTBEAT_PATH};
+use dillcleat_wire::worker::HEARTBEAT_PATH;
+use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch};
 use futures_lite::FutureExt;
 use smol::channel::{Receiver, Sender};
 use smol::net::{TcpListener, TcpStream};
@@ -383,7 +384,7 @@
         let (tx, rx) = smol::channel::bounded(1);
         shared.answers.borrow_mut().insert(id, tx);
         let (peer, queue) = match request.target.as_str() {
-            REPORT_PATH => (Peer::Worker, &shared.reports),
+            HEARTBEAT_PATH => (Peer::Worker, &shared.reports),
             _ => (Peer::User, &shared.inputs),
         };
         admitted.carries(peer);
