--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -3,10 +3,10 @@
 use crate::error::CliError;
 use crate::objects;
 use crate::token::Token;
-use crate::{http, serve};
+use crate::{http, server};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use dillcleat_controller::{CallError, Config, Tuning};
-use dillcleat_kube::{Key, Rules, Settings};
+use dillcleat_kube::{Rules, Settings, SigningKey};
 use dillcleat_wire::platform::{PlatformSettings, one_line};
 use dillcleat_wire::user::{self, ErrorReply, JobKind, JobSpec, JobStatus, Priority};
 use smol::Timer;
@@ -184,7 +184,7 @@
         Some(kube) => {
             let settings = Settings::read(kube).map_err(|e| bad(e.to_string()))?;
             let key = read(&settings.key_file)?;
-            let key = Key::parse(&key).map_err(|e| {
+            let key = SigningKey::parse(&key).map_err(|e| {
                 CliError::Settings(settings.key_file.display().to_string(), e.to_string())
             })?;
             Some(Rules::new(settings, key))
@@ -230,7 +230,7 @@
                 for objective in unused(&start.platform) {
                     log::info!("no decision follows from the objective {objective}");
                 }
-                serve::run(&start.platform, start.config, start.rules)
+                server::run(&start.platform, start.config, start.rules)
             }
             (None, Some(Command::Check { file })) => {
                 let Start {
@@ -246,7 +246,7 @@
                 for objective in unused(&platform) {
                     println!("no decision follows from the objective {objective}");
                 }
-                if let Some(warning) = serve::short_of_time(&config) {
+                if let Some(warning) = server::short_of_time(&config) {
                     println!("{warning}");
                 }
                 if let Some(rules) = rules {
@@ -337,7 +337,7 @@
         )));
     }
     smol::block_on(async {
-        let pool = http::Pool::new(1, 1);
+        let pool = http::ConnectionPool::new(1, 1);
         let start = Instant::now();
         let mut said = false;
         while start.elapsed() < patience {
--- a/crates/dillcleat/src/connections.rs
+++ b/crates/dillcleat/src/connections.rs
@@ -6,7 +6,7 @@
 //! connection is closed for a new one. Both spare users while they hold no more than
 //! their share, so a large fleet of workers does not shut them out.
 
-use crate::http::{Bad, Connection, Request};
+use crate::http::{Connection, Request, RequestError};
 use futures_lite::future::{or, poll_fn, yield_now};
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::cell::{Cell, RefCell};
@@ -159,7 +159,7 @@
     pub async fn next_request<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut Connection<S>,
-    ) -> Result<Request, Bad> {
+    ) -> Result<Request, RequestError> {
         let begins = connection.request_begins();
         match self.entry.peer.get() {
             Peer::Unknown => begins.await?,
@@ -172,8 +172,8 @@
     async fn idle_until(
         &self,
         peer: Peer,
-        begins: impl Future<Output = Result<(), Bad>>,
-    ) -> Result<(), Bad> {
+        begins: impl Future<Output = Result<(), RequestError>>,
+    ) -> Result<(), RequestError> {
         let since = self.connections.next_idle.get();
         self.connections.next_idle.set(since + 1);
         let idle = self.connections.idle_with(peer);
@@ -181,7 +181,7 @@
         let _guard = IdleGuard { idle, since };
         let evicted = async {
             self.entry.eviction().await;
-            Err(Bad::Gone)
+            Err(RequestError::Gone)
         };
         let outcome = or(begins, evicted).await;
         self.entry.evicted.set(false);
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -37,7 +37,7 @@
 
 /// Why no request came of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+pub enum RequestError {
     /// Closed, timed out or broken: nothing to answer.
     Gone,
     /// Not HTTP, or its head is past the bound.
@@ -177,16 +177,16 @@
     }
 
     /// Waits for the first bytes of the next request.
-    pub async fn request_begins(&mut self) -> Result<(), Bad> {
+    pub async fn request_begins(&mut self) -> Result<(), RequestError> {
         if self.buffer.is_empty() {
             self.may_take(IDLE_TIME);
-            self.fill().await.map_err(|_| Bad::Gone)?;
+            self.fill().await.map_err(|_| RequestError::Gone)?;
         }
         Ok(())
     }
 
     /// Waits for the next request.
-    pub async fn request(&mut self) -> Result<Request, Bad> {
+    pub async fn request(&mut self) -> Result<Request, RequestError> {
         self.request_begins().await?;
         self.may_take(REQUEST_TIME);
         let request = self.read_request().await;
@@ -195,13 +195,13 @@
         request
     }
 
-    async fn read_request(&mut self) -> Result<Request, Bad> {
+    async fn read_request(&mut self) -> Result<Request, RequestError> {
         let (head, method, target, headers) = loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut r = httparse::Request::new(&mut headers);
             match r.parse(&self.buffer) {
                 Ok(httparse::Status::Complete(len)) => {
-                    let (body, close) = body_headers(r.headers).ok_or(Bad::Malformed)?;
+                    let (body, close) = body_headers(r.headers).ok_or(RequestError::Malformed)?;
                     let head = Head { len, body, close };
                     let method = r.method.unwrap_or_default().to_string();
                     let wanted = self.wanted.iter().map(|name| {
@@ -213,18 +213,18 @@
                     break (head, method, r.path.unwrap_or_default().to_string(), wanted);
                 }
                 Ok(httparse::Status::Partial) if self.buffer.len() < HEAD_LIMIT => {}
-                _ => return Err(Bad::Malformed),
+                _ => return Err(RequestError::Malformed),
             }
-            self.fill().await.map_err(|_| Bad::Gone)?;
+            self.fill().await.map_err(|_| RequestError::Gone)?;
         };
         if head.len > HEAD_LIMIT {
-            return Err(Bad::Malformed);
+            return Err(RequestError::Malformed);
         }
         if head.body > BODY_LIMIT {
-            return Err(Bad::TooLarge);
+            return Err(RequestError::TooLarge);
         }
         while self.buffer.len() < head.len + head.body {
-            self.fill().await.map_err(|_| Bad::Gone)?;
+            self.fill().await.map_err(|_| RequestError::Gone)?;
         }
         let rest = self.buffer.split_off(head.len + head.body);
         let body = self.buffer.split_off(head.len);
@@ -303,7 +303,7 @@
 
 /// Connections of ours to other services, kept open between calls.
 #[derive(Clone)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
     per_address: usize,
     /// Unused connections to all addresses together.
@@ -329,14 +329,14 @@
     }
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(per_address: usize, limit: usize) -> Self {
-        Pool::bounded(per_address, limit, usize::MAX)
+        ConnectionPool::bounded(per_address, limit, usize::MAX)
     }
 
     /// With a bound for the unused connections and the calls under way together.
     pub fn bounded(per_address: usize, limit: usize, total: usize) -> Self {
-        Pool {
+        ConnectionPool {
             idle: Rc::new(RefCell::new(HashMap::new())),
             per_address,
             limit,
--- a/crates/dillcleat/src/http/tests.rs
+++ b/crates/dillcleat/src/http/tests.rs
@@ -10,7 +10,7 @@
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("its address").to_string();
-        let pool = Pool::new(1, 1);
+        let pool = ConnectionPool::new(1, 1);
         let limits = Limits {
             time: Duration::from_secs(5),
             send_by: Some(Instant::now()),
@@ -40,7 +40,7 @@
 fn calls_under_way_count_against_idle_connections() {
     const TOTAL: usize = 2;
     smol::block_on(async {
-        let pool = Pool::bounded(1, 2, TOTAL);
+        let pool = ConnectionPool::bounded(1, 2, TOTAL);
         let time = Duration::from_secs(5);
         let mut listeners = Vec::new();
         for _ in 0..3 {
--- a/crates/dillcleat/src/door/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -4,11 +4,11 @@
 
 use crate::connections::{Admitted, Peer};
 use crate::error::CliError;
-use crate::http::{Bad, Connection, reason};
-use crate::serve::{Counted, Executor, Shared, bind};
+use crate::http::{Connection, RequestError, reason};
+use crate::server::{ConnectionCount, Executor, ServerState, bind};
 use dillcleat_controller::{Input, RequestId};
-use dillcleat_kube::fault::Fault;
-use dillcleat_kube::{Ask, Out, Reply, Settings};
+use dillcleat_kube::status_error::StatusError;
+use dillcleat_kube::{ApiRequest, ApiResponse, ControllerOutput, Settings};
 use futures_lite::{AsyncRead, AsyncWrite};
 use smol::Timer;
 use smol::net::{TcpListener, TcpStream};
@@ -24,32 +24,32 @@
 const HEADERS: &[&str] = &["authorization", "accept", "content-type"];
 
 /// What the core takes beside its own inputs.
-pub enum Incoming {
+pub enum ServerInput {
     Core(Input),
-    Ask(RequestId, Ask),
+    Ask(RequestId, ApiRequest),
     /// The client of a watch has gone.
     Gone(RequestId),
 }
 
 /// What a client is sent.
-pub enum Line {
-    Reply(Reply),
+pub enum WatchLine {
+    Reply(ApiResponse),
     Stream,
     Chunk(Rc<[u8]>),
     End,
 }
 
 /// Hands an output to whom it is for; the request of a client that does not keep up.
-pub fn carry_out(shared: &Shared, out: Out) -> Option<RequestId> {
+pub fn carry_out(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
     let (id, line) = match out {
-        Out::Reply { id, reply } => (id, Line::Reply(reply)),
-        Out::Stream { id } => (id, Line::Stream),
-        Out::Chunk { id, bytes } => (id, Line::Chunk(bytes)),
-        Out::End { id } => (id, Line::End),
-        Out::Core(_) => return None,
+        ControllerOutput::Reply { id, reply } => (id, WatchLine::Reply(reply)),
+        ControllerOutput::Stream { id } => (id, WatchLine::Stream),
+        ControllerOutput::Chunk { id, bytes } => (id, WatchLine::Chunk(bytes)),
+        ControllerOutput::End { id } => (id, WatchLine::End),
+        ControllerOutput::Core(_) => return None,
     };
     let mut lines = shared.lines.borrow_mut();
-    let last = matches!(line, Line::Reply(_) | Line::End);
+    let last = matches!(line, WatchLine::Reply(_) | WatchLine::End);
     let sent = lines.get(&id)?.try_send(line).is_ok();
     if last || !sent {
         lines.remove(&id);
@@ -58,7 +58,11 @@
 }
 
 /// Opens the listener.
-pub async fn open(ex: &Executor, shared: &Rc<Shared>, settings: &Settings) -> Result<(), CliError> {
+pub async fn open(
+    ex: &Executor,
+    shared: &Rc<ServerState>,
+    settings: &Settings,
+) -> Result<(), CliError> {
     let listener = bind(&settings.listen.to_string()).await?;
     let tls = match &settings.tls {
         None => None,
@@ -77,11 +81,16 @@
 }
 
 /// Half of the clients' sockets stay with users and workers.
-fn may_have_more(shared: &Shared) -> bool {
+fn may_have_more(shared: &ServerState) -> bool {
     (shared.door_clients.get() as usize) < shared.clients.limit() / 2
 }
 
-async fn accept(ex: Executor, shared: Rc<Shared>, listener: TcpListener, tls: Option<Rc<Tls>>) {
+async fn accept(
+    ex: Executor,
+    shared: Rc<ServerState>,
+    listener: TcpListener,
+    tls: Option<Rc<Tls>>,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) if may_have_more(&shared) => match shared.clients.admit().await {
@@ -100,8 +109,13 @@
     }
 }
 
-async fn serve(shared: Rc<Shared>, stream: TcpStream, admitted: Admitted, tls: Option<Rc<Tls>>) {
-    let _counted = Counted::new(&shared, |s| &s.door_clients);
+async fn serve(
+    shared: Rc<ServerState>,
+    stream: TcpStream,
+    admitted: Admitted,
+    tls: Option<Rc<Tls>>,
+) {
+    let _counted = ConnectionCount::new(&shared, |s| &s.door_clients);
     let _ = stream.set_nodelay(true);
     let guarded = shared.watchdog.watch(&stream);
     match tls {
@@ -127,7 +141,7 @@
     )
 }
 
-fn whole(reply: &Reply, close: bool) -> Vec<u8> {
+fn whole(reply: &ApiResponse, close: bool) -> Vec<u8> {
     let mut more = format!("Content-Length: {}\r\n", reply.body.len());
     if let Some(s) = reply.retry_after {
         more += &format!("Retry-After: {s}\r\n");
@@ -140,8 +154,8 @@
     bytes
 }
 
-fn refusal(fault: &Fault) -> Reply {
-    Reply {
+fn refusal(fault: &StatusError) -> ApiResponse {
+    ApiResponse {
         status: fault.code().0,
         body: serde_json::to_vec(&fault.status()).unwrap_or_default(),
         retry_after: fault.retry_after(),
@@ -149,7 +163,7 @@
 }
 
 async fn client<S: AsyncRead + AsyncWrite + Unpin>(
-    shared: &Shared,
+    shared: &ServerState,
     admitted: &Admitted,
     mut connection: Connection<S>,
 ) {
@@ -157,11 +171,13 @@
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(request) => request,
-            Err(Bad::Gone) => return,
+            Err(RequestError::Gone) => return,
             Err(bad) => {
                 let fault = match bad {
-                    Bad::TooLarge => Fault::TooLarge(dillcleat_kube::door::BODY_LIMIT),
-                    _ => Fault::BadRequest("malformed request".into()),
+                    RequestError::TooLarge => {
+                        StatusError::TooLarge(dillcleat_kube::api_server::BODY_LIMIT)
+                    }
+                    _ => StatusError::BadRequest("malformed request".into()),
                 };
                 let _ = connection.send(&whole(&refusal(&fault), true), IDLE).await;
                 return;
@@ -174,7 +190,7 @@
         shared.lines.borrow_mut().insert(id, tx);
         let mut headers = request.headers.into_iter();
         let authorization = headers.next().flatten();
-        let ask = Ask {
+        let ask = ApiRequest {
             method: request.method,
             target: request.target,
             bearer: authorization.and_then(|a| Some(a.strip_prefix("Bearer ")?.trim().to_string())),
@@ -182,19 +198,19 @@
             content_type: headers.next().flatten(),
             body: request.body,
         };
-        if shared.asks.send(Incoming::Ask(id, ask)).await.is_err() {
+        if shared.asks.send(ServerInput::Ask(id, ask)).await.is_err() {
             return;
         }
         let mut close = request.close;
         let sent = match lines.recv().await {
-            Ok(Line::Reply(reply)) => {
+            Ok(WatchLine::Reply(reply)) => {
                 close |= admitted.closes_after_answer();
                 connection.send(&whole(&reply, close), IDLE).await
             }
-            Ok(Line::Stream) => {
+            Ok(WatchLine::Stream) => {
                 let sent = stream(&mut connection, &lines).await;
                 shared.lines.borrow_mut().remove(&id);
-                let _ = shared.asks.send(Incoming::Gone(id)).await;
+                let _ = shared.asks.send(ServerInput::Gone(id)).await;
                 sent
             }
             _ => return,
@@ -208,19 +224,19 @@
 /// Sends the lines of a watch until it ends.
 async fn stream<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut Connection<S>,
-    lines: &smol::channel::Receiver<Line>,
+    lines: &smol::channel::Receiver<WatchLine>,
 ) -> std::io::Result<()> {
     let start = head(200, "Transfer-Encoding: chunked\r\n", false);
     connection.send(start.as_bytes(), SILENCE).await?;
     loop {
         match lines.recv().await {
-            Ok(Line::Chunk(bytes)) => {
+            Ok(WatchLine::Chunk(bytes)) => {
                 let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
                 chunk.extend_from_slice(&bytes);
                 chunk.extend_from_slice(b"\r\n");
                 connection.send(&chunk, SILENCE).await?;
             }
-            Ok(Line::End) => {
+            Ok(WatchLine::End) => {
                 return connection.send(b"0\r\n\r\n", Duration::from_secs(40)).await;
             }
             // Cut off for not keeping up: without the last chunk it is seen to be.
--- a/crates/dillcleat/src/main.rs
+++ b/crates/dillcleat/src/main.rs
@@ -3,12 +3,12 @@
 mod cli;
 mod client;
 mod connections;
-mod door;
 mod error;
 mod http;
-mod mesh;
+mod kube_server;
 mod objects;
-mod serve;
+mod peer_connections;
+mod server;
 mod token;
 
 use clap::Parser;
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/server.rs
@@ -1,14 +1,14 @@
 //! The controller process: sockets around a [`Node`], on one thread.
 
 use crate::connections::{Admitted, ClientConnections, Peer};
-use crate::door::{self, Incoming, Line};
 use crate::error::CliError;
-use crate::http::{Bad, Connection, Limits, Pool, Watchdog};
-use crate::mesh;
+use crate::http::{Connection, ConnectionPool, Limits, RequestError, Watchdog};
+use crate::kube_server::{self, ServerInput, WatchLine};
+use crate::peer_connections;
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
 };
-use dillcleat_kube::{Controller, Out, Rules};
+use dillcleat_kube::{Controller, ControllerOutput, Rules};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::platform::PlatformSettings;
@@ -35,7 +35,7 @@
 /// Frames that a sibling's connection may have open.
 const MAX_SIBLING_CONNECTIONS: u32 = 16;
 
-pub(crate) struct Shared {
+pub(crate) struct ServerState {
     inputs: Sender<Input>,
     /// Workers' reports wait apart: after a pause hundreds come at once, and
     /// users' requests and the lease's renewal do not stand in line behind.
@@ -47,13 +47,13 @@
     /// Those of Kubernetes-shaped clients alone.
     pub door_clients: Cell<u32>,
     /// What Kubernetes-shaped clients ask, and who waits for lines.
-    pub asks: Sender<Incoming>,
-    pub lines: RefCell<HashMap<RequestId, Sender<Line>>>,
+    pub asks: Sender<ServerInput>,
+    pub lines: RefCell<HashMap<RequestId, Sender<WatchLine>>>,
     siblings_open: Cell<u32>,
     pub watchdog: Watchdog,
-    state: Pool,
-    cloud: Pool,
-    workers: Pool,
+    state: ConnectionPool,
+    cloud: ConnectionPool,
+    workers: ConnectionPool,
     state_addr: String,
     cloud_addr: String,
 }
@@ -99,7 +99,7 @@
     let may_ask = if rules.is_some() { MAX_INPUTS } else { 1 };
     let (asks, core_asks) = smol::channel::bounded(may_ask);
     let max = platform.cluster.quota.max_connections;
-    let shared = Rc::new(Shared {
+    let shared = Rc::new(ServerState {
         inputs,
         reports,
         answers: RefCell::default(),
@@ -111,12 +111,12 @@
         lines: RefCell::default(),
         siblings_open: Cell::new(0),
         watchdog: Watchdog::default(),
-        state: Pool::new(8, 8),
-        cloud: Pool::new(2, 2),
+        state: ConnectionPool::new(8, 8),
+        cloud: ConnectionPool::new(2, 2),
         // A fleet may have more machines than there are sockets: with one
         // kept to each, a controller would have none left for its users.
         // Those kept count against the orders that may be under way.
-        workers: Pool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
+        workers: ConnectionPool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
         state_addr: platform.endpoints.state.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
@@ -124,8 +124,12 @@
     for s in &platform.peers {
         let (tx, rx) = smol::channel::bounded(MAX_MESSAGES);
         speakers.push(tx);
-        ex.spawn(mesh::speak(config.member.clone(), s.peer_addr.clone(), rx))
-            .detach();
+        ex.spawn(peer_connections::speak(
+            config.member.clone(),
+            s.peer_addr.clone(),
+            rx,
+        ))
+        .detach();
     }
     let names: Rc<[String]> = config.peers.clone().into();
     ex.spawn(accept_clients(ex.clone(), shared.clone(), clients))
@@ -133,7 +137,7 @@
     ex.spawn(accept_siblings(ex.clone(), shared.clone(), siblings, names))
         .detach();
     if let Some(rules) = &rules {
-        door::open(&ex, &shared, &rules.settings).await?;
+        kube_server::open(&ex, &shared, &rules.settings).await?;
     }
     ex.spawn(tick(shared.clone())).detach();
     log::info!("{} serves on {}", config.member, platform.client_listen);
@@ -146,7 +150,7 @@
     Ok(())
 }
 
-async fn tick(shared: Rc<Shared>) {
+async fn tick(shared: Rc<ServerState>) {
     let mut n = 0u32;
     loop {
         // A full queue holds later ticks back, not the process.
@@ -168,19 +172,25 @@
 
 async fn core(
     ex: Executor,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
     mut controller: Controller,
     [inputs, reports]: [Receiver<Input>; 2],
-    asks: Receiver<Incoming>,
+    asks: Receiver<ServerInput>,
     speakers: Vec<Sender<Message>>,
 ) {
     let start = Instant::now();
     let mut turn = 0;
     loop {
         let next = match inputs.try_recv().or_else(|_| reports.try_recv()) {
-            Ok(input) => Ok(Incoming::Core(input)),
+            Ok(input) => Ok(ServerInput::Core(input)),
             Err(_) => {
-                let core = async { inputs.recv().or(reports.recv()).await.map(Incoming::Core) };
+                let core = async {
+                    inputs
+                        .recv()
+                        .or(reports.recv())
+                        .await
+                        .map(ServerInput::Core)
+                };
                 core.or(asks.recv()).await
             }
         };
@@ -201,18 +211,18 @@
                 .map_or(0, |d| d.as_micros() as Micros),
         };
         let outs = match input {
-            Incoming::Core(input) => controller.handle(now, input),
-            Incoming::Ask(id, ask) => controller.ask(now, id, ask),
-            Incoming::Gone(id) => {
+            ServerInput::Core(input) => controller.handle(now, input),
+            ServerInput::Ask(id, ask) => controller.ask(now, id, ask),
+            ServerInput::Gone(id) => {
                 controller.gone(id);
                 continue;
             }
         };
         for out in outs {
             match out {
-                Out::Core(output) => carry_out(&ex, &shared, &speakers, begun, output),
+                ControllerOutput::Core(output) => carry_out(&ex, &shared, &speakers, begun, output),
                 other => {
-                    if let Some(slow) = door::carry_out(&shared, other) {
+                    if let Some(slow) = kube_server::carry_out(&shared, other) {
                         controller.gone(slow);
                     }
                 }
@@ -224,7 +234,7 @@
 /// Does what the core wants done, which it decided when the turn `begun`.
 fn carry_out(
     ex: &Executor,
-    shared: &Rc<Shared>,
+    shared: &Rc<ServerState>,
     speakers: &[Sender<Message>],
     begun: Instant,
     output: Output,
@@ -272,7 +282,7 @@
     }
 }
 
-async fn state_call(shared: Rc<Shared>, id: CallId, call: StoreRequest, timeout: Micros) {
+async fn state_call(shared: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
     let (method, target, body) = call.request();
     let time = Duration::from_micros(timeout);
     let reply = shared
@@ -296,7 +306,7 @@
     }
 }
 
-async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudRequest, limits: Limits) {
+async fn cloud_call(shared: Rc<ServerState>, id: CallId, call: CloudRequest, limits: Limits) {
     let (method, target, body) = call.request();
     let reply = shared
         .cloud
@@ -313,7 +323,7 @@
 }
 
 async fn orders_call(
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
     id: CallId,
     addr: String,
     orders: CommandBatch,
@@ -330,23 +340,23 @@
 }
 
 /// Counts a connection for as long as it lives.
-pub(crate) struct Counted<F: Fn(&Shared) -> &Cell<u32>>(Rc<Shared>, F);
+pub(crate) struct ConnectionCount<F: Fn(&ServerState) -> &Cell<u32>>(Rc<ServerState>, F);
 
-impl<F: Fn(&Shared) -> &Cell<u32>> Counted<F> {
-    pub fn new(shared: &Rc<Shared>, of: F) -> Self {
+impl<F: Fn(&ServerState) -> &Cell<u32>> ConnectionCount<F> {
+    pub fn new(shared: &Rc<ServerState>, of: F) -> Self {
         of(shared).set(of(shared).get() + 1);
-        Counted(shared.clone(), of)
+        ConnectionCount(shared.clone(), of)
     }
 }
 
-impl<F: Fn(&Shared) -> &Cell<u32>> Drop for Counted<F> {
+impl<F: Fn(&ServerState) -> &Cell<u32>> Drop for ConnectionCount<F> {
     fn drop(&mut self) {
         let cell = (self.1)(&self.0);
         cell.set(cell.get() - 1);
     }
 }
 
-async fn accept_clients(ex: Executor, shared: Rc<Shared>, listener: TcpListener) {
+async fn accept_clients(ex: Executor, shared: Rc<ServerState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => match shared.clients.admit().await {
@@ -363,16 +373,16 @@
     }
 }
 
-async fn client(shared: Rc<Shared>, stream: TcpStream, admitted: Admitted) {
+async fn client(shared: Rc<ServerState>, stream: TcpStream, admitted: Admitted) {
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, &shared.watchdog);
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(r) => r,
-            Err(Bad::Gone) => return,
+            Err(RequestError::Gone) => return,
             Err(bad) => {
                 let answer = match bad {
-                    Bad::TooLarge => Answer::refusal(413, "the body is too large"),
+                    RequestError::TooLarge => Answer::refusal(413, "the body is too large"),
                     _ => Answer::refusal(400, "malformed request"),
                 };
                 let _ = connection.answer(&answer, true).await;
@@ -409,7 +419,7 @@
 
 async fn accept_siblings(
     ex: Executor,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
     listener: TcpListener,
     names: Rc<[String]>,
 ) {
@@ -418,8 +428,8 @@
             Ok((stream, _)) if shared.siblings_open.get() < MAX_SIBLING_CONNECTIONS => {
                 let (shared, names) = (shared.clone(), names.clone());
                 ex.spawn(async move {
-                    let _counted = Counted::new(&shared, |s| &s.siblings_open);
-                    mesh::listen(stream, &names, shared.inputs.clone()).await;
+                    let _counted = ConnectionCount::new(&shared, |s| &s.siblings_open);
+                    peer_connections::listen(stream, &names, shared.inputs.clone()).await;
                 })
                 .detach();
             }
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CliError;
 use clap::Subcommand;
-use dillcleat_kube::Key;
+use dillcleat_kube::SigningKey;
 use dillcleat_kube::names::{KEY_BYTES, hex};
 use dillcleat_kube::settings::Verb;
 use std::io::Read;
@@ -63,7 +63,7 @@
         }
         let bad = |e: String| CliError::Settings(key_file.display().to_string(), e);
         let text = std::fs::read_to_string(&key_file).map_err(|e| bad(e.to_string()))?;
-        let key = Key::parse(&text).map_err(|e| bad(e.to_string()))?;
+        let key = SigningKey::parse(&text).map_err(|e| bad(e.to_string()))?;
         let token = secret()?;
         println!("{token}");
         eprintln!(
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -3,8 +3,8 @@
 
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
-use dillcleat_simulator::processes::{self, Process, Trio, until};
-use dillcleat_simulator::rules::Place;
+use dillcleat_simulator::processes::{self, Process, ThreeProcesses, until};
+use dillcleat_simulator::rules::MachineIdentity;
 use dillcleat_simulator::worker::Worker;
 use dillcleat_wire::encode;
 use dillcleat_wire::worker::HEARTBEAT_PATH;
@@ -92,7 +92,7 @@
 }
 
 fn report(machine: &str) -> Vec<u8> {
-    let place = Place {
+    let place = MachineIdentity {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: "a".into(),
@@ -273,7 +273,7 @@
     let key = dir.join("kube.key");
     std::fs::write(&key, "0".repeat(64)).expect("a file");
     let kube = format!("key_file = {key:?}\n");
-    let trio = Trio::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
+    let trio = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     until("a controller serves", || {
         exchange(trio.clients[0], UP).is_some_and(|(status, _)| status == 200)
     });
--- a/crates/dillcleat/tests/door.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{KEY, certificate, folder, install};
-use dillcleat_kube::Key;
+use dillcleat_kube::SigningKey;
 use dillcleat_simulator::loopback::exchange;
-use dillcleat_simulator::processes::{Trio, until};
+use dillcleat_simulator::processes::{ThreeProcesses, until};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
@@ -82,7 +82,7 @@
     // What the server shows, and what its clients trust.
     install(&dir, &made);
     std::fs::write(dir.join("tls.crt"), made.cert.pem()).expect("a file");
-    let key = Key::parse(KEY).expect("a key");
+    let key = SigningKey::parse(KEY).expect("a key");
     let entry = |token: &str, verbs: &str| {
         format!(
             "[[kube.tokens]]\nname = \"{token}\"\nmac = \"{}\"\nnamespaces = [\"books\"]\nverbs = [{verbs}]\n",
@@ -97,7 +97,7 @@
         entry("all", "\"*\""),
         entry("reader", "\"get\", \"list\", \"watch\""),
     );
-    let mut trio = Trio::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
+    let mut trio = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     let client = |i: usize, token| Client {
         dir: dir.clone(),
         server: format!("https://{}", trio.doors[i]),
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{KEY, certificate, folder, install};
-use dillcleat_kube::Key;
-use dillcleat_simulator::processes::Trio;
+use dillcleat_kube::SigningKey;
+use dillcleat_simulator::processes::ThreeProcesses;
 use futures_lite::StreamExt;
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::Namespace;
@@ -28,7 +28,7 @@
     serde_json::from_value(made).expect("a Job")
 }
 
-fn client(trio: &Trio, i: usize, root: &[u8]) -> Client {
+fn client(trio: &ThreeProcesses, i: usize, root: &[u8]) -> Client {
     let url = format!("https://{}", trio.doors[i]).parse().expect("a URL");
     let mut config = Config::new(url);
     config.root_cert = Some(vec![root.to_vec()]);
@@ -78,7 +78,7 @@
     panic!("{name} is not over within 60 s");
 }
 
-async fn day(trio: &mut Trio, root: &[u8]) {
+async fn day(trio: &mut ThreeProcesses, root: &[u8]) {
     let clients: Vec<Client> = (0..3).map(|i| client(trio, i, root)).collect();
     let jobs: Vec<Api<Job>> = clients
         .iter()
@@ -220,10 +220,10 @@
         dir.join("kube.key"),
         dir.join("server.crt"),
         dir.join("tls.key"),
-        Key::parse(KEY).expect("a key").token(TOKEN),
+        SigningKey::parse(KEY).expect("a key").token(TOKEN),
     );
     let program = Path::new(env!("CARGO_BIN_EXE_dillcleat"));
-    let mut trio = Trio::start(program, &dir, &kube).expect("controllers");
+    let mut trio = ThreeProcesses::start(program, &dir, &kube).expect("controllers");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -4,7 +4,7 @@
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
 use dillcleat_simulator::processes::{self, Process, until};
-use dillcleat_simulator::worker::Play;
+use dillcleat_simulator::worker::TaskBehaviour;
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -66,8 +66,8 @@
     String::from_utf8_lossy(said).trim().to_string()
 }
 
-fn play(id: &str, kind: JobKind) -> Play {
-    Play {
+fn play(id: &str, kind: JobKind) -> TaskBehaviour {
+    TaskBehaviour {
         spec: JobSpec {
             image: "img".into(),
             image_gb: 0.1,
@@ -87,7 +87,7 @@
     let world = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
     world.knows(play("req-1", JobKind::Batch));
     world.knows(play("req-2", JobKind::Service));
-    world.knows(Play {
+    world.knows(TaskBehaviour {
         run: 8 * SECOND,
         ..play("req-3", JobKind::Batch)
     });
--- a/crates/kube/src/door/about.rs
+++ b/crates/kube/src/api_server/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery, and the namespaces: what is known without looking anything up.
 
 use super::{Ctx, Request};
-use crate::fault::Fault;
+use crate::status_error::StatusError;
 use crate::target::{About, Scope};
 use k8s_openapi::api::core::v1::{Namespace, NamespaceStatus};
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{
@@ -98,13 +98,13 @@
 }
 
 /// The teams as namespaces, as far as the token sees them.
-pub(super) fn namespaces(ctx: &Ctx, request: &Request) -> Result<Value, Fault> {
+pub(super) fn namespaces(ctx: &Ctx, request: &Request) -> Result<Value, StatusError> {
     let teams = ctx.node.config().teams.iter();
     let mut seen = teams.filter(|t| request.token.sees(&t.name));
     match &request.scope {
         Scope::Namespace(name) => match seen.find(|t| t.name == *name) {
             Some(team) => Ok(namespace(&team.name)),
-            None => Err(Fault::NotFound {
+            None => Err(StatusError::NotFound {
                 resource: "namespaces",
                 name: name.clone(),
             }),
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -5,19 +5,19 @@
 //! came before it. Whatever is written is one transaction that compares what it was
 //! decided on.
 
-mod about;
+mod discovery;
 mod read;
 mod write;
 
-use crate::cache::Cache;
-use crate::fault::Fault;
-use crate::keeper::{Keeper, Wish};
 use crate::patch::Form;
+use crate::reconciler::{Reconciler, Wish};
 use crate::record::{Gone, Kind, Name, OBJECTS, Object, Record};
 use crate::settings::{Rules, Token, Verb};
+use crate::status_error::StatusError;
 use crate::target::{Query, Scope, Since, Target, target};
+use crate::watch_cache::Cache;
 use crate::watches::{Filter, Sent, Watches};
-use crate::{Ask, Out, Reply, keeper, patch, table, translate, view};
+use crate::{ApiRequest, ApiResponse, ControllerOutput, patch, reconciler, table, translate, view};
 use dillcleat_controller::calls::state_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
 use dillcleat_controller::request_budget::RequestPriority;
@@ -49,7 +49,7 @@
 pub struct Ctx<'a> {
     pub now: Timestamp,
     pub node: &'a mut Node,
-    pub out: &'a mut Vec<Out>,
+    pub out: &'a mut Vec<ControllerOutput>,
 }
 
 /// A request that was admitted.
@@ -91,7 +91,7 @@
 }
 
 #[derive(Debug)]
-pub struct Door {
+pub struct ApiServer {
     rules: Rules,
     cache: Cache,
     calls: HashMap<CallId, Waiting>,
@@ -104,7 +104,7 @@
     looking: bool,
     writes: usize,
     watches: Watches,
-    keeper: Keeper,
+    keeper: Reconciler,
 }
 
 /// Whether a document is deeper or wider than what is read.
@@ -118,27 +118,28 @@
     depth == 0 || *fields > FIELDS || inner.any(|v| too_complex(v, depth - 1, fields))
 }
 
-fn document(media: &str, body: &[u8]) -> Result<Value, Fault> {
+fn document(media: &str, body: &[u8]) -> Result<Value, StatusError> {
     if body.len() > BODY_LIMIT {
-        return Err(Fault::TooLarge(BODY_LIMIT));
+        return Err(StatusError::TooLarge(BODY_LIMIT));
     }
     let value: Value = match media {
         "application/yaml" => {
-            let text = std::str::from_utf8(body).map_err(|e| Fault::BadRequest(e.to_string()))?;
-            crate::yaml::one(text).map_err(|e| Fault::BadRequest(e.to_string()))?
+            let text =
+                std::str::from_utf8(body).map_err(|e| StatusError::BadRequest(e.to_string()))?;
+            crate::yaml::one(text).map_err(|e| StatusError::BadRequest(e.to_string()))?
         }
         json if matches!(json, "" | "application/json") || Form::of(json).is_some() => {
-            serde_json::from_slice(body).map_err(|e| Fault::BadRequest(e.to_string()))?
+            serde_json::from_slice(body).map_err(|e| StatusError::BadRequest(e.to_string()))?
         }
         other => {
-            return Err(Fault::MediaType(format!(
+            return Err(StatusError::MediaType(format!(
                 "the media type {other} is not served"
             )));
         }
     };
     if too_complex(&value, DEPTH, &mut 0) {
         let what = format!("deeper than {DEPTH} or of more than {FIELDS} values");
-        return Err(Fault::BadRequest(what));
+        return Err(StatusError::BadRequest(what));
     }
     Ok(value)
 }
@@ -150,7 +151,7 @@
 }
 
 /// Whether the client wants tables; an error if it takes nothing that is spoken here.
-fn wants_table(accept: Option<&str>) -> Result<bool, Fault> {
+fn wants_table(accept: Option<&str>) -> Result<bool, StatusError> {
     let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
         return Ok(false);
     };
@@ -168,14 +169,14 @@
             Some(_) => {}
         }
     }
-    Err(Fault::MediaType(format!(
+    Err(StatusError::MediaType(format!(
         "only JSON is spoken here, not {accept}"
     )))
 }
 
-impl Door {
-    pub fn new(rules: Rules) -> Door {
-        Door {
+impl ApiServer {
+    pub fn new(rules: Rules) -> ApiServer {
+        ApiServer {
             rules,
             cache: Cache::default(),
             calls: HashMap::new(),
@@ -186,7 +187,7 @@
             looking: false,
             writes: 0,
             watches: Watches::default(),
-            keeper: Keeper::default(),
+            keeper: Reconciler::default(),
         }
     }
 
@@ -210,49 +211,50 @@
         let id = CallId(OWN | self.next);
         let timeout = state_timeout(&call);
         self.calls.insert(id, waiting);
-        ctx.out.push(Out::Core(Output::Store { id, call, timeout }));
+        ctx.out
+            .push(ControllerOutput::Core(Output::Store { id, call, timeout }));
     }
 
     fn reply(&self, ctx: &mut Ctx, id: RequestId, status: u16, body: &Value) {
-        let reply = Reply {
+        let reply = ApiResponse {
             status,
             body: body.to_string().into_bytes(),
             retry_after: None,
         };
-        ctx.out.push(Out::Reply { id, reply });
+        ctx.out.push(ControllerOutput::Reply { id, reply });
     }
 
-    fn refuse(&self, ctx: &mut Ctx, id: RequestId, fault: &Fault) {
-        let reply = Reply {
+    fn refuse(&self, ctx: &mut Ctx, id: RequestId, fault: &StatusError) {
+        let reply = ApiResponse {
             status: fault.code().0,
             body: json!(fault.status()).to_string().into_bytes(),
             retry_after: fault.retry_after(),
         };
-        ctx.out.push(Out::Reply { id, reply });
+        ctx.out.push(ControllerOutput::Reply { id, reply });
     }
 
     fn send(&self, ctx: &mut Ctx, sent: Vec<Sent>) {
         ctx.out.extend(sent.into_iter().map(|s| match s {
-            Sent::Chunk(id, bytes) => Out::Chunk { id, bytes },
-            Sent::End(id) => Out::End { id },
+            Sent::Chunk(id, bytes) => ControllerOutput::Chunk { id, bytes },
+            Sent::End(id) => ControllerOutput::End { id },
         }));
     }
 
     /// A client's request.
-    pub fn ask(&mut self, ctx: &mut Ctx, id: RequestId, ask: Ask) {
+    pub fn ask(&mut self, ctx: &mut Ctx, id: RequestId, ask: ApiRequest) {
         if let Err(fault) = self.admit(ctx, id, ask) {
             self.refuse(ctx, id, &fault);
         }
     }
 
-    fn admit(&mut self, ctx: &mut Ctx, id: RequestId, ask: Ask) -> Result<(), Fault> {
+    fn admit(&mut self, ctx: &mut Ctx, id: RequestId, ask: ApiRequest) -> Result<(), StatusError> {
         let (path, query) = ask.target.split_once('?').unwrap_or((&ask.target, ""));
-        let secret = ask.bearer.as_deref().ok_or(Fault::Unauthorized)?;
-        let token = self.rules.token(secret).ok_or(Fault::Unauthorized)?;
+        let secret = ask.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
+        let token = self.rules.token(secret).ok_or(StatusError::Unauthorized)?;
         let query = Query::parse(query)?;
         let (verb, scope) = match target(&ask.method, path, query.watch)? {
             Target::About(about) => {
-                self.reply(ctx, id, 200, &about::about(about));
+                self.reply(ctx, id, 200, &discovery::about(about));
                 return Ok(());
             }
             Target::Objects(verb, scope) => (verb, scope),
@@ -266,7 +268,7 @@
         };
         if !token.may(verb) || namespace.is_some_and(|n| !token.sees(n)) {
             let whole = "every namespace".to_string();
-            return Err(Fault::Forbidden(format!(
+            return Err(StatusError::Forbidden(format!(
                 "{} may not {} in {}",
                 token.name,
                 verb.name(),
@@ -277,7 +279,7 @@
         // flood most are turned away.
         if verb == Verb::Create && !ctx.node.could(1.0, 1.0, RequestPriority::Change, ctx.now) {
             ctx.node.asked();
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         let media = media(ask.content_type.as_deref());
         let form = Form::of(&media);
@@ -288,7 +290,7 @@
         };
         if (verb == Verb::Patch) != form.is_some() {
             let what = "a patch is a JSON merge patch or a strategic one, nothing else is";
-            return Err(Fault::MediaType(what.into()));
+            return Err(StatusError::MediaType(what.into()));
         }
         // A watch costs the state service nothing.
         if verb != Verb::Watch {
@@ -312,14 +314,14 @@
         self.begin(ctx, request)
     }
 
-    fn begin(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+    fn begin(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
         if let Scope::Namespaces | Scope::Namespace(_) = request.scope {
-            let shown = about::namespaces(ctx, &request)?;
+            let shown = discovery::namespaces(ctx, &request)?;
             self.reply(ctx, request.id, 200, &shown);
             return Ok(());
         }
         if self.cache.revision().is_none() {
-            return Err(Fault::Unavailable("the objects are not read yet"));
+            return Err(StatusError::Unavailable("the objects are not read yet"));
         }
         let any = matches!(request.verb, Verb::Get | Verb::List)
             && request.query.since == Since::Any
@@ -331,7 +333,7 @@
             return self.create(ctx, request);
         }
         if self.waiting.len() >= MAX_WAITING {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         self.wait(ctx, request);
         Ok(())
@@ -424,7 +426,7 @@
         self.waiting = waiting;
         let late: VecDeque<Request> = late;
         for request in late {
-            self.refuse(ctx, request.id, &Fault::TooMany);
+            self.refuse(ctx, request.id, &StatusError::TooMany);
         }
         self.look(ctx);
         let sent = self.watches.tick(now, self.cache.revision().unwrap_or(0));
@@ -476,7 +478,7 @@
                     if known {
                         self.go_on(ctx, request);
                     } else {
-                        let fault = Fault::Unavailable("the state is out of reach");
+                        let fault = StatusError::Unavailable("the state is out of reach");
                         self.refuse(ctx, request.id, &fault);
                     }
                 }
--- a/crates/kube/src/door/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl Door {
-    pub(super) fn read(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+impl ApiServer {
+    pub(super) fn read(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
         match (&request.scope, request.verb) {
             (Scope::All(kind, namespace), Verb::Watch) => {
                 let filter = filter(&request, *kind, namespace.clone());
@@ -21,7 +21,7 @@
                 self.reply(ctx, request.id, 200, &shown);
                 Ok(())
             }
-            (Scope::Namespaces | Scope::Namespace(_), _) => Err(Fault::NotAllowed),
+            (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::NotAllowed),
         }
     }
 
@@ -38,26 +38,26 @@
         table::table(vec![table::row(object, progress, ctx.now.wall)], meta, true)
     }
 
-    fn list(&self, ctx: &Ctx, request: &Request, filter: &Filter) -> Result<Value, Fault> {
+    fn list(&self, ctx: &Ctx, request: &Request, filter: &Filter) -> Result<Value, StatusError> {
         let query = &request.query;
         let now = self.cache.revision().unwrap_or(0);
         if let Since::Version(wanted) = query.since
             && wanted > now
         {
-            return Err(Fault::Unavailable("that version is not reached yet"));
+            return Err(StatusError::Unavailable("that version is not reached yet"));
         }
         // Pages are of the objects as they are when each is asked for. All have the
         // version of the first: a watch from there tells whatever has changed.
         let version = query.after.as_ref().map_or(now, |(version, _)| *version);
         if self.cache.since(version).is_none() {
             let what = "the list has changed too much since its first page";
-            return Err(Fault::Expired(what.into()));
+            return Err(StatusError::Expired(what.into()));
         }
         let after = match &query.after {
             None => None,
             Some((_, key)) => match Name::parse(key) {
                 Some(name) => Some(name),
-                None => return Err(Fault::BadRequest("continue: not one of ours".into())),
+                None => return Err(StatusError::BadRequest("continue: not one of ours".into())),
             },
         };
         let all = self
@@ -83,9 +83,14 @@
         }))
     }
 
-    fn watch(&mut self, ctx: &mut Ctx, request: &Request, filter: Filter) -> Result<(), Fault> {
+    fn watch(
+        &mut self,
+        ctx: &mut Ctx,
+        request: &Request,
+        filter: Filter,
+    ) -> Result<(), StatusError> {
         if self.watches.count() >= self.rules.settings.max_watches {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         let query = &request.query;
         let from = match query.since {
@@ -105,12 +110,12 @@
             times,
         );
         let Some(sent) = opened else {
-            return Err(Fault::Expired(format!(
+            return Err(StatusError::Expired(format!(
                 "too old resource version: {}",
                 from.unwrap_or(0)
             )));
         };
-        ctx.out.push(Out::Stream { id });
+        ctx.out.push(ControllerOutput::Stream { id });
         self.send(ctx, sent);
         Ok(())
     }
@@ -125,8 +130,8 @@
     }
 }
 
-pub(super) fn missing(name: &Name) -> Fault {
-    Fault::NotFound {
+pub(super) fn missing(name: &Name) -> StatusError {
+    StatusError::NotFound {
         resource: name.kind.resource(),
         name: name.name.clone(),
     }
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -6,8 +6,8 @@
 
 use super::read::missing;
 use super::*;
-use crate::fault::{Cause, Why};
 use crate::record::{JobState as Kept, Kind};
+use crate::status_error::{Cause, StatusReason};
 use crate::translate::{PREFIX, Wanted};
 use dillcleat_wire::store;
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{DeleteOptions, Status, StatusDetails};
@@ -42,16 +42,16 @@
     "ttlSecondsAfterFinished",
 ];
 
-fn invalid(name: &Name, causes: Vec<Cause>) -> Fault {
-    Fault::Invalid {
+fn invalid(name: &Name, causes: Vec<Cause>) -> StatusError {
+    StatusError::Invalid {
         kind: name.kind.name(),
         name: name.name.clone(),
         causes,
     }
 }
 
-fn conflict(name: &Name, why: impl Into<String>) -> Fault {
-    Fault::Conflict {
+fn conflict(name: &Name, why: impl Into<String>) -> StatusError {
+    StatusError::Conflict {
         resource: name.kind.resource(),
         name: name.name.clone(),
         why: why.into(),
@@ -75,24 +75,24 @@
     object.pointer(pointer).and_then(Value::as_str)
 }
 
-impl Door {
+impl ApiServer {
     /// Reads the object of a request's body.
-    fn wanted(&self, kind: Kind, namespace: &str, object: &Value) -> Result<Wanted, Fault> {
+    fn wanted(&self, kind: Kind, namespace: &str, object: &Value) -> Result<Wanted, StatusError> {
         let (version, name) = (kind.api_version(), kind.name());
         if text(object, "/apiVersion").is_some_and(|v| v != version)
             || text(object, "/kind").is_some_and(|k| k != name)
         {
-            return Err(Fault::BadRequest(format!(
+            return Err(StatusError::BadRequest(format!(
                 "a {name} of {version} is taken here"
             )));
         }
         if text(object, "/metadata/namespace").is_some_and(|n| n != namespace) {
             let what = "the object's namespace is not the one of the request";
-            return Err(Fault::BadRequest(what.into()));
+            return Err(StatusError::BadRequest(what.into()));
         }
         translate::job(&self.rules.settings, namespace, object).map_err(|causes| {
             let name = text(object, "/metadata/name").unwrap_or_default();
-            Fault::Invalid {
+            StatusError::Invalid {
                 kind: kind.name(),
                 name: name.to_string(),
                 causes,
@@ -101,13 +101,23 @@
     }
 
     /// The job that an object stands for, ready to be stored.
-    fn open(&self, ctx: &Ctx, name: &Name, uid: &str, wanted: &Wanted) -> Result<OpenJob, Fault> {
+    fn open(
+        &self,
+        ctx: &Ctx,
+        name: &Name,
+        uid: &str,
+        wanted: &Wanted,
+    ) -> Result<OpenJob, StatusError> {
         let mut spec = wanted.job.clone();
         spec.id = self.rules.key.job(&name.namespace, &name.name, uid);
         match ctx.node.fitness(&spec) {
-            None => return Err(Fault::Unavailable("the machine types are not known yet")),
+            None => {
+                return Err(StatusError::Unavailable(
+                    "the machine types are not known yet",
+                ));
+            }
             Some(Err(what)) => {
-                let cause = Cause::new("spec.template.spec", Why::Invalid, what);
+                let cause = Cause::new("spec.template.spec", StatusReason::Invalid, what);
                 return Err(invalid(name, vec![cause]));
             }
             Some(Ok(())) => {}
@@ -121,7 +131,7 @@
         name: &Name,
         record: &Record,
         job: Option<&OpenJob>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StatusError> {
         let most = ctx.node.config().value_bytes;
         let job = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
         let size = record.size().max(job);
@@ -129,17 +139,24 @@
             return Ok(());
         }
         let what = format!("takes {size} bytes, and {most} are stored of one object");
-        Err(invalid(name, vec![Cause::new("", Why::Invalid, what)]))
+        Err(invalid(
+            name,
+            vec![Cause::new("", StatusReason::Invalid, what)],
+        ))
     }
 
     /// What a create asks for: the object as its client wrote it, and as it is read.
-    fn asked_for(&self, ctx: &Ctx, request: &Request) -> Result<(Value, Name, Wanted), Fault> {
+    fn asked_for(
+        &self,
+        ctx: &Ctx,
+        request: &Request,
+    ) -> Result<(Value, Name, Wanted), StatusError> {
         let Scope::All(kind, Some(namespace)) = request.scope.clone() else {
-            return Err(Fault::NotAllowed);
+            return Err(StatusError::NotAllowed);
         };
         if ctx.node.config().team(&namespace).is_none() {
             let resource = "namespaces";
-            return Err(Fault::NotFound {
+            return Err(StatusError::NotFound {
                 resource,
                 name: namespace,
             });
@@ -154,18 +171,22 @@
         Ok((object, name, wanted))
     }
 
-    pub(super) fn create(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+    pub(super) fn create(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
         let (object, name, wanted) = self.asked_for(ctx, &request)?;
         for field in ["resourceVersion", "uid"] {
             if text(&object, &format!("/metadata/{field}")).is_some_and(|v| !v.is_empty()) {
                 let path = format!("metadata.{field}");
-                let cause = Cause::new(path, Why::Forbidden, "must not be set on a new object");
+                let cause = Cause::new(
+                    path,
+                    StatusReason::Forbidden,
+                    "must not be set on a new object",
+                );
                 return Err(invalid(&name, vec![cause]));
             }
         }
         if self.cache.len() >= self.rules.settings.max_objects {
             let most = self.rules.settings.max_objects;
-            return Err(Fault::Forbidden(format!(
+            return Err(StatusError::Forbidden(format!(
                 "there are {most} objects, and no more are kept"
             )));
         }
@@ -182,7 +203,7 @@
                 .node
                 .grant(1.0, changes, RequestPriority::Change, ctx.now)
         {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         self.writes += 1;
         self.send_creation(ctx, creation);
@@ -198,7 +219,7 @@
         wanted: Wanted,
         name: Name,
         (run, before): (u32, u64),
-    ) -> Result<Creation, Fault> {
+    ) -> Result<Creation, StatusError> {
         let (namespace, own) = (&name.namespace, &name.name);
         let uid = self
             .rules
@@ -298,19 +319,23 @@
                 creation.request.uncertain |= e == CallError::NoAnswer;
                 return self.send_creation(ctx, creation);
             }
-            Ok(StoreResponse::RateLimited) if !creation.request.uncertain => Fault::TooMany,
+            Ok(StoreResponse::RateLimited) if !creation.request.uncertain => StatusError::TooMany,
             Ok(StoreResponse::Malformed) => {
                 log::error!("{}: the state service calls it malformed", creation.name);
-                Fault::BadRequest("the object cannot be stored".into())
+                StatusError::BadRequest("the object cannot be stored".into())
             }
-            _ => Fault::Unavailable("the state is out of reach"),
+            _ => StatusError::Unavailable("the state is out of reach"),
         };
         self.writes -= 1;
         self.refuse(ctx, id, &fault);
     }
 
     /// The objects are as new as a create whose name was found taken.
-    pub(super) fn create_again(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+    pub(super) fn create_again(
+        &mut self,
+        ctx: &mut Ctx,
+        request: Request,
+    ) -> Result<(), StatusError> {
         let (_, name, wanted) = self.asked_for(ctx, &request)?;
         let Some(there) = self.cache.get(&name).cloned() else {
             if !request.query.dry_run {
@@ -334,7 +359,7 @@
             self.reply(ctx, request.id, 201, &shown);
             return Ok(());
         }
-        Err(Fault::Exists {
+        Err(StatusError::Exists {
             resource: name.kind.resource(),
             name: name.name,
             more: String::new(),
@@ -355,19 +380,19 @@
                 Some(gone) => (gone, row.version),
                 None => {
                     log::error!("{}: not what an object leaves", row.key);
-                    let fault = Fault::Unavailable("the name's record is unreadable");
+                    let fault = StatusError::Unavailable("the name's record is unreadable");
                     return self.refuse(ctx, id, &fault);
                 }
             },
             _ => {
-                let fault = Fault::Unavailable("the state is out of reach");
+                let fault = StatusError::Unavailable("the state is out of reach");
                 return self.refuse(ctx, id, &fault);
             }
         };
         // What was there may have been made by an earlier try of this request: whoever
         // deleted it wants it gone, and it must not run again.
         if creation.request.uncertain && version > creation.request.from {
-            let fault = Fault::Exists {
+            let fault = StatusError::Exists {
                 resource: creation.name.kind.resource(),
                 name: creation.name.name.clone(),
                 more: format!(": as {}, and was deleted in the meantime", gone.uid),
@@ -377,7 +402,7 @@
         let class = &creation.wanted.job.class;
         if !self.rules.repeats(class) {
             let job = gone.job.as_deref().unwrap_or("no job");
-            let fault = Fault::Exists {
+            let fault = StatusError::Exists {
                 resource: creation.name.kind.resource(),
                 name: creation.name.name.clone(),
                 more: format!(
@@ -397,9 +422,9 @@
         }
     }
 
-    pub(super) fn update(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+    pub(super) fn update(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
         let Scope::One(name) = request.scope.clone() else {
-            return Err(Fault::NotAllowed);
+            return Err(StatusError::NotAllowed);
         };
         let object = self
             .cache
@@ -411,14 +436,15 @@
             None => body,
             Some(form) => {
                 let current = view::object(&object, None);
-                patch::apply(form, current, &body).map_err(|e| Fault::BadRequest(e.to_string()))?
+                patch::apply(form, current, &body)
+                    .map_err(|e| StatusError::BadRequest(e.to_string()))?
             }
         };
         let changed = written_by_client(changed);
         let wanted = self.wanted(name.kind, &name.namespace, &changed)?;
         if wanted.name != name.name {
             let what = "the object's name is not the one of the request";
-            return Err(Fault::BadRequest(what.into()));
+            return Err(StatusError::BadRequest(what.into()));
         }
         let given = |field: &str| text(&changed, &format!("/metadata/{field}"));
         if given("uid").is_some_and(|uid| !uid.is_empty() && uid != object.record.uid) {
@@ -454,7 +480,7 @@
                 .node
                 .grant(1.0, changes, RequestPriority::Change, ctx.now)
         {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         self.writes += 1;
         let change = Change {
@@ -477,7 +503,7 @@
         ctx: &Ctx,
         object: &Object,
         wanted: &Wanted,
-    ) -> Result<(Record, Option<OpenJob>), Fault> {
+    ) -> Result<(Record, Option<OpenJob>), StatusError> {
         let old = &object.record;
         let begun = old.state.job.is_some();
         let mut causes = Vec::new();
@@ -488,13 +514,17 @@
             if !MUTABLE.contains(&key.as_str()) && before.get(key) != after.get(key) {
                 let path = format!("spec.{key}");
                 if causes.iter().all(|c: &Cause| c.path != path) {
-                    causes.push(Cause::new(path, Why::Invalid, "field is immutable"));
+                    causes.push(Cause::new(
+                        path,
+                        StatusReason::Invalid,
+                        "field is immutable",
+                    ));
                 }
             }
         }
         if begun && wanted.suspend {
             let what = "a job that has begun is not suspended: delete it";
-            causes.push(Cause::new("spec.suspend", Why::NotSupported, what));
+            causes.push(Cause::new("spec.suspend", StatusReason::NotSupported, what));
         }
         let ours = |notes: &std::collections::BTreeMap<String, String>| {
             let ours = notes.iter().filter(|(k, _)| k.starts_with(PREFIX));
@@ -503,7 +533,11 @@
         };
         if begun && ours(&old.annotations) != ours(&wanted.annotations) {
             let what = "what annotations of dillcleat's say is immutable once the job has begun";
-            causes.push(Cause::new("metadata.annotations", Why::Invalid, what));
+            causes.push(Cause::new(
+                "metadata.annotations",
+                StatusReason::Invalid,
+                what,
+            ));
         }
         if !causes.is_empty() {
             return Err(invalid(&object.name, causes));
@@ -526,9 +560,9 @@
         Ok((record, Some(job)))
     }
 
-    pub(super) fn delete(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), Fault> {
+    pub(super) fn delete(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
         let Scope::One(name) = request.scope.clone() else {
-            return Err(Fault::NotAllowed);
+            return Err(StatusError::NotAllowed);
         };
         let options = options(&request)?;
         let Some(object) = self.cache.get(&name).cloned() else {
@@ -569,7 +603,7 @@
             return Ok(());
         }
         if self.writes >= MAX_WRITES * 2 {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         self.send_delete(ctx, request, &object, true)
     }
@@ -581,18 +615,18 @@
         request: Request,
         object: &Object,
         open: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StatusError> {
         let state = &object.record.state;
         let mut txn = Transaction::default().compare(object.name.key(), object.version);
         if let Some(job) = state.job.as_ref().filter(|_| open && state.end.is_none()) {
-            txn = keeper::cancel(txn, object, job, ctx.now.wall);
+            txn = reconciler::cancel(txn, object, job, ctx.now.wall);
         }
-        let txn = keeper::delete(txn, object);
+        let txn = reconciler::delete(txn, object);
         if !ctx
             .node
             .grant(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
         {
-            return Err(Fault::TooMany);
+            return Err(StatusError::TooMany);
         }
         self.writes += 1;
         let change = Change {
@@ -663,12 +697,12 @@
                 }
                 return self.wait(ctx, request);
             }
-            (Ok(StoreResponse::RateLimited), _) => Fault::TooMany,
+            (Ok(StoreResponse::RateLimited), _) => StatusError::TooMany,
             (Ok(StoreResponse::Malformed), _) => {
                 log::error!("{name}: the state service calls it malformed");
-                Fault::BadRequest("the object cannot be stored".into())
+                StatusError::BadRequest("the object cannot be stored".into())
             }
-            _ => Fault::Unavailable("the state is out of reach"),
+            _ => StatusError::Unavailable("the state is out of reach"),
         };
         self.refuse(ctx, id, &fault);
     }
@@ -682,18 +716,22 @@
         .put(records::open_key(id), job)
 }
 
-fn options(request: &Request) -> Result<DeleteOptions, Fault> {
+fn options(request: &Request) -> Result<DeleteOptions, StatusError> {
     let body = request.body.clone().unwrap_or_else(|| json!({}));
     let options: DeleteOptions = serde_json::from_value(body)
-        .map_err(|e| Fault::BadRequest(format!("DeleteOptions: {e}")))?;
+        .map_err(|e| StatusError::BadRequest(format!("DeleteOptions: {e}")))?;
     let given = options.propagation_policy.as_ref();
     let policy = given.or(request.query.propagation.as_ref());
     if policy.is_some_and(|p| p != "Background") || options.orphan_dependents == Some(true) {
         let what = "only Background is served: the job is cancelled, its tasks end after it";
-        return Err(Fault::Invalid {
+        return Err(StatusError::Invalid {
             kind: "DeleteOptions",
             name: String::new(),
-            causes: vec![Cause::new("propagationPolicy", Why::NotSupported, what)],
+            causes: vec![Cause::new(
+                "propagationPolicy",
+                StatusReason::NotSupported,
+                what,
+            )],
         });
     }
     Ok(options)
--- a/crates/kube/src/fields.rs
+++ b/crates/kube/src/fields.rs
@@ -1,7 +1,7 @@
 //! Which fields of an object are served. Whatever is not in the table is refused by
 //! its name: nothing a client writes is dropped without a word.
 
-use crate::fault::{Cause, Why};
+use crate::status_error::{Cause, StatusReason};
 use serde_json::Value;
 
 /// What becomes of a field that a client writes.
@@ -145,7 +145,7 @@
                     Found::No => {
                         causes.push(Cause::new(
                             path,
-                            Why::NotSupported,
+                            StatusReason::NotSupported,
                             "not served by dillcleat",
                         ));
                     }
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -4,26 +4,26 @@
 //! one, as a state machine without I/O: an ordinary Kubernetes client's requests go in, answers, lines of watches and
 //! calls of the state service come out. docs/kubernetes.md says what is served.
 
-pub mod cache;
-pub mod door;
-pub mod fault;
+pub mod api_server;
 pub mod fields;
-mod keeper;
 pub mod names;
 mod patch;
 pub mod quantity;
+mod reconciler;
 pub mod record;
-pub mod select;
+pub mod selector;
 pub mod settings;
+pub mod status_error;
 mod table;
 mod target;
 pub mod translate;
 mod view;
+pub mod watch_cache;
 mod watches;
 pub mod yaml;
 
-pub use door::Door;
-pub use names::Key;
+pub use api_server::ApiServer;
+pub use names::SigningKey;
 pub use settings::{Rules, Settings};
 
 use dillcleat_controller::{Input, Node, Output, RequestId, Timestamp};
@@ -31,7 +31,7 @@
 
 /// A client's request.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct ApiRequest {
     pub method: String,
     pub target: String,
     pub accept: Option<String>,
@@ -43,7 +43,7 @@
 
 /// An answer, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reply {
+pub struct ApiResponse {
     pub status: u16,
     pub body: Vec<u8>,
     /// Seconds after which it is worth asking again.
@@ -51,12 +51,12 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum ControllerOutput {
     /// What the node wants; calls of the door are among it.
     Core(Output),
     Reply {
         id: RequestId,
-        reply: Reply,
+        reply: ApiResponse,
     },
     /// A watch is open: its lines follow.
     Stream {
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct Controller {
     pub node: Node,
-    pub door: Option<Door>,
+    pub api_server: Option<ApiServer>,
 }
 
 impl Controller {
@@ -84,34 +84,34 @@
     pub fn new(node: Node, rules: Option<Rules>) -> Controller {
         Controller {
             node,
-            door: rules.map(Door::new),
+            api_server: rules.map(ApiServer::new),
         }
     }
 
     fn door(
         &mut self,
         now: Timestamp,
-        out: &mut Vec<Out>,
-        act: impl FnOnce(&mut Door, &mut door::Ctx),
+        out: &mut Vec<ControllerOutput>,
+        act: impl FnOnce(&mut ApiServer, &mut api_server::Ctx),
     ) {
-        let mut ctx = door::Ctx {
+        let mut ctx = api_server::Ctx {
             now,
             node: &mut self.node,
             out,
         };
-        if let Some(door) = &mut self.door {
+        if let Some(door) = &mut self.api_server {
             act(door, &mut ctx);
         }
     }
 
-    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Out> {
-        if self.door.is_none() {
+    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<ControllerOutput> {
+        if self.api_server.is_none() {
             let outputs = self.node.handle(now, input).into_iter();
-            return outputs.map(Out::Core).collect();
+            return outputs.map(ControllerOutput::Core).collect();
         }
         let mut out = Vec::new();
         match input {
-            Input::Store { id, reply } if Door::owns(id) => {
+            Input::Store { id, reply } if ApiServer::owns(id) => {
                 self.door(now, &mut out, |door, ctx| door.answered(ctx, id, reply));
             }
             input => {
@@ -119,11 +119,11 @@
                 for output in self.node.handle(now, input) {
                     match output {
                         Output::JobEvent(told) => {
-                            if let Some(door) = &mut self.door {
+                            if let Some(door) = &mut self.api_server {
                                 door.told(told);
                             }
                         }
-                        other => out.push(Out::Core(other)),
+                        other => out.push(ControllerOutput::Core(other)),
                     }
                 }
                 if tick {
@@ -135,7 +135,7 @@
     }
 
     /// A client's request.
-    pub fn ask(&mut self, now: Timestamp, id: RequestId, ask: Ask) -> Vec<Out> {
+    pub fn ask(&mut self, now: Timestamp, id: RequestId, ask: ApiRequest) -> Vec<ControllerOutput> {
         let mut out = Vec::new();
         self.door(now, &mut out, |door, ctx| door.ask(ctx, id, ask));
         out
@@ -143,7 +143,7 @@
 
     /// The client of a watch has gone, or does not keep up.
     pub fn gone(&mut self, id: RequestId) {
-        if let Some(door) = &mut self.door {
+        if let Some(door) = &mut self.api_server {
             door.gone(id);
         }
     }
--- a/crates/kube/src/names.rs
+++ b/crates/kube/src/names.rs
@@ -33,22 +33,22 @@
 
 /// The operators' key. It never appears in a log.
 #[derive(Clone)]
-pub struct Key(Vec<u8>);
+pub struct SigningKey(Vec<u8>);
 
-impl std::fmt::Debug for Key {
+impl std::fmt::Debug for SigningKey {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Key")
     }
 }
 
-impl Key {
+impl SigningKey {
     /// From a file's text.
-    pub fn parse(text: &str) -> Result<Key, KeyError> {
+    pub fn parse(text: &str) -> Result<SigningKey, KeyError> {
         let bytes = unhex(text.trim()).ok_or(KeyError::NotHex)?;
         if bytes.len() < KEY_BYTES {
             return Err(KeyError::Short);
         }
-        Ok(Key(bytes))
+        Ok(SigningKey(bytes))
     }
 
     /// A MAC over parts, each after its length, so that no two lists of parts are
@@ -112,7 +112,7 @@
 
     #[test]
     fn names_give_references() {
-        let key = Key::parse(&"0b".repeat(32)).expect("a key");
+        let key = SigningKey::parse(&"0b".repeat(32)).expect("a key");
         let uid = key.uid("jobs", "books", "merge", 1);
         assert_eq!(uid.len(), 36);
         assert_eq!(&uid[14..15], "8");
@@ -127,12 +127,12 @@
 
     #[test]
     fn tokens_are_known_by_their_macs() {
-        let key = Key::parse(&"0b".repeat(32)).expect("a key");
+        let key = SigningKey::parse(&"0b".repeat(32)).expect("a key");
         let kept = unhex(&key.token("secret")).expect("hex");
         assert!(key.is_token("secret", &kept));
         assert!(!key.is_token("secrex", &kept));
         assert!(!key.is_token("secret", &kept[1..]));
-        assert!(matches!(Key::parse("0b"), Err(KeyError::Short)));
-        assert!(matches!(Key::parse("xy"), Err(KeyError::NotHex)));
+        assert!(matches!(SigningKey::parse("0b"), Err(KeyError::Short)));
+        assert!(matches!(SigningKey::parse("xy"), Err(KeyError::NotHex)));
     }
 }
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/reconciler.rs
@@ -4,9 +4,9 @@
 //! Every change is one transaction that compares the leader's term and the object's
 //! version, so neither a leader that was followed nor a client is written over.
 
-use crate::cache::{Cache, Turn};
 use crate::record::{End, Ending, Gone, Name, Object, Record};
 use crate::view::completions;
+use crate::watch_cache::{Cache, Turn};
 use dillcleat_controller::records::{self, CancelledJob, JobStateRecord, RecordedState};
 use dillcleat_controller::{JobEvent, Micros, SECOND};
 use dillcleat_wire::store::Transaction;
@@ -153,7 +153,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct Reconciler {
     term: u64,
     dirty: BTreeSet<Name>,
     due: BinaryHeap<Reverse<(Micros, Name)>>,
@@ -169,7 +169,7 @@
     sweep_at: Micros,
 }
 
-impl Keeper {
+impl Reconciler {
     /// An object has changed.
     pub fn turned(&mut self, turn: &Turn) {
         let Some(object) = turn.new.as_deref() else {
@@ -279,11 +279,11 @@
         (now, wall): (Micros, Micros),
     ) -> Vec<Wish> {
         if self.term != term {
-            *self = Keeper {
+            *self = Reconciler {
                 term,
                 facts: std::mem::take(&mut self.facts),
                 told: std::mem::take(&mut self.told),
-                ..Keeper::default()
+                ..Reconciler::default()
             };
             for kind in crate::record::Kind::ALL {
                 for object in cache.all(kind, None, None) {
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -1,6 +1,6 @@
 //! What operators set for this door, and who may use it.
 
-use crate::names::{Key, unhex};
+use crate::names::{SigningKey, unhex};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -176,13 +176,13 @@
 #[derive(Debug, Clone)]
 pub struct Rules {
     pub settings: Settings,
-    pub key: Key,
+    pub key: SigningKey,
     /// Tokens with their MACs.
     tokens: Vec<(Vec<u8>, Rc<Token>)>,
 }
 
 impl Rules {
-    pub fn new(settings: Settings, key: Key) -> Rules {
+    pub fn new(settings: Settings, key: SigningKey) -> Rules {
         let tokens = settings.tokens.iter();
         let read = |t: &Token| (unhex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
         Rules {
--- a/crates/kube/src/fault.rs
+++ b/crates/kube/src/status_error.rs
@@ -4,7 +4,7 @@
 
 /// Why a field is not taken, by the names of Kubernetes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum StatusReason {
     Required,
     Invalid,
     /// A value, or a field, that is right there but not served here.
@@ -12,13 +12,13 @@
     Forbidden,
 }
 
-impl Why {
+impl StatusReason {
     fn reason(self) -> &'static str {
         match self {
-            Why::Required => "FieldValueRequired",
-            Why::Invalid => "FieldValueInvalid",
-            Why::NotSupported => "FieldValueNotSupported",
-            Why::Forbidden => "FieldValueForbidden",
+            StatusReason::Required => "FieldValueRequired",
+            StatusReason::Invalid => "FieldValueInvalid",
+            StatusReason::NotSupported => "FieldValueNotSupported",
+            StatusReason::Forbidden => "FieldValueForbidden",
         }
     }
 }
@@ -27,12 +27,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cause {
     pub path: String,
-    pub why: Why,
+    pub why: StatusReason,
     pub what: String,
 }
 
 impl Cause {
-    pub fn new(path: impl Into<String>, why: Why, what: impl Into<String>) -> Cause {
+    pub fn new(path: impl Into<String>, why: StatusReason, what: impl Into<String>) -> Cause {
         Cause {
             path: path.into(),
             why,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum StatusError {
     #[error("{0}")]
     BadRequest(String),
     #[error("a valid bearer token is needed")]
@@ -94,38 +94,38 @@
     each.collect::<Vec<_>>().join("; ")
 }
 
-impl Fault {
+impl StatusError {
     /// Status code and reason.
     pub fn code(&self) -> (u16, &'static str) {
         match self {
-            Fault::BadRequest(_) => (400, "BadRequest"),
-            Fault::Unauthorized => (401, "Unauthorized"),
-            Fault::Forbidden(_) => (403, "Forbidden"),
-            Fault::NoSuchPath | Fault::NotFound { .. } => (404, "NotFound"),
-            Fault::NotAllowed => (405, "MethodNotAllowed"),
-            Fault::Exists { .. } => (409, "AlreadyExists"),
-            Fault::Conflict { .. } => (409, "Conflict"),
-            Fault::Expired(_) => (410, "Expired"),
-            Fault::TooLarge(_) => (413, "RequestEntityTooLarge"),
-            Fault::MediaType(_) => (415, "UnsupportedMediaType"),
-            Fault::Invalid { .. } => (422, "Invalid"),
-            Fault::TooMany => (429, "TooManyRequests"),
-            Fault::Unavailable(_) => (503, "ServiceUnavailable"),
+            StatusError::BadRequest(_) => (400, "BadRequest"),
+            StatusError::Unauthorized => (401, "Unauthorized"),
+            StatusError::Forbidden(_) => (403, "Forbidden"),
+            StatusError::NoSuchPath | StatusError::NotFound { .. } => (404, "NotFound"),
+            StatusError::NotAllowed => (405, "MethodNotAllowed"),
+            StatusError::Exists { .. } => (409, "AlreadyExists"),
+            StatusError::Conflict { .. } => (409, "Conflict"),
+            StatusError::Expired(_) => (410, "Expired"),
+            StatusError::TooLarge(_) => (413, "RequestEntityTooLarge"),
+            StatusError::MediaType(_) => (415, "UnsupportedMediaType"),
+            StatusError::Invalid { .. } => (422, "Invalid"),
+            StatusError::TooMany => (429, "TooManyRequests"),
+            StatusError::Unavailable(_) => (503, "ServiceUnavailable"),
         }
     }
 
     /// Seconds after which it is worth asking again.
     pub fn retry_after(&self) -> Option<u32> {
-        matches!(self, Fault::TooMany | Fault::Unavailable(_)).then_some(1)
+        matches!(self, StatusError::TooMany | StatusError::Unavailable(_)).then_some(1)
     }
 
     fn details(&self) -> Option<StatusDetails> {
         let (kind, name, causes) = match self {
-            Fault::Invalid { kind, name, causes } => (*kind, name.clone(), causes.as_slice()),
-            Fault::NotFound { resource, name }
-            | Fault::Exists { resource, name, .. }
-            | Fault::Conflict { resource, name, .. } => (*resource, name.clone(), &[][..]),
-            Fault::TooMany | Fault::Unavailable(_) => ("", String::new(), &[][..]),
+            StatusError::Invalid { kind, name, causes } => (*kind, name.clone(), causes.as_slice()),
+            StatusError::NotFound { resource, name }
+            | StatusError::Exists { resource, name, .. }
+            | StatusError::Conflict { resource, name, .. } => (*resource, name.clone(), &[][..]),
+            StatusError::TooMany | StatusError::Unavailable(_) => ("", String::new(), &[][..]),
             _ => return None,
         };
         let causes = causes.iter().map(|c| StatusCause {
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -1,9 +1,9 @@
 //! What a request is for, by its method, path and query.
 
-use crate::fault::Fault;
 use crate::record::{Kind, Name};
-use crate::select::Selector;
+use crate::selector::Selector;
 use crate::settings::Verb;
+use crate::status_error::StatusError;
 use dillcleat_controller::{Micros, SECOND};
 
 /// Discovery and such: answered without any object.
@@ -40,7 +40,7 @@
     Objects(Verb, Scope),
 }
 
-fn objects(method: &str, scope: Scope, watch: bool) -> Result<Target, Fault> {
+fn objects(method: &str, scope: Scope, watch: bool) -> Result<Target, StatusError> {
     let verb = match (method, &scope) {
         ("GET", Scope::All(..) | Scope::Namespaces) if watch => Verb::Watch,
         ("GET", Scope::All(..) | Scope::Namespaces) => Verb::List,
@@ -49,13 +49,13 @@
         ("PUT", Scope::One(_)) => Verb::Update,
         ("PATCH", Scope::One(_)) => Verb::Patch,
         ("DELETE", Scope::One(_)) => Verb::Delete,
-        _ => return Err(Fault::NotAllowed),
+        _ => return Err(StatusError::NotAllowed),
     };
     Ok(Target::Objects(verb, scope))
 }
 
 /// Tells what a request is for. `watch`: its query asks for one.
-pub fn target(method: &str, path: &str, watch: bool) -> Result<Target, Fault> {
+pub fn target(method: &str, path: &str, watch: bool) -> Result<Target, StatusError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let about = match parts.as_slice() {
         ["version"] => Some(About::Version),
@@ -70,7 +70,7 @@
     if let Some(about) = about {
         return match method {
             "GET" => Ok(Target::About(about)),
-            _ => Err(Fault::NotAllowed),
+            _ => Err(StatusError::NotAllowed),
         };
     }
     let scope = match parts.as_slice() {
@@ -97,10 +97,10 @@
                 [] => Scope::All(kind, Some(namespace)),
                 [one] => Scope::One(name(one)),
                 [one, "status"] => Scope::Status(name(one)),
-                _ => return Err(Fault::NoSuchPath),
+                _ => return Err(StatusError::NoSuchPath),
             }
         }
-        _ => return Err(Fault::NoSuchPath),
+        _ => return Err(StatusError::NoSuchPath),
     };
     objects(method, scope, watch)
 }
@@ -145,7 +145,7 @@
 }
 
 impl Query {
-    pub fn parse(text: &str) -> Result<Query, Fault> {
+    pub fn parse(text: &str) -> Result<Query, StatusError> {
         let mut q = Query {
             labels: Selector::default(),
             fields: Selector::default(),
@@ -158,18 +158,19 @@
             dry_run: false,
             propagation: None,
         };
-        let bad =
-            |name: &str, value: &str| Fault::BadRequest(format!("{name}: not one: {value:?}"));
+        let bad = |name: &str, value: &str| {
+            StatusError::BadRequest(format!("{name}: not one: {value:?}"))
+        };
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
             let value = value.as_ref();
             match name.as_ref() {
                 "labelSelector" => {
-                    q.labels =
-                        Selector::labels(value).map_err(|e| Fault::BadRequest(e.to_string()))?;
+                    q.labels = Selector::labels(value)
+                        .map_err(|e| StatusError::BadRequest(e.to_string()))?;
                 }
                 "fieldSelector" => {
                     q.fields = Selector::fields(value, &FIELDS)
-                        .map_err(|e| Fault::BadRequest(e.to_string()))?;
+                        .map_err(|e| StatusError::BadRequest(e.to_string()))?;
                 }
                 "limit" => {
                     let limit: usize = value.parse().map_err(|_| bad("limit", value))?;
@@ -206,7 +207,7 @@
                 "sendInitialEvents" if truth(value) => {
                     // Clients that try it list and watch when it is refused.
                     let why = "sendInitialEvents is not served: list, then watch";
-                    return Err(Fault::BadRequest(why.into()));
+                    return Err(StatusError::BadRequest(why.into()));
                 }
                 // What asks for a form of the answer, or for stricter checks than
                 // none: every field is checked in any case.
@@ -215,7 +216,7 @@
                 "resourceVersionMatch" if value != "Exact" => {}
                 other => {
                     let what = format!("the parameter {other:?} is not served");
-                    return Err(Fault::BadRequest(what));
+                    return Err(StatusError::BadRequest(what));
                 }
             }
         }
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -1,9 +1,9 @@
 //! From a Kubernetes Job to the job that it stands for.
 
-use crate::fault::{Cause, Why};
 use crate::fields::{self, OF_JOB};
 use crate::quantity;
 use crate::settings::Settings;
+use crate::status_error::{Cause, StatusReason};
 use dillcleat_wire::user::{self, JobKind, JobSpec, Priority};
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::{Affinity, Container, PodSpec, PodTemplateSpec};
@@ -69,7 +69,7 @@
 }
 
 impl Reader<'_> {
-    fn bad(&mut self, path: &str, why: Why, what: impl Into<String>) {
+    fn bad(&mut self, path: &str, why: StatusReason, what: impl Into<String>) {
         self.causes.push(Cause::new(path, why, what));
     }
 
@@ -77,7 +77,7 @@
         let value = value.unwrap_or(default);
         if !(low..=high).contains(&value) {
             let what = format!("must be from {low} to {high}, is {value}");
-            self.bad(path, Why::Invalid, what);
+            self.bad(path, StatusReason::Invalid, what);
         }
         value
     }
@@ -88,7 +88,11 @@
             Ok(v) if v.is_finite() && (0.0..=1e9).contains(&v) => Some(v),
             _ => {
                 let path = format!("metadata.annotations[{key}]");
-                self.bad(&path, Why::Invalid, format!("not an amount: {value:?}"));
+                self.bad(
+                    &path,
+                    StatusReason::Invalid,
+                    format!("not an amount: {value:?}"),
+                );
                 None
             }
         }
@@ -102,7 +106,7 @@
                 let path = format!("metadata.annotations[{key}]");
                 self.bad(
                     &path,
-                    Why::Invalid,
+                    StatusReason::Invalid,
                     format!("must be true or false, is {other:?}"),
                 );
                 false
@@ -127,7 +131,7 @@
             if amount.is_none() {
                 self.bad(
                     &path(which),
-                    Why::Invalid,
+                    StatusReason::Invalid,
                     format!("not an amount: {text:?}"),
                 );
             }
@@ -137,13 +141,13 @@
         match (request, limit) {
             (Some(r), Some(l)) if (r - l).abs() > 1e-9 * l.abs() => {
                 let what = "must equal the request: a task has what it asks for, no more";
-                self.bad(&path("limits"), Why::NotSupported, what);
+                self.bad(&path("limits"), StatusReason::NotSupported, what);
                 r
             }
             (Some(amount), _) | (None, Some(amount)) => amount,
             (None, None) => {
                 if needed {
-                    self.bad(&path("requests"), Why::Required, "must be given");
+                    self.bad(&path("requests"), StatusReason::Required, "must be given");
                 }
                 0.0
             }
@@ -162,7 +166,7 @@
             for key in map.keys() {
                 if !["cpu", "memory", accelerator.as_str()].contains(&key.as_str()) {
                     let path = format!("spec.template.spec.containers[0].resources.{which}[{key}]");
-                    self.bad(&path, Why::NotSupported, "not a resource here");
+                    self.bad(&path, StatusReason::NotSupported, "not a resource here");
                 }
             }
         }
@@ -183,7 +187,7 @@
                     let path = format!("spec.template.spec.nodeSelector[{key}]");
                     self.bad(
                         &path,
-                        Why::NotSupported,
+                        StatusReason::NotSupported,
                         "only zone and instance type are selected by",
                     );
                 }
@@ -209,7 +213,7 @@
         });
         let terms = required.map_or(&[][..], |r| r.node_selector_terms.as_slice());
         if terms.len() > 1 {
-            self.bad(AT, Why::NotSupported, "one term is served");
+            self.bad(AT, StatusReason::NotSupported, "one term is served");
         }
         let expressions = terms.first().and_then(|t| t.match_expressions.as_ref());
         for (i, e) in expressions.into_iter().flatten().enumerate() {
@@ -218,7 +222,7 @@
             if e.operator != "In" {
                 self.bad(
                     &format!("{path}.operator"),
-                    Why::NotSupported,
+                    StatusReason::NotSupported,
                     "only In is served",
                 );
             }
@@ -226,7 +230,7 @@
                 TYPE if types.is_some() => {
                     self.bad(
                         &path,
-                        Why::NotSupported,
+                        StatusReason::NotSupported,
                         "the instance type is selected twice",
                     );
                 }
@@ -235,13 +239,13 @@
                     [one] if zone.as_ref().is_none_or(|z| z == one) => *zone = Some(one.clone()),
                     _ => self.bad(
                         &format!("{path}.values"),
-                        Why::NotSupported,
+                        StatusReason::NotSupported,
                         "one zone is served, or any",
                     ),
                 },
                 _ => self.bad(
                     &format!("{path}.key"),
-                    Why::NotSupported,
+                    StatusReason::NotSupported,
                     "only zone and instance type are selected by",
                 ),
             }
@@ -258,20 +262,24 @@
             let path = format!("spec.template.spec.topologySpreadConstraints[{i}]");
             if c.topology_key != ZONE {
                 let what = format!("only {ZONE} is served");
-                self.bad(&format!("{path}.topologyKey"), Why::NotSupported, what);
+                self.bad(
+                    &format!("{path}.topologyKey"),
+                    StatusReason::NotSupported,
+                    what,
+                );
             }
             if c.when_unsatisfiable != "DoNotSchedule" {
                 let what = "only DoNotSchedule is served";
                 self.bad(
                     &format!("{path}.whenUnsatisfiable"),
-                    Why::NotSupported,
+                    StatusReason::NotSupported,
                     what,
                 );
             }
             if c.max_skew < 1 {
                 self.bad(
                     &format!("{path}.maxSkew"),
-                    Why::Invalid,
+                    StatusReason::Invalid,
                     "must be at least 1",
                 );
             }
@@ -282,7 +290,11 @@
             for (key, value) in selector.into_iter().flatten() {
                 if labels.get(key) != Some(value) {
                     let path = format!("{path}.labelSelector.matchLabels[{key}]");
-                    self.bad(&path, Why::NotSupported, "must be a label of the template");
+                    self.bad(
+                        &path,
+                        StatusReason::NotSupported,
+                        "must be a label of the template",
+                    );
                 }
             }
         }
@@ -299,7 +311,7 @@
                 let what = "must be production, high, normal or best-effort";
                 self.bad(
                     "spec.template.spec.priorityClassName",
-                    Why::NotSupported,
+                    StatusReason::NotSupported,
                     what,
                 );
                 Priority::Normal
@@ -313,7 +325,7 @@
                 let path = format!("metadata.annotations[{key}]");
                 self.bad(
                     &path,
-                    Why::NotSupported,
+                    StatusReason::NotSupported,
                     "no such annotation of dillcleat's",
                 );
             }
@@ -325,7 +337,7 @@
                 let path = "metadata.annotations[dillcleat/class]";
                 self.bad(
                     path,
-                    Why::Required,
+                    StatusReason::Required,
                     "no class is set for jobs that name none",
                 );
                 String::new()
@@ -342,23 +354,35 @@
         notes: &BTreeMap<String, String>,
     ) -> Option<JobSpec> {
         let Some(pod) = &template.spec else {
-            self.bad("spec.template.spec", Why::Required, "must be given");
+            self.bad(
+                "spec.template.spec",
+                StatusReason::Required,
+                "must be given",
+            );
             return None;
         };
         let [container] = pod.containers.as_slice() else {
             let what = format!("one container is served, not {}", pod.containers.len());
-            self.bad("spec.template.spec.containers", Why::NotSupported, what);
+            self.bad(
+                "spec.template.spec.containers",
+                StatusReason::NotSupported,
+                what,
+            );
             return None;
         };
         if !is_label(&container.name) {
             let what = "must be lower-case letters, digits and dashes";
-            self.bad("spec.template.spec.containers[0].name", Why::Invalid, what);
+            self.bad(
+                "spec.template.spec.containers[0].name",
+                StatusReason::Invalid,
+                what,
+            );
         }
         let image = container.image.clone().unwrap_or_default();
         if image.is_empty() {
             self.bad(
                 "spec.template.spec.containers[0].image",
-                Why::Required,
+                StatusReason::Required,
                 "must be given",
             );
         }
@@ -418,23 +442,27 @@
         Ok(job) => job,
         Err(e) => {
             // Its own message names the field's type, not the path.
-            reader.bad("", Why::Invalid, format!("not a Job of batch/v1: {e}"));
+            reader.bad(
+                "",
+                StatusReason::Invalid,
+                format!("not a Job of batch/v1: {e}"),
+            );
             return Err(reader.causes);
         }
     };
     let name = job.metadata.name.unwrap_or_default();
     if !is_label(&name) {
         let what = "must be 1 to 63 lower-case letters, digits and dashes";
-        reader.bad("metadata.name", Why::Invalid, what);
+        reader.bad("metadata.name", StatusReason::Invalid, what);
     }
     let annotations = job.metadata.annotations.unwrap_or_default();
     let Some(spec) = job.spec else {
-        reader.bad("spec", Why::Required, "must be given");
+        reader.bad("spec", StatusReason::Required, "must be given");
         return Err(reader.causes);
     };
     if spec.completions.is_none() && spec.parallelism.unwrap_or(1) > 1 {
         let what = "must be given: a queue that its pods empty is not served";
-        reader.bad("spec.completions", Why::Required, what);
+        reader.bad("spec.completions", StatusReason::Required, what);
     }
     let most = i64::from(user::MAX_TASKS);
     let completions = spec.completions.map(i64::from);
@@ -468,7 +496,7 @@
     let mode = spec.completion_mode.unwrap_or_else(|| "NonIndexed".into());
     if !["NonIndexed", "Indexed"].contains(&mode.as_str()) {
         let what = "must be NonIndexed or Indexed";
-        reader.bad("spec.completionMode", Why::NotSupported, what);
+        reader.bad("spec.completionMode", StatusReason::NotSupported, what);
     }
     let policy = spec
         .template
@@ -477,7 +505,11 @@
         .and_then(|p| p.restart_policy.as_deref());
     if !matches!(policy, Some("Never" | "OnFailure")) {
         let what = "must be Never or OnFailure";
-        reader.bad("spec.template.spec.restartPolicy", Why::NotSupported, what);
+        reader.bad(
+            "spec.template.spec.restartPolicy",
+            StatusReason::NotSupported,
+            what,
+        );
     }
     let suspend = spec.suspend.unwrap_or(false);
     let tasks = u32::try_from(tasks).unwrap_or(1);
@@ -485,7 +517,7 @@
     if reader.causes.is_empty()
         && let Some(what) = made.as_ref().and_then(refused)
     {
-        reader.bad("spec", Why::Invalid, what);
+        reader.bad("spec", StatusReason::Invalid, what);
     }
     let (Some(made), true) = (made, reader.causes.is_empty()) else {
         return Err(reader.causes);
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -1,9 +1,9 @@
 //! Clients that watch.
 
-use crate::cache::{Cache, Turn};
 use crate::record::{Kind, Object};
 use crate::settings::Token;
 use crate::target::Query;
+use crate::watch_cache::{Cache, Turn};
 use crate::{table, view};
 use dillcleat_controller::{Micros, RequestId, SECOND};
 use serde_json::{Value, json};
@@ -219,7 +219,7 @@
     /// Ends all, since what they have missed is not known: 410, in its form for those
     /// who watch already.
     pub fn lost(&mut self) -> Vec<Sent> {
-        let fault = crate::fault::Fault::Expired("too old resource version".into());
+        let fault = crate::status_error::StatusError::Expired("too old resource version".into());
         let bytes = line("ERROR", json!(fault.status()));
         let ids = std::mem::take(&mut self.open).into_keys();
         ids.flat_map(|id| [Sent::Chunk(id, bytes.clone()), Sent::End(id)])
--- a/crates/kube/tests/golden_records.rs
+++ b/crates/kube/tests/golden_records.rs
@@ -1,7 +1,7 @@
 //! The keys and records of kept objects in the state service, and the names that follow
 //! from the operators' key, as version 84a8104 reads and writes them.
 
-use dillcleat_kube::names::{Key, unhex};
+use dillcleat_kube::names::{SigningKey, unhex};
 use dillcleat_kube::record::{End, Ending, Gone, JobState, Kind, Name, OBJECTS, Record};
 use dillcleat_wire::store::{self, Value};
 use serde::Serialize;
@@ -191,7 +191,7 @@
 
 #[test]
 fn names_that_follow_from_the_key_stay_as_they_are() {
-    let key = Key::parse("0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b")
+    let key = SigningKey::parse("0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b")
         .expect("a key");
     let uid = "a3ca4763-af43-84e2-b6c2-8232c2806fad";
     assert_eq!(key.uid("jobs", "books", "merge", 1), uid);
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -6,7 +6,7 @@
     CallError, CallId, Config, Input, Node, Output, RequestId, SECOND, Timestamp, Tuning,
 };
 use dillcleat_kube::record::{Gone, Kind, Name, Record};
-use dillcleat_kube::{Ask, Controller, Key, Out, Rules, Settings};
+use dillcleat_kube::{ApiRequest, Controller, ControllerOutput, Rules, Settings, SigningKey};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::platform::PlatformSettings;
 use dillcleat_wire::store::{
@@ -20,7 +20,7 @@
 
 /// Names of the class `merge`, which is every job's here, may be used again.
 fn rules() -> Rules {
-    let key = Key::parse(&"5c".repeat(32)).expect("a key");
+    let key = SigningKey::parse(&"5c".repeat(32)).expect("a key");
     let text = format!(
         "listen = \"127.0.0.1:1\"\nkey_file = \"none\"\nclass = \"merge\"\nrepeats = [\"merge\"]\n\
          [[tokens]]\nname = \"all\"\nmac = \"{}\"\nnamespaces = [\"*\"]\nverbs = [\"*\"]\n",
@@ -71,11 +71,11 @@
         self.take(out);
     }
 
-    fn take(&mut self, out: Vec<Out>) {
+    fn take(&mut self, out: Vec<ControllerOutput>) {
         for out in out {
             match out {
-                Out::Reply { reply, .. } => self.replies.push(reply.status),
-                Out::Core(Output::Store { id, call, .. }) => match call {
+                ControllerOutput::Reply { reply, .. } => self.replies.push(reply.status),
+                ControllerOutput::Core(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
                             records::SHARED => vec![types()],
@@ -98,7 +98,7 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn ask(&mut self, ask: ApiRequest) {
         let out = self.controller.ask(now(), RequestId(1), ask);
         self.take(out);
     }
@@ -162,12 +162,12 @@
         "spec": {"completions": 1, "parallelism": 1,
             "template": {"spec": {"restartPolicy": "Never", "containers": [container]}}},
     });
-    let ask = Ask {
+    let ask = ApiRequest {
         method: "POST".into(),
         target: JOBS.into(),
         bearer: Some(TOKEN.into()),
         body: body.to_string().into_bytes(),
-        ..Ask::default()
+        ..ApiRequest::default()
     };
     driven.ask(ask);
     assert!(driven.replies.is_empty(), "{:?}", driven.replies);
@@ -228,11 +228,11 @@
             version,
         };
         driven.txns.clear();
-        driven.ask(Ask {
+        driven.ask(ApiRequest {
             method: "DELETE".into(),
             target: format!("{JOBS}/one"),
             bearer: Some(TOKEN.into()),
-            ..Ask::default()
+            ..ApiRequest::default()
         });
         driven.look(6, vec![made(&record, 6)]);
         let (id, _) = driven.txns[0].clone();
--- a/crates/simulator/examples/doors.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -1,6 +1,6 @@
 //! What the door for Kubernetes-shaped clients takes: creates beside native
 //! submissions, and watchers of many objects.
-//! `cargo run --release -p dillcleat-simulator --example doors -- creates|watchers`.
+//! `cargo run --release -p dillcleat-simulator --example api_equivalence -- creates|watchers`.
 //!
 //! One controller alone with the stand-ins; the state service answers in 4 ms of
 //! simulated time, and what the controller computes is measured in real time.
@@ -8,10 +8,10 @@
 use clap::{Parser, Subcommand};
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
-use dillcleat_simulator::alone::{Alone, Ev, WALL, ask};
 use dillcleat_simulator::objects::rules_for;
-use dillcleat_simulator::state::StateService;
-use dillcleat_simulator::world::config;
+use dillcleat_simulator::simulation::config;
+use dillcleat_simulator::single_node::{Ev, SingleNode, WALL, ask};
+use dillcleat_simulator::store::SimulatedStore;
 use dillcleat_wire::user::{JOBS_PATH, JobKind as NativeKind, JobSpec};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -82,10 +82,10 @@
 
 /// Hands in so many jobs a second; whoever is turned away comes back in a second.
 fn creates(label: &str, config: Config, native: bool, seconds: u64, offered: u64) {
-    let mut bench = Alone::new(
+    let mut bench = SingleNode::new(
         config,
         rules_for(1_000_000, 10),
-        StateService::new(16 * 1024, 48),
+        SimulatedStore::new(16 * 1024, 48),
     );
     bench.until(10 * SECOND);
     let (start, calls) = (bench.now, bench.calls);
@@ -93,7 +93,7 @@
     let mut first: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
     let (mut accepted, mut turned_away) = (0u64, 0u64);
-    let hand_in = |bench: &mut Alone, i: u64, at: Micros| {
+    let hand_in = |bench: &mut SingleNode, i: u64, at: Micros| {
         let id = RequestId(i);
         let ev = if native {
             let mut spec = JobSpec::plain(&format!("req-{i}"), NativeKind::Batch, 60, 1.0);
@@ -148,7 +148,7 @@
 }
 
 fn watchers(watchers: u64, objects: u64, changes: u64) {
-    let mut state = StateService::new(16 * 1024, 48);
+    let mut state = SimulatedStore::new(16 * 1024, 48);
     for i in 0..objects {
         let mut manifest = manifest(i);
         for (key, value) in [
@@ -178,14 +178,18 @@
     }
     let before = held();
     let rules = rules_for(objects as usize + 1, watchers as usize);
-    let mut bench = Alone::new(deployment(500.0, 200.0), rules, state);
+    let mut bench = SingleNode::new(deployment(500.0, 200.0), rules, state);
     bench.until(10 * SECOND);
-    let (known, _) = bench.controller.door.as_ref().map_or((0, 0), |d| d.sizes());
+    let (known, _) = bench
+        .controller
+        .api_server
+        .as_ref()
+        .map_or((0, 0), |d| d.sizes());
     println!("{known} objects: {:.1} MB", (held() - before) as f64 / 1e6);
     let before = held();
     let version = bench
         .controller
-        .door
+        .api_server
         .as_ref()
         .and_then(|d| d.cache().revision());
     for i in 0..watchers {
@@ -195,7 +199,11 @@
         bench.at(bench.now, Ev::Ask(RequestId(1_000_000 + i), ask));
     }
     bench.until(bench.now + SECOND);
-    let (_, watching) = bench.controller.door.as_ref().map_or((0, 0), |d| d.sizes());
+    let (_, watching) = bench
+        .controller
+        .api_server
+        .as_ref()
+        .map_or((0, 0), |d| d.sizes());
     println!(
         "{watching} watchers: {:.2} MB",
         (held() - before) as f64 / 1e6
--- a/crates/simulator/examples/hunt.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -1,8 +1,8 @@
 //! Plays random days and prints those that break a rule or leave work undone:
-//! `cargo run --release -p dillcleat-simulator --example hunt -- FROM TO [--form objects]`.
+//! `cargo run --release -p dillcleat-simulator --example fault_search -- FROM TO [--form objects]`.
 
 use clap::{Parser, ValueEnum};
-use dillcleat_simulator::{Form, Scenario, World};
+use dillcleat_simulator::{Scenario, Simulation, SubmissionForm};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -55,9 +55,9 @@
         .init();
     let args = Args::parse();
     let form = match args.form {
-        Given::Native => Form::Native,
-        Given::Objects => Form::Objects,
-        Given::Mixed => Form::Mixed,
+        Given::Native => SubmissionForm::Native,
+        Given::Objects => SubmissionForm::Objects,
+        Given::Mixed => SubmissionForm::Mixed,
     };
     let least = Mutex::new(None);
     // Starts sent after a confirmed cancellation, and carried out, and the day.
@@ -90,7 +90,7 @@
                     };
                     let scenario = Scenario { form, ..scenario };
                     let faults = scenario.faults.clone();
-                    let o = World::new(scenario).run();
+                    let o = Simulation::new(scenario).run();
                     created.fetch_add(o.objects.0, Ordering::Relaxed);
                     told.fetch_add(o.objects.1, Ordering::Relaxed);
                     if let Some((name, share)) = o.served.least() {
@@ -156,7 +156,7 @@
     let bad = bad.into_inner();
     let (created, told) = (created.into_inner(), told.into_inner());
     println!("{} days, {bad} with something wrong", args.to - args.from);
-    if form != Form::Native {
+    if form != SubmissionForm::Native {
         println!("a watcher was told of {created} objects and {told} ends");
     }
     if bad == 0 {
--- a/crates/simulator/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -5,7 +5,7 @@
 //! Run it on two versions of the sources: equal lines show that both behave alike.
 
 use clap::Parser;
-use dillcleat_simulator::{Form, Scenario, World};
+use dillcleat_simulator::{Scenario, Simulation, SubmissionForm};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 use std::sync::Mutex;
@@ -40,7 +40,7 @@
 
 fn objects(seed: u64) -> Scenario {
     Scenario {
-        form: Form::Objects,
+        form: SubmissionForm::Objects,
         ..Scenario::troubled(seed)
     }
 }
@@ -75,7 +75,7 @@
                     if seed >= to {
                         return;
                     }
-                    let digest = World::new(scenario(seed)).run().history;
+                    let digest = Simulation::new(scenario(seed)).run().history;
                     days.lock().expect("no holder panics")[(seed - from) as usize] = digest;
                 }
             });
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -9,7 +9,7 @@
 //! more than its memory allows.
 
 use clap::Parser;
-use dillcleat_simulator::{Outcome, Scenario, World};
+use dillcleat_simulator::{Outcome, Scenario, Simulation};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 use std::process::ExitCode;
@@ -71,7 +71,7 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let begun = Instant::now();
-    let outcome = World::new(Scenario {
+    let outcome = Simulation::new(Scenario {
         allocated: Some(allocated),
         ..Scenario::large_fleet(cli.seed, cli.scale)
     })
--- a/crates/simulator/examples/quickstart.rs
+++ b/crates/simulator/examples/quickstart.rs
@@ -3,8 +3,8 @@
 //! `cargo build --release && cargo run --release -p dillcleat-simulator --example quickstart`.
 
 use clap::Parser;
-use dillcleat_kube::Key;
-use dillcleat_simulator::processes::Trio;
+use dillcleat_kube::SigningKey;
+use dillcleat_simulator::processes::ThreeProcesses;
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     let token: String = std::iter::repeat_with(|| fastrand::digit(16))
         .take(64)
         .collect();
-    let key = Key::parse(&digits).map_err(io::Error::other)?;
+    let key = SigningKey::parse(&digits).map_err(io::Error::other)?;
     let key_file = args.dir.join("kube.key");
     let token_file = args.dir.join("token");
     std::fs::write(&key_file, &digits)?;
@@ -41,7 +41,7 @@
         "key_file = {key_file:?}\n[[kube.tokens]]\nname = \"you\"\nmac = \"{}\"\nnamespaces = [\"*\"]\nverbs = [\"*\"]\n",
         key.token(&token)
     );
-    let trio = Trio::start(&args.program, &args.dir, &kube)?;
+    let trio = ThreeProcesses::start(&args.program, &args.dir, &kube)?;
     println!("Three controllers run over stand-ins on loopback. In another shell:\n");
     println!("  export DILLCLEAT_SERVER=http://{}", trio.doors[0]);
     println!("  export DILLCLEAT_TOKEN_FILE={}", token_file.display());
--- a/crates/simulator/examples/grown.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -1,18 +1,18 @@
 //! What a controller's work costs on a large fleet, and how the cost grows:
 //!
 //! ```text
-//! cargo run --release -p dillcleat-simulator --example grown -- growth
-//! cargo run --release -p dillcleat-simulator --example grown -- waiting
-//! cargo run --release -p dillcleat-simulator --example grown -- election
-//! cargo run --release -p dillcleat-simulator --example grown -- herd
-//! cargo run --release -p dillcleat-simulator --example grown -- day 30
+//! cargo run --release -p dillcleat-simulator --example scaling -- growth
+//! cargo run --release -p dillcleat-simulator --example scaling -- waiting
+//! cargo run --release -p dillcleat-simulator --example scaling -- election
+//! cargo run --release -p dillcleat-simulator --example scaling -- herd
+//! cargo run --release -p dillcleat-simulator --example scaling -- day 30
 //! ```
 //!
 //! Times are of the machine that it runs on: compare those of one run only.
 
 use clap::{Args, Parser, Subcommand};
 use dillcleat_controller::{Micros, SECOND, micros, seconds};
-use dillcleat_simulator::{Fault, Fleet, Measured, Scenario, Setting, World};
+use dillcleat_simulator::{Fault, Fleet, FleetMeasurements, FleetSettings, Scenario, Simulation};
 use hdrhistogram::Histogram;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
@@ -107,13 +107,13 @@
 }
 
 impl Common {
-    fn setting(&self, machines: u32) -> Setting {
-        Setting {
+    fn setting(&self, machines: u32) -> FleetSettings {
+        FleetSettings {
             seed: self.seed,
             slots: self.slots,
             warm_up: micros(self.warm_up),
             measured: micros(self.measured),
-            ..Setting::of(machines)
+            ..FleetSettings::of(machines)
         }
     }
 }
@@ -123,7 +123,7 @@
     size: u32,
     figures: BTreeMap<&'static str, Histogram<u64>>,
     longest_before: u64,
-    measured: Measured,
+    measured: FleetMeasurements,
     held: usize,
 }
 
@@ -141,7 +141,7 @@
     h
 }
 
-fn play(size: u32, setting: Setting) -> Run {
+fn play(size: u32, setting: FleetSettings) -> Run {
     let mut fleet = Fleet::new(setting);
     fleet.run();
     let before = held();
@@ -269,7 +269,7 @@
             let runs: Vec<Run> = machines
                 .iter()
                 .map(|n| {
-                    let setting = Setting {
+                    let setting = FleetSettings {
                         waiting: n * waiting,
                         ..common.setting(*n)
                     };
@@ -286,7 +286,7 @@
             let runs: Vec<Run> = tasks
                 .iter()
                 .map(|n| {
-                    let setting = Setting {
+                    let setting = FleetSettings {
                         waiting: *n,
                         ..common.setting(machines)
                     };
@@ -303,7 +303,7 @@
             held,
             common,
         } => {
-            let setting = Setting {
+            let setting = FleetSettings {
                 held,
                 state_rps: rps,
                 state_write_rps: write_rps,
@@ -322,7 +322,7 @@
             let from = setting.warm_up;
             account(&play(
                 machines,
-                Setting {
+                FleetSettings {
                     cpu_share: Some(share),
                     silence: Some((from, micros(silence))),
                     ..setting
@@ -335,7 +335,7 @@
 }
 
 fn day(scale: u32) {
-    let o = World::new(Scenario {
+    let o = Simulation::new(Scenario {
         // A leader's start on a full fleet is part of the work.
         faults: vec![(
             60 * SECOND,
--- a/crates/simulator/examples/shares.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -7,8 +7,8 @@
 
 use clap::Parser;
 use dillcleat_controller::{Micros, micros};
-use dillcleat_simulator::Shares;
-use dillcleat_simulator::served::LEAST;
+use dillcleat_simulator::ServiceShares;
+use dillcleat_simulator::service_shares::LEAST;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -104,7 +104,7 @@
     }
 }
 
-fn shares(report: &DayReport, log: &str) -> Shares {
+fn shares(report: &DayReport, log: &str) -> ServiceShares {
     let mut arrays: BTreeMap<&str, Array> = BTreeMap::new();
     let mut done: BTreeMap<&str, Micros> = BTreeMap::new();
     let mut cancelled = BTreeSet::new();
@@ -128,7 +128,7 @@
     }
     hand_down(&mut arrays);
     let end = micros(report.duration_s);
-    let mut shares = Shares::default();
+    let mut shares = ServiceShares::default();
     for (job, a) in arrays {
         let Some(due) = a.due.filter(|due| *due < end && !cancelled.contains(job)) else {
             continue;
--- a/crates/simulator/src/troubles.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -1,12 +1,12 @@
 //! The troubles of a day, as they begin.
 
 use crate::scenario::{Fault, LEADER};
+use crate::simulation::{BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZoneCut};
 use crate::worker::Worker;
-use crate::world::{Boots, Ev, Host, SiteCut, Spell, World, ZONES};
 use dillcleat_controller::Micros;
 use std::collections::BTreeSet;
 
-impl World {
+impl Simulation {
     fn some_machines(&mut self, n: usize) -> Vec<String> {
         self.some_machines_of(n, None)
     }
@@ -33,13 +33,13 @@
     fn ends(&mut self, node: usize, back: Micros) {
         self.dismiss(node);
         self.nodes[node].epoch += 1;
-        self.at(back, Ev::Restart { node });
+        self.at(back, Event::Restart { node });
     }
 
     pub(crate) fn fault(&mut self, fault: Fault) {
         let now = self.now;
         let count = self.nodes.len();
-        let leads = |n: &Host| n.node.as_ref().and_then(|c| c.node.leading());
+        let leads = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
         let leader = (0..count).max_by_key(|n| leads(&self.nodes[*n]));
         let numbered = |node: usize| match node {
             LEADER => leader.unwrap_or(0),
@@ -67,7 +67,7 @@
             Fault::CutZone { zone, time } => self.zone_cut[zone % 3] = now + time,
             Fault::CutSite { zone, time, cut } => {
                 let zone = zone.or(leader).unwrap_or(0) % 3;
-                self.site_cut[zone] = SiteCut {
+                self.site_cut[zone] = ZoneCut {
                     until: now + time,
                     cut,
                 };
@@ -118,7 +118,7 @@
                         w.recall_at = Some(at);
                         w.report_at = now;
                     }
-                    self.at(at, Ev::Taken { machine });
+                    self.at(at, Event::Taken { machine });
                 }
             }
             Fault::CloudOutage { time } => self.cloud.out_until = now + time,
@@ -128,7 +128,7 @@
                 factor,
                 never,
             } => {
-                self.boots = Boots {
+                self.boots = BootDelays {
                     until: now + time,
                     factor,
                     never,
@@ -142,20 +142,20 @@
             Fault::CloseLooks { time } => self.close_looks_until = now + time,
             Fault::OddRequests { time } => {
                 self.odd_until = now + time;
-                self.at(now, Ev::Odd);
+                self.at(now, Event::Odd);
             }
             Fault::CancelsAtOnce { percent, time } => {
-                self.cancels_at_once = Spell::new(now + time, percent);
+                self.cancels_at_once = FaultWindow::new(now + time, percent);
             }
             Fault::CancelsAtEnd { percent, time } => {
-                self.cancels_at_end = Spell::new(now + time, percent);
+                self.cancels_at_end = FaultWindow::new(now + time, percent);
             }
             Fault::CancelsNow { jobs, hang } => self.cancels_now(jobs, hang),
             Fault::AnswersLost { percent, time } => {
-                self.answers_lost = Spell::new(now + time, percent);
+                self.answers_lost = FaultWindow::new(now + time, percent);
             }
             Fault::ReportsForNext { percent, time } => {
-                self.reports_for_next = Spell::new(now + time, percent);
+                self.reports_for_next = FaultWindow::new(now + time, percent);
             }
             Fault::Faulty => {
                 for name in self.some_machines(1) {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -8,9 +8,9 @@
 //! another, so the number of waiting tasks stays about what it was.
 
 use crate::cloud::{Cloud, Host};
-use crate::rules::Place;
-use crate::state::{PageLimit, StateService, Watches};
-use crate::worker::{Happening, PATIENCE, Play, Worker};
+use crate::rules::MachineIdentity;
+use crate::store::{PageLimit, SimulatedStore, Watches};
+use crate::worker::{PATIENCE, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord, OpenJob, TaskChunk};
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
@@ -46,7 +46,7 @@
 
 /// What is played.
 #[derive(Debug, Clone)]
-pub struct Setting {
+pub struct FleetSettings {
     pub seed: u64,
     pub machines: u32,
     /// Tasks that fit on one machine; all of them run at the start.
@@ -70,11 +70,11 @@
     pub silence: Option<(Micros, Micros)>,
 }
 
-impl Setting {
+impl FleetSettings {
     /// A fleet with the state service's limits in proportion to it, as at one
     /// of a thousand machines.
-    pub fn of(machines: u32) -> Setting {
-        Setting {
+    pub fn of(machines: u32) -> FleetSettings {
+        FleetSettings {
             seed: 1,
             machines,
             slots: 10,
@@ -93,7 +93,7 @@
 
 /// What a run has come to.
 #[derive(Debug, Default)]
-pub struct Measured {
+pub struct FleetMeasurements {
     /// Time of each input while measured, in nanoseconds, by kind.
     pub inputs: BTreeMap<&'static str, Vec<u64>>,
     /// The same of the inputs before: the election, the load, the first orders.
@@ -183,7 +183,7 @@
 }
 
 pub struct Fleet {
-    setting: Setting,
+    setting: FleetSettings,
     now: Micros,
     order: u64,
     events: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -195,7 +195,7 @@
     /// What waits for the controller: reports, and all else before them.
     lines: [VecDeque<Input>; 2],
     serving: bool,
-    state: StateService,
+    state: SimulatedStore,
     calls: Bucket,
     changes: Bucket,
     cloud: Cloud,
@@ -203,7 +203,7 @@
     /// When a worker's next event is planned; earlier ones are out of date.
     planned: Vec<Micros>,
     names: HashMap<String, u32>,
-    plays: BTreeMap<String, Play>,
+    plays: BTreeMap<String, TaskBehaviour>,
     unanswered: HashMap<u64, (u32, Micros, u64)>,
     watches: Watches<CallId>,
     next: u64,
@@ -215,7 +215,7 @@
     elected: Option<Micros>,
     heard: Vec<bool>,
     unheard: u32,
-    result: Measured,
+    result: FleetMeasurements,
 }
 
 fn machine_type() -> MachineType {
@@ -233,7 +233,7 @@
     }
 }
 
-fn config(setting: &Setting) -> Config {
+fn config(setting: &FleetSettings) -> Config {
     let teams = (0..TEAMS).map(|i| Team {
         name: format!("team-{i:02}"),
         cpus: 0.0,
@@ -272,8 +272,8 @@
     /// Orders that the controller may have under way.
     pub const MAX_ORDERS: usize = 256;
 
-    pub fn new(setting: Setting) -> Fleet {
-        let mut state = StateService::new(16 * 1024, 48).paged(PageLimit::FULL);
+    pub fn new(setting: FleetSettings) -> Fleet {
+        let mut state = SimulatedStore::new(16 * 1024, 48).paged(PageLimit::FULL);
         let types = vec![machine_type()];
         state.put(
             records::TYPES.into(),
@@ -309,9 +309,9 @@
             elected: None,
             heard: vec![false; setting.machines as usize],
             unheard: setting.machines,
-            result: Measured {
+            result: FleetMeasurements {
                 least_left: LEASE,
-                ..Measured::default()
+                ..FleetMeasurements::default()
             },
             setting,
         };
@@ -323,7 +323,7 @@
     fn build(&mut self) {
         for i in 0..self.setting.machines {
             let name = format!("host-{i:06}");
-            let place = Place {
+            let place = MachineIdentity {
                 machine: name.clone(),
                 machine_type: TYPE.into(),
                 zone: ZONES[i as usize % ZONES.len()].into(),
@@ -403,7 +403,7 @@
             estimate_s: self.setting.run as f64 / SECOND as f64,
             ..JobSpec::plain(&id, kind, tasks, cpus)
         };
-        let play = Play {
+        let play = TaskBehaviour {
             spec: spec.clone(),
             run: self.rng.u64(self.setting.run / 2..self.setting.run * 3 / 2),
             fails: false,
@@ -482,7 +482,7 @@
             .map_or(SchedulerCounters::default(), Node::counts);
     }
 
-    pub fn into_measured(self) -> Measured {
+    pub fn into_measured(self) -> FleetMeasurements {
         self.result
     }
 
@@ -779,7 +779,7 @@
         let worker = &mut self.workers[i];
         let session = worker.session;
         let happenings = worker.pass(self.now, LEASE, &self.plays);
-        let done = |h: &&Happening| matches!(h, Happening::Leaves { done: true, .. });
+        let done = |h: &&WorkerEvent| matches!(h, WorkerEvent::Leaves { done: true, .. });
         let ends = happenings.iter().filter(done).count() as u64;
         if worker.session > session {
             self.result.leases_lost += 1;
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -5,7 +5,7 @@
 //! that renaming a Rust type or field does not change the digest.
 
 use dillcleat_controller::{JobEvent, Micros, Output};
-use dillcleat_kube::Out;
+use dillcleat_kube::ControllerOutput;
 use dillcleat_peer_protocol::Message;
 use sha2::{Digest, Sha256};
 
@@ -33,21 +33,21 @@
 
 impl OutputHistory {
     /// Adds one output of a node, with the simulated time at which it was made.
-    pub fn record(&mut self, now: Micros, node: usize, output: &Out) {
+    pub fn record(&mut self, now: Micros, node: usize, output: &ControllerOutput) {
         self.number(now);
         self.number(node as u64);
         match output {
-            Out::Core(output) => self.record_core(output),
-            Out::Reply { id, reply } => {
+            ControllerOutput::Core(output) => self.record_core(output),
+            ControllerOutput::Reply { id, reply } => {
                 self.answer(Kind::ObjectReply, id.0, reply.status, &reply.body);
                 self.number(u64::from(reply.retry_after.unwrap_or(0)));
             }
-            Out::Stream { id } => self.kind(Kind::WatchOpened, id.0),
-            Out::Chunk { id, bytes } => {
+            ControllerOutput::Stream { id } => self.kind(Kind::WatchOpened, id.0),
+            ControllerOutput::Chunk { id, bytes } => {
                 self.kind(Kind::WatchLines, id.0);
                 self.bytes(bytes);
             }
-            Out::End { id } => self.kind(Kind::WatchClosed, id.0),
+            ControllerOutput::End { id } => self.kind(Kind::WatchClosed, id.0),
         }
     }
 
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -5,24 +5,24 @@
 //! what lies beyond their inputs and outputs is played. Figures of a rehearsal
 //! say nothing about real deployments; its verdict on the rules does.
 
-pub mod alone;
 pub mod cloud;
+mod combined_faults;
+mod fault_injection;
 pub mod fleet;
 pub mod history;
 pub mod loopback;
-mod meetings;
 pub mod objects;
 pub mod processes;
 pub mod rules;
 pub mod scenario;
-pub mod served;
-pub mod state;
-mod troubles;
+pub mod service_shares;
+pub mod simulation;
+pub mod single_node;
+pub mod store;
 pub mod worker;
-pub mod world;
 
-pub use fleet::{Fleet, Measured, Setting};
-pub use rules::{Checker, Late, Rule, Violation};
-pub use scenario::{Cut, Fault, Form, LEADER, Moment, Scenario};
-pub use served::Shares;
-pub use world::{Outcome, World};
+pub use fleet::{Fleet, FleetMeasurements, FleetSettings};
+pub use rules::{Checker, LateLaunches, Rule, Violation};
+pub use scenario::{Cut, Fault, LEADER, Moment, Scenario, SubmissionForm};
+pub use service_shares::ServiceShares;
+pub use simulation::{Outcome, Simulation};
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -2,9 +2,9 @@
 //! processes on the loopback interface.
 
 use crate::cloud::Cloud;
-use crate::rules::Place;
-use crate::state::StateService;
-use crate::worker::{Play, Worker};
+use crate::rules::MachineIdentity;
+use crate::store::SimulatedStore;
+use crate::worker::{TaskBehaviour, Worker};
 use dillcleat_controller::records::OpenJob;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{CloudRequest, CloudResponse, MachineNames, MachineType, ScaleOut};
@@ -23,10 +23,10 @@
 const STEP: Duration = Duration::from_millis(20);
 
 struct Inner {
-    state: StateService,
+    state: SimulatedStore,
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
-    plays: BTreeMap<String, Play>,
+    plays: BTreeMap<String, TaskBehaviour>,
 }
 
 impl Inner {
@@ -43,7 +43,7 @@
             {
                 let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
                 let id = open.spec.id.clone();
-                self.plays.entry(id).or_insert(Play {
+                self.plays.entry(id).or_insert(TaskBehaviour {
                     spec: open.spec,
                     run,
                     fails: false,
@@ -96,7 +96,7 @@
         let workers = TcpListener::bind("127.0.0.1:0")?;
         let world = Loopback {
             inner: Arc::new(Mutex::new(Inner {
-                state: StateService::new(16 * 1024, 48),
+                state: SimulatedStore::new(16 * 1024, 48),
                 cloud: Cloud::new(types, 4, 0),
                 workers: BTreeMap::new(),
                 plays: BTreeMap::new(),
@@ -139,7 +139,7 @@
     }
 
     /// Tells the workers what a job is like; users upload that elsewhere.
-    pub fn knows(&self, play: Play) {
+    pub fn knows(&self, play: TaskBehaviour) {
         self.inner().plays.insert(play.spec.id.clone(), play);
     }
 
@@ -200,7 +200,7 @@
                 .iter()
                 .find(|t| t.name == h.machine_type)
                 .map_or(0.0, |t| t.cpus);
-            let place = Place {
+            let place = MachineIdentity {
                 machine: name.clone(),
                 machine_type: h.machine_type,
                 zone: h.zone,
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -2,7 +2,7 @@
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_kube::record::{Kind, Name};
-use dillcleat_kube::{Key, Rules, Settings};
+use dillcleat_kube::{Rules, Settings, SigningKey};
 use dillcleat_wire::user::{JobSpec, JobState, Priority};
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -12,9 +12,9 @@
 pub const TOKEN: &str = "a-token-for-rehearsals";
 
 /// The operators' key of every rehearsal.
-fn key() -> Key {
+fn key() -> SigningKey {
     // Thirty-two bytes of hexadecimal digits cannot be refused.
-    Key::parse(&"5c".repeat(32)).unwrap_or_else(|e| panic!("{e}"))
+    SigningKey::parse(&"5c".repeat(32)).unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// The rules of a rehearsal's doors.
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -113,7 +113,7 @@
 }
 
 /// Three controllers with doors, whose team is `books`.
-pub struct Trio {
+pub struct ThreeProcesses {
     pub world: Loopback,
     pub clients: Vec<SocketAddr>,
     /// Where Kubernetes-shaped clients are served.
@@ -123,9 +123,9 @@
     nodes: Vec<Option<Process>>,
 }
 
-impl Trio {
+impl ThreeProcesses {
     /// `kube`: what the table of the door holds besides its address.
-    pub fn start(program: &Path, dir: &Path, kube: &str) -> io::Result<Trio> {
+    pub fn start(program: &Path, dir: &Path, kube: &str) -> io::Result<ThreeProcesses> {
         let (addrs, held) = free_addrs(9)?;
         let part = |i: usize| addrs[3 * i..3 * i + 3].to_vec();
         let (clients, mesh, doors) = (part(0), part(1), part(2));
@@ -141,7 +141,7 @@
             files.push((own, door));
         }
         drop(held);
-        let mut trio = Trio {
+        let mut trio = ThreeProcesses {
             world,
             clients,
             doors,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,8 +1,8 @@
 //! The rules of the protocol, checked against what really happens.
 
-mod waiting;
+mod waiting_jobs;
 
-pub use waiting::Room;
+pub use waiting_jobs::Room;
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
@@ -50,7 +50,7 @@
 
 /// Where a task is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct MachineIdentity {
     pub machine: String,
     pub machine_type: String,
     pub zone: String,
@@ -78,7 +78,7 @@
 
 /// What happened to jobs after their users had been told that they are cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Late {
+pub struct LateLaunches {
     /// Commands to start a task that were sent.
     pub launches: u64,
     /// Tasks that started. Whose command was under way, nobody can call back.
@@ -121,9 +121,9 @@
     /// Of the teams that have any.
     limits: BTreeMap<String, Limit>,
     jobs: BTreeMap<String, Job>,
-    on: BTreeMap<TaskName, Place>,
+    on: BTreeMap<TaskName, MachineIdentity>,
     starts: u64,
-    late: Late,
+    late: LateLaunches,
     polls: Polls,
     /// From this time on there are no troubles: whoever asks is to be answered.
     pub troubles_end: Micros,
@@ -138,7 +138,7 @@
             jobs: BTreeMap::new(),
             on: BTreeMap::new(),
             starts: 0,
-            late: Late::default(),
+            late: LateLaunches::default(),
             polls: Polls::default(),
             troubles_end: Micros::MAX,
             violations: Vec::new(),
@@ -339,7 +339,7 @@
     }
 
     /// A task has its image and starts on a machine.
-    pub fn starts(&mut self, task: &TaskName, place: &Place, now: Micros) {
+    pub fn starts(&mut self, task: &TaskName, place: &MachineIdentity, now: Micros) {
         self.starts += 1;
         if let Some(other) = self.on.get(task) {
             let what = format!(
@@ -426,7 +426,7 @@
     }
 
     /// The tasks of a job that are on machines.
-    fn tasks_of(&self, id: &str) -> impl Iterator<Item = (&TaskName, &Place)> {
+    fn tasks_of(&self, id: &str) -> impl Iterator<Item = (&TaskName, &MachineIdentity)> {
         let bound = |index| TaskName {
             job: id.to_string(),
             index,
@@ -479,7 +479,7 @@
     }
 
     /// What happened to cancelled jobs.
-    pub fn late(&self) -> Late {
+    pub fn late(&self) -> LateLaunches {
         self.late
     }
 
--- a/crates/simulator/src/rules/waiting.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -1,6 +1,6 @@
 //! Who is left waiting although a machine has room.
 
-use super::{Checker, Job, Place, Rule};
+use super::{Checker, Job, MachineIdentity, Rule};
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::JobSpec;
@@ -12,7 +12,7 @@
 /// A machine as it is at a look.
 #[derive(Debug, Clone)]
 pub struct Room {
-    pub place: Place,
+    pub place: MachineIdentity,
     /// CPUs and GPUs that no task takes.
     pub cpus: f64,
     pub gpus: f64,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -234,7 +234,7 @@
 
 /// How users hand in their arrays. Services come by the users' protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Form {
+pub enum SubmissionForm {
     /// By the users' protocol.
     #[default]
     Native,
@@ -249,17 +249,20 @@
     Mixed,
 }
 
-impl Form {
+impl SubmissionForm {
     /// Whether there are objects at all.
     pub fn objects(self) -> bool {
-        matches!(self, Form::Shadow | Form::Objects | Form::Mixed)
+        matches!(
+            self,
+            SubmissionForm::Shadow | SubmissionForm::Objects | SubmissionForm::Mixed
+        )
     }
 }
 
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub seed: u64,
-    pub form: Form,
+    pub form: SubmissionForm,
     pub faults: Vec<(Micros, Fault)>,
     pub jobs: usize,
     /// Tasks of the first job, if it is to be a very large array.
@@ -553,7 +556,7 @@
         let busy = 200 * SECOND;
         Scenario {
             seed,
-            form: Form::Native,
+            form: SubmissionForm::Native,
             faults: Vec::new(),
             jobs: 14,
             large: None,
--- a/crates/simulator/src/served.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -115,11 +115,11 @@
 
 /// Of all classes and teams of a day.
 #[derive(Debug, Clone, Default)]
-pub struct Shares {
+pub struct ServiceShares {
     rows: BTreeMap<(Group, String), Served>,
 }
 
-impl Shares {
+impl ServiceShares {
     /// Counts something of a job for its class and for its team.
     pub fn count(&mut self, class: &str, team: &str, add: impl Fn(&mut Served)) {
         for (group, name) in [(Group::Class, class), (Group::Team, team)] {
@@ -156,7 +156,7 @@
     }
 }
 
-impl fmt::Display for Shares {
+impl fmt::Display for ServiceShares {
     /// A table: of each share the day's and, in brackets, the worst minute's.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(f, "| of | {} |", Served::COLUMNS.join(" | "))?;
@@ -181,7 +181,7 @@
 
     #[test]
     fn who_is_served_less_than_half_is_named_by_class_and_by_team() {
-        let mut shares = Shares::default();
+        let mut shares = ServiceShares::default();
         shares.count("merge", "books", |s| s.work.add(0, 100.0, 40.0));
         shares.count("merge", "maps", |s| s.work.add(MINUTE, 100.0, 100.0));
         shares.count("web", "maps", |s| s.replicas.add(0, 100.0, 0.0));
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -11,35 +11,42 @@
 /// After so long without a line, bookmarks included, it goes elsewhere.
 const QUIET: Micros = 60 * SECOND;
 
-impl World {
+impl Simulation {
     /// The Job that an array of the day is handed in as.
     pub(super) fn plan(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
         let throughout = match self.scenario.form {
             _ if spec.kind != JobKind::Batch => return None,
-            Form::Native => return None,
-            Form::Twin | Form::Shadow => false,
-            Form::Objects => true,
-            Form::Mixed if job.is_multiple_of(2) => true,
-            Form::Mixed => return None,
+            SubmissionForm::Native => return None,
+            SubmissionForm::Twin | SubmissionForm::Shadow => false,
+            SubmissionForm::Objects => true,
+            SubmissionForm::Mixed if job.is_multiple_of(2) => true,
+            SubmissionForm::Mixed => return None,
         };
         let plan = Plan::new(job, spec, throughout, &mut self.side);
-        Some(plan).filter(|_| self.scenario.form != Form::Twin)
+        Some(plan).filter(|_| self.scenario.form != SubmissionForm::Twin)
     }
 
-    fn ask_door(&mut self, node: usize, asker: Asker, method: &str, target: String, body: Vec<u8>) {
+    fn ask_door(
+        &mut self,
+        node: usize,
+        asker: Requester,
+        method: &str,
+        target: String,
+        body: Vec<u8>,
+    ) {
         self.next += 1;
         let request = self.next;
-        let aside = matches!(asker, Asker::Watcher);
+        let aside = matches!(asker, Requester::Watcher);
         self.asked.insert(request, (asker, self.now));
         let epoch = self.nodes[node].epoch;
         if aside {
             self.watcher.begins(request, node, epoch, self.now);
         } else {
-            self.at(self.now + USER_TIMEOUT, Ev::UserTimeout { request });
+            self.at(self.now + USER_TIMEOUT, Event::UserTimeout { request });
         }
         let at = self.now + self.delay_of(aside) / 4;
         let patch = "application/merge-patch+json".to_string();
-        let ask = Box::new(Ask {
+        let ask = Box::new(ApiRequest {
             method: method.into(),
             target,
             bearer: Some(TOKEN.into()),
@@ -47,7 +54,7 @@
             body,
             accept: None,
         });
-        let ev = Ev::Ask {
+        let ev = Event::Ask {
             node,
             epoch,
             request,
@@ -70,7 +77,7 @@
             let spec = u.spec.clone();
             self.checker.submits(&spec);
             let what = What::Create;
-            let asker = Asker::Object { job, what };
+            let asker = Requester::Object { job, what };
             self.ask_door(node, asker, "POST", path, body.into_bytes());
             return true;
         }
@@ -95,7 +102,7 @@
         } else {
             (What::Get, "GET", own, String::new())
         };
-        let asker = Asker::Object { job, what };
+        let asker = Requester::Object { job, what };
         self.ask_door(node, asker, method, target, body.into_bytes());
         true
     }
@@ -194,10 +201,10 @@
             let node = self.side.usize(..self.nodes.len());
             if self.nodes[node].node.is_some() {
                 let path = self.watcher.path();
-                self.ask_door(node, Asker::Watcher, "GET", path, Vec::new());
+                self.ask_door(node, Requester::Watcher, "GET", path, Vec::new());
             }
         }
-        self.at(now + REWATCH, Ev::Rewatch);
+        self.at(now + REWATCH, Event::Rewatch);
     }
 
     fn watches(&self, request: u64) -> bool {
--- a/crates/simulator/src/world/pressing.rs
+++ b/crates/simulator/src/simulation/impatient_users.rs
@@ -3,21 +3,21 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// The job of which an answer tells its user for the first time that it is accepted
     /// or has ended, and whether it is accepted.
     pub(super) fn news(
         &self,
-        asker: &Asker,
+        asker: &Requester,
         status: u16,
         state: Option<JobState>,
     ) -> Option<(usize, bool)> {
-        let (Asker::Submission { job }
-        | Asker::Poll { job }
-        | Asker::Cancel { job }
-        | Asker::Look { job }
-        | Asker::Again { job }
-        | Asker::CallOff { job }) = asker
+        let (Requester::Submission { job }
+        | Requester::Poll { job }
+        | Requester::Cancel { job }
+        | Requester::Look { job }
+        | Requester::Again { job }
+        | Requester::CallOff { job }) = asker
         else {
             return None;
         };
@@ -35,7 +35,7 @@
         }
         if accepted && self.users[job].ended.is_none() && self.befalls(self.cancels_at_once) {
             let at = self.now + self.side.u64(..5 * MILLISECOND);
-            self.at(at, Ev::CallOff { job });
+            self.at(at, Event::CallOff { job });
         }
     }
 
@@ -44,7 +44,7 @@
         for node in 0..self.nodes.len() {
             for again in [false, true] {
                 let at = self.now + self.side.u64(..5 * MILLISECOND);
-                self.at(at, Ev::Look { job, node, again });
+                self.at(at, Event::Look { job, node, again });
             }
         }
     }
@@ -52,10 +52,10 @@
     pub(super) fn look(&mut self, job: usize, node: usize, again: bool) {
         let spec = self.users[job].spec.clone();
         if again {
-            self.submit(node, Asker::Again { job }, &spec);
+            self.submit(node, Requester::Again { job }, &spec);
         } else {
             let path = poll_path(&spec.id);
-            self.ask(node, Asker::Look { job }, "GET", path, Vec::new());
+            self.ask(node, Requester::Look { job }, "GET", path, Vec::new());
         }
     }
 
@@ -68,7 +68,7 @@
         let id = u.spec.id.clone();
         self.checker.asks_to_cancel(&id);
         let node = self.side.usize(..self.nodes.len());
-        let asker = Asker::CallOff { job };
+        let asker = Requester::CallOff { job };
         self.ask(node, asker, "POST", cancel_path(&id), Vec::new());
     }
 
@@ -85,12 +85,12 @@
         let within = [5, 100, 1500][self.side.usize(..3)] * MILLISECOND;
         let at = self.now + self.side.u64(..within);
         if self.users[job].ended.is_none() {
-            self.at(at, Ev::CallOff { job });
+            self.at(at, Event::CallOff { job });
         }
         for again in [false, true] {
             let at = at + self.side.u64(..20 * MILLISECOND);
             let node = self.side.usize(..self.nodes.len());
-            self.at(at, Ev::Look { job, node, again });
+            self.at(at, Event::Look { job, node, again });
         }
     }
 
@@ -114,7 +114,7 @@
         for job in some {
             machines.extend(self.checker.machines(&self.users[job].spec.id));
             let at = self.now + self.side.u64(..SECOND / 5);
-            self.at(at, Ev::CallOff { job });
+            self.at(at, Event::CallOff { job });
         }
         machines.sort();
         machines.dedup();
@@ -142,14 +142,14 @@
                 team: if n % 3 == 0 { "bound" } else { "free" }.into(),
                 ..JobSpec::plain(&id, JobKind::Batch, 1, 1.0)
             };
-            let play = Play {
+            let play = TaskBehaviour {
                 run: self.side.u64(SECOND..8 * SECOND),
                 fails: false,
                 spec: spec.clone(),
             };
             self.plays.insert(id, play);
             self.users.push(User::new(spec, cancel_at));
-            self.at(at, Ev::User { job });
+            self.at(at, Event::User { job });
         }
     }
 }
--- a/crates/simulator/src/world/odd.rs
+++ b/crates/simulator/src/simulation/invalid_requests.rs
@@ -48,7 +48,7 @@
     all[rng.usize(..all.len())].clone()
 }
 
-impl World {
+impl Simulation {
     pub(super) fn odd(&mut self) {
         if self.now >= self.odd_until {
             return;
@@ -71,13 +71,13 @@
                     2 => spec.tasks += 1,
                     _ => {}
                 }
-                self.submit(node, Asker::Again { job: some }, &spec);
+                self.submit(node, Requester::Again { job: some }, &spec);
             }
             1 if done => self.call_off(some),
             _ => self.submit_wrong(node),
         }
         let next = self.now + self.side.u64(SECOND / 5..2 * SECOND);
-        self.at(next, Ev::Odd);
+        self.at(next, Event::Odd);
     }
 
     /// Submits what can't run or lacks a field, and asks for it elsewhere.
@@ -103,13 +103,13 @@
             }
         };
         let body = dillcleat_wire::encode(&body);
-        let asker = Asker::Refused {
+        let asker = Requester::Refused {
             id: id.clone(),
             status,
         };
         self.ask(node, asker, "POST", JOBS_PATH.into(), body);
         let other = self.side.usize(..self.nodes.len());
         let path = poll_path(&id);
-        self.ask(other, Asker::Stranger { id }, "GET", path, Vec::new());
+        self.ask(other, Requester::Stranger { id }, "GET", path, Vec::new());
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -2,10 +2,10 @@
 //! holds messages back, and troubles at set times.
 
 mod clients;
+mod impatient_users;
+mod invalid_requests;
 mod network;
-mod odd;
 mod pipelines;
-mod pressing;
 mod services;
 mod users;
 mod workers;
@@ -14,17 +14,17 @@
 use crate::cloud::Cloud;
 use crate::history::OutputHistory;
 use crate::objects::{self, Plan, Watcher};
-use crate::rules::{Checker, Late, Limit, Place, Violation};
-use crate::scenario::{Cut, Fault, Form, Scenario};
-use crate::served::Shares;
-use crate::state::{StateService, Watches};
-use crate::worker::{Happening, PATIENCE, Play, Worker};
+use crate::rules::{Checker, LateLaunches, Limit, MachineIdentity, Violation};
+use crate::scenario::{Cut, Fault, Scenario, SubmissionForm};
+use crate::service_shares::ServiceShares;
+use crate::store::{SimulatedStore, Watches};
+use crate::worker::{PATIENCE, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::config::DeadlineAim;
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
     Timestamp, Tuning,
 };
-use dillcleat_kube::{Ask, Controller, Out};
+use dillcleat_kube::{ApiRequest, Controller, ControllerOutput};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::{CloudRequest, MachineType};
 use dillcleat_wire::platform::Team;
@@ -84,13 +84,13 @@
     /// out.
     pub late_hits: usize,
     /// What happened to jobs after their users had been told that they are cancelled.
-    pub late: Late,
+    pub late: LateLaunches,
     /// Odd requests that were made.
     pub odd_requests: u64,
     /// The most machines that were up at once.
     pub machines: usize,
     /// How much of each class and team was served.
-    pub served: Shares,
+    pub served: ServiceShares,
     /// Leaders that were elected.
     pub terms: u64,
     /// Calls to the state service, watches aside.
@@ -118,7 +118,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) enum Ev {
+pub(crate) enum Event {
     Tick {
         node: usize,
         epoch: u32,
@@ -137,7 +137,7 @@
         node: usize,
         epoch: u32,
         request: u64,
-        ask: Box<Ask>,
+        ask: Box<ApiRequest>,
     },
     /// The client of a watch that goes on goes to another node.
     Rewatch,
@@ -212,7 +212,7 @@
 
 /// Who leads, as seen from a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Led {
+pub(crate) enum ObservedLeader {
     Itself,
     Nobody,
     Another,
@@ -227,7 +227,7 @@
     heard: bool,
     /// Of a call to the cloud: who led, by the state service, when it was put on its
     /// way; None if that was just before it arrived.
-    led: Option<Led>,
+    led: Option<ObservedLeader>,
     /// Its luck is drawn apart, so that what else happens is what it would be
     /// without it.
     aside: bool,
@@ -236,7 +236,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Asker {
+enum Requester {
     Worker {
         machine: String,
         session: u64,
@@ -324,7 +324,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Host {
+pub(crate) struct NodeHost {
     pub node: Option<Controller>,
     pub epoch: u32,
     pub refused_until: Micros,
@@ -340,14 +340,14 @@
 
 /// A zone that is cut off with all that is in it.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SiteCut {
+pub(crate) struct ZoneCut {
     pub until: Micros,
     pub cut: Cut,
 }
 
 /// A spell in which machines come up late, never or at once.
 #[derive(Debug, Default)]
-pub(crate) struct Boots {
+pub(crate) struct BootDelays {
     pub until: Micros,
     pub factor: u64,
     pub never: u64,
@@ -355,38 +355,38 @@
 
 /// Until when something befalls so many of a hundred.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Spell {
+pub(crate) struct FaultWindow {
     until: Micros,
     percent: u8,
 }
 
-impl Spell {
-    pub(crate) fn new(until: Micros, percent: u8) -> Spell {
-        Spell { until, percent }
+impl FaultWindow {
+    pub(crate) fn new(until: Micros, percent: u8) -> FaultWindow {
+        FaultWindow { until, percent }
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub(crate) now: Micros,
     order: u64,
     events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Ev>,
+    what: BTreeMap<u64, Event>,
     pub(crate) rng: Rng,
     /// Luck of what must not disturb the rest of the day.
     side: Rng,
     config: Config,
-    pub(crate) nodes: Vec<Host>,
-    pub(crate) state: StateService,
+    pub(crate) nodes: Vec<NodeHost>,
+    pub(crate) state: SimulatedStore,
     pub(crate) cloud: Cloud,
     pub(crate) workers: BTreeMap<String, Worker>,
     watches: Watches<Caller>,
     next: u64,
     /// Who waits for an answer, and since when.
-    asked: BTreeMap<u64, (Asker, Micros)>,
+    asked: BTreeMap<u64, (Requester, Micros)>,
     users: Vec<User>,
-    plays: BTreeMap<String, Play>,
+    plays: BTreeMap<String, TaskBehaviour>,
     pub(crate) zone_cut: [Micros; 3],
-    pub(crate) site_cut: [SiteCut; 3],
+    pub(crate) site_cut: [ZoneCut; 3],
     pub(crate) flaky_until: Micros,
     pub(crate) storm_until: Micros,
     pub(crate) too_many_until: Micros,
@@ -396,14 +396,14 @@
     pub(crate) close_looks_until: Micros,
     pub(crate) odd_until: Micros,
     odd_requests: u64,
-    pub(crate) cancels_at_once: Spell,
-    pub(crate) cancels_at_end: Spell,
-    pub(crate) answers_lost: Spell,
-    pub(crate) reports_for_next: Spell,
+    pub(crate) cancels_at_once: FaultWindow,
+    pub(crate) cancels_at_end: FaultWindow,
+    pub(crate) answers_lost: FaultWindow,
+    pub(crate) reports_for_next: FaultWindow,
     /// Copies of reports for the next leader, and the last term that one had.
     kept_reports: Vec<Heartbeat>,
     last_term: u64,
-    pub(crate) boots: Boots,
+    pub(crate) boots: BootDelays,
     checker: Checker,
     scenario: Scenario,
     /// Inputs that nodes took.
@@ -419,7 +419,7 @@
     lost: usize,
     /// Machines that went by calls whose sender led no more when they were carried out.
     late_hits: usize,
-    served: Shares,
+    served: ServiceShares,
     costs: Costs,
     pub(crate) largest_node: usize,
 }
@@ -532,8 +532,8 @@
     }
 }
 
-impl World {
-    pub fn new(scenario: Scenario) -> World {
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
         let config = settings(&scenario, 0);
         let limits = config
             .teams
@@ -541,7 +541,7 @@
             .map(|t| (t.name.clone(), Limit::of(t)))
             .filter(|(_, limit)| limit.cpus > 0.0 || limit.gpus > 0.0)
             .collect();
-        let mut w = World {
+        let mut w = Simulation {
             now: 0,
             order: 0,
             events: BinaryHeap::new(),
@@ -549,7 +549,7 @@
             rng: Rng::with_seed(scenario.seed),
             side: Rng::with_seed(scenario.seed ^ 0x5151),
             nodes: (0..scenario.nodes)
-                .map(|_| Host {
+                .map(|_| NodeHost {
                     node: None,
                     epoch: 0,
                     refused_until: 0,
@@ -562,8 +562,8 @@
                 })
                 .collect(),
             state: match scenario.upgrade {
-                None => StateService::new(config.value_bytes, config.txn_ops),
-                Some(_) => StateService::new(WIDE.0, WIDE.1),
+                None => SimulatedStore::new(config.value_bytes, config.txn_ops),
+                Some(_) => SimulatedStore::new(WIDE.0, WIDE.1),
             },
             cloud: Cloud::new(types(scenario.tight), 4 * scenario.scale, config.list_lag),
             workers: BTreeMap::new(),
@@ -573,7 +573,7 @@
             users: Vec::new(),
             plays: BTreeMap::new(),
             zone_cut: [0; 3],
-            site_cut: [SiteCut {
+            site_cut: [ZoneCut {
                 until: 0,
                 cut: Cut::Held,
             }; 3],
@@ -586,13 +586,13 @@
             close_looks_until: 0,
             odd_until: 0,
             odd_requests: 0,
-            cancels_at_once: Spell::default(),
-            cancels_at_end: Spell::default(),
-            answers_lost: Spell::default(),
-            reports_for_next: Spell::default(),
+            cancels_at_once: FaultWindow::default(),
+            cancels_at_end: FaultWindow::default(),
+            answers_lost: FaultWindow::default(),
+            reports_for_next: FaultWindow::default(),
             kept_reports: Vec::new(),
             last_term: 0,
-            boots: Boots::default(),
+            boots: BootDelays::default(),
             checker: Checker::new(config.cancel, limits),
             config,
             inputs: 0,
@@ -605,18 +605,18 @@
             most_machines: 0,
             lost: 0,
             late_hits: 0,
-            served: Shares::default(),
+            served: ServiceShares::default(),
             costs: Costs::new(),
             largest_node: 0,
             scenario,
         };
         for node in 0..w.scenario.nodes {
-            w.at(0, Ev::Restart { node });
+            w.at(0, Event::Restart { node });
         }
         let ends = w.scenario.faults.iter().map(|(at, f)| at + f.lasts());
         w.checker.troubles_end = ends.max().unwrap_or(0).max(w.scenario.busy);
         for (at, fault) in w.scenario.faults.clone() {
-            w.at(at, Ev::Fault(Box::new(fault)));
+            w.at(at, Event::Fault(Box::new(fault)));
         }
         for job in 0..w.scenario.jobs {
             w.add_user(job);
@@ -625,27 +625,27 @@
         w.add_stream();
         if let Some((first, every)) = w.scenario.upgrade {
             for node in 0..w.scenario.nodes {
-                w.at(first + every * node as u64, Ev::Replace { node });
+                w.at(first + every * node as u64, Event::Replace { node });
             }
         }
         if let Some(at) = w.scenario.limits_fall {
-            w.at(at, Ev::LimitsFall);
+            w.at(at, Event::LimitsFall);
         }
-        w.at(SECOND, Ev::Workers);
-        w.at(SECOND, Ev::Note);
-        w.at(10 * SECOND, Ev::Stranger);
+        w.at(SECOND, Event::Workers);
+        w.at(SECOND, Event::Note);
+        w.at(10 * SECOND, Event::Stranger);
         if w.scenario.form.objects() {
-            w.at(2 * SECOND, Ev::Rewatch);
+            w.at(2 * SECOND, Event::Rewatch);
         }
         w
     }
 
     /// Whether a spell befalls this one.
-    fn befalls(&mut self, spell: Spell) -> bool {
+    fn befalls(&mut self, spell: FaultWindow) -> bool {
         self.now < spell.until && self.side.u8(..100) < spell.percent
     }
 
-    pub(crate) fn at(&mut self, at: Micros, ev: Ev) {
+    pub(crate) fn at(&mut self, at: Micros, ev: Event) {
         self.order += 1;
         self.events.push(Reverse((at.max(self.now), self.order)));
         self.what.insert(self.order, ev);
@@ -756,7 +756,7 @@
         }
     }
 
-    fn wake_door(&mut self, node: usize, request: u64, ask: Ask) {
+    fn wake_door(&mut self, node: usize, request: u64, ask: ApiRequest) {
         let now = self.clocks(node);
         let epoch = self.nodes[node].epoch;
         if let Some(n) = self.nodes[node].node.as_mut() {
@@ -776,25 +776,25 @@
 
     fn input(&mut self, at: Micros, node: usize, epoch: u32, input: Input) {
         let input = Box::new(input);
-        self.at(at, Ev::ToNode { node, epoch, input });
+        self.at(at, Event::ToNode { node, epoch, input });
     }
 
     /// Days that are compared draw the luck of each event anew, by its time and by what
     /// it is: calls that only one of them makes leave the others what they are.
-    fn draw_anew(&mut self, ev: &Ev) {
+    fn draw_anew(&mut self, ev: &Event) {
         let mut hash = DefaultHasher::new();
         (self.scenario.seed, self.now).hash(&mut hash);
         let submits = match ev {
-            Ev::ToNode { input, .. } => {
+            Event::ToNode { input, .. } => {
                 matches!(&**input, Input::Request { target, .. } if target == JOBS_PATH)
             }
-            Ev::Ask { ask, .. } => ask.method == "POST",
+            Event::Ask { ask, .. } => ask.method == "POST",
             _ => false,
         };
         if !submits {
             std::mem::discriminant(ev).hash(&mut hash);
         }
-        if let Ev::User { job } = ev {
+        if let Event::User { job } = ev {
             job.hash(&mut hash);
         }
         self.rng = Rng::with_seed(hash.finish());
@@ -802,39 +802,42 @@
 
     /// Whether this day is compared with the same in another form.
     pub(crate) fn compared(&self) -> bool {
-        matches!(self.scenario.form, Form::Twin | Form::Shadow)
+        matches!(
+            self.scenario.form,
+            SubmissionForm::Twin | SubmissionForm::Shadow
+        )
     }
 
-    fn happen(&mut self, ev: Ev) {
+    fn happen(&mut self, ev: Event) {
         if self.compared() {
             self.draw_anew(&ev);
         }
         match ev {
-            Ev::Tick { node, epoch } => {
+            Event::Tick { node, epoch } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
-                    self.at(paused, Ev::Tick { node, epoch });
+                    self.at(paused, Event::Tick { node, epoch });
                 } else if self.nodes[node].epoch == epoch && self.nodes[node].node.is_some() {
                     self.wake(node, Input::Tick);
-                    self.at(self.now + 50 * MILLISECOND, Ev::Tick { node, epoch });
+                    self.at(self.now + 50 * MILLISECOND, Event::Tick { node, epoch });
                 }
             }
-            Ev::ToNode { node, epoch, input } => {
+            Event::ToNode { node, epoch, input } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
-                    self.at(paused, Ev::ToNode { node, epoch, input });
+                    self.at(paused, Event::ToNode { node, epoch, input });
                 } else if self.nodes[node].epoch == epoch {
                     self.wake(node, *input);
                 }
             }
-            Ev::Ask {
+            Event::Ask {
                 node,
                 epoch,
                 request,
                 ask,
             } => {
                 let paused = self.nodes[node].paused_until;
-                let again = Ev::Ask {
+                let again = Event::Ask {
                     node,
                     epoch,
                     request,
@@ -846,9 +849,9 @@
                     self.wake_door(node, request, *ask);
                 }
             }
-            Ev::Rewatch => self.rewatch(),
-            Ev::State { caller, call } => self.state_call(caller, &call),
-            Ev::WatchEnds { watch } => {
+            Event::Rewatch => self.rewatch(),
+            Event::State { caller, call } => self.state_call(caller, &call),
+            Event::WatchEnds { watch } => {
                 // In an outage it stays open.
                 if !self.state.out(self.now)
                     && let Some((caller, changes)) = self.watches.end(watch, &self.state)
@@ -856,24 +859,24 @@
                     self.watch_answer(caller, changes);
                 }
             }
-            Ev::Cloud { caller, call } => self.cloud_call(caller, &call),
-            Ev::Orders {
+            Event::Cloud { caller, call } => self.cloud_call(caller, &call),
+            Event::Orders {
                 caller,
                 addr,
                 orders,
             } => self.orders(caller, addr, orders),
-            Ev::Workers => {
+            Event::Workers => {
                 self.most_machines = self.most_machines.max(self.workers.len());
                 self.pass_workers();
                 self.look_at_replicas();
                 self.look_for_waiting();
             }
-            Ev::Checkin {
+            Event::Checkin {
                 machine,
                 node,
                 report,
             } => {
-                let asker = Asker::Worker {
+                let asker = Requester::Worker {
                     machine,
                     session: report.incarnation,
                     seq: report.sequence,
@@ -882,11 +885,11 @@
                 let body = dillcleat_wire::encode(&*report);
                 self.ask(node, asker, "POST", HEARTBEAT_PATH.into(), body);
             }
-            Ev::Copy { node, report } => {
+            Event::Copy { node, report } => {
                 let body = dillcleat_wire::encode(&*report);
-                self.ask(node, Asker::Nobody, "POST", HEARTBEAT_PATH.into(), body);
+                self.ask(node, Requester::Nobody, "POST", HEARTBEAT_PATH.into(), body);
             }
-            Ev::CheckinAnswer {
+            Event::CheckinAnswer {
                 machine,
                 session,
                 seq,
@@ -896,33 +899,33 @@
             } => {
                 self.checkin_answer(&machine, session, seq, sent, &answer, node);
             }
-            Ev::User { job } => self.user(job),
-            Ev::UserTimeout { request } => match self.asked.remove(&request) {
-                Some((Asker::Object { job, what }, _)) => self.object_answer(job, what, 0, &[]),
-                Some((Asker::Watcher, _)) => self.watch_ends(request),
+            Event::User { job } => self.user(job),
+            Event::UserTimeout { request } => match self.asked.remove(&request) {
+                Some((Requester::Object { job, what }, _)) => self.object_answer(job, what, 0, &[]),
+                Some((Requester::Watcher, _)) => self.watch_ends(request),
                 Some((asker, asked)) => self.user_answer(asker, asked, 0, None),
                 None => {}
             },
-            Ev::Stranger => {
+            Event::Stranger => {
                 if self.now < self.scenario.busy {
                     let id = format!("req-{}", 500_000 + self.rng.u32(..1000));
                     let path = poll_path(&id);
                     let node = self.rng.usize(..self.nodes.len());
-                    self.ask(node, Asker::Stranger { id }, "GET", path, Vec::new());
-                    self.at(self.now + 9 * SECOND, Ev::Stranger);
+                    self.ask(node, Requester::Stranger { id }, "GET", path, Vec::new());
+                    self.at(self.now + 9 * SECOND, Event::Stranger);
                 }
             }
-            Ev::Odd => self.odd(),
-            Ev::Look { job, node, again } => self.look(job, node, again),
-            Ev::CallOff { job } => self.call_off(job),
-            Ev::Up { machine } => {
+            Event::Odd => self.odd(),
+            Event::Look { job, node, again } => self.look(job, node, again),
+            Event::CallOff { job } => self.call_off(job),
+            Event::Up { machine } => {
                 let Some(h) = self.cloud.hosts.get(&machine).cloned() else {
                     return;
                 };
                 let types = types(self.scenario.tight);
                 let of = types.iter().find(|t| t.name == h.machine_type);
                 let (cpus, gpus) = of.map_or((0.0, 0.0), |t| (t.cpus, t.gpus));
-                let place = Place {
+                let place = MachineIdentity {
                     machine: machine.clone(),
                     machine_type: h.machine_type,
                     zone: h.zone,
@@ -932,11 +935,11 @@
                 self.workers
                     .insert(machine, Worker::new(place, cpus, gpus, self.now, node));
             }
-            Ev::Taken { machine } => {
+            Event::Taken { machine } => {
                 self.cloud.remove(&machine);
                 self.machine_ends(&machine);
             }
-            Ev::Restart { node } => {
+            Event::Restart { node } => {
                 let host = &mut self.nodes[node];
                 host.epoch += 1;
                 host.cancelled.clear();
@@ -950,7 +953,10 @@
                     (config.value_bytes, config.txn_ops) = WIDE;
                     config.chunk_tasks = OLD_CHUNK;
                 }
-                if matches!(self.scenario.form, Form::Twin | Form::Shadow) {
+                if matches!(
+                    self.scenario.form,
+                    SubmissionForm::Twin | SubmissionForm::Shadow
+                ) {
                     // Only native submissions are sent a second time.
                     config.tuning.again_s = 0.0;
                 }
@@ -958,21 +964,21 @@
                 host.node = Some(Controller::new(Node::new(config), rules));
                 let epoch = host.epoch;
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
-                self.at(at, Ev::Tick { node, epoch });
+                self.at(at, Event::Tick { node, epoch });
             }
-            Ev::Replace { node } => {
+            Event::Replace { node } => {
                 let host = &mut self.nodes[node];
                 host.old = false;
                 host.node = None;
                 host.epoch += 1;
                 let down = self.side.u64(SECOND / 10..2 * SECOND);
-                self.at(self.now + down, Ev::Restart { node });
+                self.at(self.now + down, Event::Restart { node });
             }
-            Ev::LimitsFall => self.state.limit(LOW.0, LOW.1),
-            Ev::Fault(fault) => self.fault(*fault),
-            Ev::Note => {
+            Event::LimitsFall => self.state.limit(LOW.0, LOW.1),
+            Event::Fault(fault) => self.fault(*fault),
+            Event::Note => {
                 self.cloud.note(self.now);
-                self.at(self.now + Cloud::NOTE_EVERY, Ev::Note);
+                self.at(self.now + Cloud::NOTE_EVERY, Event::Note);
             }
         }
     }
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use dillcleat_controller::records::LeaderRecord;
-use dillcleat_kube::Door;
+use dillcleat_kube::ApiServer;
 use dillcleat_wire::store::Mutation;
 
 /// Whether a call hands in a job: as with the users' protocol.
@@ -20,7 +20,7 @@
     Lost,
 }
 
-impl World {
+impl Simulation {
     /// The zone of a node.
     pub(super) fn site(node: usize) -> Option<usize> {
         Some(node % ZONES.len())
@@ -70,14 +70,14 @@
     }
 
     /// Who leads, by the state service.
-    pub(super) fn leads(&self, node: usize) -> Led {
+    pub(super) fn leads(&self, node: usize) -> ObservedLeader {
         match self
             .state
             .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
         {
-            Some((lead, _)) if lead.member == format!("node-{node}") => Led::Itself,
-            Some(_) => Led::Another,
-            None => Led::Nobody,
+            Some((lead, _)) if lead.member == format!("node-{node}") => ObservedLeader::Itself,
+            Some(_) => ObservedLeader::Another,
+            None => ObservedLeader::Nobody,
         }
     }
 
@@ -168,21 +168,21 @@
         }
     }
 
-    pub(super) fn carry(&mut self, node: usize, epoch: u32, out: Out) {
+    pub(super) fn carry(&mut self, node: usize, epoch: u32, out: ControllerOutput) {
         self.history.record(self.now, node, &out);
         match out {
-            Out::Core(output) => self.carry_core(node, epoch, output),
-            Out::Reply { id, reply } => match self.asked.remove(&id.0) {
-                Some((Asker::Object { job, what }, _)) => {
+            ControllerOutput::Core(output) => self.carry_core(node, epoch, output),
+            ControllerOutput::Reply { id, reply } => match self.asked.remove(&id.0) {
+                Some((Requester::Object { job, what }, _)) => {
                     self.object_answer(job, what, reply.status, &reply.body);
                 }
                 // The watch was refused.
-                Some((Asker::Watcher, _)) => self.watch_refused(reply.status),
+                Some((Requester::Watcher, _)) => self.watch_refused(reply.status),
                 _ => {}
             },
-            Out::Stream { .. } => {}
-            Out::Chunk { id, bytes } => self.watched(id.0, &bytes),
-            Out::End { id } => self.watch_ends(id.0),
+            ControllerOutput::Stream { .. } => {}
+            ControllerOutput::Chunk { id, bytes } => self.watched(id.0, &bytes),
+            ControllerOutput::End { id } => self.watch_ends(id.0),
         }
     }
 
@@ -191,10 +191,10 @@
             Output::Answer { id, answer } => self.answer(node, id.0, answer),
             Output::Store { id, call, timeout } => {
                 let held = self.nodes[node].state_cut;
-                let aside = Door::owns(id) && !submits(&call);
+                let aside = ApiServer::owns(id) && !submits(&call);
                 if let Some((at, caller)) = self.call_to(None, node, epoch, id, held, aside) {
                     let call = Box::new(call);
-                    self.at(at, Ev::State { caller, call });
+                    self.at(at, Event::State { caller, call });
                 }
                 let reply = Err(CallError::NoAnswer);
                 self.input(self.now + timeout, node, epoch, Input::Store { id, reply });
@@ -228,7 +228,7 @@
                         },
                     };
                     let call = Box::new(call);
-                    self.at(at, Ev::Cloud { caller, call });
+                    self.at(at, Event::Cloud { caller, call });
                 }
                 self.input(self.now + timeout, node, epoch, Input::Cloud { id, reply });
             }
@@ -245,7 +245,7 @@
                 let zone = self.zone_of(machine);
                 if let Some((at, caller)) = self.call_to(zone, node, epoch, id, held, false) {
                     let orders = Box::new(orders);
-                    let ev = Ev::Orders {
+                    let ev = Event::Orders {
                         caller,
                         addr,
                         orders,
--- a/crates/simulator/src/world/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -11,7 +11,7 @@
     pub late: bool,
 }
 
-impl World {
+impl Simulation {
     /// Chains, forks and joins, some on jobs of other users; some stages are cancelled.
     pub(super) fn add_pipelines(&mut self) {
         let mut rng = Rng::with_seed(self.scenario.seed.rotate_left(17) ^ 0x91e5);
@@ -88,7 +88,7 @@
                 1.0,
             )
         };
-        let play = Play {
+        let play = TaskBehaviour {
             run: rng.u64(2 * SECOND..15 * SECOND),
             fails: false,
             spec: spec.clone(),
@@ -98,7 +98,7 @@
             stands,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Ev::User { job });
+        self.at(at, Event::User { job });
     }
 
     /// Whether the user's job may be handed in: those that it waits for are accepted,
--- a/crates/simulator/src/world/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -24,7 +24,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Commands go out: none to start what their sender knows to be cancelled.
     pub(super) fn launches(&mut self, node: usize, commands: &[Command]) {
         for command in commands {
@@ -56,7 +56,7 @@
             Moment::Before | Moment::CarriedOut => self.now,
             Moment::Answered => self.now + 10 * MILLISECOND,
         };
-        self.at(at, Ev::Fault(Box::new(end)));
+        self.at(at, Event::Fault(Box::new(end)));
         moment != Moment::Before
     }
 
@@ -97,7 +97,7 @@
                 ..caller
             };
             let call = Box::new(call.clone());
-            return self.at(self.now + wait, Ev::State { caller, call });
+            return self.at(self.now + wait, Event::State { caller, call });
         }
         let busy = self.now < self.too_many_until;
         let rng = self.luck(caller.aside);
@@ -115,7 +115,7 @@
             }
             None => {
                 if let Some((watch, time)) = self.watches.open(caller, call) {
-                    self.at(self.now + time, Ev::WatchEnds { watch });
+                    self.at(self.now + time, Event::WatchEnds { watch });
                 }
             }
         }
@@ -134,7 +134,7 @@
         let up = |_: &str| (!never).then_some(boot);
         let (answer, new, gone) = self.cloud.call(call, self.now, up);
         for machine in new.iter().filter(|_| !never).cloned() {
-            self.at(self.now + boot, Ev::Up { machine });
+            self.at(self.now + boot, Event::Up { machine });
         }
         let known = self.workers.len();
         let gone: Vec<String> = gone
@@ -144,15 +144,15 @@
         // A cancellation is enforced also while nobody can prove to lead.
         let now = self.leads(caller.node);
         let deposed = match caller.led.unwrap_or(now) {
-            Led::Itself => false,
-            Led::Nobody => !new.is_empty(),
-            Led::Another => new.len() + gone.len() > 0,
+            ObservedLeader::Itself => false,
+            ObservedLeader::Nobody => !new.is_empty(),
+            ObservedLeader::Another => new.len() + gone.len() > 0,
         };
         if deposed {
             let what = format!("node-{} led no more: {call:?}", caller.node);
             self.checker.found(Rule::Deposed, self.now, what);
         }
-        if now == Led::Another {
+        if now == ObservedLeader::Another {
             self.late_hits += gone.len();
             // What one call may delete, by the settings.
             if gone.len() > 5.max(known / 50) {
--- a/crates/simulator/src/world/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -3,7 +3,7 @@
 use super::network::Way;
 use super::*;
 use crate::rules::Room;
-use crate::served::Served;
+use crate::service_shares::Served;
 
 /// How often replicas are counted.
 const LOOK: Micros = SECOND;
@@ -12,7 +12,7 @@
 /// From this time after its acceptance a service is expected to be up.
 const STARTED: Micros = 60 * SECOND;
 
-impl World {
+impl Simulation {
     pub(super) fn add_user(&mut self, job: usize) {
         let rng = &mut self.rng;
         let service = rng.u8(..3) == 0;
@@ -78,7 +78,7 @@
         let long = self.varied(&mut spec);
         let object = self.plan(job, &mut spec);
         let rng = &mut self.rng;
-        let play = Play {
+        let play = TaskBehaviour {
             run: rng.u64(2 * SECOND..20 * SECOND) + long,
             fails: cancel && !service && rng.u8(..4) == 0,
             spec: spec.clone(),
@@ -88,7 +88,7 @@
             object,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Ev::User { job });
+        self.at(at, Event::User { job });
     }
 
     /// On days of varied jobs: binds some to a zone, and has some of an array's need
@@ -102,7 +102,7 @@
         if !self.scenario.varied {
             return 0;
         }
-        let native = self.scenario.form == Form::Native;
+        let native = self.scenario.form == SubmissionForm::Native;
         if self.scenario.tight && native && spec.kind == JobKind::Batch && self.side.u8(..3) == 0 {
             spec.gpus = 1.0;
             spec.types = None;
@@ -144,7 +144,7 @@
     pub(super) fn ask(
         &mut self,
         node: usize,
-        asker: Asker,
+        asker: Requester,
         method: &str,
         target: String,
         body: Vec<u8>,
@@ -152,11 +152,11 @@
         self.next += 1;
         let request = self.next;
         self.asked.insert(request, (asker, self.now));
-        self.at(self.now + USER_TIMEOUT, Ev::UserTimeout { request });
+        self.at(self.now + USER_TIMEOUT, Event::UserTimeout { request });
         let epoch = self.nodes[node].epoch;
         let mut at = self.now + self.delay() / 4;
         let asker = self.asked.get(&request).map(|(asker, _)| asker);
-        let from_region = !matches!(asker, Some(Asker::Worker { .. } | Asker::Nobody));
+        let from_region = !matches!(asker, Some(Requester::Worker { .. } | Requester::Nobody));
         if from_region {
             let Some(held) = self.held(None, Self::site(node), at) else {
                 return;
@@ -177,7 +177,7 @@
             return;
         };
         match asker {
-            Asker::Worker {
+            Requester::Worker {
                 machine,
                 session,
                 seq,
@@ -196,7 +196,7 @@
                     let answer = Box::new(answer);
                     self.at(
                         at,
-                        Ev::CheckinAnswer {
+                        Event::CheckinAnswer {
                             machine,
                             session,
                             seq,
@@ -207,7 +207,7 @@
                     );
                 }
             }
-            Asker::Nobody => {}
+            Requester::Nobody => {}
             asker if self.way(Self::site(node), None) != Way::Open => {
                 // It never comes: whoever asked gives it up.
                 self.asked.insert(request, (asker, asked));
@@ -223,7 +223,7 @@
         }
     }
 
-    pub(super) fn submit(&mut self, node: usize, asker: Asker, spec: &JobSpec) {
+    pub(super) fn submit(&mut self, node: usize, asker: Requester, spec: &JobSpec) {
         let body = dillcleat_wire::encode(spec);
         self.ask(node, asker, "POST", JOBS_PATH.into(), body);
     }
@@ -260,7 +260,7 @@
                 u.since.get_or_insert(now);
                 let spec = u.spec.clone();
                 self.checker.submits(&spec);
-                self.submit(node, Asker::Submission { job }, &spec);
+                self.submit(node, Requester::Submission { job }, &spec);
             }
             Stage::Polling | Stage::Over
                 if u.ended.is_none() && u.cancel_at.is_some_and(|at| now >= at) =>
@@ -268,7 +268,7 @@
                 self.checker.asks_to_cancel(&id);
                 self.ask(
                     node,
-                    Asker::Cancel { job },
+                    Requester::Cancel { job },
                     "POST",
                     cancel_path(&id),
                     Vec::new(),
@@ -279,9 +279,15 @@
                     // Known whatever else it holds.
                     let mut spec = u.spec.clone();
                     spec.team = "unknown".into();
-                    self.submit(node, Asker::Submission { job }, &spec);
+                    self.submit(node, Requester::Submission { job }, &spec);
                 } else {
-                    self.ask(node, Asker::Poll { job }, "GET", poll_path(&id), Vec::new());
+                    self.ask(
+                        node,
+                        Requester::Poll { job },
+                        "GET",
+                        poll_path(&id),
+                        Vec::new(),
+                    );
                 }
             }
         }
@@ -294,12 +300,12 @@
             true => at.next_multiple_of(SECOND),
             false => at,
         };
-        self.at(at, Ev::User { job });
+        self.at(at, Event::User { job });
     }
 
     pub(super) fn user_answer(
         &mut self,
-        asker: Asker,
+        asker: Requester,
         asked: Micros,
         status: u16,
         state: Option<JobState>,
@@ -311,13 +317,19 @@
         }
     }
 
-    fn user_hears(&mut self, asker: Asker, asked: Micros, status: u16, state: Option<JobState>) {
+    fn user_hears(
+        &mut self,
+        asker: Requester,
+        asked: Micros,
+        status: u16,
+        state: Option<JobState>,
+    ) {
         let now = self.now;
         self.digest.update(now.to_be_bytes());
         self.digest.update(status.to_be_bytes());
         self.digest.update(format!("{asker:?} {state:?}"));
         let ended = state.filter(|s| matches!(s, JobState::Done | JobState::Cancelled));
-        if let Asker::Submission { job } | Asker::Poll { job } = asker {
+        if let Requester::Submission { job } | Requester::Poll { job } = asker {
             let u = &mut self.users[job];
             let known = matches!(status, 200 | 201);
             if known {
@@ -332,12 +344,17 @@
             self.served.count(class, team, add);
         }
         match asker {
-            Asker::Worker { .. } | Asker::Object { .. } | Asker::Watcher | Asker::Nobody => {}
-            Asker::Stranger { id } => self.checker.answered_poll(&id, status, state, asked, now),
-            Asker::Refused { id, status: right } => {
+            Requester::Worker { .. }
+            | Requester::Object { .. }
+            | Requester::Watcher
+            | Requester::Nobody => {}
+            Requester::Stranger { id } => {
+                self.checker.answered_poll(&id, status, state, asked, now)
+            }
+            Requester::Refused { id, status: right } => {
                 self.checker.answered_refused(&id, status, right, now);
             }
-            Asker::Look { job } | Asker::Again { job } | Asker::CallOff { job } => {
+            Requester::Look { job } | Requester::Again { job } | Requester::CallOff { job } => {
                 let u = &mut self.users[job];
                 let id = u.spec.id.clone();
                 u.accepted |= matches!(status, 200 | 201);
@@ -346,7 +363,7 @@
                     u.stage = Stage::Over;
                 }
                 match asker {
-                    Asker::Again { .. } => self
+                    Requester::Again { .. } => self
                         .checker
                         .answered_submission(&id, status, state, asked, now),
                     // Also nodes are asked that no load balancer would choose: that they
@@ -355,7 +372,7 @@
                     _ => self.checker.answered_poll(&id, status, state, asked, now),
                 }
             }
-            Asker::Submission { job } => {
+            Requester::Submission { job } => {
                 let u = &mut self.users[job];
                 let id = u.spec.id.clone();
                 match status {
@@ -386,7 +403,7 @@
                 self.checker
                     .answered_submission(&id, status, state, asked, now);
             }
-            Asker::Poll { job } | Asker::Cancel { job } => {
+            Requester::Poll { job } | Requester::Cancel { job } => {
                 let u = &mut self.users[job];
                 let id = u.spec.id.clone();
                 u.accepted |= status == 200;
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn pass_workers(&mut self) {
         self.wake_watches();
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -45,14 +45,14 @@
                         let again = self.side.u64(2 * SECOND..2 * lease);
                         let node = self.side.usize(..self.nodes.len());
                         let report = report.clone();
-                        self.at(at + again, Ev::Copy { node, report });
+                        self.at(at + again, Event::Copy { node, report });
                     }
                     if self.befalls(self.reports_for_next) {
                         self.kept_reports.push(Heartbeat::clone(&report));
                     }
                     self.at(
                         at,
-                        Ev::Checkin {
+                        Event::Checkin {
                             machine,
                             node,
                             report,
@@ -62,7 +62,7 @@
             }
             self.tell(&name, happenings);
         }
-        self.at(self.now + 100 * MILLISECOND, Ev::Workers);
+        self.at(self.now + 100 * MILLISECOND, Event::Workers);
     }
 
     /// The copies of reports that were kept for the next leader arrive once there is one.
@@ -77,7 +77,7 @@
             let at = self.now + self.side.u64(..600 * MILLISECOND);
             for node in 0..self.nodes.len() {
                 let report = Box::new(report.clone());
-                self.at(at, Ev::Copy { node, report });
+                self.at(at, Event::Copy { node, report });
             }
         }
     }
@@ -97,7 +97,7 @@
                 heard: false,
                 ..caller
             };
-            let ev = Ev::Orders {
+            let ev = Event::Orders {
                 caller,
                 addr,
                 orders,
@@ -125,17 +125,17 @@
         self.placements.update(entry);
     }
 
-    pub(super) fn tell(&mut self, machine: &str, happenings: Vec<Happening>) {
+    pub(super) fn tell(&mut self, machine: &str, happenings: Vec<WorkerEvent>) {
         let Some(place) = self.workers.get(machine).map(|w| w.place.clone()) else {
             return;
         };
         for h in happenings {
             match h {
-                Happening::Starts(task) => {
+                WorkerEvent::Starts(task) => {
                     self.placed("starts", &task, machine);
                     self.checker.starts(&task, &place, self.now);
                 }
-                Happening::Leaves { task, done } => {
+                WorkerEvent::Leaves { task, done } => {
                     self.placed(if done { "done" } else { "leaves" }, &task, machine);
                     self.checker.leaves(&task, machine, done);
                     if done {
@@ -149,7 +149,7 @@
     pub(crate) fn machine_ends(&mut self, machine: &str) {
         if let Some(mut w) = self.workers.remove(machine) {
             for h in w.kill() {
-                if let Happening::Leaves { task, .. } = h {
+                if let WorkerEvent::Leaves { task, .. } = h {
                     self.lost += 1;
                     self.checker.leaves(&task, machine, false);
                 }
--- a/crates/simulator/src/alone.rs
+++ b/crates/simulator/src/single_node.rs
@@ -4,10 +4,10 @@
 use crate::cloud::Cloud;
 use crate::objects::TOKEN;
 use crate::processes::machine;
-use crate::state::{PageLimit, StateService, Watches};
+use crate::store::{PageLimit, SimulatedStore, Watches};
 use dillcleat_controller::{CallId, Config, Input, MILLISECOND, Micros, Node, Output, Timestamp};
 use dillcleat_controller::{RequestId, SECOND};
-use dillcleat_kube::{Ask, Controller, Out, Reply, Rules};
+use dillcleat_kube::{ApiRequest, ApiResponse, Controller, ControllerOutput, Rules};
 use dillcleat_wire::store::StoreResponse;
 use serde_json::Value;
 use std::cmp::Reverse;
@@ -18,9 +18,9 @@
 pub const WALL: Micros = 1_700_000_000 * SECOND;
 
 /// A request with the token for everything.
-pub fn ask(method: &str, target: &str, body: &Value) -> Ask {
+pub fn ask(method: &str, target: &str, body: &Value) -> ApiRequest {
     let patch = "application/merge-patch+json".to_string();
-    Ask {
+    ApiRequest {
         method: method.into(),
         target: target.into(),
         bearer: Some(TOKEN.into()),
@@ -37,19 +37,19 @@
 #[derive(Debug)]
 pub enum Ev {
     Input(Input),
-    Ask(RequestId, Ask),
+    Ask(RequestId, ApiRequest),
     WatchEnds(u64),
 }
 
 /// A controller, its stand-ins and what it has answered.
 #[derive(Debug)]
-pub struct Alone {
+pub struct SingleNode {
     pub now: Micros,
     order: u64,
     events: BinaryHeap<Reverse<(Micros, u64)>>,
     what: BTreeMap<u64, Ev>,
     pub controller: Controller,
-    pub state: StateService,
+    pub state: SimulatedStore,
     cloud: Cloud,
     watches: Watches<CallId>,
     /// Calls that the state service was asked.
@@ -57,14 +57,14 @@
     /// Time spent in the controller.
     pub busy: Duration,
     /// Answers, of the users' protocol as well.
-    pub answers: Vec<(RequestId, Reply)>,
+    pub answers: Vec<(RequestId, ApiResponse)>,
     /// Lines of watches that went out.
     pub chunks: u64,
 }
 
-impl Alone {
-    pub fn new(config: Config, rules: Rules, state: StateService) -> Alone {
-        Alone {
+impl SingleNode {
+    pub fn new(config: Config, rules: Rules, state: SimulatedStore) -> SingleNode {
+        SingleNode {
             now: SECOND,
             order: 0,
             events: BinaryHeap::new(),
@@ -126,9 +126,9 @@
         self.now = end;
     }
 
-    fn carry(&mut self, out: Out) {
+    fn carry(&mut self, out: ControllerOutput) {
         match out {
-            Out::Core(Output::Store { id, call, .. }) => {
+            ControllerOutput::Core(Output::Store { id, call, .. }) => {
                 self.calls += 1;
                 let at = self.now + STATE_TIME;
                 match self.state.call(&call, self.now) {
@@ -150,7 +150,7 @@
                     self.at(at, Ev::Input(Input::Store { id, reply }));
                 }
             }
-            Out::Core(Output::Cloud { id, call, .. }) => {
+            ControllerOutput::Core(Output::Cloud { id, call, .. }) => {
                 let (reply, _, _) = self.cloud.call(&call, self.now, |_| None);
                 let at = self.now + 10 * MILLISECOND;
                 self.at(
@@ -161,22 +161,24 @@
                     }),
                 );
             }
-            Out::Core(Output::Answer { id, answer }) => {
-                let reply = Reply {
+            ControllerOutput::Core(Output::Answer { id, answer }) => {
+                let reply = ApiResponse {
                     status: answer.status,
                     body: answer.body,
                     retry_after: answer.retry_after,
                 };
                 self.answers.push((id, reply));
             }
-            Out::Reply { id, reply } => self.answers.push((id, reply)),
-            Out::Chunk { .. } => self.chunks += 1,
-            Out::Core(_) | Out::Stream { .. } | Out::End { .. } => {}
+            ControllerOutput::Reply { id, reply } => self.answers.push((id, reply)),
+            ControllerOutput::Chunk { .. } => self.chunks += 1,
+            ControllerOutput::Core(_)
+            | ControllerOutput::Stream { .. }
+            | ControllerOutput::End { .. } => {}
         }
     }
 
     /// Asks now, and plays for a second. None if there is no answer: a watch is open.
-    pub fn asked(&mut self, ask: Ask) -> Option<Reply> {
+    pub fn asked(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
         let id = RequestId(u64::MAX / 2 + self.order);
         self.at(self.now, Ev::Ask(id, ask));
         self.until(self.now + SECOND);
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/store.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug)]
-pub struct StateService {
+pub struct SimulatedStore {
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, (Micros, Micros)>,
     next_lease: u64,
@@ -63,9 +63,9 @@
     pub malformed: Vec<String>,
 }
 
-impl StateService {
+impl SimulatedStore {
     pub fn new(value_bytes: usize, txn_ops: usize) -> Self {
-        StateService {
+        SimulatedStore {
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
@@ -424,7 +424,7 @@
     }
 
     /// Ends a watch whose time is over.
-    pub fn end(&mut self, watch: u64, state: &StateService) -> Option<(T, WatchBatch)> {
+    pub fn end(&mut self, watch: u64, state: &SimulatedStore) -> Option<(T, WatchBatch)> {
         let (who, prefix, after) = self.open.remove(&watch)?;
         Some((who, state.changes(&prefix, after)))
     }
@@ -432,7 +432,7 @@
     /// Ends those that have something to tell to whom `may` be told.
     pub fn changed(
         &mut self,
-        state: &StateService,
+        state: &SimulatedStore,
         may: impl Fn(T) -> bool,
     ) -> Vec<(T, WatchBatch)> {
         let mut told = Vec::new();
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a worker.
 
-use crate::rules::Place;
+use crate::rules::MachineIdentity;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec};
@@ -26,7 +26,7 @@
 
 /// What happens on a machine, for the checker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Happening {
+pub enum WorkerEvent {
     Starts(TaskName),
     Leaves { task: TaskName, done: bool },
 }
@@ -34,7 +34,7 @@
 /// What a worker knows of a job: its description, how long a task runs, and
 /// whether it fails.
 #[derive(Debug, Clone)]
-pub struct Play {
+pub struct TaskBehaviour {
     pub spec: JobSpec,
     pub run: Micros,
     pub fails: bool,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Worker {
     pub name: String,
-    pub place: Place,
+    pub place: MachineIdentity,
     cpus: f64,
     gpus: f64,
     pub session: u64,
@@ -66,7 +66,7 @@
 }
 
 impl Worker {
-    pub fn new(place: Place, cpus: f64, gpus: f64, now: Micros, node: usize) -> Self {
+    pub fn new(place: MachineIdentity, cpus: f64, gpus: f64, now: Micros, node: usize) -> Self {
         Worker {
             name: place.machine.clone(),
             place,
@@ -150,8 +150,8 @@
         &mut self,
         now: Micros,
         lease: Micros,
-        jobs: &BTreeMap<String, Play>,
-    ) -> Vec<Happening> {
+        jobs: &BTreeMap<String, TaskBehaviour>,
+    ) -> Vec<WorkerEvent> {
         let mut happenings = Vec::new();
         // A hanging machine does not execute its tasks, but its lease runs.
         if now > self.leased_from + lease {
@@ -173,7 +173,7 @@
                 let play = jobs.get(&task.job);
                 match r.state {
                     TaskState::Fetching => {
-                        happenings.push(Happening::Starts(task.clone()));
+                        happenings.push(WorkerEvent::Starts(task.clone()));
                         r.state = TaskState::Running;
                         let fails = faulty || play.is_some_and(|p| p.fails);
                         r.until = match play {
@@ -190,7 +190,7 @@
                         r.why.get_or_insert(ExitReason::Done);
                         r.state = TaskState::Exited;
                         r.until = None;
-                        happenings.push(Happening::Leaves {
+                        happenings.push(WorkerEvent::Leaves {
                             task: task.clone(),
                             done,
                         });
@@ -205,11 +205,11 @@
     }
 
     /// Everything on the machine ends at once.
-    pub fn kill(&mut self) -> Vec<Happening> {
+    pub fn kill(&mut self) -> Vec<WorkerEvent> {
         std::mem::take(&mut self.tasks)
             .into_iter()
             .filter(|(_, r)| r.state == TaskState::Running)
-            .map(|((task, _), _)| Happening::Leaves { task, done: false })
+            .map(|((task, _), _)| WorkerEvent::Leaves { task, done: false })
             .collect()
     }
 
@@ -220,8 +220,8 @@
         session: u64,
         sent: Micros,
         now: Micros,
-        jobs: &BTreeMap<String, Play>,
-    ) -> Vec<Happening> {
+        jobs: &BTreeMap<String, TaskBehaviour>,
+    ) -> Vec<WorkerEvent> {
         if answer.fencing_token < self.token || session != self.session {
             return Vec::new();
         }
@@ -238,8 +238,8 @@
         &mut self,
         orders: &CommandBatch,
         now: Micros,
-        jobs: &BTreeMap<String, Play>,
-    ) -> (u16, Heartbeat, Vec<Happening>) {
+        jobs: &BTreeMap<String, TaskBehaviour>,
+    ) -> (u16, Heartbeat, Vec<WorkerEvent>) {
         if orders.fencing_token < self.token || orders.incarnation != self.session {
             return (409, self.report(now), Vec::new());
         }
@@ -252,8 +252,8 @@
         &mut self,
         commands: &[Command],
         now: Micros,
-        jobs: &BTreeMap<String, Play>,
-    ) -> Vec<Happening> {
+        jobs: &BTreeMap<String, TaskBehaviour>,
+    ) -> Vec<WorkerEvent> {
         let mut happenings = Vec::new();
         for c in commands {
             match c {
@@ -263,7 +263,7 @@
                         && r.state != TaskState::Exited
                     {
                         if r.state == TaskState::Running {
-                            happenings.push(Happening::Leaves {
+                            happenings.push(WorkerEvent::Leaves {
                                 task: task.clone(),
                                 done: false,
                             });
@@ -317,7 +317,13 @@
         })
     }
 
-    fn start(&mut self, task: &TaskName, attempt: u64, now: Micros, jobs: &BTreeMap<String, Play>) {
+    fn start(
+        &mut self,
+        task: &TaskName,
+        attempt: u64,
+        now: Micros,
+        jobs: &BTreeMap<String, TaskBehaviour>,
+    ) {
         let key = (task.clone(), attempt);
         if self.tasks.contains_key(&key) {
             return;
