--- a/crates/simulator/tests/awaits.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -2,26 +2,26 @@
 
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{Config, Input, RequestId, SECOND};
-use dillcleat_simulator::alone::{Alone, Ev};
 use dillcleat_simulator::objects::rules_for;
-use dillcleat_simulator::state::StateService;
-use dillcleat_simulator::world::config;
+use dillcleat_simulator::simulation::config;
+use dillcleat_simulator::single_node::{Ev, SingleNode};
+use dillcleat_simulator::store::SimulatedStore;
 use dillcleat_wire::user::{ErrorReply, JOBS_PATH, JobKind, JobSpec, cancel_path};
 
-fn alone() -> Alone {
+fn alone() -> SingleNode {
     let one = Config {
         peers: Vec::new(),
         peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
-    let mut state = StateService::new(one.value_bytes, one.txn_ops);
+    let mut state = SimulatedStore::new(one.value_bytes, one.txn_ops);
     let ended = |s| JobStateRecord {
         state: s,
         task_count: 1,
     };
     state.put(records::job_key("req-71"), &ended(RecordedState::Done));
     state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
-    let mut alone = Alone::new(one, rules_for(10, 1), state);
+    let mut alone = SingleNode::new(one, rules_for(10, 1), state);
     alone.until(10 * SECOND);
     alone
 }
@@ -35,7 +35,7 @@
 }
 
 /// Its status, why if it is refused, and what is stored that it waits for.
-fn submit(alone: &mut Alone, spec: &JobSpec) -> (u16, String, Option<Vec<String>>) {
+fn submit(alone: &mut SingleNode, spec: &JobSpec) -> (u16, String, Option<Vec<String>>) {
     let id = RequestId(alone.calls + 1_000_000);
     let input = Input::Request {
         id,
@@ -167,7 +167,7 @@
         peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
-    let mut state = StateService::new(one.value_bytes, one.txn_ops);
+    let mut state = SimulatedStore::new(one.value_bytes, one.txn_ops);
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Batch, &["req-77"]),
         at: 1,
@@ -176,7 +176,7 @@
         parallelism_limit: None,
     };
     state.put(records::open_key("req-8"), &open);
-    let mut a = Alone::new(one, rules_for(10, 1), state);
+    let mut a = SingleNode::new(one, rules_for(10, 1), state);
     a.until(10 * SECOND);
     assert!(
         a.state
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -2,9 +2,9 @@
 //! counted holds at any, what takes time is measured by the example `grown`.
 
 use dillcleat_controller::SECOND;
-use dillcleat_simulator::{Fleet, Measured, Setting};
+use dillcleat_simulator::{Fleet, FleetMeasurements, FleetSettings};
 
-fn play(setting: Setting) -> Measured {
+fn play(setting: FleetSettings) -> FleetMeasurements {
     let mut fleet = Fleet::new(setting);
     fleet.run();
     let m = fleet.into_measured();
@@ -12,12 +12,12 @@
     m
 }
 
-fn setting(machines: u32, waiting: u32) -> Setting {
-    Setting {
+fn setting(machines: u32, waiting: u32) -> FleetSettings {
+    FleetSettings {
         waiting,
         warm_up: 3 * SECOND,
         measured: 10 * SECOND,
-        ..Setting::of(machines)
+        ..FleetSettings::of(machines)
     }
 }
 
@@ -50,7 +50,7 @@
 #[test]
 fn no_lease_ends_for_want_of_an_answer_when_a_whole_fleet_reports_at_once() {
     let silence = Some((4 * SECOND, 12 * SECOND));
-    let m = play(Setting {
+    let m = play(FleetSettings {
         silence,
         measured: 30 * SECOND,
         ..setting(400, 1_000)
@@ -64,7 +64,7 @@
 /// A leader that takes up its fleet at the state service's limits keeps to them.
 #[test]
 fn a_leader_keeps_to_the_limits_of_the_state_service() {
-    let m = play(Setting {
+    let m = play(FleetSettings {
         state_rps: 60.0,
         state_write_rps: 25.0,
         measured: 20 * SECOND,
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -1,18 +1,18 @@
 //! What the door refuses, and what it turns away first.
 
 use dillcleat_controller::{Config, RequestId, SECOND};
-use dillcleat_kube::{Ask, Reply};
-use dillcleat_simulator::alone::{Alone, Ev, ask};
+use dillcleat_kube::{ApiRequest, ApiResponse};
 use dillcleat_simulator::objects::{TOKEN, rules_for};
-use dillcleat_simulator::state::StateService;
-use dillcleat_simulator::world::config;
+use dillcleat_simulator::simulation::config;
+use dillcleat_simulator::single_node::{Ev, SingleNode, ask};
+use dillcleat_simulator::store::SimulatedStore;
 use serde_json::{Value, json};
 
 const JOBS: &str = "/apis/batch/v1/namespaces/free/jobs";
 
-fn alone(config: Config, objects: usize, watches: usize) -> Alone {
-    let state = StateService::new(config.value_bytes, config.txn_ops);
-    let mut alone = Alone::new(config, rules_for(objects, watches), state);
+fn alone(config: Config, objects: usize, watches: usize) -> SingleNode {
+    let state = SimulatedStore::new(config.value_bytes, config.txn_ops);
+    let mut alone = SingleNode::new(config, rules_for(objects, watches), state);
     alone.until(10 * SECOND);
     alone
 }
@@ -33,7 +33,7 @@
 }
 
 /// What is answered: status, reason and message. A watch that opens has none.
-fn said(reply: Option<Reply>) -> (u16, String) {
+fn said(reply: Option<ApiResponse>) -> (u16, String) {
     let Some(reply) = reply else {
         return (0, String::new());
     };
@@ -51,7 +51,7 @@
     (reply.status, message)
 }
 
-fn expect(alone: &mut Alone, ask: Ask, status: u16, what: &str) {
+fn expect(alone: &mut SingleNode, ask: ApiRequest, status: u16, what: &str) {
     let target = format!("{} {}", ask.method, ask.target);
     let (code, message) = said(alone.asked(ask));
     assert_eq!(code, status, "{target}: {message}");
@@ -64,7 +64,7 @@
     let create = |body: &Value| ask("POST", JOBS, body);
     expect(&mut door, create(&job("a")), 201, "");
     // Who asks.
-    let from = |bearer: Option<&str>, ask: Ask| Ask {
+    let from = |bearer: Option<&str>, ask: ApiRequest| ApiRequest {
         bearer: bearer.map(str::to_string),
         ..ask
     };
@@ -94,7 +94,7 @@
         "",
     );
     // Bodies.
-    let raw = |body: Vec<u8>, media: &str| Ask {
+    let raw = |body: Vec<u8>, media: &str| ApiRequest {
         body,
         content_type: Some(media.into()),
         ..create(&Value::Null)
@@ -133,7 +133,7 @@
         415,
         "text/plain",
     );
-    let protobuf = Ask {
+    let protobuf = ApiRequest {
         accept: Some("application/vnd.kubernetes.protobuf".into()),
         ..ask("GET", JOBS, &Value::Null)
     };
@@ -269,19 +269,20 @@
         );
     }
     let mut next = 0;
-    let flood = |door: &mut Alone, n: u64, make: &dyn Fn(u64) -> Ask| -> (usize, usize) {
-        for _ in 0..n {
-            next += 1;
-            door.at(door.now, Ev::Ask(RequestId(next), make(next)));
-        }
-        door.until(door.now + SECOND / 2);
-        let all = std::mem::take(&mut door.answers);
-        let good = all.iter().filter(|(_, r)| r.status < 300).count();
-        let away = all
-            .iter()
-            .filter(|(_, r)| r.status == 429 && r.retry_after == Some(1));
-        (good, away.count())
-    };
+    let flood =
+        |door: &mut SingleNode, n: u64, make: &dyn Fn(u64) -> ApiRequest| -> (usize, usize) {
+            for _ in 0..n {
+                next += 1;
+                door.at(door.now, Ev::Ask(RequestId(next), make(next)));
+            }
+            door.until(door.now + SECOND / 2);
+            let all = std::mem::take(&mut door.answers);
+            let good = all.iter().filter(|(_, r)| r.status < 300).count();
+            let away = all
+                .iter()
+                .filter(|(_, r)| r.status == 429 && r.retry_after == Some(1));
+            (good, away.count())
+        };
     let mut flood = flood;
     // More creates than there are changes for: what is too much is told so at once.
     let (made, away) = flood(&mut door, 60, &|i| {
--- a/crates/simulator/tests/objects.rs
+++ b/crates/simulator/tests/objects.rs
@@ -1,10 +1,10 @@
 //! Seeded days on which users hand in Kubernetes Jobs.
 
 use dillcleat_controller::SECOND;
-use dillcleat_simulator::{Fault, Form, Outcome, Scenario, World};
+use dillcleat_simulator::{Fault, Outcome, Scenario, Simulation, SubmissionForm};
 
-fn play(form: Form, scenario: Scenario) -> Outcome {
-    World::new(Scenario { form, ..scenario }).run()
+fn play(form: SubmissionForm, scenario: Scenario) -> Outcome {
+    Simulation::new(Scenario { form, ..scenario }).run()
 }
 
 fn clean(seed: u64, o: &Outcome) {
@@ -42,8 +42,8 @@
 fn jobs_are_placed_as_native_ones() {
     let mut faults = 0;
     for seed in 1..=12 {
-        let native = play(Form::Twin, day(seed));
-        let objects = play(Form::Shadow, day(seed));
+        let native = play(SubmissionForm::Twin, day(seed));
+        let objects = play(SubmissionForm::Shadow, day(seed));
         clean(seed, &native);
         clean(seed, &objects);
         assert!(objects.objects.0 >= 2, "seed {seed}: {:?}", objects.objects);
@@ -61,9 +61,9 @@
     let mut told = 0;
     for seed in 100..130 {
         let form = if seed % 3 == 0 {
-            Form::Mixed
+            SubmissionForm::Mixed
         } else {
-            Form::Objects
+            SubmissionForm::Objects
         };
         let o = play(form, Scenario::troubled(seed));
         clean(seed, &o);
@@ -81,7 +81,10 @@
         1291, 1152, // A job that failed wherever it ran stood in line by an old guess.
         2291,
     ] {
-        clean(seed, &play(Form::Objects, Scenario::troubled(seed)));
+        clean(
+            seed,
+            &play(SubmissionForm::Objects, Scenario::troubled(seed)),
+        );
     }
 }
 
@@ -105,6 +108,6 @@
             faults,
             ..Scenario::random(seed)
         };
-        clean(seed, &play(Form::Objects, day));
+        clean(seed, &play(SubmissionForm::Objects, day));
     }
 }
--- a/crates/simulator/tests/rules_are_checked.rs
+++ b/crates/simulator/tests/rules_are_checked.rs
@@ -1,7 +1,7 @@
 //! The checker catches a planted violation of each rule, and nothing else.
 
 use dillcleat_controller::SECOND;
-use dillcleat_simulator::rules::{Limit, Place, Room};
+use dillcleat_simulator::rules::{Limit, MachineIdentity, Room};
 use dillcleat_simulator::{Checker, Rule};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec, JobState};
@@ -15,8 +15,8 @@
     }
 }
 
-fn place(machine: &str, zone: &str, spot: bool) -> Place {
-    Place {
+fn place(machine: &str, zone: &str, spot: bool) -> MachineIdentity {
+    MachineIdentity {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: zone.into(),
--- a/crates/simulator/tests/seeded_days.rs
+++ b/crates/simulator/tests/seeded_days.rs
@@ -5,12 +5,12 @@
 
 use common::clean;
 use dillcleat_controller::{Micros, SECOND};
-use dillcleat_simulator::{Fault, Outcome, Scenario, World};
+use dillcleat_simulator::{Fault, Outcome, Scenario, Simulation};
 
 const BUSY: Micros = 200 * SECOND;
 
 fn play(seed: u64, jobs: usize, faults: Vec<(Micros, Fault)>) -> Outcome {
-    World::new(Scenario {
+    Simulation::new(Scenario {
         faults,
         jobs,
         ..Scenario::quiet(seed)
@@ -283,7 +283,7 @@
 #[test]
 fn a_job_of_the_largest_size() {
     for seed in [5, 9] {
-        let o = World::new(Scenario {
+        let o = Simulation::new(Scenario {
             faults: vec![(s(90), crash(&[0, 1, 2])), (s(150), crash(&[0]))],
             jobs: 6,
             large: Some(100_000),
@@ -391,7 +391,7 @@
 #[test]
 fn five_controllers_and_hundreds_of_machines() {
     for (seed, scale, jobs) in [(1, 1, 14), (2, 1, 14), (3, 1, 14), (4, 24, 30)] {
-        let o = World::new(Scenario {
+        let o = Simulation::new(Scenario {
             faults: vec![
                 (s(30), crash(&[0, 1])),
                 (s(50), crash(&[0, 1, 2, 3, 4])),
