--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -16,22 +16,24 @@
 use std::time::Duration;
 use tls::Tls;
 
-/// Lines that may wait for the reader of a watch. Whoever is further behind is cut off:
-/// it resumes by version.
-const LINES: usize = 256;
+/// Lines that may be queued for the reader of a watch. A client that is further behind
+/// is disconnected; it resumes by resource version.
+const MAX_QUEUED_LINES: usize = 256;
 /// A watch may be silent for as long as a bookmark takes, and longer without them.
 const SILENCE: Duration = Duration::from_secs(2_000);
 const HEADERS: &[&str] = &["authorization", "accept", "content-type"];
 
-/// What the core takes beside its own inputs.
+/// What the controller is handed: its own inputs and those of Kubernetes-shaped clients.
 pub enum ServerInput {
-    Core(Input),
-    Ask(RequestId, ApiRequest),
+    /// An input of the controller itself.
+    Controller(Input),
+    /// A request of a Kubernetes-shaped client.
+    ApiRequest(RequestId, ApiRequest),
     /// The client of a watch has gone.
-    Gone(RequestId),
+    ClientGone(RequestId),
 }
 
-/// What a client is sent.
+/// What the connection of a client is sent.
 pub enum WatchLine {
     Reply(ApiResponse),
     Stream,
@@ -39,7 +41,8 @@
     End,
 }
 
-/// Hands an output to whom it is for; the request of a client that does not keep up.
+/// Hands an output to the connection that waits for it. Returns the request of a client
+/// that does not keep up, whose watch is to be closed.
 pub fn carry_out(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
     let (id, line) = match out {
         ControllerOutput::Reply { id, reply } => (id, WatchLine::Reply(reply)),
@@ -48,7 +51,7 @@
         ControllerOutput::End { id } => (id, WatchLine::End),
         ControllerOutput::Core(_) => return None,
     };
-    let mut lines = shared.lines.borrow_mut();
+    let mut lines = shared.watch_lines.borrow_mut();
     let last = matches!(line, WatchLine::Reply(_) | WatchLine::End);
     let sent = lines.get(&id)?.try_send(line).is_ok();
     if last || !sent {
@@ -59,7 +62,7 @@
 
 /// Opens the listener.
 pub async fn open(
-    ex: &Executor,
+    executor: &Executor,
     shared: &Rc<ServerState>,
     settings: &Settings,
 ) -> Result<(), CliError> {
@@ -69,40 +72,43 @@
         Some(files) => Some(Rc::new(Tls::load(files)?)),
     };
     if let Some(tls) = tls.clone() {
-        ex.spawn(async move { tls.keep_up().await }).detach();
+        executor.spawn(async move { tls.keep_up().await }).detach();
     }
-    log::info!(
-        "Kubernetes-shaped clients are served on {}",
-        settings.listen
-    );
-    ex.spawn(accept(ex.clone(), shared.clone(), listener, tls))
+    log::info!("serving Kubernetes clients: address={}", settings.listen);
+    executor
+        .spawn(accept(executor.clone(), shared.clone(), listener, tls))
         .detach();
     Ok(())
 }
 
-/// Half of the clients' sockets stay with users and workers.
-fn may_have_more(shared: &ServerState) -> bool {
-    (shared.door_clients.get() as usize) < shared.clients.limit() / 2
+/// Whether another Kubernetes-shaped client may connect: half of the clients' sockets
+/// are kept for users and workers.
+fn accepts_more_clients(shared: &ServerState) -> bool {
+    (shared.kube_clients.get() as usize) < shared.clients.limit() / 2
 }
 
 async fn accept(
-    ex: Executor,
+    executor: Executor,
     shared: Rc<ServerState>,
     listener: TcpListener,
     tls: Option<Rc<Tls>>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if may_have_more(&shared) => match shared.clients.admit().await {
-                Some(admitted) => {
-                    let (shared, tls) = (shared.clone(), tls.clone());
-                    ex.spawn(serve(shared, stream, admitted, tls)).detach();
+            Ok((stream, _)) if accepts_more_clients(&shared) => {
+                match shared.clients.admit().await {
+                    Some(admitted) => {
+                        let (shared, tls) = (shared.clone(), tls.clone());
+                        executor
+                            .spawn(serve(shared, stream, admitted, tls))
+                            .detach();
+                    }
+                    None => log::debug!("Kubernetes connection refused: too many connections"),
                 }
-                None => log::debug!("too many connections"),
-            },
-            Ok(_) => log::debug!("too many connections"),
+            }
+            Ok(_) => log::debug!("Kubernetes connection refused: too many connections"),
             Err(e) => {
-                log::error!("cannot accept a connection: {e}");
+                log::error!("cannot accept a Kubernetes connection: error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
@@ -115,7 +121,7 @@
     admitted: Admitted,
     tls: Option<Rc<Tls>>,
 ) {
-    let _counted = ConnectionCount::new(&shared, |s| &s.door_clients);
+    let _counted = ConnectionCount::new(&shared, |s| &s.kube_clients);
     let _ = stream.set_nodelay(true);
     let guarded = shared.watchdog.watch(&stream);
     match tls {
@@ -128,12 +134,12 @@
                 let connection = Connection::over(stream, guarded, HEADERS);
                 client(&shared, &admitted, connection).await;
             }
-            Err(e) => log::debug!("no TLS with a client: {e}"),
+            Err(e) => log::debug!("TLS handshake failed: error={e}"),
         },
     }
 }
 
-fn head(status: u16, more: &str, close: bool) -> String {
+fn response_head(status: u16, more: &str, close: bool) -> String {
     let close = if close { "Connection: close\r\n" } else { "" };
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{more}{close}\r\n",
@@ -141,7 +147,7 @@
     )
 }
 
-fn whole(reply: &ApiResponse, close: bool) -> Vec<u8> {
+fn response_bytes(reply: &ApiResponse, close: bool) -> Vec<u8> {
     let mut more = format!("Content-Length: {}\r\n", reply.body.len());
     if let Some(s) = reply.retry_after {
         more += &format!("Retry-After: {s}\r\n");
@@ -149,16 +155,16 @@
     if reply.status == 401 {
         more += "WWW-Authenticate: Bearer\r\n";
     }
-    let mut bytes = head(reply.status, &more, close).into_bytes();
+    let mut bytes = response_head(reply.status, &more, close).into_bytes();
     bytes.extend_from_slice(&reply.body);
     bytes
 }
 
-fn refusal(fault: &StatusError) -> ApiResponse {
+fn refusal(error: &StatusError) -> ApiResponse {
     ApiResponse {
-        status: fault.code().0,
-        body: serde_json::to_vec(&fault.status()).unwrap_or_default(),
-        retry_after: fault.retry_after(),
+        status: error.code().0,
+        body: serde_json::to_vec(&error.status()).unwrap_or_default(),
+        retry_after: error.retry_after(),
     }
 }
 
@@ -173,21 +179,23 @@
             Ok(request) => request,
             Err(RequestError::Gone) => return,
             Err(bad) => {
-                let fault = match bad {
+                let error = match bad {
                     RequestError::TooLarge => {
                         StatusError::TooLarge(dillcleat_kube::api_server::BODY_LIMIT)
                     }
                     _ => StatusError::BadRequest("malformed request".into()),
                 };
-                let _ = connection.send(&whole(&refusal(&fault), true), IDLE).await;
+                let _ = connection
+                    .send(&response_bytes(&refusal(&error), true), IDLE)
+                    .await;
                 return;
             }
         };
         admitted.carries(Peer::User);
         let id = RequestId(shared.next_request.get());
         shared.next_request.set(id.0 + 1);
-        let (tx, lines) = smol::channel::bounded(LINES);
-        shared.lines.borrow_mut().insert(id, tx);
+        let (tx, lines) = smol::channel::bounded(MAX_QUEUED_LINES);
+        shared.watch_lines.borrow_mut().insert(id, tx);
         let mut headers = request.headers.into_iter();
         let authorization = headers.next().flatten();
         let ask = ApiRequest {
@@ -198,19 +206,24 @@
             content_type: headers.next().flatten(),
             body: request.body,
         };
-        if shared.asks.send(ServerInput::Ask(id, ask)).await.is_err() {
+        if shared
+            .api_requests
+            .send(ServerInput::ApiRequest(id, ask))
+            .await
+            .is_err()
+        {
             return;
         }
         let mut close = request.close;
         let sent = match lines.recv().await {
             Ok(WatchLine::Reply(reply)) => {
                 close |= admitted.closes_after_answer();
-                connection.send(&whole(&reply, close), IDLE).await
+                connection.send(&response_bytes(&reply, close), IDLE).await
             }
             Ok(WatchLine::Stream) => {
                 let sent = stream(&mut connection, &lines).await;
-                shared.lines.borrow_mut().remove(&id);
-                let _ = shared.asks.send(ServerInput::Gone(id)).await;
+                shared.watch_lines.borrow_mut().remove(&id);
+                let _ = shared.api_requests.send(ServerInput::ClientGone(id)).await;
                 sent
             }
             _ => return,
@@ -226,7 +239,7 @@
     connection: &mut Connection<S>,
     lines: &smol::channel::Receiver<WatchLine>,
 ) -> std::io::Result<()> {
-    let start = head(200, "Transfer-Encoding: chunked\r\n", false);
+    let start = response_head(200, "Transfer-Encoding: chunked\r\n", false);
     connection.send(start.as_bytes(), SILENCE).await?;
     loop {
         match lines.recv().await {
--- a/crates/dillcleat/src/peer_connections.rs
+++ b/crates/dillcleat/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Connections among the controllers. Each node connects to each sibling and
-//! sends on its own connections only; what it accepts, it reads.
+//! Connections among the controllers. Each controller connects to each of its peers and
+//! only writes on the connections that it opened; those that it accepted it only reads.
 
 use dillcleat_controller::Input;
 use dillcleat_peer_protocol::{FrameError, Message, frame_length};
@@ -9,17 +9,18 @@
 use smol::net::TcpStream;
 use std::time::{Duration, Instant};
 
-const PAUSE: Duration = Duration::from_millis(500);
-const CONNECT_TIME: Duration = Duration::from_secs(2);
-const WRITE_TIME: Duration = Duration::from_secs(3);
-/// How long a connection is used. The sibling never answers on it, so one that
-/// is dead at the far end, after a pause or a cut, looks alive here; a sibling
-/// once heard nothing for a minute that way (incident e9a6).
-const USE_TIME: Duration = Duration::from_secs(5);
-/// A sibling beats twice a second.
-const READ_TIME: Duration = Duration::from_secs(15);
+/// Pause after a connection failed.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a connection is used before it is opened anew. The peer never answers on it,
+/// so a connection that is dead at the far end, after a pause or a partition, looks alive
+/// here; a peer once received nothing for a minute that way (incident e9a6).
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(5);
+/// Peers send a heartbeat twice a second: a connection silent for so long is closed.
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-async fn timed<T>(time: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
+async fn with_timeout<T>(time: Duration, work: impl Future<Output = Option<T>>) -> Option<T> {
     work.or(async {
         Timer::after(time).await;
         None
@@ -27,25 +28,31 @@
     .await
 }
 
-/// Sends this node's messages to one sibling for ever.
-pub async fn speak(own: String, addr: String, messages: Receiver<Message>) {
+/// Sends this controller's messages to one peer, and reconnects when that fails.
+pub async fn send_messages(own: String, addr: String, messages: Receiver<Message>) {
     loop {
-        let stream = timed(CONNECT_TIME, async { TcpStream::connect(&addr).await.ok() }).await;
+        let stream = with_timeout(CONNECT_TIMEOUT, async {
+            TcpStream::connect(&addr).await.ok()
+        })
+        .await;
         let used = match stream {
-            Some(stream) => use_up(stream, &own, &messages).await,
+            Some(stream) => send_on_connection(stream, &own, &messages).await,
             None => None,
         };
         if used.is_none() {
-            Timer::after(PAUSE).await;
-            // What waited is old by now.
+            Timer::after(RECONNECT_PAUSE).await;
+            // Queued messages are out of date by now.
             while messages.try_recv().is_ok() {}
         }
     }
 }
 
-/// Sends messages on one connection for as long as it is to be used; None if
-/// it fails.
-async fn use_up(mut stream: TcpStream, own: &str, messages: &Receiver<Message>) -> Option<()> {
+/// Sends messages on one connection until it is to be opened anew; None if it fails.
+async fn send_on_connection(
+    mut stream: TcpStream,
+    own: &str,
+    messages: &Receiver<Message>,
+) -> Option<()> {
     let _ = stream.set_nodelay(true);
     let since = Instant::now();
     let mut next = Message::Hello {
@@ -53,8 +60,8 @@
     };
     loop {
         let bytes = next.encode();
-        timed(WRITE_TIME, async { stream.write_all(&bytes).await.ok() }).await?;
-        if since.elapsed() >= USE_TIME {
+        with_timeout(WRITE_TIMEOUT, async { stream.write_all(&bytes).await.ok() }).await?;
+        if since.elapsed() >= MAX_CONNECTION_AGE {
             return Some(());
         }
         next = messages.recv().await.ok()?;
@@ -62,50 +69,52 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-enum ListenError {
+enum ReceiveError {
     #[error("closed or silent")]
     Gone,
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("it did not say who it is")]
+    #[error("the first frame is not a hello of a known peer")]
     NoHello,
 }
 
 /// Reads one accepted connection until it ends or misbehaves.
-pub async fn listen(stream: TcpStream, siblings: &[String], inputs: Sender<Input>) {
-    if let Err(e) = read(stream, siblings, &inputs).await
-        && !matches!(e, ListenError::Gone)
+pub async fn receive_messages(stream: TcpStream, peers: &[String], inputs: Sender<Input>) {
+    if let Err(e) = read_messages(stream, peers, &inputs).await
+        && !matches!(e, ReceiveError::Gone)
     {
-        log::error!("closed a sibling's connection: {e}");
+        log::error!("peer connection closed: error={e}");
     }
 }
 
-async fn read(
+async fn read_messages(
     mut stream: TcpStream,
-    siblings: &[String],
+    peers: &[String],
     inputs: &Sender<Input>,
-) -> Result<(), ListenError> {
+) -> Result<(), ReceiveError> {
     let mut from: Option<String> = None;
     loop {
         let mut head = [0u8; 4];
-        timed(READ_TIME, async { stream.read_exact(&mut head).await.ok() })
-            .await
-            .ok_or(ListenError::Gone)?;
+        with_timeout(READ_TIMEOUT, async {
+            stream.read_exact(&mut head).await.ok()
+        })
+        .await
+        .ok_or(ReceiveError::Gone)?;
         let mut frame = vec![0; frame_length(head)?];
-        timed(READ_TIME, async {
+        with_timeout(READ_TIMEOUT, async {
             stream.read_exact(&mut frame).await.ok()
         })
         .await
-        .ok_or(ListenError::Gone)?;
+        .ok_or(ReceiveError::Gone)?;
         match (Message::decode(&frame)?, &from) {
-            (Message::Hello { member }, None) if siblings.contains(&member) => from = Some(member),
-            (_, None) => return Err(ListenError::NoHello),
+            (Message::Hello { member }, None) if peers.contains(&member) => from = Some(member),
+            (_, None) => return Err(ReceiveError::NoHello),
             (message, Some(from)) => {
                 let input = Input::Peer {
                     from: from.clone(),
                     message,
                 };
-                inputs.send(input).await.map_err(|_| ListenError::Gone)?;
+                inputs.send(input).await.map_err(|_| ReceiveError::Gone)?;
             }
         }
     }
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -1,4 +1,4 @@
-//! The controller process: sockets around a [`Node`], on one thread.
+//! The controller process: sockets and timers around a [`Node`], on one thread.
 
 use crate::connections::{Admitted, ClientConnections, Peer};
 use crate::error::CliError;
@@ -25,48 +25,56 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const TICK: Duration = Duration::from_millis(50);
-/// Inputs of one kind that may wait for the core.
+/// Inputs of one kind that may be queued for the controller.
 const MAX_INPUTS: usize = 4096;
-/// Inputs that the core takes before others get their turn: answers leave the
-/// process only then.
-const TURN: u32 = 8;
-/// Messages that may wait for a sibling.
+/// Inputs that are handled before other tasks run: replies leave the process only then.
+const INPUTS_PER_TURN: u32 = 8;
+/// Messages that may be queued for one peer.
 const MAX_MESSAGES: usize = 256;
-/// Frames that a sibling's connection may have open.
-const MAX_SIBLING_CONNECTIONS: u32 = 16;
+/// Connections that peers may hold open to this process.
+const MAX_PEER_CONNECTIONS: u32 = 16;
 
 pub(crate) struct ServerState {
     inputs: Sender<Input>,
-    /// Workers' reports wait apart: after a pause hundreds come at once, and
-    /// users' requests and the lease's renewal do not stand in line behind.
-    reports: Sender<Input>,
+    /// Heartbeats have a queue of their own: after a pause hundreds arrive at once, and
+    /// users' requests and lease renewals must not queue behind them.
+    heartbeats: Sender<Input>,
     answers: RefCell<HashMap<RequestId, Sender<Answer>>>,
     pub next_request: Cell<u64>,
     /// Connections of users, workers and Kubernetes-shaped clients.
     pub clients: Rc<ClientConnections>,
-    /// Those of Kubernetes-shaped clients alone.
-    pub door_clients: Cell<u32>,
-    /// What Kubernetes-shaped clients ask, and who waits for lines.
-    pub asks: Sender<ServerInput>,
-    pub lines: RefCell<HashMap<RequestId, Sender<WatchLine>>>,
-    siblings_open: Cell<u32>,
+    /// The number of connections of Kubernetes-shaped clients.
+    pub kube_clients: Cell<u32>,
+    /// Requests of Kubernetes-shaped clients.
+    pub api_requests: Sender<ServerInput>,
+    /// Where the lines of each open watch go.
+    pub watch_lines: RefCell<HashMap<RequestId, Sender<WatchLine>>>,
+    open_peer_connections: Cell<u32>,
     pub watchdog: Watchdog,
-    state: ConnectionPool,
+    store: ConnectionPool,
     cloud: ConnectionPool,
     workers: ConnectionPool,
-    state_addr: String,
+    store_addr: String,
     cloud_addr: String,
 }
 
 pub(crate) type Executor = Rc<LocalExecutor<'static>>;
 
+/// Runs the controller until its process is ended.
+///
+/// # Errors
+/// When a listener cannot be opened.
 pub fn run(
     platform: &PlatformSettings,
     config: Config,
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
-    let ex: Executor = Rc::new(LocalExecutor::new());
-    smol::block_on(ex.clone().run(serve(ex, platform, config, rules)))
+    let executor: Executor = Rc::new(LocalExecutor::new());
+    smol::block_on(
+        executor
+            .clone()
+            .run(serve(executor, platform, config, rules)),
+    )
 }
 
 /// What doesn't hold with settings under which `cancel_s` leaves no time beside the
@@ -86,120 +94,140 @@
 }
 
 async fn serve(
-    ex: Executor,
+    executor: Executor,
     platform: &PlatformSettings,
     config: Config,
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
     let clients = bind(&platform.client_listen).await?;
-    let siblings = bind(&platform.mesh_addr).await?;
-    let (inputs, core_inputs) = smol::channel::bounded(MAX_INPUTS);
-    let (reports, core_reports) = smol::channel::bounded(MAX_INPUTS);
-    // The room of such a queue is taken at once: nobody asks where there is no door.
-    let may_ask = if rules.is_some() { MAX_INPUTS } else { 1 };
-    let (asks, core_asks) = smol::channel::bounded(may_ask);
+    let peers = bind(&platform.mesh_addr).await?;
+    let (inputs, input_queue) = smol::channel::bounded(MAX_INPUTS);
+    let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_INPUTS);
+    // Such a queue allocates its capacity at once, and without the listener nothing is queued.
+    let request_capacity = if rules.is_some() { MAX_INPUTS } else { 1 };
+    let (api_requests, api_request_queue) = smol::channel::bounded(request_capacity);
     let max = platform.cluster.quota.max_connections;
     let shared = Rc::new(ServerState {
         inputs,
-        reports,
+        heartbeats,
         answers: RefCell::default(),
         next_request: Cell::new(0),
-        // The rest is for the state service, the cloud, workers and siblings.
+        // The rest is for the store, the cloud, commands to workers, and peers.
         clients: Rc::new(ClientConnections::new((max - (max / 4).max(24)) as usize)),
-        door_clients: Cell::new(0),
-        asks,
-        lines: RefCell::default(),
-        siblings_open: Cell::new(0),
+        kube_clients: Cell::new(0),
+        api_requests,
+        watch_lines: RefCell::default(),
+        open_peer_connections: Cell::new(0),
         watchdog: Watchdog::default(),
-        state: ConnectionPool::new(8, 8),
+        store: ConnectionPool::new(8, 8),
         cloud: ConnectionPool::new(2, 2),
-        // A fleet may have more machines than there are sockets: with one
-        // kept to each, a controller would have none left for its users.
-        // Those kept count against the orders that may be under way.
+        // A fleet may have more machines than there are sockets: with one kept to each,
+        // a controller would have none left for its users. Idle ones count against
+        // the commands that may be in flight.
         workers: ConnectionPool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
-        state_addr: platform.endpoints.state.clone(),
+        store_addr: platform.endpoints.state.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
-    let mut speakers = Vec::new();
-    for s in &platform.peers {
+    let mut peer_senders = Vec::new();
+    for peer in &platform.peers {
         let (tx, rx) = smol::channel::bounded(MAX_MESSAGES);
-        speakers.push(tx);
-        ex.spawn(peer_connections::speak(
-            config.member.clone(),
-            s.peer_addr.clone(),
-            rx,
-        ))
-        .detach();
+        peer_senders.push(tx);
+        executor
+            .spawn(peer_connections::send_messages(
+                config.member.clone(),
+                peer.peer_addr.clone(),
+                rx,
+            ))
+            .detach();
     }
-    let names: Rc<[String]> = config.peers.clone().into();
-    ex.spawn(accept_clients(ex.clone(), shared.clone(), clients))
+    let peer_names: Rc<[String]> = config.peers.clone().into();
+    executor
+        .spawn(accept_clients(executor.clone(), shared.clone(), clients))
         .detach();
-    ex.spawn(accept_siblings(ex.clone(), shared.clone(), siblings, names))
+    executor
+        .spawn(accept_peers(
+            executor.clone(),
+            shared.clone(),
+            peers,
+            peer_names,
+        ))
         .detach();
     if let Some(rules) = &rules {
-        kube_server::open(&ex, &shared, &rules.settings).await?;
+        kube_server::open(&executor, &shared, &rules.settings).await?;
     }
-    ex.spawn(tick(shared.clone())).detach();
-    log::info!("{} serves on {}", config.member, platform.client_listen);
+    executor.spawn(tick(shared.clone())).detach();
+    log::info!(
+        "serving: member={} address={}",
+        config.member,
+        platform.client_listen
+    );
     if let Some(warning) = short_of_time(&config) {
         log::error!("{warning}");
     }
     let controller = Controller::new(Node::new(config), rules);
-    let inputs = [core_inputs, core_reports];
-    core(ex, shared, controller, inputs, core_asks, speakers).await;
+    let inputs = [input_queue, heartbeat_queue];
+    run_controller(
+        executor,
+        shared,
+        controller,
+        inputs,
+        api_request_queue,
+        peer_senders,
+    )
+    .await;
     Ok(())
 }
 
 async fn tick(shared: Rc<ServerState>) {
-    let mut n = 0u32;
+    let mut ticks = 0u32;
     loop {
         // A full queue holds later ticks back, not the process.
         if shared.inputs.send(Input::Tick).await.is_err() {
             return;
         }
-        n = n.wrapping_add(1);
-        if n.is_multiple_of(20) {
+        ticks = ticks.wrapping_add(1);
+        if ticks.is_multiple_of(20) {
             shared.watchdog.sweep();
         }
-        if n.is_multiple_of(100) {
+        if ticks.is_multiple_of(100) {
             shared.workers.sweep();
-            shared.state.sweep();
+            shared.store.sweep();
             shared.cloud.sweep();
         }
         Timer::after(TICK).await;
     }
 }
 
-async fn core(
-    ex: Executor,
+async fn run_controller(
+    executor: Executor,
     shared: Rc<ServerState>,
     mut controller: Controller,
-    [inputs, reports]: [Receiver<Input>; 2],
-    asks: Receiver<ServerInput>,
-    speakers: Vec<Sender<Message>>,
+    [inputs, heartbeats]: [Receiver<Input>; 2],
+    api_requests: Receiver<ServerInput>,
+    peer_senders: Vec<Sender<Message>>,
 ) {
     let start = Instant::now();
-    let mut turn = 0;
+    let mut inputs_in_turn = 0;
     loop {
-        let next = match inputs.try_recv().or_else(|_| reports.try_recv()) {
-            Ok(input) => Ok(ServerInput::Core(input)),
+        let next = match inputs.try_recv().or_else(|_| heartbeats.try_recv()) {
+            Ok(input) => Ok(ServerInput::Controller(input)),
             Err(_) => {
-                let core = async {
+                let queued = async {
                     inputs
                         .recv()
-                        .or(reports.recv())
+                        .or(heartbeats.recv())
                         .await
-                        .map(ServerInput::Core)
+                        .map(ServerInput::Controller)
                 };
-                core.or(asks.recv()).await
+                queued.or(api_requests.recv()).await
             }
         };
         let Ok(input) = next else {
             return;
         };
-        turn += 1;
-        if turn >= TURN {
-            turn = 0;
+        inputs_in_turn += 1;
+        if inputs_in_turn >= INPUTS_PER_TURN {
+            inputs_in_turn = 0;
             smol::future::yield_now().await;
         }
         let begun = Instant::now();
@@ -210,17 +238,19 @@
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros),
         };
-        let outs = match input {
-            ServerInput::Core(input) => controller.handle(now, input),
-            ServerInput::Ask(id, ask) => controller.ask(now, id, ask),
-            ServerInput::Gone(id) => {
+        let outputs = match input {
+            ServerInput::Controller(input) => controller.handle(now, input),
+            ServerInput::ApiRequest(id, request) => controller.ask(now, id, request),
+            ServerInput::ClientGone(id) => {
                 controller.gone(id);
                 continue;
             }
         };
-        for out in outs {
-            match out {
-                ControllerOutput::Core(output) => carry_out(&ex, &shared, &speakers, begun, output),
+        for output in outputs {
+            match output {
+                ControllerOutput::Core(output) => {
+                    carry_out(&executor, &shared, &peer_senders, begun, output)
+                }
                 other => {
                     if let Some(slow) = kube_server::carry_out(&shared, other) {
                         controller.gone(slow);
@@ -231,11 +261,11 @@
     }
 }
 
-/// Does what the core wants done, which it decided when the turn `begun`.
+/// Carries out an output that the controller decided on at `begun`.
 fn carry_out(
-    ex: &Executor,
+    executor: &Executor,
     shared: &Rc<ServerState>,
-    speakers: &[Sender<Message>],
+    peer_senders: &[Sender<Message>],
     begun: Instant,
     output: Output,
 ) {
@@ -247,7 +277,8 @@
             }
         }
         Output::Store { id, call, timeout } => {
-            ex.spawn(state_call(shared.clone(), id, call, timeout))
+            executor
+                .spawn(store_call(shared.clone(), id, call, timeout))
                 .detach();
         }
         Output::Cloud {
@@ -260,7 +291,8 @@
                 time: Duration::from_micros(timeout),
                 send_by: begun.checked_add(Duration::from_micros(within)),
             };
-            ex.spawn(cloud_call(shared.clone(), id, call, limits))
+            executor
+                .spawn(cloud_call(shared.clone(), id, call, limits))
                 .detach();
         }
         Output::Commands {
@@ -269,33 +301,39 @@
             orders,
             timeout,
         } => {
-            ex.spawn(orders_call(shared.clone(), id, addr, orders, timeout))
+            executor
+                .spawn(command_call(shared.clone(), id, addr, orders, timeout))
                 .detach();
         }
         Output::JobEvent(_) => {}
         Output::Peer { message } => {
-            for s in speakers {
-                // A sibling that does not keep up misses hints only.
-                let _ = s.try_send(message.clone());
+            for sender in peer_senders {
+                // A peer that does not keep up misses hints only.
+                let _ = sender.try_send(message.clone());
             }
         }
     }
 }
 
-async fn state_call(shared: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
+async fn store_call(shared: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
     let (method, target, body) = call.request();
     let time = Duration::from_micros(timeout);
     let reply = shared
-        .state
-        .call(&shared.state_addr, method, &target, &body, time)
+        .store
+        .call(&shared.store_addr, method, &target, &body, time)
         .await
         .and_then(|(status, body)| {
             call.reply(status, &body).map_err(|e| {
-                log::error!("the state service answers {method} {target} with nonsense: {e}");
+                log::error!(
+                    "unreadable response of the store: method={method} target={target} error={e}"
+                );
                 CallError::NoAnswer
             })
         });
-    log::debug!("state {method} {target}: {}", outcome(&reply));
+    log::debug!(
+        "store request: method={method} target={target} outcome={}",
+        outcome(&reply)
+    );
     let _ = shared.inputs.send(Input::Store { id, reply }).await;
 }
 
@@ -314,15 +352,20 @@
         .await
         .and_then(|(status, body)| {
             call.reply(status, &body).map_err(|e| {
-                log::error!("the cloud answers {method} {target} with nonsense: {e}");
+                log::error!(
+                    "unreadable response of the cloud: method={method} target={target} error={e}"
+                );
                 CallError::NoAnswer
             })
         });
-    log::debug!("cloud {method} {target}: {}", outcome(&reply));
+    log::debug!(
+        "cloud request: method={method} target={target} outcome={}",
+        outcome(&reply)
+    );
     let _ = shared.inputs.send(Input::Cloud { id, reply }).await;
 }
 
-async fn orders_call(
+async fn command_call(
     shared: Rc<ServerState>,
     id: CallId,
     addr: String,
@@ -335,7 +378,7 @@
         .workers
         .call(&addr, "POST", COMMANDS_PATH, &body, time)
         .await;
-    log::debug!("orders to {addr}: {}", outcome(&reply));
+    log::debug!("commands sent: address={addr} outcome={}", outcome(&reply));
     let _ = shared.inputs.send(Input::Commands { id, reply }).await;
 }
 
@@ -356,17 +399,19 @@
     }
 }
 
-async fn accept_clients(ex: Executor, shared: Rc<ServerState>, listener: TcpListener) {
+async fn accept_clients(executor: Executor, shared: Rc<ServerState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => match shared.clients.admit().await {
-                Some(admitted) => ex.spawn(client(shared.clone(), stream, admitted)).detach(),
+                Some(admitted) => executor
+                    .spawn(client(shared.clone(), stream, admitted))
+                    .detach(),
                 // Beyond the bound the connection is closed at once: the load
                 // balancer and the workers go to another node.
-                None => log::debug!("too many connections"),
+                None => log::debug!("connection refused: too many connections"),
             },
             Err(e) => {
-                log::error!("cannot accept a connection: {e}");
+                log::error!("cannot accept a connection: error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
@@ -394,7 +439,7 @@
         let (tx, rx) = smol::channel::bounded(1);
         shared.answers.borrow_mut().insert(id, tx);
         let (peer, queue) = match request.target.as_str() {
-            HEARTBEAT_PATH => (Peer::Worker, &shared.reports),
+            HEARTBEAT_PATH => (Peer::Worker, &shared.heartbeats),
             _ => (Peer::User, &shared.inputs),
         };
         admitted.carries(peer);
@@ -417,25 +462,31 @@
     }
 }
 
-async fn accept_siblings(
-    ex: Executor,
+async fn accept_peers(
+    executor: Executor,
     shared: Rc<ServerState>,
     listener: TcpListener,
-    names: Rc<[String]>,
+    peer_names: Rc<[String]>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if shared.siblings_open.get() < MAX_SIBLING_CONNECTIONS => {
-                let (shared, names) = (shared.clone(), names.clone());
-                ex.spawn(async move {
-                    let _counted = ConnectionCount::new(&shared, |s| &s.siblings_open);
-                    peer_connections::listen(stream, &names, shared.inputs.clone()).await;
-                })
-                .detach();
+            Ok((stream, _)) if shared.open_peer_connections.get() < MAX_PEER_CONNECTIONS => {
+                let (shared, peer_names) = (shared.clone(), peer_names.clone());
+                executor
+                    .spawn(async move {
+                        let _counted = ConnectionCount::new(&shared, |s| &s.open_peer_connections);
+                        peer_connections::receive_messages(
+                            stream,
+                            &peer_names,
+                            shared.inputs.clone(),
+                        )
+                        .await;
+                    })
+                    .detach();
             }
-            Ok(_) => log::error!("too many sibling connections"),
+            Ok(_) => log::error!("peer connection refused: too many connections"),
             Err(e) => {
-                log::error!("cannot accept a sibling: {e}");
+                log::error!("cannot accept a peer connection: error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
