--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -1,6 +1,6 @@
 //! Kubernetes-shaped clients of dillcleat.
 //!
-//! A [`Controller`] is a [`Node`], with a [`Door`] beside it where the operators want
+//! A [`Controller`] is a [`Node`], with a [`ApiServer`] beside it where the operators want
 //! one, as a state machine without I/O: an ordinary Kubernetes client's requests go in, answers, lines of watches and
 //! calls of the state service come out. docs/kubernetes.md says what is served.
 
