--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -174,7 +174,7 @@
     rules: Option<Rules>,
 }
 
-/// The operators' own file: the tuning, and the table of the clients' door.
+/// The operators' own file: the tuning, and the table of the clients' API server.
 fn operators(path: &Path) -> Result<(Tuning, Option<Rules>), CliError> {
     let bad = |e: String| CliError::Settings(path.display().to_string(), e);
     let mut table: toml::Table =
--- a/crates/dillcleat/src/client.rs
+++ b/crates/dillcleat/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the door, for the commands that people use.
+//! A client of the API server, for the commands that people use.
 
 use crate::error::CliError;
 use clap::Args;
@@ -19,7 +19,7 @@
 
 #[derive(Args, Clone)]
 pub struct Server {
-    /// Where the door is: https://HOST:PORT, or http://HOST:PORT on loopback; also
+    /// Where the API server is: https://HOST:PORT, or http://HOST:PORT on loopback; also
     /// DILLCLEAT_SERVER
     #[arg(long, value_name = "URL")]
     server: Option<String>,
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -1,4 +1,4 @@
-//! Keys and tokens for the door.
+//! Keys and tokens for the API server.
 
 use crate::error::CliError;
 use clap::Subcommand;
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -1,6 +1,6 @@
-//! The door: what clients ask goes in, what follows from it comes out.
+//! The API server as a state machine: requests of clients go in, responses and calls come out.
 //!
-//! Whatever is read is at least as new as its request: a look at the state service
+//! Whatever is read is at least as new as its request: a look at the store
 //! (a watch that is not held) brings the objects up to date for all requests that
 //! came before it. Whatever is written is one transaction that compares what it was
 //! decided on.
@@ -30,7 +30,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How long the watch of the state service is held.
+/// How long the watch of the store is held.
 const HOLD_MS: u64 = 20_000;
 const RETRY: Micros = 200 * MILLISECOND;
 /// How long a request may be tried.
@@ -74,7 +74,7 @@
     deleted: Option<String>,
 }
 
-/// Who waits for an answer of the state service.
+/// Who waits for an answer of the store.
 #[derive(Debug)]
 enum Waiting {
     Page {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Whether a call's answer is for this door.
+    /// Whether a call's answer is for this API server.
     pub fn owns(id: CallId) -> bool {
         id.0 & OWN != 0
     }
@@ -292,7 +292,7 @@
             let what = "a patch is a JSON merge patch or a strategic one, nothing else is";
             return Err(StatusError::MediaType(what.into()));
         }
-        // A watch costs the state service nothing.
+        // A watch costs the store nothing.
         if verb != Verb::Watch {
             ctx.node.asked();
         }
@@ -460,7 +460,7 @@
         self.call(ctx, StoreRequest::Get { key }, Waiting::KeepLook(job));
     }
 
-    /// An answer of the state service.
+    /// An answer of the store.
     pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StoreResponse, CallError>) {
         let Some(waiting) = self.calls.remove(&id) else {
             return;
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Controller`] is a [`Node`], with a [`ApiServer`] beside it where the operators want
 //! one, as a state machine without I/O: an ordinary Kubernetes client's requests go in, answers, lines of watches and
-//! calls of the state service come out. docs/kubernetes.md says what is served.
+//! calls of the store come out. docs/kubernetes.md says what is served.
 
 pub mod api_server;
 pub mod fields;
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerOutput {
-    /// What the node wants; calls of the door are among it.
+    /// What the node wants; calls of the API server are among it.
     Core(Output),
     Reply {
         id: RequestId,
@@ -80,7 +80,7 @@
 }
 
 impl Controller {
-    /// Without rules for it there is no door: no call and no memory is spent on it.
+    /// Without rules for it there is no API server: no call and no memory is spent on it.
     pub fn new(node: Node, rules: Option<Rules>) -> Controller {
         Controller {
             node,
@@ -88,7 +88,7 @@
         }
     }
 
-    fn door(
+    fn with_api_server(
         &mut self,
         now: Timestamp,
         out: &mut Vec<ControllerOutput>,
@@ -99,8 +99,8 @@
             node: &mut self.node,
             out,
         };
-        if let Some(door) = &mut self.api_server {
-            act(door, &mut ctx);
+        if let Some(api_server) = &mut self.api_server {
+            act(api_server, &mut ctx);
         }
     }
 
@@ -112,22 +112,24 @@
         let mut out = Vec::new();
         match input {
             Input::Store { id, reply } if ApiServer::owns(id) => {
-                self.door(now, &mut out, |door, ctx| door.answered(ctx, id, reply));
+                self.with_api_server(now, &mut out, |api_server, ctx| {
+                    api_server.answered(ctx, id, reply)
+                });
             }
             input => {
                 let tick = matches!(input, Input::Tick);
                 for output in self.node.handle(now, input) {
                     match output {
                         Output::JobEvent(told) => {
-                            if let Some(door) = &mut self.api_server {
-                                door.told(told);
+                            if let Some(api_server) = &mut self.api_server {
+                                api_server.told(told);
                             }
                         }
                         other => out.push(ControllerOutput::Core(other)),
                     }
                 }
                 if tick {
-                    self.door(now, &mut out, |door, ctx| door.tick(ctx));
+                    self.with_api_server(now, &mut out, |api_server, ctx| api_server.tick(ctx));
                 }
             }
         }
@@ -137,14 +139,16 @@
     /// A client's request.
     pub fn ask(&mut self, now: Timestamp, id: RequestId, ask: ApiRequest) -> Vec<ControllerOutput> {
         let mut out = Vec::new();
-        self.door(now, &mut out, |door, ctx| door.ask(ctx, id, ask));
+        self.with_api_server(now, &mut out, |api_server, ctx| {
+            api_server.ask(ctx, id, ask)
+        });
         out
     }
 
     /// The client of a watch has gone, or does not keep up.
     pub fn gone(&mut self, id: RequestId) {
-        if let Some(door) = &mut self.api_server {
-            door.gone(id);
+        if let Some(api_server) = &mut self.api_server {
+            api_server.gone(id);
         }
     }
 }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of an object in the state service.
+//! What is kept of an object in the store.
 //!
 //! - `k/o/RESOURCE/NAMESPACE/NAME`: an object, as long as there is one;
 //! - `k/d/RESOURCE/NAMESPACE/NAME`: that there was one of this name, and its run.
@@ -45,7 +45,7 @@
     }
 }
 
-/// Which object. Ordered as its key in the state service is.
+/// Which object. Ordered as its key in the store is.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name {
     pub kind: Kind,
@@ -146,7 +146,7 @@
 }
 
 impl Record {
-    /// Its size in the state service, in bytes of the JSON form.
+    /// Its size in the store, in bytes of the JSON form.
     pub fn size(&self) -> usize {
         store::json_size(&store::encode_value(self))
     }
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators set for this door, and who may use it.
+//! What operators set for this API server, and who may use it.
 
 use crate::names::{SigningKey, unhex};
 use serde::Deserialize;
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -424,7 +424,7 @@
     }
 }
 
-/// What the native door would not take of the job.
+/// What the native API server would not take of the job.
 fn refused(job: &JobSpec) -> Option<String> {
     let id = "req-0".to_string();
     let body = dillcleat_wire::encode(&JobSpec { id, ..job.clone() });
--- a/crates/kube/src/watch_cache.rs
+++ b/crates/kube/src/watch_cache.rs
@@ -1,6 +1,6 @@
-//! All objects as the state service has them, and their latest changes.
+//! All objects as the store has them, and their latest changes.
 //!
-//! Every controller keeps them up to date by one watch of the state service, however
+//! Every controller keeps them up to date by one watch of the store, however
 //! many clients read and watch.
 
 use crate::record::{Kind, Name, OBJECTS, Object, Record};
@@ -26,7 +26,7 @@
     turns: VecDeque<Turn>,
     /// The latest change that is no longer among the turns.
     forgotten: u64,
-    /// Up to which revision of the state service the objects are known; None before
+    /// Up to which revision of the store the objects are known; None before
     /// all of them were read.
     revision: Option<u64>,
     loading: Option<Loading>,
