--- a/crates/core/src/admission/names.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -29,33 +29,33 @@
     }
 
     /// What is known of a name.
-    fn found(&mut self, name: &str, known: Known) {
-        match known.mark.s {
-            Mark::Done => self.done.push(name.to_string()),
-            Mark::Open if known.service => {
+    fn found(&mut self, name: &str, known: KnownJob) {
+        match known.mark.state {
+            RecordedState::Done => self.done.push(name.to_string()),
+            RecordedState::Open if known.service => {
                 self.refuse(name, "a service, which is never done");
             }
-            Mark::Open | Mark::Cancelled => {}
+            RecordedState::Open | RecordedState::Cancelled => {}
         }
     }
 }
 
 /// Reads a name's mark, or its description.
-fn read(ctx: &mut Ctx, naming: u64, name: String, mark: bool) {
+fn read(ctx: &mut Context, naming: u64, name: String, mark: bool) {
     let key = match mark {
-        true => store::job_key(&name),
-        false => store::open_key(&name),
+        true => records::job_key(&name),
+        false => records::open_key(&name),
     };
     let step = Step::Name { naming, name, mark };
-    ctx.state_soon(StateCall::Get { key }, Waiter::Admission(step));
+    ctx.hedged_store_request(StoreRequest::Get { key }, Continuation::Admission(step));
 }
 
 const NEVER: &str = "which was never accepted";
 
 impl Admission {
     /// Takes a submission that waits for other jobs.
-    pub(super) fn name(&mut self, ctx: &mut Ctx, request: RequestId, job: OpenJob) {
-        let now = ctx.now.steady;
+    pub(super) fn name(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
+        let now = ctx.now.monotonic;
         let id = job.spec.id.clone();
         let mut naming = Naming {
             request,
@@ -67,9 +67,9 @@
             job,
         };
         let mut unseen = Vec::new();
-        for name in naming.job.spec.awaits.clone() {
+        for name in naming.job.spec.depends_on.clone() {
             match self.cache.get(&name) {
-                Some(known) => naming.found(&name, known),
+                Some(job_cache) => naming.found(&name, job_cache),
                 None if name == id || !is_job_id(&name) => naming.refuse(&name, NEVER),
                 None => unseen.push(name),
             }
@@ -79,7 +79,9 @@
         if naming.refused.is_some() {
             return self.named(ctx, naming);
         }
-        if self.under_way + reads >= MAX_UNDER_WAY || !self.grant(calls, 1.0, Need::Change, now) {
+        if self.under_way + reads >= MAX_UNDER_WAY
+            || !self.grant(calls, 1.0, RequestPriority::Change, now)
+        {
             return ctx.answer(request, Answer::later("too many requests"));
         }
         if reads == 0 {
@@ -98,23 +100,25 @@
     /// One of its names was looked up.
     pub(super) fn name_found(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         naming_no: u64,
         name: String,
         mark: bool,
-        reply: Result<StateReply, CallError>,
+        reply: Result<StoreResponse, CallError>,
     ) {
         let known = match &reply {
-            Ok(StateReply::Found(row)) if mark => {
-                let mark = row.read::<JobMark>();
-                mark.map(|mark| Known::marked(mark, row.version))
+            Ok(StoreResponse::Found(row)) if mark => {
+                let mark = row.decode_value::<JobStateRecord>();
+                mark.map(|mark| KnownJob::marked(mark, row.version))
             }
-            Ok(StateReply::Found(row)) => row.read::<OpenJob>().map(|job| Known::open(&job, row)),
+            Ok(StoreResponse::Found(row)) => row
+                .decode_value::<OpenJob>()
+                .map(|job| KnownJob::open(&job, row)),
             _ => None,
         };
-        if matches!(reply, Ok(StateReply::Absent { .. })) && !mark {
+        if matches!(reply, Ok(StoreResponse::NotFound { .. })) && !mark {
             // It has ended, or never was.
-            self.calls.charge(1.0, ctx.now.steady);
+            self.calls.charge(1.0, ctx.now.monotonic);
             return read(ctx, naming_no, name, true);
         }
         self.under_way -= 1;
@@ -126,7 +130,7 @@
                 self.cache.put(&name, known);
                 naming.found(&name, known);
             }
-            (None, Ok(StateReply::Absent { .. })) => naming.refuse(&name, NEVER),
+            (None, Ok(StoreResponse::NotFound { .. })) => naming.refuse(&name, NEVER),
             (None, _) => naming.unknown = true,
         }
         naming.left -= 1;
@@ -138,20 +142,24 @@
     }
 
     /// All that could be known of its names is.
-    fn named(&mut self, ctx: &mut Ctx, mut naming: Naming) {
+    fn named(&mut self, ctx: &mut Context, mut naming: Naming) {
         let request = naming.request;
         let answer = match naming.refused {
             Some(cause) => Answer::refusal(422, cause),
             None if naming.unknown => Answer::later("the state is out of reach"),
             None => {
                 let done = &naming.done;
-                naming.job.spec.awaits.retain(|name| !done.contains(name));
+                naming
+                    .job
+                    .spec
+                    .depends_on
+                    .retain(|name| !done.contains(name));
                 self.under_way += 1;
                 return self.create(ctx, request, Rc::new(naming.job), naming.since);
             }
         };
         // Whatever is wrong with its names, a known job is answered as known.
-        let ask = Ask::Refuse { request, answer };
+        let ask = PendingRequest::Refuse { request, answer };
         self.ask(ctx, naming.job.spec.id.clone(), ask);
     }
 }
--- a/crates/core/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,12 +1,12 @@
 //! Requests of this node that wait for their answers, and who waits.
 
-use crate::bucket::Bucket;
-use crate::permit::Permit;
-use crate::waiters::Waiter;
-use crate::{MILLISECOND, Micros, Now, Output, SECOND};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::StateCall;
-use dillcleat_wire::worker::Orders;
+use crate::continuations::Continuation;
+use crate::leadership_guard::CloudPermit;
+use crate::token_bucket::TokenBucket;
+use crate::{MILLISECOND, Micros, Output, SECOND, Timestamp};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::StoreRequest;
+use dillcleat_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,19 +29,19 @@
 pub const ORDERS_TIMEOUT: Micros = 1500 * MILLISECOND;
 
 /// How long this call to the state service may take.
-pub fn state_timeout(call: &StateCall) -> Micros {
+pub fn state_timeout(call: &StoreRequest) -> Micros {
     match call {
-        StateCall::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STATE_TIMEOUT,
+        StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STATE_TIMEOUT,
         _ => STATE_TIMEOUT,
     }
 }
 
 /// What a module may do while it handles an input.
-pub struct Ctx<'a> {
-    pub now: Now,
+pub struct Context<'a> {
+    pub now: Timestamp,
     pub config: &'a crate::Config,
     pub out: &'a mut Vec<Output>,
-    pub calls: &'a mut Calls,
+    pub calls: &'a mut PendingCalls,
 }
 
 /// The part of the state service's requests that second calls may take: when it is slow
@@ -50,27 +50,27 @@
 
 #[derive(Debug)]
 struct Waiting {
-    waiter: Waiter,
+    waiter: Continuation,
     since: Micros,
     /// The same call made a second time, or the first time.
     twin: Option<CallId>,
 }
 
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct PendingCalls {
     next: u64,
     waiting: HashMap<CallId, Waiting>,
     /// Calls that are made a second time if they are slow, in the order of their times.
-    urgent: VecDeque<(Micros, CallId, StateCall)>,
+    urgent: VecDeque<(Micros, CallId, StoreRequest)>,
     /// Second calls that may be made now.
-    allowed: Bucket,
+    allowed: TokenBucket,
 }
 
-impl Calls {
-    fn open(&mut self, waiter: Waiter, now: Now) -> CallId {
+impl PendingCalls {
+    fn open(&mut self, waiter: Continuation, now: Timestamp) -> CallId {
         self.next += 1;
         let id = CallId(self.next);
-        let since = now.steady;
+        let since = now.monotonic;
         let waiting = Waiting {
             waiter,
             since,
@@ -82,7 +82,7 @@
 
     /// The waiter of an answered call and when the call was made. Whoever waits for two
     /// is told of the first answer; that one of them has failed is none.
-    pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Waiter, Micros)> {
+    pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
         let found = self.waiting.remove(&id)?;
         if let Some(twin) = found.twin {
             if failed && let Some(other) = self.waiting.get_mut(&twin) {
@@ -95,7 +95,7 @@
     }
 
     /// The calls to be made a second time now.
-    fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StateCall)> {
+    fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
         let per_s = config.state_rps * SECOND_PART;
         self.allowed.grow(now, per_s, per_s.max(1.0));
         let mut again = Vec::new();
@@ -126,37 +126,42 @@
     }
 }
 
-impl Ctx<'_> {
-    pub fn state(&mut self, call: StateCall, waiter: Waiter) -> CallId {
+impl Context<'_> {
+    pub fn store_request(&mut self, call: StoreRequest, waiter: Continuation) -> CallId {
         let timeout = state_timeout(&call);
         let id = self.calls.open(waiter, self.now);
-        self.out.push(Output::State { id, call, timeout });
+        self.out.push(Output::Store { id, call, timeout });
         id
     }
 
     /// A call that a user waits for, and that does no harm when it is made twice: it is,
     /// if its answer is slow.
-    pub fn state_soon(&mut self, call: StateCall, waiter: Waiter) {
-        let id = self.state(call.clone(), waiter);
+    pub fn hedged_store_request(&mut self, call: StoreRequest, waiter: Continuation) {
+        let id = self.store_request(call.clone(), waiter);
         // The state service answers most within 10 ms and some in a few hundred: of two
         // answers one is rarely slow.
         let slow = crate::micros(self.config.tuning.again_s);
         if slow > 0 {
-            let due = self.now.steady + slow;
+            let due = self.now.monotonic + slow;
             self.calls.urgent.push_back((due, id, call));
         }
     }
 
     /// Makes calls whose answers are slow a second time.
-    pub fn hasten(&mut self) {
-        for (id, call) in self.calls.slow(self.config, self.now.steady) {
+    pub fn send_hedged_requests(&mut self) {
+        for (id, call) in self.calls.slow(self.config, self.now.monotonic) {
             let timeout = state_timeout(&call);
-            self.out.push(Output::State { id, call, timeout });
+            self.out.push(Output::Store { id, call, timeout });
         }
     }
 
     /// The one door to the cloud: without a permit no call goes out.
-    pub fn cloud(&mut self, call: CloudCall, permit: &Permit, waiter: Waiter) {
+    pub fn cloud_request(
+        &mut self,
+        call: CloudRequest,
+        permit: &CloudPermit,
+        waiter: Continuation,
+    ) {
         if !permit.covers(&call) {
             log::error!("no permit for {call:?}");
             return;
@@ -166,13 +171,18 @@
             id,
             call,
             timeout: CLOUD_TIMEOUT,
-            within: permit.within(self.now.steady),
+            within: permit.within(self.now.monotonic),
         });
     }
 
-    pub fn orders(&mut self, addr: String, orders: Orders, waiter: Waiter) -> CallId {
+    pub fn send_commands(
+        &mut self,
+        addr: String,
+        orders: CommandBatch,
+        waiter: Continuation,
+    ) -> CallId {
         let id = self.calls.open(waiter, self.now);
-        self.out.push(Output::Orders {
+        self.out.push(Output::Commands {
             id,
             addr,
             orders,
--- a/crates/core/src/desk.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -1,8 +1,8 @@
 //! The desk that calls the cloud.
 
-use crate::permit::{Action, Ground, Permit};
+use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
 use crate::{Micros, SECOND};
-use dillcleat_wire::cloud::{CloudCall, MAX_DELETE, Rent};
+use dillcleat_wire::cloud::{CloudRequest, MAX_DELETE, ScaleOut};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -13,8 +13,8 @@
 
 /// A rental that has no final answer yet.
 #[derive(Debug, Clone)]
-pub struct Rental {
-    pub rent: Rent,
+pub struct PendingScaleOut {
+    pub request: ScaleOut,
     pub since: Micros,
     /// An earlier try may have been carried out: its name must be repeated
     /// until there is an answer.
@@ -23,26 +23,26 @@
 
 /// A machine that is to be deleted.
 #[derive(Debug, Clone, Copy)]
-struct Deletion {
-    ground: Ground,
+struct PendingDeletion {
+    reason: DeletionReason,
     /// An earlier try may be carried out any time.
     uncertain: bool,
 }
 
 /// One call to the cloud at a time, within its rate, most urgent first.
 #[derive(Debug)]
-pub struct Desk {
+pub struct CloudQueue {
     rate: f64,
     tokens: f64,
     refilled: Micros,
     pub busy: bool,
     pub pause_until: Micros,
-    deletes: BTreeMap<Rc<str>, Deletion>,
+    deletes: BTreeMap<Rc<str>, PendingDeletion>,
     /// What the call under way deletes.
     deleting: Vec<Rc<str>>,
     /// Deletions and rentals take turns.
     deleted_last: bool,
-    pub rentals: VecDeque<Rental>,
+    pub scale_outs: VecDeque<PendingScaleOut>,
     pub list_at: Micros,
     pub list_after: Option<String>,
     pub types_at: Micros,
@@ -51,16 +51,16 @@
 
 /// Which call went out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Errand {
+pub enum CloudRequestKind {
     Delete,
-    Rent,
+    ScaleOut,
     List,
     Types,
 }
 
-impl Desk {
+impl CloudQueue {
     pub fn new(rate: f64, now: Micros) -> Self {
-        Desk {
+        CloudQueue {
             rate,
             tokens: 1.0,
             refilled: now,
@@ -69,7 +69,7 @@
             deletes: BTreeMap::new(),
             deleting: Vec::new(),
             deleted_last: false,
-            rentals: VecDeque::new(),
+            scale_outs: VecDeque::new(),
             list_at: now,
             list_after: None,
             types_at: now,
@@ -85,11 +85,14 @@
     }
 
     /// Has a machine deleted; of several grounds the weightiest stands.
-    pub fn delete(&mut self, name: Rc<str>, ground: Ground) {
+    pub fn delete(&mut self, name: Rc<str>, ground: DeletionReason) {
         let uncertain = false;
-        let new = Deletion { ground, uncertain };
+        let new = PendingDeletion {
+            reason: ground,
+            uncertain,
+        };
         let deletion = self.deletes.entry(name).or_insert(new);
-        deletion.ground = deletion.ground.min(ground);
+        deletion.reason = deletion.reason.min(ground);
     }
 
     /// Machines that are to be deleted.
@@ -100,7 +103,7 @@
     /// Whether the machine is to be deleted for a cancelled task.
     pub fn urgent(&self, name: &str) -> bool {
         let deletion = self.deletes.get(name);
-        deletion.is_some_and(|d| d.ground == Ground::Cancelled)
+        deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
 
     /// The machine that was to be deleted for its silence is heard: it stays, unless
@@ -109,7 +112,7 @@
         let Some(d) = self.deletes.get(name) else {
             return false;
         };
-        let stays = d.ground == Ground::Silent
+        let stays = d.reason == DeletionReason::Silent
             && !d.uncertain
             && !self.deleting.iter().any(|n| **n == *name);
         if stays {
@@ -139,8 +142,8 @@
 
     /// Takes the next machines to delete: those of weightier grounds first, and no
     /// more than `most` of those that may be in use when a late call reaches them.
-    fn some(&self, most: usize, given: impl Fn(Ground) -> bool) -> Vec<Rc<str>> {
-        use Ground::{Cancelled, Failed, Returned, Silent};
+    fn some(&self, most: usize, given: impl Fn(DeletionReason) -> bool) -> Vec<Rc<str>> {
+        use DeletionReason::{Cancelled, Failed, Returned, Silent};
         let mut names = Vec::new();
         for ground in [Cancelled, Failed, Silent, Returned] {
             if !given(ground) {
@@ -150,7 +153,7 @@
                 Failed => MAX_DELETE - names.len(),
                 _ => most.saturating_sub(names.len()),
             };
-            let of = self.deletes.iter().filter(|(_, d)| d.ground == ground);
+            let of = self.deletes.iter().filter(|(_, d)| d.reason == ground);
             names.extend(of.map(|(name, _)| name.clone()).take(room));
         }
         names
@@ -162,8 +165,8 @@
         &mut self,
         now: Micros,
         most: usize,
-        permit: impl Fn(Action) -> Option<Permit>,
-    ) -> Option<(Errand, CloudCall, Permit)> {
+        permit: impl Fn(CloudAction) -> Option<CloudPermit>,
+    ) -> Option<(CloudRequestKind, CloudRequest, CloudPermit)> {
         self.tokens = (self.tokens
             + crate::seconds(now.saturating_sub(self.refilled)) * self.rate * 0.9)
             .min(self.rate.max(1.0));
@@ -171,40 +174,52 @@
         if self.busy || now < self.pause_until || self.tokens < 1.0 {
             return None;
         }
-        let rent = permit(Action::Rent);
+        let rent = permit(CloudAction::ScaleOut);
         if rent.is_none() {
             // By the time that there is a permit again another plan fits better.
-            self.rentals
+            self.scale_outs
                 .retain(|r| r.uncertain || now < r.since + STALE);
         }
-        let rent = rent.filter(|_| !self.rentals.is_empty());
+        let rent = rent.filter(|_| !self.scale_outs.is_empty());
         let mut delete = Vec::new();
         if !self.deletes.is_empty() && (rent.is_none() || !self.deleted_last) {
-            let given = |ground| permit(Action::Delete(ground)).is_some();
+            let given = |ground| permit(CloudAction::Delete(ground)).is_some();
             delete = self.some(most.clamp(FEW, MAX_DELETE), given);
         }
         let grounds = delete.iter().filter_map(|n| self.deletes.get(n));
-        let heaviest = grounds.map(|d| d.ground).min();
+        let heaviest = grounds.map(|d| d.reason).min();
         let next = if let Some(ground) = heaviest {
             let names = delete.iter().map(|n| n.to_string()).collect();
             self.deleting = delete;
-            let call = CloudCall::Delete(names);
-            (Errand::Delete, call, permit(Action::Delete(ground))?)
+            let call = CloudRequest::Delete(names);
+            (
+                CloudRequestKind::Delete,
+                call,
+                permit(CloudAction::Delete(ground))?,
+            )
         } else if now >= self.types_at {
-            (Errand::Types, CloudCall::Types, permit(Action::Look)?)
-        } else if let Some((r, permit)) = self.rentals.front().zip(rent) {
-            (Errand::Rent, CloudCall::Rent(r.rent.clone()), permit)
+            (
+                CloudRequestKind::Types,
+                CloudRequest::Types,
+                permit(CloudAction::Look)?,
+            )
+        } else if let Some((r, permit)) = self.scale_outs.front().zip(rent) {
+            (
+                CloudRequestKind::ScaleOut,
+                CloudRequest::ScaleOut(r.request.clone()),
+                permit,
+            )
         } else if now >= self.list_at {
             let after = self.list_after.clone();
             (
-                Errand::List,
-                CloudCall::List { after },
-                permit(Action::Look)?,
+                CloudRequestKind::List,
+                CloudRequest::List { after },
+                permit(CloudAction::Look)?,
             )
         } else {
             return None;
         };
-        self.deleted_last = next.0 == Errand::Delete;
+        self.deleted_last = next.0 == CloudRequestKind::Delete;
         self.busy = true;
         self.tokens -= 1.0;
         Some(next)
@@ -212,10 +227,10 @@
 
     /// What an answer, or none, to a rental means for it.
     pub fn not_rented(&mut self, now: Micros, uncertain: bool) {
-        if let Some(r) = self.rentals.front_mut() {
+        if let Some(r) = self.scale_outs.front_mut() {
             r.uncertain |= uncertain;
             if !r.uncertain && now > r.since + STALE {
-                self.rentals.pop_front();
+                self.scale_outs.pop_front();
             }
         }
     }
--- a/crates/core/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform and the operator set.
 
 use crate::{Micros, SECOND, micros};
-use dillcleat_wire::platform::{Platform, Team, one_line};
+use dillcleat_wire::platform::{PlatformSettings, Team, one_line};
 use serde::Deserialize;
 
 /// The operator's own settings; every one has a default.
@@ -25,7 +25,7 @@
     #[serde(rename = "first_guess_s")]
     pub first_guess_s: f64,
     /// Shortest time-to-live of the leader's lease, in seconds. It is longer while the
-    /// state service is slow (`latency::lease_time`).
+    /// state service is slow (`store_latency::lease_time`).
     #[serde(rename = "lead_ttl_s")]
     pub lead_ttl_s: f64,
     /// Idle time after which a machine is returned, in seconds.
@@ -159,9 +159,9 @@
     pub member: String,
     /// The zone that this controller is in.
     pub zone: String,
-    pub siblings: Vec<String>,
+    pub peers: Vec<String>,
     /// Those of them in other zones.
-    pub far_siblings: Vec<String>,
+    pub peers_in_other_zones: Vec<String>,
     pub teams: Vec<Team>,
     pub report: Micros,
     pub lease: Micros,
@@ -191,7 +191,7 @@
 }
 
 impl Config {
-    pub fn new(p: &Platform, tuning: Tuning) -> Config {
+    pub fn new(p: &PlatformSettings, tuning: Tuning) -> Config {
         let c = &p.cluster;
         let next = &c.state.next;
         let bytes = |kb: f64| (kb * 1024.0) as usize;
@@ -199,9 +199,9 @@
         Config {
             member: p.member.clone(),
             zone: p.zone.clone(),
-            siblings: p.siblings.iter().map(|s| s.member.clone()).collect(),
-            far_siblings: p
-                .siblings
+            peers: p.peers.iter().map(|s| s.member.clone()).collect(),
+            peers_in_other_zones: p
+                .peers
                 .iter()
                 .filter(|s| s.zone != p.zone)
                 .map(|s| s.member.clone())
--- a/crates/core/src/learned.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -6,7 +6,7 @@
 //! before, and no rule rests on any.
 
 use crate::{Config, Micros, SECOND};
-use dillcleat_mesh::{Learned, LearnedJob};
+use dillcleat_peer_protocol::{Estimates, JobEstimate};
 use std::collections::HashMap;
 
 /// What was not told again for so long is not believed: its job has ended, or the
@@ -15,36 +15,36 @@
 
 /// What a node has heard of a leader.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct HeardEstimates {
     /// Of which term it is.
     term: u64,
     clock: f64,
     classes: Vec<(String, f64)>,
-    jobs: HashMap<String, (LearnedJob, Micros)>,
+    jobs: HashMap<String, (JobEstimate, Micros)>,
 }
 
 /// What a new leader takes over.
 #[derive(Debug, Default)]
-pub struct Inherited {
+pub struct InheritedEstimates {
     clock: f64,
     pub classes: HashMap<String, f64>,
-    jobs: HashMap<String, LearnedJob>,
+    jobs: HashMap<String, JobEstimate>,
 }
 
-impl Heard {
+impl HeardEstimates {
     /// Takes in what a leader tells. A later term's leader has what the one before
     /// knew, as far as it was heard, and has gone on from there.
-    pub fn take(&mut self, config: &Config, learned: Learned, now: Micros) {
+    pub fn take(&mut self, config: &Config, learned: Estimates, now: Micros) {
         if learned.term < self.term {
             return;
         }
         if learned.term > self.term {
-            *self = Heard {
+            *self = HeardEstimates {
                 term: learned.term,
-                ..Heard::default()
+                ..HeardEstimates::default()
             };
         }
-        self.clock = learned.clock;
+        self.clock = learned.virtual_time;
         if !learned.classes.is_empty() {
             self.classes = learned.classes;
         }
@@ -62,14 +62,14 @@
 
     /// What the leader of a new term may use: nothing of its own term or a later one,
     /// which others have begun or nobody has, and nothing old.
-    pub fn inherit(&mut self, term: u64, now: Micros) -> Inherited {
+    pub fn inherit(&mut self, term: u64, now: Micros) -> InheritedEstimates {
         let heard = std::mem::take(self);
         if heard.term >= term {
-            return Inherited::default();
+            return InheritedEstimates::default();
         }
         let jobs = heard.jobs.into_iter();
         let recent = jobs.filter(|(_, (_, at))| now < *at + BELIEVED);
-        Inherited {
+        InheritedEstimates {
             clock: heard.clock,
             classes: heard
                 .classes
@@ -81,11 +81,11 @@
     }
 }
 
-impl Inherited {
+impl InheritedEstimates {
     /// What was learned of a job, with its credit as of when the leader was last heard.
-    pub fn take(&mut self, id: &str) -> Option<LearnedJob> {
+    pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut job = self.jobs.remove(id)?;
-        if std::mem::take(&mut job.ages) {
+        if std::mem::take(&mut job.is_ageing) {
             job.credit += self.clock;
         }
         let sane = job.size > 0.0 && job.initial_size > 0.0 && job.credit >= 0.0;
--- a/crates/core/src/leader/rent.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -1,44 +1,81 @@
 //! Renting, returning, and machines that are gone.
 
-use super::boots::boot_time;
-use super::cut::CUT_LEASES;
-use super::late::Served;
+use super::boot_estimator::boot_time;
+use super::deadline_risk::Served;
+use super::zone_partition::CUT_LEASES;
 use super::*;
 
 /// Whether a call that got no success may have been carried out, or may still be.
-fn uncertain(reply: &Result<CloudReply, CallError>) -> bool {
+fn uncertain(reply: &Result<CloudResponse, CallError>) -> bool {
     matches!(reply, Err(CallError::NoAnswer))
 }
 
+/// The fleet's size: what was asked of the cloud, and what is known of its answers.
+#[derive(Debug)]
+pub(super) struct Autoscaler {
+    pub cloud_queue: CloudQueue,
+    pub refusals: RefusedOfferings,
+    pub boot_estimator: BootEstimator,
+    /// Waiting jobs that the next scale-out plan looks at.
+    pub plan_depth: usize,
+    /// When the fleet is looked over next.
+    pub next_fleet_check_at: Micros,
+    /// Machines that are proved to be gone, and since when.
+    pub removed_machines: HashMap<String, Micros>,
+}
+
+impl Autoscaler {
+    pub fn new(config: &Config, now: Micros) -> Autoscaler {
+        Autoscaler {
+            cloud_queue: CloudQueue::new(config.cloud_rps, now),
+            refusals: RefusedOfferings::default(),
+            boot_estimator: BootEstimator::default(),
+            plan_depth: PLAN_JOBS,
+            next_fleet_check_at: now,
+            removed_machines: HashMap::new(),
+        }
+    }
+}
+
 impl Leader {
-    pub(super) fn tend_fleet(&mut self, ctx: &Ctx) {
-        let now = ctx.now.steady;
+    pub(super) fn tend_fleet(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         let cut_off = self.cut_off();
         self.drop_silent(ctx, &cut_off);
-        if self.may(ctx, Action::Delete(Ground::Returned)) {
+        if self.may(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.return_idle(ctx);
         }
         let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
-        self.gone.retain(|_, at| *at > keep);
-        let Some(types) = self.types.clone() else {
+        self.autoscaler.removed_machines.retain(|_, at| *at > keep);
+        let Some(types) = self.machine_types.types.clone() else {
             return;
         };
         // Right after the start the machines are still becoming known.
-        if now < self.ready_since + 2 * SECOND || !self.fresh(ctx) || !self.may(ctx, Action::Rent) {
+        if now < self.recovery.ready_since + 2 * SECOND
+            || !self.has_recent_read(ctx)
+            || !self.may(ctx, CloudAction::ScaleOut)
+        {
             return;
         }
         let (booting, slow) = self.booting(&types, now);
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
-            if self.dark.insert(m.zone.clone(), now).is_none() {
+            if self
+                .partitions
+                .partitioned_zones
+                .insert(m.zone.clone(), now)
+                .is_none()
+            {
                 log::info!("zone {} has fallen silent", m.zone);
             }
         }
-        self.dark.retain(|_, at| now < *at + DARK);
+        self.partitions
+            .partitioned_zones
+            .retain(|_, at| now < *at + DARK);
         // What is asked for is answered first: refusals change the plan.
-        if !self.desk.rentals.is_empty() {
+        if !self.autoscaler.cloud_queue.scale_outs.is_empty() {
             return;
         }
-        let mut teams = self.index.sums.team_views(ctx.config);
+        let mut teams = self.derived.sums.team_views(ctx.config);
         let lost = self.lost_replicas(&cut_off);
         for (place, n) in &lost {
             if let Some((_, job)) = self.jobs.at(*place) {
@@ -48,11 +85,11 @@
         }
         let ahead = self.ahead(ctx.config);
         // With nothing waiting and no room wanted ahead there is nothing to plan.
-        if self.index.line.is_empty() && lost.is_empty() && ahead <= 0.0 {
+        if self.derived.job_queue.is_empty() && lost.is_empty() && ahead <= 0.0 {
             return;
         }
-        let mut floor = Floor::without_images();
-        let up = self.index.sums.up.iter();
+        let mut floor = CapacityIndex::without_images();
+        let up = self.derived.sums.up.iter();
         let mut there: BTreeMap<Rc<str>, u32> = up.map(|(z, n)| (z.clone(), *n as u32)).collect();
         for view in booting {
             *there.entry(view.zone.clone()).or_default() += 1;
@@ -62,48 +99,51 @@
             floor.add(view);
         }
         let seen: u32 = there.values().sum();
-        let market = Market {
+        let market = PlanInputs {
             types: &types,
-            refusals: &self.refusals,
-            dark: self.dark.keys().cloned().collect(),
+            refusals: &self.autoscaler.refusals,
+            dark: self.partitions.partitioned_zones.keys().cloned().collect(),
             slow,
             there,
-            lent: self.index.sums.lent_cpus(),
+            lent: self.derived.sums.lent_cpus(),
             now,
         };
         let reserve = self.reserve(ctx.config);
         let mut looked_at = 0;
-        let depth = self.plan_depth;
+        let depth = self.autoscaler.plan_depth;
         let jobs = self.unserved(ctx, &cut_off, &lost).take(depth);
         let jobs = jobs.inspect(|_| looked_at += 1);
-        let wanted = plan(jobs, &mut floor, &mut teams, &market, reserve, ahead);
-        self.counts.machines += u64::from(seen);
-        self.counts.planned += looked_at as u64;
+        let wanted = plan_scale_out(jobs, &mut floor, &mut teams, &market, reserve, ahead);
+        self.scheduling.counts.machines += u64::from(seen);
+        self.scheduling.counts.planned += looked_at as u64;
         // Whoever comes after many that nothing is rented for has a turn as well.
-        self.plan_depth = if wanted.is_empty() && looked_at == depth {
+        self.autoscaler.plan_depth = if wanted.is_empty() && looked_at == depth {
             depth * 2
         } else {
             PLAN_JOBS
         };
         for ((machine_type, zone, spot), count) in wanted {
-            let request = self.desk.name(self.term);
+            let request = self.autoscaler.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
-            self.desk.rentals.push_back(Rental {
-                rent: Rent {
-                    request,
-                    machine_type,
-                    zone,
-                    spot,
-                    count,
-                },
-                since: now,
-                uncertain: false,
-            });
+            self.autoscaler
+                .cloud_queue
+                .scale_outs
+                .push_back(PendingScaleOut {
+                    request: ScaleOut {
+                        request,
+                        machine_type,
+                        zone,
+                        spot,
+                        count,
+                    },
+                    since: now,
+                    uncertain: false,
+                });
         }
     }
 
     /// Replicas on machines that are cut off, by job: a plan rents for them ahead.
-    fn lost_replicas(&self, cut_off: &BTreeSet<Rc<str>>) -> BTreeMap<Place, u32> {
+    fn lost_replicas(&self, cut_off: &BTreeSet<Rc<str>>) -> BTreeMap<SlabIndex, u32> {
         let mut lost = BTreeMap::new();
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
             for (id, _) in m.slots.keys().filter(|(id, _)| self.is_service(id)) {
@@ -120,13 +160,13 @@
     /// for what fails wherever it runs.
     fn unserved<'a>(
         &'a self,
-        ctx: &'a Ctx,
+        ctx: &'a Context,
         cut_off: &'a BTreeSet<Rc<str>>,
-        lost: &'a BTreeMap<Place, u32>,
-    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<Shape>)> {
-        let mut served = Served::new(&self.index.sums);
+        lost: &'a BTreeMap<SlabIndex, u32>,
+    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
+        let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
-        let waiting = self.index.line.all(self.clock);
+        let waiting = self.derived.job_queue.all(self.scheduling.virtual_time);
         let waiting = waiting.filter(|place| !lost.contains_key(place));
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
@@ -139,15 +179,15 @@
                 view.waiting += n;
                 view.zones = self.zones(job, cut_off);
             }
-            view.late = served.late(self, ctx, job, view.waiting);
+            view.at_risk_tasks = served.late(self, ctx, job, view.waiting);
             Some((view, &job.shape))
         })
     }
 
     /// Machines with the room that will be free by the time that a rented one
     /// could be up: renting for what fits there would gain nothing.
-    fn freeing(&self, ctx: &Ctx, cut_off: &BTreeSet<Rc<str>>) -> Vec<MachineView> {
-        let now = ctx.now.steady;
+    fn freeing(&self, ctx: &Context, cut_off: &BTreeSet<Rc<str>>) -> Vec<MachineView> {
+        let now = ctx.now.monotonic;
         let horizon =
             (self.soonest_boot() + ctx.config.tuning.fetch_s) * ctx.config.tuning.patience;
         // A number for each job instead of a look-up for each of its tasks.
@@ -159,8 +199,9 @@
         let mut views = Vec::new();
         // Room behind a report that got lost is about to be there again.
         let lease = ctx.config.lease;
-        let there =
-            |m: &&Machine| m.open(now) && !m.out_of_touch(now, lease) && !cut_off.contains(&m.name);
+        let there = |m: &&Machine| {
+            m.accepts_tasks(now) && !m.unreachable_for(now, lease) && !cut_off.contains(&m.name)
+        };
         for m in self.machines.values().filter(there) {
             let Some(total) = self.total(&m.machine_type) else {
                 continue;
@@ -174,7 +215,7 @@
                 // What has run longer than thought may run on as long again.
                 let left = (run - elapsed).max(elapsed * 0.2);
                 if left <= horizon {
-                    free.give(&slot.room);
+                    free.add(&slot.resources);
                 }
             }
             if free.cpus > 1e-6 {
@@ -187,25 +228,26 @@
     /// Machines that fell silent are deleted: the answer is the proof that
     /// what was on them is gone. Those of zones that are `cut` off have rules of
     /// their own.
-    fn drop_silent(&mut self, ctx: &Ctx, cut: &BTreeSet<Rc<str>>) {
-        let now = ctx.now.steady;
+    fn drop_silent(&mut self, ctx: &Context, cut: &BTreeSet<Rc<str>>) {
+        let now = ctx.now.monotonic;
         let silence = (ctx.config.lease * 4 / 10).max(2 * ctx.config.report + SECOND);
-        let up: usize = self.index.sums.up.values().sum();
+        let up: usize = self.derived.sums.up.values().sum();
         // Many at once look like a cut or a stall that may heal before leases
         // run out; after that what was on them is gone in any case. They are
         // counted as soon as they miss a report: one by one they would be
         // deleted before they are many.
         let missing = Self::missing(ctx.config);
-        let patient = self.index.silent.len() > 2.max(up as u64 * 3 / 10);
+        let patient = self.derived.silent.len() > 2.max(up as u64 * 3 / 10);
         // Replicas behind a cut serve until their lease ends. To delete them
         // sooner once cost a third of all replicas the time that others took
         // to boot (rough, brunnmatt-books-grown).
         let mut elsewhere = self.elsewhere(cut);
-        let may = self.entitled(ctx) && self.may(ctx, Action::Delete(Ground::Silent));
+        let may = self.may_answer_heartbeats(ctx)
+            && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
         let doubts = self.doubts(ctx.config);
-        let types = self.types.clone();
+        let types = self.machine_types.types.clone();
         let types = types.as_deref().map_or(&[][..], Vec::as_slice);
-        let index = &self.index;
+        let index = &self.derived;
         let suspects = &(&index.silent | &index.booting) | &index.noticed;
         let mut probed = Vec::new();
         let mut dropped = Vec::new();
@@ -216,13 +258,13 @@
             let quiet = now.saturating_sub(m.heard_at);
             // One report that got lost costs a worker up to 5 s. Whether the
             // machine is there shows sooner when it is asked.
-            if m.ready && quiet > missing && !m.wants_push {
+            if m.ready && quiet > missing && !m.needs_command {
                 probed.push(place);
             }
             let limit = if !m.up {
                 let boot = boot_time(types, &m.machine_type);
                 if m.expected {
-                    self.boots.patience(m, boot)
+                    self.autoscaler.boot_estimator.patience(m, boot)
                 } else {
                     // A record or a listing only: it should report right away.
                     silence + boot
@@ -243,9 +285,10 @@
                 && quiet >= limit
                 && !elsewhere.takes(m);
             let doubted = doubts && quiet < ctx.config.lease * CUT_LEASES;
-            let taken = m.gone_by.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
+            let taken =
+                m.interrupted_at.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
             // Whom only the leader before found silent has time to report first.
-            let asked = !m.up || m.ready || now >= self.ready_since + missing;
+            let asked = !m.up || m.ready || now >= self.recovery.ready_since + missing;
             if may && ((quiet >= limit && asked && !waits && !doubted) || taken) {
                 log::info!("{}: silent for {} s, deleting it", m.name, seconds(quiet));
                 dropped.push(m.name.clone());
@@ -254,24 +297,24 @@
         for place in probed {
             if let Some(m) = self.machines.quiet(place) {
                 m.probe = true;
-                m.wants_push = true;
-                self.pushes.plain(m.name.clone());
+                m.needs_command = true;
+                self.command_dispatch.plain(m.name.clone());
             }
         }
         for name in dropped {
-            self.let_go(&name, Ground::Silent);
+            self.delete_machine(&name, DeletionReason::Silent);
         }
     }
 
-    pub(super) fn return_idle(&mut self, ctx: &Ctx) {
-        let now = ctx.now.steady;
+    pub(super) fn return_idle(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         let idle = micros(ctx.config.tuning.idle_s);
         // What the reserve needs stays: it would be rented again at once.
         let reserve = self.ahead(ctx.config);
         let mut spare: BTreeMap<Rc<str>, f64> = BTreeMap::new();
         // Those that hold the fewest images of services first.
         let mut order: Vec<(u32, Rc<str>)> = self
-            .index
+            .derived
             .empty
             .iter()
             .filter_map(|place| self.machines.at(place))
@@ -289,16 +332,16 @@
             let empty = now.saturating_sub(m.empty_since);
             // A machine costs a minute at least, so it may as well wait for it.
             let minute = now >= m.known_since + 55 * SECOND;
-            let tired = m.condemned || m.gone_by.is_some();
+            let tired = m.cordoned || m.interrupted_at.is_some();
             if !tired && empty >= idle && minute && !m.spot && reserve > 0.0 {
-                let room = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
+                let machine_cpus = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
                 let free = spare
                     .entry(m.zone.clone())
-                    .or_insert_with(|| self.index.floor.ordinary(&m.zone));
-                if *free - room + 1e-6 < reserve {
+                    .or_insert_with(|| self.derived.capacity.ordinary(&m.zone));
+                if *free - machine_cpus + 1e-6 < reserve {
                     continue;
                 }
-                *free -= room;
+                *free -= machine_cpus;
             }
             if tired || (empty >= idle && minute) {
                 log::info!("{name}: idle, returning it");
@@ -306,70 +349,79 @@
             }
         }
         for name in returned {
-            self.let_go(&name, Ground::Returned);
+            self.delete_machine(&name, DeletionReason::Returned);
         }
     }
 
     /// A machine is gone for sure.
-    pub(super) fn machine_gone(&mut self, ctx: &Ctx, name: &str, why: &'static str) {
-        self.gone.insert(name.to_string(), ctx.now.steady);
+    pub(super) fn machine_gone(&mut self, ctx: &Context, name: &str, why: &'static str) {
+        self.autoscaler
+            .removed_machines
+            .insert(name.to_string(), ctx.now.monotonic);
         let Some(mut m) = self.machines.remove(name) else {
             return;
         };
         log::info!("{name} is gone: {why}");
-        for event in m.drain(why) {
+        for event in m.take_lost_tasks(why) {
             self.slot_event(ctx, name, event);
         }
         if m.recorded {
-            self.ledger.push(Item::Drop(store::machine_key(name)));
+            self.writer
+                .write_queue
+                .push(PendingWrite::Drop(records::machine_key(name)));
         }
     }
 
     pub fn cloud_reply(
         &mut self,
-        ctx: &mut Ctx,
-        errand: Errand,
-        reply: Result<CloudReply, CallError>,
+        ctx: &mut Context,
+        errand: CloudRequestKind,
+        reply: Result<CloudResponse, CallError>,
     ) {
-        let now = ctx.now.steady;
-        self.desk.busy = false;
+        let now = ctx.now.monotonic;
+        self.autoscaler.cloud_queue.busy = false;
         match (errand, reply) {
-            (Errand::Delete, Ok(CloudReply::Deleted)) => {
-                for name in self.desk.deleted() {
+            (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
+                for name in self.autoscaler.cloud_queue.deleted() {
                     self.machine_gone(ctx, &name, "deleted");
                 }
             }
-            (Errand::Rent, Ok(CloudReply::Rented(names))) => {
-                if let Some(r) = self.desk.rentals.pop_front() {
-                    self.rented(ctx, &r.rent, &names);
+            (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
+                if let Some(r) = self.autoscaler.cloud_queue.scale_outs.pop_front() {
+                    self.rented(ctx, &r.request, &names);
                 }
             }
-            (Errand::Rent, Ok(CloudReply::NoCapacity | CloudReply::Malformed)) => {
-                if let Some(r) = self.desk.rentals.pop_front() {
-                    self.refused(ctx, &r.rent, 0);
+            (
+                CloudRequestKind::ScaleOut,
+                Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
+            ) => {
+                if let Some(r) = self.autoscaler.cloud_queue.scale_outs.pop_front() {
+                    self.refused(ctx, &r.request, 0);
                 }
             }
-            (Errand::Rent, other) => {
-                self.desk.pause(now);
-                self.desk.not_rented(now, uncertain(&other));
+            (CloudRequestKind::ScaleOut, other) => {
+                self.autoscaler.cloud_queue.pause(now);
+                self.autoscaler
+                    .cloud_queue
+                    .not_rented(now, uncertain(&other));
             }
-            (Errand::Delete, other) => {
+            (CloudRequestKind::Delete, other) => {
                 log::info!("the cloud does not delete: {other:?}");
-                self.desk.pause(now);
-                self.desk.not_deleted(uncertain(&other));
+                self.autoscaler.cloud_queue.pause(now);
+                self.autoscaler.cloud_queue.not_deleted(uncertain(&other));
             }
-            (Errand::Types, Ok(CloudReply::Types(types))) => {
-                self.desk.types_at = now + 60 * SECOND;
+            (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
+                self.autoscaler.cloud_queue.types_at = now + 60 * SECOND;
                 self.new_types(types);
             }
-            (Errand::List, Ok(CloudReply::Listed(list))) => self.listed(ctx, list),
-            (Errand::Types, _) => {
-                self.desk.types_at = now + 2 * SECOND;
-                self.desk.pause(now);
+            (CloudRequestKind::List, Ok(CloudResponse::Listed(list))) => self.listed(ctx, list),
+            (CloudRequestKind::Types, _) => {
+                self.autoscaler.cloud_queue.types_at = now + 2 * SECOND;
+                self.autoscaler.cloud_queue.pause(now);
             }
             (_, other) => {
                 log::info!("the cloud does not do {errand:?}: {other:?}");
-                self.desk.pause(now);
+                self.autoscaler.cloud_queue.pause(now);
             }
         }
     }
@@ -382,24 +434,25 @@
                 .map(|t| (t.name.clone(), t.cpus, t.gpus, t.memory_gb, t.zones.clone()))
                 .collect::<Vec<_>>()
         };
-        let same = self.types_stored
+        let same = self.machine_types.types_stored
             && self
+                .machine_types
                 .types
                 .as_ref()
                 .is_some_and(|old| shape(old) == shape(&types));
         let types = Rc::new(types);
-        self.types = Some(types.clone());
+        self.machine_types.types = Some(types.clone());
         // What they hold may be other than it was.
         self.machines.mark_all();
         if !same {
-            self.types_stored = false;
-            self.ledger.push(Item::Types);
+            self.machine_types.types_stored = false;
+            self.writer.write_queue.push(PendingWrite::Types);
         }
-        self.notes.push(Note::Types(types));
+        self.events.push(LeaderEvent::Types(types));
     }
 
-    pub(super) fn rented(&mut self, ctx: &Ctx, rent: &Rent, names: &[String]) {
-        let now = ctx.now.steady;
+    pub(super) fn rented(&mut self, ctx: &Context, rent: &ScaleOut, names: &[String]) {
+        let now = ctx.now.monotonic;
         log::info!(
             "rented {}: {} of {}: {}",
             rent.request,
@@ -408,7 +461,7 @@
             names.join(" ")
         );
         for name in names {
-            if self.gone.contains_key(name) {
+            if self.autoscaler.removed_machines.contains_key(name) {
                 continue;
             }
             if !self.machines.contains_key(name) {
@@ -425,7 +478,7 @@
         }
     }
 
-    pub(super) fn refused(&mut self, ctx: &Ctx, rent: &Rent, got: usize) {
+    pub(super) fn refused(&mut self, ctx: &Context, rent: &ScaleOut, got: usize) {
         log::info!(
             "no more {} in {}, spot {}: {got} of {}",
             rent.machine_type,
@@ -434,28 +487,30 @@
             rent.count
         );
         let offer = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
-        let until = ctx.now.steady + micros(ctx.config.tuning.refused_pause_s);
-        self.refusals.refuse(offer, until);
+        let until = ctx.now.monotonic + micros(ctx.config.tuning.refused_pause_s);
+        self.autoscaler.refusals.refuse(offer, until);
         // Look for another offer at once.
-        self.fleet_at = ctx.now.steady;
+        self.autoscaler.next_fleet_check_at = ctx.now.monotonic;
     }
 
-    pub(super) fn listed(&mut self, ctx: &Ctx, list: MachineList) {
-        let now = ctx.now.steady;
+    pub(super) fn listed(&mut self, ctx: &Context, list: MachineList) {
+        let now = ctx.now.monotonic;
         let last = list.machines.last().map(|m| m.name.clone());
         for l in list.machines {
-            if self.gone.contains_key(&l.name) {
+            if self.autoscaler.removed_machines.contains_key(&l.name) {
                 continue;
             }
-            if l.condition == Condition::Failed {
+            if l.state == InstanceState::Failed {
                 self.machine_gone(ctx, &l.name, "listed as failed");
-                self.desk.delete(Rc::from(l.name), Ground::Failed);
+                self.autoscaler
+                    .cloud_queue
+                    .delete(Rc::from(l.name), DeletionReason::Failed);
                 continue;
             }
             if !self.machines.contains_key(&l.name) {
                 log::info!("{}: a machine not known before is listed", l.name);
                 let mut m = Machine::new(&l.name, &l.machine_type, &l.zone, l.spot, now);
-                m.expected = l.condition == Condition::Booting;
+                m.expected = l.state == InstanceState::Booting;
                 self.machines.insert(m.name.clone(), m);
             }
             let Some(m) = self.machines.get_mut(&l.name) else {
@@ -464,7 +519,7 @@
             if m.machine_type.is_empty() {
                 m.describe(&l.machine_type, &l.zone, l.spot);
             }
-            if !m.up && l.condition == Condition::Booting {
+            if !m.up && l.state == InstanceState::Booting {
                 // Leaders change; how long it has been booting does not. A
                 // machine that never comes up is paid for until it is deleted.
                 let age = micros(l.age_s).min(now);
@@ -473,27 +528,29 @@
             }
             if m.addr.is_none()
                 && let Some(addr) = l.addr.filter(|a| !a.is_empty())
-                && l.condition == Condition::Running
+                && l.state == InstanceState::Running
             {
                 m.addr = Some(addr);
-                m.wants_push = true;
-                self.pushes.plain(m.name.clone());
+                m.needs_command = true;
+                self.command_dispatch.plain(m.name.clone());
             }
         }
         if list.more && last.is_some() {
-            self.desk.list_after = last;
-            self.desk.list_at = now;
+            self.autoscaler.cloud_queue.list_after = last;
+            self.autoscaler.cloud_queue.list_at = now;
         } else {
-            self.desk.list_after = None;
-            self.desk.list_at = now + 10 * SECOND;
+            self.autoscaler.cloud_queue.list_after = None;
+            self.autoscaler.cloud_queue.list_at = now + 10 * SECOND;
         }
     }
 
     /// Jobs whose counts have changed since they were last shown.
-    pub fn progress(&mut self) -> Vec<Progress> {
+    pub fn progress(&mut self) -> Vec<JobProgress> {
         let mut changed = Vec::new();
-        let unshown = self.index.unshown.iter();
-        let some: Vec<Place> = unshown.take(dillcleat_mesh::MAX_PROGRESS).collect();
+        let unshown = self.derived.unshown.iter();
+        let some: Vec<SlabIndex> = unshown
+            .take(dillcleat_peer_protocol::MAX_PROGRESS)
+            .collect();
         for place in some {
             self.jobs.mark(place);
             let Some((id, job)) = self.jobs.at(place) else {
@@ -504,7 +561,7 @@
             if let Some(job) = self.jobs.quiet(place) {
                 job.shown = (done, running);
             }
-            changed.push(Progress {
+            changed.push(JobProgress {
                 job: id,
                 done,
                 running,
--- a/crates/core/src/leader/pushes.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 #[derive(Debug)]
-pub(super) struct Pushes {
+pub(super) struct CommandDispatch {
     urgent: BTreeSet<Rc<str>>,
     /// No command waits there.
     plain: BTreeSet<Rc<str>>,
@@ -20,9 +20,9 @@
     limit: usize,
 }
 
-impl Pushes {
-    pub fn new(limit: usize) -> Pushes {
-        Pushes {
+impl CommandDispatch {
+    pub fn new(limit: usize) -> CommandDispatch {
+        CommandDispatch {
             urgent: BTreeSet::new(),
             plain: BTreeSet::new(),
             later: BTreeSet::new(),
@@ -80,21 +80,21 @@
 }
 
 impl Leader {
-    pub(super) fn push_orders(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
-        if !self.entitled(ctx) {
+    pub(super) fn send_commands(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        if !self.may_answer_heartbeats(ctx) {
             return;
         }
-        while let Some(name) = self.pushes.next(now) {
+        while let Some(name) = self.command_dispatch.next(now) {
             let Some(m) = self.machines.get(&name) else {
                 continue;
             };
             // One at a time: when the one under way ends, it is looked at again.
-            if !m.wants_push || m.push.is_some() || m.addr.is_none() {
+            if !m.needs_command || m.commands_in_flight.is_some() || m.addr.is_none() {
                 continue;
             }
-            if now < m.push_after {
-                self.pushes.later(m.push_after, name, true);
+            if now < m.next_command_at {
+                self.command_dispatch.later(m.next_command_at, name, true);
                 continue;
             }
             let commands = if m.ready {
@@ -102,7 +102,7 @@
             } else {
                 Vec::new()
             };
-            let waiter = self.waiter(Step::Push {
+            let waiter = self.waiter(Step::CommandsInFlight {
                 machine: name.to_string(),
             });
             // What a push changes is derived from by nothing.
@@ -110,35 +110,35 @@
             let Some(m) = place.and_then(|place| self.machines.quiet(place)) else {
                 continue;
             };
-            m.wants_push = false;
+            m.needs_command = false;
             let probe = std::mem::take(&mut m.probe);
             if m.ready && commands.is_empty() && !probe {
                 continue;
             }
-            let orders = Orders {
-                token: self.term,
-                session: m.session,
+            let orders = CommandBatch {
+                fencing_token: self.term,
+                incarnation: m.incarnation,
                 commands,
             };
             let addr = m.addr.clone().unwrap_or_default();
             let sent = orders.commands.clone();
-            let id = ctx.orders(addr, orders, waiter);
-            m.pushed(id, &sent);
-            self.pushes.sent();
+            let id = ctx.send_commands(addr, orders, waiter);
+            m.commands_sent(id, &sent);
+            self.command_dispatch.sent();
         }
     }
 
-    pub fn orders_reply(
+    pub fn commands_reply(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         id: CallId,
         machine: &str,
         reply: Result<(u16, Vec<u8>), CallError>,
     ) {
-        let now = ctx.now.steady;
-        self.pushes.ended();
+        let now = ctx.now.monotonic;
+        self.command_dispatch.ended();
         let report = match &reply {
-            Ok((200 | 409, body)) => match dillcleat_wire::decode::<Report>(body) {
+            Ok((200 | 409, body)) => match dillcleat_wire::decode::<Heartbeat>(body) {
                 Ok(r) if r.machine == machine => Some(r),
                 Ok(_) => None,
                 Err(e) => {
@@ -158,37 +158,39 @@
             Ok((200, _)) => report.is_none(),
             _ => true,
         };
-        m.push_ended(id, unanswered);
+        m.commands_finished(id, unanswered);
         // One that does not answer does not take the turns of those that do.
         let answers = report.is_some();
         if answers {
-            m.unheard_since = None;
+            m.unresponsive_since = None;
         } else {
-            m.unheard_since.get_or_insert(now);
+            m.unresponsive_since.get_or_insert(now);
         }
         match report {
-            Some(r) if r.token > self.term => self.notes.push(Note::Higher(r.token)),
+            Some(r) if r.fencing_token > self.term => {
+                self.events.push(LeaderEvent::Higher(r.fencing_token))
+            }
             Some(r) => {
                 let was_ready = m.ready;
-                self.take_report(ctx, &r, Source::Orders);
+                self.apply_heartbeat(ctx, &r, HeartbeatSource::Orders);
                 if let Some(m) = self.machines.get_mut(machine)
                     && !m.ready
                     && !was_ready
                 {
                     // Another session than thought: once more with the right one.
-                    m.wants_push = true;
-                    m.push_after = now + RETRY;
+                    m.needs_command = true;
+                    m.next_command_at = now + RETRY;
                 }
             }
             None => {
-                m.wants_push = true;
-                m.push_after = now + SECOND;
+                m.needs_command = true;
+                m.next_command_at = now + SECOND;
             }
         }
         // Also what came to be wanted while this was under way.
-        if let Some(m) = self.machines.get(machine).filter(|m| m.wants_push) {
-            let at = m.push_after.max(now);
-            self.pushes.later(at, m.name.clone(), answers);
+        if let Some(m) = self.machines.get(machine).filter(|m| m.needs_command) {
+            let at = m.next_command_at.max(now);
+            self.command_dispatch.later(at, m.name.clone(), answers);
         }
     }
 }
@@ -201,14 +203,14 @@
     /// stand behind, and what does not answer comes again later.
     #[test]
     fn commands_go_first_and_half_of_the_turns_are_theirs() {
-        let mut pushes = Pushes::new(4);
+        let mut pushes = CommandDispatch::new(4);
         for i in 0..9 {
             pushes.plain(Rc::from(format!("p{i}")));
         }
         pushes.urgent("p7".into());
         pushes.later(SECOND, "late".into(), true);
         let mut sent = Vec::new();
-        let mut send = |pushes: &mut Pushes, now| {
+        let mut send = |pushes: &mut CommandDispatch, now| {
             while let Some(machine) = pushes.next(now) {
                 pushes.sent();
                 sent.push(machine.to_string());
--- a/crates/core/src/leader/index.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -9,8 +9,8 @@
 //! processor had 2,487 leases run out unanswered.
 
 use super::*;
-use dillcleat_sched::room::amount;
-use dillcleat_sched::{Pace, Rank, Real, Standing};
+use dillcleat_sched::resources::from_millionths;
+use dillcleat_sched::{AgeingState, OrderedFloat, QueueEntry, QueueRank};
 use roaring::RoaringBitmap;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -111,35 +111,35 @@
     }
 
     pub fn fleet_cpus(&self) -> f64 {
-        amount(self.ready)
+        from_millionths(self.ready)
     }
 
     pub fn coming_cpus(&self) -> f64 {
-        amount(self.coming)
+        from_millionths(self.coming)
     }
 
     pub fn lent_cpus(&self) -> BTreeMap<Rc<str>, f64> {
         let lent = self.lent.iter();
-        lent.map(|(zone, cpus)| (zone.clone(), amount(*cpus)))
+        lent.map(|(zone, cpus)| (zone.clone(), from_millionths(*cpus)))
             .collect()
     }
 
     pub fn training_cpus(&self) -> f64 {
-        amount(self.training)
+        from_millionths(self.training)
     }
 
     pub fn array_cpus(&self) -> f64 {
-        amount(self.arrays)
+        from_millionths(self.arrays)
     }
 
     pub fn replica_cpus(&self) -> f64 {
-        amount(self.replicas)
+        from_millionths(self.replicas)
     }
 
     /// The most room that a service of the expected wait has kept for it.
     pub fn reserve(&self, wait: usize) -> f64 {
         let kept = self.reserves.get(wait).and_then(|r| r.last_key_value());
-        kept.map_or(0.0, |(cpus, _)| amount(*cpus))
+        kept.map_or(0.0, |(cpus, _)| from_millionths(*cpus))
     }
 
     /// Whether services use the image.
@@ -147,10 +147,10 @@
         self.images.contains_key(image)
     }
 
-    pub fn team_views(&self, config: &Config) -> Vec<TeamView> {
+    pub fn team_views(&self, config: &Config) -> Vec<TeamAllowance> {
         let left = |max: f64, used: i64| {
             if max > 0.0 {
-                max - amount(used)
+                max - from_millionths(used)
             } else {
                 f64::INFINITY
             }
@@ -158,13 +158,13 @@
         let of = |sums: &[(i64, i64)], i: usize| sums.get(i).copied().unwrap_or_default();
         let known = config.teams.iter().enumerate().map(|(i, t)| {
             let (taken, claimed) = (of(&self.teams, i), of(&self.claims, i));
-            TeamView {
+            TeamAllowance {
                 cpus_left: left(t.cpus_max, taken.0 + claimed.0),
                 gpus_left: left(t.gpus_max, taken.1 + claimed.1),
             }
         });
         // Nothing is placed of teams that are not in the settings.
-        let unknown = TeamView {
+        let unknown = TeamAllowance {
             cpus_left: 0.0,
             gpus_left: 0.0,
         };
@@ -175,14 +175,14 @@
 /// Something that changes by time alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
-    Job(Place),
-    Machine(Place),
+    Job(SlabIndex),
+    Machine(SlabIndex),
 }
 
 #[derive(Debug)]
-pub(super) struct Index {
-    pub line: Line,
-    pub floor: Floor,
+pub(super) struct DerivedState {
+    pub job_queue: JobQueue,
+    pub capacity: CapacityIndex,
     pub sums: Sums,
     jobs: Vec<Option<JobPart>>,
     machines: Vec<Option<MachinePart>>,
@@ -202,7 +202,7 @@
     entered: [Vec<Micros>; 2],
 }
 
-fn member(set: &mut RoaringBitmap, place: Place, is: bool) {
+fn member(set: &mut RoaringBitmap, place: SlabIndex, is: bool) {
     if is {
         set.insert(place);
     } else {
@@ -220,7 +220,7 @@
 }
 
 /// The slot of a place in a list that grows as needed.
-fn slot<T: Clone>(list: &mut Vec<T>, place: Place, vacant: T) -> &mut T {
+fn slot<T: Clone>(list: &mut Vec<T>, place: SlabIndex, vacant: T) -> &mut T {
     let i = place as usize;
     if i >= list.len() {
         list.resize(i + 1, vacant);
@@ -228,11 +228,11 @@
     &mut list[i]
 }
 
-impl Index {
-    pub fn new(config: &Config) -> Index {
-        Index {
-            line: Line::default(),
-            floor: Floor::new(),
+impl DerivedState {
+    pub fn new(config: &Config) -> DerivedState {
+        DerivedState {
+            job_queue: JobQueue::default(),
+            capacity: CapacityIndex::new(),
             sums: Sums::new(config),
             jobs: Vec::new(),
             machines: Vec::new(),
@@ -278,7 +278,7 @@
         Some(due)
     }
 
-    fn set_job(&mut self, place: Place, part: Option<JobPart>) -> Vec<Rc<str>> {
+    fn set_job(&mut self, place: SlabIndex, part: Option<JobPart>) -> Vec<Rc<str>> {
         let old = slot(&mut self.jobs, place, None);
         if *old == part {
             return Vec::new();
@@ -321,7 +321,7 @@
             .collect()
     }
 
-    fn set_machine(&mut self, place: Place, part: Option<MachinePart>) {
+    fn set_machine(&mut self, place: SlabIndex, part: Option<MachinePart>) {
         let old = slot(&mut self.machines, place, None);
         if *old == part {
             return;
@@ -393,8 +393,8 @@
 
 impl Leader {
     /// Brings the index up to date with what was touched and what is due.
-    pub(super) fn refresh(&mut self, ctx: &Ctx) {
-        while let Some(due) = self.index.next_due(ctx.now.steady) {
+    pub(super) fn refresh(&mut self, ctx: &Context) {
+        while let Some(due) = self.derived.next_due(ctx.now.monotonic) {
             match due {
                 Due::Job(place) => self.jobs.mark(place),
                 Due::Machine(place) => self.machines.mark(place),
@@ -403,30 +403,41 @@
         for place in self.jobs.take_marked() {
             self.refresh_job(ctx, place);
         }
-        while let Some(place) = self.index.line.aged(self.clock) {
+        while let Some(place) = self.derived.job_queue.aged(self.scheduling.virtual_time) {
             self.refresh_job(ctx, place);
         }
         for place in self.machines.take_marked() {
             self.refresh_machine(ctx, place);
         }
-        self.index.sums.claims = self.claims(ctx.config);
+        self.derived.sums.claims = self.claims(ctx.config);
     }
 
     /// Builds everything anew and tells what was not as it should have been.
     /// For rehearsals: it costs as much as there are jobs and machines.
-    pub fn audit(&mut self, ctx: &Ctx) -> Vec<&'static str> {
+    pub fn audit(&mut self, ctx: &Context) -> Vec<&'static str> {
         self.mark_guessed();
         self.refresh(ctx);
-        let old = std::mem::replace(&mut self.index, Index::new(ctx.config));
+        let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
         self.jobs.mark_all();
         self.machines.mark_all();
         self.refresh(ctx);
-        let new = &self.index;
-        let line = |i: &Index| i.line.all(self.clock).collect::<Vec<_>>();
+        let new = &self.derived;
+        let line = |i: &DerivedState| {
+            i.job_queue
+                .all(self.scheduling.virtual_time)
+                .collect::<Vec<_>>()
+        };
         let mut places = 0..self.machines.places();
         // Of machines without room nobody asks which images they hold.
-        let warm = |m: &MachineView| if m.free.cpus > 0.0 { m.warm } else { 0 };
-        let view = |i: &Index, place| i.floor.view(place).map(|m| (m.free, warm(m), m.spot));
+        let warm = |m: &MachineView| {
+            if m.free.cpus > 0.0 {
+                m.service_images
+            } else {
+                0
+            }
+        };
+        let view =
+            |i: &DerivedState, place| i.capacity.view(place).map(|m| (m.free, warm(m), m.spot));
         [
             ("who waits for whom", self.audit_waits()),
             ("sums", old.sums == new.sums),
@@ -450,16 +461,16 @@
     /// again, once a second: at every task's end it would be a walk over all of
     /// them each time.
     pub(super) fn mark_guessed(&mut self) {
-        if std::mem::take(&mut self.guesses_changed) {
-            for place in &self.index.guessed {
+        if std::mem::take(&mut self.estimates.run_time_estimates_changed) {
+            for place in &self.derived.guessed {
                 self.jobs.mark(place);
             }
         }
     }
 
-    fn refresh_job(&mut self, ctx: &Ctx, place: Place) {
+    fn refresh_job(&mut self, ctx: &Context, place: SlabIndex) {
         if let Some(job) = self.jobs.quiet(place) {
-            job.pace(self.clock);
+            job.pace(self.scheduling.virtual_time);
             job.hunger(ctx);
         }
         let (part, standing, due) = match self.jobs.at(place) {
@@ -467,30 +478,32 @@
                 let standing = self.standing(ctx, id, job);
                 // One that does not age while it fails may have come to zero as
                 // well; left out, it once stood by an old guess (seed 2291 as Jobs).
-                let guessed = standing.as_ref().is_some_and(|s| s.pace != Pace::Ageing)
+                let guessed = standing
+                    .as_ref()
+                    .is_some_and(|s| s.ageing != AgeingState::Ageing)
                     && job.samples.is_empty()
-                    && job.spec.kind == Kind::Batch;
+                    && job.spec.kind == JobKind::Batch;
                 let part = job.part(ctx.config, guessed);
                 (Some(part), standing, self.job_due(ctx, job))
             }
             None => (None, None, None),
         };
-        self.index.line.set(place, standing);
-        for image in self.index.set_job(place, part) {
-            for machine in self.index.floor.holders(&image) {
+        self.derived.job_queue.set(place, standing);
+        for image in self.derived.set_job(place, part) {
+            for machine in self.derived.capacity.holders(&image) {
                 self.machines.mark(machine);
             }
         }
         if let Some(at) = due {
-            self.index.remind(at, Due::Job(place));
+            self.derived.remind(at, Due::Job(place));
         }
     }
 
     /// Where a job stands that waits and may be served.
-    fn standing(&self, ctx: &Ctx, id: &Rc<str>, job: &Job) -> Option<Standing> {
-        let now = ctx.now.steady;
+    fn standing(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
+        let now = ctx.now.monotonic;
         let waits = job.cancelled.is_none()
-            && !job.held
+            && !job.blocked_on_dependencies
             && job.team < ctx.config.teams.len()
             && job.placeable() > 0
             && now >= job.blocked_until
@@ -501,11 +514,11 @@
             return None;
         }
         let (pace, size) = match job.ageing_since {
-            Some(_) if job.aged_at() <= self.clock => (Pace::Aged, 0.0),
-            Some(_) => (Pace::Ageing, job.aged_at()),
-            None => (Pace::Fixed, (job.size - job.credit).max(0.0)),
+            Some(_) if job.aged_at() <= self.scheduling.virtual_time => (AgeingState::Aged, 0.0),
+            Some(_) => (AgeingState::Ageing, job.aged_at()),
+            None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
         };
-        let remaining = if size > 0.0 || job.spec.kind == Kind::Service {
+        let remaining = if size > 0.0 || job.spec.kind == JobKind::Service {
             0.0
         } else if Self::overdue(ctx, job) {
             // Beyond every use of its end it comes last.
@@ -514,27 +527,27 @@
             let left = job.tasks.len() as f64 - f64::from(job.done);
             left * job.spec.cpus * self.run_time(ctx.config, job)
         };
-        let rank = |first: bool, size: f64, remaining: f64| Rank {
-            service: Reverse(first && job.spec.kind == Kind::Service),
+        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(first && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
             tiny: Reverse(first && job.tiny(ctx.config)),
-            size: Real(size),
-            remaining: Real(remaining),
+            size: OrderedFloat(size),
+            remaining: OrderedFloat(remaining),
             submitted: job.ready_at,
             id: id.clone(),
         };
-        Some(Standing {
+        Some(QueueEntry {
             team: job.team,
-            shape: job.shape.clone(),
-            pace,
+            request: job.shape.clone(),
+            ageing: pace,
             rank: rank(true, size, remaining),
             training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
         })
     }
 
     /// When a job's standing changes by time alone.
-    fn job_due(&self, ctx: &Ctx, job: &Job) -> Option<Micros> {
-        let now = ctx.now.steady;
+    fn job_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
+        let now = ctx.now.monotonic;
         // As the time of day has it.
         let useless = Self::of_use_until(ctx.config, job)
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
@@ -550,8 +563,8 @@
         .min()
     }
 
-    fn refresh_machine(&mut self, ctx: &Ctx, place: Place) {
-        let now = ctx.now.steady;
+    fn refresh_machine(&mut self, ctx: &Context, place: SlabIndex) {
+        let now = ctx.now.monotonic;
         let missing = Self::missing(ctx.config);
         let (part, view, due) = match self.machines.at(place) {
             Some((_, m)) => {
@@ -560,12 +573,12 @@
                 // A launch to a machine that is gone, behind a cut or deaf would hold
                 // its task until there is proof that it did not arrive; at one that is
                 // mute it may end with the lease.
-                let there = m.usable(now) && m.hears(now, missing);
+                let there = m.accepts_tasks_as_last_resort(now) && m.is_reachable(now, missing);
                 let view = total.filter(|_| there).map(|total| {
                     let mut view = Self::view_with(m, m.free(total));
-                    view.mute = !m.in_touch(now, missing);
+                    view.outbound_unreachable = !m.is_reachable_both_ways(now, missing);
                     if !m.spot {
-                        view.warm = self.warm(m);
+                        view.service_images = self.warm(m);
                     }
                     view
                 });
@@ -576,22 +589,22 @@
             }
             None => (None, None, None),
         };
-        self.index.set_machine(place, part);
-        self.index.floor.set(place, view);
+        self.derived.set_machine(place, part);
+        self.derived.capacity.set(place, view);
         if let Some(at) = due {
-            self.index.remind(at, Due::Machine(place));
+            self.derived.remind(at, Due::Machine(place));
         }
     }
 
     /// How many images of services the machine holds.
     pub(super) fn warm(&self, m: &Machine) -> u32 {
         let held = m.images.iter();
-        held.filter(|(i, _)| self.index.sums.serves(i)).count() as u32
+        held.filter(|(i, _)| self.derived.sums.serves(i)).count() as u32
     }
 }
 
-fn m_part(m: &Machine, total: Option<Room>, now: Micros, missing: Micros) -> MachinePart {
-    let cpus = total.map_or(0, |t| units(t.cpus));
+fn m_part(m: &Machine, total: Option<Resources>, now: Micros, missing: Micros) -> MachinePart {
+    let cpus = total.map_or(0, |t| to_millionths(t.cpus));
     let up = m.up && !m.leaving;
     let booting = !m.ready && !m.leaving;
     MachinePart {
@@ -599,7 +612,7 @@
         up,
         silent: up && now >= m.heard_at + missing,
         booting,
-        noticed: m.gone_by.is_some() && !m.leaving,
+        noticed: m.interrupted_at.is_some() && !m.leaving,
         empty: m.slots.is_empty() && m.ready && !m.leaving,
         lends: m.slots.values().any(|s| !s.service).then_some(m.spot),
         recorded: m.recorded && !m.leaving,
@@ -608,8 +621,8 @@
         lent: m
             .slots
             .values()
-            .filter(|s| s.of_reserve)
-            .map(|s| units(s.room.cpus))
+            .filter(|s| s.uses_service_headroom)
+            .map(|s| to_millionths(s.resources.cpus))
             .sum(),
     }
 }
@@ -617,9 +630,9 @@
 impl Job {
     /// Lets the job age, or not, from this reading of the clock on.
     fn pace(&mut self, clock: f64) {
-        let ages = self.spec.kind == Kind::Batch
+        let ages = self.spec.kind == JobKind::Batch
             && self.cancelled.is_none()
-            && !self.held
+            && !self.blocked_on_dependencies
             && !self.ending
             && !self.record.doubtful();
         match (ages, self.ageing_since) {
@@ -634,9 +647,10 @@
 
     /// Notes since when the job waits, and whether it is starving. A pause after an
     /// error is a part of its wait.
-    fn hunger(&mut self, ctx: &Ctx) {
-        let waits = self.cancelled.is_none() && !self.held && self.placeable() > 0;
-        let now = ctx.now.steady;
+    fn hunger(&mut self, ctx: &Context) {
+        let waits =
+            self.cancelled.is_none() && !self.blocked_on_dependencies && self.placeable() > 0;
+        let now = ctx.now.monotonic;
         self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
@@ -656,21 +670,21 @@
     }
 
     fn part(&self, config: &Config, guessed: bool) -> JobPart {
-        let service = self.spec.kind == Kind::Service;
+        let service = self.spec.kind == JobKind::Service;
         let placed = self.placed() as i64;
-        let cpus = units(self.spec.cpus);
+        let cpus = to_millionths(self.spec.cpus);
         let training = if self.trained || self.tiny(config) {
             0
         } else {
             placed.min(i64::from(config.tuning.training_tasks)) * cpus
         };
-        let serving = service && self.cancelled.is_none() && !self.held;
+        let serving = service && self.cancelled.is_none() && !self.blocked_on_dependencies;
         let mut waits = config.waits.iter();
         let wait = waits.position(|(class, _)| *class == self.spec.class);
         JobPart {
             team: self.team,
             cpus: placed.saturating_mul(cpus),
-            gpus: placed.saturating_mul(units(self.spec.gpus)),
+            gpus: placed.saturating_mul(to_millionths(self.spec.gpus)),
             training,
             ages: self.ageing_since.is_some(),
             service,
@@ -680,12 +694,14 @@
                 0
             },
             image: serving.then(|| self.image.clone()),
-            reserve: wait.filter(|_| service && !self.held).map(|wait| {
-                // A zone takes up to half of a spread service.
-                let share = self.spec.tasks.div_ceil(2);
-                let replicas = config.tuning.reserve_replicas.max(share);
-                (wait, i64::from(replicas).saturating_mul(cpus))
-            }),
+            reserve: wait
+                .filter(|_| service && !self.blocked_on_dependencies)
+                .map(|wait| {
+                    // A zone takes up to half of a spread service.
+                    let share = self.spec.tasks.div_ceil(2);
+                    let replicas = config.tuning.reserve_replicas.max(share);
+                    (wait, i64::from(replicas).saturating_mul(cpus))
+                }),
             cancelled: self.cancelled.is_some(),
             guessed,
             unshown: (self.done, self.running.len() as u32) != self.shown,
--- a/crates/core/src/leader/jobs.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -7,7 +7,7 @@
 
 impl Leader {
     /// A job is cancelled: nothing of it starts, and what runs is stopped.
-    pub(super) fn stop_job(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn stop_job(&mut self, ctx: &Context, id: &Rc<str>) {
         log::info!("{id}: cancelled, stopping its tasks");
         // The cancellation may have overtaken the record of its last
         // completion: then that is not written, and the job is to be cleared.
@@ -17,7 +17,7 @@
         }
         self.leaves_line(ctx, id);
         self.cancel_dependents(id);
-        self.notes.push(Note::Stopped(id.to_string()));
+        self.events.push(LeaderEvent::Stopped(id.to_string()));
         let unstored: Vec<u32> = self.mark_cancelled(id);
         for i in unstored {
             // A placement that is being written may already be stored.
@@ -25,11 +25,11 @@
             // An earlier attempt in the batch says nothing of this one: taken
             // for it, the placement once stayed for ever (seed 4717).
             let attempt = self.jobs.get(id).map(|j| j.tasks[i as usize].attempt);
-            let written = |b: &Batch| {
+            let written = |b: &WriteBatch| {
                 let mut placed = b.placed.iter();
                 placed.any(|(k, a)| *k == key && Some(*a) == attempt)
             };
-            if !self.ledger.batch.as_ref().is_some_and(written) {
+            if !self.writer.write_queue.batch.as_ref().is_some_and(written) {
                 self.unplace(&key);
             }
         }
@@ -39,7 +39,7 @@
     /// This process has seen in the store that these jobs are cancelled: each stops as if
     /// the queue had told it. When that was confirmed is not known here, and until the row
     /// says so answers end with the last read, which is older.
-    pub fn cancelled(&mut self, ctx: &mut Ctx, ids: &[String]) {
+    pub fn cancelled(&mut self, ctx: &mut Context, ids: &[String]) {
         for id in ids {
             let Some(id) = self.jobs.name(id).cloned() else {
                 continue;
@@ -47,9 +47,9 @@
             let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.stopped) else {
                 continue;
             };
-            job.cancelled.get_or_insert(ctx.now.steady);
+            job.cancelled.get_or_insert(ctx.now.monotonic);
             // One that still loads stops its cancelled jobs as it starts.
-            if self.stage == Stage::Ready {
+            if self.recovery.stage == RecoveryStage::Ready {
                 self.stop_job(ctx, &id);
             }
         }
@@ -69,9 +69,9 @@
             };
             slot.cancelled = true;
             if slot.stored {
-                m.wants_push = true;
-                m.push_after = 0;
-                self.pushes.urgent(m.name.clone());
+                m.needs_command = true;
+                m.next_command_at = 0;
+                self.command_dispatch.urgent(m.name.clone());
             } else {
                 unstored.push(i);
             }
@@ -85,11 +85,11 @@
             return;
         };
         let task = &mut job.tasks[key.1 as usize];
-        if let TaskState::Placed { machine: m, .. } = &task.state {
+        if let TaskPlacement::Placed { machine: m, .. } = &task.state {
             if let Some(m) = self.machines.get_mut(m) {
                 m.slots.remove(key);
             }
-            task.state = TaskState::Waiting;
+            task.state = TaskPlacement::Waiting;
             job.waiting.insert(key.1);
         }
     }
@@ -103,7 +103,9 @@
             && job.placed() == 0
         {
             job.ending = true;
-            self.ledger.push(Item::Clear(id.clone()));
+            self.writer
+                .write_queue
+                .push(PendingWrite::Clear(id.clone()));
         }
     }
 
@@ -114,39 +116,47 @@
             && job.done as usize == job.tasks.len()
         {
             job.ending = true;
-            self.ledger.push_front(Item::Done(id.clone()));
+            self.writer
+                .write_queue
+                .push_front(PendingWrite::Done(id.clone()));
         }
     }
 
-    pub(super) fn forget_job(&mut self, ctx: &Ctx, id: &Rc<str>) {
+    pub(super) fn forget_job(&mut self, ctx: &Context, id: &Rc<str>) {
         self.leaves_line(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
             for span in job.spans.stored() {
-                self.ledger.push(Item::Drop(store::tasks_key(id, span)));
+                self.writer
+                    .write_queue
+                    .push(PendingWrite::Drop(records::tasks_key(id, span)));
             }
         }
     }
 
     pub(super) fn touch(&mut self, key: &TaskKey) {
         if let Some(job) = self.jobs.get(&key.0) {
-            let item = Item::Tasks(key.0.clone(), job.spans.of(key.1));
-            self.ledger.push(item);
+            let item = PendingWrite::Tasks(key.0.clone(), job.spans.of(key.1));
+            self.writer.write_queue.push(item);
         }
     }
 
-    pub(super) fn slot_event(&mut self, ctx: &Ctx, machine: &str, event: SlotEvent) {
+    pub(super) fn slot_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
         // A start frees no room; everything else may.
-        if !matches!(event, SlotEvent::Running(_)) {
-            self.pass_at = ctx.now.steady;
+        if !matches!(event, TaskEvent::Running(_)) {
+            self.scheduling.schedule_at = ctx.now.monotonic;
         }
         match event {
-            SlotEvent::Running(key) => {
+            TaskEvent::Running(key) => {
                 log::debug!("{}/{} runs on {machine}", key.0, key.1);
                 if let Some(job) = self.jobs.get_mut(&key.0) {
                     job.running.insert(key.1);
                 }
             }
-            SlotEvent::Lost { task, attempt, why } => {
+            TaskEvent::Lost {
+                task,
+                attempt,
+                reason: why,
+            } => {
                 log::info!(
                     "{}/{} attempt {attempt} on {machine} is gone: {why}",
                     task.0,
@@ -154,17 +164,20 @@
                 );
                 self.back_to_waiting(&task, attempt);
             }
-            SlotEvent::Exited {
+            TaskEvent::Exited {
                 task,
                 attempt,
-                why: Why::Done,
+                reason: ExitReason::Done,
                 ran,
             } => {
                 log::debug!("{}/{} is done on {machine}", task.0, task.1);
                 self.task_done(ctx, &task, attempt, ran);
             }
-            SlotEvent::Exited {
-                task, attempt, why, ..
+            TaskEvent::Exited {
+                task,
+                attempt,
+                reason: why,
+                ..
             } => {
                 log::info!(
                     "{}/{} attempt {attempt} on {machine} ended: {why:?}",
@@ -173,8 +186,8 @@
                 );
                 self.back_to_waiting(&task, attempt);
                 self.blame(ctx, machine, &task, why);
-                if why == Why::Error {
-                    self.notes.push(Note::Failed {
+                if why == ExitReason::Error {
+                    self.events.push(LeaderEvent::Failed {
                         job: task.0.to_string(),
                         task: task.1,
                         attempt,
@@ -188,8 +201,8 @@
         if let Some(job) = self.jobs.get_mut(&key.0) {
             job.running.remove(&key.1);
             let task = &mut job.tasks[key.1 as usize];
-            if task.attempt == attempt && matches!(task.state, TaskState::Placed { .. }) {
-                task.state = TaskState::Waiting;
+            if task.attempt == attempt && matches!(task.state, TaskPlacement::Placed { .. }) {
+                task.state = TaskPlacement::Waiting;
                 job.waiting.insert(key.1);
             }
             if job.cancelled.is_none() {
@@ -201,7 +214,7 @@
 
     pub(super) fn task_done(
         &mut self,
-        ctx: &Ctx,
+        ctx: &Context,
         key: &TaskKey,
         attempt: u64,
         ran: Option<Micros>,
@@ -212,16 +225,16 @@
         };
         job.running.remove(&key.1);
         let task = &mut job.tasks[key.1 as usize];
-        if task.attempt != attempt || !matches!(task.state, TaskState::Placed { .. }) {
+        if task.attempt != attempt || !matches!(task.state, TaskPlacement::Placed { .. }) {
             return;
         }
-        task.state = TaskState::Done;
+        task.state = TaskPlacement::Done;
         job.done += 1;
         if let Some(ran) = ran {
             let ran = seconds(ran);
             let t = ctx.config.tuning.training_tasks.max(1) as usize;
             if !job.trained {
-                self.taught.extend(place);
+                self.estimates.unreplicated_estimates.extend(place);
                 job.samples.push(ran);
                 if job.samples.len() >= t.min(job.tasks.len()) {
                     let mean = job.samples.iter().sum::<f64>() / job.samples.len() as f64;
@@ -230,9 +243,13 @@
                 }
             }
             let first = ctx.config.tuning.first_guess_s;
-            let guess = self.guesses.entry(job.spec.class.clone()).or_insert(first);
+            let guess = self
+                .estimates
+                .run_time_estimates
+                .entry(job.spec.class.clone())
+                .or_insert(first);
             *guess += (ran - *guess) * 0.05;
-            self.guesses_changed = true;
+            self.estimates.run_time_estimates_changed = true;
         }
         if job.cancelled.is_some() {
             return self.check_clear(&key.0);
@@ -261,8 +278,8 @@
             return;
         };
         m.strikes.add(id);
-        if m.strikes.condemn() && !m.condemned {
-            m.condemned = true;
+        if m.strikes.condemn() && !m.cordoned {
+            m.cordoned = true;
             log::info!("{machine} fails several jobs: it takes no more and is returned");
         }
     }
@@ -271,7 +288,7 @@
     /// be: replicas never end by themselves, so nothing else proves a service.
     fn serves(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
         job.running.iter().any(|i| {
-            let TaskState::Placed { machine: m, .. } = &job.tasks[*i as usize].state else {
+            let TaskPlacement::Placed { machine: m, .. } = &job.tasks[*i as usize].state else {
                 return false;
             };
             let slot = self
@@ -283,12 +300,15 @@
         })
     }
 
-    pub(super) fn blame(&mut self, ctx: &Ctx, machine: &str, key: &TaskKey, why: Why) {
-        let now = ctx.now.steady;
+    pub(super) fn blame(&mut self, ctx: &Context, machine: &str, key: &TaskKey, why: ExitReason) {
+        let now = ctx.now.monotonic;
         let Some(job) = self.jobs.get(&key.0) else {
             return;
         };
-        if why == Why::Error && job.spec.kind == Kind::Service && self.serves(job, &key.0, now) {
+        if why == ExitReason::Error
+            && job.spec.kind == JobKind::Service
+            && self.serves(job, &key.0, now)
+        {
             self.proves(&key.0);
         }
         let (Some(job), Some(m)) = (self.jobs.get_mut(&key.0), self.machines.get_mut(machine))
@@ -296,8 +316,8 @@
             return;
         };
         match why {
-            Why::NoRoom => m.blocked_until = now + 3 * SECOND,
-            Why::Error => {
+            ExitReason::NoRoom => m.blocked_until = now + 3 * SECOND,
+            ExitReason::Error => {
                 m.error_jobs.insert(key.0.clone());
                 let name = m.name.clone();
                 if job.record.proven() {
@@ -312,8 +332,10 @@
                     );
                 }
             }
-            Why::Stopped | Why::Done => {}
-            Why::Busy | Why::Unknown | Why::Other => job.blocked_until = now + 2 * SECOND,
+            ExitReason::Stopped | ExitReason::Done => {}
+            ExitReason::Busy | ExitReason::Unknown | ExitReason::Other => {
+                job.blocked_until = now + 2 * SECOND
+            }
         }
     }
 }
--- a/crates/core/src/leader/load.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,84 +1,125 @@
 //! What a new leader reads before it acts.
 
-use super::pass::cache_gb;
+use super::scheduling::cache_gb;
 use super::*;
 
+/// How far a new leader is in taking up its work.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RecoveryStage {
+    Loading,
+    Ready,
+}
+
+/// The page of the store that a new leader reads next; the key after which it begins.
+#[derive(Debug, Clone)]
+pub(super) enum RecoveryPage {
+    Machines(Option<String>),
+    Queue(Option<String>),
+    Tasks(Option<String>),
+}
+
+/// What a new leader has read of the store so far.
+#[derive(Debug)]
+pub(super) struct Recovery {
+    pub stage: RecoveryStage,
+    /// The page that is being read, and when it is asked for again.
+    pub reload_at: Option<(Micros, RecoveryPage)>,
+    /// Cancellations that were read before the jobs that they are of.
+    pub cancelled_rows: Vec<KeyValue>,
+    /// When the first page of the queue was asked for.
+    pub load_sent: Micros,
+    /// When everything had been read.
+    pub ready_since: Micros,
+}
+
+impl Recovery {
+    pub fn new(now: Micros) -> Recovery {
+        Recovery {
+            stage: RecoveryStage::Loading,
+            reload_at: None,
+            cancelled_rows: Vec::new(),
+            load_sent: now,
+            ready_since: now,
+        }
+    }
+}
+
 impl Leader {
     /// Term and its record's version, once everything is taken up.
     pub fn fence(&self) -> Option<(u64, u64)> {
-        (self.stage == Stage::Ready).then_some((self.term, self.term_version))
+        (self.recovery.stage == RecoveryStage::Ready).then_some((self.term, self.term_version))
     }
 
     pub fn holds(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    pub(super) fn load(&mut self, ctx: &mut Ctx, from: LoadFrom) {
+    pub(super) fn load(&mut self, ctx: &mut Context, from: RecoveryPage) {
         let (prefix, after, step) = match &from {
-            LoadFrom::Machines(after) => (store::MACHINES, after, Step::LoadMachines),
-            LoadFrom::Queue(after) => (store::QUEUE, after, Step::LoadQueue),
-            LoadFrom::Tasks(after) => (store::TASKS, after, Step::LoadTasks),
+            RecoveryPage::Machines(after) => (records::MACHINES, after, Step::LoadMachines),
+            RecoveryPage::Queue(after) => (records::QUEUE, after, Step::LoadQueue),
+            RecoveryPage::Tasks(after) => (records::TASKS, after, Step::LoadTasks),
         };
-        if matches!(from, LoadFrom::Queue(None)) {
+        if matches!(from, RecoveryPage::Queue(None)) {
             // Cancellations up to here are in what is read now.
-            self.load_sent = ctx.now.steady;
+            self.recovery.load_sent = ctx.now.monotonic;
         }
-        let call = StateCall::List {
+        let call = StoreRequest::List {
             prefix: prefix.into(),
             after: after.clone(),
         };
-        self.reload_at = Some((Micros::MAX, from));
+        self.recovery.reload_at = Some((Micros::MAX, from));
         let waiter = self.waiter(step);
-        ctx.state(call, waiter);
+        ctx.store_request(call, waiter);
     }
 
-    pub(super) fn loaded(&mut self, ctx: &mut Ctx, step: &Step, page: Page) {
+    pub(super) fn page_loaded(&mut self, ctx: &mut Context, step: &Step, page: RangePage) {
         let last = page.rows.last().map(|r| r.key.clone());
         let more = page.more && last.is_some();
         let next = match step {
             Step::LoadMachines => {
                 self.load_machines(ctx, &page.rows);
                 if more {
-                    LoadFrom::Machines(last)
+                    RecoveryPage::Machines(last)
                 } else {
-                    LoadFrom::Tasks(None)
+                    RecoveryPage::Tasks(None)
                 }
             }
             Step::LoadQueue => {
                 // Later pages may hold more, but the watch starts here: what
                 // it tells again changes nothing.
-                self.queue_revision.get_or_insert(page.revision);
+                self.queue_watch.queue_revision.get_or_insert(page.revision);
                 for row in page.rows {
                     // Cancellations come before descriptions in the order of
                     // keys, but a cancellation means nothing before its job is
                     // known: taken in that order, a new leader would let
                     // cancelled tasks run on.
-                    if row.key.starts_with(store::OPEN) {
+                    if row.key.starts_with(records::OPEN) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     } else {
-                        self.cancelled_rows.push(row);
+                        self.recovery.cancelled_rows.push(row);
                     }
                 }
-                let opens = |key: &String| key.starts_with(store::OPEN);
-                if self.last_consistent_read.is_none()
+                let opens = |key: &String| key.starts_with(records::OPEN);
+                if self.queue_watch.last_consistent_read.is_none()
                     && (!more || last.as_ref().is_some_and(opens))
                 {
                     // Every cancellation is known that was confirmed before the first
                     // page was asked for. Which machines hold its tasks is not: until
                     // that is read, all answers end as early as those to the machine
                     // that holds the oldest.
-                    let rows = self.cancelled_rows.iter();
+                    let rows = self.recovery.cancelled_rows.iter();
                     let oldest = rows.map(|row| confirmed(ctx, &row.value)).min();
-                    self.last_consistent_read =
-                        Some(oldest.unwrap_or(Micros::MAX).min(self.load_sent));
+                    self.queue_watch.last_consistent_read =
+                        Some(oldest.unwrap_or(Micros::MAX).min(self.recovery.load_sent));
                 }
                 if more {
-                    LoadFrom::Queue(last)
+                    RecoveryPage::Queue(last)
                 } else {
-                    for row in std::mem::take(&mut self.cancelled_rows) {
+                    for row in std::mem::take(&mut self.recovery.cancelled_rows) {
                         self.queue_row(ctx, &row.key, &row.value, row.version);
                     }
-                    LoadFrom::Machines(None)
+                    RecoveryPage::Machines(None)
                 }
             }
             _ => {
@@ -88,25 +129,25 @@
                     self.task_row(ctx, row);
                 }
                 if !more {
-                    self.reload_at = None;
+                    self.recovery.reload_at = None;
                     return self.start(ctx);
                 }
-                LoadFrom::Tasks(last)
+                RecoveryPage::Tasks(last)
             }
         };
         self.load(ctx, next);
     }
 
-    pub(super) fn load_machines(&mut self, ctx: &Ctx, rows: &[Row]) {
+    pub(super) fn load_machines(&mut self, ctx: &Context, rows: &[KeyValue]) {
         for row in rows {
-            let Some(name) = row.key.strip_prefix(store::MACHINES) else {
+            let Some(name) = row.key.strip_prefix(records::MACHINES) else {
                 continue;
             };
-            let Some(r) = row.read::<MachineRecord>() else {
+            let Some(r) = row.decode_value::<MachineRecord>() else {
                 log::error!("{}: not a machine's record", row.key);
                 continue;
             };
-            let mut m = Machine::new(name, &r.machine_type, &r.zone, r.spot, ctx.now.steady);
+            let mut m = Machine::new(name, &r.machine_type, &r.zone, r.spot, ctx.now.monotonic);
             m.addr = Some(r.addr);
             m.recorded = true;
             self.machines.insert(m.name.clone(), m);
@@ -114,12 +155,12 @@
     }
 
     /// Everything is read: take up the work.
-    pub(super) fn start(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
-        self.stage = Stage::Ready;
-        self.ready_since = now;
-        self.last_consistent_read = Some(self.load_sent);
-        self.watch_at = Some(now);
+    pub(super) fn start(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        self.recovery.stage = RecoveryStage::Ready;
+        self.recovery.ready_since = now;
+        self.queue_watch.last_consistent_read = Some(self.recovery.load_sent);
+        self.queue_watch.watch_at = Some(now);
         let ids = |of: fn(&Job) -> bool| -> Vec<Rc<str>> {
             let jobs = self.jobs.iter();
             jobs.filter(|(_, j)| of(j))
@@ -140,17 +181,18 @@
             m.reported_at = now;
             m.known_since = now;
             m.empty_since = now;
-            m.wants_push = true;
-            match self.silent_before.get(&*m.zone) {
+            m.needs_command = true;
+            match self.partitions.zones_silent_before.get(&*m.zone) {
                 // It had reported to the leader before, or it had no record.
                 Some(heard) if m.recorded => {
                     m.up = true;
                     m.heard_at = now.min(*heard);
                     m.reported_at = m.heard_at;
                     // Those that answer have their turn first.
-                    self.pushes.later(now + SECOND, m.name.clone(), false);
+                    self.command_dispatch
+                        .later(now + SECOND, m.name.clone(), false);
                 }
-                _ => self.pushes.plain(m.name.clone()),
+                _ => self.command_dispatch.plain(m.name.clone()),
             }
         }
         log::info!(
@@ -158,25 +200,26 @@
             self.term,
             self.jobs.len(),
             self.machines.len(),
-            self.inherited_jobs,
-            self.graph.waiting()
+            self.estimates.inherited_jobs,
+            self.dependencies.dependency_graph.waiting()
         );
-        self.inherited = Inherited::default();
+        self.estimates.inherited = InheritedEstimates::default();
     }
 
     pub(super) fn guess(&self, config: &Config, class: &str) -> f64 {
-        self.guesses
+        self.estimates
+            .run_time_estimates
             .get(class)
             .copied()
             .unwrap_or(config.tuning.first_guess_s)
     }
 
-    pub(super) fn queue_row(&mut self, ctx: &Ctx, key: &str, value: &Value, version: u64) {
-        if let Some(id) = key.strip_prefix(store::OPEN) {
+    pub(super) fn queue_row(&mut self, ctx: &Context, key: &str, value: &Value, version: u64) {
+        if let Some(id) = key.strip_prefix(records::OPEN) {
             if self.jobs.contains_key(id) {
                 return;
             }
-            let Some(open) = state::read::<OpenJob>(value) else {
+            let Some(open) = store::decode_value::<OpenJob>(value) else {
                 log::error!("{key}: not a job's description");
                 return self.undescribed(ctx, id, value);
             };
@@ -188,15 +231,15 @@
             });
             let version = open.mark_version(version);
             let guess = self.guess(ctx.config, &open.spec.class);
-            self.service_came |= open.spec.kind == Kind::Service;
+            self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
             let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
             self.inherit(id, &mut job);
             let id: Rc<str> = Rc::from(id);
             let place = self.jobs.insert(id.clone(), job);
-            self.taught.insert(place);
-            self.pass_at = ctx.now.steady;
+            self.estimates.unreplicated_estimates.insert(place);
+            self.scheduling.schedule_at = ctx.now.monotonic;
             self.joins(ctx, &id);
-        } else if let Some(id) = key.strip_prefix(store::CANCELLED) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
             let at = confirmed(ctx, value);
             let Some(id) = self.jobs.name(id).cloned() else {
                 return self.orphan_cancelled(id, at);
@@ -205,31 +248,31 @@
                 // A write may have met its mark before, which says not since when. That
                 // is read yet, perhaps for long: this row is proof enough.
                 job.cancelled = Some(job.cancelled.map_or(at, |c| c.min(at)));
-                if !job.stopped && self.stage == Stage::Ready {
+                if !job.stopped && self.recovery.stage == RecoveryStage::Ready {
                     self.stop_job(ctx, &id);
                 }
             }
         }
     }
 
-    pub(super) fn task_row(&mut self, ctx: &Ctx, row: &Row) {
-        let Some((id, span)) = store::parse_tasks_key(&row.key) else {
+    pub(super) fn task_row(&mut self, ctx: &Context, row: &KeyValue) {
+        let Some((id, span)) = records::parse_tasks_key(&row.key) else {
             return;
         };
         let Some(id) = self.jobs.name(id) else {
             return self.orphan_row(id, row);
         };
         let id = id.clone();
-        let Some(chunk) = row.read::<Chunk>() else {
+        let Some(chunk) = row.decode_value::<TaskChunk>() else {
             log::error!("{}: not a chunk of tasks", row.key);
             return self.set_aside(ctx, &id, span, &row.key);
         };
-        let now = ctx.now.steady;
-        let types = self.types.clone();
-        if matches!(span, Span::Part { .. }) {
+        let now = ctx.now.monotonic;
+        let types = self.machine_types.types.clone();
+        if matches!(span, TaskRange::Part { .. }) {
             // Parts are written once the lower limits are in force, and stand above
             // their chunk, which came before.
-            self.value_bytes = ctx.config.value_bytes;
+            self.writer.value_bytes = ctx.config.value_bytes;
             self.unload(&id, span);
         }
         let Some(place) = self.jobs.place(&id) else {
@@ -240,14 +283,14 @@
         };
         job.spans.set_version(span, row.version);
         let n = job.tasks.len() as u32;
-        for (i, attempt) in chunk.w {
+        for (i, attempt) in chunk.waiting {
             if let Some(t) = job.tasks.get_mut(i as usize) {
                 t.attempt = attempt;
             }
         }
-        for (from, to) in chunk.d {
+        for (from, to) in chunk.done {
             for i in from..=to.min(n.saturating_sub(1)) {
-                job.tasks[i as usize].state = TaskState::Done;
+                job.tasks[i as usize].state = TaskPlacement::Done;
                 job.waiting.remove(&i);
                 job.done += 1;
             }
@@ -255,15 +298,15 @@
         if job.done > 0 {
             job.record.ran();
         }
-        for (i, attempt, machine, session) in chunk.p {
+        for (i, attempt, machine, session) in chunk.placed {
             let Some(t) = job.tasks.get_mut(i as usize) else {
                 continue;
             };
             t.attempt = attempt;
             let machine: Rc<str> = Rc::from(machine);
-            t.state = TaskState::Placed {
+            t.state = TaskPlacement::Placed {
                 machine: machine.clone(),
-                session,
+                incarnation: session,
                 stored: true,
             };
             job.waiting.remove(&i);
@@ -276,7 +319,7 @@
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
             };
-            m.session = m.session.max(session);
+            m.incarnation = m.incarnation.max(session);
             let slot = Machine::slot(attempt, session, (place, &job.spec), true);
             let image = (&job.image, job.spec.image_gb);
             let cache = cache_gb(types.as_deref(), &m.machine_type);
@@ -285,20 +328,20 @@
     }
 
     /// Takes back what a chunk said of some tasks.
-    fn unload(&mut self, id: &Rc<str>, span: Span) {
+    fn unload(&mut self, id: &Rc<str>, span: TaskRange) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         for i in job.spans.range(span) {
             let task = &mut job.tasks[i as usize];
-            match std::mem::replace(&mut task.state, TaskState::Waiting) {
-                TaskState::Placed { machine, .. } => {
+            match std::mem::replace(&mut task.state, TaskPlacement::Waiting) {
+                TaskPlacement::Placed { machine, .. } => {
                     if let Some(m) = self.machines.get_mut(&machine) {
                         m.slots.remove(&(id.clone(), i));
                     }
                 }
-                TaskState::Done => job.done -= 1,
-                TaskState::Waiting => {}
+                TaskPlacement::Done => job.done -= 1,
+                TaskPlacement::Waiting => {}
             }
             task.attempt = 0;
             job.waiting.insert(i);
@@ -307,9 +350,9 @@
 }
 
 /// When a cancellation was confirmed at the earliest, by the record of it.
-fn confirmed(ctx: &Ctx, value: &Value) -> Micros {
-    let at = state::read::<CancelledJob>(value).map_or(0, |c| c.at);
+fn confirmed(ctx: &Context, value: &Value) -> Micros {
+    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.at);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
-    ctx.now.steady.saturating_sub(ago.min(ctx.config.cancel))
+    ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
 }
--- a/crates/core/src/leader/pass.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -9,85 +9,123 @@
     found.map_or(0.0, |t| t.cache_gb * 0.9)
 }
 
+/// When the scheduling cycle runs, and what it has done.
+#[derive(Debug)]
+pub(super) struct SchedulingState {
+    /// What ageing has taken off any job that was active all the time, in
+    /// CPU-seconds.
+    pub virtual_time: f64,
+    /// When tasks may be preempted for replicas again.
+    pub next_preemption_at: Micros,
+    /// A service was submitted since the last cycle: its users do not wait for a
+    /// tick.
+    pub service_submitted: bool,
+    /// From when on a change wants a cycle.
+    pub schedule_at: Micros,
+    pub last_scheduled_at: Micros,
+    pub counts: SchedulerCounters,
+}
+
+impl SchedulingState {
+    pub fn new(now: Micros) -> SchedulingState {
+        SchedulingState {
+            virtual_time: 0.0,
+            next_preemption_at: now,
+            service_submitted: false,
+            schedule_at: now,
+            last_scheduled_at: now,
+            counts: SchedulerCounters::default(),
+        }
+    }
+}
+
 impl Leader {
-    pub fn tick(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
-        if let Some((at, from)) = self.reload_at.clone() {
+    pub fn tick(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        if let Some((at, from)) = self.recovery.reload_at.clone() {
             if now >= at {
                 self.load(ctx, from);
             }
             return;
         }
-        if !self.entitled(ctx) {
-            self.blind_since.get_or_insert(now);
-        } else if let Some(since) = self.blind_since.take() {
+        if !self.may_answer_heartbeats(ctx) {
+            self.queue_watch.no_consistent_read_since.get_or_insert(now);
+        } else if let Some(since) = self.queue_watch.no_consistent_read_since.take() {
             // Whoever was refused an answer was not silent. After an outage of a
             // minute every machine once looked as if it were, and all were deleted
             // before they could report again.
             self.paused(now - since, now);
         }
-        if self.pass_due(ctx) || now >= self.passed_at + micros(ctx.config.tuning.pass_s) {
-            self.pass(ctx);
+        if self.schedule_due(ctx)
+            || now >= self.scheduling.last_scheduled_at + micros(ctx.config.tuning.pass_s)
+        {
+            self.schedule(ctx);
         }
-        if now >= self.fleet_at {
-            self.fleet_at = now + SECOND;
+        if now >= self.autoscaler.next_fleet_check_at {
+            self.autoscaler.next_fleet_check_at = now + SECOND;
             self.mark_guessed();
             self.refresh(ctx);
-            self.clear_unreachable(ctx);
+            self.delete_unreachable(ctx);
             self.tend_fleet(ctx);
         }
-        self.go_on(ctx);
+        self.send_pending(ctx);
     }
 
     /// A change wants a pass, and the last one is long enough ago.
-    fn pass_due(&self, ctx: &Ctx) -> bool {
-        let now = ctx.now.steady;
+    fn schedule_due(&self, ctx: &Context) -> bool {
+        let now = ctx.now.monotonic;
         let gap = micros(ctx.config.tuning.pass_gap_s);
-        now >= self.pass_at && now >= self.passed_at + gap
+        now >= self.scheduling.schedule_at && now >= self.scheduling.last_scheduled_at + gap
     }
 
     /// Sends what is ready to be sent. Passes wait for the tick, but for one that
     /// a service's submission wants: a report is answered, and with it a lease
     /// renewed, without one in between.
-    pub fn go_on(&mut self, ctx: &mut Ctx) {
-        if self.stage != Stage::Ready {
+    pub fn send_pending(&mut self, ctx: &mut Context) {
+        if self.recovery.stage != RecoveryStage::Ready {
             return;
         }
-        if self.service_came && self.pass_due(ctx) {
-            self.pass(ctx);
+        if self.scheduling.service_submitted && self.schedule_due(ctx) {
+            self.schedule(ctx);
         }
-        if self.watch_at.is_some_and(|at| ctx.now.steady >= at) {
-            self.watch_at = None;
-            let call = StateCall::Watch {
-                prefix: store::QUEUE.into(),
-                after: self.queue_revision.unwrap_or(0),
+        if self
+            .queue_watch
+            .watch_at
+            .is_some_and(|at| ctx.now.monotonic >= at)
+        {
+            self.queue_watch.watch_at = None;
+            let call = StoreRequest::Watch {
+                prefix: records::QUEUE.into(),
+                after: self.queue_watch.queue_revision.unwrap_or(0),
                 hold_ms: WATCH_MS,
             };
             let waiter = self.waiter(Step::Watch);
-            ctx.state(call, waiter);
+            ctx.store_request(call, waiter);
         }
         self.look_for_proofs(ctx);
         self.read_again(ctx);
         self.write(ctx);
-        self.push_orders(ctx);
+        self.send_commands(ctx);
         self.call_cloud(ctx);
     }
 
-    fn call_cloud(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
-        let fleet: usize = self.index.sums.up.values().sum();
+    fn call_cloud(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        let fleet: usize = self.derived.sums.up.values().sum();
         let most = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
-        let permit = |action| self.proof.permit(ctx.config, now, action);
-        if let Some((errand, call, permit)) = self.desk.next(now, most, permit) {
+        let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
+        if let Some((errand, call, permit)) = self.autoscaler.cloud_queue.next(now, most, permit) {
             let waiter = self.waiter(Step::Cloud(errand));
-            ctx.cloud(call, &permit, waiter);
+            ctx.cloud_request(call, &permit, waiter);
         }
     }
 
     /// Whether it may be done now.
-    pub(super) fn may(&self, ctx: &Ctx, action: Action) -> bool {
-        let now = ctx.now.steady;
-        self.proof.permit(ctx.config, now, action).is_some()
+    pub(super) fn may(&self, ctx: &Context, action: CloudAction) -> bool {
+        let now = ctx.now.monotonic;
+        self.leadership_proof
+            .permit(ctx.config, now, action)
+            .is_some()
     }
 
     /// This process was not running for a while, or did not listen: what it did not
@@ -101,21 +139,22 @@
 
     /// Since when reports of several machines should have come in.
     pub fn expects_reports_since(&self) -> Option<Micros> {
-        let expected = self.index.sums.recorded;
-        (self.stage == Stage::Ready && expected >= 2).then_some(self.ready_since)
+        let expected = self.derived.sums.recorded;
+        (self.recovery.stage == RecoveryStage::Ready && expected >= 2)
+            .then_some(self.recovery.ready_since)
     }
 
     /// Machines that hold a cancelled job's tasks and do not show their end
     /// are deleted well before the time is up.
-    pub(super) fn clear_unreachable(&mut self, ctx: &Ctx) {
-        let now = ctx.now.steady;
+    pub(super) fn delete_unreachable(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         let patience = ctx.config.cancel * 3 / 10;
-        let may = self.may(ctx, Action::Delete(Ground::Cancelled));
-        if now < self.ready_since + patience / 4 || !may {
+        let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
+        if now < self.recovery.ready_since + patience / 4 || !may {
             return;
         }
         let mut late: BTreeSet<Rc<str>> = BTreeSet::new();
-        for place in &self.index.cancelled {
+        for place in &self.derived.cancelled {
             let Some((id, job)) = self.jobs.at(place) else {
                 continue;
             };
@@ -126,7 +165,7 @@
                 let slot = self
                     .machines
                     .get(machine)
-                    .filter(|m| !m.leaving || !self.desk.urgent(&m.name))
+                    .filter(|m| !m.leaving || !self.autoscaler.cloud_queue.urgent(&m.name))
                     .and_then(|m| m.slots.get(&(id.clone(), i)));
                 if slot.is_some_and(|s| s.cancelled && s.stored) {
                     late.insert(machine.clone());
@@ -135,24 +174,24 @@
         }
         for name in late {
             log::info!("{name}: a cancelled task is not seen gone, deleting it");
-            self.let_go(&name, Ground::Cancelled);
+            self.delete_machine(&name, DeletionReason::Cancelled);
         }
     }
 
     /// Has a machine deleted.
-    pub(super) fn let_go(&mut self, name: &Rc<str>, ground: Ground) {
+    pub(super) fn delete_machine(&mut self, name: &Rc<str>, ground: DeletionReason) {
         if let Some(m) = self.machines.get_mut(name) {
             m.leaving = true;
-            self.desk.delete(name.clone(), ground);
+            self.autoscaler.cloud_queue.delete(name.clone(), ground);
         }
     }
 
     /// A job as a pass or a plan sees it, with up to so many waiting tasks.
-    pub(super) fn job_view(&self, ctx: &Ctx, place: Place) -> Option<JobView<'_>> {
+    pub(super) fn job_view(&self, ctx: &Context, place: SlabIndex) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(place)?;
         let most = if job.record.doubtful() { 1 } else { PASS_TASKS };
         Some(JobView {
-            place,
+            index: place,
             id,
             spec: &job.spec,
             image: &job.image,
@@ -160,7 +199,7 @@
             waiting: job.placeable().min(most) as u32,
             zones: self.zones(job, &BTreeSet::new()),
             training: job.training(ctx.config),
-            late: 0,
+            at_risk_tasks: 0,
             starving: job.shape.starving(),
         })
     }
@@ -173,7 +212,7 @@
     }
 
     /// Past the last time at which the end of the job is still of use.
-    pub(super) fn overdue(ctx: &Ctx, job: &Job) -> bool {
+    pub(super) fn overdue(ctx: &Context, job: &Job) -> bool {
         Self::of_use_until(ctx.config, job).is_some_and(|end| ctx.now.wall >= end)
     }
 
@@ -187,20 +226,20 @@
 
     /// The boot time of the type that is up soonest, in seconds.
     pub(super) fn soonest_boot(&self) -> f64 {
-        let types = self.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
         types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     pub(super) fn is_service(&self, id: &Rc<str>) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|j| j.spec.kind == Kind::Service && j.cancelled.is_none())
+        job.is_some_and(|j| j.spec.kind == JobKind::Service && j.cancelled.is_none())
     }
 
     /// Where a job's tasks are or may be, `but` for some machines. Only the rules
     /// of a spread and of a single zone ask for it.
     pub(super) fn zones(&self, job: &Job, but: &BTreeSet<Rc<str>>) -> BTreeMap<Rc<str>, u32> {
         let mut zones = BTreeMap::new();
-        if !job.spec.spread && !job.spec.one_zone {
+        if !job.spec.spread && !job.spec.single_zone {
             return zones;
         }
         for (_, machine) in job.on_machines().filter(|(_, m)| !but.contains(*m)) {
@@ -211,12 +250,13 @@
         zones
     }
 
-    pub(super) fn total(&self, machine_type: &str) -> Option<Room> {
-        self.types
+    pub(super) fn total(&self, machine_type: &str) -> Option<Resources> {
+        self.machine_types
+            .types
             .as_ref()?
             .iter()
             .find(|t| t.name == machine_type)
-            .map(Room::of_type)
+            .map(Resources::of_type)
     }
 
     pub(super) fn view(&self, m: &Machine) -> Option<MachineView> {
@@ -224,62 +264,63 @@
         Some(Self::view_with(m, free))
     }
 
-    pub(super) fn view_with(m: &Machine, free: Room) -> MachineView {
+    pub(super) fn view_with(m: &Machine, free: Resources) -> MachineView {
         MachineView {
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             free,
             images: m.images.clone(),
-            warm: 0,
-            avoid: m.error_jobs.iter().cloned().collect(),
-            condemned: m.condemned,
-            mute: false,
+            service_images: 0,
+            failed_jobs: m.error_jobs.iter().cloned().collect(),
+            cordoned: m.cordoned,
+            outbound_unreachable: false,
         }
     }
 
     /// One pass of the scheduler: ages, then fills free room.
-    pub(super) fn pass(&mut self, ctx: &Ctx) {
-        let now = ctx.now.steady;
+    pub(super) fn schedule(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
         self.refresh(ctx);
-        self.age(now);
-        self.pass_at = Micros::MAX;
-        self.service_came = false;
-        self.passed_at = now;
-        if self.fresh(ctx) && self.types.is_some() {
+        self.advance_virtual_time(now);
+        self.scheduling.schedule_at = Micros::MAX;
+        self.scheduling.service_submitted = false;
+        self.scheduling.last_scheduled_at = now;
+        if self.has_recent_read(ctx) && self.machine_types.types.is_some() {
             self.refresh(ctx);
-            self.fill(ctx);
+            self.place_waiting_jobs(ctx);
             self.make_room(ctx);
         }
     }
 
-    fn fill(&mut self, ctx: &Ctx) {
-        if self.index.line.is_empty() {
+    fn place_waiting_jobs(&mut self, ctx: &Context) {
+        if self.derived.job_queue.is_empty() {
             return;
         }
-        let sums = &self.index.sums;
+        let sums = &self.derived.sums;
         let mut teams = sums.team_views(ctx.config);
         let share = sums.fleet_cpus() * ctx.config.tuning.training_share;
-        let terms = sched::Terms {
-            clock: self.clock,
+        let terms = sched::CycleLimits {
+            virtual_time: self.scheduling.virtual_time,
             training_cpus: share - sums.training_cpus(),
-            reserve: self.reserve(ctx.config),
+            service_headroom: self.reserve(ctx.config),
         };
         // Taken out while the jobs are looked at; what is placed comes back
         // marked, and with that the floor is as the machines are.
-        let mut floor = std::mem::take(&mut self.index.floor);
+        let mut floor = std::mem::take(&mut self.derived.capacity);
         let view = |place| self.job_view(ctx, place);
-        let (made, seen) = sched::assign(&self.index.line, view, &mut floor, &mut teams, terms);
-        self.index.floor = floor;
-        self.counts.passes += 1;
-        self.counts.jobs += seen as u64;
+        let (made, seen) =
+            sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
+        self.derived.capacity = floor;
+        self.scheduling.counts.passes += 1;
+        self.scheduling.counts.jobs += seen as u64;
         for a in made {
-            self.place(&a);
+            self.apply_assignment(&a);
         }
     }
 
-    fn place(&mut self, a: &sched::Assignment) {
-        let types = self.types.clone();
+    fn apply_assignment(&mut self, a: &sched::Assignment) {
+        let types = self.machine_types.types.clone();
         let Some((id, machine)) = self.jobs.at(a.job).zip(self.machines.at(a.machine)) else {
             return;
         };
@@ -294,13 +335,13 @@
             };
             let task = &mut job.tasks[i as usize];
             task.attempt += 1;
-            task.state = TaskState::Placed {
+            task.state = TaskPlacement::Placed {
                 machine: machine.clone(),
-                session: m.session,
+                incarnation: m.incarnation,
                 stored: false,
             };
-            let mut slot = Machine::slot(task.attempt, m.session, (a.job, &job.spec), false);
-            slot.of_reserve = a.of_reserve;
+            let mut slot = Machine::slot(task.attempt, m.incarnation, (a.job, &job.spec), false);
+            slot.uses_service_headroom = a.uses_service_headroom;
             let held = m.images.iter().any(|(i, _)| *i == job.image);
             let image = if held { "held" } else { "missing" };
             log::debug!("placing {id}/{i} on {machine}, image {} {image}", job.image);
@@ -312,18 +353,18 @@
         }
         // Whoever gets room does not starve.
         job.waits_since = None;
-        self.counts.placed += touched.len() as u64;
+        self.scheduling.counts.placed += touched.len() as u64;
         for key in touched {
             self.touch(&key);
         }
     }
 
     /// Cuts every active job's virtual size by its fair share of the time.
-    pub(super) fn age(&mut self, now: Micros) {
-        let sums = &self.index.sums;
+    pub(super) fn advance_virtual_time(&mut self, now: Micros) {
+        let sums = &self.derived.sums;
         if sums.ageing > 0 {
-            let time = seconds(now.saturating_sub(self.passed_at));
-            self.clock += time * sums.fleet_cpus() / sums.ageing as f64;
+            let time = seconds(now.saturating_sub(self.scheduling.last_scheduled_at));
+            self.scheduling.virtual_time += time * sums.fleet_cpus() / sums.ageing as f64;
         }
     }
 }
--- a/crates/core/src/leader/room.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -20,18 +20,21 @@
     /// Running work is not stopped otherwise. But ordinary machines are rented
     /// for late arrays as well, and with the cloud's ordinary machines at an
     /// end, replicas waited behind them (rough, brunnmatt-books-grown).
-    pub(super) fn make_room(&mut self, ctx: &Ctx) {
-        let now = ctx.now.steady;
-        if now < self.room_at {
+    pub(super) fn make_room(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
+        if now < self.scheduling.next_preemption_at {
             return;
         }
-        let mut waiting = self.index.line.walk(sched::line::Part::First, self.clock);
+        let mut waiting = self.derived.job_queue.cursor(
+            sched::job_queue::QueueSection::First,
+            self.scheduling.virtual_time,
+        );
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
-        while let Some(turn) = waiting.next_turn() {
-            waiting.go_on(turn.lane);
-            match self.job_view(ctx, turn.place) {
-                Some(job) if !job.service() => break,
+        while let Some(turn) = waiting.next_job() {
+            waiting.advance(turn.lane);
+            match self.job_view(ctx, turn.index) {
+                Some(job) if !job.is_service() => break,
                 Some(job) if self.hurried(ctx.config, &job.spec.class) => jobs.push(job),
                 _ => {}
             }
@@ -44,16 +47,16 @@
         let mut machines = Vec::new();
         let mut victims = Vec::new();
         let mut keys: Vec<(Rc<str>, TaskKey)> = Vec::new();
-        let [ordinary, cheap] = &self.index.lending;
+        let [ordinary, cheap] = &self.derived.lending;
         let lending = ordinary.iter().chain(cheap.iter().filter(|_| spot));
         for m in lending.filter_map(|place| Some(self.machines.at(place)?.1)) {
-            let there = m.open(now) && m.in_touch(now, missing);
+            let there = m.accepts_tasks(now) && m.is_reachable_both_ways(now, missing);
             let Some(mut view) = self.view(m).filter(|_| there) else {
                 continue;
             };
             for (key, slot) in m.slots.iter().filter(|(_, s)| !s.service) {
-                if slot.yielding {
-                    view.free.give(&slot.room);
+                if slot.preempted {
+                    view.free.add(&slot.resources);
                     continue;
                 }
                 let Some(job) = self.jobs.get(&key.0) else {
@@ -61,28 +64,28 @@
                 };
                 if slot.stored && slot.seen.is_some() {
                     keys.push((m.name.clone(), key.clone()));
-                    victims.push(Victim {
+                    victims.push(PreemptionCandidate {
                         machine: machines.len(),
-                        room: slot.room,
+                        resources: slot.resources,
                         priority: job.priority,
-                        ran: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
+                        run_time: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
                     });
                 }
             }
             machines.push(view);
         }
-        let mut teams = self.index.sums.team_views(ctx.config);
-        let stopped = make_room(&mut jobs, &mut machines, &mut teams, &victims);
-        self.room_at = now + ROOM_GAP;
+        let mut teams = self.derived.sums.team_views(ctx.config);
+        let stopped = choose_preemptions(&mut jobs, &mut machines, &mut teams, &victims);
+        self.scheduling.next_preemption_at = now + ROOM_GAP;
         for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
             };
             if let Some(slot) = m.slots.get_mut(&key) {
                 log::info!("{}/{} on {machine} makes room for replicas", key.0, key.1);
-                slot.yielding = true;
-                m.wants_push = true;
-                self.pushes.urgent(machine);
+                slot.preempted = true;
+                m.needs_command = true;
+                self.command_dispatch.urgent(machine);
             }
         }
     }
@@ -91,9 +94,9 @@
     /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a
     /// fifth more (rosterwise-nz).
     pub(super) fn ahead(&self, config: &Config) -> f64 {
-        let types = self.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
-        let share = config.tuning.spare_share * self.index.sums.fleet_cpus();
+        let share = config.tuning.spare_share * self.derived.sums.fleet_cpus();
         self.reserve(config).min(share / zones.len().max(1) as f64)
     }
 
@@ -103,7 +106,7 @@
         let waits = config.waits.iter().enumerate();
         waits
             .filter(|(_, (class, _))| self.hurried(config, class))
-            .map(|(wait, _)| self.index.sums.reserve(wait))
+            .map(|(wait, _)| self.derived.sums.reserve(wait))
             .sum()
     }
 }
--- a/crates/core/src/leader/recall.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -13,26 +13,26 @@
     /// Of 20 jobs that missed their deadlines 17 had every task placed in time
     /// and lost one to a spot machine, which was placed again only after the
     /// notice had run out and the silence was seen (operations of both ops).
-    pub(super) fn leave(&mut self, ctx: &Ctx, machine: &str) {
-        let now = ctx.now.steady;
+    pub(super) fn leave(&mut self, ctx: &Context, machine: &str) {
+        let now = ctx.now.monotonic;
         let Some(m) = self.machines.get(machine) else {
             return;
         };
-        let Some(gone_by) = m.gone_by else {
+        let Some(gone_by) = m.interrupted_at else {
             return;
         };
         let notice = seconds(gone_by.saturating_sub(now));
-        let hopeless = |(key, slot): &(&TaskKey, &crate::workers::Slot)| {
+        let hopeless = |(key, slot): &(&TaskKey, &crate::machines::TaskSlot)| {
             let Some(job) = self.jobs.get(&key.0) else {
                 return false;
             };
             let ran = slot.running_since.map_or(0, |at| now.saturating_sub(at));
             let left = self.expected_run(ctx.config, job) - seconds(ran);
-            job.spec.kind == Kind::Batch
+            job.spec.kind == JobKind::Batch
                 && slot.stored
                 && slot.seen.is_some()
                 && !slot.cancelled
-                && !slot.yielding
+                && !slot.preempted
                 && left > notice * HOPELESS
         };
         let stop: Vec<TaskKey> = m
@@ -47,10 +47,10 @@
         for key in stop {
             log::info!("{}/{} leaves {machine}, which is taken back", key.0, key.1);
             if let Some(slot) = m.slots.get_mut(&key) {
-                slot.yielding = true;
+                slot.preempted = true;
             }
         }
-        m.wants_push = true;
-        self.pushes.urgent(m.name.clone());
+        m.needs_command = true;
+        self.command_dispatch.urgent(m.name.clone());
     }
 }
--- a/crates/core/src/leader/cut.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,7 +1,7 @@
 //! Zones that have fallen silent.
 
 use super::*;
-use dillcleat_mesh::Silence;
+use dillcleat_peer_protocol::SilentZone;
 
 /// After so many leases a machine is deleted though there is no other room for
 /// what was on it: its zone may be gone for good.
@@ -9,7 +9,7 @@
 
 /// Room for what is on machines that are cut off, in CPUs.
 #[derive(Debug)]
-pub(super) struct Elsewhere {
+pub(super) struct SpareCapacity {
     /// What replicas may have: free ordinary room, and that of arrays on ordinary
     /// machines, which comes free for them first.
     replicas: f64,
@@ -17,12 +17,12 @@
     arrays: f64,
 }
 
-impl Elsewhere {
+impl SpareCapacity {
     /// What counts most on the machine, and the room that it may have.
     fn need(&mut self, m: &Machine) -> (&mut f64, f64) {
         let cpus = |service: bool| -> f64 {
             let slots = m.slots.values().filter(|s| s.service == service);
-            slots.map(|s| s.room.cpus).sum()
+            slots.map(|s| s.resources.cpus).sum()
         };
         let (replicas, arrays) = (cpus(true), cpus(false));
         if replicas > 0.0 {
@@ -49,25 +49,39 @@
     }
 }
 
+/// Zones that are cut off.
+#[derive(Debug, Default)]
+pub(super) struct ZonePartitions {
+    /// Zones that fell silent as a whole, and when: what is rented there would
+    /// be paid for and never heard of.
+    pub partitioned_zones: BTreeMap<Rc<str>, Micros>,
+    /// Zones that were silent already under the leader before, and when they
+    /// were heard last.
+    pub zones_silent_before: HashMap<String, Micros>,
+}
+
 impl Leader {
     /// Room for what is on the machines that are cut off.
-    pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> Elsewhere {
-        let (ordinary, spot) = (self.index.floor.free(false), self.index.floor.free(true));
-        let lending = self.index.lending[0].iter();
+    pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
+        let (ordinary, spot) = (
+            self.derived.capacity.free(false),
+            self.derived.capacity.free(true),
+        );
+        let lending = self.derived.lending[0].iter();
         let lent: f64 = lending
             .filter(|_| !cut.is_empty())
             .filter_map(|place| self.machines.at(place))
             .filter(|(name, _)| !cut.contains(*name))
             .flat_map(|(_, m)| m.slots.values().filter(|s| !s.service))
-            .map(|s| s.room.cpus)
+            .map(|s| s.resources.cpus)
             .sum();
-        let mut elsewhere = Elsewhere {
+        let mut elsewhere = SpareCapacity {
             replicas: ordinary + lent,
             arrays: ordinary + spot,
         };
         // While the cloud is out deletions pile up, and what is on those machines
         // will want its room first.
-        for name in self.desk.deletes() {
+        for name in self.autoscaler.cloud_queue.deletes() {
             if let Some(m) = self.machines.get(name) {
                 elsewhere.expect(m);
             }
@@ -88,7 +102,7 @@
         for (name, m) in self.silent() {
             zones.entry(&m.zone).or_default().push(name);
         }
-        let up = &self.index.sums.up;
+        let up = &self.derived.sums.up;
         let all = |zone: &Rc<str>| up.get(zone).copied().unwrap_or(0);
         let cut: BTreeSet<Rc<str>> = zones
             .into_iter()
@@ -107,11 +121,11 @@
     /// Such a leader may reach the state service all the same, and so prove that it
     /// leads. To believe what it does not hear would be the end of every other zone.
     pub(super) fn doubts(&self, config: &Config) -> bool {
-        if !self.proof.apart {
+        if !self.leadership_proof.apart {
             return false;
         }
         let far = |zone: &str| *zone != *config.zone;
-        let up = self.index.sums.up.iter();
+        let up = self.derived.sums.up.iter();
         let mut heard: BTreeMap<&Rc<str>, usize> = up
             .filter(|(zone, _)| far(zone))
             .map(|(z, n)| (z, *n))
@@ -121,7 +135,7 @@
                 *n = n.saturating_sub(1);
             }
         }
-        let missed = &self.index.silent | &self.index.booting;
+        let missed = &self.derived.silent | &self.derived.booting;
         let mut missed = missed
             .into_iter()
             .filter_map(|place| self.machines.at(place));
@@ -129,18 +143,18 @@
     }
 
     /// Zones that have fallen silent, and since when, for a leader to come.
-    pub fn silences(&self, now: Micros) -> Vec<Silence> {
+    pub fn silences(&self, now: Micros) -> Vec<SilentZone> {
         let mut heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         for m in self.cut_off().iter().filter_map(|m| self.machines.get(m)) {
             let latest = heard.entry(&m.zone).or_default();
             *latest = m.heard_at.max(*latest);
         }
         let quiet = |at: Micros| now.saturating_sub(at) / MILLISECOND;
-        let heard = heard.into_iter().take(dillcleat_mesh::MAX_ZONES);
+        let heard = heard.into_iter().take(dillcleat_peer_protocol::MAX_ZONES);
         heard
-            .map(|(zone, at)| Silence {
+            .map(|(zone, at)| SilentZone {
                 zone: zone.to_string(),
-                quiet_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
+                silent_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
             })
             .collect()
     }
@@ -150,12 +164,12 @@
     /// that begins with this term: a leader that ended in the middle of a cut
     /// once left them down for 15 s more (zone, brunnmatt-books-fleet).
     pub fn expect_silence(&mut self, heard: HashMap<String, Micros>) {
-        self.silent_before = heard;
+        self.partitions.zones_silent_before = heard;
     }
 
     /// Machines that are up and have missed a report.
     pub(super) fn silent(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
-        let silent = self.index.silent.iter();
+        let silent = self.derived.silent.iter();
         silent.filter_map(|place| self.machines.at(place))
     }
 }
@@ -163,9 +177,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::workers::Machine;
+    use crate::machines::Machine;
 
-    fn machine(kind: Kind, tasks: u32, cpus: f64) -> Machine {
+    fn machine(kind: JobKind, tasks: u32, cpus: f64) -> Machine {
         let mut m = Machine::new("m", "t", "z", false, 0);
         let spec = JobSpec::plain("req-1", kind, tasks, cpus);
         for i in 0..tasks {
@@ -180,20 +194,20 @@
     /// go, and came back as none (zone, rosterwise-nz-fleet).
     #[test]
     fn what_is_cut_off_goes_as_far_as_there_is_room_for_it() {
-        let mut elsewhere = Elsewhere {
+        let mut elsewhere = SpareCapacity {
             replicas: 5.0,
             arrays: 4.0,
         };
-        let replicas = machine(Kind::Service, 2, 2.0);
-        let array = machine(Kind::Batch, 1, 3.0);
-        let empty = machine(Kind::Batch, 0, 0.0);
+        let replicas = machine(JobKind::Service, 2, 2.0);
+        let array = machine(JobKind::Batch, 1, 3.0);
+        let empty = machine(JobKind::Batch, 0, 0.0);
         assert!(elsewhere.takes(&replicas));
         assert!(!elsewhere.takes(&replicas), "one CPU is left for replicas");
         assert!(elsewhere.takes(&array));
         assert!(!elsewhere.takes(&array));
         assert!(elsewhere.takes(&empty), "nothing on it needs room");
         elsewhere.expect(&array);
-        assert!(!elsewhere.takes(&machine(Kind::Batch, 1, 0.5)));
+        assert!(!elsewhere.takes(&machine(JobKind::Batch, 1, 0.5)));
         assert!(elsewhere.takes(&empty));
     }
 }
--- a/crates/core/src/permit.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -11,7 +11,7 @@
 //! out when the cut ended (docs/incidents/rosterwise-nz-fleet-late-deletion.md).
 
 use crate::{Config, Micros, SECOND, micros};
-use dillcleat_wire::cloud::CloudCall;
+use dillcleat_wire::cloud::CloudRequest;
 
 /// The longest that a proof may be old, however long the loan is.
 const OLDEST: Micros = 4 * SECOND;
@@ -34,7 +34,7 @@
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ground {
+pub enum DeletionReason {
     /// A cancelled task may be there that is not seen gone.
     Cancelled,
     /// It was listed as failed: nothing of it is left but its place in the list.
@@ -47,16 +47,16 @@
 
 /// What is asked of the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Action {
+pub enum CloudAction {
     /// Changes nothing.
     Look,
-    Rent,
-    Delete(Ground),
+    ScaleOut,
+    Delete(DeletionReason),
 }
 
 /// Permit to send one call; only a [`LeadershipProof`] gives it.
 #[derive(Debug)]
-pub struct Permit {
+pub struct CloudPermit {
     until: Micros,
     lasting: bool,
 }
@@ -73,22 +73,22 @@
     /// the state service and none says otherwise is no proof that it is out: the one that
     /// was elected meanwhile may not be heard (seed 11387 of the pipelines' days). What
     /// whoever was told of a cancellation is owed is left to time: who holds it is not
-    /// answered any more, and its lease ends it (`Leader::checkin`).
-    pub fn permit(&self, config: &Config, now: Micros, action: Action) -> Option<Permit> {
+    /// answered any more, and its lease ends it (`Leader::heartbeat`).
+    pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         let until = match action {
-            Action::Look => Micros::MAX,
+            CloudAction::Look => Micros::MAX,
             _ if self.proved(config, now) => self.proved + proof_time(config),
-            Action::Rent | Action::Delete(_) => return None,
+            CloudAction::ScaleOut | CloudAction::Delete(_) => return None,
         };
-        let lasting = action != Action::Look;
-        Some(Permit { until, lasting })
+        let lasting = action != CloudAction::Look;
+        Some(CloudPermit { until, lasting })
     }
 }
 
-impl Permit {
+impl CloudPermit {
     /// Whether it permits a call such as this.
-    pub fn covers(&self, call: &CloudCall) -> bool {
-        let lasting = matches!(call, CloudCall::Rent(_) | CloudCall::Delete(_));
+    pub fn covers(&self, call: &CloudRequest) -> bool {
+        let lasting = matches!(call, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_));
         self.lasting || !lasting
     }
 
--- a/crates/core/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -2,23 +2,23 @@
 //! service say goes in, what follows from it comes out.
 
 use crate::admission::{Admission, unfit};
-use crate::budget::Need;
-use crate::calls::{Calls, Ctx};
-use crate::leader::{self, Leader, Note};
-use crate::leadership::{Better, Change, Leadership};
-use crate::learned::Heard;
-use crate::permit::LeadershipProof;
-use crate::siblings::{Sibling, Siblings};
-use crate::store::OpenJob;
-use crate::waiters::{Leading, Waiter};
+use crate::calls::{Context, PendingCalls};
+use crate::continuations::{Continuation, LeaderStep};
+use crate::election::{BetterCandidate, Election, LeadershipChange};
+use crate::inherited_estimates::HeardEstimates;
+use crate::leader::{self, Leader, LeaderEvent};
+use crate::leadership_guard::LeadershipProof;
+use crate::peers::{PeerStatus, Peers};
+use crate::records::OpenJob;
+use crate::request_budget::RequestPriority;
 use crate::{
-    Answer, Config, Counts, Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND, Told,
-    micros,
+    Answer, Config, Input, JobEvent, MILLISECOND, Micros, Output, RequestId, SECOND,
+    SchedulerCounters, Timestamp, micros,
 };
-use dillcleat_mesh::Message;
-use dillcleat_wire::state::StateReply;
+use dillcleat_peer_protocol::Message;
+use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JobSpec, JobState, Route, route};
-use dillcleat_wire::worker::{Elsewhere, Report};
+use dillcleat_wire::worker::{Heartbeat, LeaderRedirect};
 use std::collections::HashMap;
 
 const BEAT: Micros = 500 * MILLISECOND;
@@ -34,41 +34,41 @@
 #[derive(Debug)]
 pub struct Node {
     config: Config,
-    calls: Calls,
+    calls: PendingCalls,
     admission: Admission,
-    leadership: Leadership,
+    leadership: Election,
     leader: Option<Leader>,
-    siblings: Siblings,
+    peers: Peers,
     /// What a leader said last of zones that fell silent: when each was heard
     /// last, and when that was said.
-    silent: HashMap<String, Micros>,
-    silent_at: Micros,
+    silent_zones: HashMap<String, Micros>,
+    silent_zones_at: Micros,
     /// What leaders have told of what they learned.
-    learned: Heard,
+    heard_estimates: HeardEstimates,
     /// When the state service last answered this node.
-    served_at: Option<Micros>,
-    beat_at: Micros,
+    store_answered_at: Option<Micros>,
+    next_peer_heartbeat_at: Micros,
     /// When a worker last reported to this node.
-    worker_at: Micros,
+    last_heartbeat_at: Micros,
     /// When this node last did anything.
-    awake_at: Micros,
+    last_input_at: Micros,
 }
 
 impl Node {
     pub fn new(config: Config) -> Node {
         Node {
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             admission: Admission::new(&config),
-            leadership: Leadership::new(),
+            leadership: Election::new(),
             leader: None,
-            siblings: Siblings::default(),
-            silent: HashMap::new(),
-            silent_at: 0,
-            learned: Heard::default(),
-            served_at: None,
-            beat_at: 0,
-            worker_at: 0,
-            awake_at: 0,
+            peers: Peers::default(),
+            silent_zones: HashMap::new(),
+            silent_zones_at: 0,
+            heard_estimates: HeardEstimates::default(),
+            store_answered_at: None,
+            next_peer_heartbeat_at: 0,
+            last_heartbeat_at: 0,
+            last_input_at: 0,
             config,
         }
     }
@@ -102,12 +102,12 @@
     }
 
     /// The record of a job that is submitted now.
-    pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Now) -> OpenJob {
+    pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Timestamp) -> OpenJob {
         OpenJob {
             at: now.wall,
             chunk: self.config.chunk_tasks,
             unmarked: true,
-            at_most: at_most.filter(|n| *n < spec.tasks),
+            parallelism_limit: at_most.filter(|n| *n < spec.tasks),
             spec,
         }
     }
@@ -118,14 +118,26 @@
     }
 
     /// Whether a grant would be given: for who would do work before it takes one.
-    pub fn could(&mut self, calls: f64, changes: f64, need: Need, now: Now) -> bool {
-        self.admission.could(calls, changes, need, now.steady)
+    pub fn could(
+        &mut self,
+        calls: f64,
+        changes: f64,
+        need: RequestPriority,
+        now: Timestamp,
+    ) -> bool {
+        self.admission.could(calls, changes, need, now.monotonic)
     }
 
     /// Takes calls, and among them changes, from this node's part of what users'
     /// requests may take of the state service.
-    pub fn grant(&mut self, calls: f64, changes: f64, need: Need, now: Now) -> bool {
-        self.admission.grant(calls, changes, need, now.steady)
+    pub fn grant(
+        &mut self,
+        calls: f64,
+        changes: f64,
+        need: RequestPriority,
+        now: Timestamp,
+    ) -> bool {
+        self.admission.grant(calls, changes, need, now.monotonic)
     }
 
     /// A job was stored as open by whoever serves clients beside this node.
@@ -138,14 +150,16 @@
     }
 
     /// What this node's passes have done since it leads.
-    pub fn counts(&self) -> Counts {
-        self.leader.as_ref().map_or(Counts::default(), |l| l.counts)
+    pub fn counts(&self) -> SchedulerCounters {
+        self.leader
+            .as_ref()
+            .map_or(SchedulerCounters::default(), Leader::counts)
     }
 
     /// What of that which a leader keeps up to date bit by bit is not as it would
     /// be if it were made anew. For rehearsals.
-    pub fn audit(&mut self, now: Now) -> Vec<&'static str> {
-        let ctx = Ctx {
+    pub fn audit(&mut self, now: Timestamp) -> Vec<&'static str> {
+        let ctx = Context {
             now,
             config: &self.config,
             out: &mut Vec::new(),
@@ -155,21 +169,21 @@
         leader.map_or(Vec::new(), |l| l.audit(&ctx))
     }
 
-    pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
-        self.awake(now, &mut out);
+        self.detect_process_pause(now, &mut out);
         let proof = match input {
             Input::Tick => {
                 self.leadership.better = match self.hears(now) {
-                    true => Better::Nobody,
-                    false if self.siblings.better(now.steady) => Better::Sibling,
-                    false => Better::Unknown,
+                    true => BetterCandidate::Nobody,
+                    false if self.peers.better(now.monotonic) => BetterCandidate::Sibling,
+                    false => BetterCandidate::Unknown,
                 };
                 self.proof(now)
             }
             _ => LeadershipProof::default(),
         };
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out: &mut out,
@@ -180,16 +194,16 @@
             Input::Tick => {
                 self.leadership.tick(&mut ctx);
                 self.admission.tick(&mut ctx);
-                ctx.hasten();
+                ctx.send_hedged_requests();
                 if let Some(leader) = &mut self.leader {
-                    leader.proof = proof;
+                    leader.leadership_proof = proof;
                     leader.tick(&mut ctx);
                 }
-                if now.steady >= self.beat_at {
-                    self.beat_at = now.steady + BEAT;
+                if now.monotonic >= self.next_peer_heartbeat_at {
+                    self.next_peer_heartbeat_at = now.monotonic + BEAT;
                     let asked = self.share(now);
-                    self.beat(&mut out, now, asked);
-                    change = self.deaf(now, &mut out);
+                    self.send_peer_heartbeat(&mut out, now, asked);
+                    change = self.step_down_if_unreachable(now, &mut out);
                 }
             }
             Input::Request {
@@ -198,13 +212,13 @@
                 target,
                 body,
             } => self.request(now, &mut out, id, &method, &target, &body),
-            Input::State { id, reply } => {
-                if matches!(&reply, Ok(r) if *r != StateReply::Unavailable) {
-                    self.served_at = Some(now.steady);
+            Input::Store { id, reply } => {
+                if matches!(&reply, Ok(r) if *r != StoreResponse::Unavailable) {
+                    self.store_answered_at = Some(now.monotonic);
                 }
                 let failed = matches!(
                     reply,
-                    Err(_) | Ok(StateReply::Unavailable | StateReply::TooMany)
+                    Err(_) | Ok(StoreResponse::Unavailable | StoreResponse::RateLimited)
                 );
                 let answered = reply.is_ok();
                 let closed = ctx.calls.close(id, failed);
@@ -212,11 +226,11 @@
                     && answered
                     && !waiter.watches()
                 {
-                    let took = now.steady.saturating_sub(*sent);
-                    self.leadership.latency.answered(took, now.steady);
+                    let took = now.monotonic.saturating_sub(*sent);
+                    self.leadership.latency.answered(took, now.monotonic);
                 }
                 match closed {
-                    Some((Waiter::Admission(step), _)) => {
+                    Some((Continuation::Admission(step), _)) => {
                         self.admission.reply(&mut ctx, step, reply);
                         let cancelled = self.admission.take_cancelled();
                         if let Some(leader) = &mut self.leader
@@ -225,48 +239,48 @@
                             // Its own watch says so a moment later. In that moment it once
                             // launched what its user had been told is cancelled.
                             leader.cancelled(&mut ctx, &cancelled);
-                            leader.go_on(&mut ctx);
+                            leader.send_pending(&mut ctx);
                         }
                     }
-                    Some((Waiter::Leadership(step), sent)) => {
+                    Some((Continuation::Election(step), sent)) => {
                         change = self.leadership.reply(&mut ctx, step, sent, reply);
                         if let Some(leader) = &mut self.leader {
-                            leader.proof.proved = self.leadership.proved();
+                            leader.leadership_proof.proved = self.leadership.proved();
                         }
                     }
-                    Some((Waiter::Leader { term, step }, sent)) => {
+                    Some((Continuation::Leader { term, step }, sent)) => {
                         if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
                             leader.reply(&mut ctx, step, sent, reply);
-                            leader.go_on(&mut ctx);
+                            leader.send_pending(&mut ctx);
                         }
                     }
-                    Some((Waiter::Nobody, _)) | None => {}
+                    Some((Continuation::Nobody, _)) | None => {}
                 }
             }
             Input::Cloud { id, reply } => {
-                if let Some((Waiter::Leader { term, step }, _)) =
+                if let Some((Continuation::Leader { term, step }, _)) =
                     ctx.calls.close(id, reply.is_err())
                     && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
-                    && let Leading::Cloud(errand) = step
+                    && let LeaderStep::Cloud(errand) = step
                 {
                     leader.cloud_reply(&mut ctx, errand, reply);
-                    leader.go_on(&mut ctx);
+                    leader.send_pending(&mut ctx);
                 }
             }
-            Input::Orders { id, reply } => {
-                if let Some((Waiter::Leader { term, step }, _)) =
+            Input::Commands { id, reply } => {
+                if let Some((Continuation::Leader { term, step }, _)) =
                     ctx.calls.close(id, reply.is_err())
                     && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
-                    && let Leading::Push { machine } = step
+                    && let LeaderStep::CommandsInFlight { machine } = step
                 {
-                    leader.orders_reply(&mut ctx, id, &machine, reply);
-                    leader.go_on(&mut ctx);
+                    leader.commands_reply(&mut ctx, id, &machine, reply);
+                    leader.send_pending(&mut ctx);
                 }
             }
-            Input::Mesh { from, message } => self.mesh(now, &mut out, from, message),
+            Input::Peer { from, message } => self.mesh(now, &mut out, from, message),
         }
-        self.follow(now, &mut out, change);
-        self.notes(now, &mut out);
+        self.apply_leadership_change(now, &mut out, change);
+        self.handle_leader_events(now, &mut out);
         out
     }
 
@@ -275,111 +289,117 @@
     /// that woke after half a minute once found every worker silent and sent
     /// the deletion of 840 machines before it heard of its successor (incident
     /// e9a6).
-    fn awake(&mut self, now: Now, out: &mut Vec<Output>) {
-        let gap = now.steady.saturating_sub(self.awake_at);
-        let first = self.awake_at == 0;
-        self.awake_at = now.steady;
+    fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let gap = now.monotonic.saturating_sub(self.last_input_at);
+        let first = self.last_input_at == 0;
+        self.last_input_at = now.monotonic;
         if first || gap < PAUSE {
             return;
         }
         log::info!("was not running for {} s", crate::seconds(gap));
         if gap >= micros(self.config.tuning.lead_ttl_s) {
-            let mut ctx = Ctx {
+            let mut ctx = Context {
                 now,
                 config: &self.config,
                 out,
                 calls: &mut self.calls,
             };
             let change = self.leadership.woke(&mut ctx);
-            self.follow(now, out, change);
+            self.apply_leadership_change(now, out, change);
         } else if let Some(leader) = &mut self.leader {
-            leader.paused(gap, now.steady);
+            leader.paused(gap, now.monotonic);
         }
     }
 
-    fn follow(&mut self, now: Now, out: &mut Vec<Output>, change: Option<Change>) {
-        let mut ctx = Ctx {
+    fn apply_leadership_change(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        change: Option<LeadershipChange>,
+    ) {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
             calls: &mut self.calls,
         };
         match change {
-            Some(Change::Elected { term, term_version }) => {
-                let types = leader::TypesRecord {
+            Some(LeadershipChange::Elected { term, term_version }) => {
+                let types = leader::VersionedMachineTypes {
                     types: self.leadership.types.clone(),
                     version: self.leadership.types_version,
                 };
-                let inherited = self.learned.inherit(term, now.steady);
+                let inherited = self.heard_estimates.inherit(term, now.monotonic);
                 let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
-                leader.proof.proved = self.leadership.proved();
-                if now.steady < self.silent_at + HINT {
-                    leader.expect_silence(std::mem::take(&mut self.silent));
+                leader.leadership_proof.proved = self.leadership.proved();
+                if now.monotonic < self.silent_zones_at + HINT {
+                    leader.expect_silence(std::mem::take(&mut self.silent_zones));
                 }
                 self.leader = Some(leader);
-                self.admission.progress.elected(now.steady);
-                self.beat_at = now.steady;
+                self.admission.progress.elected(now.monotonic);
+                self.next_peer_heartbeat_at = now.monotonic;
             }
-            Some(Change::Deposed) => {
+            Some(LeadershipChange::Deposed) => {
                 // It may lead again before anybody else has.
                 if let Some(learned) = self.leader.take().and_then(|l| l.all_learned()) {
-                    self.learned.take(&self.config, learned, now.steady);
+                    self.heard_estimates
+                        .take(&self.config, learned, now.monotonic);
                 }
             }
             None => {}
         }
     }
 
-    fn notes(&mut self, now: Now, out: &mut Vec<Output>) {
+    fn handle_leader_events(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let mut change = None;
-        for note in leader.take_notes() {
-            let mut ctx = Ctx {
+        for note in leader.take_events() {
+            let mut ctx = Context {
                 now,
                 config: &self.config,
                 out,
                 calls: &mut self.calls,
             };
             match note {
-                Note::Ended(job, mark) => {
+                LeaderEvent::Ended(job, mark) => {
                     self.admission.ended(&job, mark);
-                    let state = mark.s.ended().unwrap_or(JobState::Done);
-                    out.push(Output::Told(Told::Ended { job, state }));
+                    let state = mark.state.ended().unwrap_or(JobState::Done);
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                Note::Stopped(job) => {
+                LeaderEvent::Stopped(job) => {
                     let state = JobState::Cancelled;
-                    out.push(Output::Told(Told::Ended { job, state }));
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                Note::Failed { job, task, attempt } => {
-                    out.push(Output::Told(Told::Failed { job, task, attempt }));
+                LeaderEvent::Failed { job, task, attempt } => {
+                    out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
                 }
-                Note::Types(types) => self.leadership.set_types(types),
-                Note::Outdated => {
+                LeaderEvent::Types(types) => self.leadership.set_types(types),
+                LeaderEvent::Outdated => {
                     change = self
                         .leadership
                         .step_down(&mut ctx, "its writes are out of date", 0)
                         .or(change);
                 }
-                Note::Higher(term) => {
+                LeaderEvent::Higher(term) => {
                     change = self.leadership.outdated(&mut ctx, term).or(change);
                 }
             }
         }
-        self.follow(now, out, change);
+        self.apply_leadership_change(now, out, change);
     }
 
     fn request(
         &mut self,
-        now: Now,
+        now: Timestamp,
         out: &mut Vec<Output>,
         id: RequestId,
         method: &str,
         target: &str,
         body: &[u8],
     ) {
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
@@ -416,67 +436,74 @@
 
     /// In a common outage nodes stay up and say so to each request. A node
     /// that alone is refused leaves the users to its siblings.
-    fn healthy(&self, now: Now) -> bool {
-        let Some(served) = self.served_at else {
+    fn healthy(&self, now: Timestamp) -> bool {
+        let Some(served) = self.store_answered_at else {
             return false;
         };
         if self.leadership.types.is_none() {
             return false;
         }
-        let alone = self.siblings.fresh(now.steady).any(|(_, s)| s.served);
-        now.steady < served + 3 * SECOND || !alone
+        let alone = self
+            .peers
+            .fresh(now.monotonic)
+            .any(|(_, s)| s.store_reachable);
+        now.monotonic < served + 3 * SECOND || !alone
     }
 
     /// Whether workers report to this node.
-    fn hears(&self, now: Now) -> bool {
-        now.steady < self.worker_at + 3 * SECOND
+    fn hears(&self, now: Timestamp) -> bool {
+        now.monotonic < self.last_heartbeat_at + 3 * SECOND
     }
 
     /// A leader that no worker reaches makes way for a sibling that they
     /// reach: their leases run on, and with them everything on the machines.
-    fn deaf(&mut self, now: Now, out: &mut Vec<Output>) -> Option<Change> {
+    fn step_down_if_unreachable(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+    ) -> Option<LeadershipChange> {
         let since = self.leader.as_ref()?.expects_reports_since()?;
         let mut patience = self.config.report * 5 / 4 + 3 * SECOND / 2;
         let term = self.leadership.leading()?;
         // Workers that a sibling has sent here would have come by now: with all
         // controllers ended at once and two of three cut off from the workers, one of
         // these once led for 13 s until it believed it.
-        let missed = self.siblings.sends_on(term, now.steady) && self.worker_at < since;
-        if self.worker_at < since {
+        let missed = self.peers.sends_on(term, now.monotonic) && self.last_heartbeat_at < since;
+        if self.last_heartbeat_at < since {
             // Its workers may still be waiting for the leader before it. To
             // make way sooner once left a fleet without a leader for 7 s
             // (incident 1ec8).
             patience += WORKER_PATIENCE;
         }
-        if now.steady < since.max(self.worker_at) + patience && !missed {
+        if now.monotonic < since.max(self.last_heartbeat_at) + patience && !missed {
             return None;
         }
-        let mut recent = self.siblings.fresh(now.steady).peekable();
+        let mut recent = self.peers.fresh(now.monotonic).peekable();
         let apart = recent.peek().is_none();
         // The one sibling that hears them may not be heard itself. A leader cut
         // off from its workers once waited for its word until every lease had
         // run out (incident e9a6). Whoever has not heard any in its term stays:
         // with every machine dead, leaders once made way for each other for
         // ever, none of them long enough to find that out (seed 10052).
-        let heard = self.worker_at >= since;
-        let waited = heard && now.steady >= self.worker_at + self.config.lease * 3 / 5;
-        if !apart && !waited && !recent.any(|(_, s)| s.hears) {
+        let heard = self.last_heartbeat_at >= since;
+        let waited = heard && now.monotonic >= self.last_heartbeat_at + self.config.lease * 3 / 5;
+        if !apart && !waited && !recent.any(|(_, s)| s.workers_reachable) {
             return None;
         }
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
             calls: &mut self.calls,
         };
         self.leadership
-            .step_down(&mut ctx, "no worker is heard", Leadership::ABSTAIN)
+            .step_down(&mut ctx, "no worker is heard", Election::ABSTAIN)
     }
 
-    fn report(&mut self, now: Now, out: &mut Vec<Output>, body: &[u8]) -> Answer {
-        let report = match dillcleat_wire::decode::<Report>(body) {
+    fn report(&mut self, now: Timestamp, out: &mut Vec<Output>, body: &[u8]) -> Answer {
+        let report = match dillcleat_wire::decode::<Heartbeat>(body) {
             Ok(r) => {
-                self.worker_at = now.steady;
+                self.last_heartbeat_at = now.monotonic;
                 r
             }
             Err(e) => {
@@ -484,39 +511,39 @@
                 return Answer::refusal(400, e.to_string());
             }
         };
-        let mut ctx = Ctx {
+        let mut ctx = Context {
             now,
             config: &self.config,
             out,
             calls: &mut self.calls,
         };
         if let Some(leader) = &mut self.leader {
-            let answer = leader.checkin(&mut ctx, &report);
-            leader.go_on(&mut ctx);
+            let answer = leader.heartbeat(&mut ctx, &report);
+            leader.send_pending(&mut ctx);
             return answer;
         }
         let report_to = self.lead(now).map(str::to_string);
-        Answer::body(421, &Elsewhere { report_to })
+        Answer::body(421, &LeaderRedirect { leader: report_to })
     }
 
     /// Which other node leads, as far as is known: by the store, unless a sibling says
     /// that it leads in a later term. Two nodes that had lost sight of the store once
     /// sent all workers to one another, past the new leader, until their leases ended.
-    fn lead(&self, now: Now) -> Option<&str> {
+    fn lead(&self, now: Timestamp) -> Option<&str> {
         let lead = self.leadership.lead.as_ref();
         let term = lead.map_or(0, |l| l.term);
-        if let Some(name) = self.siblings.leads_after(term, now.steady) {
+        if let Some(name) = self.peers.leads_after(term, now.monotonic) {
             return Some(name);
         }
         let lead = lead.filter(|l| l.member != self.config.member)?;
-        let gone = self.siblings.has_let_go(&lead.member, term, now.steady);
+        let gone = self.peers.has_let_go(&lead.member, term, now.monotonic);
         (!gone).then_some(lead.member.as_str())
     }
 
     /// What this node knows of its right to act as leader.
-    fn proof(&self, now: Now) -> LeadershipProof {
-        let heard = |name: &String| self.siblings.is_heard(name, now.steady);
-        let far = &self.config.far_siblings;
+    fn proof(&self, now: Timestamp) -> LeadershipProof {
+        let heard = |name: &String| self.peers.is_heard(name, now.monotonic);
+        let far = &self.config.peers_in_other_zones;
         let apart = !far.is_empty() && !far.iter().any(heard);
         LeadershipProof {
             proved: self.leadership.proved(),
@@ -524,9 +551,9 @@
         }
     }
 
-    fn served(&self, now: Now) -> bool {
-        self.served_at
-            .is_some_and(|at| now.steady < at + 3 * SECOND)
+    fn served(&self, now: Timestamp) -> bool {
+        self.store_answered_at
+            .is_some_and(|at| now.monotonic < at + 3 * SECOND)
     }
 
     /// Takes this node's share of the state service's budget for users: users
@@ -534,101 +561,102 @@
     /// siblings that are not heard might take nothing is touched, and nobody
     /// goes below half of an equal share, to be ready. Returns how many requests
     /// a second users make here.
-    fn share(&mut self, now: Now) -> u32 {
+    fn share(&mut self, now: Timestamp) -> u32 {
         let asked = self.admission.demand(BEAT);
-        let nodes = (self.config.siblings.len() + 1) as f64;
+        let nodes = (self.config.peers.len() + 1) as f64;
         let (mut known, mut all) = (1.0, asked);
-        for (_, s) in self.siblings.fresh(now.steady) {
+        for (_, s) in self.peers.fresh(now.monotonic) {
             known += 1.0;
-            all += f64::from(s.asked);
+            all += f64::from(s.requests_per_s);
         }
         let part = if all < 1.0 { 1.0 / known } else { asked / all };
         let share = (part * known / nodes).max(0.5 / nodes);
-        self.admission.share(share, now.steady);
+        self.admission.share(share, now.monotonic);
         // A float's cast to an integer saturates.
         asked.ceil() as u32
     }
 
-    fn beat(&mut self, out: &mut Vec<Output>, now: Now, asked: u32) {
-        out.push(Output::Mesh {
-            message: Message::Beat {
+    fn send_peer_heartbeat(&mut self, out: &mut Vec<Output>, now: Timestamp, asked: u32) {
+        out.push(Output::Peer {
+            message: Message::Heartbeat {
                 term: self.leadership.term(),
-                leads: self.leader.is_some(),
-                served: self.served(now),
-                hears: self.hears(now),
-                asked,
+                is_leader: self.leader.is_some(),
+                store_reachable: self.served(now),
+                workers_reachable: self.hears(now),
+                requests_per_s: asked,
             },
         });
         if let Some(leader) = &mut self.leader {
-            let silent = leader.silences(now.steady);
+            let silent = leader.silences(now.monotonic);
             if !silent.is_empty() {
-                out.push(Output::Mesh {
-                    message: Message::Silent(silent),
+                out.push(Output::Peer {
+                    message: Message::SilentZones(silent),
                 });
             }
             if let Some(learned) = leader.learned() {
-                out.push(Output::Mesh {
-                    message: Message::Learned(learned),
+                out.push(Output::Peer {
+                    message: Message::Estimates(learned),
                 });
             }
             let progress = leader.progress();
             self.admission.progress.shown(&progress);
-            let all = progress.len() < dillcleat_mesh::MAX_PROGRESS;
-            let more = self.admission.progress.tell(all, now.steady);
+            let all = progress.len() < dillcleat_peer_protocol::MAX_PROGRESS;
+            let more = self.admission.progress.tell(all, now.monotonic);
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
-                out.push(Output::Mesh {
-                    message: Message::Progress(told),
+                out.push(Output::Peer {
+                    message: Message::JobProgress(told),
                 });
             }
         }
     }
 
-    fn mesh(&mut self, now: Now, out: &mut Vec<Output>, from: String, message: Message) {
+    fn mesh(&mut self, now: Timestamp, out: &mut Vec<Output>, from: String, message: Message) {
         match message {
             Message::Hello { .. } => {}
-            Message::Beat {
+            Message::Heartbeat {
                 term,
-                leads,
-                served,
-                hears,
-                asked,
+                is_leader: leads,
+                store_reachable: served,
+                workers_reachable: hears,
+                requests_per_s: asked,
             } => {
-                let sibling = Sibling {
-                    heard: now.steady,
+                let sibling = PeerStatus {
+                    heard: now.monotonic,
                     term,
-                    leads,
-                    served,
-                    hears,
-                    asked,
+                    is_leader: leads,
+                    store_reachable: served,
+                    workers_reachable: hears,
+                    requests_per_s: asked,
                 };
-                if !self.siblings.is_heard(&from, now.steady) {
+                if !self.peers.is_heard(&from, now.monotonic) {
                     self.admission.progress.tell_all();
                 }
-                self.siblings.told(from, sibling);
-                let mut ctx = Ctx {
+                self.peers.told(from, sibling);
+                let mut ctx = Context {
                     now,
                     config: &self.config,
                     out,
                     calls: &mut self.calls,
                 };
                 let change = self.leadership.outdated(&mut ctx, term);
-                self.follow(now, out, change);
+                self.apply_leadership_change(now, out, change);
             }
-            Message::Silent(zones) => {
-                let heard = |ms: u32| now.steady.saturating_sub(u64::from(ms) * MILLISECOND);
-                self.silent = zones
+            Message::SilentZones(zones) => {
+                let heard = |ms: u32| now.monotonic.saturating_sub(u64::from(ms) * MILLISECOND);
+                self.silent_zones = zones
                     .into_iter()
-                    .map(|z| (z.zone, heard(z.quiet_ms)))
+                    .map(|z| (z.zone, heard(z.silent_ms)))
                     .collect();
-                self.silent_at = now.steady;
+                self.silent_zones_at = now.monotonic;
             }
-            Message::Learned(learned) => {
-                self.learned.take(&self.config, learned, now.steady);
+            Message::Estimates(learned) => {
+                self.heard_estimates
+                    .take(&self.config, learned, now.monotonic);
             }
             // A leader that has a successor may not know it yet.
-            Message::Progress(jobs) => {
-                if self.leader.is_none() && !self.siblings.has_successor(&from, now.steady) {
+            Message::JobProgress(jobs) => {
+                if self.leader.is_none() && !self.peers.has_successor(&from, now.monotonic) {
                     self.admission.progress.heard(jobs);
                 }
             }
--- a/crates/core/src/store.rs
+++ b/crates/controller/src/records.rs
@@ -19,7 +19,7 @@
 //! A new leader so reads what is unfinished only, however many jobs have ended.
 
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::user::{Claim, JobSpec, JobState};
+use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
 use serde::{Deserialize, Serialize};
 
 pub const SHARED: &str = "s/";
@@ -46,17 +46,17 @@
 
 /// Which tasks of a job one record tells of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Span {
+pub enum TaskRange {
     /// All of a chunk.
     Chunk(u32),
     /// Those of a chunk from one to another, both included.
     Part { chunk: u32, from: u32, to: u32 },
 }
 
-pub fn tasks_key(id: &str, span: Span) -> String {
+pub fn tasks_key(id: &str, span: TaskRange) -> String {
     match span {
-        Span::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
-        Span::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
+        TaskRange::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
+        TaskRange::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
     }
 }
 
@@ -65,13 +65,13 @@
 }
 
 /// The job and the tasks of a key.
-pub fn parse_tasks_key(key: &str) -> Option<(&str, Span)> {
+pub fn parse_tasks_key(key: &str) -> Option<(&str, TaskRange)> {
     let (id, rest) = key.strip_prefix(TASKS)?.split_once('/')?;
     let span = match rest.split_once('/') {
-        None => Span::Chunk(rest.parse().ok()?),
+        None => TaskRange::Chunk(rest.parse().ok()?),
         Some((chunk, part)) => {
             let (from, to) = part.split_once('-')?;
-            Span::Part {
+            TaskRange::Part {
                 chunk: chunk.parse().ok()?,
                 from: from.parse().ok()?,
                 to: to.parse().ok()?,
@@ -82,7 +82,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct LeaderRecord {
     #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "lease")]
@@ -92,13 +92,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Term {
+pub struct TermRecord {
     #[serde(rename = "term")]
     pub term: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Mark {
+pub enum RecordedState {
     #[serde(rename = "o")]
     Open,
     #[serde(rename = "d")]
@@ -107,24 +107,24 @@
     Cancelled,
 }
 
-impl Mark {
+impl RecordedState {
     /// What users are told of an ended job.
     pub fn ended(self) -> Option<JobState> {
         match self {
-            Mark::Open => None,
-            Mark::Done => Some(JobState::Done),
-            Mark::Cancelled => Some(JobState::Cancelled),
+            RecordedState::Open => None,
+            RecordedState::Done => Some(JobState::Done),
+            RecordedState::Cancelled => Some(JobState::Cancelled),
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobMark {
+pub struct JobStateRecord {
     #[serde(rename = "s")]
-    pub s: Mark,
+    pub state: RecordedState,
     /// The job's number of tasks.
     #[serde(rename = "n")]
-    pub n: u32,
+    pub task_count: u32,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -144,7 +144,7 @@
     pub unmarked: bool,
     /// The most of its tasks that may be placed at once, if it is not all.
     #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
-    pub at_most: Option<u32>,
+    pub parallelism_limit: Option<u32>,
 }
 
 impl OpenJob {
@@ -160,7 +160,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
     #[serde(rename = "spec")]
-    pub spec: Claim,
+    pub spec: ResourceClaim,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -172,16 +172,16 @@
 
 /// The tasks of one chunk. What is in no list waits and was never placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct TaskChunk {
     /// Placed tasks: number, attempt, machine, session.
     #[serde(rename = "p")]
-    pub p: Vec<(u32, u64, String, u64)>,
+    pub placed: Vec<(u32, u64, String, u64)>,
     /// Waiting tasks that were placed before: number, last attempt.
     #[serde(rename = "w")]
-    pub w: Vec<(u32, u64)>,
+    pub waiting: Vec<(u32, u64)>,
     /// Done tasks, as ranges from..=to.
     #[serde(rename = "d")]
-    pub d: Vec<(u32, u32)>,
+    pub done: Vec<(u32, u32)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -197,7 +197,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Types {
+pub struct MachineTypesRecord {
     #[serde(rename = "types")]
     pub types: Vec<MachineType>,
 }
--- a/crates/core/tests/blind.rs
+++ b/crates/controller/tests/blind.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::step;
-use dillcleat_core::{Input, RequestId, SECOND};
+use dillcleat_controller::{Input, RequestId, SECOND};
 use dillcleat_wire::encode;
-use dillcleat_wire::worker::Report;
+use dillcleat_wire::worker::Heartbeat;
 
 #[test]
 fn reports_are_answered_only_while_a_cancellation_could_still_be_obeyed() {
@@ -18,16 +18,16 @@
     for s in 1..60 {
         let at = start + s * SECOND;
         step(&mut node, at, Input::Tick, &[]);
-        let report = Report {
+        let report = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: s,
-            token: 1,
-            notice_s: None,
+            incarnation: 1,
+            sequence: s,
+            fencing_token: 1,
+            interruption_notice_s: None,
             tasks: vec![],
         };
         let input = Input::Request {
