--- a/crates/core/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -1,18 +1,23 @@
 //! A controller with a store, a cloud and workers around it, small and without chance.
 //! Every worker checks that no task starts while it is on another.
 
-use dillcleat_core::store::{self, OpenJob};
-use dillcleat_core::{
-    CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND,
+use dillcleat_controller::records::{self, OpenJob};
+use dillcleat_controller::{
+    CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    Timestamp,
 };
-use dillcleat_wire::cloud::{CloudCall, CloudReply, Condition, ListedMachine, MachineList};
-use dillcleat_wire::cloud::{MachineType, Rent};
-use dillcleat_wire::state::{
-    Change, Changes, Compare, Event, Page, Row, StateCall, StateReply, Txn, Value, value,
+use dillcleat_wire::cloud::{
+    CloudRequest, CloudResponse, InstanceState, ListedMachine, MachineList,
+};
+use dillcleat_wire::cloud::{MachineType, ScaleOut};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction, Value,
+    WatchBatch, WatchEvent, encode_value,
 };
 use dillcleat_wire::user::{JobSpec, cancel_path};
 use dillcleat_wire::worker::{
-    Command, Orders, REPORT_PATH, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, CommandBatch, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, TaskState,
+    TaskStatus,
 };
 use dillcleat_wire::{TaskName, decode, encode};
 use std::collections::BTreeMap;
@@ -22,18 +27,18 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    rows: BTreeMap<String, Row>,
-    events: Vec<(u64, String, Event)>,
+    rows: BTreeMap<String, KeyValue>,
+    events: Vec<(u64, String, WatchEvent)>,
     revision: u64,
 }
 
 impl Store {
-    fn carry_out(&mut self, txn: &Txn) -> StateReply {
-        let version = |c: &&Compare| self.rows.get(&c.key).map_or(0, |r| r.version);
+    fn carry_out(&mut self, txn: &Transaction) -> StoreResponse {
+        let version = |c: &&Precondition| self.rows.get(&c.key).map_or(0, |r| r.version);
         let unequal = txn.compare.iter().filter(|c| version(c) != c.version);
         let failed: Vec<String> = unequal.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return StateReply::Conflict {
+            return StoreResponse::Conflict {
                 failed,
                 revision: self.revision,
             };
@@ -42,38 +47,38 @@
         for change in &txn.then {
             self.change(change.clone());
         }
-        StateReply::Committed {
+        StoreResponse::Committed {
             revision: self.revision,
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn change(&mut self, change: Mutation) {
         let version = self.revision;
         let (key, event) = match change {
-            Change::Put { key, value, lease } => {
-                let row = Row {
+            Mutation::Put { key, value, lease } => {
+                let row = KeyValue {
                     key: key.clone(),
                     value: value.clone(),
                     version,
                     lease,
                 };
                 self.rows.insert(key.clone(), row);
-                let put = Event::Put {
+                let put = WatchEvent::Put {
                     key: key.clone(),
                     value,
                     version,
                 };
                 (key, put)
             }
-            Change::Delete { key } => {
+            Mutation::Delete { key } => {
                 self.rows.remove(&key);
-                (key.clone(), Event::Delete { key, version })
+                (key.clone(), WatchEvent::Delete { key, version })
             }
         };
         self.events.push((version, key, event));
     }
 
-    fn since(&self, prefix: &str, after: u64) -> Vec<Event> {
+    fn since(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let events = self.events.iter();
         let new = events.filter(|(at, key, _)| *at > after && key.starts_with(prefix));
         new.map(|(_, _, event)| event.clone()).collect()
@@ -83,7 +88,7 @@
 #[derive(Debug, Clone)]
 struct Task {
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     ends: Micros,
 }
 
@@ -113,32 +118,32 @@
     /// It does nothing for now, and then goes on.
     pub hung: bool,
     /// Orders that came while it hung.
-    held: Vec<Orders>,
+    held: Vec<CommandBatch>,
     /// Every task that starts here fails at once.
     pub faulty: bool,
 }
 
 impl Worker {
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         let tasks = self.tasks.iter();
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: format!("{}:9000", self.name),
             machine_type: "t".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: None,
             tasks: tasks
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: None,
+                    reason: t.why,
+                    checkpoint_saved: None,
                 })
                 .collect(),
         }
@@ -211,10 +216,10 @@
 impl Fleet {
     pub fn new(config: Config, types: Vec<MachineType>) -> Fleet {
         let mut store = Store::default();
-        let record = store::Types {
+        let record = records::MachineTypesRecord {
             types: types.clone(),
         };
-        store.carry_out(&Txn::default().put(store::TYPES, &record));
+        store.carry_out(&Transaction::default().put(records::TYPES, &record));
         Fleet {
             node: Node::new(config.clone()),
             config,
@@ -283,11 +288,12 @@
             at: self.at,
             chunk: 25,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
             spec,
         };
-        let key = store::open_key(&open.spec.id);
-        self.store.carry_out(&Txn::default().put(key, &open));
+        let key = records::open_key(&open.spec.id);
+        self.store
+            .carry_out(&Transaction::default().put(key, &open));
     }
 
     /// A user cancels the job here; the answer's status.
@@ -331,9 +337,9 @@
 
     /// Sets a record as another node would.
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
-        let change = Change::Put {
+        let change = Mutation::Put {
             key,
-            value: value(record),
+            value: encode_value(record),
             lease: None,
         };
         self.store.revision += 1;
@@ -400,7 +406,7 @@
             for task in w.tasks.values_mut() {
                 if task.state == TaskState::Running && at >= task.ends {
                     task.state = TaskState::Exited;
-                    task.why = Some(Why::Done);
+                    task.why = Some(ExitReason::Done);
                     w.report_at = w.report_at.min(at + SECOND / 2);
                 }
             }
@@ -430,8 +436,8 @@
             let answered = !out && (!events.is_empty() || at >= *until);
             if answered {
                 let revision = store.revision;
-                let reply = Ok(StateReply::Changes(Changes { revision, events }));
-                due.push(Input::State { id: *id, reply });
+                let reply = Ok(StoreResponse::WatchBatch(WatchBatch { revision, events }));
+                due.push(Input::Store { id: *id, reply });
             }
             !answered
         });
@@ -450,21 +456,21 @@
             }
             w.report_at = at + every;
             let body = encode(&w.report());
-            let Some((200, body)) = self.request("POST", REPORT_PATH.into(), body) else {
+            let Some((200, body)) = self.request("POST", HEARTBEAT_PATH.into(), body) else {
                 continue;
             };
-            let answer: ReportAnswer = decode(&body).expect("an answer to a report");
+            let answer: HeartbeatReply = decode(&body).expect("an answer to a report");
             let w = self.worker(&name);
             if w.deaf {
                 // It waits for the answer, and then pauses.
                 w.report_at = at + 5 * SECOND;
                 continue;
             }
-            if answer.token < w.token {
+            if answer.fencing_token < w.token {
                 continue;
             }
-            if answer.token > w.token {
-                w.token = answer.token;
+            if answer.fencing_token > w.token {
+                w.token = answer.fencing_token;
                 w.report_at = at + SECOND / 2;
             }
             w.leased_from = at;
@@ -476,7 +482,7 @@
         let at = self.at;
         for command in commands {
             match command {
-                Command::Start { task, attempt } => {
+                Command::Launch { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.worker(name).tasks.contains_key(&key) {
                         continue;
@@ -496,7 +502,7 @@
                             true => TaskState::Exited,
                             false => TaskState::Running,
                         },
-                        why: faulty.then_some(Why::Error),
+                        why: faulty.then_some(ExitReason::Error),
                         ends,
                     };
                     w.tasks.insert(key, task_now);
@@ -512,11 +518,11 @@
                         && t.state == TaskState::Running
                     {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Stopped);
+                        t.why = Some(ExitReason::Stopped);
                         w.report_at = w.report_at.min(at + SECOND / 2);
                     }
                 }
-                Command::Forget { task, attempt } => {
+                Command::Reap { task, attempt } => {
                     let w = self.worker(name);
                     w.tasks.remove(&(task.clone(), *attempt));
                 }
@@ -525,14 +531,14 @@
     }
 
     /// Orders reach a worker; status and body of its answer.
-    fn ordered(&mut self, name: &str, orders: &Orders) -> (u16, Vec<u8>) {
+    fn ordered(&mut self, name: &str, orders: &CommandBatch) -> (u16, Vec<u8>) {
         let at = self.at;
         let w = self.worker(name);
-        if orders.token < w.token || orders.session != w.session {
+        if orders.fencing_token < w.token || orders.incarnation != w.session {
             return (409, encode(&w.report()));
         }
-        if orders.token > w.token {
-            w.token = orders.token;
+        if orders.fencing_token > w.token {
+            w.token = orders.fencing_token;
             w.report_at = w.report_at.min(at + SECOND / 2);
         }
         self.execute(name, &orders.commands);
@@ -541,8 +547,8 @@
 
     /// The node takes an input and all that is answered at once; the answers it gives.
     fn handle(&mut self, input: Input) -> Vec<(u16, Vec<u8>)> {
-        let now = Now {
-            steady: self.at,
+        let now = Timestamp {
+            monotonic: self.at,
             wall: self.at,
         };
         let mut answers = Vec::new();
@@ -551,9 +557,9 @@
             for output in self.node.handle(now, input) {
                 match output {
                     Output::Answer { answer, .. } => answers.push((answer.status, answer.body)),
-                    Output::State { id, call, .. } => inputs.extend(self.state(id, &call)),
+                    Output::Store { id, call, .. } => inputs.extend(self.state(id, &call)),
                     Output::Cloud { id, call, .. } => inputs.extend(self.cloud(id, call)),
-                    Output::Orders {
+                    Output::Commands {
                         id,
                         addr,
                         orders,
@@ -563,7 +569,7 @@
                         let Some(w) = self.workers.get_mut(&name) else {
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         };
                         if w.deaf || w.blocked || w.hung || self.at < w.up {
@@ -572,7 +578,7 @@
                             }
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         }
                         let slow = w.slow;
@@ -580,11 +586,11 @@
                         if slow {
                             let reply = Err(CallError::NoAnswer);
                             self.under_way
-                                .push((self.at + timeout, Input::Orders { id, reply }));
+                                .push((self.at + timeout, Input::Commands { id, reply }));
                             continue;
                         }
                         let reply = Ok(answer);
-                        inputs.push(Input::Orders { id, reply });
+                        inputs.push(Input::Commands { id, reply });
                     }
                     _ => {}
                 }
@@ -593,14 +599,14 @@
         answers
     }
 
-    fn state(&mut self, id: CallId, call: &StateCall) -> Option<Input> {
+    fn state(&mut self, id: CallId, call: &StoreRequest) -> Option<Input> {
         let revision = self.store.revision;
-        let prefixed = |prefix: &str| -> Vec<Row> {
+        let prefixed = |prefix: &str| -> Vec<KeyValue> {
             let rows = self.store.rows.values();
             let of = rows.filter(|r| r.key.starts_with(prefix));
             of.cloned().collect()
         };
-        if let StateCall::Watch {
+        if let StoreRequest::Watch {
             prefix,
             after,
             hold_ms,
@@ -611,63 +617,63 @@
             return None;
         }
         if self.outage {
-            let reply = Ok(StateReply::Unavailable);
-            return Some(Input::State { id, reply });
+            let reply = Ok(StoreResponse::Unavailable);
+            return Some(Input::Store { id, reply });
         }
-        self.reads += usize::from(matches!(call, StateCall::Get { .. }));
+        self.reads += usize::from(matches!(call, StoreRequest::Get { .. }));
         let reply = match call {
-            StateCall::Get { key } => match self.store.rows.get(key) {
-                Some(row) => StateReply::Found(row.clone()),
-                None => StateReply::Absent { revision },
+            StoreRequest::Get { key } => match self.store.rows.get(key) {
+                Some(row) => StoreResponse::Found(row.clone()),
+                None => StoreResponse::NotFound { revision },
             },
-            StateCall::List { prefix, .. } => StateReply::Page(Page {
+            StoreRequest::List { prefix, .. } => StoreResponse::RangePage(RangePage {
                 rows: prefixed(prefix),
                 more: false,
                 revision,
             }),
-            StateCall::Txn(txn) => {
+            StoreRequest::Transaction(txn) => {
                 let reply = self.store.carry_out(txn);
                 if self.write_lag > 0 && !txn.then.is_empty() {
                     let reply = Ok(reply);
-                    let input = Input::State { id, reply };
+                    let input = Input::Store { id, reply };
                     self.under_way.push((self.at + self.write_lag, input));
                     return None;
                 }
                 reply
             }
-            StateCall::NewLease { .. } => StateReply::Lease { lease: revision },
-            StateCall::EndLease { lease } => {
-                let bound = |r: &&Row| r.lease == Some(*lease);
+            StoreRequest::GrantLease { .. } => StoreResponse::Lease { lease: revision },
+            StoreRequest::RevokeLease { lease } => {
+                let bound = |r: &&KeyValue| r.lease == Some(*lease);
                 let rows = self.store.rows.values().filter(bound);
                 let keys: Vec<String> = rows.map(|r| r.key.clone()).collect();
                 self.store.revision += 1;
                 for key in keys {
-                    self.store.change(Change::Delete { key });
+                    self.store.change(Mutation::Delete { key });
                 }
-                StateReply::Extended
+                StoreResponse::LeaseRenewed
             }
-            StateCall::Extend { .. } => StateReply::Extended,
-            StateCall::Watch { .. } => return None,
+            StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+            StoreRequest::Watch { .. } => return None,
         };
-        Some(Input::State {
+        Some(Input::Store {
             id,
             reply: Ok(reply),
         })
     }
 
-    fn cloud(&mut self, id: CallId, call: CloudCall) -> Option<Input> {
+    fn cloud(&mut self, id: CallId, call: CloudRequest) -> Option<Input> {
         if self.outage || self.cloud_out {
-            let reply = Ok(CloudReply::Refused { status: 503 });
+            let reply = Ok(CloudResponse::Refused { status: 503 });
             return Some(Input::Cloud { id, reply });
         }
         let mut lag = 0;
         let reply = match call {
-            CloudCall::Types => CloudReply::Types(self.types.clone()),
-            CloudCall::Rent(rent) => {
+            CloudRequest::Types => CloudResponse::Types(self.types.clone()),
+            CloudRequest::ScaleOut(rent) => {
                 lag = self.rent_lag;
                 self.rent(&rent)
             }
-            CloudCall::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for name in names {
                     let w = self.workers.remove(&name);
                     let tasks = w.into_iter().flat_map(|w| w.tasks.into_iter());
@@ -676,9 +682,9 @@
                     self.killed.extend(running);
                     self.deleted.push((self.at, name));
                 }
-                CloudReply::Deleted
+                CloudResponse::Deleted
             }
-            CloudCall::List { .. } => self.list(),
+            CloudRequest::List { .. } => self.list(),
         };
         let input = Input::Cloud {
             id,
@@ -691,13 +697,13 @@
         Some(input)
     }
 
-    fn rent(&mut self, rent: &Rent) -> CloudReply {
+    fn rent(&mut self, rent: &ScaleOut) -> CloudResponse {
         let key = (rent.zone.clone(), rent.spot);
         let left = self.stock.entry(key).or_default();
         let count = rent.count.min(*left);
         *left -= count;
         if count == 0 {
-            return CloudReply::NoCapacity;
+            return CloudResponse::NoCapacity;
         }
         let up = self.at + self.boot;
         let mut names = Vec::new();
@@ -708,10 +714,10 @@
             (w.up, w.leased_from, w.report_at) = (up, up, up);
             names.push(name);
         }
-        CloudReply::Rented(names)
+        CloudResponse::ScaledOut(names)
     }
 
-    fn list(&self) -> CloudReply {
+    fn list(&self) -> CloudResponse {
         let then = self.at.saturating_sub(self.list_lag);
         let listed = self.workers.values().filter(|w| w.rented <= then);
         let machines = listed
@@ -721,14 +727,14 @@
                 machine_type: "t".into(),
                 zone: w.zone.clone(),
                 spot: w.spot,
-                condition: match w.up <= then {
-                    true => Condition::Running,
-                    false => Condition::Booting,
+                state: match w.up <= then {
+                    true => InstanceState::Running,
+                    false => InstanceState::Booting,
                 },
                 age_s: (then - w.rented) as f64 / SECOND as f64,
             })
             .collect();
-        CloudReply::Listed(MachineList {
+        CloudResponse::Listed(MachineList {
             machines,
             more: false,
         })
--- a/crates/core/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -3,21 +3,23 @@
 mod common;
 
 use common::{recorded, report, step};
-use dillcleat_core::{Input, MILLISECOND, Micros, Node, Now, Output, SECOND, Tuning, micros};
-use dillcleat_mesh::Message;
-use dillcleat_wire::state::Row;
-use dillcleat_wire::worker::Elsewhere;
+use dillcleat_controller::{
+    Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp, Tuning, micros,
+};
+use dillcleat_peer_protocol::Message;
+use dillcleat_wire::store::KeyValue;
+use dillcleat_wire::worker::LeaderRedirect;
 
 /// The word of a sibling that the state service answers.
 fn beat(term: u64, leads: bool, hears: bool) -> Input {
-    Input::Mesh {
+    Input::Peer {
         from: "n1".into(),
-        message: Message::Beat {
+        message: Message::Heartbeat {
             term,
-            leads,
-            served: true,
-            hears,
-            asked: 0,
+            is_leader: leads,
+            store_reachable: true,
+            workers_reachable: hears,
+            requests_per_s: 0,
         },
     }
 }
@@ -26,7 +28,7 @@
 /// having `heard` one report or none, while a sibling that knows of a term says whether
 /// it hears any. `pause` is a gap in its ticks after two seconds.
 fn leads_for(heard: bool, (term, hears): (u64, bool), pause: Micros) -> Micros {
-    let machines: Vec<Row> = (0..3).map(|i| recorded(&format!("m{i}"), "a")).collect();
+    let machines: Vec<KeyValue> = (0..3).map(|i| recorded(&format!("m{i}"), "a")).collect();
     let mut node = common::node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &machines);
@@ -77,8 +79,8 @@
 #[test]
 fn workers_are_sent_to_whom_a_sibling_says_leads() {
     let mut node = common::node();
-    let now = Now {
-        steady: 1000 * SECOND,
+    let now = Timestamp {
+        monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
     let sent_to = |node: &mut Node| {
@@ -89,13 +91,13 @@
         });
         let answer = answers.next_back().expect("each report is answered");
         assert_eq!(answer.status, 421);
-        let body = dillcleat_wire::decode::<Elsewhere>(&answer.body);
-        body.expect("a good body").report_to
+        let body = dillcleat_wire::decode::<LeaderRedirect>(&answer.body);
+        body.expect("a good body").leader
     };
     assert_eq!(sent_to(&mut node), None);
-    step(&mut node, now.steady, beat(1, false, true), &[]);
+    step(&mut node, now.monotonic, beat(1, false, true), &[]);
     assert_eq!(sent_to(&mut node), None);
-    step(&mut node, now.steady, beat(2, true, false), &[]);
+    step(&mut node, now.monotonic, beat(2, true, false), &[]);
     assert_eq!(sent_to(&mut node).as_deref(), Some("n1"));
 }
 
--- a/crates/core/tests/golden_answers.rs
+++ b/crates/controller/tests/golden_answers.rs
@@ -1,8 +1,8 @@
 //! The answers to users and workers that are made in the core, as version 84a8104 makes
 //! them.
 
-use dillcleat_core::Answer;
-use dillcleat_wire::worker::Elsewhere;
+use dillcleat_controller::Answer;
+use dillcleat_wire::worker::LeaderRedirect;
 
 #[test]
 fn a_refusal_keeps_its_bytes() {
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_body_is_a_map_with_text_keys() {
-    let elsewhere = Elsewhere {
-        report_to: Some("n1".into()),
+    let elsewhere = LeaderRedirect {
+        leader: Some("n1".into()),
     };
     let answer = Answer {
         status: 421,
--- a/crates/core/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,13 +1,14 @@
 //! The keys and records in the state service, as version 84a8104 reads and writes them.
 
-use dillcleat_core::store::{
-    CANCELLED, CancelledJob, Chunk, JobMark, LEAD, Lead, MACHINES, MachineRecord, Mark, OPEN,
-    OpenClaim, OpenJob, QUEUE, SHARED, Span, TASKS, TERM, TYPES, Term, Types, cancelled_key,
-    job_key, machine_key, open_key, parse_tasks_key, tasks_key,
+use dillcleat_controller::records::{
+    CANCELLED, CancelledJob, JobStateRecord, LEAD, LeaderRecord, MACHINES, MachineRecord,
+    MachineTypesRecord, OPEN, OpenClaim, OpenJob, QUEUE, RecordedState, SHARED, TASKS, TERM, TYPES,
+    TaskChunk, TaskRange, TermRecord, cancelled_key, job_key, machine_key, open_key,
+    parse_tasks_key, tasks_key,
 };
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::state::{Value, read, value};
-use dillcleat_wire::user::{Claim, JobSpec, JobState, Kind, Priority};
+use dillcleat_wire::store::{Value, decode_value, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec, JobState, Priority, ResourceClaim};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -15,14 +16,14 @@
 /// Asserts that `bytes` are read as `record`.
 fn assert_read<T: DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
     let stored: Value = rmpv::decode::read_value(&mut &bytes[..]).expect("a value");
-    assert_eq!(read::<T>(&stored).as_ref(), Some(record));
+    assert_eq!(decode_value::<T>(&stored).as_ref(), Some(record));
 }
 
 /// Asserts that `bytes` are read as `record`, and that `record` is written as `bytes`.
 fn assert_keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
     assert_read(bytes, record);
     let mut written = Vec::new();
-    rmpv::encode::write_value(&mut written, &value(record)).expect("written to memory");
+    rmpv::encode::write_value(&mut written, &encode_value(record)).expect("written to memory");
     assert_eq!(
         written.escape_ascii().to_string(),
         bytes.escape_ascii().to_string(),
@@ -50,11 +51,11 @@
         assert_eq!(tasks_key("req-1", span), key);
         assert_eq!(parse_tasks_key(key), Some(("req-1", span)));
     };
-    keeps("t/req-1/00000", Span::Chunk(0));
-    keeps("t/req-1/00012", Span::Chunk(12));
+    keeps("t/req-1/00000", TaskRange::Chunk(0));
+    keeps("t/req-1/00012", TaskRange::Chunk(12));
     keeps(
         "t/req-1/00001/000102-000126",
-        Span::Part {
+        TaskRange::Part {
             chunk: 1,
             from: 102,
             to: 126,
@@ -68,7 +69,7 @@
 
 #[test]
 fn the_leader_keeps_its_bytes() {
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: "n1".into(),
         lease: 31,
         term: 7,
@@ -78,12 +79,15 @@
 
 #[test]
 fn the_term_keeps_its_bytes() {
-    assert_keeps(b"\x81\xa4term\xce\x00\x01\x11\x70", &Term { term: 70_000 });
+    assert_keeps(
+        b"\x81\xa4term\xce\x00\x01\x11\x70",
+        &TermRecord { term: 70_000 },
+    );
 }
 
 #[test]
 fn machine_types_keep_their_bytes() {
-    let types = Types {
+    let types = MachineTypesRecord {
         types: vec![
             MachineType {
                 name: "g8".into(),
@@ -137,7 +141,7 @@
         id: "req-412".into(),
         class: "merge".into(),
         team: "books".into(),
-        kind: Kind::Batch,
+        kind: JobKind::Batch,
         priority: Priority::High,
         tasks: 200,
         cpus: 4.0,
@@ -147,25 +151,25 @@
         image_gb: 2.5,
         types: Some(vec!["g8".into(), "c2".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 30.0,
         checkpoint_s: 60.0,
         save_s: 5.0,
         deadline_s: Some(900.0),
-        awaits: vec!["req-7".into()],
+        depends_on: vec!["req-7".into()],
     }
 }
 
 fn plain_service() -> JobSpec {
     JobSpec {
-        kind: Kind::Service,
+        kind: JobKind::Service,
         priority: Priority::Production,
         types: None,
         zone: None,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         ..full_job()
     }
 }
@@ -177,7 +181,7 @@
         at: 1_700_000_000_000_000,
         chunk: 128,
         unmarked: true,
-        at_most: Some(12),
+        parallelism_limit: Some(12),
     };
     assert_keeps(
         b"\
@@ -205,7 +209,7 @@
         at: 1_700_000_000_000_000,
         chunk: 8,
         unmarked: false,
-        at_most: None,
+        parallelism_limit: None,
     };
     assert_keeps(
         b"\
@@ -242,7 +246,7 @@
 #[test]
 fn what_an_open_job_claims_is_read_from_its_record() {
     let claim = OpenClaim {
-        spec: Claim {
+        spec: ResourceClaim {
             team: "books".into(),
             cpus: 4.0,
             gpus: 1.0,
@@ -268,17 +272,23 @@
 
 #[test]
 fn every_mark_of_a_job_keeps_its_bytes() {
-    let mark = |s| JobMark { s, n: 200 };
-    assert_keeps(b"\x82\xa1s\xa1o\xa1n\xcc\xc8", &mark(Mark::Open));
-    assert_keeps(b"\x82\xa1s\xa1d\xa1n\xcc\xc8", &mark(Mark::Done));
-    assert_keeps(b"\x82\xa1s\xa1c\xa1n\xcc\xc8", &mark(Mark::Cancelled));
+    let mark = |s| JobStateRecord {
+        state: s,
+        task_count: 200,
+    };
+    assert_keeps(b"\x82\xa1s\xa1o\xa1n\xcc\xc8", &mark(RecordedState::Open));
+    assert_keeps(b"\x82\xa1s\xa1d\xa1n\xcc\xc8", &mark(RecordedState::Done));
+    assert_keeps(
+        b"\x82\xa1s\xa1c\xa1n\xcc\xc8",
+        &mark(RecordedState::Cancelled),
+    );
 }
 
 #[test]
 fn every_mark_is_shown_to_users_as_before() {
-    assert_eq!(Mark::Open.ended(), None);
-    assert_eq!(Mark::Done.ended(), Some(JobState::Done));
-    assert_eq!(Mark::Cancelled.ended(), Some(JobState::Cancelled));
+    assert_eq!(RecordedState::Open.ended(), None);
+    assert_eq!(RecordedState::Done.ended(), Some(JobState::Done));
+    assert_eq!(RecordedState::Cancelled.ended(), Some(JobState::Cancelled));
 }
 
 #[test]
@@ -295,13 +305,13 @@
 /// All numbers differ, so that none is taken for another.
 #[test]
 fn the_tasks_of_a_chunk_keep_their_bytes() {
-    let chunk = Chunk {
-        p: vec![
+    let chunk = TaskChunk {
+        placed: vec![
             (3, 2, "host-1".into(), 300),
             (4, 70_000, "host-2".into(), 1),
         ],
-        w: vec![(5, 6)],
-        d: vec![(0, 2), (7, 127)],
+        waiting: vec![(5, 6)],
+        done: vec![(0, 2), (7, 127)],
     };
     assert_keeps(
         b"\
@@ -309,10 +319,10 @@
             \xa6host-2\x01\xa1w\x91\x92\x05\x06\xa1d\x92\x92\x00\x02\x92\x07\x7f",
         &chunk,
     );
-    let empty = Chunk {
-        p: Vec::new(),
-        w: Vec::new(),
-        d: Vec::new(),
+    let empty = TaskChunk {
+        placed: Vec::new(),
+        waiting: Vec::new(),
+        done: Vec::new(),
     };
     assert_keeps(b"\x83\xa1p\x90\xa1w\x90\xa1d\x90", &empty);
 }
--- a/crates/core/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -2,47 +2,49 @@
 
 mod common;
 
-use dillcleat_core::store::{self, Lead, Term, Types};
-use dillcleat_core::{Input, MILLISECOND, Micros, Now, Output, RequestId, SECOND};
-use dillcleat_mesh::Message;
+use dillcleat_controller::records::{self, LeaderRecord, MachineTypesRecord, TermRecord};
+use dillcleat_controller::{Input, MILLISECOND, Micros, Output, RequestId, SECOND, Timestamp};
+use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::state::{Changes, Page, Row, StateCall, StateReply, value};
+use dillcleat_wire::store::{
+    KeyValue, RangePage, StoreRequest, StoreResponse, WatchBatch, encode_value,
+};
 
 /// Users go where `/up` says 200. A follower whose watch was held for longer
 /// than it takes to be called cut off was in and out of the load balancer.
 #[test]
 fn an_idle_follower_stays_healthy() {
-    let row = |key: &str, value| Row {
+    let row = |key: &str, value| KeyValue {
         key: key.into(),
         value,
         version: 1,
         lease: None,
     };
-    let lead = Lead {
+    let lead = LeaderRecord {
         member: "n1".into(),
         lease: 7,
         term: 1,
     };
-    let types = Types {
+    let types = MachineTypesRecord {
         types: Vec::<MachineType>::new(),
     };
     let rows = vec![
-        row(store::LEAD, value(&lead)),
-        row(store::TERM, value(&Term { term: 1 })),
-        row(store::TYPES, value(&types)),
+        row(records::LEAD, encode_value(&lead)),
+        row(records::TERM, encode_value(&TermRecord { term: 1 })),
+        row(records::TYPES, encode_value(&types)),
     ];
     let mut node = common::node();
     let start = 1000 * SECOND;
     let mut watch: Option<(Micros, Input)> = None;
     for at in (start..start + 60 * SECOND).step_by(50 * MILLISECOND as usize) {
-        let beat = Input::Mesh {
+        let beat = Input::Peer {
             from: "n1".into(),
-            message: Message::Beat {
+            message: Message::Heartbeat {
                 term: 1,
-                leads: true,
-                served: true,
-                hears: true,
-                asked: 0,
+                is_leader: true,
+                store_reachable: true,
+                workers_reachable: true,
+                requests_per_s: 0,
             },
         };
         let health = Input::Request {
@@ -59,30 +61,30 @@
             inputs.extend(watch.take().map(|(_, input)| input));
         }
         while let Some(input) = inputs.pop() {
-            let now = Now {
-                steady: at,
+            let now = Timestamp {
+                monotonic: at,
                 wall: at,
             };
             for output in node.handle(now, input) {
                 match output {
                     Output::Answer { answer, .. } => assert_eq!(answer.status, 200, "at {at}"),
-                    Output::State { id, call, .. } => match call {
-                        StateCall::List { .. } => inputs.push(Input::State {
+                    Output::Store { id, call, .. } => match call {
+                        StoreRequest::List { .. } => inputs.push(Input::Store {
                             id,
-                            reply: Ok(StateReply::Page(Page {
+                            reply: Ok(StoreResponse::RangePage(RangePage {
                                 rows: rows.clone(),
                                 more: false,
                                 revision: 1,
                             })),
                         }),
                         // Nothing changes: a watch is answered when its time is up.
-                        StateCall::Watch { hold_ms, .. } => {
-                            let reply = Ok(StateReply::Changes(Changes {
+                        StoreRequest::Watch { hold_ms, .. } => {
+                            let reply = Ok(StoreResponse::WatchBatch(WatchBatch {
                                 revision: 1,
                                 events: Vec::new(),
                             }));
                             let due = at + hold_ms * MILLISECOND;
-                            watch = Some((due, Input::State { id, reply }));
+                            watch = Some((due, Input::Store { id, reply }));
                         }
                         other => panic!("a follower calls {other:?}"),
                     },
--- a/crates/core/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -4,12 +4,16 @@
 mod common;
 
 use common::row;
-use dillcleat_core::store::{self, OpenJob, Span, parse_tasks_key};
-use dillcleat_core::{CallError, Input, MILLISECOND, Micros, Node, Now, Output, SECOND};
+use dillcleat_controller::records::{self, OpenJob, TaskRange, parse_tasks_key};
+use dillcleat_controller::{
+    CallError, Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp,
+};
 use dillcleat_wire::decode;
-use dillcleat_wire::state::{Change, Page, Row, StateCall, StateReply, Txn, json_size};
-use dillcleat_wire::user::{JobSpec, Kind};
-use dillcleat_wire::worker::{Command, ReportAnswer};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, json_size,
+};
+use dillcleat_wire::user::{JobKind, JobSpec};
+use dillcleat_wire::worker::{Command, HeartbeatReply};
 use std::collections::BTreeSet;
 
 const TASKS: u32 = 150;
@@ -21,15 +25,15 @@
     at: Micros,
     /// What the state service answers to the leader's batches, one after the other,
     /// then that they are committed; and to a look at a chunk.
-    answers: Vec<Result<StateReply, CallError>>,
-    chunk: StateReply,
-    batches: Vec<Txn>,
+    answers: Vec<Result<StoreResponse, CallError>>,
+    chunk: StoreResponse,
+    batches: Vec<Transaction>,
     looks: usize,
     launched: BTreeSet<String>,
 }
 
 impl Led {
-    fn new(answers: Vec<Result<StateReply, CallError>>, chunk: StateReply) -> Led {
+    fn new(answers: Vec<Result<StoreResponse, CallError>>, chunk: StoreResponse) -> Led {
         let mut config = common::config_with_team();
         (config.value_bytes, config.txn_ops) = (LOW, 16);
         let mut led = Led {
@@ -54,47 +58,47 @@
 
     fn launches(&mut self, commands: &[Command]) {
         for command in commands {
-            if let Command::Start { task, .. } = command {
+            if let Command::Launch { task, .. } = command {
                 self.launched.insert(task.to_string());
             }
         }
     }
 
-    fn rows(prefix: &str) -> Vec<Row> {
+    fn rows(prefix: &str) -> Vec<KeyValue> {
         let job = OpenJob {
             spec: JobSpec {
                 spot: false,
-                ..JobSpec::plain("req-1", Kind::Batch, TASKS, 0.25)
+                ..JobSpec::plain("req-1", JobKind::Batch, TASKS, 0.25)
             },
             at: 1,
             chunk: 204,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
         match prefix {
-            store::SHARED => vec![common::types(64.0)],
-            store::MACHINES => vec![common::recorded("m", "a")],
-            store::QUEUE => vec![row(store::open_key("req-1"), &job)],
+            records::SHARED => vec![common::types(64.0)],
+            records::MACHINES => vec![common::recorded("m", "a")],
+            records::QUEUE => vec![row(records::open_key("req-1"), &job)],
             _ => Vec::new(),
         }
     }
 
     fn take(&mut self, input: Input) {
-        let now = Now {
-            steady: self.at,
+        let now = Timestamp {
+            monotonic: self.at,
             wall: self.at,
         };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for output in self.node.handle(now, input) {
                 let (id, call) = match output {
-                    Output::State { id, call, .. } => (id, call),
-                    Output::Orders { orders, .. } => {
+                    Output::Store { id, call, .. } => (id, call),
+                    Output::Commands { orders, .. } => {
                         self.launches(&orders.commands);
                         continue;
                     }
                     Output::Answer { answer, .. } => {
-                        if let Ok(answer) = decode::<ReportAnswer>(&answer.body) {
+                        if let Ok(answer) = decode::<HeartbeatReply>(&answer.body) {
                             self.launches(&answer.commands);
                         }
                         continue;
@@ -102,39 +106,39 @@
                     _ => continue,
                 };
                 let reply = match call {
-                    StateCall::Watch { .. } => continue,
-                    StateCall::List { prefix, .. } => Ok(StateReply::Page(Page {
+                    StoreRequest::Watch { .. } => continue,
+                    StoreRequest::List { prefix, .. } => Ok(StoreResponse::RangePage(RangePage {
                         rows: Led::rows(&prefix),
                         more: false,
                         revision: 1,
                     })),
-                    StateCall::NewLease { .. } => Ok(StateReply::Lease { lease: 1 }),
-                    StateCall::Get { .. } => {
+                    StoreRequest::GrantLease { .. } => Ok(StoreResponse::Lease { lease: 1 }),
+                    StoreRequest::Get { .. } => {
                         self.looks += 1;
                         Ok(self.chunk.clone())
                     }
-                    StateCall::Txn(txn) if txn.then.iter().any(is_tasks) => {
+                    StoreRequest::Transaction(txn) if txn.then.iter().any(is_tasks) => {
                         self.batches.push(txn);
                         match self.answers.is_empty() {
-                            true => Ok(StateReply::Committed { revision: 9 }),
+                            true => Ok(StoreResponse::Committed { revision: 9 }),
                             false => self.answers.remove(0),
                         }
                     }
-                    StateCall::Txn(_) => Ok(StateReply::Committed { revision: 2 }),
-                    _ => Ok(StateReply::Extended),
+                    StoreRequest::Transaction(_) => Ok(StoreResponse::Committed { revision: 2 }),
+                    _ => Ok(StoreResponse::LeaseRenewed),
                 };
-                inputs.push(Input::State { id, reply });
+                inputs.push(Input::Store { id, reply });
             }
         }
     }
 }
 
-fn is_tasks(change: &Change) -> bool {
-    matches!(change, Change::Put { key, .. } if key.starts_with(store::TASKS))
+fn is_tasks(change: &Mutation) -> bool {
+    matches!(change, Mutation::Put { key, .. } if key.starts_with(records::TASKS))
 }
 
-fn refused() -> Result<StateReply, CallError> {
-    Ok(StateReply::Malformed)
+fn refused() -> Result<StoreResponse, CallError> {
+    Ok(StoreResponse::Malformed)
 }
 
 /// Every task is launched, from records that fit, in the term in which it began.
@@ -143,8 +147,8 @@
     assert_eq!(led.launched.len(), TASKS as usize);
     let mut covered = 0;
     for change in led.batches.iter().skip(1).flat_map(|txn| &txn.then) {
-        if let Change::Put { key, value, .. } = change
-            && let Some((_, Span::Part { from, to, .. })) = parse_tasks_key(key)
+        if let Mutation::Put { key, value, .. } = change
+            && let Some((_, TaskRange::Part { from, to, .. })) = parse_tasks_key(key)
         {
             assert!(json_size(value) <= LOW, "{key}");
             covered += to - from + 1;
@@ -155,7 +159,7 @@
 
 #[test]
 fn a_chunk_that_does_not_fit_any_more_is_written_in_parts() {
-    let led = Led::new(vec![refused()], StateReply::Absent { revision: 3 });
+    let led = Led::new(vec![refused()], StoreResponse::NotFound { revision: 3 });
     assert_eq!(led.looks, 0);
     goes_on(&led);
 }
@@ -164,7 +168,10 @@
 #[test]
 fn a_try_without_an_answer_is_looked_for() {
     let lost = Err(CallError::NoAnswer);
-    let led = Led::new(vec![lost, refused()], StateReply::Absent { revision: 3 });
+    let led = Led::new(
+        vec![lost, refused()],
+        StoreResponse::NotFound { revision: 3 },
+    );
     assert_eq!(led.looks, 1);
     goes_on(&led);
 }
@@ -174,10 +181,10 @@
 #[test]
 fn a_try_that_was_carried_out_counts() {
     let stored = row(
-        store::tasks_key("req-1", Span::Chunk(0)),
-        &store::Chunk::default(),
+        records::tasks_key("req-1", TaskRange::Chunk(0)),
+        &records::TaskChunk::default(),
     );
-    let found = StateReply::Found(Row {
+    let found = StoreResponse::Found(KeyValue {
         version: 7,
         ..stored
     });
@@ -193,7 +200,7 @@
 #[test]
 fn the_same_bytes_are_not_sent_for_ever() {
     let refusals = (0..1000).map(|_| refused()).collect();
-    let led = Led::new(refusals, StateReply::Absent { revision: 3 });
+    let led = Led::new(refusals, StoreResponse::NotFound { revision: 3 });
     assert_eq!(led.node.leading(), Some(1));
     assert!(led.batches.len() < 40, "{} batches", led.batches.len());
 }
--- a/crates/core/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -5,10 +5,10 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::store::{Mark, Types};
-use dillcleat_core::{CallError, Config, Micros, SECOND, store};
-use dillcleat_wire::state::{StateCall, StateReply, Value, value};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, Kind};
+use dillcleat_controller::records::{MachineTypesRecord, RecordedState};
+use dillcleat_controller::{CallError, Config, Micros, SECOND, records};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Value, encode_value};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState};
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
@@ -24,7 +24,7 @@
 
 /// Submissions that are not in their form, each wrong in one field.
 fn malformed() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = value(&spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&spec(JOB)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
@@ -101,15 +101,15 @@
     add("unknown zone", |s| s.zone = Some("z".into()));
     add("a task beyond the team's limit", |s| s.cpus = 4.5);
     add("a service beyond the team's limit", |s| {
-        (s.kind, s.tasks, s.spot) = (Kind::Service, 5, false);
+        (s.kind, s.tasks, s.spot) = (JobKind::Service, 5, false);
     });
     add("one zone and several", |s| {
-        (s.one_zone, s.spread) = (true, true)
+        (s.single_zone, s.spread) = (true, true)
     });
     add("waits for nobody's job", |s| {
-        s.awaits = vec!["req-404".into()]
+        s.depends_on = vec!["req-404".into()]
     });
-    add("waits for itself", |s| s.awaits = vec![JOB.into()]);
+    add("waits for itself", |s| s.depends_on = vec![JOB.into()]);
     all
 }
 
@@ -118,7 +118,7 @@
 fn submit(
     node: &mut Driven,
     body: &[u8],
-    mut reply: impl FnMut(&StateCall) -> Result<StateReply, CallError>,
+    mut reply: impl FnMut(&StoreRequest) -> Result<StoreResponse, CallError>,
 ) -> (u16, Option<JobState>) {
     let request = node.request("POST", JOBS_PATH.into(), body.to_vec());
     for _ in 0..20 {
@@ -170,7 +170,10 @@
 #[test]
 fn an_empty_list_of_types_decides_nothing() {
     let mut node = Driven::new(config(), START);
-    node.types = common::row(store::TYPES.into(), &Types { types: Vec::new() });
+    node.types = common::row(
+        records::TYPES.into(),
+        &MachineTypesRecord { types: Vec::new() },
+    );
     node.tick();
     let good = dillcleat_wire::encode(&spec(JOB));
     let mut store = Store::default();
@@ -184,8 +187,8 @@
     let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
     let all = [malformed(), unfit(), vec![good]].concat();
     let replies = [
-        Ok(StateReply::Unavailable),
-        Ok(StateReply::TooMany),
+        Ok(StoreResponse::Unavailable),
+        Ok(StoreResponse::RateLimited),
         Err(CallError::NotSent),
         Err(CallError::NoAnswer),
     ];
@@ -251,7 +254,7 @@
     for _ in 0..2 {
         assert_eq!(ask(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
-    assert_eq!(store.mark(JOB), Some(Mark::Done));
+    assert_eq!(store.mark(JOB), Some(RecordedState::Done));
     let request = node.cancel(JOB);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/core/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -4,36 +4,40 @@
 mod common;
 
 use common::{Around, config_with_team, machine_type, recorded, row, step_with};
-use dillcleat_core::store::{self, CancelledJob, Chunk, JobMark, Mark, OpenJob, Span};
-use dillcleat_core::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
+use dillcleat_controller::records::{
+    self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+};
+use dillcleat_controller::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
 use dillcleat_wire::encode;
-use dillcleat_wire::state::{Change, Changes, Event, Row, StateReply, Value, read, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::store::{
+    KeyValue, Mutation, StoreResponse, Value, WatchBatch, WatchEvent, decode_value, encode_value,
+};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{
-    Command, REPORT_PATH, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, TaskState, TaskStatus,
 };
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-000001";
 
-fn described(id: &str, tasks: u32) -> Row {
+fn described(id: &str, tasks: u32) -> KeyValue {
     let spec = JobSpec {
         team: "t".into(),
-        ..JobSpec::plain(id, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
     };
     let open = OpenJob {
         spec,
         at: START,
         chunk: 25,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
-    row(store::open_key(id), &open)
+    row(records::open_key(id), &open)
 }
 
 /// The same in a form of a version to come: it is known what each task takes of which
 /// team's limit, and nothing else.
-fn undescribed(id: &str) -> Row {
+fn undescribed(id: &str) -> KeyValue {
     let mut row = described(id, 1);
     if let Value::Map(record) = &mut row.value
         && let Some((_, Value::Map(spec))) = record.iter_mut().find(|(k, _)| k == &"spec".into())
@@ -44,14 +48,14 @@
             }
         }
     }
-    assert!(row.read::<OpenJob>().is_none());
+    assert!(row.decode_value::<OpenJob>().is_none());
     row
 }
 
 struct Day {
     node: Node,
     around: Around,
-    rows: Vec<Row>,
+    rows: Vec<KeyValue>,
     seq: u64,
     /// What machines have seen.
     token: u64,
@@ -59,16 +63,16 @@
 
 impl Day {
     /// A node that is about to lead, with `placed` tasks of a job on the machine m.
-    fn new(config: Config, queue: Vec<Row>, placed: u32) -> Day {
-        let chunk = Chunk {
-            p: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
-            ..Chunk::default()
+    fn new(config: Config, queue: Vec<KeyValue>, placed: u32) -> Day {
+        let chunk = TaskChunk {
+            placed: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
+            ..TaskChunk::default()
         };
         Day {
             node: Node::new(config),
             around: Around {
                 queue,
-                tasks: vec![row(store::tasks_key(JOB, Span::Chunk(0)), &chunk)],
+                tasks: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
                 types: vec![machine_type(8.0)],
                 ..Around::default()
             },
@@ -94,14 +98,14 @@
         }
     }
 
-    fn watched(&mut self, at: Micros, events: Vec<Event>) {
+    fn watched(&mut self, at: Micros, events: Vec<WatchEvent>) {
         for id in std::mem::take(&mut self.around.watches) {
-            let changes = Changes {
+            let changes = WatchBatch {
                 revision: 3,
                 events: events.clone(),
             };
-            let reply = Ok(StateReply::Changes(changes));
-            self.step(at, Input::State { id, reply });
+            let reply = Ok(StoreResponse::WatchBatch(changes));
+            self.step(at, Input::Store { id, reply });
         }
     }
 
@@ -113,36 +117,36 @@
         of: Option<TaskState>,
     ) -> Option<Vec<Command>> {
         self.seq += 1;
-        let task = of.map(|state| TaskReport {
+        let task = of.map(|state| TaskStatus {
             task: format!("{JOB}/0").parse().expect("a task's name"),
             attempt: 1,
             state,
-            why: (state == TaskState::Exited).then_some(Why::Done),
-            saved: None,
+            reason: (state == TaskState::Exited).then_some(ExitReason::Done),
+            checkpoint_saved: None,
         });
-        let report = Report {
+        let report = Heartbeat {
             machine: machine.into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: 1,
+            sequence: self.seq,
+            fencing_token: self.token,
+            interruption_notice_s: None,
             tasks: task.into_iter().collect(),
         };
         let input = Input::Request {
             id: RequestId(self.seq),
             method: "POST".into(),
-            target: REPORT_PATH.into(),
+            target: HEARTBEAT_PATH.into(),
             body: encode(&report),
         };
         self.around.bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
                 let body = self.around.bodies.pop().expect("an answer");
-                let answer: ReportAnswer = dillcleat_wire::decode(&body).expect("an answer");
+                let answer: HeartbeatReply = dillcleat_wire::decode(&body).expect("an answer");
                 Some(answer.commands)
             }
             _ => None,
@@ -154,21 +158,21 @@
         let changes = self.around.writes.iter().flat_map(|t| &t.then);
         changes
             .filter_map(|c| match c {
-                Change::Delete { key } => Some(key.as_str()),
-                Change::Put { .. } => None,
+                Mutation::Delete { key } => Some(key.as_str()),
+                Mutation::Put { .. } => None,
             })
             .collect()
     }
 
     /// How many tasks of the job were placed.
     fn placed(&self, id: &str) -> usize {
-        let key = store::tasks_key(id, Span::Chunk(0));
+        let key = records::tasks_key(id, TaskRange::Chunk(0));
         let changes = self.around.writes.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
-            Change::Put { key: k, value, .. } if *k == key => read::<Chunk>(value),
+            Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
         });
-        records.next_back().map_or(0, |c| c.p.len())
+        records.next_back().map_or(0, |c| c.placed.len())
     }
 }
 
@@ -184,7 +188,7 @@
     let other_teams = Day::new(teamless, vec![described(JOB, 2)], 1);
     let other_form = Day::new(config_with_team(), vec![undescribed(JOB)], 1);
     let mut other_record = Day::new(config_with_team(), vec![described(JOB, 2)], 1);
-    other_record.around.tasks[0].value = value(&"of a new form");
+    other_record.around.tasks[0].value = encode_value(&"of a new form");
     for (of, mut day) in [other_teams, other_form, other_record]
         .into_iter()
         .enumerate()
@@ -211,11 +215,23 @@
 /// What is left of a job without a description is dropped once its mark is read.
 #[test]
 fn records_are_dropped_only_once_a_mark_says_that_their_job_has_ended() {
-    for mark in [None, Some(Mark::Done), Some(Mark::Cancelled)] {
+    for mark in [
+        None,
+        Some(RecordedState::Done),
+        Some(RecordedState::Cancelled),
+    ] {
         let mut day = Day::new(config_with_team(), Vec::new(), 1);
-        day.around.found = mark.map(|s| row(store::job_key(JOB), &JobMark { s, n: 1 }));
+        day.around.found = mark.map(|s| {
+            row(
+                records::job_key(JOB),
+                &JobStateRecord {
+                    state: s,
+                    task_count: 1,
+                },
+            )
+        });
         day.pass(0, 5 * SECOND);
-        let key = store::tasks_key(JOB, Span::Chunk(0));
+        let key = records::tasks_key(JOB, TaskRange::Chunk(0));
         assert_eq!(day.dropped().contains(&key.as_str()), mark.is_some());
         let commands = day.reports(5 * SECOND, "m", Some(TaskState::Running));
         let stopped = matches!(commands.as_deref(), Some([Command::Stop { .. }]));
@@ -228,17 +244,17 @@
 #[test]
 fn records_of_a_cancelled_job_stay_while_its_description_does() {
     let mut waits = described("req-000002", 1);
-    let mut open = waits.read::<OpenJob>().expect("a description");
-    open.spec.awaits = vec![JOB.into()];
-    waits.value = value(&open);
+    let mut open = waits.decode_value::<OpenJob>().expect("a description");
+    open.spec.depends_on = vec![JOB.into()];
+    waits.value = encode_value(&open);
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB), waits], 1);
-    let mark = JobMark {
-        s: Mark::Cancelled,
-        n: 1,
+    let mark = JobStateRecord {
+        state: RecordedState::Cancelled,
+        task_count: 1,
     };
-    day.around.found = Some(row(store::job_key(JOB), &mark));
+    day.around.found = Some(row(records::job_key(JOB), &mark));
     day.pass(0, 5 * SECOND);
-    let key = store::open_key("req-000002");
+    let key = records::open_key("req-000002");
     assert_eq!(day.dropped(), [key], "it is cancelled with the other");
 }
 
@@ -253,8 +269,8 @@
     let running = Some(TaskState::Running);
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
-    let cancelled = row(store::cancelled_key(JOB), &CancelledJob { at });
-    let event = Event::Put {
+    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
+    let event = WatchEvent::Put {
         key: cancelled.key,
         value: cancelled.value,
         version: 3,
@@ -284,12 +300,12 @@
 fn a_machine_that_has_yet_to_show_the_token_may_hold_a_cancelled_job() {
     let limit = config_with_team().blind_limit();
     let at = START - limit;
-    let cancelled = row(store::cancelled_key(JOB), &CancelledJob { at });
+    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
     for readable in [true, false] {
         let queue = vec![cancelled.clone(), undescribed(JOB)];
         let mut day = Day::new(config_with_team(), queue, 1);
         if !readable {
-            day.around.tasks[0].value = value(&"of a new form");
+            day.around.tasks[0].value = encode_value(&"of a new form");
         }
         day.pass(0, SECOND);
         day.token = 0;
--- a/crates/core/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -1,14 +1,16 @@
 //! What may be sent to the cloud, and until when.
 
-use dillcleat_core::latency::lease_time;
-use dillcleat_core::permit::{Action, Ground, LeadershipProof, proof_time};
-use dillcleat_core::{Config, MILLISECOND, SECOND, Tuning, micros};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::platform::Platform;
+use dillcleat_controller::leadership_guard::{
+    CloudAction, DeletionReason, LeadershipProof, proof_time,
+};
+use dillcleat_controller::store_latency::lease_time;
+use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::platform::PlatformSettings;
 
 fn config(lead_ttl_s: f64) -> Config {
     let text = include_str!("../../../deploy/example-node.toml");
-    let platform = Platform::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("good settings");
     let tuning = Tuning {
         lead_ttl_s,
         ..Tuning::default()
@@ -16,11 +18,11 @@
     Config::new(&platform, tuning)
 }
 
-const DELETIONS: [Action; 4] = [
-    Action::Delete(Ground::Cancelled),
-    Action::Delete(Ground::Failed),
-    Action::Delete(Ground::Silent),
-    Action::Delete(Ground::Returned),
+const DELETIONS: [CloudAction; 4] = [
+    CloudAction::Delete(DeletionReason::Cancelled),
+    CloudAction::Delete(DeletionReason::Failed),
+    CloudAction::Delete(DeletionReason::Silent),
+    CloudAction::Delete(DeletionReason::Returned),
 ];
 
 /// Permit ends before the loan does, whatever the loan's time.
@@ -33,7 +35,7 @@
             proved: sent,
             ..LeadershipProof::default()
         };
-        for action in DELETIONS.into_iter().chain([Action::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             let given = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100_000, action);
             let permit = permit.expect("proved a moment ago");
@@ -46,8 +48,8 @@
             );
             assert!(given(last - 1) && !given(last), "{ttl} {action:?}");
         }
-        let look = proof.permit(&config, sent + 100 * SECOND, Action::Look);
-        assert!(look.is_some_and(|l| !l.covers(&CloudCall::Delete(Vec::new()))));
+        let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
+        assert!(look.is_some_and(|l| !l.covers(&CloudRequest::Delete(Vec::new()))));
     }
 }
 
@@ -78,7 +80,7 @@
     let config = config(2.5);
     for apart in [false, true] {
         let proof = LeadershipProof { proved: 0, apart };
-        for action in DELETIONS.into_iter().chain([Action::Rent]) {
+        for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             assert!(proof.permit(&config, 100 * SECOND, action).is_none());
         }
     }
--- a/crates/core/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::users::{Driven, Store, spec, with};
-use dillcleat_core::store::{self, Mark};
-use dillcleat_core::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
-use dillcleat_wire::state::{StateCall, StateReply, Value};
+use dillcleat_controller::records::{self, RecordedState};
+use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Value};
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 use fastrand::Rng;
 use std::collections::{HashMap, HashSet};
@@ -64,8 +64,8 @@
 struct Call {
     node: (usize, u32),
     id: CallId,
-    call: StateCall,
-    reply: Option<StateReply>,
+    call: StoreRequest,
+    reply: Option<StoreResponse>,
 }
 
 struct World {
@@ -77,7 +77,7 @@
     nodes: Vec<(Driven, u32)>,
     calls: Vec<Call>,
     /// Calls that were given up and may yet be carried out.
-    late: Vec<StateCall>,
+    late: Vec<StoreRequest>,
     requests: HashMap<(usize, u32, u64), Request>,
     told: HashMap<&'static str, Known>,
     /// The same of what each node has told by itself, from its start on.
@@ -133,7 +133,7 @@
             _ => {
                 let other = JOBS[self.rng.usize(..JOBS.len())];
                 let mut spec = spec(job);
-                spec.awaits = vec![other.into()];
+                spec.depends_on = vec![other.into()];
                 let told = self.told.get(other).copied().unwrap_or_default();
                 (Kind::After(told), node.submit(&spec))
             }
@@ -200,7 +200,7 @@
         }
         assert!(self.submitted.contains(job), "{job}: invented");
         if let Known::Ended(state) = now {
-            let mark = self.store.mark(job).and_then(Mark::ended);
+            let mark = self.store.mark(job).and_then(RecordedState::ended);
             assert_eq!(mark, Some(state), "{asked:?}");
         }
         let ended = matches!(now, Known::Ended(_));
@@ -250,12 +250,12 @@
     /// What a leader does with a job.
     fn lead(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
-        let described = self.store.rows.contains_key(&store::open_key(job));
+        let described = self.store.rows.contains_key(&records::open_key(job));
         match self.store.mark(job) {
             None if described => {
                 self.store.done(job);
             }
-            Some(Mark::Cancelled) => self.store.clear(job),
+            Some(RecordedState::Cancelled) => self.store.clear(job),
             _ => {}
         }
     }
@@ -284,7 +284,7 @@
                     46..50 => self.lose(i),
                     50..52 if self.calls[i].reply.is_none() => {
                         let busy = self.rng.bool();
-                        let refused = [StateReply::Unavailable, StateReply::TooMany];
+                        let refused = [StoreResponse::Unavailable, StoreResponse::RateLimited];
                         self.calls[i].reply = Some(refused[usize::from(busy)].clone());
                     }
                     _ if self.calls[i].reply.is_some() => self.deliver(i),
--- a/crates/core/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{recorded, report, step_and_calls};
-use dillcleat_core::{Input, MILLISECOND, Micros, SECOND};
-use dillcleat_mesh::{Message, Silence};
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::state::Row;
+use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
+use dillcleat_peer_protocol::{Message, SilentZone};
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::store::KeyValue;
 
 const START: Micros = 1000 * SECOND;
 
@@ -15,27 +15,27 @@
 }
 
 /// When the machines of a zone are deleted that was cut off before the leader
-/// began, which had `quiet_ms` from the leader before. In the cut zone machine 0
+/// began, which had `silent_ms` from the leader before. In the cut zone machine 0
 /// alone reports, if `one_reports`.
 fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
-    let rows: Vec<Row> = (0..9)
+    let rows: Vec<KeyValue> = (0..9)
         .map(|i| recorded(&format!("m{i}"), zone(i)))
         .collect();
     let mut node = common::node();
     if let Some(quiet_ms) = quiet_ms {
-        let message = Message::Silent(vec![Silence {
+        let message = Message::SilentZones(vec![SilentZone {
             zone: "cut".into(),
-            quiet_ms,
+            silent_ms: quiet_ms,
         }]);
         let from = "n1".into();
-        step_and_calls(&mut node, START, Input::Mesh { from, message }, &rows);
+        step_and_calls(&mut node, START, Input::Peer { from, message }, &rows);
     }
     let mut deleted = Vec::new();
     for at in (0..20 * SECOND).step_by(100 * MILLISECOND as usize) {
         let now = START + at;
         let (_, calls) = step_and_calls(&mut node, now, Input::Tick, &rows);
         for call in calls {
-            if let CloudCall::Delete(names) = call {
+            if let CloudRequest::Delete(names) = call {
                 deleted.extend(names.into_iter().map(|name| (name, at)));
             }
         }
--- a/crates/core/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -1,12 +1,13 @@
 //! Two versions share records and frames: what the version in production writes, as
 //! bytes, is read here, and what is written here is read by copies of its types.
 
-use dillcleat_core::store::{
-    CancelledJob, Chunk, JobMark, MachineRecord, Mark, OpenJob, Span, parse_tasks_key, tasks_key,
+use dillcleat_controller::records::{
+    CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+    parse_tasks_key, tasks_key,
 };
-use dillcleat_mesh::Message;
-use dillcleat_wire::state::{Value, read, value};
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_peer_protocol::Message;
+use dillcleat_wire::store::{Value, decode_value, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use serde::{Deserialize, Serialize};
 
 const OPEN: &str = "84a473706563de0014a3726566a57265712d31a36c6f74a163a46465736ba174a762696e64696e67\
@@ -46,13 +47,13 @@
             deadline_s: Some(60.0),
             zone: Some("a".into()),
             types: Some(vec!["g8".into()]),
-            awaits,
-            ..JobSpec::plain("req-1", Kind::Batch, 200, 4.0)
+            depends_on: awaits,
+            ..JobSpec::plain("req-1", JobKind::Batch, 200, 4.0)
         },
         at: 1_700_000_000_000_000,
         chunk: 204,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     }
 }
 
@@ -65,19 +66,19 @@
         T: for<'a> Deserialize<'a> + Serialize + PartialEq + std::fmt::Debug,
     {
         let record = stored(hex);
-        assert_eq!(read::<T>(&record).as_ref(), Some(&is));
-        assert_eq!(value(&is), record);
+        assert_eq!(decode_value::<T>(&record).as_ref(), Some(&is));
+        assert_eq!(encode_value(&is), record);
     }
     same(OPEN, described(Vec::new()));
-    let chunk = Chunk {
-        p: vec![(3, 2, "host-000231".into(), 1)],
-        w: vec![(5, 1)],
-        d: vec![(0, 2)],
+    let chunk = TaskChunk {
+        placed: vec![(3, 2, "host-000231".into(), 1)],
+        waiting: vec![(5, 1)],
+        done: vec![(0, 2)],
     };
     same(CHUNK, chunk);
-    let mark = JobMark {
-        s: Mark::Done,
-        n: 200,
+    let mark = JobStateRecord {
+        state: RecordedState::Done,
+        task_count: 200,
     };
     same(MARK, mark);
     same(CANCELLED, CancelledJob { at: 7 });
@@ -124,8 +125,8 @@
 
 #[test]
 fn production_reads_a_job_that_waits() {
-    let record = value(&described(vec!["req-7".into()]));
-    let old: OldJob = read(&record).expect("unknown fields are passed over");
+    let record = encode_value(&described(vec!["req-7".into()]));
+    let old: OldJob = decode_value(&record).expect("unknown fields are passed over");
     assert_eq!((old.spec.id.as_str(), old.spec.tasks), ("req-1", 200));
     assert_eq!((old.spec.deadline_s, old.at_most), (Some(60.0), None));
     assert_eq!((old.chunk, old.unmarked), (204, true));
@@ -136,8 +137,8 @@
 /// Production would take neither it for a chunk nor drop it.
 #[test]
 fn parts_come_after_their_chunk() {
-    let part = |chunk, from, to| tasks_key("req-1", Span::Part { chunk, from, to });
-    let chunk = |chunk| tasks_key("req-1", Span::Chunk(chunk));
+    let part = |chunk, from, to| tasks_key("req-1", TaskRange::Part { chunk, from, to });
+    let chunk = |chunk| tasks_key("req-1", TaskRange::Chunk(chunk));
     let keys = [
         chunk(0),
         part(0, 0, 24),
@@ -152,6 +153,6 @@
         let old = key
             .rsplit_once('/')
             .map(|(_, chunk)| chunk.parse::<u32>().is_ok());
-        assert_eq!(old, Some(matches!(span, Span::Chunk(_))), "{key}");
+        assert_eq!(old, Some(matches!(span, TaskRange::Chunk(_))), "{key}");
     }
 }
--- a/crates/core/tests/zones.rs
+++ b/crates/controller/tests/zones.rs
@@ -4,15 +4,15 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
-use dillcleat_core::SECOND;
-use dillcleat_wire::user::{JobSpec, Kind, Priority};
+use dillcleat_controller::SECOND;
+use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
 const JOB: &str = "req-000001";
 
 fn job(tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        ..JobSpec::plain(JOB, Kind::Batch, tasks, 1.0)
+        ..JobSpec::plain(JOB, JobKind::Batch, tasks, 1.0)
     }
 }
 
@@ -37,7 +37,7 @@
 #[test]
 fn an_array_of_one_zone_moves_as_a_whole() {
     let mut fleet = in_zone_a(JobSpec {
-        one_zone: true,
+        single_zone: true,
         ..job(8)
     });
     fleet.workers.remove("a0");
@@ -55,7 +55,7 @@
 fn what_may_run_behind_a_cut_binds_the_rest() {
     for new_leader in [false, true] {
         let mut fleet = in_zone_a(JobSpec {
-            one_zone: true,
+            single_zone: true,
             ..job(8)
         });
         fleet.workers.remove("a0");
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -5,15 +5,16 @@
 use crate::error::CliError;
 use crate::http::{Bad, Connection, Limits, Pool, Watchdog};
 use crate::mesh;
-use dillcleat_core::{
-    Answer, CallError, CallId, Config, Input, Micros, Node, Now, Output, RequestId, seconds,
+use dillcleat_controller::{
+    Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
 };
 use dillcleat_kube::{Controller, Out, Rules};
-use dillcleat_mesh::Message;
-use dillcleat_wire::cloud::CloudCall;
-use dillcleat_wire::platform::Platform;
-use dillcleat_wire::state::StateCall;
-use dillcleat_wire::worker::{COMMANDS_PATH, Orders, REPORT_PATH};
+use dillcleat_peer_protocol::Message;
+use dillcleat_wire::cloud::CloudRequest;
+use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::store::StoreRequest;
+use dillcleat_wire::worker::HEARTBEAT_PATH;
+use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch};
 use futures_lite::FutureExt;
 use smol::channel::{Receiver, Sender};
 use smol::net::{TcpListener, TcpStream};
@@ -59,7 +60,11 @@
 
 pub(crate) type Executor = Rc<LocalExecutor<'static>>;
 
-pub fn run(platform: &Platform, config: Config, rules: Option<Rules>) -> Result<(), CliError> {
+pub fn run(
+    platform: &PlatformSettings,
+    config: Config,
+    rules: Option<Rules>,
+) -> Result<(), CliError> {
     let ex: Executor = Rc::new(LocalExecutor::new());
     smol::block_on(ex.clone().run(serve(ex, platform, config, rules)))
 }
@@ -82,7 +87,7 @@
 
 async fn serve(
     ex: Executor,
-    platform: &Platform,
+    platform: &PlatformSettings,
     config: Config,
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
@@ -116,13 +121,13 @@
         cloud_addr: platform.endpoints.cloud.clone(),
     });
     let mut speakers = Vec::new();
-    for s in &platform.siblings {
+    for s in &platform.peers {
         let (tx, rx) = smol::channel::bounded(MAX_MESSAGES);
         speakers.push(tx);
         ex.spawn(mesh::speak(config.member.clone(), s.peer_addr.clone(), rx))
             .detach();
     }
-    let names: Rc<[String]> = config.siblings.clone().into();
+    let names: Rc<[String]> = config.peers.clone().into();
     ex.spawn(accept_clients(ex.clone(), shared.clone(), clients))
         .detach();
     ex.spawn(accept_siblings(ex.clone(), shared.clone(), siblings, names))
@@ -188,9 +193,9 @@
             smol::future::yield_now().await;
         }
         let begun = Instant::now();
-        let now = Now {
+        let now = Timestamp {
             // Zero would look like "never" to what compares times.
-            steady: (begun - start).as_micros() as Micros + 1_000_000_000,
+            monotonic: (begun - start).as_micros() as Micros + 1_000_000_000,
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros),
@@ -231,7 +236,7 @@
                 let _ = tx.try_send(answer);
             }
         }
-        Output::State { id, call, timeout } => {
+        Output::Store { id, call, timeout } => {
             ex.spawn(state_call(shared.clone(), id, call, timeout))
                 .detach();
         }
@@ -248,7 +253,7 @@
             ex.spawn(cloud_call(shared.clone(), id, call, limits))
                 .detach();
         }
-        Output::Orders {
+        Output::Commands {
             id,
             addr,
             orders,
@@ -257,8 +262,8 @@
             ex.spawn(orders_call(shared.clone(), id, addr, orders, timeout))
                 .detach();
         }
-        Output::Told(_) => {}
-        Output::Mesh { message } => {
+        Output::JobEvent(_) => {}
+        Output::Peer { message } => {
             for s in speakers {
                 // A sibling that does not keep up misses hints only.
                 let _ = s.try_send(message.clone());
@@ -267,7 +272,7 @@
     }
 }
 
-async fn state_call(shared: Rc<Shared>, id: CallId, call: StateCall, timeout: Micros) {
+async fn state_call(shared: Rc<Shared>, id: CallId, call: StoreRequest, timeout: Micros) {
     let (method, target, body) = call.request();
     let time = Duration::from_micros(timeout);
     let reply = shared
@@ -281,7 +286,7 @@
             })
         });
     log::debug!("state {method} {target}: {}", outcome(&reply));
-    let _ = shared.inputs.send(Input::State { id, reply }).await;
+    let _ = shared.inputs.send(Input::Store { id, reply }).await;
 }
 
 fn outcome<T>(reply: &Result<T, CallError>) -> String {
@@ -291,7 +296,7 @@
     }
 }
 
-async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudCall, limits: Limits) {
+async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudRequest, limits: Limits) {
     let (method, target, body) = call.request();
     let reply = shared
         .cloud
@@ -311,7 +316,7 @@
     shared: Rc<Shared>,
     id: CallId,
     addr: String,
-    orders: Orders,
+    orders: CommandBatch,
     timeout: Micros,
 ) {
     let body = dillcleat_wire::encode(&orders);
@@ -321,7 +326,7 @@
         .call(&addr, "POST", COMMANDS_PATH, &body, time)
         .await;
     log::debug!("orders to {addr}: {}", outcome(&reply));
-    let _ = shared.inputs.send(Input::Orders { id, reply }).await;
+    let _ = shared.inputs.send(Input::Commands { id, reply }).await;
 }
 
 /// Counts a connection for as long as it lives.
@@ -379,7 +384,7 @@
         let (tx, rx) = smol::channel::bounded(1);
         shared.answers.borrow_mut().insert(id, tx);
         let (peer, queue) = match request.target.as_str() {
-            REPORT_PATH => (Peer::Worker, &shared.reports),
+            HEARTBEAT_PATH => (Peer::Worker, &shared.reports),
             _ => (Peer::User, &shared.inputs),
         };
         admitted.carries(peer);
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -1,13 +1,13 @@
 //! Fewer sockets than workers, over the loopback interface: workers keep their
 //! connections open, and each report is answered nevertheless.
 
-use dillcleat_core::SECOND;
-use dillcleat_rehearsal::loopback::{Loopback, exchange, post};
-use dillcleat_rehearsal::processes::{self, Process, Trio, until};
-use dillcleat_rehearsal::rules::Place;
-use dillcleat_rehearsal::worker::Worker;
+use dillcleat_controller::SECOND;
+use dillcleat_simulator::loopback::{Loopback, exchange, post};
+use dillcleat_simulator::processes::{self, Process, Trio, until};
+use dillcleat_simulator::rules::Place;
+use dillcleat_simulator::worker::Worker;
 use dillcleat_wire::encode;
-use dillcleat_wire::worker::REPORT_PATH;
+use dillcleat_wire::worker::HEARTBEAT_PATH;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -71,7 +71,7 @@
         let mut leader = None;
         until("a controller takes reports", || {
             leader = self.clients.iter().copied().find(|addr| {
-                let answer = post(*addr, REPORT_PATH, &report("probe"));
+                let answer = post(*addr, HEARTBEAT_PATH, &report("probe"));
                 let leads = answer.is_some_and(|(status, _)| status == 200);
                 leads && exchange(*addr, UP).is_some_and(|(status, _)| status == 200)
             });
@@ -115,7 +115,7 @@
     fn worker(addr: SocketAddr, i: usize) -> Client {
         let body = report(&format!("machine-{i}"));
         let head = format!(
-            "POST {REPORT_PATH} HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+            "POST {HEARTBEAT_PATH} HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         Client::new(addr, [head.as_bytes(), &body].concat())
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -18,13 +18,13 @@
 use crate::target::{Query, Scope, Since, Target, target};
 use crate::watches::{Filter, Sent, Watches};
 use crate::{Ask, Out, Reply, keeper, patch, table, translate, view};
-use dillcleat_core::budget::Need;
-use dillcleat_core::calls::state_timeout;
-use dillcleat_core::store::{self, JobMark, OpenJob};
-use dillcleat_core::{
-    CallError, CallId, MILLISECOND, Micros, Node, Now, Output, RequestId, SECOND, Told,
+use dillcleat_controller::calls::state_timeout;
+use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
+use dillcleat_controller::request_budget::RequestPriority;
+use dillcleat_controller::{
+    CallError, CallId, JobEvent, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
-use dillcleat_wire::state::{StateCall, StateReply, Txn};
+use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction};
 use dillcleat_wire::user::JobState;
 use serde_json::{Value, json};
 use std::collections::{HashMap, VecDeque};
@@ -47,7 +47,7 @@
 
 /// What a request works with while it is carried out.
 pub struct Ctx<'a> {
-    pub now: Now,
+    pub now: Timestamp,
     pub node: &'a mut Node,
     pub out: &'a mut Vec<Out>,
 }
@@ -205,12 +205,12 @@
         &self.cache
     }
 
-    fn call(&mut self, ctx: &mut Ctx, call: StateCall, waiting: Waiting) {
+    fn call(&mut self, ctx: &mut Ctx, call: StoreRequest, waiting: Waiting) {
         self.next += 1;
         let id = CallId(OWN | self.next);
         let timeout = state_timeout(&call);
         self.calls.insert(id, waiting);
-        ctx.out.push(Out::Core(Output::State { id, call, timeout }));
+        ctx.out.push(Out::Core(Output::Store { id, call, timeout }));
     }
 
     fn reply(&self, ctx: &mut Ctx, id: RequestId, status: u16, body: &Value) {
@@ -275,7 +275,7 @@
         }
         // To read and check a create costs four times a native one's time, and in a
         // flood most are turned away.
-        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, Need::Change, ctx.now) {
+        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, RequestPriority::Change, ctx.now) {
             ctx.node.asked();
             return Err(Fault::TooMany);
         }
@@ -303,7 +303,7 @@
             table,
             body,
             form,
-            since: ctx.now.steady,
+            since: ctx.now.monotonic,
             from: self.cache.revision().unwrap_or(0),
             uncertain: false,
             made: None,
@@ -355,13 +355,13 @@
         let need = self.waiting.iter().map(|r| need(r.verb)).min();
         if !ctx
             .node
-            .grant(1.0, 0.0, need.unwrap_or(Need::Poll), ctx.now)
+            .grant(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
         {
             return;
         }
         self.looking = true;
         let requests = std::mem::take(&mut self.waiting).into();
-        let call = StateCall::Watch {
+        let call = StoreRequest::Watch {
             prefix: OBJECTS.into(),
             after,
             hold_ms: 0,
@@ -389,12 +389,12 @@
     }
 
     /// The node of this process has learned something of a job.
-    pub fn told(&mut self, told: Told) {
+    pub fn told(&mut self, told: JobEvent) {
         self.keeper.told(told, &self.cache);
     }
 
     pub fn tick(&mut self, ctx: &mut Ctx) {
-        let now = ctx.now.steady;
+        let now = ctx.now.monotonic;
         if let Some((at, after)) = self.load.clone()
             && now >= at
         {
@@ -403,7 +403,7 @@
             let prefix = OBJECTS.to_string();
             self.call(
                 ctx,
-                StateCall::List { prefix, after },
+                StoreRequest::List { prefix, after },
                 Waiting::Page { first },
             );
         }
@@ -411,7 +411,7 @@
             && now >= at
         {
             self.watch_at = None;
-            let call = StateCall::Watch {
+            let call = StoreRequest::Watch {
                 prefix: OBJECTS.into(),
                 after,
                 hold_ms: HOLD_MS,
@@ -436,17 +436,17 @@
         let Some(fence) = ctx.node.fence().filter(|_| self.cache.revision().is_some()) else {
             return;
         };
-        let times = (ctx.now.steady, ctx.now.wall);
+        let times = (ctx.now.monotonic, ctx.now.wall);
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
-            if !ctx.node.grant(1.0, changes, Need::End, ctx.now) {
+            if !ctx.node.grant(1.0, changes, RequestPriority::End, ctx.now) {
                 self.keeper.put_off(wish);
                 continue;
             }
             match wish {
                 Wish::Change(name, txn) => {
-                    self.call(ctx, StateCall::Txn(txn), Waiting::Keep(name));
+                    self.call(ctx, StoreRequest::Transaction(txn), Waiting::Keep(name));
                 }
                 Wish::Look(job) => self.look_at_job(ctx, job),
             }
@@ -454,20 +454,20 @@
     }
 
     fn look_at_job(&mut self, ctx: &mut Ctx, job: String) {
-        let key = store::job_key(&job);
-        self.call(ctx, StateCall::Get { key }, Waiting::KeepLook(job));
+        let key = records::job_key(&job);
+        self.call(ctx, StoreRequest::Get { key }, Waiting::KeepLook(job));
     }
 
     /// An answer of the state service.
-    pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StateReply, CallError>) {
+    pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StoreResponse, CallError>) {
         let Some(waiting) = self.calls.remove(&id) else {
             return;
         };
         match waiting {
             Waiting::Page { first } => self.paged(ctx, first, reply),
             Waiting::Watch => match self.changed(ctx, reply) {
-                true => self.watch_at = Some(ctx.now.steady),
-                false => self.watch_at = Some(ctx.now.steady + RETRY),
+                true => self.watch_at = Some(ctx.now.monotonic),
+                false => self.watch_at = Some(ctx.now.monotonic + RETRY),
             },
             Waiting::Look(requests) => {
                 self.looking = false;
@@ -486,9 +486,9 @@
             Waiting::Before(creation) => self.used_before(ctx, *creation, reply),
             Waiting::Write(change) => self.written(ctx, *change, reply),
             Waiting::Keep(name) => {
-                let committed = matches!(reply, Ok(StateReply::Committed { .. }));
+                let committed = matches!(reply, Ok(StoreResponse::Committed { .. }));
                 self.keeper.changed(&name, committed, ctx.now.wall);
-                if let Ok(StateReply::Conflict { failed, .. }) = reply {
+                if let Ok(StoreResponse::Conflict { failed, .. }) = reply {
                     // It ended by itself at that moment.
                     let job = failed.iter().find_map(|k| k.strip_prefix("j/"));
                     if let Some(job) = job {
@@ -498,19 +498,19 @@
             }
             Waiting::KeepLook(job) => {
                 let mark = match reply {
-                    Ok(StateReply::Found(row)) => row.read::<JobMark>(),
+                    Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>(),
                     _ => None,
                 };
-                let ended: Option<JobState> = mark.and_then(|m| m.s.ended());
+                let ended: Option<JobState> = mark.and_then(|m| m.state.ended());
                 self.keeper.looked(&job, ended, &self.cache);
             }
         }
         self.keep(ctx);
     }
 
-    fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StateReply, CallError>) {
-        let now = ctx.now.steady;
-        let Ok(StateReply::Page(page)) = reply else {
+    fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StoreResponse, CallError>) {
+        let now = ctx.now.monotonic;
+        let Ok(StoreResponse::RangePage(page)) = reply else {
             self.load = Some((now + RETRY, None));
             return;
         };
@@ -524,11 +524,11 @@
     }
 
     /// Takes changes up and tells them on; false if there were none to be had.
-    fn changed(&mut self, ctx: &mut Ctx, reply: Result<StateReply, CallError>) -> bool {
+    fn changed(&mut self, ctx: &mut Ctx, reply: Result<StoreResponse, CallError>) -> bool {
         // Only a leader's keeper works off what it is told.
         let leads = ctx.node.fence().is_some();
         match reply {
-            Ok(StateReply::Changes(changes)) => {
+            Ok(StoreResponse::WatchBatch(changes)) => {
                 for turn in self.cache.apply(changes) {
                     let sent = self.watches.turned(&turn, ctx.now.wall);
                     self.send(ctx, sent);
@@ -538,12 +538,12 @@
                 }
                 true
             }
-            Ok(StateReply::TooOld) => {
+            Ok(StoreResponse::Compacted) => {
                 log::info!("lost sight of the objects, reading them again");
                 let sent = self.watches.lost();
                 self.send(ctx, sent);
                 self.cache = Cache::default();
-                self.load = Some((ctx.now.steady, None));
+                self.load = Some((ctx.now.monotonic, None));
                 self.watch_at = None;
                 false
             }
@@ -553,10 +553,10 @@
 }
 
 /// What is turned away first when there is too much.
-fn need(verb: Verb) -> Need {
+fn need(verb: Verb) -> RequestPriority {
     match verb {
-        Verb::Get | Verb::List | Verb::Watch => Need::Poll,
-        Verb::Create | Verb::Update | Verb::Patch => Need::Change,
-        Verb::Delete => Need::End,
+        Verb::Get | Verb::List | Verb::Watch => RequestPriority::Poll,
+        Verb::Create | Verb::Update | Verb::Patch => RequestPriority::Change,
+        Verb::Delete => RequestPriority::End,
     }
 }
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -7,9 +7,9 @@
 use crate::cache::{Cache, Turn};
 use crate::record::{End, Ending, Gone, Name, Object, Record};
 use crate::view::completions;
-use dillcleat_core::store::{self, CancelledJob, JobMark, Mark};
-use dillcleat_core::{Micros, SECOND, Told};
-use dillcleat_wire::state::Txn;
+use dillcleat_controller::records::{self, CancelledJob, JobStateRecord, RecordedState};
+use dillcleat_controller::{JobEvent, Micros, SECOND};
+use dillcleat_wire::store::Transaction;
 use dillcleat_wire::user::JobState;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
@@ -95,18 +95,18 @@
 }
 
 /// Cancels the job of an object in the same transaction as something else.
-pub(crate) fn cancel(txn: Txn, object: &Object, job: &str, wall: Micros) -> Txn {
-    let mark = JobMark {
-        s: Mark::Cancelled,
-        n: completions(object),
+pub(crate) fn cancel(txn: Transaction, object: &Object, job: &str, wall: Micros) -> Transaction {
+    let mark = JobStateRecord {
+        state: RecordedState::Cancelled,
+        task_count: completions(object),
     };
-    txn.compare(store::job_key(job), 0)
-        .put(store::job_key(job), &mark)
-        .put(store::cancelled_key(job), &CancelledJob { at: wall })
+    txn.compare(records::job_key(job), 0)
+        .put(records::job_key(job), &mark)
+        .put(records::cancelled_key(job), &CancelledJob { at: wall })
 }
 
 /// Deletes an object and keeps what its name needs.
-pub(crate) fn delete(txn: Txn, object: &Object) -> Txn {
+pub(crate) fn delete(txn: Transaction, object: &Object) -> Transaction {
     let gone = Gone {
         uid: object.record.uid.clone(),
         run: object.record.run,
@@ -118,10 +118,10 @@
 
 impl Step {
     /// The transaction that does it; None if there is nothing to do.
-    fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Txn> {
+    fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
         let key = object.name.key();
-        let mut txn = Txn::default()
-            .compare(store::TERM, fence)
+        let mut txn = Transaction::default()
+            .compare(records::TERM, fence)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
@@ -147,7 +147,7 @@
 /// A call that the keeper wants made.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Wish {
-    Change(Name, Txn),
+    Change(Name, Transaction),
     /// Read whether this job has ended.
     Look(String),
 }
@@ -193,12 +193,12 @@
     }
 
     /// The leader of this process has learned something.
-    pub fn told(&mut self, told: Told, cache: &Cache) {
+    pub fn told(&mut self, told: JobEvent, cache: &Cache) {
         match told {
-            Told::Ended { job, state } => {
+            JobEvent::Ended { job, state } => {
                 self.fact(&job, cache).ended = Some(state);
             }
-            Told::Failed { job, task, attempt } => {
+            JobEvent::Failed { job, task, attempt } => {
                 self.fact(&job, cache).failed.insert((task, attempt));
             }
         }
@@ -270,7 +270,7 @@
     }
 
     /// What is to be done now, by the leader of `term` whose record has version
-    /// `fence`. `holds`: whether a job is open at it.
+    /// `fence`. `fits`: whether a job is open at it.
     pub fn turn(
         &mut self,
         (term, fence): (u64, u64),
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -4,7 +4,7 @@
 use crate::fields::{self, OF_JOB};
 use crate::quantity;
 use crate::settings::Settings;
-use dillcleat_wire::user::{self, JobSpec, Kind, Priority};
+use dillcleat_wire::user::{self, JobKind, JobSpec, Priority};
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::{Affinity, Container, PodSpec, PodTemplateSpec};
 use serde_json::{Value, json};
@@ -374,7 +374,7 @@
             id: String::new(),
             class: self.class(notes),
             team: team.to_string(),
-            kind: Kind::Batch,
+            kind: JobKind::Batch,
             priority: self.priority(pod),
             tasks,
             cpus,
@@ -384,7 +384,7 @@
             image_gb: self.seconds(notes, "dillcleat/image-gb").unwrap_or(0.0),
             types,
             zone,
-            one_zone,
+            single_zone: one_zone,
             spread,
             spot: self.flag(notes, "dillcleat/spot"),
             estimate_s: self
@@ -395,7 +395,7 @@
                 .unwrap_or(0.0),
             save_s: self.seconds(notes, "dillcleat/save-seconds").unwrap_or(0.0),
             deadline_s: self.seconds(notes, "dillcleat/deadline-seconds"),
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         })
     }
 }
--- a/crates/kube/tests/golden_records.rs
+++ b/crates/kube/tests/golden_records.rs
@@ -3,7 +3,7 @@
 
 use dillcleat_kube::names::{Key, unhex};
 use dillcleat_kube::record::{End, Ending, Gone, JobState, Kind, Name, OBJECTS, Record};
-use dillcleat_wire::state::{self, Value};
+use dillcleat_wire::store::{self, Value};
 use serde::Serialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 /// Asserts that `record` is written as `bytes`.
 fn assert_written<T: Serialize + std::fmt::Debug>(bytes: &[u8], record: &T) {
-    let written = dillcleat_wire::encode(&state::value(record));
+    let written = dillcleat_wire::encode(&store::encode_value(record));
     assert_eq!(
         written.escape_ascii().to_string(),
         bytes.escape_ascii().to_string(),
@@ -165,7 +165,10 @@
 #[test]
 fn what_stays_of_a_deleted_object_keeps_its_bytes() {
     let keeps = |bytes: &[u8], gone: Gone| {
-        assert_eq!(state::read::<Gone>(&stored(bytes)).as_ref(), Some(&gone));
+        assert_eq!(
+            store::decode_value::<Gone>(&stored(bytes)).as_ref(),
+            Some(&gone)
+        );
         assert_written(bytes, &gone);
     };
     keeps(
--- a/crates/mesh/tests/golden_bytes.rs
+++ b/crates/mesh/tests/golden_bytes.rs
@@ -1,6 +1,6 @@
 //! The frames among controllers, as version 84a8104 reads and writes them.
 
-use dillcleat_mesh::{
+use dillcleat_peer_protocol::{
     FrameError, Learned, LearnedJob, MAX_CLASSES, MAX_FRAME, MAX_LEARNED, MAX_PROGRESS,
     MAX_SAMPLES, MAX_ZONES, Message, Progress, Silence, VERSION, frame_len,
 };
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -5,20 +5,20 @@
 //! smallest initial size while training slots are left, then the job of
 //! smallest aged virtual size. Jobs whose team is at its limit are skipped.
 //!
-//! Waiting jobs stand in a [`line::Line`], machines with room on a
-//! [`floor::Floor`]. Both are kept up to date by what changes, so that a pass
+//! Waiting jobs stand in a [`job_queue::JobQueue`], machines with room on a
+//! [`capacity_index::CapacityIndex`]. Both are kept up to date by what changes, so that a pass
 //! costs what it places, however many machines and waiting tasks there are.
 
-pub mod floor;
-pub mod line;
-pub mod pass;
-pub mod plan;
-pub mod room;
-pub mod view;
-pub mod yields;
+pub mod capacity_index;
+pub mod cycle;
+pub mod job_queue;
+pub mod preemption;
+pub mod resources;
+pub mod scale_out_plan;
+pub mod views;
 
-pub use floor::Floor;
-pub use line::{Line, Pace, Rank, Standing};
-pub use pass::{Assignment, Terms, assign};
-pub use room::{Real, Room, units};
-pub use view::{Images, JobView, MachineView, Place, Shape, TeamView};
+pub use capacity_index::CapacityIndex;
+pub use cycle::{Assignment, CycleLimits, run_cycle};
+pub use job_queue::{AgeingState, JobQueue, QueueEntry, QueueRank};
+pub use resources::{OrderedFloat, Resources, to_millionths};
+pub use views::{Images, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance};
--- a/crates/sched/src/yields.rs
+++ b/crates/sched/src/preemption.rs
@@ -1,17 +1,17 @@
 //! Running work that makes room for replicas in a hurry.
 
-use crate::room::Room;
-use crate::view::{JobView, MachineView, TeamView};
+use crate::resources::Resources;
+use crate::views::{JobView, MachineView, TeamAllowance};
 use dillcleat_wire::user::Priority;
 
 /// A running task that may be stopped to make room.
 #[derive(Debug, Clone)]
-pub struct Victim {
+pub struct PreemptionCandidate {
     pub machine: usize,
-    pub room: Room,
+    pub resources: Resources,
     pub priority: Priority,
     /// How long it has run, in microseconds: the work that is lost.
-    pub ran: u64,
+    pub run_time: u64,
 }
 
 /// What stopping tasks on a machine costs: whether any is stopped, whether the
@@ -24,9 +24,9 @@
     job: &JobView,
     machines: &[MachineView],
     on: &[Vec<usize>],
-    victims: &[Victim],
+    victims: &[PreemptionCandidate],
 ) -> Option<(usize, Vec<usize>)> {
-    let need = job.room();
+    let need = job.resources();
     let mut best: Option<(Loss, usize, Vec<usize>)> = None;
     for (m, view) in machines.iter().enumerate() {
         if !job.allows(view) {
@@ -36,18 +36,18 @@
         let mut chosen = Vec::new();
         let mut lost = 0;
         for &v in &on[m] {
-            if free.holds(&need) {
+            if free.fits(&need) {
                 break;
             }
             if victims[v].priority < job.spec.priority {
-                free.give(&victims[v].room);
-                lost += victims[v].ran;
+                free.add(&victims[v].resources);
+                lost += victims[v].run_time;
                 chosen.push(v);
             }
         }
         let image = view.holds_image(&job.spec.image);
         let loss = (!chosen.is_empty(), !image, lost);
-        if free.holds(&need) && best.as_ref().is_none_or(|(least, _, _)| loss < *least) {
+        if free.fits(&need) && best.as_ref().is_none_or(|(least, _, _)| loss < *least) {
             best = Some((loss, m, chosen));
         }
     }
@@ -59,18 +59,18 @@
 /// stopped, where the least of it is lost. `machines` counts as free what has
 /// been told to stop already, so that one replica stops no second task while the
 /// first one ends.
-pub fn make_room(
+pub fn choose_preemptions(
     jobs: &mut [JobView],
     machines: &mut [MachineView],
-    teams: &mut [TeamView],
-    victims: &[Victim],
+    teams: &mut [TeamAllowance],
+    victims: &[PreemptionCandidate],
 ) -> Vec<usize> {
     let mut on: Vec<Vec<usize>> = vec![Vec::new(); machines.len()];
     for (i, v) in victims.iter().enumerate() {
         on[v.machine].push(i);
     }
     for list in &mut on {
-        list.sort_by_key(|&i| victims[i].ran);
+        list.sort_by_key(|&i| victims[i].run_time);
     }
     let mut stopped = Vec::new();
     for job in jobs {
@@ -79,7 +79,7 @@
                 break;
             };
             for v in chosen {
-                machines[m].free.give(&victims[v].room);
+                machines[m].free.add(&victims[v].resources);
                 on[m].retain(|o| *o != v);
                 stopped.push(v);
             }
--- a/crates/sched/src/view.rs
+++ b/crates/sched/src/views.rs
@@ -1,12 +1,12 @@
 //! Jobs, machines and teams as a pass sees them.
 
-use crate::room::{EPS, Room, units};
-use dillcleat_wire::user::{JobSpec, Kind};
+use crate::resources::{EPS, Resources, to_millionths};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// Which job or machine: a small number that it keeps for as long as it is known.
-pub type Place = u32;
+pub type SlabIndex = u32;
 
 /// The zone of a machine that has neither a record nor reported yet.
 const UNKNOWN_ZONE: &str = "";
@@ -20,18 +20,18 @@
     pub machine_type: Rc<str>,
     pub zone: Rc<str>,
     pub spot: bool,
-    pub free: Room,
+    pub free: Resources,
     /// Images that it holds or is fetching.
     pub images: Images,
     /// How many of them services use.
-    pub warm: u32,
+    pub service_images: u32,
     /// Jobs that failed on it.
-    pub avoid: Vec<Rc<str>>,
+    pub failed_jobs: Vec<Rc<str>>,
     /// It has failed several jobs: room there counts for nothing but as a last resort.
-    pub condemned: bool,
+    pub cordoned: bool,
     /// It answers orders, and its own reports don't come: what it is given may end with
     /// its lease, so all others come first.
-    pub mute: bool,
+    pub outbound_unreachable: bool,
 }
 
 impl MachineView {
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct TeamView {
+pub struct TeamAllowance {
     /// CPUs and GPUs that tasks of the team may still take.
     pub cpus_left: f64,
     pub gpus_left: f64,
@@ -50,7 +50,7 @@
 /// What decides, for every job alike, which machines a task may run on. Where
 /// one job finds no room at all, no other of the same shape does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Shape {
+pub struct ResourceRequest {
     /// In millionths, as are the next two.
     cpus: i64,
     gpus: i64,
@@ -62,14 +62,14 @@
     starving: bool,
 }
 
-impl Shape {
-    pub fn of(spec: &JobSpec) -> Shape {
-        Shape {
-            cpus: units(spec.cpus),
-            gpus: units(spec.gpus),
-            memory: units(spec.memory_gb),
+impl ResourceRequest {
+    pub fn of(spec: &JobSpec) -> ResourceRequest {
+        ResourceRequest {
+            cpus: to_millionths(spec.cpus),
+            gpus: to_millionths(spec.gpus),
+            memory: to_millionths(spec.memory_gb),
             spot: spec.spot,
-            service: spec.kind == Kind::Service,
+            service: spec.kind == JobKind::Service,
             types: spec.types.clone(),
             zone: spec.zone.clone(),
             starving: false,
@@ -77,8 +77,8 @@
     }
 
     /// The same of a job that is starving or not ([`JobView::starving`]).
-    pub fn when(&self, starving: bool) -> Shape {
-        Shape {
+    pub fn when(&self, starving: bool) -> ResourceRequest {
+        ResourceRequest {
             starving,
             ..self.clone()
         }
@@ -91,7 +91,7 @@
 
 #[derive(Debug, Clone)]
 pub struct JobView<'a> {
-    pub place: Place,
+    pub index: SlabIndex,
     pub id: &'a str,
     pub spec: &'a JobSpec,
     pub image: &'a Rc<str>,
@@ -105,19 +105,19 @@
     /// Waiting tasks that would start too late for the deadline on the fleet as
     /// it is, so that ordinary machines may be rented for them where spot
     /// machines are not to be had. This changes what is rented, never the order.
-    pub late: u32,
+    pub at_risk_tasks: u32,
     /// It has waited for so long that one of its tasks may go where nothing else of
     /// its like may: into room that is kept for services, or where it or others failed.
     pub starving: bool,
 }
 
 impl JobView<'_> {
-    pub fn room(&self) -> Room {
-        Room::of_task(self.spec)
+    pub fn resources(&self) -> Resources {
+        Resources::of_task(self.spec)
     }
 
-    pub fn service(&self) -> bool {
-        self.spec.kind == Kind::Service
+    pub fn is_service(&self) -> bool {
+        self.spec.kind == JobKind::Service
     }
 
     /// Whether the job's rules allow one more task in this zone.
@@ -125,7 +125,7 @@
         if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
             return false;
         }
-        if self.spec.one_zone && self.zones.iter().any(|(z, n)| **z != *zone && *n > 0) {
+        if self.spec.single_zone && self.zones.iter().any(|(z, n)| **z != *zone && *n > 0) {
             return false;
         }
         // At most half of the tasks, rounded up, may be in one zone.
@@ -156,26 +156,26 @@
     }
 
     /// Whether it has failed there, or others have.
-    pub fn avoids(&self, m: &MachineView) -> bool {
-        m.condemned || m.avoid.iter().any(|j| **j == *self.id)
+    pub fn has_failed_on(&self, m: &MachineView) -> bool {
+        m.cordoned || m.failed_jobs.iter().any(|j| **j == *self.id)
     }
 
     pub fn allows(&self, m: &MachineView) -> bool {
-        self.permits(m) && !self.avoids(m)
+        self.permits(m) && !self.has_failed_on(m)
     }
 
-    pub fn team_allows(&self, teams: &[TeamView]) -> bool {
+    pub fn team_allows(&self, teams: &[TeamAllowance]) -> bool {
         let t = &teams[self.team];
         t.cpus_left + EPS >= self.spec.cpus && t.gpus_left + EPS >= self.spec.gpus
     }
 
     /// Takes the room of the job's next task on the machine. False if none waits.
-    pub fn put(&mut self, m: &mut MachineView, teams: &mut [TeamView]) -> bool {
+    pub fn put(&mut self, m: &mut MachineView, teams: &mut [TeamAllowance]) -> bool {
         if self.waiting == 0 {
             return false;
         }
         self.waiting -= 1;
-        m.free.take(&self.room());
+        m.free.subtract(&self.resources());
         if !m.holds_image(self.image) {
             Rc::make_mut(&mut m.images).push((self.image.clone(), self.spec.image_gb));
         }
--- a/crates/sched/tests/zones.rs
+++ b/crates/sched/tests/zones.rs
@@ -4,14 +4,14 @@
 
 use common::{Job, machine};
 use dillcleat_sched::JobView;
-use dillcleat_wire::user::{JobSpec, Kind};
+use dillcleat_wire::user::{JobKind, JobSpec};
 use std::rc::Rc;
 
 /// A job of ten tasks that is spread over zones.
 fn spread_job() -> Job {
     let spec = JobSpec {
         spread: true,
-        ..JobSpec::plain("req-1", Kind::Batch, 10, 1.0)
+        ..JobSpec::plain("req-1", JobKind::Batch, 10, 1.0)
     };
     Job::new(spec, 10.0, 0)
 }
--- a/crates/rehearsal/examples/doors.rs
+++ b/crates/simulator/examples/doors.rs
@@ -1,18 +1,18 @@
 //! What the door for Kubernetes-shaped clients takes: creates beside native
 //! submissions, and watchers of many objects.
-//! `cargo run --release -p dillcleat-rehearsal --example doors -- creates|watchers`.
+//! `cargo run --release -p dillcleat-simulator --example doors -- creates|watchers`.
 //!
 //! One controller alone with the stand-ins; the state service answers in 4 ms of
 //! simulated time, and what the controller computes is measured in real time.
 
 use clap::{Parser, Subcommand};
-use dillcleat_core::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
+use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
-use dillcleat_rehearsal::alone::{Alone, Ev, WALL, ask};
-use dillcleat_rehearsal::objects::rules_for;
-use dillcleat_rehearsal::state::StateService;
-use dillcleat_rehearsal::world::config;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind as NativeKind};
+use dillcleat_simulator::alone::{Alone, Ev, WALL, ask};
+use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::state::StateService;
+use dillcleat_simulator::world::config;
+use dillcleat_wire::user::{JOBS_PATH, JobKind as NativeKind, JobSpec};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
@@ -60,8 +60,8 @@
 fn deployment(rps: f64, write_rps: f64) -> Config {
     Config {
         zone: "a".into(),
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         state_rps: rps,
         state_write_rps: write_rps,
         value_bytes: 16 * 1024,
--- a/crates/rehearsal/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -2,14 +2,14 @@
 //! at once:
 //!
 //! ```text
-//! cargo run --release -p dillcleat-rehearsal --example large_fleet -- --scale 150
+//! cargo run --release -p dillcleat-simulator --example large_fleet -- --scale 150
 //! ```
 //!
 //! Ends with an error if a rule is broken, work is left waiting or a controller holds
 //! more than its memory allows.
 
 use clap::Parser;
-use dillcleat_rehearsal::{Outcome, Scenario, World};
+use dillcleat_simulator::{Outcome, Scenario, World};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 use std::process::ExitCode;
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,17 +11,17 @@
 use crate::rules::Place;
 use crate::state::{PageLimit, StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_core::store::{self, Chunk, MachineRecord, OpenJob, Types};
-use dillcleat_core::{
-    Answer, CallError, CallId, Config, Counts, Input, MILLISECOND, Micros, Node, Now, Output,
-    RequestId, SECOND, Tuning,
+use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord, OpenJob, TaskChunk};
+use dillcleat_controller::{
+    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    SchedulerCounters, Timestamp, Tuning,
 };
 use dillcleat_wire::TaskName;
-use dillcleat_wire::cloud::{CloudCall, MachineType};
+use dillcleat_wire::cloud::{CloudRequest, MachineType};
 use dillcleat_wire::platform::Team;
-use dillcleat_wire::state::{StateCall, StateReply};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, Priority};
-use dillcleat_wire::worker::{Command, Orders, REPORT_PATH, ReportAnswer};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, Priority};
+use dillcleat_wire::worker::{Command, CommandBatch, HEARTBEAT_PATH, HeartbeatReply};
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -107,7 +107,7 @@
     /// The most orders that were under way at once.
     pub most_orders: usize,
     /// What passes did, from the election on.
-    pub counts: Counts,
+    pub counts: SchedulerCounters,
     /// From the election to the first launch after it.
     pub first_launch: Option<Micros>,
     /// When every machine had been answered in the new term, from the election.
@@ -126,19 +126,19 @@
     Node(Box<Input>),
     State {
         id: CallId,
-        call: Box<StateCall>,
+        call: Box<StoreRequest>,
     },
     WatchEnds {
         watch: u64,
     },
     Cloud {
         id: CallId,
-        call: Box<CloudCall>,
+        call: Box<CloudRequest>,
     },
     Orders {
         id: CallId,
         machine: u32,
-        orders: Box<Orders>,
+        orders: Box<CommandBatch>,
     },
     Worker {
         machine: u32,
@@ -244,8 +244,8 @@
     Config {
         member: "node-0".into(),
         zone: "a".into(),
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         teams: teams.collect(),
         report: REPORT,
         lease: LEASE,
@@ -256,7 +256,7 @@
         value_bytes: 16 * 1024,
         value_bytes_before: 16 * 1024,
         state_write_rps_before: setting.state_write_rps,
-        chunk_tasks: dillcleat_core::config::chunk_tasks(16 * 1024),
+        chunk_tasks: dillcleat_controller::config::chunk_tasks(16 * 1024),
         txn_ops: 48,
         cloud_rps: 4.0,
         list_lag: 4 * SECOND,
@@ -276,8 +276,8 @@
         let mut state = StateService::new(16 * 1024, 48).paged(PageLimit::FULL);
         let types = vec![machine_type()];
         state.put(
-            store::TYPES.into(),
-            &Types {
+            records::TYPES.into(),
+            &MachineTypesRecord {
                 types: types.clone(),
             },
         );
@@ -335,7 +335,7 @@
                 zone: place.zone.clone(),
                 spot: place.spot,
             };
-            self.state.put(store::machine_key(&name), &record);
+            self.state.put(records::machine_key(&name), &record);
             let host = Host {
                 machine_type: TYPE.into(),
                 zone: place.zone.clone(),
@@ -352,11 +352,11 @@
         self.cloud.note(0);
         let (ordinary, spot): (Vec<u32>, Vec<u32>) =
             (0..self.setting.machines).partition(|i| i.is_multiple_of(ORDINARY));
-        self.seat(&ordinary, Kind::Service);
-        self.seat(&spot, Kind::Batch);
+        self.seat(&ordinary, JobKind::Service);
+        self.seat(&spot, JobKind::Batch);
         let mut waiting = 0;
         while waiting < self.setting.waiting {
-            let spec = self.spec(Kind::Batch);
+            let spec = self.spec(JobKind::Batch);
             waiting += spec.tasks;
             self.record(&spec);
         }
@@ -364,8 +364,8 @@
         let root = format!("req-{:06}", 1);
         for _ in 0..self.setting.held {
             let spec = JobSpec {
-                awaits: vec![root.clone()],
-                ..self.spec(Kind::Batch)
+                depends_on: vec![root.clone()],
+                ..self.spec(JobKind::Batch)
             };
             self.record(&spec);
         }
@@ -374,14 +374,14 @@
             self.workers[i as usize].report_at = first;
             self.plan(i);
         }
-        self.open_jobs = self.state.keys(store::OPEN).len();
+        self.open_jobs = self.state.keys(records::OPEN).len();
         self.at(self.now, Ev::Tick);
         self.at(self.now + SECOND, Ev::Note);
     }
 
-    fn spec(&mut self, kind: Kind) -> JobSpec {
+    fn spec(&mut self, kind: JobKind) -> JobSpec {
         self.jobs += 1;
-        let service = kind == Kind::Service;
+        let service = kind == JobKind::Service;
         let id = format!("req-{:06}", self.jobs);
         let tasks = if service {
             REPLICAS
@@ -419,13 +419,13 @@
             at: WALL - self.rng.u64(..600 * SECOND),
             chunk: config(&self.setting).chunk_tasks,
             unmarked: true,
-            at_most: None,
+            parallelism_limit: None,
         };
-        self.state.put(store::open_key(&spec.id), &job);
+        self.state.put(records::open_key(&spec.id), &job);
     }
 
     /// Fills these machines with jobs' tasks, as stored placements.
-    fn seat(&mut self, machines: &[u32], kind: Kind) {
+    fn seat(&mut self, machines: &[u32], kind: JobKind) {
         let mut places: Vec<u32> = machines
             .iter()
             .flat_map(|m| std::iter::repeat_n(*m, self.setting.slots as usize))
@@ -435,23 +435,25 @@
             let spec = self.spec(kind);
             self.record(&spec);
             let play_run = self.plays.get(&spec.id).map_or(0, |p| p.run);
-            let mut chunk = Chunk::default();
+            let mut chunk = TaskChunk::default();
             for index in 0..spec.tasks.min(places.len() as u32) {
                 let Some(machine) = places.pop() else {
                     break;
                 };
-                let until = (kind == Kind::Batch).then(|| self.now + self.rng.u64(..=play_run));
+                let until = (kind == JobKind::Batch).then(|| self.now + self.rng.u64(..=play_run));
                 let task = TaskName {
                     job: spec.id.clone(),
                     index,
                 };
                 let worker = &mut self.workers[machine as usize];
                 worker.seat(task, 1, until, spec.cpus);
-                chunk.p.push((index, 1, worker.name.clone(), 1));
+                chunk.placed.push((index, 1, worker.name.clone(), 1));
             }
             // Jobs are no larger than a chunk here.
-            self.state
-                .put(store::tasks_key(&spec.id, store::Span::Chunk(0)), &chunk);
+            self.state.put(
+                records::tasks_key(&spec.id, records::TaskRange::Chunk(0)),
+                &chunk,
+            );
         }
     }
 
@@ -474,7 +476,10 @@
             }
         }
         self.result.malformed.clone_from(&self.state.malformed);
-        self.result.counts = self.node.as_ref().map_or(Counts::default(), Node::counts);
+        self.result.counts = self
+            .node
+            .as_ref()
+            .map_or(SchedulerCounters::default(), Node::counts);
     }
 
     pub fn into_measured(self) -> Measured {
@@ -497,7 +502,7 @@
 
     fn wake(&mut self, input: Input) {
         // As in the service, reports stand in a line of their own, behind.
-        let report = matches!(&input, Input::Request { target, .. } if target == REPORT_PATH);
+        let report = matches!(&input, Input::Request { target, .. } if target == HEARTBEAT_PATH);
         self.lines[usize::from(report)].push_back(input);
         self.serve();
     }
@@ -521,20 +526,20 @@
         let Some(node) = self.node.as_mut() else {
             return;
         };
-        let now = Now {
-            steady: SECOND * 1000 + self.now,
+        let now = Timestamp {
+            monotonic: SECOND * 1000 + self.now,
             wall: WALL + self.now,
         };
         let kind = match &input {
             Input::Tick => "tick",
-            Input::Request { target, .. } if target == REPORT_PATH => "report",
+            Input::Request { target, .. } if target == HEARTBEAT_PATH => "report",
             Input::Request { .. } => "submission",
-            Input::State { .. } => "answer of the state service",
+            Input::Store { .. } => "answer of the state service",
             Input::Cloud { .. } => "answer of the cloud",
-            Input::Orders { .. } => "answer to orders",
-            Input::Mesh { .. } => "sibling's message",
+            Input::Commands { .. } => "answer to orders",
+            Input::Peer { .. } => "sibling's message",
         };
-        if matches!(input, Input::Orders { .. }) {
+        if matches!(input, Input::Commands { .. }) {
             self.orders_open -= 1;
         }
         let placed = node.counts().placed;
@@ -561,8 +566,8 @@
         }
         // An answer lets the next batch go out, of up to 48 changes.
         let sent = |o: &Output| match o {
-            Output::State {
-                call: StateCall::Txn(txn),
+            Output::Store {
+                call: StoreRequest::Transaction(txn),
                 ..
             } => txn.then.len() as u64,
             _ => 0,
@@ -580,7 +585,7 @@
     fn launches(&mut self, commands: &[Command]) {
         let starts = commands
             .iter()
-            .filter(|c| matches!(c, Command::Start { .. }))
+            .filter(|c| matches!(c, Command::Launch { .. }))
             .count() as u64;
         if self.measuring() {
             self.result.starts += starts;
@@ -601,7 +606,7 @@
                     self.submitting -= 1;
                     return;
                 };
-                if let Ok(a) = dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     self.launches(&a.commands);
                 }
                 let answer = Box::new(answer);
@@ -615,7 +620,7 @@
                     },
                 );
             }
-            Output::State { id, call, .. } => {
+            Output::Store { id, call, .. } => {
                 let call = Box::new(call);
                 self.at(after + STATE_TIME / 2, Ev::State { id, call });
             }
@@ -623,7 +628,7 @@
                 let call = Box::new(call);
                 self.at(after + CLOUD_TIME / 2, Ev::Cloud { id, call });
             }
-            Output::Orders {
+            Output::Commands {
                 id,
                 addr,
                 orders,
@@ -647,12 +652,12 @@
                     }
                     _ => {
                         let reply = Err(CallError::NoAnswer);
-                        let input = Box::new(Input::Orders { id, reply });
+                        let input = Box::new(Input::Commands { id, reply });
                         self.at(after + timeout, Ev::Node(input));
                     }
                 }
             }
-            Output::Mesh { .. } | Output::Told(_) => {}
+            Output::Peer { .. } | Output::JobEvent(_) => {}
         }
     }
 
@@ -671,7 +676,7 @@
             Ev::State { id, call } => self.state_call(id, &call),
             Ev::WatchEnds { watch } => {
                 if let Some((id, changes)) = self.watches.end(watch, &self.state) {
-                    self.state_answer(id, StateReply::Changes(changes));
+                    self.state_answer(id, StoreResponse::WatchBatch(changes));
                 }
             }
             Ev::Cloud { id, call } => {
@@ -697,7 +702,7 @@
                 worker.pass(self.now, LEASE, &self.plays);
                 let (status, report, _) = worker.orders(&orders, self.now, &self.plays);
                 let body = dillcleat_wire::encode(&report);
-                let input = Box::new(Input::Orders {
+                let input = Box::new(Input::Commands {
                     id,
                     reply: Ok((status, body)),
                 });
@@ -719,9 +724,9 @@
         }
     }
 
-    fn state_call(&mut self, id: CallId, call: &StateCall) {
+    fn state_call(&mut self, id: CallId, call: &StoreRequest) {
         let (changes, bytes) = match call {
-            StateCall::Txn(txn) => (txn.then.len(), dillcleat_wire::encode(txn).len()),
+            StoreRequest::Transaction(txn) => (txn.then.len(), dillcleat_wire::encode(txn).len()),
             _ => (0, 0),
         };
         if self.measuring() {
@@ -733,7 +738,7 @@
             self.state.call(call, self.now)
         } else {
             self.result.too_many += 1;
-            Some(StateReply::TooMany)
+            Some(StoreResponse::RateLimited)
         };
         match answer {
             Some(answer) => self.state_answer(id, answer),
@@ -744,12 +749,12 @@
             }
         }
         for (id, changes) in self.watches.changed(&self.state, |_| true) {
-            self.state_answer(id, StateReply::Changes(changes));
+            self.state_answer(id, StoreResponse::WatchBatch(changes));
         }
     }
 
-    fn state_answer(&mut self, id: CallId, answer: StateReply) {
-        let input = Box::new(Input::State {
+    fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
+        let input = Box::new(Input::Store {
             id,
             reply: Ok(answer),
         });
@@ -788,14 +793,14 @@
         }
         if worker.under_way.is_none() && self.now >= worker.report_at {
             let report = worker.report(self.now);
-            worker.under_way = Some((report.session, report.seq, self.now));
+            worker.under_way = Some((report.incarnation, report.sequence, self.now));
             worker.report_at = self.now + self.rng.u64(REPORT * 3 / 4..REPORT * 5 / 4);
             if !self.silent() {
                 self.next += 1;
-                let asker = (machine, self.now, report.session);
+                let asker = (machine, self.now, report.incarnation);
                 self.unanswered.insert(self.next, asker);
                 let body = dillcleat_wire::encode(&report);
-                self.request(REPORT_PATH, body);
+                self.request(HEARTBEAT_PATH, body);
             }
         }
         if self.measuring() {
@@ -826,7 +831,7 @@
         }
         worker.under_way = None;
         let left = (worker.leased_until(LEASE)).saturating_sub(self.now);
-        match dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+        match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
             Ok(a) if answer.status == 200 => {
                 self.result.least_left = self.result.least_left.min(left);
                 worker.pass(self.now, LEASE, &self.plays);
@@ -848,9 +853,9 @@
     fn refill(&mut self) {
         let missing = self
             .open_jobs
-            .saturating_sub(self.state.keys(store::OPEN).len() + self.submitting);
+            .saturating_sub(self.state.keys(records::OPEN).len() + self.submitting);
         for _ in 0..missing {
-            let spec = self.spec(Kind::Batch);
+            let spec = self.spec(JobKind::Batch);
             self.next += 1;
             self.submitting += 1;
             self.request(JOBS_PATH, dillcleat_wire::encode(&spec));
--- a/crates/rehearsal/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -4,8 +4,9 @@
 //! scenarios. Each output is hashed in its wire form, never in a debug form, so
 //! that renaming a Rust type or field does not change the digest.
 
-use dillcleat_core::{Micros, Output, Told};
+use dillcleat_controller::{JobEvent, Micros, Output};
 use dillcleat_kube::Out;
+use dillcleat_peer_protocol::Message;
 use sha2::{Digest, Sha256};
 
 /// Separates the kinds of output in the digest.
@@ -61,7 +62,7 @@
                 self.answer(Kind::Answer, id.0, answer.status, &answer.body);
                 self.number(u64::from(answer.retry_after.unwrap_or(0)));
             }
-            Output::State { id, call, timeout } => {
+            Output::Store { id, call, timeout } => {
                 self.kind(Kind::State, id.0);
                 self.request(call.request());
                 self.number(*timeout);
@@ -77,7 +78,7 @@
                 self.number(*timeout);
                 self.number(*within);
             }
-            Output::Orders {
+            Output::Commands {
                 id,
                 addr,
                 orders,
@@ -88,16 +89,16 @@
                 self.bytes(&dillcleat_wire::encode(orders));
                 self.number(*timeout);
             }
-            Output::Mesh { message } => {
+            Output::Peer { message } => {
                 self.kind(Kind::Mesh, 0);
-                self.bytes(&message.encode());
+                self.bytes(&canonical(message).encode());
             }
-            Output::Told(Told::Ended { job, state }) => {
+            Output::JobEvent(JobEvent::Ended { job, state }) => {
                 self.kind(Kind::Ended, 0);
                 self.bytes(job.as_bytes());
                 self.bytes(&dillcleat_wire::encode(state));
             }
-            Output::Told(Told::Failed { job, task, attempt }) => {
+            Output::JobEvent(JobEvent::Failed { job, task, attempt }) => {
                 self.kind(Kind::Failed, 0);
                 self.bytes(job.as_bytes());
                 self.number(u64::from(*task));
@@ -132,3 +133,13 @@
         self.digest.update(bytes);
     }
 }
+
+/// The message with its unordered parts in a fixed order: the classes of estimates come
+/// from a hash map, whose order differs from run to run.
+fn canonical(message: &Message) -> Message {
+    let mut message = message.clone();
+    if let Message::Estimates(estimates) = &mut message {
+        estimates.classes.sort_by(|a, b| a.0.cmp(&b.0));
+    }
+    message
+}
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -15,7 +15,7 @@
     /// The Job that an array of the day is handed in as.
     pub(super) fn plan(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
         let throughout = match self.scenario.form {
-            _ if spec.kind != Kind::Batch => return None,
+            _ if spec.kind != JobKind::Batch => return None,
             Form::Native => return None,
             Form::Twin | Form::Shadow => false,
             Form::Objects => true,
@@ -245,7 +245,7 @@
                 continue;
             };
             let job = record.state.job.clone().unwrap_or_default();
-            let mark = dillcleat_core::store::job_key(&job);
+            let mark = dillcleat_controller::records::job_key(&job);
             let ended = !self.state.keys(&mark).is_empty();
             if ended && record.state.end.is_none() {
                 let what = format!("{key}: the end of {job} is not told");
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -19,19 +19,21 @@
 use crate::served::Shares;
 use crate::state::{StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_core::config::DeadlineAim;
-use dillcleat_core::{
-    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Now, Output, RequestId,
-    SECOND, Tuning,
+use dillcleat_controller::config::DeadlineAim;
+use dillcleat_controller::{
+    Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
+    Timestamp, Tuning,
 };
 use dillcleat_kube::{Ask, Controller, Out};
-use dillcleat_mesh::Message;
-use dillcleat_wire::cloud::{CloudCall, MachineType};
+use dillcleat_peer_protocol::Message;
+use dillcleat_wire::cloud::{CloudRequest, MachineType};
 use dillcleat_wire::platform::Team;
-use dillcleat_wire::state::{StateCall, StateReply};
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, JobState, JobStatus, Kind, Priority};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, Priority};
 use dillcleat_wire::user::{cancel_path, poll_path};
-use dillcleat_wire::worker::{Elsewhere, Orders, REPORT_PATH, Report, ReportAnswer};
+use dillcleat_wire::worker::{
+    CommandBatch, HEARTBEAT_PATH, Heartbeat, HeartbeatReply, LeaderRedirect,
+};
 use fastrand::Rng;
 use sha2::{Digest, Sha256};
 use std::cmp::Reverse;
@@ -106,12 +108,12 @@
     match input {
         _ if !leads => "a follower's input",
         Input::Tick => "tick",
-        Input::Request { target, .. } if target == REPORT_PATH => "report",
+        Input::Request { target, .. } if target == HEARTBEAT_PATH => "report",
         Input::Request { .. } => "user's request",
-        Input::State { .. } => "answer of the state service",
+        Input::Store { .. } => "answer of the state service",
         Input::Cloud { .. } => "answer of the cloud",
-        Input::Orders { .. } => "answer to orders",
-        Input::Mesh { .. } => "sibling's message",
+        Input::Commands { .. } => "answer to orders",
+        Input::Peer { .. } => "sibling's message",
     }
 }
 
@@ -128,7 +130,7 @@
     },
     State {
         caller: Caller,
-        call: Box<StateCall>,
+        call: Box<StoreRequest>,
     },
     /// A request of a Kubernetes-shaped client arrives.
     Ask {
@@ -141,12 +143,12 @@
     Rewatch,
     Cloud {
         caller: Caller,
-        call: Box<CloudCall>,
+        call: Box<CloudRequest>,
     },
     Orders {
         caller: Caller,
         addr: String,
-        orders: Box<Orders>,
+        orders: Box<CommandBatch>,
     },
     WatchEnds {
         watch: u64,
@@ -155,12 +157,12 @@
     Checkin {
         machine: String,
         node: usize,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     /// A copy of a report arrives. Nobody hears the answer.
     Copy {
         node: usize,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     CheckinAnswer {
         machine: String,
@@ -399,7 +401,7 @@
     pub(crate) answers_lost: Spell,
     pub(crate) reports_for_next: Spell,
     /// Copies of reports for the next leader, and the last term that one had.
-    kept_reports: Vec<Report>,
+    kept_reports: Vec<Heartbeat>,
     last_term: u64,
     pub(crate) boots: Boots,
     checker: Checker,
@@ -474,7 +476,7 @@
         state_write_rps_before: 200.0,
         value_bytes,
         value_bytes_before: value_bytes,
-        chunk_tasks: dillcleat_core::config::chunk_tasks(value_bytes),
+        chunk_tasks: dillcleat_controller::config::chunk_tasks(value_bytes),
         txn_ops: 48,
         cloud_rps: 4.0,
         memory_mb: 188.0,
@@ -497,8 +499,8 @@
     Config {
         member: name(member),
         zone: ZONES[member % 3].into(),
-        siblings: (0..nodes).filter(|i| *i != member).map(name).collect(),
-        far_siblings: (0..nodes)
+        peers: (0..nodes).filter(|i| *i != member).map(name).collect(),
+        peers_in_other_zones: (0..nodes)
             .filter(|i| i % 3 != member % 3)
             .map(name)
             .collect(),
@@ -676,7 +678,7 @@
             .iter()
             .filter(|u| {
                 u.accepted
-                    && u.spec.kind == Kind::Batch
+                    && u.spec.kind == JobKind::Batch
                     && u.cancel_at.is_none()
                     && u.ended != Some(JobState::Done)
                     && !(u.ended.is_some() && self.checker.doomed(&u.spec.id))
@@ -724,7 +726,7 @@
     fn wake(&mut self, node: usize, input: Input) {
         let now = self.clocks(node);
         let compared = self.compared();
-        if let Input::State {
+        if let Input::Store {
             reply: Ok(reply), ..
         } = &input
         {
@@ -764,10 +766,10 @@
         }
     }
 
-    fn clocks(&self, node: usize) -> Now {
-        Now {
+    fn clocks(&self, node: usize) -> Timestamp {
+        Timestamp {
             // Steady clocks may run 0.05% fast.
-            steady: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
+            monotonic: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
             wall: WALL + self.now + (node as u64) * SECOND / 10,
         }
     }
@@ -873,16 +875,16 @@
             } => {
                 let asker = Asker::Worker {
                     machine,
-                    session: report.session,
-                    seq: report.seq,
+                    session: report.incarnation,
+                    seq: report.sequence,
                     sent: self.now,
                 };
                 let body = dillcleat_wire::encode(&*report);
-                self.ask(node, asker, "POST", REPORT_PATH.into(), body);
+                self.ask(node, asker, "POST", HEARTBEAT_PATH.into(), body);
             }
             Ev::Copy { node, report } => {
                 let body = dillcleat_wire::encode(&*report);
-                self.ask(node, Asker::Nobody, "POST", REPORT_PATH.into(), body);
+                self.ask(node, Asker::Nobody, "POST", HEARTBEAT_PATH.into(), body);
             }
             Ev::CheckinAnswer {
                 machine,
@@ -942,7 +944,7 @@
                 if self.scenario.upgrade.is_some() {
                     config.value_bytes_before = WIDE.0;
                     (config.value_bytes, config.txn_ops) = LOW;
-                    config.chunk_tasks = dillcleat_core::config::chunk_tasks(LOW.0);
+                    config.chunk_tasks = dillcleat_controller::config::chunk_tasks(LOW.0);
                 }
                 if host.old {
                     (config.value_bytes, config.txn_ops) = WIDE;
--- a/crates/rehearsal/src/world/users.rs
+++ b/crates/simulator/src/world/users.rs
@@ -26,7 +26,11 @@
             id: format!("req-{:06}", 1000 + job * 7),
             class: if service { "web" } else { "merge" }.into(),
             team: if rng.bool() { "bound" } else { "free" }.into(),
-            kind: if service { Kind::Service } else { Kind::Batch },
+            kind: if service {
+                JobKind::Service
+            } else {
+                JobKind::Batch
+            },
             priority: if service {
                 Priority::Production
             } else {
@@ -40,23 +44,23 @@
             image_gb: 1.0,
             types: (rng.u8(..5) == 0).then(|| vec!["large".to_string()]),
             zone: (rng.u8(..6) == 0).then(|| ZONES[rng.usize(..3)].to_string()),
-            one_zone,
+            single_zone: one_zone,
             spread: !one_zone && rng.u8(..3) == 0,
             spot: !service && rng.u8(..4) > 0,
             estimate_s: 10.0,
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: (!service).then_some(60.0),
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         };
         let mut spec = spec;
         if let (0, Some(tasks)) = (job, self.scenario.large) {
-            spec.kind = Kind::Batch;
+            spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
                 // Dozens of its tasks are placed at once.
                 (spec.cpus, spec.memory_gb) = (0.25, 0.5);
-                (spec.one_zone, spec.zone) = (false, None);
+                (spec.single_zone, spec.zone) = (false, None);
             }
         }
         if spec.spread && spec.tasks > 1 {
@@ -99,17 +103,17 @@
             return 0;
         }
         let native = self.scenario.form == Form::Native;
-        if self.scenario.tight && native && spec.kind == Kind::Batch && self.side.u8(..3) == 0 {
+        if self.scenario.tight && native && spec.kind == JobKind::Batch && self.side.u8(..3) == 0 {
             spec.gpus = 1.0;
             spec.types = None;
         }
         match self.side.u8(..8) {
             0 => spec.zone = Some(ZONES[self.side.usize(..3)].to_string()),
-            1 | 2 => spec.one_zone = true,
+            1 | 2 => spec.single_zone = true,
             _ => {}
         }
         // The two exclude a spread.
-        spec.spread &= spec.zone.is_none() && !spec.one_zone;
+        spec.spread &= spec.zone.is_none() && !spec.single_zone;
         match self.side.u8(..6) {
             0 => self.side.u64(20 * SECOND..70 * SECOND),
             _ => 0,
@@ -179,7 +183,7 @@
                 seq,
                 sent,
             } => {
-                if let Ok(a) = dillcleat_wire::decode::<ReportAnswer>(&answer.body) {
+                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     self.launches(node, &a.commands);
                 }
                 let zone = self.zone_of(&machine).unwrap_or(0);
@@ -416,7 +420,7 @@
             return;
         }
         let wanted = |u: &&User| {
-            u.spec.kind == Kind::Service
+            u.spec.kind == JobKind::Service
                 && u.accepted_at.is_some_and(|at| self.now > at + STARTED)
                 && u.ended.is_none()
                 && u.cancel_at.is_none_or(|at| self.now < at)
@@ -473,7 +477,7 @@
         }
         for u in &self.users {
             let due = u.accepted_at.zip(u.spec.deadline_s);
-            let due = due.map(|(at, due)| at + dillcleat_core::micros(due));
+            let due = due.map(|(at, due)| at + dillcleat_controller::micros(due));
             let Some(due) = due.filter(|at| *at < self.now && u.cancel_at.is_none()) else {
                 continue;
             };
--- a/crates/rehearsal/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -1,32 +1,35 @@
 //! What a submission that waits for other jobs is answered.
 
-use dillcleat_core::store::{self, JobMark, Mark};
-use dillcleat_core::{Config, Input, RequestId, SECOND};
-use dillcleat_rehearsal::alone::{Alone, Ev};
-use dillcleat_rehearsal::objects::rules_for;
-use dillcleat_rehearsal::state::StateService;
-use dillcleat_rehearsal::world::config;
-use dillcleat_wire::user::{JOBS_PATH, JobSpec, Kind, Refusal, cancel_path};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
+use dillcleat_controller::{Config, Input, RequestId, SECOND};
+use dillcleat_simulator::alone::{Alone, Ev};
+use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::state::StateService;
+use dillcleat_simulator::world::config;
+use dillcleat_wire::user::{ErrorReply, JOBS_PATH, JobKind, JobSpec, cancel_path};
 
 fn alone() -> Alone {
     let one = Config {
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
-    let ended = |s| JobMark { s, n: 1 };
-    state.put(store::job_key("req-71"), &ended(Mark::Done));
-    state.put(store::job_key("req-72"), &ended(Mark::Cancelled));
+    let ended = |s| JobStateRecord {
+        state: s,
+        task_count: 1,
+    };
+    state.put(records::job_key("req-71"), &ended(RecordedState::Done));
+    state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
     let mut alone = Alone::new(one, rules_for(10, 1), state);
     alone.until(10 * SECOND);
     alone
 }
 
-fn spec(id: &str, kind: Kind, awaits: &[&str]) -> JobSpec {
+fn spec(id: &str, kind: JobKind, awaits: &[&str]) -> JobSpec {
     JobSpec {
         team: "free".into(),
-        awaits: awaits.iter().map(|a| a.to_string()).collect(),
+        depends_on: awaits.iter().map(|a| a.to_string()).collect(),
         ..JobSpec::plain(id, kind, 1, 1.0)
     }
 }
@@ -44,22 +47,26 @@
     alone.until(alone.now + SECOND);
     let found = alone.answers.iter().position(|(of, _)| *of == id);
     let (_, reply) = alone.answers.swap_remove(found.expect("an answer"));
-    let why = dillcleat_wire::decode::<Refusal>(&reply.body).map_or(String::new(), |r| r.error);
+    let why = dillcleat_wire::decode::<ErrorReply>(&reply.body).map_or(String::new(), |r| r.error);
     if reply.status == 503 {
         assert_eq!(reply.retry_after, Some(1));
     }
     let stored = alone
         .state
-        .read::<store::OpenJob>(&store::open_key(&spec.id));
-    (reply.status, why, stored.map(|(job, _)| job.spec.awaits))
+        .read::<records::OpenJob>(&records::open_key(&spec.id));
+    (
+        reply.status,
+        why,
+        stored.map(|(job, _)| job.spec.depends_on),
+    )
 }
 
 #[test]
 fn names_must_have_been_accepted() {
     let mut a = alone();
-    let batch = |id: &str, awaits: &[&str]| spec(id, Kind::Batch, awaits);
+    let batch = |id: &str, awaits: &[&str]| spec(id, JobKind::Batch, awaits);
     assert_eq!(submit(&mut a, &batch("req-1", &[])).0, 201);
-    assert_eq!(submit(&mut a, &spec("req-2", Kind::Service, &[])).0, 201);
+    assert_eq!(submit(&mut a, &spec("req-2", JobKind::Service, &[])).0, 201);
     // Known here, or by its records alone: accepted. What is done is not waited for.
     let (status, _, stored) = submit(&mut a, &batch("req-3", &["req-1", "req-71"]));
     assert_eq!((status, stored), (201, Some(vec!["req-1".into()])));
@@ -68,8 +75,11 @@
         submit(&mut a, &batch("req-10", &["req-1", "req-72"])).0,
         201
     );
-    let mark = a.state.read::<JobMark>(&store::job_key("req-10"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled));
+    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-10"));
+    assert_eq!(
+        mark.map(|(mark, _)| mark.state),
+        Some(RecordedState::Cancelled)
+    );
     for (bad, why) in [
         ("req-99", "req-99, which was never accepted"),
         ("req-4", "req-4, which was never accepted"),
@@ -97,15 +107,15 @@
 #[test]
 fn a_service_of_another_node_is_never_waited_for() {
     let mut a = alone();
-    let open = store::OpenJob {
-        spec: spec("req-8", Kind::Service, &[]),
+    let open = records::OpenJob {
+        spec: spec("req-8", JobKind::Service, &[]),
         at: 1,
         chunk: 8,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
-    a.state.put(store::open_key("req-8"), &open);
-    let (status, why, _) = submit(&mut a, &spec("req-9", Kind::Batch, &["req-8"]));
+    a.state.put(records::open_key("req-8"), &open);
+    let (status, why, _) = submit(&mut a, &spec("req-9", JobKind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
 }
@@ -115,9 +125,9 @@
 #[test]
 fn who_comes_while_a_cancellation_goes_down_the_line() {
     let mut a = alone();
-    assert_eq!(submit(&mut a, &spec("req-1", Kind::Batch, &[])).0, 201);
+    assert_eq!(submit(&mut a, &spec("req-1", JobKind::Batch, &[])).0, 201);
     assert_eq!(
-        submit(&mut a, &spec("req-2", Kind::Batch, &["req-1"])).0,
+        submit(&mut a, &spec("req-2", JobKind::Batch, &["req-1"])).0,
         201
     );
     let cancel = Input::Request {
@@ -128,20 +138,24 @@
     };
     a.at(a.now, Ev::Input(cancel));
     assert_eq!(
-        submit(&mut a, &spec("req-3", Kind::Batch, &["req-2"])).0,
+        submit(&mut a, &spec("req-3", JobKind::Batch, &["req-2"])).0,
         201
     );
     // And one after all is over.
     assert_eq!(
-        submit(&mut a, &spec("req-4", Kind::Batch, &["req-3"])).0,
+        submit(&mut a, &spec("req-4", JobKind::Batch, &["req-3"])).0,
         201
     );
     a.until(a.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
-        let mark = a.state.read::<JobMark>(&store::job_key(id));
-        assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled), "{id}");
+        let mark = a.state.read::<JobStateRecord>(&records::job_key(id));
+        assert_eq!(
+            mark.map(|(mark, _)| mark.state),
+            Some(RecordedState::Cancelled),
+            "{id}"
+        );
     }
-    assert_eq!(a.state.keys(store::QUEUE), [""; 0]);
+    assert_eq!(a.state.keys(records::QUEUE), [""; 0]);
 }
 
 /// A dependency that is neither open nor marked, as a leader sees one whose description
@@ -149,28 +163,35 @@
 #[test]
 fn what_is_not_there_is_not_over() {
     let one = Config {
-        siblings: Vec::new(),
-        far_siblings: Vec::new(),
+        peers: Vec::new(),
+        peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
-    let open = store::OpenJob {
-        spec: spec("req-8", Kind::Batch, &["req-77"]),
+    let open = records::OpenJob {
+        spec: spec("req-8", JobKind::Batch, &["req-77"]),
         at: 1,
         chunk: 8,
         unmarked: true,
-        at_most: None,
+        parallelism_limit: None,
     };
-    state.put(store::open_key("req-8"), &open);
+    state.put(records::open_key("req-8"), &open);
     let mut a = Alone::new(one, rules_for(10, 1), state);
     a.until(10 * SECOND);
-    assert!(a.state.read::<JobMark>(&store::job_key("req-8")).is_none());
-    let mark = JobMark {
-        s: Mark::Cancelled,
-        n: 1,
+    assert!(
+        a.state
+            .read::<JobStateRecord>(&records::job_key("req-8"))
+            .is_none()
+    );
+    let mark = JobStateRecord {
+        state: RecordedState::Cancelled,
+        task_count: 1,
     };
-    a.state.put(store::job_key("req-77"), &mark);
+    a.state.put(records::job_key("req-77"), &mark);
     a.until(15 * SECOND);
-    let mark = a.state.read::<JobMark>(&store::job_key("req-8"));
-    assert_eq!(mark.map(|(mark, _)| mark.s), Some(Mark::Cancelled));
+    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-8"));
+    assert_eq!(
+        mark.map(|(mark, _)| mark.state),
+        Some(RecordedState::Cancelled)
+    );
 }
--- a/crates/rehearsal/tests/large_fleet.rs
+++ b/crates/simulator/tests/large_fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::clean;
-use dillcleat_rehearsal::Scenario;
+use dillcleat_simulator::Scenario;
 
 #[test]
 fn the_day_of_a_large_fleet_is_clean() {
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Platform {
+pub struct PlatformSettings {
     #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "site")]
@@ -13,7 +13,7 @@
     #[serde(rename = "mesh_addr")]
     pub mesh_addr: String,
     #[serde(rename = "siblings", default)]
-    pub siblings: Vec<Sibling>,
+    pub peers: Vec<Peer>,
     #[serde(rename = "endpoints")]
     pub endpoints: Endpoints,
     #[serde(rename = "cluster")]
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Sibling {
+pub struct Peer {
     #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "site")]
@@ -51,9 +51,9 @@
     #[serde(rename = "objectives", default)]
     pub objectives: Vec<Objective>,
     #[serde(rename = "workers")]
-    pub workers: Workers,
+    pub workers: WorkerTimings,
     #[serde(rename = "state")]
-    pub state: StateLimits,
+    pub state: StoreLimits,
     #[serde(rename = "cloud")]
     pub cloud: CloudLimits,
     #[serde(rename = "quota")]
@@ -97,7 +97,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     #[serde(rename = "report_s")]
     pub report_s: f64,
     #[serde(rename = "lease_s")]
@@ -107,7 +107,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     #[serde(rename = "rps")]
     pub rps: f64,
     #[serde(rename = "write_rps")]
@@ -118,12 +118,12 @@
     pub txn_ops: u32,
     /// The limits from some moment on that nobody tells of.
     #[serde(rename = "next", default)]
-    pub next: NextLimits,
+    pub next: UpcomingLimits,
 }
 
 /// Limits that the state service will have. What is missing stays as it is.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
-pub struct NextLimits {
+pub struct UpcomingLimits {
     #[serde(rename = "rps")]
     pub rps: Option<f64>,
     #[serde(rename = "write_rps")]
@@ -156,11 +156,11 @@
 #[error("{0}")]
 pub struct PlatformError(pub String);
 
-impl Platform {
+impl PlatformSettings {
     /// Reads the file's text. Unknown fields are ignored; what is missing or
     /// out of range is named.
-    pub fn parse(text: &str) -> Result<Platform, PlatformError> {
-        let p: Platform =
+    pub fn parse(text: &str) -> Result<PlatformSettings, PlatformError> {
+        let p: PlatformSettings =
             toml::from_str(text).map_err(|e| PlatformError(one_line(&e.to_string())))?;
         let c = &p.cluster;
         let checks = [
@@ -238,11 +238,8 @@
             ("endpoints.state", &p.endpoints.state),
         ]
         .into_iter()
-        .chain(
-            p.siblings
-                .iter()
-                .map(|s| ("siblings.peer_addr", &s.peer_addr)),
-        ) {
+        .chain(p.peers.iter().map(|s| ("siblings.peer_addr", &s.peer_addr)))
+        {
             if addr.parse::<std::net::SocketAddr>().is_err() {
                 return Err(PlatformError(format!(
                     "{key}: must be IP:PORT, is {addr:?}"
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -15,7 +15,7 @@
 const MAX_LIST: usize = 32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks that each run to completion.
     #[serde(rename = "batch")]
     Batch,
@@ -39,7 +39,7 @@
 
 /// What each task of a job takes of its team's limit.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Claim {
+pub struct ResourceClaim {
     #[serde(rename = "desk")]
     pub team: String,
     #[serde(rename = "vcpus")]
@@ -58,7 +58,7 @@
     #[serde(rename = "desk")]
     pub team: String,
     #[serde(rename = "binding")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "urgency")]
     pub priority: Priority,
     #[serde(rename = "leaves")]
@@ -78,7 +78,7 @@
     #[serde(rename = "room", default)]
     pub zone: Option<String>,
     #[serde(rename = "same_place")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     #[serde(rename = "spread")]
     pub spread: bool,
     #[serde(rename = "remainders")]
@@ -93,13 +93,13 @@
     pub deadline_s: Option<f64>,
     /// The jobs that have to be done before any task of this one starts, each once.
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    pub depends_on: Vec<String>,
 }
 
 impl JobSpec {
     /// A job of equal tasks without any special wishes, to start from: of class `c`
     /// and team `t`, with image `i` of 1 GB. Arrays may run on spot machines.
-    pub fn plain(id: &str, kind: Kind, tasks: u32, cpus: f64) -> JobSpec {
+    pub fn plain(id: &str, kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
         JobSpec {
             id: id.into(),
             class: "c".into(),
@@ -114,14 +114,14 @@
             image_gb: 1.0,
             types: None,
             zone: None,
-            one_zone: false,
+            single_zone: false,
             spread: false,
-            spot: kind == Kind::Batch,
+            spot: kind == JobKind::Batch,
             estimate_s: 1.0,
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         }
     }
 }
@@ -196,7 +196,7 @@
     #[serde(rename = "due_s")]
     due_s: Option<f64>,
     #[serde(rename = "awaits")]
-    awaits: Option<Value>,
+    depends_on: Option<Value>,
 }
 
 /// Whether `id` has the form of a job id: `req-` and digits.
@@ -264,8 +264,8 @@
             return Err(Bad("ref is not in its form"));
         }
         let kind = match self.binding.ok_or(Missing("binding"))?.as_str() {
-            "batch" => Kind::Batch,
-            "standing" => Kind::Service,
+            "batch" => JobKind::Batch,
+            "standing" => JobKind::Service,
             _ => return Err(Bad("binding must be batch or standing")),
         };
         let priority = match self.urgency.ok_or(Missing("urgency"))?.as_str() {
@@ -315,14 +315,14 @@
             image_gb: amount(self.pull_gb, "pull_gb", "pull_gb is out of range")?,
             types: self.formats,
             zone: self.room,
-            one_zone: self.same_place.ok_or(Missing("same_place"))?,
+            single_zone: self.same_place.ok_or(Missing("same_place"))?,
             spread: self.spread.ok_or(Missing("spread"))?,
             spot: self.remainders.ok_or(Missing("remainders"))?,
             estimate_s: amount(self.reckon_s, "reckon_s", "reckon_s is out of range")?,
             checkpoint_s: amount(self.bookmark_s, "bookmark_s", "bookmark_s is out of range")?,
             save_s: amount(self.shelve_s, "shelve_s", "shelve_s is out of range")?,
             deadline_s,
-            awaits: names(self.awaits)?,
+            depends_on: names(self.depends_on)?,
         })
     }
 }
@@ -355,7 +355,7 @@
 
 /// The body of every refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorReply {
     #[serde(rename = "error")]
     pub error: String,
 }
@@ -377,7 +377,7 @@
     let path = target.split('?').next().unwrap_or(target);
     let (route, allowed) = if path == HEALTH_PATH {
         (Route::Health, "GET")
-    } else if path == crate::worker::REPORT_PATH {
+    } else if path == crate::worker::HEARTBEAT_PATH {
         (Route::Report, "POST")
     } else if path == JOBS_PATH {
         (Route::Submit, "POST")
--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -1,6 +1,6 @@
 //! Submissions as users may send them: what is refused, and what is not.
 
-use dillcleat_wire::state::json_size;
+use dillcleat_wire::store::json_size;
 use dillcleat_wire::user::{Route, Submission, is_job_id, parse_submission, route};
 use rmpv::Value;
 
@@ -143,7 +143,7 @@
         b[at] = (x >> 24) as u8;
         b.truncate(b.len() - (x >> 60) as usize);
         let _ = parse_submission(&b);
-        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Report>(&b);
+        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Heartbeat>(&b);
     }
 }
 
@@ -184,7 +184,7 @@
 #[test]
 fn the_jobs_that_one_waits_for() {
     let list = |names: &[&str]| Value::Array(names.iter().map(|n| Value::from(*n)).collect());
-    let awaits = |v| with("awaits", v).spec.map(|s| s.awaits);
+    let awaits = |v| with("awaits", v).spec.map(|s| s.depends_on);
     for none in [Value::Nil, list(&[])] {
         assert_eq!(awaits(none), Ok(Vec::new()));
     }
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -4,8 +4,8 @@
 mod golden;
 
 use dillcleat_wire::cloud::{
-    CloudCall, CloudReply, Condition, LIST_PAGE, ListedMachine, MAX_DELETE, MAX_RENT, MachineList,
-    MachineType, MachineTypes, Names, Rent,
+    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_DELETE, MAX_PAGE_ROWS,
+    MAX_SCALE_OUT, MachineList, MachineNames, MachineType, MachineTypes, ScaleOut,
 };
 use golden::{assert_keeps, assert_read};
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn limits_stay_as_they_are() {
-    assert_eq!((MAX_RENT, MAX_DELETE, LIST_PAGE), (50, 100, 500));
+    assert_eq!((MAX_SCALE_OUT, MAX_DELETE, MAX_PAGE_ROWS), (50, 100, 500));
 }
 
 #[test]
@@ -81,14 +81,14 @@
     );
 }
 
-fn listed(condition: Condition) -> ListedMachine {
+fn listed(condition: InstanceState) -> ListedMachine {
     ListedMachine {
         name: "host-1".into(),
         addr: Some("10.1.0.1:9000".into()),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        condition,
+        state: condition,
         age_s: 12.5,
     }
 }
@@ -100,25 +100,25 @@
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa8starting\
         \xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(Condition::Booting),
+        &listed(InstanceState::Booting),
     );
     assert_keeps(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7running\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(Condition::Running),
+        &listed(InstanceState::Running),
     );
     assert_keeps(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa6failed\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(Condition::Failed),
+        &listed(InstanceState::Failed),
     );
     assert_keeps(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa5Other\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(Condition::Other),
+        &listed(InstanceState::Other),
     );
 }
 
@@ -128,7 +128,7 @@
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7melting\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(Condition::Other),
+        &listed(InstanceState::Other),
     );
 }
 
@@ -139,7 +139,7 @@
         machine_type: "c2".into(),
         zone: "b".into(),
         spot: false,
-        condition: Condition::Booting,
+        state: InstanceState::Booting,
         age_s: 0.0,
     }
 }
@@ -169,8 +169,8 @@
     );
 }
 
-fn rent() -> Rent {
-    Rent {
+fn rent() -> ScaleOut {
+    ScaleOut {
         request: "n0-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -185,7 +185,7 @@
         b"\x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\xa5count\x32",
         &rent(),
     );
-    let names = Names {
+    let names = MachineNames {
         machines: vec!["host-1".into(), "host-2".into()],
     };
     assert_keeps(b"\x81\xa7shelves\x92\xa6host-1\xa6host-2", &names);
@@ -193,12 +193,12 @@
 
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |call: CloudCall, method: &str, target: &str, body: &[u8]| {
+    let sends = |call: CloudRequest, method: &str, target: &str, body: &[u8]| {
         assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
     };
-    sends(CloudCall::Types, "GET", "/flavors", b"");
+    sends(CloudRequest::Types, "GET", "/flavors", b"");
     sends(
-        CloudCall::Rent(rent()),
+        CloudRequest::ScaleOut(rent()),
         "POST",
         "/hosts",
         b"\
@@ -206,19 +206,19 @@
             \xa5count\x32",
     );
     sends(
-        CloudCall::Delete(vec!["host-1".into(), "host-2".into()]),
+        CloudRequest::Delete(vec!["host-1".into(), "host-2".into()]),
         "POST",
         "/hosts/delete",
         b"\x81\xa7shelves\x92\xa6host-1\xa6host-2",
     );
     sends(
-        CloudCall::List { after: None },
+        CloudRequest::List { after: None },
         "GET",
         "/hosts?most=500",
         b"",
     );
     sends(
-        CloudCall::List {
+        CloudRequest::List {
             after: Some("host-1".into()),
         },
         "GET",
@@ -229,13 +229,13 @@
 
 #[test]
 fn every_answer_is_read_as_before() {
-    let reads = |call: &CloudCall, status, body: &[u8], reply: CloudReply| {
+    let reads = |call: &CloudRequest, status, body: &[u8], reply: CloudResponse| {
         assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
     };
-    let types = CloudCall::Types;
-    let rent = CloudCall::Rent(rent());
-    let delete = CloudCall::Delete(vec!["host-1".into()]);
-    let list = CloudCall::List { after: None };
+    let types = CloudRequest::Types;
+    let rent = CloudRequest::ScaleOut(rent());
+    let delete = CloudRequest::Delete(vec!["host-1".into()]);
+    let list = CloudRequest::List { after: None };
 
     reads(
         &types,
@@ -249,36 +249,36 @@
             \xa4rate\xcb\x40\x02\x00\x00\x00\x00\x00\x00\
             \xa9low_price\xcb\x3f\xe8\x00\x00\x00\x00\x00\x00\
             \xa6boot_s\xcb\x40\x44\x00\x00\x00\x00\x00\x00\xa5rooms\x92\xa1a\xa1b",
-        CloudReply::Types(vec![machine_type()]),
+        CloudResponse::Types(vec![machine_type()]),
     );
     reads(
         &rent,
         200,
         b"\x81\xa7shelves\x91\xa6host-1",
-        CloudReply::Rented(vec!["host-1".into()]),
+        CloudResponse::ScaledOut(vec!["host-1".into()]),
     );
-    reads(&delete, 200, b"", CloudReply::Deleted);
+    reads(&delete, 200, b"", CloudResponse::Deleted);
     reads(
         &list,
         200,
         b"\
             \x82\xa7shelves\x91\x85\xa3ref\xa6host-2\xa6format\xa2c2\xa4room\xa1b\
             \xaaremainders\xc2\xa9condition\xa8starting\xa4more\xc3",
-        CloudReply::Listed(MachineList {
+        CloudResponse::Listed(MachineList {
             machines: vec![bare_machine()],
             more: true,
         }),
     );
     let full = b"\x81\xa5error\xabno\x20capacity";
-    reads(&rent, 503, full, CloudReply::NoCapacity);
-    reads(&list, 503, full, CloudReply::Refused { status: 503 });
+    reads(&rent, 503, full, CloudResponse::NoCapacity);
+    reads(&list, 503, full, CloudResponse::Refused { status: 503 });
     let other = b"\x81\xa5error\xa4down";
-    reads(&rent, 503, other, CloudReply::Refused { status: 503 });
+    reads(&rent, 503, other, CloudResponse::Refused { status: 503 });
     for call in [&types, &rent, &delete, &list] {
-        reads(call, 429, b"", CloudReply::Refused { status: 429 });
-        reads(call, 503, b"", CloudReply::Refused { status: 503 });
-        reads(call, 400, b"", CloudReply::Malformed);
-        reads(call, 404, b"", CloudReply::Malformed);
+        reads(call, 429, b"", CloudResponse::Refused { status: 429 });
+        reads(call, 503, b"", CloudResponse::Refused { status: 503 });
+        reads(call, 400, b"", CloudResponse::Malformed);
+        reads(call, 404, b"", CloudResponse::Malformed);
         assert!(call.reply(500, b"").is_err(), "{call:?}");
     }
 }
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -1,8 +1,8 @@
 //! The platform's settings file with every key, as version 84a8104 reads it.
 
 use dillcleat_wire::platform::{
-    CloudLimits, Cluster, Endpoints, NextLimits, Objective, Platform, Quota, Sibling, StateLimits,
-    Team, Workers,
+    CloudLimits, Cluster, Endpoints, Objective, Peer, PlatformSettings, Quota, StoreLimits, Team,
+    UpcomingLimits, WorkerTimings,
 };
 
 const FULL: &str = r#"
@@ -85,13 +85,13 @@
 quota = { cpu_share = 0.5, mem_mb = 72.0, max_connections = 500 }
 "#;
 
-fn full() -> Platform {
-    Platform {
+fn full() -> PlatformSettings {
+    PlatformSettings {
         member: "n0".into(),
         zone: "a".into(),
         client_listen: "127.0.0.1:8080".into(),
         mesh_addr: "127.0.0.1:8090".into(),
-        siblings: vec![Sibling {
+        peers: vec![Peer {
             member: "n1".into(),
             zone: "b".into(),
             peer_addr: "127.0.0.1:8091".into(),
@@ -118,17 +118,17 @@
                 share: Some(0.95),
                 times: Some(1.5),
             }],
-            workers: Workers {
+            workers: WorkerTimings {
                 report_s: 2.0,
                 lease_s: 14.0,
                 cancel_s: 44.0,
             },
-            state: StateLimits {
+            state: StoreLimits {
                 rps: 200.0,
                 write_rps: 80.0,
                 value_kb: 16.0,
                 txn_ops: 48,
-                next: NextLimits {
+                next: UpcomingLimits {
                     rps: Some(100.0),
                     write_rps: Some(40.0),
                     value_kb: Some(8.0),
@@ -148,12 +148,12 @@
     }
 }
 
-fn short() -> Platform {
+fn short() -> PlatformSettings {
     let mut short = full();
-    short.siblings = Vec::new();
+    short.peers = Vec::new();
     short.cluster.teams = Vec::new();
     short.cluster.objectives = Vec::new();
-    short.cluster.state.next = NextLimits {
+    short.cluster.state.next = UpcomingLimits {
         rps: None,
         write_rps: None,
         value_kb: None,
@@ -164,12 +164,12 @@
 
 #[test]
 fn every_key_is_read() {
-    assert_eq!(Platform::parse(FULL), Ok(full()));
+    assert_eq!(PlatformSettings::parse(FULL), Ok(full()));
 }
 
 #[test]
 fn what_may_be_missing_has_its_default() {
-    assert_eq!(Platform::parse(SHORT), Ok(short()));
+    assert_eq!(PlatformSettings::parse(SHORT), Ok(short()));
 }
 
 #[test]
@@ -191,7 +191,7 @@
         share: None,
         times: None,
     }];
-    assert_eq!(Platform::parse(&text), Ok(expected));
+    assert_eq!(PlatformSettings::parse(&text), Ok(expected));
 }
 
 /// A key that may not be missing is called by its name in the file.
@@ -220,7 +220,9 @@
         "max_connections",
     ] {
         let without = FULL.replacen(&format!("\n{key} = "), "\nother = ", 1);
-        let error = Platform::parse(&without).expect_err(key).to_string();
+        let error = PlatformSettings::parse(&without)
+            .expect_err(key)
+            .to_string();
         assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
 }
--- a/crates/wire/tests/golden_state.rs
+++ b/crates/wire/tests/golden_state.rs
@@ -3,9 +3,9 @@
 
 mod golden;
 
-use dillcleat_wire::state::{
-    Change, Changes, Compare, Event, LIST_PAGE, Page, Row, StateCall, StateReply, TXN_BYTES, Txn,
-    Value,
+use dillcleat_wire::store::{
+    KeyValue, MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
+    StoreRequest, StoreResponse, Transaction, Value, WatchBatch, WatchEvent,
 };
 use golden::{assert_keeps, assert_read};
 
@@ -13,8 +13,8 @@
     Value::Map(vec![(Value::from("n"), Value::from(n))])
 }
 
-fn row(lease: Option<u64>) -> Row {
-    Row {
+fn row(lease: Option<u64>) -> KeyValue {
+    KeyValue {
         key: "s/lead".into(),
         value: number(7),
         version: 12,
@@ -24,7 +24,7 @@
 
 #[test]
 fn limits_stay_as_they_are() {
-    assert_eq!((LIST_PAGE, TXN_BYTES), (1000, 65_536));
+    assert_eq!((MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES), (1000, 65_536));
 }
 
 #[test]
@@ -45,7 +45,7 @@
 
 #[test]
 fn every_kind_of_value_keeps_its_bytes() {
-    let holds = |value| Row {
+    let holds = |value| KeyValue {
         key: "x".into(),
         value,
         version: 1,
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_page_keeps_its_bytes() {
-    let page = Page {
+    let page = RangePage {
         rows: vec![row(Some(31))],
         more: true,
         revision: 900,
@@ -82,7 +82,7 @@
         \xa4more\xc3\xa9ledger_no\xcd\x03\x84",
         &page,
     );
-    let last = Page {
+    let last = RangePage {
         rows: Vec::new(),
         more: false,
         revision: 900,
@@ -94,24 +94,24 @@
     assert_read(b"\x82\xa4rows\x90\xa9ledger_no\xcd\x03\x84", &last);
 }
 
-fn txn() -> Txn {
-    Txn {
-        compare: vec![Compare {
+fn txn() -> Transaction {
+    Transaction {
+        compare: vec![Precondition {
             key: "s/lead".into(),
             version: 12,
         }],
         then: vec![
-            Change::Put {
+            Mutation::Put {
                 key: "s/term".into(),
                 value: number(8),
                 lease: None,
             },
-            Change::Put {
+            Mutation::Put {
                 key: "s/lead".into(),
                 value: number(7),
                 lease: Some(31),
             },
-            Change::Delete {
+            Mutation::Delete {
                 key: "q/c/1".into(),
             },
         ],
@@ -131,15 +131,15 @@
 
 #[test]
 fn a_transaction_without_changes_keeps_its_bytes() {
-    let txn = Txn {
-        compare: vec![Compare {
+    let txn = Transaction {
+        compare: vec![Precondition {
             key: "s/lead".into(),
             version: 0,
         }],
         then: Vec::new(),
     };
     assert_keeps(b"\x81\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x00", &txn);
-    let empty = Txn {
+    let empty = Transaction {
         compare: Vec::new(),
         then: Vec::new(),
     };
@@ -148,15 +148,15 @@
 
 #[test]
 fn every_event_of_a_watch_keeps_its_bytes() {
-    let changes = Changes {
+    let changes = WatchBatch {
         revision: 901,
         events: vec![
-            Event::Put {
+            WatchEvent::Put {
                 key: "q/o/1".into(),
                 value: number(7),
                 version: 900,
             },
-            Event::Delete {
+            WatchEvent::Delete {
                 key: "q/c/1".into(),
                 version: 901,
             },
@@ -168,7 +168,7 @@
             \xa8entry_no\xcd\x03\x84\x82\xa4drop\xa5q/c/1\xa8entry_no\xcd\x03\x85",
         &changes,
     );
-    let quiet = Changes {
+    let quiet = WatchBatch {
         revision: 901,
         events: Vec::new(),
     };
@@ -178,25 +178,25 @@
 
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |call: StateCall, method: &str, target: &str, body: &[u8]| {
+    let sends = |call: StoreRequest, method: &str, target: &str, body: &[u8]| {
         assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
     };
-    let get = StateCall::Get {
+    let get = StoreRequest::Get {
         key: "s/lead".into(),
     };
     sends(get, "GET", "/kv/s/lead", b"");
-    let list = StateCall::List {
+    let list = StoreRequest::List {
         prefix: "q/o/".into(),
         after: None,
     };
     sends(list, "GET", "/kv?under=q/o/&most=1000", b"");
-    let next = StateCall::List {
+    let next = StoreRequest::List {
         prefix: "q/o/".into(),
         after: Some("q/o/req-1".into()),
     };
     sends(next, "GET", "/kv?under=q/o/&from=q/o/req-1&most=1000", b"");
     sends(
-        StateCall::Txn(txn()),
+        StoreRequest::Transaction(txn()),
         "POST",
         "/txn",
         b"\
@@ -205,16 +205,16 @@
             \xa4drop\xa5q/c/1",
     );
     sends(
-        StateCall::NewLease { ttl_ms: 1250 },
+        StoreRequest::GrantLease { ttl_ms: 1250 },
         "POST",
         "/holds",
         b"\x81\xa6ttl_ms\xcd\x04\xe2",
     );
-    let extend = StateCall::Extend { lease: 31 };
+    let extend = StoreRequest::RenewLease { lease: 31 };
     sends(extend, "POST", "/holds/31/extend", b"");
-    let end = StateCall::EndLease { lease: 31 };
+    let end = StoreRequest::RevokeLease { lease: 31 };
     sends(end, "DELETE", "/holds/31", b"");
-    let watch = StateCall::Watch {
+    let watch = StoreRequest::Watch {
         prefix: "q/".into(),
         after: 900,
         hold_ms: 2000,
@@ -222,18 +222,18 @@
     sends(watch, "GET", "/changes?under=q/&from=900&hold_ms=2000", b"");
 }
 
-fn every_call() -> [StateCall; 7] {
+fn every_call() -> [StoreRequest; 7] {
     [
-        StateCall::Get { key: "x".into() },
-        StateCall::List {
+        StoreRequest::Get { key: "x".into() },
+        StoreRequest::List {
             prefix: "x".into(),
             after: None,
         },
-        StateCall::Txn(txn()),
-        StateCall::NewLease { ttl_ms: 1250 },
-        StateCall::Extend { lease: 31 },
-        StateCall::EndLease { lease: 31 },
-        StateCall::Watch {
+        StoreRequest::Transaction(txn()),
+        StoreRequest::GrantLease { ttl_ms: 1250 },
+        StoreRequest::RenewLease { lease: 31 },
+        StoreRequest::RevokeLease { lease: 31 },
+        StoreRequest::Watch {
             prefix: "x".into(),
             after: 900,
             hold_ms: 2000,
@@ -243,7 +243,7 @@
 
 #[test]
 fn every_answer_is_read_as_before() {
-    let reads = |call: &StateCall, status, body: &[u8], reply: StateReply| {
+    let reads = |call: &StoreRequest, status, body: &[u8], reply: StoreResponse| {
         assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
     };
     let [get, list, txn, new_lease, extend, end, watch] = &every_call();
@@ -252,13 +252,13 @@
         get,
         200,
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
-        StateReply::Found(row(Some(31))),
+        StoreResponse::Found(row(Some(31))),
     );
-    let absent = StateReply::Absent { revision: 900 };
+    let absent = StoreResponse::NotFound { revision: 900 };
     reads(get, 404, b"\x81\xa9ledger_no\xcd\x03\x84", absent);
-    let absent = StateReply::Absent { revision: 0 };
+    let absent = StoreResponse::NotFound { revision: 0 };
     reads(get, 404, b"\x81\xa5error\xabno\x20such\x20key", absent);
-    let page = Page {
+    let page = RangePage {
         rows: Vec::new(),
         more: true,
         revision: 900,
@@ -267,11 +267,11 @@
         list,
         200,
         b"\x83\xa4rows\x90\xa4more\xc3\xa9ledger_no\xcd\x03\x84",
-        StateReply::Page(page),
+        StoreResponse::RangePage(page),
     );
-    let committed = StateReply::Committed { revision: 901 };
+    let committed = StoreResponse::Committed { revision: 901 };
     reads(txn, 200, b"\x81\xa9ledger_no\xcd\x03\x85", committed);
-    let conflict = |revision| StateReply::Conflict {
+    let conflict = |revision| StoreResponse::Conflict {
         failed: vec!["s/lead".into()],
         revision,
     };
@@ -283,20 +283,20 @@
     );
     reads(txn, 409, b"\x81\xa6failed\x91\xa6s/lead", conflict(0));
     let no_lease = b"\x81\xa5error\xadno\x20such\x20lease";
-    reads(txn, 400, no_lease, StateReply::LeaseGone);
+    reads(txn, 400, no_lease, StoreResponse::LeaseExpired);
     reads(
         txn,
         400,
         b"\x81\xa5error\xa9too\x20large",
-        StateReply::Malformed,
+        StoreResponse::Malformed,
     );
-    let lease = StateReply::Lease { lease: 31 };
+    let lease = StoreResponse::Lease { lease: 31 };
     reads(new_lease, 200, b"\x81\xa4loan\x1f", lease);
     for call in [extend, end] {
-        reads(call, 200, b"", StateReply::Extended);
-        reads(call, 404, b"", StateReply::LeaseGone);
+        reads(call, 200, b"", StoreResponse::LeaseRenewed);
+        reads(call, 404, b"", StoreResponse::LeaseExpired);
     }
-    let changes = Changes {
+    let changes = WatchBatch {
         revision: 901,
         events: Vec::new(),
     };
@@ -304,21 +304,29 @@
         watch,
         200,
         b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90",
-        StateReply::Changes(changes),
+        StoreResponse::WatchBatch(changes),
     );
-    reads(watch, 410, b"", StateReply::TooOld);
+    reads(watch, 410, b"", StoreResponse::Compacted);
 }
 
 #[test]
 fn refusals_of_any_request_are_read_as_before() {
     for call in every_call() {
-        assert_eq!(call.reply(429, b""), Ok(StateReply::TooMany), "{call:?}");
+        assert_eq!(
+            call.reply(429, b""),
+            Ok(StoreResponse::RateLimited),
+            "{call:?}"
+        );
         assert_eq!(
             call.reply(503, b""),
-            Ok(StateReply::Unavailable),
+            Ok(StoreResponse::Unavailable),
+            "{call:?}"
+        );
+        assert_eq!(
+            call.reply(400, b""),
+            Ok(StoreResponse::Malformed),
             "{call:?}"
         );
-        assert_eq!(call.reply(400, b""), Ok(StateReply::Malformed), "{call:?}");
         assert!(call.reply(500, b"").is_err(), "{call:?}");
     }
 }
--- a/crates/wire/tests/golden_user.rs
+++ b/crates/wire/tests/golden_user.rs
@@ -3,8 +3,8 @@
 mod golden;
 
 use dillcleat_wire::user::{
-    Claim, HEALTH_PATH, JOBS_PATH, JobSpec, JobState, JobStatus, Kind, MAX_TASKS, Priority,
-    Refusal, Route, Submission, cancel_path, parse_submission, poll_path, route,
+    ErrorReply, HEALTH_PATH, JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, MAX_TASKS, Priority,
+    ResourceClaim, Route, Submission, cancel_path, parse_submission, poll_path, route,
 };
 use golden::{assert_keeps, assert_read};
 
@@ -14,7 +14,7 @@
         id: "req-412".into(),
         class: "merge".into(),
         team: "books".into(),
-        kind: Kind::Batch,
+        kind: JobKind::Batch,
         priority: Priority::Normal,
         tasks: 200,
         cpus: 4.0,
@@ -24,14 +24,14 @@
         image_gb: 2.5,
         types: Some(vec!["g8".into(), "c2".into()]),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 30.0,
         checkpoint_s: 60.0,
         save_s: 5.0,
         deadline_s: Some(900.0),
-        awaits: vec!["req-7".into(), "req-8".into()],
+        depends_on: vec!["req-7".into(), "req-8".into()],
     }
 }
 
@@ -41,7 +41,7 @@
         types: None,
         zone: None,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
         ..full_job()
     }
 }
@@ -114,8 +114,8 @@
         \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0";
-    assert_keeps(batch, &job(Kind::Batch));
-    assert_submits(batch, job(Kind::Batch));
+    assert_keeps(batch, &job(JobKind::Batch));
+    assert_submits(batch, job(JobKind::Batch));
     let service = b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa8standing\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -126,8 +126,8 @@
         \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0";
-    assert_keeps(service, &job(Kind::Service));
-    assert_submits(service, job(Kind::Service));
+    assert_keeps(service, &job(JobKind::Service));
+    assert_submits(service, job(JobKind::Service));
 }
 
 #[test]
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_jobs_claim_on_its_teams_limit_is_read_from_its_bytes() {
-    let claim = Claim {
+    let claim = ResourceClaim {
         team: "books".into(),
         cpus: 4.0,
         gpus: 1.0,
@@ -516,7 +516,7 @@
 
 #[test]
 fn a_refusal_keeps_its_bytes() {
-    let refusal = Refusal {
+    let refusal = ErrorReply {
         error: "no such run".into(),
     };
     assert_keeps(b"\x81\xa5error\xabno\x20such\x20run", &refusal);
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -4,8 +4,8 @@
 
 use dillcleat_wire::TaskName;
 use dillcleat_wire::worker::{
-    COMMANDS_PATH, Command, Elsewhere, Orders, REPORT_PATH, Report, ReportAnswer, TaskReport,
-    TaskState, Why,
+    COMMANDS_PATH, Command, CommandBatch, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply,
+    LeaderRedirect, TaskState, TaskStatus,
 };
 use golden::{assert_keeps, assert_read};
 
@@ -18,15 +18,15 @@
 
 #[test]
 fn paths_stay_as_they_are() {
-    assert_eq!(REPORT_PATH, "/checkin");
+    assert_eq!(HEARTBEAT_PATH, "/checkin");
     assert_eq!(COMMANDS_PATH, "/orders");
 }
 
 #[test]
 fn every_command_keeps_its_bytes() {
-    let launch = ReportAnswer {
-        token: 9,
-        commands: vec![Command::Start {
+    let launch = HeartbeatReply {
+        fencing_token: 9,
+        commands: vec![Command::Launch {
             task: task(0),
             attempt: 1,
         }],
@@ -37,8 +37,8 @@
             \xa8printing\x01",
         &launch,
     );
-    let stop = ReportAnswer {
-        token: 300,
+    let stop = HeartbeatReply {
+        fencing_token: 300,
         commands: vec![Command::Stop {
             task: task(12),
             attempt: 70_000,
@@ -51,9 +51,9 @@
             \xa8printing\xce\x00\x01\x11\x70\xa9closing_s\x1e",
         &stop,
     );
-    let forget = ReportAnswer {
-        token: 0,
-        commands: vec![Command::Forget {
+    let forget = HeartbeatReply {
+        fencing_token: 0,
+        commands: vec![Command::Reap {
             task: task(99_999),
             attempt: 2,
         }],
@@ -68,8 +68,8 @@
 
 #[test]
 fn an_answer_without_commands_keeps_its_bytes() {
-    let answer = ReportAnswer {
-        token: 9,
+    let answer = HeartbeatReply {
+        fencing_token: 9,
         commands: Vec::new(),
     };
     assert_keeps(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
@@ -77,11 +77,11 @@
 
 #[test]
 fn commands_sent_to_a_worker_keep_their_bytes() {
-    let orders = Orders {
-        token: 9,
-        session: 4,
+    let orders = CommandBatch {
+        fencing_token: 9,
+        incarnation: 4,
         commands: vec![
-            Command::Start {
+            Command::Launch {
                 task: task(0),
                 attempt: 1,
             },
@@ -103,21 +103,21 @@
 
 #[test]
 fn an_answer_that_sends_elsewhere_keeps_its_bytes() {
-    let known = Elsewhere {
-        report_to: Some("n1".into()),
+    let known = LeaderRedirect {
+        leader: Some("n1".into()),
     };
     assert_keeps(b"\x81\xa5clerk\xa2n1", &known);
-    let unknown = Elsewhere { report_to: None };
+    let unknown = LeaderRedirect { leader: None };
     assert_keeps(b"\x80", &unknown);
 }
 
-fn task_report(state: TaskState, why: Option<Why>, saved: Option<bool>) -> TaskReport {
-    TaskReport {
+fn task_report(state: TaskState, why: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
+    TaskStatus {
         task: task(3),
         attempt: 5,
         state,
-        why,
-        saved,
+        reason: why,
+        checkpoint_saved: saved,
     }
 }
 
@@ -161,37 +161,37 @@
     };
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa4done",
-        Why::Done,
+        ExitReason::Done,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted",
-        Why::Stopped,
+        ExitReason::Stopped,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5error",
-        Why::Error,
+        ExitReason::Error,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_room",
-        Why::NoRoom,
+        ExitReason::NoRoom,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6in_use",
-        Why::Busy,
+        ExitReason::Busy,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_such",
-        Why::Unknown,
+        ExitReason::Unknown,
     );
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5Other",
-        Why::Other,
+        ExitReason::Other,
     );
 }
 
 #[test]
 fn an_unknown_reason_is_another() {
-    let report = task_report(TaskState::Exited, Some(Why::Other), None);
+    let report = task_report(TaskState::Exited, Some(ExitReason::Other), None);
     assert_read(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5burnt",
         &report,
@@ -200,7 +200,7 @@
 
 #[test]
 fn what_a_task_saved_keeps_its_bytes() {
-    let saved = |saved| task_report(TaskState::Exited, Some(Why::Stopped), Some(saved));
+    let saved = |saved| task_report(TaskState::Exited, Some(ExitReason::Stopped), Some(saved));
     assert_keeps(
         b"\
         \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
@@ -215,17 +215,17 @@
     );
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: "host-1".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 4,
-        seq: 1_000,
-        token: 9,
-        notice_s,
+        incarnation: 4,
+        sequence: 1_000,
+        fencing_token: 9,
+        interruption_notice_s: notice_s,
         tasks,
     }
 }
