--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -102,11 +102,11 @@
         let market = PlanInputs {
             types: &types,
             refusals: &self.autoscaler.refusals,
-            dark: self.partitions.partitioned_zones.keys().cloned().collect(),
-            slow,
-            there,
-            lent: self.derived.sums.lent_cpus(),
-            now,
+            unreachable_zones: self.partitions.partitioned_zones.keys().cloned().collect(),
+            late_offerings: slow,
+            machines_by_zone: there,
+            lent_headroom_cpus: self.derived.sums.lent_cpus(),
+            now_us: now,
         };
         let reserve = self.reserve(ctx.config);
         let mut looked_at = 0;
@@ -166,7 +166,10 @@
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut served = Served::new(&self.derived.sums);
         // Those that have lost replicas are services and so come first.
-        let waiting = self.derived.job_queue.all(self.scheduling.virtual_time);
+        let waiting = self
+            .derived
+            .job_queue
+            .iter_in_order(self.scheduling.virtual_time);
         let waiting = waiting.filter(|place| !lost.contains_key(place));
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
@@ -176,10 +179,10 @@
             }
             let mut view = self.job_view(ctx, place)?;
             if let Some(n) = lost.get(&place) {
-                view.waiting += n;
-                view.zones = self.zones(job, cut_off);
+                view.waiting_tasks += n;
+                view.tasks_by_zone = self.zones(job, cut_off);
             }
-            view.at_risk_tasks = served.late(self, ctx, job, view.waiting);
+            view.at_risk_tasks = served.late(self, ctx, job, view.waiting_tasks);
             Some((view, &job.shape))
         })
     }
@@ -337,7 +340,7 @@
                 let machine_cpus = self.total(&m.machine_type).map_or(0.0, |t| t.cpus);
                 let free = spare
                     .entry(m.zone.clone())
-                    .or_insert_with(|| self.derived.capacity.ordinary(&m.zone));
+                    .or_insert_with(|| self.derived.capacity.free_on_demand_cpus(&m.zone));
                 if *free - machine_cpus + 1e-6 < reserve {
                     continue;
                 }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -403,7 +403,11 @@
         for place in self.jobs.take_marked() {
             self.refresh_job(ctx, place);
         }
-        while let Some(place) = self.derived.job_queue.aged(self.scheduling.virtual_time) {
+        while let Some(place) = self
+            .derived
+            .job_queue
+            .next_aged_to_zero(self.scheduling.virtual_time)
+        {
             self.refresh_job(ctx, place);
         }
         for place in self.machines.take_marked() {
@@ -424,7 +428,7 @@
         let new = &self.derived;
         let line = |i: &DerivedState| {
             i.job_queue
-                .all(self.scheduling.virtual_time)
+                .iter_in_order(self.scheduling.virtual_time)
                 .collect::<Vec<_>>()
         };
         let mut places = 0..self.machines.places();
@@ -490,7 +494,7 @@
         };
         self.derived.job_queue.set(place, standing);
         for image in self.derived.set_job(place, part) {
-            for machine in self.derived.capacity.holders(&image) {
+            for machine in self.derived.capacity.machines_holding_image(&image) {
                 self.machines.mark(machine);
             }
         }
@@ -655,7 +659,7 @@
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
         if self.shape.starving() != starving {
-            self.shape = Rc::new(self.shape.when(starving));
+            self.shape = Rc::new(self.shape.with_starving(starving));
         }
     }
 
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -196,9 +196,9 @@
             spec: &job.spec,
             image: &job.image,
             team: job.team,
-            waiting: job.placeable().min(most) as u32,
-            zones: self.zones(job, &BTreeSet::new()),
-            training: job.training(ctx.config),
+            waiting_tasks: job.placeable().min(most) as u32,
+            tasks_by_zone: self.zones(job, &BTreeSet::new()),
+            training_tasks: job.training(ctx.config),
             at_risk_tasks: 0,
             starving: job.shape.starving(),
         })
@@ -303,7 +303,7 @@
         let terms = sched::CycleLimits {
             virtual_time: self.scheduling.virtual_time,
             training_cpus: share - sums.training_cpus(),
-            service_headroom: self.reserve(ctx.config),
+            service_headroom_cpus: self.reserve(ctx.config),
         };
         // Taken out while the jobs are looked at; what is placed comes back
         // marked, and with that the floor is as the machines are.
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -26,13 +26,13 @@
             return;
         }
         let mut waiting = self.derived.job_queue.cursor(
-            sched::job_queue::QueueSection::First,
+            sched::job_queue::QueueSection::Urgent,
             self.scheduling.virtual_time,
         );
         let mut jobs: Vec<JobView> = Vec::new();
         // Services stand before tiny jobs.
         while let Some(turn) = waiting.next_job() {
-            waiting.advance(turn.lane);
+            waiting.advance(turn.sub_queue);
             match self.job_view(ctx, turn.index) {
                 Some(job) if !job.is_service() => break,
                 Some(job) if self.hurried(ctx.config, &job.spec.class) => jobs.push(job),
@@ -68,7 +68,7 @@
                         machine: machines.len(),
                         resources: slot.resources,
                         priority: job.priority,
-                        run_time: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
+                        run_time_us: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
                     });
                 }
             }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -64,8 +64,8 @@
     /// Room for what is on the machines that are cut off.
     pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
         let (ordinary, spot) = (
-            self.derived.capacity.free(false),
-            self.derived.capacity.free(true),
+            self.derived.capacity.free_cpus(false),
+            self.derived.capacity.free_cpus(true),
         );
         let lending = self.derived.lending[0].iter();
         let lent: f64 = lending
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -13,7 +13,7 @@
 //! by image, since a machine holds dozens and each would be entered and left with
 //! every task.
 
-use crate::resources::{EPS, from_millionths, to_millionths};
+use crate::resources::{ROUNDING_TOLERANCE, from_millionths, to_millionths};
 use crate::views::{JobView, MachineView, ResourceRequest, SlabIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -202,11 +202,11 @@
     }
 
     /// Whether any machine is mute.
-    pub fn any_mute(&self) -> bool {
+    pub fn any_outbound_unreachable(&self) -> bool {
         self.mute > 0
     }
 
-    pub fn is_mute(&self, place: SlabIndex) -> bool {
+    pub fn is_outbound_unreachable(&self, place: SlabIndex) -> bool {
         self.view(place).is_some_and(|m| m.outbound_unreachable)
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Free ordinary CPUs in a zone.
-    pub fn ordinary(&self, zone: &str) -> f64 {
+    pub fn free_on_demand_cpus(&self, zone: &str) -> f64 {
         self.ordinary
             .get(zone)
             .copied()
@@ -246,12 +246,12 @@
     }
 
     /// Free CPUs of all ordinary or of all spot machines.
-    pub fn free(&self, spot: bool) -> f64 {
+    pub fn free_cpus(&self, spot: bool) -> f64 {
         from_millionths(self.free[usize::from(spot)])
     }
 
     /// Machines with room that hold an image.
-    pub fn holders(&self, image: &str) -> Vec<SlabIndex> {
+    pub fn machines_holding_image(&self, image: &str) -> Vec<SlabIndex> {
         let with_room = self.ranks.iter().flat_map(|r| &r.by_room);
         with_room
             .map(|(_, _, place)| *place)
@@ -265,45 +265,47 @@
         if reserve <= 0.0 || m.spot || !job.spec.spot || job.is_service() {
             return true;
         }
-        self.ordinary(&m.zone) - job.spec.cpus + EPS >= reserve
+        self.free_on_demand_cpus(&m.zone) - job.spec.cpus + ROUNDING_TOLERANCE >= reserve
     }
 
-    fn open(&self, kept: ReservePolicy, job: &JobView, m: &MachineView) -> bool {
+    fn open(&self, kept: PlacementPolicy, job: &JobView, m: &MachineView) -> bool {
         match kept {
-            ReservePolicy::Reserve(reserve) => {
+            PlacementPolicy::Standard(reserve) => {
                 !job.has_failed_on(m) && self.spares(reserve, job, m)
             }
-            ReservePolicy::Faulty => !job.has_failed_on(m),
-            ReservePolicy::Nothing => true,
+            PlacementPolicy::IgnoreHeadroom => !job.has_failed_on(m),
+            PlacementPolicy::LastResort => true,
         }
     }
 
     /// Whether what is left in the machine's zone, with a task of the job on it, is
     /// less than what is kept for services.
-    pub fn short(&self, place: SlabIndex, reserve: f64, job: &JobView) -> bool {
+    pub fn is_short_of_headroom(&self, place: SlabIndex, reserve: f64, job: &JobView) -> bool {
         let bound = !job.is_service() && reserve > 0.0;
         let there = self.view(place).filter(|m| bound && !m.spot && !m.cordoned);
-        there.is_some_and(|m| self.ordinary(&m.zone) + EPS < reserve)
+        there.is_some_and(|m| self.free_on_demand_cpus(&m.zone) + ROUNDING_TOLERANCE < reserve)
     }
 
     /// Machines that take nothing but tasks without CPUs.
-    pub fn without_cpus(&self) -> Vec<SlabIndex> {
+    pub fn machines_without_free_cpus(&self) -> Vec<SlabIndex> {
         self.full.iter().copied().collect()
     }
 
     /// Whether any job like this one would find room.
-    pub fn any(&self, job: &JobView, kept: ReservePolicy) -> bool {
+    pub fn any(&self, job: &JobView, kept: PlacementPolicy) -> bool {
         let need = job.resources();
         let least = to_millionths(need.cpus);
         let fits = |place: &SlabIndex| {
             self.view(*place).is_some_and(|m| {
                 // Where it has failed itself is of no matter to others like it.
                 let open = match kept {
-                    ReservePolicy::Reserve(reserve) => !m.cordoned && self.spares(reserve, job, m),
-                    ReservePolicy::Faulty => !m.cordoned,
-                    ReservePolicy::Nothing => true,
+                    PlacementPolicy::Standard(reserve) => {
+                        !m.cordoned && self.spares(reserve, job, m)
+                    }
+                    PlacementPolicy::IgnoreHeadroom => !m.cordoned,
+                    PlacementPolicy::LastResort => true,
                 };
-                m.free.fits(&need) && job.kind_allows(m) && open
+                m.free.fits(&need) && job.request_allows(m) && open
             })
         };
         let kinds = if job.spec.spot {
@@ -319,12 +321,12 @@
 
     /// Puts as many of the job's tasks as the machine takes, `most` at the most,
     /// and returns how many.
-    pub fn put(
+    pub fn assign_tasks(
         &mut self,
         place: SlabIndex,
         job: &mut JobView,
         teams: &mut [crate::TeamAllowance],
-        kept: ReservePolicy,
+        kept: PlacementPolicy,
         most: u32,
     ) -> u32 {
         let need = job.resources();
@@ -334,10 +336,10 @@
         };
         while made < most
             && m.free.fits(&need)
-            && job.permits(&m)
+            && job.rules_allow(&m)
             && self.open(kept, job, &m)
             && job.team_allows(teams)
-            && job.put(&mut m, teams)
+            && job.assign_next_task(&mut m, teams)
         {
             made += 1;
             // What the zone has left for services goes down with each.
@@ -364,22 +366,22 @@
 
 /// What is kept from a job.
 #[derive(Debug, Clone, Copy)]
-pub enum ReservePolicy {
+pub enum PlacementPolicy {
     /// So many CPUs of ordinary room in each zone, and machines on which it or others
     /// failed.
-    Reserve(f64),
+    Standard(f64),
     /// Only such machines.
-    Faulty,
-    Nothing,
+    IgnoreHeadroom,
+    LastResort,
 }
 
-impl ReservePolicy {
+impl PlacementPolicy {
     /// What is kept from the jobs of a shape, beside the reserve.
-    pub fn from(shape: &ResourceRequest, reserve: f64) -> ReservePolicy {
+    pub fn from(shape: &ResourceRequest, reserve: f64) -> PlacementPolicy {
         if shape.starving() {
-            ReservePolicy::Nothing
+            PlacementPolicy::LastResort
         } else {
-            ReservePolicy::Reserve(reserve)
+            PlacementPolicy::Standard(reserve)
         }
     }
 }
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -1,8 +1,8 @@
 //! One pass: fills free room.
 
-use crate::capacity_index::{CandidateIter, CapacityIndex, ReservePolicy};
+use crate::capacity_index::{CandidateIter, CapacityIndex, PlacementPolicy};
 use crate::job_queue::{JobQueue, QueueCursor, QueueSection};
-use crate::resources::EPS;
+use crate::resources::ROUNDING_TOLERANCE;
 use crate::views::{JobView, ResourceRequest, SlabIndex, TeamAllowance};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     pub training_cpus: f64,
     /// Ordinary room per zone, in CPUs, that work which may run on spot machines
     /// leaves to services that must start sooner than any machine can be rented.
-    pub service_headroom: f64,
+    pub service_headroom_cpus: f64,
 }
 
 /// Places up to `most` tasks of the job, each on the best machine there is. `made` is
@@ -49,20 +49,24 @@
     most: u32,
     mut made: impl FnMut(SlabIndex, u32, bool),
 ) {
-    let kept = ReservePolicy::Reserve(service_headroom);
+    let kept = PlacementPolicy::Standard(service_headroom);
     let placed = fill_with(job, floor, teams, kept, most, |machine, tasks| {
         made(machine, tasks, false);
     });
     if placed > 0 || !job.starving {
         return;
     }
-    for kept in [ReservePolicy::Faulty, ReservePolicy::Nothing] {
+    for kept in [PlacementPolicy::IgnoreHeadroom, PlacementPolicy::LastResort] {
         let mut at = None;
         fill_with(job, floor, teams, kept, most.min(1), |machine, _| {
             at = Some(machine);
         });
         if let Some(machine) = at {
-            return made(machine, 1, floor.short(machine, service_headroom, job));
+            return made(
+                machine,
+                1,
+                floor.is_short_of_headroom(machine, service_headroom, job),
+            );
         }
     }
 }
@@ -72,25 +76,25 @@
     job: &mut JobView,
     floor: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
-    kept: ReservePolicy,
+    kept: PlacementPolicy,
     most: u32,
     mut made: impl FnMut(SlabIndex, u32),
 ) -> u32 {
-    let wanted = most.min(job.waiting);
+    let wanted = most.min(job.waiting_tasks);
     let mut left = wanted;
     // Mute machines come last, for as long as there are any. Left out, they cost replicas
     // and arrays more than what their leases end: on days on which a third of the machines
     // or a whole zone was mute (docs/results.md).
     for mute in [false, true] {
         let mut tour = CandidateIter::new(job);
-        while left > 0 && (!mute || floor.any_mute()) && job.team_allows(teams) {
+        while left > 0 && (!mute || floor.any_outbound_unreachable()) && job.team_allows(teams) {
             let Some(machine) = tour.next(floor, job) else {
                 break;
             };
-            if floor.is_mute(machine) != mute {
+            if floor.is_outbound_unreachable(machine) != mute {
                 continue;
             }
-            let tasks = floor.put(machine, job, teams, kept, left);
+            let tasks = floor.assign_tasks(machine, job, teams, kept, left);
             if tasks > 0 {
                 left -= tasks;
                 made(machine, tasks);
@@ -99,8 +103,8 @@
     }
     if left > 0 && crate::to_millionths(job.spec.cpus) == 0 {
         // What needs no CPUs may go where none are left.
-        for machine in floor.without_cpus() {
-            let tasks = floor.put(machine, job, teams, kept, left);
+        for machine in floor.machines_without_free_cpus() {
+            let tasks = floor.assign_tasks(machine, job, teams, kept, left);
             if tasks > 0 {
                 left -= tasks;
                 made(machine, tasks);
@@ -135,7 +139,7 @@
                 std::collections::btree_map::Entry::Vacant(e) => match (self.view)(turn.index) {
                     Some(job) => e.insert(job),
                     None => {
-                        walk.advance(turn.lane);
+                        walk.advance(turn.sub_queue);
                         continue;
                     }
                 },
@@ -146,22 +150,22 @@
             }
             let cpus = job.spec.cpus;
             let most = if training {
-                let affordable = if cpus > EPS {
+                let affordable = if cpus > ROUNDING_TOLERANCE {
                     // A float's cast to an integer saturates.
-                    ((self.terms.training_cpus + EPS) / cpus).max(0.0) as u32
+                    ((self.terms.training_cpus + ROUNDING_TOLERANCE) / cpus).max(0.0) as u32
                 } else {
                     u32::MAX
                 };
                 if affordable == 0 {
                     continue;
                 }
-                affordable.min(job.training)
+                affordable.min(job.training_tasks)
             } else {
                 u32::MAX
             };
             let made = &mut self.made;
             let mut placed = 0;
-            let reserve = self.terms.service_headroom;
+            let reserve = self.terms.service_headroom_cpus;
             place_tasks(
                 job,
                 self.floor,
@@ -182,16 +186,16 @@
             if training {
                 self.terms.training_cpus -= f64::from(placed) * cpus;
             }
-            let short = placed < most && job.waiting > 0 && job.team_allows(self.teams);
+            let short = placed < most && job.waiting_tasks > 0 && job.team_allows(self.teams);
             if short
                 && !self
                     .floor
-                    .any(job, ReservePolicy::from(turn.request, reserve))
+                    .any(job, PlacementPolicy::from(turn.request, reserve))
             {
                 self.closed.insert(turn.request.clone());
                 continue;
             }
-            walk.advance(turn.lane);
+            walk.advance(turn.sub_queue);
         }
     }
 }
@@ -214,12 +218,15 @@
         closed: BTreeSet::new(),
         made: Vec::new(),
     };
-    pass.serve(line.cursor(QueueSection::First, terms.virtual_time), false);
+    pass.serve(line.cursor(QueueSection::Urgent, terms.virtual_time), false);
     pass.serve(
         line.cursor(QueueSection::Training, terms.virtual_time),
         true,
     );
-    pass.serve(line.cursor(QueueSection::Rest, terms.virtual_time), false);
+    pass.serve(
+        line.cursor(QueueSection::Regular, terms.virtual_time),
+        false,
+    );
     let seen = pass.seen.len();
     (pass.made, seen)
 }
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -90,11 +90,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueSection {
     /// Services and tiny jobs.
-    First,
+    Urgent,
     /// Jobs with training tasks to place, by initial size.
     Training,
     /// All that do not go first.
-    Rest,
+    Regular,
 }
 
 #[derive(Debug, Default)]
@@ -168,7 +168,7 @@
     }
 
     /// A job that has aged to zero by now and stands among those that have not.
-    pub fn aged(&self, clock: f64) -> Option<SlabIndex> {
+    pub fn next_aged_to_zero(&self, clock: f64) -> Option<SlabIndex> {
         let (at, place) = self.zeros.first()?;
         (at.0 <= clock).then_some(*place)
     }
@@ -180,9 +180,9 @@
     /// Goes over a part of the line, in order.
     pub fn cursor(&self, part: QueueSection, clock: f64) -> QueueCursor<'_> {
         let lanes = match part {
-            QueueSection::First => &self.first,
+            QueueSection::Urgent => &self.first,
             QueueSection::Training => &self.training,
-            QueueSection::Rest => &self.rest,
+            QueueSection::Regular => &self.rest,
         };
         let mut walk = QueueCursor {
             lanes: lanes.0.iter().map(|(l, jobs)| (l, jobs.iter())).collect(),
@@ -196,9 +196,9 @@
     }
 
     /// Every job of the line in the order in which it competes, training aside.
-    pub fn all(&self, clock: f64) -> impl Iterator<Item = SlabIndex> + '_ {
-        let mut first = self.cursor(QueueSection::First, clock);
-        let mut rest = self.cursor(QueueSection::Rest, clock);
+    pub fn iter_in_order(&self, clock: f64) -> impl Iterator<Item = SlabIndex> + '_ {
+        let mut first = self.cursor(QueueSection::Urgent, clock);
+        let mut rest = self.cursor(QueueSection::Regular, clock);
         // Priority comes before being tiny, so the two are merged.
         std::iter::from_fn(move || {
             let first_is_next = match (first.heads.peek(), rest.heads.peek()) {
@@ -207,7 +207,7 @@
             };
             let walk = if first_is_next { &mut first } else { &mut rest };
             let turn = walk.next_job()?;
-            walk.advance(turn.lane);
+            walk.advance(turn.sub_queue);
             Some(turn.index)
         })
     }
@@ -236,7 +236,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct QueuedJob<'l> {
     pub index: SlabIndex,
-    pub lane: usize,
+    pub sub_queue: usize,
     pub request: &'l Rc<ResourceRequest>,
 }
 
@@ -256,7 +256,7 @@
         let lane = self.lanes[head.lane].0;
         Some(QueuedJob {
             index: head.index,
-            lane: head.lane,
+            sub_queue: head.lane,
             request: &lane.request,
         })
     }
--- a/crates/sched/src/preemption.rs
+++ b/crates/sched/src/preemption.rs
@@ -11,7 +11,7 @@
     pub resources: Resources,
     pub priority: Priority,
     /// How long it has run, in microseconds: the work that is lost.
-    pub run_time: u64,
+    pub run_time_us: u64,
 }
 
 /// What stopping tasks on a machine costs: whether any is stopped, whether the
@@ -41,7 +41,7 @@
             }
             if victims[v].priority < job.spec.priority {
                 free.add(&victims[v].resources);
-                lost += victims[v].run_time;
+                lost += victims[v].run_time_us;
                 chosen.push(v);
             }
         }
@@ -70,11 +70,11 @@
         on[v.machine].push(i);
     }
     for list in &mut on {
-        list.sort_by_key(|&i| victims[i].run_time);
+        list.sort_by_key(|&i| victims[i].run_time_us);
     }
     let mut stopped = Vec::new();
     for job in jobs {
-        while job.waiting > 0 && job.team_allows(teams) {
+        while job.waiting_tasks > 0 && job.team_allows(teams) {
             let Some((m, chosen)) = least_loss(job, machines, &on, victims) else {
                 break;
             };
@@ -83,7 +83,7 @@
                 on[m].retain(|o| *o != v);
                 stopped.push(v);
             }
-            job.put(&mut machines[m], teams);
+            job.assign_next_task(&mut machines[m], teams);
         }
     }
     stopped
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -5,7 +5,7 @@
 use std::cmp::Ordering;
 
 /// Differences below it are rounding.
-pub const EPS: f64 = 1e-6;
+pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount in whole millionths, for sums that are kept up to date by adding
 /// and taking away for weeks: those of floats would drift.
@@ -63,9 +63,9 @@
     }
 
     pub fn fits(&self, need: &Resources) -> bool {
-        self.cpus + EPS >= need.cpus
-            && self.gpus + EPS >= need.gpus
-            && self.memory_gb + EPS >= need.memory_gb
+        self.cpus + ROUNDING_TOLERANCE >= need.cpus
+            && self.gpus + ROUNDING_TOLERANCE >= need.gpus
+            && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
     }
 
     pub fn subtract(&mut self, need: &Resources) {
@@ -83,8 +83,8 @@
     /// How many times `need` fits.
     pub fn count_fitting(&self, need: &Resources) -> u32 {
         let of = |have: f64, need: f64| {
-            if need > EPS {
-                ((have + EPS) / need) as u32
+            if need > ROUNDING_TOLERANCE {
+                ((have + ROUNDING_TOLERANCE) / need) as u32
             } else {
                 u32::MAX
             }
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,6 +1,6 @@
 //! What to rent for work that finds no room.
 
-use crate::capacity_index::{CapacityIndex, ReservePolicy};
+use crate::capacity_index::{CapacityIndex, PlacementPolicy};
 use crate::cycle::place_tasks;
 use crate::resources::{OrderedFloat, Resources};
 use crate::views::{Images, JobView, MachineView, ResourceRequest, TeamAllowance};
@@ -36,16 +36,16 @@
     pub types: &'a [MachineType],
     pub refusals: &'a RefusedOfferings,
     /// Zones in which nothing is rented.
-    pub dark: BTreeSet<Rc<str>>,
+    pub unreachable_zones: BTreeSet<Rc<str>>,
     /// Types and zones in which what was rented last is late.
-    pub slow: BTreeSet<(Rc<str>, Rc<str>)>,
+    pub late_offerings: BTreeSet<(Rc<str>, Rc<str>)>,
     /// Machines by zone, those that are coming included.
-    pub there: BTreeMap<Rc<str>, u32>,
+    pub machines_by_zone: BTreeMap<Rc<str>, u32>,
     /// CPUs by zone of what was kept for services and is lent to work that may make
     /// room for them.
-    pub lent: BTreeMap<Rc<str>, f64>,
+    pub lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
     /// In microseconds of the steady clock.
-    pub now: u64,
+    pub now_us: u64,
 }
 
 /// An offer that is open, as a plan sees it.
@@ -61,10 +61,14 @@
     let mut choices = Vec::new();
     for t in market.types {
         let machine_type: Rc<str> = Rc::from(t.name.as_str());
-        for zone in t.zones.iter().filter(|z| !market.dark.contains(z.as_str())) {
+        for zone in t
+            .zones
+            .iter()
+            .filter(|z| !market.unreachable_zones.contains(z.as_str()))
+        {
             for spot in [true, false] {
                 let offer = (t.name.clone(), zone.clone(), spot);
-                let open = market.refusals.open(&offer, market.now);
+                let open = market.refusals.open(&offer, market.now_us);
                 let Some(price) = price(t, spot).filter(|_| open) else {
                     continue;
                 };
@@ -72,7 +76,7 @@
                 choices.push(Choice {
                     offer,
                     price,
-                    slow: market.slow.contains(&place),
+                    slow: market.late_offerings.contains(&place),
                     machine: MachineView {
                         machine_type: machine_type.clone(),
                         zone: Rc::from(zone.as_str()),
@@ -165,9 +169,9 @@
             // An ordinary machine is rented for late tasks only, so only they
             // count.
             let most = if c.machine.spot || !job.spec.spot || job.at_risk_tasks == 0 {
-                job.waiting
+                job.waiting_tasks
             } else {
-                job.waiting.min(job.at_risk_tasks)
+                job.waiting_tasks.min(job.at_risk_tasks)
             };
             let slots = c.machine.free.count_fitting(&need).min(most);
             if slots == 0 || (cheap_only && !c.machine.spot) || !job.allows(&c.machine) {
@@ -201,7 +205,10 @@
     fn choose(&self, job: &JobView, kind: &mut Kind) -> Option<usize> {
         // Rules about the job's other tasks are its own.
         let alike = !job.spec.spread && !job.spec.single_zone;
-        let key = (job.waiting.min(kind.most), job.at_risk_tasks.min(kind.most));
+        let key = (
+            job.waiting_tasks.min(kind.most),
+            job.at_risk_tasks.min(kind.most),
+        );
         if alike && kind.hopeless.contains(&key) {
             return None;
         }
@@ -225,7 +232,7 @@
         let zones: BTreeSet<Rc<str>> = choices.iter().map(|c| c.machine.zone.clone()).collect();
         for zone in zones {
             let lent = lent.get(&zone).copied().unwrap_or(0.0);
-            let missing = ahead - floor.ordinary(&zone) - lent;
+            let missing = ahead - floor.free_on_demand_cpus(&zone) - lent;
             if missing <= 1e-6 {
                 continue;
             }
@@ -263,14 +270,14 @@
         types: market.types,
         wanted: vec![0; choices.len()],
         choices,
-        there: market.there.clone(),
+        there: market.machines_by_zone.clone(),
     };
     // Which was wanted first: the cloud takes a call or two a second.
     let mut first: Vec<usize> = Vec::new();
     let mut kinds: BTreeMap<Rc<ResourceRequest>, Kind> = BTreeMap::new();
     // Rented machines with room to spare.
     let mut added = 0;
-    let mut lent = market.lent.clone();
+    let mut lent = market.lent_headroom_cpus.clone();
     for (mut job, shape) in jobs {
         let need = job.resources();
         let job = &mut job;
@@ -288,11 +295,11 @@
             for m in on.into_iter().filter_map(|machine| floor.view(machine)) {
                 *lent.entry(m.zone.clone()).or_default() += need.cpus;
             }
-            if job.waiting > 0 && !floor.any(job, ReservePolicy::from(shape, reserve)) {
+            if job.waiting_tasks > 0 && !floor.any(job, PlacementPolicy::from(shape, reserve)) {
                 kind.closed = Some(added);
             }
         }
-        while job.waiting > 0 && job.team_allows(teams) {
+        while job.waiting_tasks > 0 && job.team_allows(teams) {
             let Some(c) = plan.choose(job, kind) else {
                 break;
             };
@@ -305,7 +312,7 @@
             while job.team_allows(teams)
                 && new.free.fits(&need)
                 && job.allows(&new)
-                && job.put(&mut new, teams)
+                && job.assign_next_task(&mut new, teams)
             {
                 if !new.spot {
                     job.at_risk_tasks = job.at_risk_tasks.saturating_sub(1);
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -1,6 +1,6 @@
 //! Jobs, machines and teams as a pass sees them.
 
-use crate::resources::{EPS, Resources, to_millionths};
+use crate::resources::{ROUNDING_TOLERANCE, Resources, to_millionths};
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
     }
 
     /// The same of a job that is starving or not ([`JobView::starving`]).
-    pub fn when(&self, starving: bool) -> ResourceRequest {
+    pub fn with_starving(&self, starving: bool) -> ResourceRequest {
         ResourceRequest {
             starving,
             ..self.clone()
@@ -97,11 +97,11 @@
     pub image: &'a Rc<str>,
     pub team: usize,
     /// Waiting tasks; a bounded number is enough for one pass.
-    pub waiting: u32,
+    pub waiting_tasks: u32,
     /// Tasks that are or may be on machines, by zone.
-    pub zones: BTreeMap<Rc<str>, u32>,
+    pub tasks_by_zone: BTreeMap<Rc<str>, u32>,
     /// How many more of the waiting tasks are training tasks.
-    pub training: u32,
+    pub training_tasks: u32,
     /// Waiting tasks that would start too late for the deadline on the fleet as
     /// it is, so that ordinary machines may be rented for them where spot
     /// machines are not to be had. This changes what is rented, never the order.
@@ -125,7 +125,12 @@
         if self.spec.zone.as_ref().is_some_and(|z| z != zone) {
             return false;
         }
-        if self.spec.single_zone && self.zones.iter().any(|(z, n)| **z != *zone && *n > 0) {
+        if self.spec.single_zone
+            && self
+                .tasks_by_zone
+                .iter()
+                .any(|(z, n)| **z != *zone && *n > 0)
+        {
             return false;
         }
         // At most half of the tasks, rounded up, may be in one zone.
@@ -135,12 +140,12 @@
     /// The job's tasks that are in this zone or may be: a machine that a new leader
     /// knows from placements only may be in any.
     fn at_most_in(&self, zone: &str) -> u32 {
-        let count = |zone| self.zones.get(zone).copied().unwrap_or(0);
+        let count = |zone| self.tasks_by_zone.get(zone).copied().unwrap_or(0);
         count(zone) + count(UNKNOWN_ZONE)
     }
 
     /// Whether any job like this one may run there, its other tasks aside.
-    pub fn kind_allows(&self, m: &MachineView) -> bool {
+    pub fn request_allows(&self, m: &MachineView) -> bool {
         (!m.spot || self.spec.spot)
             && self
                 .spec
@@ -151,8 +156,8 @@
     }
 
     /// Whether the job's own rules permit one more task there.
-    pub fn permits(&self, m: &MachineView) -> bool {
-        self.kind_allows(m) && self.zone_allowed(&m.zone)
+    pub fn rules_allow(&self, m: &MachineView) -> bool {
+        self.request_allows(m) && self.zone_allowed(&m.zone)
     }
 
     /// Whether it has failed there, or others have.
@@ -161,28 +166,29 @@
     }
 
     pub fn allows(&self, m: &MachineView) -> bool {
-        self.permits(m) && !self.has_failed_on(m)
+        self.rules_allow(m) && !self.has_failed_on(m)
     }
 
     pub fn team_allows(&self, teams: &[TeamAllowance]) -> bool {
         let t = &teams[self.team];
-        t.cpus_left + EPS >= self.spec.cpus && t.gpus_left + EPS >= self.spec.gpus
+        t.cpus_left + ROUNDING_TOLERANCE >= self.spec.cpus
+            && t.gpus_left + ROUNDING_TOLERANCE >= self.spec.gpus
     }
 
     /// Takes the room of the job's next task on the machine. False if none waits.
-    pub fn put(&mut self, m: &mut MachineView, teams: &mut [TeamAllowance]) -> bool {
-        if self.waiting == 0 {
+    pub fn assign_next_task(&mut self, m: &mut MachineView, teams: &mut [TeamAllowance]) -> bool {
+        if self.waiting_tasks == 0 {
             return false;
         }
-        self.waiting -= 1;
+        self.waiting_tasks -= 1;
         m.free.subtract(&self.resources());
         if !m.holds_image(self.image) {
             Rc::make_mut(&mut m.images).push((self.image.clone(), self.spec.image_gb));
         }
-        *self.zones.entry(m.zone.clone()).or_default() += 1;
+        *self.tasks_by_zone.entry(m.zone.clone()).or_default() += 1;
         teams[self.team].cpus_left -= self.spec.cpus;
         teams[self.team].gpus_left -= self.spec.gpus;
-        self.training = self.training.saturating_sub(1);
+        self.training_tasks = self.training_tasks.saturating_sub(1);
         true
     }
 }
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -52,9 +52,9 @@
             spec: &self.spec,
             image: &self.image,
             team: self.team,
-            waiting: self.spec.tasks,
-            zones: BTreeMap::new(),
-            training: self.training,
+            waiting_tasks: self.spec.tasks,
+            tasks_by_zone: BTreeMap::new(),
+            training_tasks: self.training,
             at_risk_tasks: self.late,
             starving: self.starving,
         }
@@ -80,7 +80,7 @@
         };
         QueueEntry {
             team: self.team,
-            request: Rc::new(ResourceRequest::of(&self.spec).when(self.starving)),
+            request: Rc::new(ResourceRequest::of(&self.spec).with_starving(self.starving)),
             ageing: pace,
             rank: rank(true, size, remaining),
             training: (self.training > 0).then(|| rank(false, self.initial_size, 0.0)),
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Job, floor, line, machine, team};
-use dillcleat_sched::capacity_index::ReservePolicy;
+use dillcleat_sched::capacity_index::PlacementPolicy;
 use dillcleat_sched::preemption::{PreemptionCandidate, choose_preemptions};
 use dillcleat_sched::{
     CapacityIndex, CycleLimits, JobView, MachineView, Resources, SlabIndex, TeamAllowance,
@@ -27,7 +27,7 @@
     let terms = CycleLimits {
         virtual_time: 0.0,
         training_cpus,
-        service_headroom: reserve,
+        service_headroom_cpus: reserve,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
     let (made, _) = run_cycle(&line(jobs), view, floor, teams, terms);
@@ -163,7 +163,7 @@
 type Plain<'a> = (&'a Job, JobView<'a>);
 
 /// The best machine for the job's next task, looked for among all.
-fn best(job: &JobView, machines: &[MachineView], kept: ReservePolicy) -> Option<usize> {
+fn best(job: &JobView, machines: &[MachineView], kept: PlacementPolicy) -> Option<usize> {
     let need = job.resources();
     let spared = |m: &MachineView, reserve: f64| {
         let ordinary = |o: &&MachineView| !o.spot && !o.cordoned && o.zone == m.zone;
@@ -189,11 +189,11 @@
     for (i, view) in machines.iter().enumerate() {
         if view.free.fits(&need)
             && match kept {
-                ReservePolicy::Reserve(reserve) => job.allows(view) && spared(view, reserve),
-                ReservePolicy::Faulty => job.allows(view),
-                ReservePolicy::Nothing => true,
+                PlacementPolicy::Standard(reserve) => job.allows(view) && spared(view, reserve),
+                PlacementPolicy::IgnoreHeadroom => job.allows(view),
+                PlacementPolicy::LastResort => true,
             }
-            && job.permits(view)
+            && job.rules_allow(view)
             && found.is_none_or(|b| rank(i, view) > rank(b, &machines[b]))
         {
             found = Some(i);
@@ -229,20 +229,20 @@
 ) -> Vec<(SlabIndex, SlabIndex)> {
     let mut place = |jobs: &mut [Plain], i: usize| -> Option<(SlabIndex, SlabIndex)> {
         let job = &mut jobs[i].1;
-        if job.waiting == 0 || !job.team_allows(teams) {
+        if job.waiting_tasks == 0 || !job.team_allows(teams) {
             return None;
         }
         let ways = [
-            ReservePolicy::Reserve(reserve),
-            ReservePolicy::Faulty,
-            ReservePolicy::Nothing,
+            PlacementPolicy::Standard(reserve),
+            PlacementPolicy::IgnoreHeadroom,
+            PlacementPolicy::LastResort,
         ];
         let ways = ways.into_iter().take(if job.starving { 3 } else { 1 });
         let m = ways
             .into_iter()
             .find_map(|kept| best(job, machines, kept))?;
         job.starving = false;
-        job.put(&mut machines[m], teams);
+        job.assign_next_task(&mut machines[m], teams);
         Some((i as SlabIndex, m as SlabIndex))
     };
     let mut made = Vec::new();
@@ -266,7 +266,7 @@
     });
     for i in training {
         let cpus = jobs[i].0.spec.cpus;
-        while jobs[i].1.training > 0 && training_cpus + 1e-6 >= cpus {
+        while jobs[i].1.training_tasks > 0 && training_cpus + 1e-6 >= cpus {
             let Some(a) = place(jobs, i) else {
                 break;
             };
@@ -408,7 +408,7 @@
             }
             let standing = jobs[i].as_ref().map(|(j, fixed)| j.standing(clock, *fixed));
             line.set(i as SlabIndex, standing);
-            while let Some(place) = line.aged(clock) {
+            while let Some(place) = line.next_aged_to_zero(clock) {
                 let job = jobs[place as usize].as_ref();
                 let standing = job.map(|(j, fixed)| j.standing(clock, *fixed));
                 line.set(place, standing);
@@ -432,7 +432,7 @@
                 .collect();
             let views: Vec<Plain> = seen.iter().map(|j| (j, j.view())).collect();
             let plain: Vec<SlabIndex> = order(&views).into_iter().map(|i| there[i].0).collect();
-            let indexed: Vec<SlabIndex> = line.all(clock).collect();
+            let indexed: Vec<SlabIndex> = line.iter_in_order(clock).collect();
             assert_eq!(indexed, plain, "seed {seed}");
             compared += plain.len();
         }
@@ -465,7 +465,7 @@
             memory_gb: 1.0,
         },
         priority,
-        run_time: ran,
+        run_time_us: ran,
     };
     let victims = [
         victim(0, Priority::Normal, 50),
@@ -480,7 +480,7 @@
     // One takes the free room of y, which so has its image; the others stop
     // what has run least, there and on x.
     assert_eq!(stopped, [3, 1]);
-    assert_eq!(jobs[0].waiting, 0);
+    assert_eq!(jobs[0].waiting_tasks, 0);
     // A team at its limit stops nobody.
     let mut jobs = vec![job.view()];
     let stopped = choose_preemptions(&mut jobs, &mut machines(), &mut team(1.0), &victims);
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -44,7 +44,7 @@
     jobs: &[Job],
     coming: &[MachineView],
     refused: &[(&str, &str, bool)],
-    dark: &[&str],
+    unreachable_zones: &[&str],
     ahead: f64,
 ) -> Vec<(InstanceOffering, u32)> {
     let mut refusals = RefusedOfferings::default();
@@ -55,11 +55,14 @@
     let market = PlanInputs {
         types: &types,
         refusals: &refusals,
-        slow: BTreeSet::new(),
-        dark: dark.iter().map(|z| Rc::from(*z)).collect::<BTreeSet<_>>(),
-        there: BTreeMap::new(),
-        lent: BTreeMap::new(),
-        now: 1,
+        late_offerings: BTreeSet::new(),
+        unreachable_zones: unreachable_zones
+            .iter()
+            .map(|z| Rc::from(*z))
+            .collect::<BTreeSet<_>>(),
+        machines_by_zone: BTreeMap::new(),
+        lent_headroom_cpus: BTreeMap::new(),
+        now_us: 1,
     };
     let mut teams = vec![TeamAllowance {
         cpus_left: f64::INFINITY,
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -28,7 +28,7 @@
     let terms = CycleLimits {
         virtual_time: 0.0,
         training_cpus,
-        service_headroom: RESERVE,
+        service_headroom_cpus: RESERVE,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
     run_cycle(&line(jobs), view, floor, &mut team(99.0), terms).0
@@ -120,15 +120,15 @@
     let market = PlanInputs {
         types: &types,
         refusals: &refusals,
-        slow: BTreeSet::new(),
-        dark: BTreeSet::new(),
-        there: BTreeMap::new(),
-        lent: BTreeMap::from([("a".into(), lent)]),
-        now: 1,
+        late_offerings: BTreeSet::new(),
+        unreachable_zones: BTreeSet::new(),
+        machines_by_zone: BTreeMap::new(),
+        lent_headroom_cpus: BTreeMap::from([("a".into(), lent)]),
+        now_us: 1,
     };
     let mut floor = CapacityIndex::without_images();
     floor.add(machine("a", free, false));
-    let shape = |j: &Job| Rc::new(ResourceRequest::of(&j.spec).when(j.starving));
+    let shape = |j: &Job| Rc::new(ResourceRequest::of(&j.spec).with_starving(j.starving));
     let shapes: Vec<_> = jobs.iter().map(shape).collect();
     let jobs = jobs.iter().map(Job::view).zip(&shapes);
     plan_scale_out(jobs, &mut floor, &mut team(99.0), &market, RESERVE, RESERVE)
--- a/crates/sched/tests/zones.rs
+++ b/crates/sched/tests/zones.rs
@@ -20,7 +20,7 @@
 fn placed(job: &Job, in_a: u32, unknown: u32) -> JobView<'_> {
     let zones = [(Rc::from("a"), in_a), (Rc::from(""), unknown)];
     JobView {
-        zones: zones.into(),
+        tasks_by_zone: zones.into(),
         ..job.view()
     }
 }
@@ -32,7 +32,7 @@
 fn tasks_whose_zone_is_not_known_count_in_every_zone() {
     let job = spread_job();
     let allowed =
-        |in_a, unknown, zone| placed(&job, in_a, unknown).permits(&machine(zone, 8.0, false));
+        |in_a, unknown, zone| placed(&job, in_a, unknown).rules_allow(&machine(zone, 8.0, false));
     assert!(allowed(2, 2, "a"));
     assert!(!allowed(2, 3, "a"));
     assert!(allowed(2, 3, "b"));
@@ -42,7 +42,7 @@
 #[test]
 fn half_of_the_tasks_may_be_in_one_zone() {
     let job = spread_job();
-    let allowed = |in_a| placed(&job, in_a, 0).permits(&machine("a", 8.0, false));
+    let allowed = |in_a| placed(&job, in_a, 0).rules_allow(&machine("a", 8.0, false));
     assert!(allowed(4));
     assert!(!allowed(5));
 }
