--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -106,14 +106,15 @@
             late_offerings: slow,
             machines_by_zone: there,
             lent_headroom_cpus: self.derived.sums.lent_cpus(),
+            service_headroom_cpus: self.reserve(ctx.config),
+            proactive_headroom_cpus: ahead,
             now_us: now,
         };
-        let reserve = self.reserve(ctx.config);
         let mut looked_at = 0;
         let depth = self.autoscaler.plan_depth;
         let jobs = self.unserved(ctx, &cut_off, &lost).take(depth);
         let jobs = jobs.inspect(|_| looked_at += 1);
-        let wanted = plan_scale_out(jobs, &mut floor, &mut teams, &market, reserve, ahead);
+        let wanted = plan_scale_out(jobs, &mut floor, &mut teams, &market);
         self.scheduling.counts.machines += u64::from(seen);
         self.scheduling.counts.planned += looked_at as u64;
         // Whoever comes after many that nothing is rented for has a turn as well.
@@ -122,7 +123,12 @@
         } else {
             PLAN_JOBS
         };
-        for ((machine_type, zone, spot), count) in wanted {
+        for PlannedScaleOut { offering, count } in wanted {
+            let InstanceOffering {
+                machine_type,
+                zone,
+                spot,
+            } = offering;
             let request = self.autoscaler.cloud_queue.name(self.term);
             log::info!("renting {request}: {count} {machine_type} in {zone}, spot {spot}");
             self.autoscaler
@@ -489,7 +495,11 @@
             rent.spot,
             rent.count
         );
-        let offer = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
+        let offer = InstanceOffering {
+            machine_type: rent.machine_type.clone(),
+            zone: rent.zone.clone(),
+            spot: rent.spot,
+        };
         let until = ctx.now.monotonic + micros(ctx.config.tuning.refused_pause_s);
         self.autoscaler.refusals.refuse(offer, until);
         // Look for another offer at once.
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -46,7 +46,9 @@
     self, CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
 use crate::sched::preemption::{PreemptionCandidate, choose_preemptions};
-use crate::sched::scale_out_plan::{PlanInputs, RefusedOfferings, plan_scale_out};
+use crate::sched::scale_out_plan::{
+    InstanceOffering, PlanInputs, PlannedScaleOut, RefusedOfferings, plan_scale_out,
+};
 use crate::sched::{
     self, CapacityIndex, JobQueue, JobView, MachineView, ResourceRequest, Resources, SlabIndex,
     TeamAllowance,
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -309,12 +309,11 @@
         // marked, and with that the floor is as the machines are.
         let mut floor = std::mem::take(&mut self.derived.capacity);
         let view = |place| self.job_view(ctx, place);
-        let (made, seen) =
-            sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
+        let result = sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
         self.derived.capacity = floor;
         self.scheduling.counts.passes += 1;
-        self.scheduling.counts.jobs += seen as u64;
-        for a in made {
+        self.scheduling.counts.jobs += result.jobs_examined as u64;
+        for a in result.assignments {
             self.apply_assignment(&a);
         }
     }
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -17,6 +17,15 @@
     pub uses_service_headroom: bool,
 }
 
+/// What a scheduling cycle decided.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct CycleResult {
+    /// The placements, in the order in which they were decided.
+    pub assignments: Vec<Assignment>,
+    /// How many jobs were looked at, a measure of what the cycle cost.
+    pub jobs_examined: usize,
+}
+
 /// What bounds a pass besides teams and room.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
@@ -208,7 +217,7 @@
     floor: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
     terms: CycleLimits,
-) -> (Vec<Assignment>, usize) {
+) -> CycleResult {
     let mut pass = Cycle {
         view,
         floor,
@@ -227,6 +236,8 @@
         line.cursor(QueueSection::Regular, terms.virtual_time),
         false,
     );
-    let seen = pass.seen.len();
-    (pass.made, seen)
+    CycleResult {
+        jobs_examined: pass.seen.len(),
+        assignments: pass.made,
+    }
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -18,7 +18,9 @@
 pub mod views;
 
 pub use capacity_index::CapacityIndex;
-pub use cycle::{Assignment, CycleLimits, run_cycle};
+pub use cycle::{Assignment, CycleLimits, CycleResult, run_cycle};
 pub use job_queue::{AgeingState, JobQueue, QueueEntry, QueueRank};
 pub use resources::{OrderedFloat, Resources, to_millionths};
-pub use views::{Images, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance};
+pub use views::{
+    Images, JobIndex, JobView, MachineIndex, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
+};
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -8,8 +8,25 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// What a rental is for: type, zone, and whether it is a spot machine.
-pub type InstanceOffering = (String, String, bool);
+/// What the cloud rents out: machines of one type in one zone, either spot or on demand.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct InstanceOffering {
+    /// The name of the machine type.
+    pub machine_type: String,
+    /// The zone in which the machine runs.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
+/// Machines of one offering that are to be rented.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PlannedScaleOut {
+    /// What to rent.
+    pub offering: InstanceOffering,
+    /// How many machines, at most [`MAX_SCALE_OUT`].
+    pub count: u32,
+}
 
 /// Offers that were refused lately, with the time until which not to ask.
 #[derive(Debug, Default)]
@@ -44,6 +61,10 @@
     /// CPUs by zone of what was kept for services and is lent to work that may make
     /// room for them.
     pub lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
+    /// On-demand CPUs per zone that spot work must leave free for services.
+    pub service_headroom_cpus: f64,
+    /// On-demand CPUs per zone that are rented before any service needs them.
+    pub proactive_headroom_cpus: f64,
     /// In microseconds of the steady clock.
     pub now_us: u64,
 }
@@ -67,7 +88,11 @@
             .filter(|z| !market.unreachable_zones.contains(z.as_str()))
         {
             for spot in [true, false] {
-                let offer = (t.name.clone(), zone.clone(), spot);
+                let offer = InstanceOffering {
+                    machine_type: t.name.clone(),
+                    zone: zone.clone(),
+                    spot,
+                };
                 let open = market.refusals.open(&offer, market.now_us);
                 let Some(price) = price(t, spot).filter(|_| open) else {
                     continue;
@@ -262,9 +287,9 @@
     floor: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
     market: &PlanInputs,
-    reserve: f64,
-    ahead: f64,
-) -> Vec<(InstanceOffering, u32)> {
+) -> Vec<PlannedScaleOut> {
+    let reserve = market.service_headroom_cpus;
+    let ahead = market.proactive_headroom_cpus;
     let choices = choices(market);
     let mut plan = Plan {
         types: market.types,
@@ -331,6 +356,9 @@
     let order: Vec<usize> = first.iter().copied().chain(rest).collect();
     order
         .into_iter()
-        .map(|c| (plan.choices[c].offer.clone(), wanted[c]))
+        .map(|c| PlannedScaleOut {
+            offering: plan.choices[c].offer.clone(),
+            count: wanted[c],
+        })
         .collect()
 }
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -5,9 +5,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Which job or machine: a small number that it keeps for as long as it is known.
+/// Position in a table of jobs or of machines: a small number that each keeps for as long
+/// as it is known.
 pub type SlabIndex = u32;
 
+/// Position of a job in the table of jobs.
+pub type JobIndex = SlabIndex;
+
+/// Position of a machine in the table of machines.
+pub type MachineIndex = SlabIndex;
+
 /// The zone of a machine that has neither a record nor reported yet.
 const UNKNOWN_ZONE: &str = "";
 
@@ -91,7 +98,7 @@
 
 #[derive(Debug, Clone)]
 pub struct JobView<'a> {
-    pub index: SlabIndex,
+    pub index: JobIndex,
     pub id: &'a str,
     pub spec: &'a JobSpec,
     pub image: &'a Rc<str>,
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -30,7 +30,7 @@
         service_headroom_cpus: reserve,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
-    let (made, _) = run_cycle(&line(jobs), view, floor, teams, terms);
+    let made = run_cycle(&line(jobs), view, floor, teams, terms).assignments;
     made.into_iter()
         .flat_map(|a| std::iter::repeat_n((a.job, a.machine), a.tasks as usize))
         .collect()
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -4,7 +4,7 @@
 
 use common::{Job, machine};
 use dillcleat_sched::scale_out_plan::{
-    InstanceOffering, PlanInputs, RefusedOfferings, plan_scale_out,
+    InstanceOffering, PlanInputs, PlannedScaleOut, RefusedOfferings, plan_scale_out,
 };
 use dillcleat_sched::{CapacityIndex, MachineView, ResourceRequest, TeamAllowance};
 use dillcleat_wire::cloud::MachineType;
@@ -46,10 +46,15 @@
     refused: &[(&str, &str, bool)],
     unreachable_zones: &[&str],
     ahead: f64,
-) -> Vec<(InstanceOffering, u32)> {
+) -> Vec<PlannedScaleOut> {
     let mut refusals = RefusedOfferings::default();
     for (t, z, spot) in refused {
-        refusals.refuse((t.to_string(), z.to_string(), *spot), 9);
+        let offering = InstanceOffering {
+            machine_type: t.to_string(),
+            zone: z.to_string(),
+            spot: *spot,
+        };
+        refusals.refuse(offering, 9);
     }
     let types = types();
     let market = PlanInputs {
@@ -62,6 +67,8 @@
             .collect::<BTreeSet<_>>(),
         machines_by_zone: BTreeMap::new(),
         lent_headroom_cpus: BTreeMap::new(),
+        service_headroom_cpus: ahead,
+        proactive_headroom_cpus: ahead,
         now_us: 1,
     };
     let mut teams = vec![TeamAllowance {
@@ -77,13 +84,17 @@
         .map(|j| Rc::new(ResourceRequest::of(&j.spec)))
         .collect();
     let jobs = jobs.iter().map(Job::view).zip(&shapes);
-    plan_scale_out(jobs, &mut floor, &mut teams, &market, ahead, ahead)
+    plan_scale_out(jobs, &mut floor, &mut teams, &market)
 }
 
-fn offers(wanted: &[(InstanceOffering, u32)]) -> Vec<(&str, &str, bool, u32)> {
+fn offers(wanted: &[PlannedScaleOut]) -> Vec<(&str, &str, bool, u32)> {
     wanted
         .iter()
-        .map(|((t, z, s), n)| (t.as_str(), z.as_str(), *s, *n))
+        .map(|planned| {
+            let offering = &planned.offering;
+            let (machine_type, zone) = (offering.machine_type.as_str(), offering.zone.as_str());
+            (machine_type, zone, offering.spot, planned.count)
+        })
         .collect()
 }
 
@@ -105,7 +116,10 @@
         [("large", "a", false, 1), ("small", "b", false, 1)]
     );
     let wanted = rent(&batch(5), &[], &[], &[], 0.0);
-    assert!(wanted.iter().all(|((_, _, spot), _)| *spot), "{wanted:?}");
+    assert!(
+        wanted.iter().all(|planned| planned.offering.spot),
+        "{wanted:?}"
+    );
 }
 
 /// A spot offer at a rental's size once sent late tasks on to ordinary ones,
@@ -142,7 +156,11 @@
         job("two", JobKind::Batch, 2, 0),
     ];
     let wanted = rent(&jobs, &coming, &[], &[], 0.0);
-    assert_eq!(wanted.iter().map(|(_, n)| n).sum::<u32>(), 5, "{wanted:?}");
+    assert_eq!(
+        wanted.iter().map(|planned| planned.count).sum::<u32>(),
+        5,
+        "{wanted:?}"
+    );
     // Two of six CPUs fit a large machine alone and leave four of them.
     let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
@@ -152,8 +170,10 @@
     let jobs: Vec<Job> = (0..9).map(|_| job("same", JobKind::Batch, 8, 0)).collect();
     let wanted = rent(&jobs, &coming, &[], &[], 0.0);
     let machines = |name: &str| {
-        let of_type = wanted.iter().filter(|((t, _, _), _)| t == name);
-        of_type.map(|(_, n)| n).sum::<u32>()
+        let of_type = wanted
+            .iter()
+            .filter(|planned| planned.offering.machine_type == name);
+        of_type.map(|planned| planned.count).sum::<u32>()
     };
     assert_eq!(machines("large") * 4 + machines("small"), 9 * 8 - 2);
 }
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -4,7 +4,7 @@
 
 use common::{Job, floor, line, machine, team};
 use dillcleat_sched::scale_out_plan::{
-    InstanceOffering, PlanInputs, RefusedOfferings, plan_scale_out,
+    InstanceOffering, PlanInputs, PlannedScaleOut, RefusedOfferings, plan_scale_out,
 };
 use dillcleat_sched::{
     Assignment, CapacityIndex, CycleLimits, MachineView, ResourceRequest, SlabIndex, run_cycle,
@@ -31,7 +31,7 @@
         service_headroom_cpus: RESERVE,
     };
     let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
-    run_cycle(&line(jobs), view, floor, &mut team(99.0), terms).0
+    run_cycle(&line(jobs), view, floor, &mut team(99.0), terms).assignments
 }
 
 /// How many tasks each job gets, and how many of all in the reserve.
@@ -102,7 +102,7 @@
 
 /// What is rented, with every spot offer refused, beside `free` CPUs in the one zone
 /// and others that are lent.
-fn rent(jobs: &[Job], free: f64, lent: f64) -> Vec<(InstanceOffering, u32)> {
+fn rent(jobs: &[Job], free: f64, lent: f64) -> Vec<PlannedScaleOut> {
     let types = [MachineType {
         name: "m".into(),
         cpus: 4.0,
@@ -116,7 +116,12 @@
         zones: vec!["a".into()],
     }];
     let mut refusals = RefusedOfferings::default();
-    refusals.refuse(("m".into(), "a".into(), true), 9);
+    let offering = InstanceOffering {
+        machine_type: "m".into(),
+        zone: "a".into(),
+        spot: true,
+    };
+    refusals.refuse(offering, 9);
     let market = PlanInputs {
         types: &types,
         refusals: &refusals,
@@ -124,6 +129,8 @@
         unreachable_zones: BTreeSet::new(),
         machines_by_zone: BTreeMap::new(),
         lent_headroom_cpus: BTreeMap::from([("a".into(), lent)]),
+        service_headroom_cpus: RESERVE,
+        proactive_headroom_cpus: RESERVE,
         now_us: 1,
     };
     let mut floor = CapacityIndex::without_images();
@@ -131,7 +138,7 @@
     let shape = |j: &Job| Rc::new(ResourceRequest::of(&j.spec).with_starving(j.starving));
     let shapes: Vec<_> = jobs.iter().map(shape).collect();
     let jobs = jobs.iter().map(Job::view).zip(&shapes);
-    plan_scale_out(jobs, &mut floor, &mut team(99.0), &market, RESERVE, RESERVE)
+    plan_scale_out(jobs, &mut floor, &mut team(99.0), &market)
 }
 
 /// Rented anew for each that starves, ordinary machines would be paid for without end by
