--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -1,25 +1,31 @@
-//! Amounts of machines.
+//! Amounts of CPUs, GPUs and memory, and exact sums of them.
 
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::JobSpec;
 use std::cmp::Ordering;
 
-/// Differences below it are rounding.
+/// Amounts that differ by less are taken as equal: the difference is rounding.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// An amount in whole millionths, for sums that are kept up to date by adding
-/// and taking away for weeks: those of floats would drift.
+const MILLIONTHS_PER_UNIT: f64 = 1e6;
+
+/// Converts an amount to whole millionths (of a CPU, a GPU or a GB).
+///
+/// Sums that are updated by additions and subtractions for weeks are kept in this unit: sums
+/// of floats would drift. Amounts out of range saturate, and NaN becomes 0.
 pub fn to_millionths(amount: f64) -> i64 {
-    // A cast from a float saturates, and NaN becomes 0.
-    (amount * 1e6).round() as i64
+    (amount * MILLIONTHS_PER_UNIT).round() as i64
 }
 
-/// The amount of so many millionths.
-pub fn from_millionths(units: i64) -> f64 {
-    units as f64 / 1e6
+/// Converts whole millionths back to an amount.
+pub fn from_millionths(millionths: i64) -> f64 {
+    millionths as f64 / MILLIONTHS_PER_UNIT
 }
 
-/// A float with a total order, for keys.
+/// A float with a total order ([`f64::total_cmp`]), for use in ordered keys.
+///
+/// The `ordered-float` crate is not used because it takes -0.0 and 0.0 as equal, which would
+/// order jobs differently.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OrderedFloat(pub f64);
 
@@ -37,60 +43,69 @@
     }
 }
 
-/// An amount of a machine.
+/// What a task needs, or what a machine has in total or free.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
+    /// CPUs; fractions are allowed.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    pub fn of_type(t: &MachineType) -> Resources {
+    /// All resources of a machine of the type.
+    pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: t.cpus,
-            gpus: t.gpus,
-            memory_gb: t.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
-    pub fn of_task(s: &JobSpec) -> Resources {
+    /// What one task of the job needs.
+    pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
-            cpus: s.cpus,
-            gpus: s.gpus,
-            memory_gb: s.memory_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
         }
     }
 
+    /// Whether `need` fits into this amount.
     pub fn fits(&self, need: &Resources) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= need.cpus
             && self.gpus + ROUNDING_TOLERANCE >= need.gpus
             && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
     }
 
+    /// Takes `need` away from this amount.
     pub fn subtract(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.memory_gb -= need.memory_gb;
     }
 
-    pub fn add(&mut self, room: &Resources) {
-        self.cpus += room.cpus;
-        self.gpus += room.gpus;
-        self.memory_gb += room.memory_gb;
+    /// Adds what is released.
+    pub fn add(&mut self, released: &Resources) {
+        self.cpus += released.cpus;
+        self.gpus += released.gpus;
+        self.memory_gb += released.memory_gb;
     }
 
-    /// How many times `need` fits.
+    /// How many times `need` fits; [`u32::MAX`] if it needs nothing at all.
     pub fn count_fitting(&self, need: &Resources) -> u32 {
-        let of = |have: f64, need: f64| {
-            if need > ROUNDING_TOLERANCE {
-                ((have + ROUNDING_TOLERANCE) / need) as u32
+        let times = |available: f64, needed: f64| {
+            if needed > ROUNDING_TOLERANCE {
+                // A cast from a float saturates.
+                ((available + ROUNDING_TOLERANCE) / needed) as u32
             } else {
                 u32::MAX
             }
         };
-        of(self.cpus, need.cpus)
-            .min(of(self.gpus, need.gpus))
-            .min(of(self.memory_gb, need.memory_gb))
+        times(self.cpus, need.cpus)
+            .min(times(self.gpus, need.gpus))
+            .min(times(self.memory_gb, need.memory_gb))
     }
 }
