--- /dev/null
+++ b/crates/sched/src/candidates.rs
@@ -0,0 +1,164 @@
+//! The order in which the machines for a job are tried.
+
+use crate::capacity_index::CapacityIndex;
+use crate::machine_ranking::{CapacityKey, MachineRanking, ServiceImagesKey};
+use crate::resources::to_millionths;
+use crate::views::{JobView, MachineIndex};
+use std::collections::BTreeSet;
+use std::ops::Bound;
+
+/// A group of machines that a job tries together.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct CandidateGroup {
+    pub spot: bool,
+    /// Whether the machines hold the job's image.
+    pub holds_image: bool,
+}
+
+const fn group(spot: bool, holds_image: bool) -> CandidateGroup {
+    CandidateGroup { spot, holds_image }
+}
+
+/// The groups for jobs that may run on spot machines, in order.
+const GROUPS_WITH_SPOT: [CandidateGroup; 4] = [
+    group(true, true),
+    group(true, false),
+    group(false, true),
+    group(false, false),
+];
+
+/// The groups for all other jobs, in order.
+const ON_DEMAND_GROUPS: [CandidateGroup; 2] = [group(false, true), group(false, false)];
+
+fn candidate_groups(job: &JobView) -> &'static [CandidateGroup] {
+    if job.spec.spot {
+        &GROUPS_WITH_SPOT
+    } else {
+        &ON_DEMAND_GROUPS
+    }
+}
+
+/// The machine of a group that was returned last.
+#[derive(Debug, Clone, Copy)]
+enum LastCandidate {
+    None,
+    ByCapacity(CapacityKey),
+    ByServiceImages(ServiceImagesKey),
+}
+
+/// Goes over the machines that have the CPUs for a task of a job, the best first
+/// (see [`crate::capacity_index`] for the order).
+///
+/// The index may change between the calls, so this is not an [`Iterator`] that borrows it. A
+/// machine that has taken a task never moves behind those that are still to come.
+#[derive(Debug)]
+pub(crate) struct CandidateCursor {
+    /// Position in the list of groups.
+    group: usize,
+    last: LastCandidate,
+    min_cpus_millionths: i64,
+}
+
+impl CandidateCursor {
+    pub fn new(job: &JobView) -> CandidateCursor {
+        CandidateCursor {
+            group: 0,
+            last: LastCandidate::None,
+            min_cpus_millionths: to_millionths(job.spec.cpus).max(1),
+        }
+    }
+
+    /// The next machine with the CPUs that a task needs.
+    pub fn next_candidate(
+        &mut self,
+        capacity: &CapacityIndex,
+        job: &JobView,
+    ) -> Option<MachineIndex> {
+        while let Some(group) = candidate_groups(job).get(self.group).copied() {
+            let Some(machine) = self.next_in_group(capacity, group, job) else {
+                self.group += 1;
+                self.last = LastCandidate::None;
+                continue;
+            };
+            if capacity.is_in_group(machine, group, job.image) {
+                return Some(machine);
+            }
+        }
+        None
+    }
+
+    /// The next machine of a ranking that contains the group.
+    fn next_in_group(
+        &mut self,
+        capacity: &CapacityIndex,
+        group: CandidateGroup,
+        job: &JobView,
+    ) -> Option<MachineIndex> {
+        let ranking = capacity.ranking(group, job.image)?;
+        self.next_in_ranking(ranking, group, job)
+    }
+
+    fn next_in_ranking(
+        &mut self,
+        ranking: &MachineRanking,
+        group: CandidateGroup,
+        job: &JobView,
+    ) -> Option<MachineIndex> {
+        if job.is_service() && !group.holds_image {
+            self.next_worst_fit(ranking.by_capacity())
+        } else if group.spot || job.is_service() {
+            self.next_best_fit(ranking.by_capacity())
+        } else {
+            self.next_by_service_images(ranking.by_service_images())
+        }
+    }
+
+    /// The machine with the least free capacity that has enough CPUs.
+    fn next_best_fit(&mut self, machines: &BTreeSet<CapacityKey>) -> Option<MachineIndex> {
+        let from = match self.last {
+            LastCandidate::ByCapacity(key) => Bound::Excluded(key),
+            _ => Bound::Included(CapacityKey::min_with_cpus(self.min_cpus_millionths)),
+        };
+        let key = machines.range((from, Bound::Unbounded)).next().copied()?;
+        self.last = LastCandidate::ByCapacity(key);
+        Some(key.machine)
+    }
+
+    /// The machine with the most free capacity.
+    fn next_worst_fit(&mut self, machines: &BTreeSet<CapacityKey>) -> Option<MachineIndex> {
+        let min = CapacityKey::min_with_cpus(self.min_cpus_millionths);
+        let to = match self.last {
+            // A range that ends before it starts would panic.
+            LastCandidate::ByCapacity(key) if key <= min => return None,
+            LastCandidate::ByCapacity(key) => Bound::Excluded(key),
+            _ => Bound::Unbounded,
+        };
+        let mut range = machines.range((Bound::Included(min), to));
+        let key = range.next_back().copied()?;
+        self.last = LastCandidate::ByCapacity(key);
+        Some(key.machine)
+    }
+
+    /// The machine with the fewest images of services, of equals the one with the least free
+    /// capacity, that has enough CPUs.
+    fn next_by_service_images(
+        &mut self,
+        machines: &BTreeSet<ServiceImagesKey>,
+    ) -> Option<MachineIndex> {
+        let min_cpus = self.min_cpus_millionths;
+        let mut from = match self.last {
+            LastCandidate::ByServiceImages(key) => Bound::Excluded(key),
+            _ => Bound::Included(ServiceImagesKey::min_with(0, min_cpus)),
+        };
+        loop {
+            let key = machines.range((from, Bound::Unbounded)).next().copied()?;
+            if key.capacity.cpus_millionths >= min_cpus {
+                self.last = LastCandidate::ByServiceImages(key);
+                return Some(key.capacity.machine);
+            }
+            // The first machine with that many images has too few CPUs: skip to those that
+            // have enough.
+            from = Bound::Included(ServiceImagesKey::min_with(key.service_images, min_cpus));
+        }
+    }
+}
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,499 +1,371 @@
-//! Machines with room, ranked for the jobs that may take it.
+//! An index of the machines with free capacity, ranked for the jobs that may use it.
 //!
-//! A job goes where the rank is best ([`CandidateIter`]): spot machines take what may run
-//! there, so that ordinary room is left for services; a held image saves a
-//! fetch; of the rest what may run elsewhere takes the room beside which fewest
-//! images of services are held, and the fullest machine that still has room, so
-//! that others empty and can be returned. A replica that has to fetch its image
-//! in any case takes the emptiest, to leave the image to as much free room as
-//! can be, for those that come after.
+//! Machines are tried in this order:
 //!
-//! On a busy fleet few machines have room, for a moment each: those that hold an
-//! image are looked for among them. Only where many have room is there an index
-//! by image, since a machine holds dozens and each would be entered and left with
-//! every task.
-
+//! - Spot machines before on-demand machines for jobs that may run there, so that on-demand
+//!   capacity is left for services.
+//! - Machines that hold the job's image before others: that saves a download.
+//! - Among on-demand machines, work other than services takes the one with the fewest images
+//!   of services, to leave the others to replicas.
+//! - Then the machine with the least free capacity that is enough (best fit), so that others
+//!   become empty and can be returned. A replica whose image has to be downloaded in any case
+//!   takes the machine with the most free capacity (worst fit) instead, so that as many more
+//!   replicas as possible find the image there.
+//!
+//! On a busy fleet few machines have free CPUs, each for a moment only: those that hold an
+//! image are found by looking at all of them. Only while many machines have free CPUs is there
+//! a ranking per image as well, since a machine holds dozens of images and each task that is
+//! placed would change the ranking of each of them.
+
+use crate::candidates::CandidateGroup;
+use crate::machine_ranking::{CapacityKey, MachineRank, MachineRanking, PerMachineKind};
+use crate::placement_policy::{PlacementPolicy, is_bound_by_headroom};
 use crate::resources::{ROUNDING_TOLERANCE, from_millionths, to_millionths};
-use crate::views::{JobView, MachineView, ResourceRequest, SlabIndex};
+use crate::views::{JobView, MachineIndex, MachineView, TeamAllowance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::ops::Bound;
 use std::rc::Rc;
 
-/// Free CPUs and memory in millionths, then the machine.
-type ByRoom = BTreeSet<(i64, i64, SlabIndex)>;
-/// Images of services that are held, then the same.
-type ByWarm = BTreeSet<(u32, i64, i64, SlabIndex)>;
+/// Rankings per image are built when more machines than this have free CPUs, and dropped when
+/// fewer than half as many have.
+const IMAGE_RANKING_THRESHOLD: usize = 128;
 
-/// With more machines that have room the images that they hold are indexed, and
-/// with fewer than half as many no longer.
-const INDEXED: usize = 128;
-
-/// Machines of one kind, ordinary or spot.
-#[derive(Debug, Default)]
-struct Ranks {
-    by_room: ByRoom,
-    /// Of ordinary machines only: on spot machines no service runs.
-    by_warm: ByWarm,
-}
-
-impl Ranks {
-    fn insert(&mut self, k: &Keys, place: SlabIndex) {
-        self.by_room.insert((k.cpus, k.memory, place));
-        if !k.spot {
-            self.by_warm.insert((k.warm, k.cpus, k.memory, place));
-        }
-    }
-
-    fn remove(&mut self, k: &Keys, place: SlabIndex) {
-        self.by_room.remove(&(k.cpus, k.memory, place));
-        if !k.spot {
-            self.by_warm.remove(&(k.warm, k.cpus, k.memory, place));
-        }
-    }
-}
-
-/// What a machine is ranked by.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Keys {
-    spot: bool,
-    warm: u32,
-    cpus: i64,
-    memory: i64,
-}
-
-impl Keys {
-    fn of(m: &MachineView) -> Keys {
-        Keys {
-            spot: m.spot,
-            warm: m.service_images,
-            cpus: to_millionths(m.free.cpus).max(0),
-            memory: to_millionths(m.free.memory_gb).max(0),
-        }
-    }
-
-    /// Free CPUs of the machine, in millionths, as far as they can be counted on.
-    fn counts(&self, m: &MachineView) -> i64 {
-        if m.cordoned { 0 } else { self.cpus }
-    }
-
-    /// A machine without CPUs left takes nothing but tasks that need none.
-    fn full(&self) -> bool {
-        self.cpus == 0
-    }
-}
+/// Rankings of the machines that hold an image, by image.
+type ImageRankings = PerMachineKind<HashMap<Rc<str>, MachineRanking>>;
 
+/// Machines that may take tasks, indexed by their free capacity.
+///
+/// The [`Default`] index does not rank machines by image (see
+/// [`CapacityIndex::without_images`]).
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     views: Vec<Option<MachineView>>,
-    /// Ordinary, then spot.
-    ranks: [Ranks; 2],
-    holding: [HashMap<Rc<str>, Ranks>; 2],
-    /// Machines without CPUs left.
-    full: BTreeSet<SlabIndex>,
-    /// How many machines are mute.
-    mute: usize,
-    /// Free ordinary CPUs by zone, in millionths.
-    ordinary: BTreeMap<Rc<str>, i64>,
-    /// Free CPUs of ordinary and of spot machines, in millionths.
-    free: [i64; 2],
-    /// Whether machines are ranked by the images that they hold.
-    images: bool,
-    /// Whether `holding` is kept.
-    indexed: bool,
+    /// Machines with free CPUs.
+    rankings: PerMachineKind<MachineRanking>,
+    /// The same by image, while many machines have free CPUs.
+    image_rankings: Option<ImageRankings>,
+    /// Machines without free CPUs.
+    without_free_cpus: BTreeSet<MachineIndex>,
+    /// How many machines are [`MachineView::outbound_unreachable`].
+    outbound_unreachable: usize,
+    /// Free on-demand CPUs by zone, in millionths; without cordoned machines.
+    on_demand_cpus_by_zone: BTreeMap<Rc<str>, i64>,
+    /// Free CPUs in millionths; without cordoned machines.
+    free_cpus: PerMachineKind<i64>,
+    /// Whether machines that hold a job's image are preferred.
+    prefers_image_holders: bool,
 }
 
 impl CapacityIndex {
+    /// An empty index that prefers machines that hold a job's image.
     pub fn new() -> CapacityIndex {
         CapacityIndex {
-            images: true,
+            prefers_image_holders: true,
             ..CapacityIndex::default()
         }
     }
 
-    /// A floor on which held images count for nothing: enough to tell whether
-    /// there is room.
+    /// An empty index that does not look at images: enough to tell whether there is capacity.
     pub fn without_images() -> CapacityIndex {
         CapacityIndex::default()
     }
 
-    pub fn view(&self, place: SlabIndex) -> Option<&MachineView> {
-        self.views.get(place as usize)?.as_ref()
+    /// The machine as it is in the index.
+    pub fn view(&self, machine: MachineIndex) -> Option<&MachineView> {
+        self.views.get(machine as usize)?.as_ref()
     }
 
-    /// Puts a machine as it is now; None takes it from the floor.
-    pub fn set(&mut self, place: SlabIndex, view: Option<MachineView>) {
-        let i = place as usize;
-        if i >= self.views.len() {
-            self.views.resize(i + 1, None);
+    /// Replaces the view of a machine; None removes the machine.
+    pub fn set(&mut self, machine: MachineIndex, view: Option<MachineView>) {
+        let position = machine as usize;
+        if position >= self.views.len() {
+            self.views.resize(position + 1, None);
         }
-        if self.views[i] == view {
+        if self.views[position] == view {
             return;
         }
-        if let Some(old) = self.views[i].take() {
-            self.leave(place, &old);
+        if let Some(old) = self.views[position].take() {
+            self.remove_from_indexes(machine, &old);
         }
         if let Some(new) = view {
-            self.enter(place, &new);
-            self.views[i] = Some(new);
+            self.add_to_indexes(machine, &new);
+            self.views[position] = Some(new);
         }
-        self.index();
+        self.update_image_rankings();
     }
 
-    /// Adds a machine that has no place of its own yet.
+    /// Adds a machine at the next index that is not in use.
     pub fn add(&mut self, view: MachineView) {
-        // As many machines as places at the most.
-        self.set(self.views.len() as SlabIndex, Some(view));
-    }
-
-    fn leave(&mut self, place: SlabIndex, m: &MachineView) {
-        self.mute -= usize::from(m.outbound_unreachable);
-        let keys = Keys::of(m);
-        let counts = keys.counts(m);
-        self.free[usize::from(m.spot)] -= counts;
-        if !m.spot
-            && let Some(free) = self.ordinary.get_mut(&m.zone)
-        {
-            *free -= counts;
-        }
-        if keys.full() {
-            self.full.remove(&place);
-            return;
+        // There are no more machines than indexes.
+        self.set(self.views.len() as MachineIndex, Some(view));
+    }
+
+    fn add_to_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
+        self.outbound_unreachable += usize::from(view.outbound_unreachable);
+        let rank = MachineRank::of(machine, view);
+        let counted_cpus = counted_cpus_millionths(rank, view);
+        *self.free_cpus.of_mut(view.spot) += counted_cpus;
+        if !view.spot {
+            let in_zone = self.on_demand_cpus_by_zone.entry(view.zone.clone());
+            *in_zone.or_default() += counted_cpus;
         }
-        self.ranks[usize::from(m.spot)].remove(&keys, place);
-        if !self.indexed {
+        if !rank.has_free_cpus() {
+            self.without_free_cpus.insert(machine);
             return;
         }
-        for (image, _) in m.images.iter() {
-            let holding = &mut self.holding[usize::from(m.spot)];
-            if let Some(ranks) = holding.get_mut(image) {
-                ranks.remove(&keys, place);
-                if ranks.by_room.is_empty() {
-                    holding.remove(image);
-                }
-            }
+        self.rankings.of_mut(view.spot).insert(rank);
+        if let Some(image_rankings) = &mut self.image_rankings {
+            add_to_image_rankings(image_rankings, rank, view);
         }
     }
 
-    fn enter(&mut self, place: SlabIndex, m: &MachineView) {
-        self.mute += usize::from(m.outbound_unreachable);
-        let keys = Keys::of(m);
-        let counts = keys.counts(m);
-        self.free[usize::from(m.spot)] += counts;
-        if !m.spot {
-            *self.ordinary.entry(m.zone.clone()).or_default() += counts;
+    fn remove_from_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
+        self.outbound_unreachable -= usize::from(view.outbound_unreachable);
+        let rank = MachineRank::of(machine, view);
+        let counted_cpus = counted_cpus_millionths(rank, view);
+        *self.free_cpus.of_mut(view.spot) -= counted_cpus;
+        if !view.spot
+            && let Some(in_zone) = self.on_demand_cpus_by_zone.get_mut(&view.zone)
+        {
+            *in_zone -= counted_cpus;
         }
-        if keys.full() {
-            self.full.insert(place);
+        if !rank.has_free_cpus() {
+            self.without_free_cpus.remove(&machine);
             return;
         }
-        self.ranks[usize::from(m.spot)].insert(&keys, place);
-        if self.indexed {
-            Self::hold(&mut self.holding, place, m);
+        self.rankings.of_mut(view.spot).remove(rank);
+        if let Some(image_rankings) = &mut self.image_rankings {
+            remove_from_image_rankings(image_rankings, rank, view);
         }
     }
 
-    fn hold(holding: &mut [HashMap<Rc<str>, Ranks>; 2], place: SlabIndex, m: &MachineView) {
-        let keys = Keys::of(m);
-        let holding = &mut holding[usize::from(m.spot)];
-        for (image, _) in m.images.iter() {
-            let ranks = holding.entry(image.clone()).or_default();
-            ranks.insert(&keys, place);
+    /// Builds or drops the rankings per image, as many or few machines have free CPUs.
+    fn update_image_rankings(&mut self) {
+        let machines = self.rankings.iter().map(MachineRanking::len).sum::<usize>();
+        if self.image_rankings.is_some() {
+            if machines < IMAGE_RANKING_THRESHOLD / 2 {
+                self.image_rankings = None;
+            }
+        } else if self.prefers_image_holders && machines > IMAGE_RANKING_THRESHOLD {
+            let mut image_rankings = ImageRankings::default();
+            for machine in self.machines_with_free_cpus() {
+                if let Some(view) = self.view(machine) {
+                    let rank = MachineRank::of(machine, view);
+                    add_to_image_rankings(&mut image_rankings, rank, view);
+                }
+            }
+            self.image_rankings = Some(image_rankings);
         }
     }
 
-    /// Whether any machine is mute.
-    pub fn any_outbound_unreachable(&self) -> bool {
-        self.mute > 0
+    fn machines_with_free_cpus(&self) -> impl Iterator<Item = MachineIndex> {
+        let rankings = self.rankings.iter();
+        rankings.flat_map(|ranking| ranking.by_capacity().iter().map(|key| key.machine))
     }
 
-    pub fn is_outbound_unreachable(&self, place: SlabIndex) -> bool {
-        self.view(place).is_some_and(|m| m.outbound_unreachable)
+    /// A ranking that contains all machines of the group with free CPUs, and perhaps others.
+    pub(crate) fn ranking(&self, group: CandidateGroup, image: &str) -> Option<&MachineRanking> {
+        match &self.image_rankings {
+            Some(rankings) if group.holds_image => rankings.of(group.spot).get(image),
+            None if group.holds_image && !self.prefers_image_holders => None,
+            _ => Some(self.rankings.of(group.spot)),
+        }
     }
 
-    /// How many machines have room.
-    fn with_room(&self) -> usize {
-        self.ranks.iter().map(|r| r.by_room.len()).sum()
+    /// Whether a machine of the group's ranking is itself in the group.
+    pub(crate) fn is_in_group(
+        &self,
+        machine: MachineIndex,
+        group: CandidateGroup,
+        image: &str,
+    ) -> bool {
+        !self.prefers_image_holders || self.holds_image(machine, image) == group.holds_image
     }
 
-    /// Begins or ends to index images, as many or few machines have room.
-    fn index(&mut self) {
-        let n = self.with_room();
-        if self.indexed && n < INDEXED / 2 {
-            self.indexed = false;
-            self.holding = Default::default();
-        } else if self.images && !self.indexed && n > INDEXED {
-            self.indexed = true;
-            for r in &self.ranks {
-                for (_, _, place) in &r.by_room {
-                    if let Some(Some(m)) = self.views.get(*place as usize) {
-                        Self::hold(&mut self.holding, *place, m);
-                    }
-                }
-            }
-        }
+    fn holds_image(&self, machine: MachineIndex, image: &str) -> bool {
+        self.view(machine)
+            .is_some_and(|view| view.holds_image(image))
+    }
+
+    /// Whether any machine is [`MachineView::outbound_unreachable`].
+    pub fn any_outbound_unreachable(&self) -> bool {
+        self.outbound_unreachable > 0
     }
 
-    fn holds(&self, place: SlabIndex, image: &str) -> bool {
-        self.view(place).is_some_and(|m| m.holds_image(image))
+    /// Whether the machine is [`MachineView::outbound_unreachable`].
+    pub fn is_outbound_unreachable(&self, machine: MachineIndex) -> bool {
+        self.view(machine)
+            .is_some_and(|view| view.outbound_unreachable)
     }
 
-    /// Free ordinary CPUs in a zone.
+    /// Free CPUs of the on-demand machines in a zone, without those that are cordoned.
     pub fn free_on_demand_cpus(&self, zone: &str) -> f64 {
-        self.ordinary
-            .get(zone)
-            .copied()
-            .map_or(0.0, from_millionths)
+        let millionths = self.on_demand_cpus_by_zone.get(zone).copied();
+        millionths.map_or(0.0, from_millionths)
     }
 
-    /// Free CPUs of all ordinary or of all spot machines.
+    /// Free CPUs of all spot or of all on-demand machines, without those that are cordoned.
     pub fn free_cpus(&self, spot: bool) -> f64 {
-        from_millionths(self.free[usize::from(spot)])
+        from_millionths(*self.free_cpus.of(spot))
     }
 
-    /// Machines with room that hold an image.
-    pub fn machines_holding_image(&self, image: &str) -> Vec<SlabIndex> {
-        let with_room = self.ranks.iter().flat_map(|r| &r.by_room);
-        with_room
-            .map(|(_, _, place)| *place)
-            .filter(|place| self.holds(*place, image))
+    /// Machines with free CPUs that hold an image.
+    pub fn machines_holding_image(&self, image: &str) -> Vec<MachineIndex> {
+        self.machines_with_free_cpus()
+            .filter(|machine| self.holds_image(*machine, image))
             .collect()
     }
 
-    /// Whether `service_headroom` CPUs of ordinary room in the machine's zone are left
-    /// to services if the job takes its next task's there.
-    fn spares(&self, reserve: f64, job: &JobView, m: &MachineView) -> bool {
-        if reserve <= 0.0 || m.spot || !job.spec.spot || job.is_service() {
-            return true;
-        }
-        self.free_on_demand_cpus(&m.zone) - job.spec.cpus + ROUNDING_TOLERANCE >= reserve
+    /// Machines without free CPUs: they take tasks that need none.
+    pub fn machines_without_free_cpus(&self) -> Vec<MachineIndex> {
+        self.without_free_cpus.iter().copied().collect()
     }
 
-    fn open(&self, kept: PlacementPolicy, job: &JobView, m: &MachineView) -> bool {
-        match kept {
-            PlacementPolicy::Standard(reserve) => {
-                !job.has_failed_on(m) && self.spares(reserve, job, m)
-            }
-            PlacementPolicy::IgnoreHeadroom => !job.has_failed_on(m),
+    /// Whether the machine's zone keeps its service headroom if it takes one more task of the
+    /// job.
+    fn leaves_headroom(&self, headroom_cpus: f64, job: &JobView, view: &MachineView) -> bool {
+        if headroom_cpus <= 0.0 || !is_bound_by_headroom(job, view) {
+            return true;
+        }
+        self.free_on_demand_cpus(&view.zone) - job.spec.cpus + ROUNDING_TOLERANCE >= headroom_cpus
+    }
+
+    /// Whether the policy lets the job use the machine; `failed` tells that the machine is one
+    /// to avoid.
+    fn policy_allows(
+        &self,
+        policy: PlacementPolicy,
+        job: &JobView,
+        view: &MachineView,
+        failed: bool,
+    ) -> bool {
+        match policy {
+            PlacementPolicy::Standard {
+                service_headroom_cpus,
+            } => !failed && self.leaves_headroom(service_headroom_cpus, job, view),
+            PlacementPolicy::IgnoreHeadroom => !failed,
             PlacementPolicy::LastResort => true,
         }
     }
 
-    /// Whether what is left in the machine's zone, with a task of the job on it, is
-    /// less than what is kept for services.
-    pub fn is_short_of_headroom(&self, place: SlabIndex, reserve: f64, job: &JobView) -> bool {
-        let bound = !job.is_service() && reserve > 0.0;
-        let there = self.view(place).filter(|m| bound && !m.spot && !m.cordoned);
-        there.is_some_and(|m| self.free_on_demand_cpus(&m.zone) + ROUNDING_TOLERANCE < reserve)
-    }
-
-    /// Machines that take nothing but tasks without CPUs.
-    pub fn machines_without_free_cpus(&self) -> Vec<SlabIndex> {
-        self.full.iter().copied().collect()
+    /// Whether the zone of a machine, with a task of the job on it, has less than the headroom
+    /// that is reserved for services.
+    pub fn is_short_of_headroom(
+        &self,
+        machine: MachineIndex,
+        headroom_cpus: f64,
+        job: &JobView,
+    ) -> bool {
+        if job.is_service() || headroom_cpus <= 0.0 {
+            return false;
+        }
+        let view = self.view(machine);
+        view.filter(|view| !view.spot && !view.cordoned)
+            .is_some_and(|view| {
+                self.free_on_demand_cpus(&view.zone) + ROUNDING_TOLERANCE < headroom_cpus
+            })
     }
 
-    /// Whether any job like this one would find room.
-    pub fn any(&self, job: &JobView, kept: PlacementPolicy) -> bool {
+    /// Whether any machine has the capacity for a task of a job with an equal request.
+    pub fn any_machine_fits(&self, job: &JobView, policy: PlacementPolicy) -> bool {
         let need = job.resources();
-        let least = to_millionths(need.cpus);
-        let fits = |place: &SlabIndex| {
-            self.view(*place).is_some_and(|m| {
-                // Where it has failed itself is of no matter to others like it.
-                let open = match kept {
-                    PlacementPolicy::Standard(reserve) => {
-                        !m.cordoned && self.spares(reserve, job, m)
-                    }
-                    PlacementPolicy::IgnoreHeadroom => !m.cordoned,
-                    PlacementPolicy::LastResort => true,
-                };
-                m.free.fits(&need) && job.request_allows(m) && open
+        let min_cpus = to_millionths(need.cpus);
+        let fits = |machine: MachineIndex| {
+            self.view(machine).is_some_and(|view| {
+                // Where this job failed itself does not matter to others like it.
+                view.free.fits(&need)
+                    && job.request_allows(view)
+                    && self.policy_allows(policy, job, view, view.cordoned)
             })
         };
-        let kinds = if job.spec.spot {
-            &self.ranks[..]
-        } else {
-            &self.ranks[..1]
+        let any_in_ranking = |spot: bool| {
+            let machines = self.rankings.of(spot).by_capacity();
+            let mut enough_cpus = machines.range(CapacityKey::min_with_cpus(min_cpus)..);
+            enough_cpus.any(|key| fits(key.machine))
         };
-        let mut with_room = kinds
-            .iter()
-            .flat_map(|r| r.by_room.range((least, 0, 0)..).map(|(_, _, place)| place));
-        with_room.any(fits) || (least == 0 && self.full.iter().any(fits))
+        any_in_ranking(false)
+            || (job.spec.spot && any_in_ranking(true))
+            || (min_cpus == 0 && self.without_free_cpus.iter().copied().any(fits))
     }
 
-    /// Puts as many of the job's tasks as the machine takes, `most` at the most,
+    /// Assigns as many of the job's waiting tasks as the machine takes, at most `max_tasks`,
     /// and returns how many.
     pub fn assign_tasks(
         &mut self,
-        place: SlabIndex,
+        machine: MachineIndex,
         job: &mut JobView,
-        teams: &mut [crate::TeamAllowance],
-        kept: PlacementPolicy,
-        most: u32,
+        teams: &mut [TeamAllowance],
+        policy: PlacementPolicy,
+        max_tasks: u32,
     ) -> u32 {
-        let need = job.resources();
-        let mut made = 0;
-        let Some(mut m) = self.view(place).cloned() else {
+        let Some(mut view) = self.view(machine).cloned() else {
             return 0;
         };
-        while made < most
-            && m.free.fits(&need)
-            && job.rules_allow(&m)
-            && self.open(kept, job, &m)
+        let need = job.resources();
+        let task_cpus = to_millionths(need.cpus);
+        let mut assigned = 0;
+        while assigned < max_tasks
+            && view.free.fits(&need)
+            && job.rules_allow(&view)
+            && self.policy_allows(policy, job, &view, job.has_failed_on(&view))
             && job.team_allows(teams)
-            && job.assign_next_task(&mut m, teams)
+            && job.assign_next_task(&mut view, teams)
         {
-            made += 1;
-            // What the zone has left for services goes down with each.
-            if !m.spot
-                && !m.cordoned
-                && let Some(free) = self.ordinary.get_mut(&m.zone)
-            {
-                *free -= to_millionths(need.cpus);
-            }
+            assigned += 1;
+            // The headroom left in the zone shrinks with every task.
+            self.adjust_zone_cpus(&view, -task_cpus);
         }
-        if made > 0 {
-            if !m.spot
-                && !m.cordoned
-                && let Some(free) = self.ordinary.get_mut(&m.zone)
-            {
-                // The change of the view counts it once more.
-                *free += to_millionths(need.cpus) * i64::from(made);
-            }
-            self.set(place, Some(m));
+        if assigned > 0 {
+            // Replacing the view subtracts the tasks' CPUs from the zone once more.
+            self.adjust_zone_cpus(&view, task_cpus * i64::from(assigned));
+            self.set(machine, Some(view));
         }
-        made
+        assigned
     }
-}
-
-/// What is kept from a job.
-#[derive(Debug, Clone, Copy)]
-pub enum PlacementPolicy {
-    /// So many CPUs of ordinary room in each zone, and machines on which it or others
-    /// failed.
-    Standard(f64),
-    /// Only such machines.
-    IgnoreHeadroom,
-    LastResort,
-}
 
-impl PlacementPolicy {
-    /// What is kept from the jobs of a shape, beside the reserve.
-    pub fn from(shape: &ResourceRequest, reserve: f64) -> PlacementPolicy {
-        if shape.starving() {
-            PlacementPolicy::LastResort
-        } else {
-            PlacementPolicy::Standard(reserve)
+    /// Changes the free on-demand CPUs of the machine's zone if the machine counts there.
+    fn adjust_zone_cpus(&mut self, view: &MachineView, change_millionths: i64) {
+        if !view.spot
+            && !view.cordoned
+            && let Some(in_zone) = self.on_demand_cpus_by_zone.get_mut(&view.zone)
+        {
+            *in_zone += change_millionths;
         }
     }
 }
 
-/// How far a tour has come in one set of machines.
-#[derive(Debug, Clone, Copy)]
-enum At {
-    Start,
-    Room(i64, i64, SlabIndex),
-    Warm(u32, i64, i64, SlabIndex),
-}
-
-/// Goes over the machines with room for a job, best first. A machine that has
-/// taken a task ranks no better for it than those still to come, so the floor
-/// may change on the way.
-#[derive(Debug)]
-pub struct CandidateIter {
-    stage: usize,
-    at: At,
-    least: i64,
-}
-
-/// The stages of a tour: kinds of machines, and whether they hold the image.
-fn stages(job: &JobView) -> &'static [(bool, bool)] {
-    if job.spec.spot {
-        &[(true, true), (true, false), (false, true), (false, false)]
+/// Free CPUs of the machine, in millionths, that count towards the sums.
+fn counted_cpus_millionths(rank: MachineRank, view: &MachineView) -> i64 {
+    if view.cordoned {
+        0
     } else {
-        &[(false, true), (false, false)]
+        rank.cpus_millionths()
     }
 }
 
-impl CandidateIter {
-    pub fn new(job: &JobView) -> CandidateIter {
-        CandidateIter {
-            stage: 0,
-            at: At::Start,
-            least: to_millionths(job.spec.cpus).max(1),
-        }
-    }
-
-    /// The next machine with the CPUs that a task needs.
-    pub fn next(&mut self, floor: &CapacityIndex, job: &JobView) -> Option<SlabIndex> {
-        while let Some((spot, holds)) = stages(job).get(self.stage).copied() {
-            let kind = usize::from(spot);
-            let ranks = match (holds, floor.indexed) {
-                (true, true) => floor.holding[kind].get(job.image),
-                (true, false) if !floor.images => None,
-                _ => Some(&floor.ranks[kind]),
-            };
-            if let Some(ranks) = ranks
-                && let Some(place) = self.step(ranks, spot, holds, job)
-            {
-                // Those that hold the image have their turn before the others.
-                if floor.images && floor.holds(place, job.image) != holds {
-                    continue;
-                }
-                return Some(place);
-            }
-            self.stage += 1;
-            self.at = At::Start;
-        }
-        None
-    }
-
-    fn step(&mut self, ranks: &Ranks, spot: bool, holds: bool, job: &JobView) -> Option<SlabIndex> {
-        if job.is_service() && !holds {
-            return self.emptiest(&ranks.by_room);
-        }
-        if spot || job.is_service() {
-            return self.fullest(&ranks.by_room);
-        }
-        self.coldest(&ranks.by_warm)
-    }
-
-    fn fullest(&mut self, set: &ByRoom) -> Option<SlabIndex> {
-        let from = match self.at {
-            At::Room(c, m, p) => Bound::Excluded((c, m, p)),
-            _ => Bound::Included((self.least, 0, 0)),
-        };
-        let (c, m, p) = set.range((from, Bound::Unbounded)).next().copied()?;
-        self.at = At::Room(c, m, p);
-        Some(p)
-    }
-
-    fn emptiest(&mut self, set: &ByRoom) -> Option<SlabIndex> {
-        let to = match self.at {
-            At::Room(c, m, p) => Bound::Excluded((c, m, p)),
-            _ => Bound::Unbounded,
-        };
-        let least = Bound::Included((self.least, 0, 0));
-        if matches!(to, Bound::Excluded(k) if k <= (self.least, 0, 0)) {
-            return None;
-        }
-        let (c, m, p) = set.range((least, to)).next_back().copied()?;
-        self.at = At::Room(c, m, p);
-        Some(p)
+fn add_to_image_rankings(
+    image_rankings: &mut ImageRankings,
+    rank: MachineRank,
+    view: &MachineView,
+) {
+    let by_image = image_rankings.of_mut(view.spot);
+    for (image, _) in view.images.iter() {
+        let ranking = by_image.entry(image.clone()).or_default();
+        ranking.insert(rank);
     }
+}
 
-    fn coldest(&mut self, set: &ByWarm) -> Option<SlabIndex> {
-        let mut from = match self.at {
-            At::Warm(w, c, m, p) => Bound::Excluded((w, c, m, p)),
-            _ => Bound::Included((0, self.least, 0, 0)),
-        };
-        loop {
-            let (w, c, m, p) = set.range((from, Bound::Unbounded)).next().copied()?;
-            if c >= self.least {
-                self.at = At::Warm(w, c, m, p);
-                return Some(p);
+fn remove_from_image_rankings(
+    image_rankings: &mut ImageRankings,
+    rank: MachineRank,
+    view: &MachineView,
+) {
+    let by_image = image_rankings.of_mut(view.spot);
+    for (image, _) in view.images.iter() {
+        if let Some(ranking) = by_image.get_mut(image) {
+            ranking.remove(rank);
+            if ranking.is_empty() {
+                by_image.remove(image);
             }
-            // The first of the next group has too little: on to those that
-            // have enough.
-            from = Bound::Included((w, self.least, 0, 0));
         }
     }
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -9,9 +9,12 @@
 //! [`capacity_index::CapacityIndex`]. Both are kept up to date by what changes, so that a pass
 //! costs what it places, however many machines and waiting tasks there are.
 
+mod candidates;
 pub mod capacity_index;
 pub mod cycle;
 pub mod job_queue;
+mod machine_ranking;
+pub mod placement_policy;
 pub mod preemption;
 pub mod resources;
 pub mod scale_out_plan;
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,7 +1,8 @@
 //! What to rent for work that finds no room.
 
-use crate::capacity_index::{CapacityIndex, PlacementPolicy};
+use crate::capacity_index::CapacityIndex;
 use crate::cycle::place_tasks;
+use crate::placement_policy::PlacementPolicy;
 use crate::resources::{OrderedFloat, Resources};
 use crate::views::{Images, JobView, MachineView, ResourceRequest, TeamAllowance};
 use dillcleat_wire::cloud::{MAX_SCALE_OUT, MachineType};
@@ -313,14 +314,16 @@
             continue;
         };
         if kind.closed != Some(added) && job.team_allows(teams) {
-            let mut on = Vec::new();
-            place_tasks(job, floor, teams, reserve, u32::MAX, |machine, _, of| {
-                on.extend(of.then_some(machine));
-            });
-            for m in on.into_iter().filter_map(|machine| floor.view(machine)) {
+            let placements = place_tasks(job, floor, teams, reserve, u32::MAX);
+            let on = placements
+                .iter()
+                .filter(|placement| placement.uses_service_headroom);
+            for m in on.filter_map(|placement| floor.view(placement.machine)) {
                 *lent.entry(m.zone.clone()).or_default() += need.cpus;
             }
-            if job.waiting_tasks > 0 && !floor.any(job, PlacementPolicy::from(shape, reserve)) {
+            if job.waiting_tasks > 0
+                && !floor.any_machine_fits(job, PlacementPolicy::for_request(shape, reserve))
+            {
                 kind.closed = Some(added);
             }
         }
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Job, floor, line, machine, team};
-use dillcleat_sched::capacity_index::PlacementPolicy;
+use dillcleat_sched::placement_policy::PlacementPolicy;
 use dillcleat_sched::preemption::{PreemptionCandidate, choose_preemptions};
 use dillcleat_sched::{
     CapacityIndex, CycleLimits, JobView, MachineView, Resources, SlabIndex, TeamAllowance,
@@ -189,7 +189,9 @@
     for (i, view) in machines.iter().enumerate() {
         if view.free.fits(&need)
             && match kept {
-                PlacementPolicy::Standard(reserve) => job.allows(view) && spared(view, reserve),
+                PlacementPolicy::Standard {
+                    service_headroom_cpus,
+                } => job.allows(view) && spared(view, service_headroom_cpus),
                 PlacementPolicy::IgnoreHeadroom => job.allows(view),
                 PlacementPolicy::LastResort => true,
             }
@@ -233,7 +235,9 @@
             return None;
         }
         let ways = [
-            PlacementPolicy::Standard(reserve),
+            PlacementPolicy::Standard {
+                service_headroom_cpus: reserve,
+            },
             PlacementPolicy::IgnoreHeadroom,
             PlacementPolicy::LastResort,
         ];
