--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -537,7 +537,7 @@
             tiny: Reverse(first && job.tiny(ctx.config)),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
-            submitted: job.ready_at,
+            submitted_us: job.ready_at,
             id: id.clone(),
         };
         Some(QueueEntry {
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -1,66 +1,114 @@
-//! Waiting jobs in the order in which they compete for freed room.
+//! The waiting jobs in the order in which they compete for capacity.
 //!
-//! Jobs stand in lanes, one for each team and shape, and a walk merges the
-//! heads of the lanes. A lane whose team is at its limit, or for whose shape
-//! there is no room, is left as a whole: its jobs are not looked at.
+//! Jobs are kept in sub-queues, one for each team, [`ResourceRequest`] and [`AgeingState`], and
+//! a [`QueueCursor`] merges the heads of the sub-queues. When a team is at its quota, or there
+//! is no capacity for a request, the cursor leaves the whole sub-queue: its other jobs are not
+//! looked at.
 //!
-//! Ageing takes the same off the virtual size of every active job, so it does
-//! not change their order: a job enters with the reading of a common clock at
-//! which it will have aged to zero, and the clock alone moves. Only jobs at
-//! zero, which go by what is left of them, stand apart; the owner of the line
-//! moves a job there when its time has come ([`JobQueue::aged`]).
+//! # Ageing
+//!
+//! Ageing subtracts the same amount from the virtual size of every ageing job, so it does not
+//! change their order. Therefore no size is stored that would have to be updated: a job is
+//! entered with the virtual time at which its size will be zero (its size plus the virtual time
+//! at the moment), and only the virtual time, common to all jobs, advances. Virtual time and
+//! sizes are in CPU seconds.
+//!
+//! A job whose size is zero is ordered by its remaining work instead and belongs to another
+//! sub-queue. The owner of the queue has to move it when its time has come
+//! ([`JobQueue::next_aged_to_zero`]).
 
 use crate::resources::OrderedFloat;
-use crate::views::{ResourceRequest, SlabIndex};
+use crate::views::{JobIndex, ResourceRequest};
 use dillcleat_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
 use std::rc::Rc;
 
-/// How a job's virtual size moves.
+/// How a job's virtual size follows from [`QueueRank::size`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AgeingState {
-    /// It has aged to zero.
+    /// The virtual size has aged to zero.
     Aged,
-    /// It is `size` less the reading of the clock.
+    /// The virtual size is `size` less the virtual time.
     Ageing,
-    /// It stays `size`: of services, and of jobs that do not age at present.
+    /// The virtual size is `size`: for services, and for jobs that do not age at present.
     Fixed,
 }
 
-/// Where a job stands in its lane, first to last.
+/// The order of the jobs of a sub-queue: field by field, the least first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueRank {
+    /// Services come first.
     pub service: Reverse<bool>,
+    /// Higher priorities come first.
     pub priority: Reverse<Priority>,
+    /// Tiny jobs come before others.
     pub tiny: Reverse<bool>,
-    /// The virtual size, or what it is with the clock added ([`AgeingState`]).
+    /// The virtual size in CPU seconds, or for an ageing job the virtual time at which it is
+    /// zero ([`AgeingState`]).
     pub size: OrderedFloat,
-    /// What is left to run: orders jobs that have aged to zero, and 0 for others.
+    /// The remaining work in CPU seconds: orders jobs that have aged to zero; 0 for all others.
     pub remaining: OrderedFloat,
-    /// Time of day of the submission: older first among equals.
-    pub submitted: u64,
+    /// Time of day of the submission in microseconds: older jobs come first among equals.
+    pub submitted_us: u64,
+    /// The job's id, which makes the order unambiguous.
     pub id: Rc<str>,
 }
 
 /// A waiting job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueueEntry {
+    /// Position of its team in the list of allowances.
     pub team: usize,
+    /// What decides where its tasks may run.
     pub request: Rc<ResourceRequest>,
+    /// How its virtual size moves.
     pub ageing: AgeingState,
+    /// Its rank among all jobs.
     pub rank: QueueRank,
-    /// Its place among jobs that train, by initial size.
+    /// Its rank, by initial size, among jobs that have training tasks to place.
     pub training: Option<QueueRank>,
 }
 
 impl QueueEntry {
     /// Services and tiny jobs go before training tasks.
-    fn goes_first(&self) -> bool {
-        self.rank.service.0 || self.rank.tiny.0
+    fn section(&self) -> QueueSection {
+        if self.rank.service.0 || self.rank.tiny.0 {
+            QueueSection::Urgent
+        } else {
+            QueueSection::Regular
+        }
+    }
+
+    fn sub_queue(&self) -> SubQueueKey {
+        SubQueueKey {
+            team: self.team,
+            request: self.request.clone(),
+            ageing: self.ageing,
+        }
+    }
+
+    /// Initial sizes do not age.
+    fn training_sub_queue(&self) -> SubQueueKey {
+        SubQueueKey {
+            ageing: AgeingState::Fixed,
+            ..self.sub_queue()
+        }
     }
 }
 
+/// Which jobs a [`QueueCursor`] goes over.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum QueueSection {
+    /// Services and tiny jobs.
+    Urgent,
+    /// Jobs with training tasks to place, by initial size.
+    Training,
+    /// All jobs that are not urgent.
+    Regular,
+}
+
+/// What the jobs of a sub-queue have in common.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SubQueueKey {
     team: usize,
@@ -68,223 +116,262 @@
     ageing: AgeingState,
 }
 
+/// The position of a job in its sub-queue.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    rank: QueueRank,
+    job: JobIndex,
+}
+
+/// The sub-queues of one section.
 #[derive(Debug, Default)]
-struct SubQueues(BTreeMap<SubQueueKey, BTreeSet<(QueueRank, SlabIndex)>>);
+struct SubQueues(BTreeMap<SubQueueKey, BTreeSet<QueuePosition>>);
 
 impl SubQueues {
-    fn insert(&mut self, lane: SubQueueKey, rank: QueueRank, place: SlabIndex) {
-        self.0.entry(lane).or_default().insert((rank, place));
+    fn insert(&mut self, key: SubQueueKey, position: QueuePosition) {
+        self.0.entry(key).or_default().insert(position);
     }
 
-    fn remove(&mut self, lane: &SubQueueKey, rank: QueueRank, place: SlabIndex) {
-        if let Some(jobs) = self.0.get_mut(lane) {
-            jobs.remove(&(rank, place));
+    fn remove(&mut self, key: &SubQueueKey, position: &QueuePosition) {
+        if let Some(jobs) = self.0.get_mut(key) {
+            jobs.remove(position);
             if jobs.is_empty() {
-                self.0.remove(lane);
+                self.0.remove(key);
             }
         }
     }
 }
 
-/// Which jobs a walk goes over.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QueueSection {
-    /// Services and tiny jobs.
-    Urgent,
-    /// Jobs with training tasks to place, by initial size.
-    Training,
-    /// All that do not go first.
-    Regular,
+/// When the virtual size of an ageing job is zero.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AgeingEnd {
+    virtual_time: OrderedFloat,
+    job: JobIndex,
 }
 
+impl AgeingEnd {
+    fn of(job: JobIndex, entry: &QueueEntry) -> Option<AgeingEnd> {
+        (entry.ageing == AgeingState::Ageing).then_some(AgeingEnd {
+            virtual_time: entry.rank.size,
+            job,
+        })
+    }
+}
+
+/// The waiting jobs (see the [module](self)).
 #[derive(Debug, Default)]
 pub struct JobQueue {
-    standings: Vec<Option<QueueEntry>>,
-    first: SubQueues,
+    /// Indexed by [`JobIndex`].
+    entries: Vec<Option<QueueEntry>>,
+    urgent: SubQueues,
     training: SubQueues,
-    rest: SubQueues,
-    /// Ageing jobs by the reading of the clock at which they are at zero.
-    zeros: BTreeSet<(OrderedFloat, SlabIndex)>,
+    regular: SubQueues,
+    ageing_ends: BTreeSet<AgeingEnd>,
 }
 
 impl JobQueue {
-    /// Puts a job where it stands now; None takes it out of the line.
-    pub fn set(&mut self, place: SlabIndex, standing: Option<QueueEntry>) {
-        let i = place as usize;
-        if i >= self.standings.len() {
-            self.standings.resize(i + 1, None);
+    /// Replaces the entry of a job; None removes the job.
+    pub fn set(&mut self, job: JobIndex, entry: Option<QueueEntry>) {
+        let position = job as usize;
+        if position >= self.entries.len() {
+            self.entries.resize(position + 1, None);
         }
-        if self.standings[i] == standing {
+        if self.entries[position] == entry {
             return;
         }
-        if let Some(old) = self.standings[i].take() {
-            self.leave(place, old);
+        if let Some(old) = self.entries[position].take() {
+            self.remove(job, old);
         }
-        if let Some(new) = standing {
-            self.enter(place, &new);
-            self.standings[i] = Some(new);
+        if let Some(new) = entry {
+            self.insert(job, &new);
+            self.entries[position] = Some(new);
         }
     }
 
-    fn lane(s: &QueueEntry, pace: AgeingState) -> SubQueueKey {
-        SubQueueKey {
-            team: s.team,
-            request: s.request.clone(),
-            ageing: pace,
+    fn insert(&mut self, job: JobIndex, entry: &QueueEntry) {
+        self.ageing_ends.extend(AgeingEnd::of(job, entry));
+        let rank = entry.rank.clone();
+        self.section_mut(entry.section())
+            .insert(entry.sub_queue(), QueuePosition { rank, job });
+        if let Some(rank) = entry.training.clone() {
+            self.training
+                .insert(entry.training_sub_queue(), QueuePosition { rank, job });
         }
     }
 
-    fn leave(&mut self, place: SlabIndex, s: QueueEntry) {
-        if s.ageing == AgeingState::Ageing {
-            self.zeros.remove(&(s.rank.size, place));
+    fn remove(&mut self, job: JobIndex, entry: QueueEntry) {
+        if let Some(end) = AgeingEnd::of(job, &entry) {
+            self.ageing_ends.remove(&end);
         }
-        let lane = Self::lane(&s, s.ageing);
-        let training = Self::lane(&s, AgeingState::Fixed);
-        let lanes = if s.goes_first() {
-            &mut self.first
-        } else {
-            &mut self.rest
-        };
-        lanes.remove(&lane, s.rank, place);
-        if let Some(rank) = s.training {
-            self.training.remove(&training, rank, place);
+        let section = entry.section();
+        let sub_queue = entry.sub_queue();
+        let training_sub_queue = entry.training_sub_queue();
+        let rank = entry.rank;
+        self.section_mut(section)
+            .remove(&sub_queue, &QueuePosition { rank, job });
+        if let Some(rank) = entry.training {
+            self.training
+                .remove(&training_sub_queue, &QueuePosition { rank, job });
         }
     }
 
-    fn enter(&mut self, place: SlabIndex, s: &QueueEntry) {
-        if s.ageing == AgeingState::Ageing {
-            self.zeros.insert((s.rank.size, place));
+    fn section(&self, section: QueueSection) -> &SubQueues {
+        match section {
+            QueueSection::Urgent => &self.urgent,
+            QueueSection::Training => &self.training,
+            QueueSection::Regular => &self.regular,
         }
-        let lanes = if s.goes_first() {
-            &mut self.first
-        } else {
-            &mut self.rest
-        };
-        lanes.insert(Self::lane(s, s.ageing), s.rank.clone(), place);
-        if let Some(rank) = &s.training {
-            let lane = Self::lane(s, AgeingState::Fixed);
-            self.training.insert(lane, rank.clone(), place);
+    }
+
+    fn section_mut(&mut self, section: QueueSection) -> &mut SubQueues {
+        match section {
+            QueueSection::Urgent => &mut self.urgent,
+            QueueSection::Training => &mut self.training,
+            QueueSection::Regular => &mut self.regular,
         }
     }
 
-    /// A job that has aged to zero by now and stands among those that have not.
-    pub fn next_aged_to_zero(&self, clock: f64) -> Option<SlabIndex> {
-        let (at, place) = self.zeros.first()?;
-        (at.0 <= clock).then_some(*place)
+    /// A job whose entry says [`AgeingState::Ageing`] and whose virtual size is zero by now, if
+    /// there is one. The caller has to [`set`](JobQueue::set) its entry anew.
+    pub fn next_aged_to_zero(&self, virtual_time: f64) -> Option<JobIndex> {
+        let end = self.ageing_ends.first()?;
+        (end.virtual_time.0 <= virtual_time).then_some(end.job)
     }
 
+    /// Whether no job waits.
     pub fn is_empty(&self) -> bool {
-        self.first.0.is_empty() && self.rest.0.is_empty()
+        self.urgent.0.is_empty() && self.regular.0.is_empty()
     }
 
-    /// Goes over a part of the line, in order.
-    pub fn cursor(&self, part: QueueSection, clock: f64) -> QueueCursor<'_> {
-        let lanes = match part {
-            QueueSection::Urgent => &self.first,
-            QueueSection::Training => &self.training,
-            QueueSection::Regular => &self.rest,
-        };
-        let mut walk = QueueCursor {
-            lanes: lanes.0.iter().map(|(l, jobs)| (l, jobs.iter())).collect(),
+    /// Goes over a section of the queue, in order.
+    pub fn cursor(&self, section: QueueSection, virtual_time: f64) -> QueueCursor<'_> {
+        let sub_queues = self.section(section).0.iter();
+        let mut cursor = QueueCursor {
+            sub_queues: sub_queues
+                .map(|(key, jobs)| SubQueueIter {
+                    key,
+                    jobs: jobs.iter(),
+                })
+                .collect(),
             heads: BinaryHeap::new(),
-            clock,
+            virtual_time,
         };
-        for lane in 0..walk.lanes.len() {
-            walk.advance(lane);
+        for sub_queue in 0..cursor.sub_queues.len() {
+            cursor.advance(sub_queue);
         }
-        walk
+        cursor
     }
 
-    /// Every job of the line in the order in which it competes, training aside.
-    pub fn iter_in_order(&self, clock: f64) -> impl Iterator<Item = SlabIndex> + '_ {
-        let mut first = self.cursor(QueueSection::Urgent, clock);
-        let mut rest = self.cursor(QueueSection::Regular, clock);
-        // Priority comes before being tiny, so the two are merged.
+    /// All jobs in the order in which they compete, training tasks aside.
+    pub fn iter_in_order(&self, virtual_time: f64) -> impl Iterator<Item = JobIndex> + '_ {
+        let mut urgent = self.cursor(QueueSection::Urgent, virtual_time);
+        let mut regular = self.cursor(QueueSection::Regular, virtual_time);
+        // The priority counts before whether a job is tiny, so the sections are merged.
         std::iter::from_fn(move || {
-            let first_is_next = match (first.heads.peek(), rest.heads.peek()) {
-                (Some(a), Some(b)) => a.0.key <= b.0.key,
-                (a, _) => a.is_some(),
+            let urgent_is_next = match (urgent.heads.peek(), regular.heads.peek()) {
+                (Some(urgent), Some(regular)) => urgent.0.rank <= regular.0.rank,
+                (urgent, _) => urgent.is_some(),
+            };
+            let cursor = if urgent_is_next {
+                &mut urgent
+            } else {
+                &mut regular
             };
-            let walk = if first_is_next { &mut first } else { &mut rest };
-            let turn = walk.next_job()?;
-            walk.advance(turn.sub_queue);
-            Some(turn.index)
+            let queued = cursor.next_job()?;
+            cursor.advance(queued.sub_queue);
+            Some(queued.index)
         })
     }
 }
 
-/// What a rank comes to at a reading of the clock, comparable between lanes.
+/// A [`QueueRank`] at a given virtual time, comparable between sub-queues.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key<'l> {
+struct EffectiveRank<'q> {
     service: Reverse<bool>,
     priority: Reverse<Priority>,
     tiny: Reverse<bool>,
-    size: OrderedFloat,
+    virtual_size: OrderedFloat,
     remaining: OrderedFloat,
-    submitted: u64,
-    id: &'l str,
+    submitted_us: u64,
+    id: &'q str,
 }
 
+impl<'q> EffectiveRank<'q> {
+    fn at(virtual_time: f64, ageing: AgeingState, rank: &'q QueueRank) -> EffectiveRank<'q> {
+        let virtual_size = match ageing {
+            AgeingState::Aged => 0.0,
+            AgeingState::Ageing => (rank.size.0 - virtual_time).max(0.0),
+            AgeingState::Fixed => rank.size.0,
+        };
+        EffectiveRank {
+            service: rank.service,
+            priority: rank.priority,
+            tiny: rank.tiny,
+            virtual_size: OrderedFloat(virtual_size),
+            remaining: rank.remaining,
+            submitted_us: rank.submitted_us,
+            id: &rank.id,
+        }
+    }
+}
+
+/// The first job of a sub-queue that has not been returned yet.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Head<'l> {
-    key: Key<'l>,
-    index: SlabIndex,
-    lane: usize,
+struct SubQueueHead<'q> {
+    rank: EffectiveRank<'q>,
+    job: JobIndex,
+    sub_queue: usize,
 }
 
-/// Whose turn it is.
+/// The jobs of a sub-queue behind its head.
+#[derive(Debug)]
+struct SubQueueIter<'q> {
+    key: &'q SubQueueKey,
+    jobs: btree_set::Iter<'q, QueuePosition>,
+}
+
+/// A job whose turn it is.
 #[derive(Debug, Clone, Copy)]
-pub struct QueuedJob<'l> {
-    pub index: SlabIndex,
+pub struct QueuedJob<'q> {
+    /// Which job.
+    pub index: JobIndex,
+    /// Its sub-queue, for [`QueueCursor::advance`].
     pub sub_queue: usize,
-    pub request: &'l Rc<ResourceRequest>,
+    /// The request of all jobs of the sub-queue.
+    pub request: &'q Rc<ResourceRequest>,
 }
 
-/// A lane goes on only when told to: a lane that is left stays left.
+/// Goes over the jobs of a section in order: a merge of its sub-queues.
+///
+/// A sub-queue contributes its next job only after [`QueueCursor::advance`]: one that the
+/// caller does not advance is left for good.
 #[derive(Debug)]
-pub struct QueueCursor<'l> {
-    lanes: Vec<(&'l SubQueueKey, btree_set::Iter<'l, (QueueRank, SlabIndex)>)>,
-    heads: BinaryHeap<Reverse<Head<'l>>>,
-    clock: f64,
+pub struct QueueCursor<'q> {
+    sub_queues: Vec<SubQueueIter<'q>>,
+    heads: BinaryHeap<Reverse<SubQueueHead<'q>>>,
+    virtual_time: f64,
 }
 
-impl<'l> QueueCursor<'l> {
-    /// The first of the heads of all lanes. Its lane then waits for
-    /// [`QueueCursor::advance`].
-    pub fn next_job(&mut self) -> Option<QueuedJob<'l>> {
+impl<'q> QueueCursor<'q> {
+    /// The first of the heads of all sub-queues.
+    pub fn next_job(&mut self) -> Option<QueuedJob<'q>> {
         let Reverse(head) = self.heads.pop()?;
-        let lane = self.lanes[head.lane].0;
         Some(QueuedJob {
-            index: head.index,
-            sub_queue: head.lane,
-            request: &lane.request,
+            index: head.job,
+            sub_queue: head.sub_queue,
+            request: &self.sub_queues[head.sub_queue].key.request,
         })
     }
 
-    /// Lets the next job of a lane come forward.
-    pub fn advance(&mut self, lane: usize) {
-        let (kind, jobs) = &mut self.lanes[lane];
-        let Some((rank, place)) = jobs.next() else {
-            return;
-        };
-        let size = match kind.ageing {
-            AgeingState::Aged => 0.0,
-            AgeingState::Ageing => (rank.size.0 - self.clock).max(0.0),
-            AgeingState::Fixed => rank.size.0,
-        };
-        let key = Key {
-            service: rank.service,
-            priority: rank.priority,
-            tiny: rank.tiny,
-            size: OrderedFloat(size),
-            remaining: rank.remaining,
-            submitted: rank.submitted,
-            id: &rank.id,
-        };
-        self.heads.push(Reverse(Head {
-            key,
-            index: *place,
-            lane,
-        }));
+    /// Makes the next job of a sub-queue its head.
+    pub fn advance(&mut self, sub_queue: usize) {
+        let SubQueueIter { key, jobs } = &mut self.sub_queues[sub_queue];
+        if let Some(position) = jobs.next() {
+            self.heads.push(Reverse(SubQueueHead {
+                rank: EffectiveRank::at(self.virtual_time, key.ageing, &position.rank),
+                job: position.job,
+                sub_queue,
+            }));
+        }
     }
 }
