--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -537,7 +537,7 @@
             tiny: Reverse(first && job.tiny(ctx.config)),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
-            submitted_us: job.ready_at,
+            ready_at_us: job.ready_at,
             id: id.clone(),
         };
         Some(QueueEntry {
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -49,8 +49,9 @@
     pub size: OrderedFloat,
     /// The remaining work in CPU seconds: orders jobs that have aged to zero; 0 for all others.
     pub remaining: OrderedFloat,
-    /// Time of day of the submission in microseconds: older jobs come first among equals.
-    pub submitted_us: u64,
+    /// Time of day in microseconds at which the job was submitted or, if later, its dependencies
+    /// were met: older jobs come first among equals.
+    pub ready_at_us: u64,
     /// The job's id, which makes the order unambiguous.
     pub id: Rc<str>,
 }
@@ -292,7 +293,7 @@
     tiny: Reverse<bool>,
     virtual_size: OrderedFloat,
     remaining: OrderedFloat,
-    submitted_us: u64,
+    ready_at_us: u64,
     id: &'q str,
 }
 
@@ -309,7 +310,7 @@
             tiny: rank.tiny,
             virtual_size: OrderedFloat(virtual_size),
             remaining: rank.remaining,
-            submitted_us: rank.submitted_us,
+            ready_at_us: rank.ready_at_us,
             id: &rank.id,
         }
     }
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -68,7 +68,7 @@
             tiny: Reverse(first && self.tiny),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
-            submitted_us: self.submitted,
+            ready_at_us: self.submitted,
             id: Rc::from(self.spec.id.as_str()),
         };
         let (pace, size, remaining) = if fixed {
