--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,13 +1,36 @@
-//! Who gets room (HFSP), who makes room, and what is rented for those who find
-//! none. No clock, no I/O, no knowledge of workers or of the store.
+//! Scheduling decisions: which waiting task runs on which machine, which running tasks are
+//! preempted, and which machines are rented. No clock, no I/O, and no knowledge of agents or of
+//! the store: all of it is computed from what the caller passes in.
 //!
-//! Services come first. Then tiny jobs, then training tasks of the job of
-//! smallest initial size while training slots are left, then the job of
-//! smallest aged virtual size. Jobs whose team is at its limit are skipped.
+//! The order of jobs is that of HFSP, a size-based fair scheduling discipline; [`cycle`]
+//! explains it.
 //!
-//! Waiting jobs stand in a [`job_queue::JobQueue`], machines with room on a
-//! [`capacity_index::CapacityIndex`]. Both are kept up to date by what changes, so that a pass
-//! costs what it places, however many machines and waiting tasks there are.
+//! - [`job_queue`] keeps the waiting jobs in order, and [`capacity_index`] the machines with
+//!   free capacity. Both are updated with every change, so that a scheduling cycle costs what
+//!   it places, however many machines and waiting tasks there are.
+//! - [`cycle`] assigns waiting tasks to free capacity.
+//! - [`preemption`] chooses running tasks to stop for replicas that must start soon.
+//! - [`scale_out_plan`] decides which machines to rent for the tasks that find no capacity.
+//! - [`views`], [`resources`] and [`placement_policy`] hold the types that these share.
+//!
+//! Amounts are in CPUs, GPUs and GB of memory; sums that live for long are in whole millionths
+//! of these ([`to_millionths`]). Job sizes and virtual time are in CPU seconds.
+
+#![warn(
+    missing_docs,
+    clippy::pedantic,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::wildcard_imports,
+    clippy::too_many_lines
+)]
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_precision_loss,
+    clippy::cast_sign_loss,
+    clippy::must_use_candidate,
+    reason = "casts from floats saturate on purpose; no result here is dropped by mistake"
+)]
 
 mod candidates;
 pub mod capacity_index;
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -98,6 +98,7 @@
     }
 
     /// The same request for a job that is starving or not (see [`JobView::starving`]).
+    #[must_use]
     pub fn with_starving(&self, starving: bool) -> ResourceRequest {
         ResourceRequest {
             starving,
