--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -1,18 +1,18 @@
-//! Jobs and machines for small scenes.
+//! Jobs, machines and teams for small test cases.
 
-// Each test file uses a part of this.
+// Each test file uses some of this.
 #![allow(dead_code)]
 
 use dillcleat_sched::{
-    AgeingState, CapacityIndex, Images, JobQueue, JobView, MachineView, OrderedFloat, QueueEntry,
-    QueueRank, ResourceRequest, Resources, SlabIndex, TeamAllowance,
+    AgeingState, CapacityIndex, Images, JobIndex, JobQueue, JobView, MachineIndex, MachineView,
+    OrderedFloat, QueueEntry, QueueRank, ResourceRequest, Resources, TeamAllowance,
 };
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A waiting job and all that its place in the order depends on.
+/// A waiting job and all that its position in the queue depends on.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: JobSpec,
@@ -24,7 +24,7 @@
     pub virtual_size: f64,
     pub remaining: f64,
     pub submitted: u64,
-    pub late: u32,
+    pub at_risk_tasks: u32,
     pub starving: bool,
 }
 
@@ -40,7 +40,7 @@
             virtual_size: size,
             remaining: 0.0,
             submitted: 0,
-            late: 0,
+            at_risk_tasks: 0,
             starving: false,
         }
     }
@@ -55,54 +55,54 @@
             waiting_tasks: self.spec.tasks,
             tasks_by_zone: BTreeMap::new(),
             training_tasks: self.training,
-            at_risk_tasks: self.late,
+            at_risk_tasks: self.at_risk_tasks,
             starving: self.starving,
         }
     }
 
-    /// Its standing at a reading of the clock, if it ages or (`fixed`) does not.
-    pub fn standing(&self, clock: f64, fixed: bool) -> QueueEntry {
-        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
-            service: Reverse(first && self.spec.kind == JobKind::Service),
+    /// Its queue entry at a virtual time, if its size ages or (`fixed`) does not.
+    pub fn queue_entry(&self, virtual_time: f64, fixed: bool) -> QueueEntry {
+        let rank = |with_urgency: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(with_urgency && self.spec.kind == JobKind::Service),
             priority: Reverse(self.spec.priority),
-            tiny: Reverse(first && self.tiny),
+            tiny: Reverse(with_urgency && self.tiny),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
             ready_at_us: self.submitted,
             id: Rc::from(self.spec.id.as_str()),
         };
-        let (pace, size, remaining) = if fixed {
+        let (ageing, size, remaining) = if fixed {
             (AgeingState::Fixed, self.virtual_size, 0.0)
         } else if self.virtual_size <= 0.0 {
             (AgeingState::Aged, 0.0, self.remaining)
         } else {
-            (AgeingState::Ageing, self.virtual_size + clock, 0.0)
+            (AgeingState::Ageing, self.virtual_size + virtual_time, 0.0)
         };
         QueueEntry {
             team: self.team,
             request: Rc::new(ResourceRequest::of(&self.spec).with_starving(self.starving)),
-            ageing: pace,
+            ageing,
             rank: rank(true, size, remaining),
             training: (self.training > 0).then(|| rank(false, self.initial_size, 0.0)),
         }
     }
 }
 
-pub fn line(jobs: &[Job]) -> JobQueue {
-    let mut line = JobQueue::default();
-    for (place, job) in jobs.iter().enumerate() {
+pub fn job_queue(jobs: &[Job]) -> JobQueue {
+    let mut queue = JobQueue::default();
+    for (index, job) in jobs.iter().enumerate() {
         let fixed = job.spec.kind == JobKind::Service;
-        line.set(place as SlabIndex, Some(job.standing(0.0, fixed)));
+        queue.set(index as JobIndex, Some(job.queue_entry(0.0, fixed)));
     }
-    line
+    queue
 }
 
-pub fn floor(machines: &[MachineView]) -> CapacityIndex {
-    let mut floor = CapacityIndex::new();
-    for (place, m) in machines.iter().enumerate() {
-        floor.set(place as SlabIndex, Some(m.clone()));
+pub fn capacity_index(machines: &[MachineView]) -> CapacityIndex {
+    let mut capacity = CapacityIndex::new();
+    for (index, machine) in machines.iter().enumerate() {
+        capacity.set(index as MachineIndex, Some(machine.clone()));
     }
-    floor
+    capacity
 }
 
 pub fn machine(zone: &str, cpus: f64, spot: bool) -> MachineView {
@@ -123,7 +123,7 @@
     }
 }
 
-pub fn team(cpus: f64) -> Vec<TeamAllowance> {
+pub fn one_team(cpus: f64) -> Vec<TeamAllowance> {
     vec![TeamAllowance {
         cpus_left: cpus,
         gpus_left: f64::INFINITY,
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -1,13 +1,13 @@
-//! Who gets room, on small scenes.
+//! Which tasks are placed where, in small test cases and against a plain reference scheduler.
 
 mod common;
 
-use common::{Job, floor, line, machine, team};
+use common::{Job, capacity_index, job_queue, machine, one_team};
 use dillcleat_sched::placement_policy::PlacementPolicy;
 use dillcleat_sched::preemption::{PreemptionCandidate, choose_preemptions};
 use dillcleat_sched::{
-    CapacityIndex, CycleLimits, JobView, MachineView, Resources, SlabIndex, TeamAllowance,
-    run_cycle,
+    CapacityIndex, CycleLimits, JobIndex, JobQueue, JobView, MachineIndex, MachineView, Resources,
+    TeamAllowance, run_cycle,
 };
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 use std::rc::Rc;
@@ -16,47 +16,62 @@
     JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
 }
 
-/// Each placement of a pass as job and machine, one for each task.
-fn pass(
+/// The placements of a scheduling cycle as job and machine, one for each task.
+fn run(
     jobs: &[Job],
-    floor: &mut CapacityIndex,
+    capacity: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
     training_cpus: f64,
-    reserve: f64,
-) -> Vec<(SlabIndex, SlabIndex)> {
-    let terms = CycleLimits {
+    headroom_cpus: f64,
+) -> Vec<(JobIndex, MachineIndex)> {
+    let limits = CycleLimits {
         virtual_time: 0.0,
         training_cpus,
-        service_headroom_cpus: reserve,
+        service_headroom_cpus: headroom_cpus,
     };
-    let view = |place: SlabIndex| jobs.get(place as usize).map(Job::view);
-    let made = run_cycle(&line(jobs), view, floor, teams, terms).assignments;
-    made.into_iter()
-        .flat_map(|a| std::iter::repeat_n((a.job, a.machine), a.tasks as usize))
+    let view = |index: JobIndex| jobs.get(index as usize).map(Job::view);
+    let cycle = run_cycle(&job_queue(jobs), view, capacity, teams, limits);
+    cycle
+        .assignments
+        .into_iter()
+        .flat_map(|assignment| {
+            let placement = (assignment.job, assignment.machine);
+            std::iter::repeat_n(placement, assignment.tasks as usize)
+        })
         .collect()
 }
 
-/// Which jobs got how many slots, in the order of the first.
-fn served(
+/// How many tasks of which jobs are placed, in the order of their first placements.
+fn placed_tasks(
     jobs: &[Job],
     machines: &[MachineView],
-    cpus: f64,
-    training: f64,
+    team_cpus: f64,
+    training_cpus: f64,
 ) -> Vec<(String, usize)> {
-    let made = pass(jobs, &mut floor(machines), &mut team(cpus), training, 0.0);
-    let mut out: Vec<(String, usize)> = Vec::new();
-    for (job, _) in made {
+    let mut capacity = capacity_index(machines);
+    let placements = run(
+        jobs,
+        &mut capacity,
+        &mut one_team(team_cpus),
+        training_cpus,
+        0.0,
+    );
+    let mut counts: Vec<(String, usize)> = Vec::new();
+    for (job, _) in placements {
         let id = jobs[job as usize].spec.id.clone();
-        match out.iter_mut().find(|(j, _)| *j == id) {
-            Some((_, n)) => *n += 1,
-            None => out.push((id, 1)),
+        match counts.iter_mut().find(|(other, _)| *other == id) {
+            Some((_, count)) => *count += 1,
+            None => counts.push((id, 1)),
         }
     }
-    out
+    counts
 }
 
 fn counts(pairs: &[(&str, usize)]) -> Vec<(String, usize)> {
-    pairs.iter().map(|(j, n)| (j.to_string(), *n)).collect()
+    pairs
+        .iter()
+        .map(|(job, count)| (job.to_string(), *count))
+        .collect()
 }
 
 #[test]
@@ -72,7 +87,7 @@
     jobs[2].tiny = true;
     let machines = vec![machine("a", 8.0, false), machine("a", 2.0, false)];
     assert_eq!(
-        served(&jobs, &machines, 99.0, 2.0),
+        placed_tasks(&jobs, &machines, 99.0, 2.0),
         counts(&[("service", 2), ("tiny", 1), ("big", 2), ("small", 5)])
     );
 }
@@ -85,126 +100,161 @@
     ];
     let machines = vec![machine("a", 3.0, true)];
     // The smaller initial size trains first; the rest goes by virtual size.
-    assert_eq!(served(&jobs, &machines, 99.0, 1.0), counts(&[("b", 3)]));
+    assert_eq!(
+        placed_tasks(&jobs, &machines, 99.0, 1.0),
+        counts(&[("b", 3)])
+    );
     let jobs = vec![
         Job::new(spec("a", 9), 200.0, 2),
         Job::new(spec("b", 9), 100.0, 0),
     ];
     assert_eq!(
-        served(&jobs, &machines, 99.0, 2.0),
+        placed_tasks(&jobs, &machines, 99.0, 2.0),
         counts(&[("a", 2), ("b", 1)])
     );
 }
 
 #[test]
-fn a_team_at_its_limit_is_skipped() {
+fn a_team_at_its_quota_is_skipped() {
     let mut jobs = vec![
         Job::new(spec("a", 9), 1.0, 0),
         Job::new(spec("b", 9), 2.0, 0),
     ];
     jobs[1].team = 1;
-    let mut teams = vec![team(2.0).remove(0), team(99.0).remove(0)];
-    let mut floor = floor(&[machine("a", 6.0, true)]);
-    let made = pass(&jobs, &mut floor, &mut teams, 0.0, 0.0);
-    let first = made.iter().filter(|m| m.0 == 0).count();
-    assert_eq!((first, made.len()), (2, 6));
+    let mut teams = vec![one_team(2.0).remove(0), one_team(99.0).remove(0)];
+    let mut capacity = capacity_index(&[machine("a", 6.0, true)]);
+    let placements = run(&jobs, &mut capacity, &mut teams, 0.0, 0.0);
+    let first = placements
+        .iter()
+        .filter(|placement| placement.0 == 0)
+        .count();
+    assert_eq!((first, placements.len()), (2, 6));
 }
 
 #[test]
-fn zones_spot_types_and_spread_are_kept() {
-    let mut s = spec("s", 5);
-    s.spread = true;
-    s.spot = false;
-    let mut room = floor(&[
+fn zones_spot_types_and_spread_are_respected() {
+    let mut spread = spec("s", 5);
+    spread.spread = true;
+    spread.spot = false;
+    let mut capacity = capacity_index(&[
         machine("b", 9.0, true),
         machine("a", 9.0, false),
         machine("b", 1.0, false),
     ]);
-    let jobs = [Job::new(s, 1.0, 0)];
-    let made = pass(&jobs, &mut room, &mut team(99.0), 0.0, 0.0);
-    let on = |m: SlabIndex| made.iter().filter(|x| x.1 == m).count();
-    assert_eq!((on(0), on(1), on(2)), (0, 3, 1));
-    let mut one = spec("one", 4);
-    one.single_zone = true;
-    let mut room = floor(&[machine("a", 2.0, true), machine("b", 2.0, true)]);
-    let jobs = [Job::new(one, 1.0, 0)];
-    let made = pass(&jobs, &mut room, &mut team(99.0), 0.0, 0.0);
-    assert_eq!(made.len(), 2);
-    assert_eq!(made[0].1, made[1].1);
+    let jobs = [Job::new(spread, 1.0, 0)];
+    let placements = run(&jobs, &mut capacity, &mut one_team(99.0), 0.0, 0.0);
+    let tasks_on = |machine: MachineIndex| {
+        placements
+            .iter()
+            .filter(|placement| placement.1 == machine)
+            .count()
+    };
+    assert_eq!((tasks_on(0), tasks_on(1), tasks_on(2)), (0, 3, 1));
+    let mut single_zone = spec("one", 4);
+    single_zone.single_zone = true;
+    let mut capacity = capacity_index(&[machine("a", 2.0, true), machine("b", 2.0, true)]);
+    let jobs = [Job::new(single_zone, 1.0, 0)];
+    let placements = run(&jobs, &mut capacity, &mut one_team(99.0), 0.0, 0.0);
+    assert_eq!(placements.len(), 2);
+    assert_eq!(placements[0].1, placements[1].1);
 }
 
-/// Replicas once waited behind spot work on ordinary machines.
+/// Replicas once waited behind spot work on on-demand machines.
 #[test]
-fn spot_work_leaves_the_reserve_to_services() {
+fn spot_work_leaves_the_headroom_to_services() {
     let jobs = [Job::new(spec("batch", 9), 1.0, 0)];
-    let mut room = floor(&[machine("a", 5.0, false), machine("a", 1.0, true)]);
-    let made = pass(&jobs, &mut room, &mut team(99.0), 0.0, 3.0);
-    let ordinary = made.iter().filter(|a| a.1 == 0).count();
-    assert_eq!((ordinary, made.len()), (2, 3));
+    let mut capacity = capacity_index(&[machine("a", 5.0, false), machine("a", 1.0, true)]);
+    let placements = run(&jobs, &mut capacity, &mut one_team(99.0), 0.0, 3.0);
+    let on_demand = placements
+        .iter()
+        .filter(|placement| placement.1 == 0)
+        .count();
+    assert_eq!((on_demand, placements.len()), (2, 3));
     let mut service = spec("service", 9);
     service.kind = JobKind::Service;
     service.spot = false;
     let jobs = [Job::new(service, 0.0, 0)];
-    assert_eq!(pass(&jobs, &mut room, &mut team(99.0), 0.0, 3.0).len(), 3);
+    assert_eq!(
+        run(&jobs, &mut capacity, &mut one_team(99.0), 0.0, 3.0).len(),
+        3
+    );
 }
 
-/// A task that needs no CPUs goes where none are left.
 #[test]
-fn what_needs_no_cpus_runs_on_machines_without_any() {
-    let mut s = spec("memory", 3);
-    s.cpus = 0.0;
-    s.memory_gb = 30.0;
-    let mut room = floor(&[machine("a", 0.0, true)]);
-    let jobs = [Job::new(s, 1.0, 0)];
-    assert_eq!(pass(&jobs, &mut room, &mut team(9.0), 0.0, 0.0).len(), 2);
+fn tasks_without_cpus_run_on_machines_without_free_cpus() {
+    let mut memory_only = spec("memory", 3);
+    memory_only.cpus = 0.0;
+    memory_only.memory_gb = 30.0;
+    let mut capacity = capacity_index(&[machine("a", 0.0, true)]);
+    let jobs = [Job::new(memory_only, 1.0, 0)];
+    assert_eq!(
+        run(&jobs, &mut capacity, &mut one_team(9.0), 0.0, 0.0).len(),
+        2
+    );
 }
 
-/// A job of a plain pass, with its view as it changes.
-type Plain<'a> = (&'a Job, JobView<'a>);
+/// A job of the reference scheduler, with its view as it changes.
+type ReferenceJob<'a> = (&'a Job, JobView<'a>);
 
-/// The best machine for the job's next task, looked for among all.
-fn best(job: &JobView, machines: &[MachineView], kept: PlacementPolicy) -> Option<usize> {
+/// The best machine for the job's next task, searched for among all.
+fn best_machine(job: &JobView, machines: &[MachineView], policy: PlacementPolicy) -> Option<usize> {
     let need = job.resources();
-    let spared = |m: &MachineView, reserve: f64| {
-        let ordinary = |o: &&MachineView| !o.spot && !o.cordoned && o.zone == m.zone;
-        let free: f64 = machines.iter().filter(ordinary).map(|o| o.free.cpus).sum();
-        let bound = !m.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
-        reserve <= 0.0 || !bound || free - need.cpus + 1e-6 >= reserve
+    let leaves_headroom = |machine: &MachineView, headroom_cpus: f64| {
+        let counted =
+            |other: &&MachineView| !other.spot && !other.cordoned && other.zone == machine.zone;
+        let free: f64 = machines
+            .iter()
+            .filter(counted)
+            .map(|other| other.free.cpus)
+            .sum();
+        let bound = !machine.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
+        headroom_cpus <= 0.0 || !bound || free - need.cpus + 1e-6 >= headroom_cpus
     };
-    let rank = |i: usize, m: &MachineView| {
-        let image = m.images.iter().any(|(i, _)| **i == *job.spec.image);
-        let spot = m.spot == job.spec.spot;
+    let rank = |index: usize, machine: &MachineView| {
+        let holds_image = machine
+            .images
+            .iter()
+            .any(|(held, _)| **held == *job.spec.image);
+        let spot = machine.spot == job.spec.spot;
         let service = job.spec.kind == JobKind::Service;
-        let sign = if service && !image { 1.0 } else { -1.0 };
-        let warm = if service || m.spot {
+        let sign = if service && !holds_image { 1.0 } else { -1.0 };
+        let service_images = if service || machine.spot {
             0
         } else {
-            m.service_images
+            machine.service_images
         };
-        let (cpus, memory) = (m.free.cpus * sign, m.free.memory_gb * sign);
-        let order = (spot, image, 9 - warm, cpus, memory, i as f64 * sign);
-        (!m.outbound_unreachable, order)
+        let (cpus, memory) = (machine.free.cpus * sign, machine.free.memory_gb * sign);
+        let order = (
+            spot,
+            holds_image,
+            9 - service_images,
+            cpus,
+            memory,
+            index as f64 * sign,
+        );
+        (!machine.outbound_unreachable, order)
     };
     let mut found: Option<usize> = None;
-    for (i, view) in machines.iter().enumerate() {
+    for (index, view) in machines.iter().enumerate() {
         if view.free.fits(&need)
-            && match kept {
+            && match policy {
                 PlacementPolicy::Standard {
                     service_headroom_cpus,
-                } => job.allows(view) && spared(view, service_headroom_cpus),
+                } => job.allows(view) && leaves_headroom(view, service_headroom_cpus),
                 PlacementPolicy::IgnoreHeadroom => job.allows(view),
                 PlacementPolicy::LastResort => true,
             }
             && job.rules_allow(view)
-            && found.is_none_or(|b| rank(i, view) > rank(b, &machines[b]))
+            && found.is_none_or(|best| rank(index, view) > rank(best, &machines[best]))
         {
-            found = Some(i);
+            found = Some(index);
         }
     }
     found
 }
 
-fn order(jobs: &[Plain]) -> Vec<usize> {
+/// All jobs in the order of the job queue.
+fn queue_order(jobs: &[ReferenceJob]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| {
         let (a, b) = (jobs[a].0, jobs[b].0);
@@ -221,40 +271,41 @@
     order
 }
 
-/// The plain pass: every job is looked at, and for every task the best machine.
-fn plain(
-    jobs: &mut [Plain],
+/// The reference scheduler: looks at every job, and for every task at every machine.
+fn run_reference(
+    jobs: &mut [ReferenceJob],
     machines: &mut [MachineView],
     teams: &mut [TeamAllowance],
     mut training_cpus: f64,
-    reserve: f64,
-) -> Vec<(SlabIndex, SlabIndex)> {
-    let mut place = |jobs: &mut [Plain], i: usize| -> Option<(SlabIndex, SlabIndex)> {
-        let job = &mut jobs[i].1;
-        if job.waiting_tasks == 0 || !job.team_allows(teams) {
-            return None;
-        }
-        let ways = [
-            PlacementPolicy::Standard {
-                service_headroom_cpus: reserve,
-            },
-            PlacementPolicy::IgnoreHeadroom,
-            PlacementPolicy::LastResort,
-        ];
-        let ways = ways.into_iter().take(if job.starving { 3 } else { 1 });
-        let m = ways
-            .into_iter()
-            .find_map(|kept| best(job, machines, kept))?;
-        job.starving = false;
-        job.assign_next_task(&mut machines[m], teams);
-        Some((i as SlabIndex, m as SlabIndex))
-    };
-    let mut made = Vec::new();
-    let order = order(jobs);
-    for &i in &order {
-        if jobs[i].0.spec.kind == JobKind::Service || jobs[i].0.tiny {
-            while let Some(a) = place(jobs, i) {
-                made.push(a);
+    headroom_cpus: f64,
+) -> Vec<(JobIndex, MachineIndex)> {
+    let mut place_task =
+        |jobs: &mut [ReferenceJob], index: usize| -> Option<(JobIndex, MachineIndex)> {
+            let job = &mut jobs[index].1;
+            if job.waiting_tasks == 0 || !job.team_allows(teams) {
+                return None;
+            }
+            let policies = [
+                PlacementPolicy::Standard {
+                    service_headroom_cpus: headroom_cpus,
+                },
+                PlacementPolicy::IgnoreHeadroom,
+                PlacementPolicy::LastResort,
+            ];
+            let policies = policies.into_iter().take(if job.starving { 3 } else { 1 });
+            let machine = policies
+                .into_iter()
+                .find_map(|policy| best_machine(job, machines, policy))?;
+            job.starving = false;
+            job.assign_next_task(&mut machines[machine], teams);
+            Some((index as JobIndex, machine as MachineIndex))
+        };
+    let mut placements = Vec::new();
+    let order = queue_order(jobs);
+    for &index in &order {
+        if jobs[index].0.spec.kind == JobKind::Service || jobs[index].0.tiny {
+            while let Some(placement) = place_task(jobs, index) {
+                placements.push(placement);
             }
         }
     }
@@ -268,43 +319,43 @@
             .then(a.submitted.cmp(&b.submitted))
             .then(a.spec.id.cmp(&b.spec.id))
     });
-    for i in training {
-        let cpus = jobs[i].0.spec.cpus;
-        while jobs[i].1.training_tasks > 0 && training_cpus + 1e-6 >= cpus {
-            let Some(a) = place(jobs, i) else {
+    for index in training {
+        let cpus = jobs[index].0.spec.cpus;
+        while jobs[index].1.training_tasks > 0 && training_cpus + 1e-6 >= cpus {
+            let Some(placement) = place_task(jobs, index) else {
                 break;
             };
             training_cpus -= cpus;
-            made.push(a);
+            placements.push(placement);
         }
     }
-    for &i in &order {
-        while let Some(a) = place(jobs, i) {
-            made.push(a);
+    for &index in &order {
+        while let Some(placement) = place_task(jobs, index) {
+            placements.push(placement);
         }
     }
-    made
+    placements
 }
 
-fn random_job(rng: &mut fastrand::Rng, i: usize) -> Job {
-    let mut s = spec(&format!("j{i}"), rng.u32(1..14));
-    s.cpus = f64::from(rng.u32(1..5));
-    s.memory_gb = f64::from(rng.u32(1..9));
-    s.image = format!("i{}", rng.u8(..3));
-    s.spot = rng.bool();
-    s.single_zone = rng.u8(..5) == 0;
-    s.spread = !s.single_zone && rng.u8(..3) == 0;
-    s.zone = (rng.u8(..6) == 0).then(|| "a".to_string());
-    s.types = (rng.u8(..8) == 0).then(|| vec!["other".to_string()]);
+fn random_job(rng: &mut fastrand::Rng, index: usize) -> Job {
+    let mut job_spec = spec(&format!("j{index}"), rng.u32(1..14));
+    job_spec.cpus = f64::from(rng.u32(1..5));
+    job_spec.memory_gb = f64::from(rng.u32(1..9));
+    job_spec.image = format!("i{}", rng.u8(..3));
+    job_spec.spot = rng.bool();
+    job_spec.single_zone = rng.u8(..5) == 0;
+    job_spec.spread = !job_spec.single_zone && rng.u8(..3) == 0;
+    job_spec.zone = (rng.u8(..6) == 0).then(|| "a".to_string());
+    job_spec.types = (rng.u8(..8) == 0).then(|| vec!["other".to_string()]);
     if rng.u8(..5) == 0 {
-        s.priority = Priority::High;
+        job_spec.priority = Priority::High;
     }
     let service = rng.u8(..3) == 0;
     if service {
-        s.kind = JobKind::Service;
+        job_spec.kind = JobKind::Service;
     }
     let training = if service { 0 } else { rng.u32(..3) };
-    let mut job = Job::new(s, f64::from(rng.u32(1..1000)), training);
+    let mut job = Job::new(job_spec, f64::from(rng.u32(1..1000)), training);
     if !service && rng.u8(..3) == 0 {
         job.virtual_size = 0.0;
         job.remaining = f64::from(rng.u32(1..50));
@@ -321,111 +372,129 @@
 
 fn random_machine(rng: &mut fastrand::Rng) -> MachineView {
     let zone = ["a", "b", "c"][rng.usize(..3)];
-    let mut m = machine(zone, f64::from(rng.u32(..17)), rng.bool());
-    m.free.memory_gb = f64::from(rng.u32(4..40));
-    m.service_images = if m.spot { 0 } else { rng.u32(..3) };
-    m.images = Rc::new(vec![(Rc::from(format!("i{}", rng.u8(..3))), 1.0)]);
-    m.cordoned = rng.u8(..9) == 0;
-    m.outbound_unreachable = rng.u8(..5) == 0;
+    let mut view = machine(zone, f64::from(rng.u32(..17)), rng.bool());
+    view.free.memory_gb = f64::from(rng.u32(4..40));
+    view.service_images = if view.spot { 0 } else { rng.u32(..3) };
+    view.images = Rc::new(vec![(Rc::from(format!("i{}", rng.u8(..3))), 1.0)]);
+    view.cordoned = rng.u8(..9) == 0;
+    view.outbound_unreachable = rng.u8(..5) == 0;
     if rng.u8(..6) == 0 {
-        m.machine_type = "other".into();
+        view.machine_type = "other".into();
     }
     if rng.u8(..6) == 0 {
-        m.failed_jobs = vec![Rc::from(format!("j{}", rng.u8(..4)))];
+        view.failed_jobs = vec![Rc::from(format!("j{}", rng.u8(..4)))];
     }
-    m
+    view
 }
 
-/// Lanes, ranked machines and shapes that are left as a whole are for speed
-/// alone, on a floor that has seen changes as on one that is new.
+/// Sub-queues, machine rankings and the skipping of exhausted requests are for speed alone, on
+/// a capacity index that has seen changes as on one that is new.
 #[test]
-fn the_indexed_pass_places_as_the_plain_one() {
+fn the_indexed_cycle_places_as_the_reference_scheduler() {
     let mut placed = 0;
     for seed in 0..600 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let jobs: Vec<Job> = (0..rng.usize(1..14))
             .map(|i| random_job(&mut rng, i))
             .collect();
-        let mut room = CapacityIndex::new();
+        let mut capacity = CapacityIndex::new();
         let mut machines = Vec::new();
-        for place in 0..rng.usize(1..20) {
+        for index in 0..rng.usize(1..20) {
             for _ in 0..rng.usize(1..3) {
-                // What stood there before leaves nothing behind.
-                let m = random_machine(&mut rng);
-                room.set(place as SlabIndex, Some(m.clone()));
-                machines.truncate(place);
-                machines.push(m);
+                // A machine that is replaced leaves nothing behind.
+                let view = random_machine(&mut rng);
+                capacity.set(index as MachineIndex, Some(view.clone()));
+                machines.truncate(index);
+                machines.push(view);
             }
         }
-        room.set(99, Some(machine("a", 16.0, false)));
-        room.set(99, None);
+        capacity.set(99, Some(machine("a", 16.0, false)));
+        capacity.set(99, None);
         let mut teams = vec![
-            team(f64::from(rng.u32(1..90))).remove(0),
-            team(1e9).remove(0),
+            one_team(f64::from(rng.u32(1..90))).remove(0),
+            one_team(1e9).remove(0),
         ];
-        let (training, reserve) = (f64::from(rng.u32(..9)), f64::from(rng.u32(..7)));
-        let mut teams2 = teams.clone();
-        let mut seen: Vec<Plain> = jobs.iter().map(|j| (j, j.view())).collect();
-        let slow = plain(&mut seen, &mut machines, &mut teams2, training, reserve);
-        let fast = pass(&jobs, &mut room, &mut teams, training, reserve);
-        assert_eq!(fast, slow, "seed {seed}");
-        for (place, m) in machines.iter().enumerate() {
-            let left = room.view(place as SlabIndex).map(|m| m.free);
-            assert_eq!(left, Some(m.free), "seed {seed}");
+        let (training_cpus, headroom_cpus) = (f64::from(rng.u32(..9)), f64::from(rng.u32(..7)));
+        let mut reference_teams = teams.clone();
+        let mut reference_jobs: Vec<ReferenceJob> =
+            jobs.iter().map(|job| (job, job.view())).collect();
+        let reference = run_reference(
+            &mut reference_jobs,
+            &mut machines,
+            &mut reference_teams,
+            training_cpus,
+            headroom_cpus,
+        );
+        let indexed = run(
+            &jobs,
+            &mut capacity,
+            &mut teams,
+            training_cpus,
+            headroom_cpus,
+        );
+        assert_eq!(indexed, reference, "seed {seed}");
+        for (index, machine) in machines.iter().enumerate() {
+            let free = capacity.view(index as MachineIndex).map(|view| view.free);
+            assert_eq!(free, Some(machine.free), "seed {seed}");
         }
-        placed += fast.len();
+        placed += indexed.len();
     }
     assert!(placed > 8000, "{placed} placed");
 }
 
-/// The line under change: jobs come, age, train, stop ageing and go, and the
-/// order stays that of a plain sort by what each of them is at the time.
+/// While jobs arrive, age, train, stop ageing and leave, the order of the queue is that of a
+/// plain sort by what each job is at the time.
 #[test]
-fn the_line_orders_as_a_plain_sort_while_everything_changes() {
+fn the_queue_orders_as_a_plain_sort_while_everything_changes() {
     let mut compared = 0;
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut clock = 0.0;
-        let mut line = dillcleat_sched::JobQueue::default();
+        let mut virtual_time = 0.0;
+        let mut queue = JobQueue::default();
         let mut jobs: Vec<Option<(Job, bool)>> = vec![None; 12];
         for _ in 0..200 {
-            let i = rng.usize(..jobs.len());
+            let index = rng.usize(..jobs.len());
             match rng.u8(..5) {
-                0 => jobs[i] = None,
+                0 => jobs[index] = None,
                 1 | 2 => {
-                    let job = random_job(&mut rng, i);
+                    let job = random_job(&mut rng, index);
                     let fixed = job.spec.kind == JobKind::Service || rng.u8(..8) == 0;
-                    jobs[i] = Some((job, fixed));
+                    jobs[index] = Some((job, fixed));
                 }
                 3 => {
-                    let time = f64::from(rng.u32(..200));
-                    clock += time;
+                    let elapsed = f64::from(rng.u32(..200));
+                    virtual_time += elapsed;
                     for (job, _) in jobs.iter_mut().flatten().filter(|(_, fixed)| !fixed) {
-                        job.virtual_size = (job.virtual_size - time).max(0.0);
+                        job.virtual_size = (job.virtual_size - elapsed).max(0.0);
                     }
                 }
                 _ => {
-                    if let Some((job, false)) = &mut jobs[i] {
+                    if let Some((job, false)) = &mut jobs[index] {
                         job.virtual_size = f64::from(rng.u32(..500));
                     }
                 }
             }
-            let standing = jobs[i].as_ref().map(|(j, fixed)| j.standing(clock, *fixed));
-            line.set(i as SlabIndex, standing);
-            while let Some(place) = line.next_aged_to_zero(clock) {
-                let job = jobs[place as usize].as_ref();
-                let standing = job.map(|(j, fixed)| j.standing(clock, *fixed));
-                line.set(place, standing);
+            let entry = jobs[index]
+                .as_ref()
+                .map(|(job, fixed)| job.queue_entry(virtual_time, *fixed));
+            queue.set(index as JobIndex, entry);
+            while let Some(aged) = queue.next_aged_to_zero(virtual_time) {
+                let job = jobs[aged as usize].as_ref();
+                let entry = job.map(|(job, fixed)| job.queue_entry(virtual_time, *fixed));
+                queue.set(aged, entry);
             }
-            let there: Vec<(SlabIndex, &Job, bool)> = jobs
+            let known: Vec<(JobIndex, &Job, bool)> = jobs
                 .iter()
                 .enumerate()
-                .filter_map(|(i, j)| j.as_ref().map(|(j, fixed)| (i as SlabIndex, j, *fixed)))
+                .filter_map(|(index, slot)| {
+                    let (job, fixed) = slot.as_ref()?;
+                    Some((index as JobIndex, job, *fixed))
+                })
                 .collect();
-            let seen: Vec<Job> = there
+            let reference: Vec<Job> = known
                 .iter()
                 .map(|(_, j, fixed)| Job {
-                    // What is left counts among those that have aged to zero.
+                    // Remaining work counts among jobs that have aged to zero.
                     remaining: if *fixed || j.virtual_size > 0.0 {
                         0.0
                     } else {
@@ -434,34 +503,37 @@
                     ..(*j).clone()
                 })
                 .collect();
-            let views: Vec<Plain> = seen.iter().map(|j| (j, j.view())).collect();
-            let plain: Vec<SlabIndex> = order(&views).into_iter().map(|i| there[i].0).collect();
-            let indexed: Vec<SlabIndex> = line.iter_in_order(clock).collect();
-            assert_eq!(indexed, plain, "seed {seed}");
-            compared += plain.len();
+            let views: Vec<ReferenceJob> = reference.iter().map(|job| (job, job.view())).collect();
+            let sorted: Vec<JobIndex> = queue_order(&views)
+                .into_iter()
+                .map(|position| known[position].0)
+                .collect();
+            let indexed: Vec<JobIndex> = queue.iter_in_order(virtual_time).collect();
+            assert_eq!(indexed, sorted, "seed {seed}");
+            compared += sorted.len();
         }
     }
     assert!(compared > 30_000, "{compared} compared");
 }
 
-/// Replicas once waited behind late arrays on the last ordinary machines.
+/// Replicas once waited behind late job arrays on the last on-demand machines.
 #[test]
-fn replicas_stop_the_least_work_and_no_more_than_they_need() {
+fn replicas_preempt_the_least_work_and_no_more_than_they_need() {
     let mut service = spec("service", 3);
     service.kind = JobKind::Service;
     service.priority = Priority::Production;
     service.spot = false;
     service.image = "held".into();
     let machines = || {
-        let mut m = vec![
+        let mut machines = vec![
             machine("a", 0.0, false),
             machine("a", 1.0, false),
             machine("a", 0.0, true),
         ];
-        m[0].images = Rc::new(vec![(Rc::from("held"), 1.0)]);
-        m
+        machines[0].images = Rc::new(vec![(Rc::from("held"), 1.0)]);
+        machines
     };
-    let victim = |machine: usize, priority: Priority, ran: u64| PreemptionCandidate {
+    let victim = |machine: usize, priority: Priority, run_time_us: u64| PreemptionCandidate {
         machine,
         resources: Resources {
             cpus: 1.0,
@@ -469,7 +541,7 @@
             memory_gb: 1.0,
         },
         priority,
-        run_time_us: ran,
+        run_time_us,
     };
     let victims = [
         victim(0, Priority::Normal, 50),
@@ -480,13 +552,13 @@
     ];
     let job = Job::new(service, 0.0, 0);
     let mut jobs = vec![job.view()];
-    let stopped = choose_preemptions(&mut jobs, &mut machines(), &mut team(99.0), &victims);
-    // One takes the free room of y, which so has its image; the others stop
-    // what has run least, there and on x.
-    assert_eq!(stopped, [3, 1]);
+    let preempted = choose_preemptions(&mut jobs, &mut machines(), &mut one_team(99.0), &victims);
+    // One replica takes the free capacity of the second machine, which then holds the image.
+    // The others preempt what has run for the shortest time, there and on the first machine.
+    assert_eq!(preempted, [3, 1]);
     assert_eq!(jobs[0].waiting_tasks, 0);
-    // A team at its limit stops nobody.
+    // A team at its quota preempts nothing.
     let mut jobs = vec![job.view()];
-    let stopped = choose_preemptions(&mut jobs, &mut machines(), &mut team(1.0), &victims);
-    assert_eq!(stopped, [0; 0]);
+    let preempted = choose_preemptions(&mut jobs, &mut machines(), &mut one_team(1.0), &victims);
+    assert_eq!(preempted, [0; 0]);
 }
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What is rented for what waits.
+//! Which machines are rented for waiting tasks.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 fn types() -> Vec<MachineType> {
-    let t = |name: &str, cpus: f64, price: f64, zones: &[&str]| MachineType {
+    let machine_type = |name: &str, cpus: f64, price: f64, zones: &[&str]| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
@@ -23,77 +23,77 @@
         price,
         spot_price: Some(price / 4.0),
         boot_s: 15.0,
-        zones: zones.iter().map(|z| z.to_string()).collect(),
+        zones: zones.iter().map(|zone| zone.to_string()).collect(),
     };
-    // The large one is cheaper a CPU.
+    // The large type is cheaper per CPU.
     vec![
-        t("small", 4.0, 0.34, &["a", "b"]),
-        t("large", 16.0, 1.1, &["a"]),
+        machine_type("small", 4.0, 0.34, &["a", "b"]),
+        machine_type("large", 16.0, 1.1, &["a"]),
     ]
 }
 
-fn job(id: &str, kind: JobKind, tasks: u32, late: u32) -> Job {
+fn job(id: &str, kind: JobKind, tasks: u32, at_risk_tasks: u32) -> Job {
     Job {
-        late,
+        at_risk_tasks,
         ..Job::new(JobSpec::plain(id, kind, tasks, 4.0), 1.0, 0)
     }
 }
 
-/// What is rented for jobs, given in order, beside machines that are coming.
-fn rent(
+/// The scale-out plan for jobs, given in order, beside machines that are booting.
+fn plan(
     jobs: &[Job],
-    coming: &[MachineView],
+    booting: &[MachineView],
     refused: &[(&str, &str, bool)],
     unreachable_zones: &[&str],
-    ahead: f64,
+    headroom_cpus: f64,
 ) -> Vec<PlannedScaleOut> {
     let mut refusals = RefusedOfferings::default();
-    for (t, z, spot) in refused {
+    for (machine_type, zone, spot) in refused {
         let offering = InstanceOffering {
-            machine_type: t.to_string(),
-            zone: z.to_string(),
+            machine_type: machine_type.to_string(),
+            zone: zone.to_string(),
             spot: *spot,
         };
         refusals.refuse(offering, 9);
     }
     let types = types();
-    let market = PlanInputs {
+    let inputs = PlanInputs {
         types: &types,
         refusals: &refusals,
         late_offerings: BTreeSet::new(),
         unreachable_zones: unreachable_zones
             .iter()
-            .map(|z| Rc::from(*z))
+            .map(|zone| Rc::from(*zone))
             .collect::<BTreeSet<_>>(),
         machines_by_zone: BTreeMap::new(),
         lent_headroom_cpus: BTreeMap::new(),
-        service_headroom_cpus: ahead,
-        proactive_headroom_cpus: ahead,
+        service_headroom_cpus: headroom_cpus,
+        proactive_headroom_cpus: headroom_cpus,
         now_us: 1,
     };
     let mut teams = vec![TeamAllowance {
         cpus_left: f64::INFINITY,
         gpus_left: f64::INFINITY,
     }];
-    let mut floor = CapacityIndex::without_images();
-    for m in coming {
-        floor.add(m.clone());
+    let mut capacity = CapacityIndex::without_images();
+    for machine in booting {
+        capacity.add(machine.clone());
     }
-    let shapes: Vec<_> = jobs
+    let requests: Vec<_> = jobs
         .iter()
-        .map(|j| Rc::new(ResourceRequest::of(&j.spec)))
+        .map(|job| Rc::new(ResourceRequest::of(&job.spec)))
         .collect();
-    let jobs = jobs.iter().map(Job::view).zip(&shapes);
-    plan_scale_out(jobs, &mut floor, &mut teams, &market)
+    let jobs = jobs.iter().map(Job::view).zip(&requests);
+    plan_scale_out(jobs, &mut capacity, &mut teams, &inputs)
 }
 
-fn offers(wanted: &[PlannedScaleOut]) -> Vec<(&str, &str, bool, u32)> {
-    wanted
+fn rows(planned: &[PlannedScaleOut]) -> Vec<(&str, &str, bool, u32)> {
+    planned
         .iter()
-        .map(|planned| {
-            let offering = &planned.offering;
+        .map(|scale_out| {
+            let offering = &scale_out.offering;
             let (machine_type, zone) = (offering.machine_type.as_str(), offering.zone.as_str());
-            (machine_type, zone, offering.spot, planned.count)
+            (machine_type, zone, offering.spot, scale_out.count)
         })
         .collect()
 }
@@ -104,88 +104,91 @@
     ("large", "a", true),
 ];
 
-/// With every spot machine taken, late tasks alone rent ordinary machines, and
-/// no more of them than they need.
+/// With every spot offering refused, on-demand machines are rented for tasks at risk alone,
+/// and no more of them than they need.
 #[test]
-fn late_tasks_rent_ordinary_machines_once_spot_machines_are_refused() {
-    let batch = |late| [job("batch", JobKind::Batch, 20, late)];
-    assert_eq!(rent(&batch(0), &[], &SPOT, &[], 0.0), []);
-    let wanted = rent(&batch(5), &[], &SPOT, &[], 0.0);
+fn on_demand_machines_are_rented_for_tasks_at_risk_once_spot_is_refused() {
+    let batch = |at_risk_tasks| [job("batch", JobKind::Batch, 20, at_risk_tasks)];
+    assert_eq!(plan(&batch(0), &[], &SPOT, &[], 0.0), []);
+    let planned = plan(&batch(5), &[], &SPOT, &[], 0.0);
     assert_eq!(
-        offers(&wanted),
+        rows(&planned),
         [("large", "a", false, 1), ("small", "b", false, 1)]
     );
-    let wanted = rent(&batch(5), &[], &[], &[], 0.0);
+    let planned = plan(&batch(5), &[], &[], &[], 0.0);
     assert!(
-        wanted.iter().all(|planned| planned.offering.spot),
-        "{wanted:?}"
+        planned.iter().all(|scale_out| scale_out.offering.spot),
+        "{planned:?}"
     );
 }
 
-/// A spot offer at a rental's size once sent late tasks on to ordinary ones,
-/// though more spot machines were to be had a second later.
+/// When a spot offering had reached the largest size of a request, tasks at risk once went on
+/// to on-demand offerings, though more spot machines were available a second later.
 #[test]
-fn a_plan_does_not_go_on_to_dearer_offers() {
+fn a_plan_does_not_go_on_to_dearer_offerings() {
     let jobs = [job("batch", JobKind::Batch, 1000, 1000)];
-    let wanted = rent(&jobs, &[], &[], &[], 0.0);
-    assert_eq!(offers(&wanted), [("large", "a", true, 50)]);
+    let planned = plan(&jobs, &[], &[], &[], 0.0);
+    assert_eq!(rows(&planned), [("large", "a", true, 50)]);
 }
 
-/// Machines rented in a zone that was cut off were paid for and never heard of.
-/// What services need goes out first.
+/// Machines rented in a partitioned zone were paid for and never heard of. What services need
+/// is requested first.
 #[test]
-fn nothing_is_rented_in_dark_zones_and_services_go_first() {
+fn nothing_is_rented_in_unreachable_zones_and_services_go_first() {
     let jobs = [
         job("service", JobKind::Service, 2, 0),
         job("batch", JobKind::Batch, 4, 0),
     ];
-    let wanted = rent(&jobs, &[], &[], &["a"], 0.0);
+    let planned = plan(&jobs, &[], &[], &["a"], 0.0);
     assert_eq!(
-        offers(&wanted),
+        rows(&planned),
         [("small", "b", false, 2), ("small", "b", true, 4)]
     );
 }
 
-/// What fits on machines that are coming waits for them, and what one job
-/// leaves of a rented machine is the next one's.
+/// What fits on booting machines waits for them, and what one job leaves free of a rented
+/// machine is there for the next job.
 #[test]
-fn a_plan_counts_what_is_coming_and_what_is_left_over() {
-    let coming = [machine("b", 8.0, true)];
+fn a_plan_counts_booting_machines_and_what_is_left_free() {
+    let booting = [machine("b", 8.0, true)];
     let jobs = [
         job("one", JobKind::Batch, 5, 0),
         job("two", JobKind::Batch, 2, 0),
     ];
-    let wanted = rent(&jobs, &coming, &[], &[], 0.0);
+    let planned = plan(&jobs, &booting, &[], &[], 0.0);
     assert_eq!(
-        wanted.iter().map(|planned| planned.count).sum::<u32>(),
+        planned.iter().map(|scale_out| scale_out.count).sum::<u32>(),
         5,
-        "{wanted:?}"
+        "{planned:?}"
     );
     // Two of six CPUs fit a large machine alone and leave four of them.
     let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
     let jobs = [wide, job("narrow", JobKind::Batch, 1, 0)];
-    let wanted = rent(&jobs, &[], &[], &[], 0.0);
-    assert_eq!(offers(&wanted), [("large", "a", true, 1)]);
+    let planned = plan(&jobs, &[], &[], &[], 0.0);
+    assert_eq!(rows(&planned), [("large", "a", true, 1)]);
     let jobs: Vec<Job> = (0..9).map(|_| job("same", JobKind::Batch, 8, 0)).collect();
-    let wanted = rent(&jobs, &coming, &[], &[], 0.0);
-    let machines = |name: &str| {
-        let of_type = wanted
+    let planned = plan(&jobs, &booting, &[], &[], 0.0);
+    let count_of_type = |name: &str| {
+        let of_type = planned
             .iter()
-            .filter(|planned| planned.offering.machine_type == name);
-        of_type.map(|planned| planned.count).sum::<u32>()
+            .filter(|scale_out| scale_out.offering.machine_type == name);
+        of_type.map(|scale_out| scale_out.count).sum::<u32>()
     };
-    assert_eq!(machines("large") * 4 + machines("small"), 9 * 8 - 2);
+    assert_eq!(
+        count_of_type("large") * 4 + count_of_type("small"),
+        9 * 8 - 2
+    );
 }
 
-/// A large machine was once rented ahead in each zone for three CPUs.
+/// A large machine was once rented ahead of demand in each zone for three CPUs.
 #[test]
-fn room_rented_ahead_costs_as_little_as_can_be() {
-    let wanted = rent(&[], &[], &[], &[], 3.0);
+fn headroom_is_rented_at_the_lowest_cost() {
+    let planned = plan(&[], &[], &[], &[], 3.0);
     assert_eq!(
-        offers(&wanted),
+        rows(&planned),
         [("small", "a", false, 1), ("small", "b", false, 1)]
     );
-    let wanted = rent(&[], &[], &[], &["b"], 15.0);
-    assert_eq!(offers(&wanted), [("large", "a", false, 1)]);
+    let planned = plan(&[], &[], &[], &["b"], 15.0);
+    assert_eq!(rows(&planned), [("large", "a", false, 1)]);
 }
--- a/crates/sched/tests/zones.rs
+++ b/crates/sched/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a job that is spread over zones may go.
+//! In which zones the tasks of a job that is spread over zones may run.
 
 mod common;
 
@@ -17,7 +17,7 @@
 }
 
 /// The job with so many tasks in zone a and on machines whose zone is not known.
-fn placed(job: &Job, in_a: u32, unknown: u32) -> JobView<'_> {
+fn with_tasks_in(job: &Job, in_a: u32, unknown: u32) -> JobView<'_> {
     let zones = [(Rc::from("a"), in_a), (Rc::from(""), unknown)];
     JobView {
         tasks_by_zone: zones.into(),
@@ -31,8 +31,9 @@
 #[test]
 fn tasks_whose_zone_is_not_known_count_in_every_zone() {
     let job = spread_job();
-    let allowed =
-        |in_a, unknown, zone| placed(&job, in_a, unknown).rules_allow(&machine(zone, 8.0, false));
+    let allowed = |in_a, unknown, zone| {
+        with_tasks_in(&job, in_a, unknown).rules_allow(&machine(zone, 8.0, false))
+    };
     assert!(allowed(2, 2, "a"));
     assert!(!allowed(2, 3, "a"));
     assert!(allowed(2, 3, "b"));
@@ -42,7 +43,7 @@
 #[test]
 fn half_of_the_tasks_may_be_in_one_zone() {
     let job = spread_job();
-    let allowed = |in_a| placed(&job, in_a, 0).rules_allow(&machine("a", 8.0, false));
+    let allowed = |in_a| with_tasks_in(&job, in_a, 0).rules_allow(&machine("a", 8.0, false));
     assert!(allowed(4));
     assert!(!allowed(5));
 }
