--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -10,6 +10,7 @@
     TeamAllowance, run_cycle,
 };
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
+use std::ops::Range;
 use std::rc::Rc;
 
 fn spec(id: &str, tasks: u32) -> JobSpec {
@@ -387,6 +388,79 @@
     view
 }
 
+/// A capacity index that has seen changes, and the machines that it holds in the end.
+fn random_fleet(
+    rng: &mut fastrand::Rng,
+    peak: Range<usize>,
+    min_machines: usize,
+) -> (CapacityIndex, Vec<MachineView>) {
+    let mut capacity = CapacityIndex::new();
+    let mut machines = Vec::new();
+    for index in 0..rng.usize(peak) {
+        for _ in 0..rng.usize(1..3) {
+            // A machine that is replaced leaves nothing behind.
+            let view = random_machine(rng);
+            capacity.set(index as MachineIndex, Some(view.clone()));
+            machines.truncate(index);
+            machines.push(view);
+        }
+    }
+    capacity.set(999, Some(machine("a", 16.0, false)));
+    capacity.set(999, None);
+    if machines.len() > min_machines {
+        let remaining = rng.usize(min_machines..machines.len());
+        for index in remaining..machines.len() {
+            capacity.set(index as MachineIndex, None);
+        }
+        machines.truncate(remaining);
+    }
+    (capacity, machines)
+}
+
+/// Runs random jobs on the machines by a cycle and by the reference scheduler, compares the
+/// two, and returns how many tasks were placed.
+fn compare_with_reference(
+    rng: &mut fastrand::Rng,
+    jobs: &[Job],
+    mut capacity: CapacityIndex,
+    mut machines: Vec<MachineView>,
+    seed: u64,
+) -> usize {
+    let mut teams = vec![
+        one_team(f64::from(rng.u32(1..90))).remove(0),
+        one_team(1e9).remove(0),
+    ];
+    let (training_cpus, headroom_cpus) = (f64::from(rng.u32(..9)), f64::from(rng.u32(..7)));
+    let mut reference_teams = teams.clone();
+    let mut reference_jobs: Vec<ReferenceJob> = jobs.iter().map(|job| (job, job.view())).collect();
+    let reference = run_reference(
+        &mut reference_jobs,
+        &mut machines,
+        &mut reference_teams,
+        training_cpus,
+        headroom_cpus,
+    );
+    let indexed = run(
+        jobs,
+        &mut capacity,
+        &mut teams,
+        training_cpus,
+        headroom_cpus,
+    );
+    assert_eq!(indexed, reference, "seed {seed}");
+    for (index, machine) in machines.iter().enumerate() {
+        let free = capacity.view(index as MachineIndex).map(|view| view.free);
+        assert_eq!(free, Some(machine.free), "seed {seed}");
+    }
+    indexed.len()
+}
+
+fn random_jobs(rng: &mut fastrand::Rng) -> Vec<Job> {
+    (0..rng.usize(1..14))
+        .map(|index| random_job(rng, index))
+        .collect()
+}
+
 /// Sub-queues, machine rankings and the skipping of exhausted requests are for speed alone, on
 /// a capacity index that has seen changes as on one that is new.
 #[test]
@@ -394,54 +468,27 @@
     let mut placed = 0;
     for seed in 0..600 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let jobs: Vec<Job> = (0..rng.usize(1..14))
-            .map(|i| random_job(&mut rng, i))
-            .collect();
-        let mut capacity = CapacityIndex::new();
-        let mut machines = Vec::new();
-        for index in 0..rng.usize(1..20) {
-            for _ in 0..rng.usize(1..3) {
-                // A machine that is replaced leaves nothing behind.
-                let view = random_machine(&mut rng);
-                capacity.set(index as MachineIndex, Some(view.clone()));
-                machines.truncate(index);
-                machines.push(view);
-            }
-        }
-        capacity.set(99, Some(machine("a", 16.0, false)));
-        capacity.set(99, None);
-        let mut teams = vec![
-            one_team(f64::from(rng.u32(1..90))).remove(0),
-            one_team(1e9).remove(0),
-        ];
-        let (training_cpus, headroom_cpus) = (f64::from(rng.u32(..9)), f64::from(rng.u32(..7)));
-        let mut reference_teams = teams.clone();
-        let mut reference_jobs: Vec<ReferenceJob> =
-            jobs.iter().map(|job| (job, job.view())).collect();
-        let reference = run_reference(
-            &mut reference_jobs,
-            &mut machines,
-            &mut reference_teams,
-            training_cpus,
-            headroom_cpus,
-        );
-        let indexed = run(
-            &jobs,
-            &mut capacity,
-            &mut teams,
-            training_cpus,
-            headroom_cpus,
-        );
-        assert_eq!(indexed, reference, "seed {seed}");
-        for (index, machine) in machines.iter().enumerate() {
-            let free = capacity.view(index as MachineIndex).map(|view| view.free);
-            assert_eq!(free, Some(machine.free), "seed {seed}");
-        }
-        placed += indexed.len();
+        let jobs = random_jobs(&mut rng);
+        let (capacity, machines) = random_fleet(&mut rng, 1..20, 20);
+        placed += compare_with_reference(&mut rng, &jobs, capacity, machines, seed);
     }
     assert!(placed > 8000, "{placed} placed");
 }
 
+/// The rankings per image, which exist only while many machines have free CPUs, do not change
+/// what is placed: built, in use, and dropped again.
+#[test]
+fn rankings_by_image_place_as_the_reference_scheduler() {
+    let mut placed = 0;
+    for seed in 0..120 {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let jobs = random_jobs(&mut rng);
+        let (capacity, machines) = random_fleet(&mut rng, 100..260, 30);
+        placed += compare_with_reference(&mut rng, &jobs, capacity, machines, seed);
+    }
+    assert!(placed > 3000, "{placed} placed");
+}
+
 /// While jobs arrive, age, train, stop ageing and leave, the order of the queue is that of a
 /// plain sort by what each job is at the time.
 #[test]
