--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -203,6 +203,19 @@
     TrainingOnly,
 }
 
+impl TaskSelection {
+    /// How many tasks of the job may be placed; None if training tasks have used up their CPUs.
+    fn max_tasks(self, job: &JobView, training_cpus: f64) -> Option<u32> {
+        match self {
+            TaskSelection::All => Some(u32::MAX),
+            TaskSelection::TrainingOnly => match affordable_tasks(training_cpus, job.spec.cpus) {
+                0 => None,
+                affordable => Some(affordable.min(job.training_tasks)),
+            },
+        }
+    }
+}
+
 /// The state of one scheduling cycle.
 struct Cycle<'a, 'c, V> {
     /// Gives the view of a job of the queue.
@@ -228,6 +241,7 @@
         }
     }
 
+    /// Places tasks of the job whose turn it is.
     fn place_job(&mut self, queued: &QueuedJob<'_>, selection: TaskSelection) -> SubQueueDecision {
         if self.exhausted_requests.contains(queued.request) {
             return SubQueueDecision::Leave;
@@ -243,14 +257,8 @@
         if !job.team_allows(self.teams) {
             return SubQueueDecision::Leave;
         }
-        let max_tasks = match selection {
-            TaskSelection::All => u32::MAX,
-            TaskSelection::TrainingOnly => {
-                match affordable_tasks(self.limits.training_cpus, job.spec.cpus) {
-                    0 => return SubQueueDecision::Leave,
-                    affordable => affordable.min(job.training_tasks),
-                }
-            }
+        let Some(max_tasks) = selection.max_tasks(job, self.limits.training_cpus) else {
+            return SubQueueDecision::Leave;
         };
         let headroom_cpus = self.limits.service_headroom_cpus;
         let placements = place_tasks(job, self.capacity, self.teams, headroom_cpus, max_tasks);
@@ -266,10 +274,10 @@
         if selection == TaskSelection::TrainingOnly {
             self.limits.training_cpus -= f64::from(placed_tasks) * job.spec.cpus;
         }
-        let unplaced =
+        let tasks_left =
             placed_tasks < max_tasks && job.waiting_tasks > 0 && job.team_allows(self.teams);
         let policy = PlacementPolicy::for_request(queued.request, headroom_cpus);
-        if unplaced && !self.capacity.any_machine_fits(job, policy) {
+        if tasks_left && !self.capacity.any_machine_fits(job, policy) {
             self.exhausted_requests.insert(queued.request.clone());
             return SubQueueDecision::Leave;
         }
