--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -10,6 +10,9 @@
 //!    estimated work in CPU seconds, less what it would have been served under fair sharing;
 //!    this ageing keeps large jobs from waiting for ever.
 //!
+//! Within each of the three, a job of higher priority comes before all of lower priority
+//! ([`crate::job_queue::QueueRank`] has the full order).
+//!
 //! Jobs whose team is at its quota are skipped. When a job finds no capacity, all jobs with an
 //! equal [`ResourceRequest`] are skipped as well.
 
