--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -272,6 +272,21 @@
     order
 }
 
+/// All jobs in the order in which their training tasks are placed.
+fn training_order(jobs: &[ReferenceJob]) -> Vec<usize> {
+    let mut training: Vec<usize> = (0..jobs.len()).collect();
+    training.sort_by(|&a, &b| {
+        let (a, b) = (jobs[a].0, jobs[b].0);
+        b.spec
+            .priority
+            .cmp(&a.spec.priority)
+            .then(a.initial_size.total_cmp(&b.initial_size))
+            .then(a.submitted.cmp(&b.submitted))
+            .then(a.spec.id.cmp(&b.spec.id))
+    });
+    training
+}
+
 /// The reference scheduler: looks at every job, and for every task at every machine.
 fn run_reference(
     jobs: &mut [ReferenceJob],
@@ -310,17 +325,7 @@
             }
         }
     }
-    let mut training: Vec<usize> = order.clone();
-    training.sort_by(|&a, &b| {
-        let (a, b) = (jobs[a].0, jobs[b].0);
-        b.spec
-            .priority
-            .cmp(&a.spec.priority)
-            .then(a.initial_size.total_cmp(&b.initial_size))
-            .then(a.submitted.cmp(&b.submitted))
-            .then(a.spec.id.cmp(&b.spec.id))
-    });
-    for index in training {
+    for index in training_order(jobs) {
         let cpus = jobs[index].0.spec.cpus;
         while jobs[index].1.training_tasks > 0 && training_cpus + 1e-6 >= cpus {
             let Some(placement) = place_task(jobs, index) else {
@@ -489,6 +494,35 @@
     assert!(placed > 3000, "{placed} placed");
 }
 
+/// The jobs, each with whether its size is fixed, in the order of a plain sort.
+fn plain_sort(jobs: &[Option<(Job, bool)>]) -> Vec<JobIndex> {
+    let known: Vec<(JobIndex, &Job, bool)> = jobs
+        .iter()
+        .enumerate()
+        .filter_map(|(index, slot)| {
+            let (job, fixed) = slot.as_ref()?;
+            Some((index as JobIndex, job, *fixed))
+        })
+        .collect();
+    let reference: Vec<Job> = known
+        .iter()
+        .map(|(_, j, fixed)| Job {
+            // Remaining work counts among jobs that have aged to zero.
+            remaining: if *fixed || j.virtual_size > 0.0 {
+                0.0
+            } else {
+                j.remaining
+            },
+            ..(*j).clone()
+        })
+        .collect();
+    let views: Vec<ReferenceJob> = reference.iter().map(|job| (job, job.view())).collect();
+    queue_order(&views)
+        .into_iter()
+        .map(|position| known[position].0)
+        .collect()
+}
+
 /// While jobs arrive, age, train, stop ageing and leave, the order of the queue is that of a
 /// plain sort by what each job is at the time.
 #[test]
@@ -530,31 +564,7 @@
                 let entry = job.map(|(job, fixed)| job.queue_entry(virtual_time, *fixed));
                 queue.set(aged, entry);
             }
-            let known: Vec<(JobIndex, &Job, bool)> = jobs
-                .iter()
-                .enumerate()
-                .filter_map(|(index, slot)| {
-                    let (job, fixed) = slot.as_ref()?;
-                    Some((index as JobIndex, job, *fixed))
-                })
-                .collect();
-            let reference: Vec<Job> = known
-                .iter()
-                .map(|(_, j, fixed)| Job {
-                    // Remaining work counts among jobs that have aged to zero.
-                    remaining: if *fixed || j.virtual_size > 0.0 {
-                        0.0
-                    } else {
-                        j.remaining
-                    },
-                    ..(*j).clone()
-                })
-                .collect();
-            let views: Vec<ReferenceJob> = reference.iter().map(|job| (job, job.view())).collect();
-            let sorted: Vec<JobIndex> = queue_order(&views)
-                .into_iter()
-                .map(|position| known[position].0)
-                .collect();
+            let sorted = plain_sort(&jobs);
             let indexed: Vec<JobIndex> = queue.iter_in_order(virtual_time).collect();
             assert_eq!(indexed, sorted, "seed {seed}");
             compared += sorted.len();
