--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -196,9 +196,9 @@
             spec: &job.spec,
             image: &job.image,
             team: job.team,
-            waiting: job.placeable().min(most) as u32,
-            zones: self.zones(job, &BTreeSet::new()),
-            training: job.training(ctx.config),
+            waiting_tasks: job.placeable().min(most) as u32,
+            tasks_by_zone: self.zones(job, &BTreeSet::new()),
+            training_tasks: job.training(ctx.config),
             at_risk_tasks: 0,
             starving: job.shape.starving(),
         })
@@ -303,18 +303,17 @@
         let terms = sched::CycleLimits {
             virtual_time: self.scheduling.virtual_time,
             training_cpus: share - sums.training_cpus(),
-            service_headroom: self.reserve(ctx.config),
+            service_headroom_cpus: self.reserve(ctx.config),
         };
         // Taken out while the jobs are looked at; what is placed comes back
         // marked, and with that the floor is as the machines are.
         let mut floor = std::mem::take(&mut self.derived.capacity);
         let view = |place| self.job_view(ctx, place);
-        let (made, seen) =
-            sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
+        let result = sched::run_cycle(&self.derived.job_queue, view, &mut floor, &mut teams, terms);
         self.derived.capacity = floor;
         self.scheduling.counts.passes += 1;
-        self.scheduling.counts.jobs += seen as u64;
-        for a in made {
+        self.scheduling.counts.jobs += result.jobs_examined as u64;
+        for a in result.assignments {
             self.apply_assignment(&a);
         }
     }
