--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,7 +1,7 @@
 //! What the platform and the operator set.
 
 use crate::{Micros, SECOND, micros};
-use dillcleat_wire::platform::{PlatformSettings, Team, one_line};
+use dillcleat_wire::settings::{PlatformSettings, Team, one_line};
 use serde::Deserialize;
 
 /// The operator's own settings; every one has a default.
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -6,7 +6,7 @@
 //! before, and no rule rests on any.
 
 use crate::{Config, Micros, SECOND};
-use dillcleat_peer_protocol::{Estimates, JobEstimate};
+use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate};
 use std::collections::HashMap;
 
 /// What was not told again for so long is not believed: its job has ended, or the
@@ -19,7 +19,7 @@
     /// Of which term it is.
     term: u64,
     clock: f64,
-    classes: Vec<(String, f64)>,
+    classes: Vec<ClassRunTime>,
     jobs: HashMap<String, (JobEstimate, Micros)>,
 }
 
@@ -74,7 +74,8 @@
             classes: heard
                 .classes
                 .into_iter()
-                .filter(|(_, s)| *s > 0.0)
+                .filter(|run_time| run_time.mean_s > 0.0)
+                .map(|run_time| (run_time.class, run_time.mean_s))
                 .collect(),
             jobs: recent.map(|(id, (job, _))| (id, job)).collect(),
         }
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use dillcleat_peer_protocol::{
-    Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_SAMPLES,
+    ClassRunTime, Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_SAMPLES,
 };
 
 /// Jobs that are told again in turn in one message, and places that are looked at for
@@ -80,7 +80,12 @@
         Estimates {
             term: self.term,
             virtual_time: self.scheduling.virtual_time,
-            classes: classes.map(|(class, s)| (class.clone(), *s)).collect(),
+            classes: classes
+                .map(|(class, mean_s)| ClassRunTime {
+                    class: class.clone(),
+                    mean_s: *mean_s,
+                })
+                .collect(),
             jobs,
         }
     }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -425,7 +425,7 @@
                 };
                 out.push(Output::Answer { id, answer });
             }
-            Route::Report => {
+            Route::Heartbeat => {
                 let answer = self.report(now, out, body);
                 out.push(Output::Answer { id, answer });
             }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -13,7 +13,7 @@
 };
 use dillcleat_wire::cloud::{CloudRequest, CloudResponse, MachineList, MachineType};
 use dillcleat_wire::encode;
-use dillcleat_wire::platform::{PlatformSettings, Team};
+use dillcleat_wire::settings::{PlatformSettings, Team};
 use dillcleat_wire::store::{
     KeyValue, RangePage, StoreRequest, StoreResponse, Transaction, encode_value,
 };
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -5,7 +5,7 @@
 use common::{Around, step_with};
 use dillcleat_controller::records::{OpenJob, open_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
-use dillcleat_peer_protocol::{Estimates, JobEstimate, Message};
+use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
 use dillcleat_wire::store::{KeyValue, encode_value};
 use dillcleat_wire::user::{JobKind, JobSpec};
 
@@ -15,7 +15,10 @@
     Estimates {
         term,
         virtual_time: 500.0,
-        classes: vec![("merge".into(), 33.0)],
+        classes: vec![ClassRunTime {
+            class: "merge".into(),
+            mean_s: 33.0,
+        }],
         jobs: vec![JobEstimate {
             job: "req-1".into(),
             initial_size: 6000.0,
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -6,7 +6,7 @@
 use dillcleat_controller::store_latency::lease_time;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
 use dillcleat_wire::cloud::CloudRequest;
-use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::settings::PlatformSettings;
 
 fn config(lead_ttl_s: f64) -> Config {
     let text = include_str!("../../../deploy/example-node.toml");
--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -7,7 +7,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use dillcleat_controller::{CallError, Config, Tuning};
 use dillcleat_kube::{Key, Rules, Settings};
-use dillcleat_wire::platform::{PlatformSettings, one_line};
+use dillcleat_wire::settings::{PlatformSettings, one_line};
 use dillcleat_wire::user::{self, ErrorReply, JobKind, JobSpec, JobStatus, Priority};
 use smol::Timer;
 use std::path::{Path, PathBuf};
@@ -213,7 +213,7 @@
 /// The objectives from which no decision follows, by kind and class.
 fn unused(platform: &PlatformSettings) -> Vec<String> {
     let all = platform.cluster.objectives.iter();
-    all.filter(|o| !o.steers())
+    all.filter(|o| !o.affects_scheduling())
         .map(|o| match &o.class {
             Some(class) => format!("{} of {class}", o.kind),
             None => o.kind.clone(),
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -10,8 +10,9 @@
 };
 use dillcleat_kube::{Controller, Out, Rules};
 use dillcleat_peer_protocol::Message;
+use dillcleat_wire::HttpRequest;
 use dillcleat_wire::cloud::CloudRequest;
-use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::settings::PlatformSettings;
 use dillcleat_wire::store::StoreRequest;
 use dillcleat_wire::worker::HEARTBEAT_PATH;
 use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch};
@@ -92,7 +93,7 @@
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
     let clients = bind(&platform.client_listen).await?;
-    let siblings = bind(&platform.mesh_addr).await?;
+    let siblings = bind(&platform.peer_listen).await?;
     let (inputs, core_inputs) = smol::channel::bounded(MAX_INPUTS);
     let (reports, core_reports) = smol::channel::bounded(MAX_INPUTS);
     // The room of such a queue is taken at once: nobody asks where there is no door.
@@ -117,7 +118,7 @@
         // kept to each, a controller would have none left for its users.
         // Those kept count against the orders that may be under way.
         workers: Pool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
-        state_addr: platform.endpoints.state.clone(),
+        state_addr: platform.endpoints.store.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
     let mut speakers = Vec::new();
@@ -273,14 +274,18 @@
 }
 
 async fn state_call(shared: Rc<Shared>, id: CallId, call: StoreRequest, timeout: Micros) {
-    let (method, target, body) = call.request();
+    let HttpRequest {
+        method,
+        target,
+        body,
+    } = call.to_http();
     let time = Duration::from_micros(timeout);
     let reply = shared
         .state
         .call(&shared.state_addr, method, &target, &body, time)
         .await
         .and_then(|(status, body)| {
-            call.reply(status, &body).map_err(|e| {
+            call.parse_response(status, &body).map_err(|e| {
                 log::error!("the state service answers {method} {target} with nonsense: {e}");
                 CallError::NoAnswer
             })
@@ -297,13 +302,17 @@
 }
 
 async fn cloud_call(shared: Rc<Shared>, id: CallId, call: CloudRequest, limits: Limits) {
-    let (method, target, body) = call.request();
+    let HttpRequest {
+        method,
+        target,
+        body,
+    } = call.to_http();
     let reply = shared
         .cloud
         .call(&shared.cloud_addr, method, &target, &body, limits)
         .await
         .and_then(|(status, body)| {
-            call.reply(status, &body).map_err(|e| {
+            call.parse_response(status, &body).map_err(|e| {
                 log::error!("the cloud answers {method} {target} with nonsense: {e}");
                 CallError::NoAnswer
             })
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -147,7 +147,7 @@
 impl Settings {
     pub fn read(table: toml::Value) -> Result<Settings, SettingsError> {
         let settings: Settings = table.try_into().map_err(|e: toml::de::Error| {
-            SettingsError::Form(dillcleat_wire::platform::one_line(&e.to_string()))
+            SettingsError::Form(dillcleat_wire::settings::one_line(&e.to_string()))
         })?;
         if settings.tls.is_none() && !settings.listen.ip().is_loopback() {
             return Err(SettingsError::Plain(settings.listen));
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -8,7 +8,7 @@
 use dillcleat_kube::record::{Gone, Kind, Name, Record};
 use dillcleat_kube::{Ask, Controller, Key, Out, Rules, Settings};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::settings::PlatformSettings;
 use dillcleat_wire::store::{
     KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value, WatchBatch,
     WatchEvent, encode_value,
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -43,6 +43,14 @@
     pub samples: Vec<f64>,
 }
 
+/// The mean run time of a class's tasks.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ClassRunTime {
+    pub class: String,
+    /// In seconds.
+    pub mean_s: f64,
+}
+
 /// What a leader has learned, in part: each message brings some jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Estimates {
@@ -51,8 +59,8 @@
     /// What ageing has taken off any array that was active all the time, in
     /// CPU-seconds.
     pub virtual_time: f64,
-    /// Mean run times by class, in seconds.
-    pub classes: Vec<(String, f64)>,
+    /// Mean run times by class.
+    pub classes: Vec<ClassRunTime>,
     pub jobs: Vec<JobEstimate>,
 }
 
@@ -99,26 +107,26 @@
     #[error("frame of {0} bytes is over the bound")]
     TooLong(usize),
     #[error("unknown version {0}")]
-    Version(u8),
+    UnsupportedVersion(u8),
     #[error("unknown kind {0}")]
-    Kind(u8),
+    UnknownKind(u8),
     #[error("frame ends early")]
-    Short,
+    Truncated,
     #[error("frame has bytes left over")]
-    Long,
+    TrailingBytes,
     #[error("text is not UTF-8")]
-    Text,
+    InvalidUtf8,
     #[error("a flag is neither 0 nor 1")]
-    Flag,
+    InvalidFlag,
     #[error("a number is not finite")]
-    Number,
+    NonFiniteNumber,
 }
 
 /// The length that a frame's first four bytes announce.
 pub fn frame_length(head: [u8; 4]) -> Result<usize, FrameError> {
     match u32::from_be_bytes(head) as usize {
         n if n > MAX_FRAME => Err(FrameError::TooLong(n)),
-        n if n < 2 => Err(FrameError::Short),
+        n if n < 2 => Err(FrameError::Truncated),
         n => Ok(n),
     }
 }
@@ -141,9 +149,9 @@
     put_f64(out, learned.virtual_time);
     let n = learned.classes.len().min(MAX_CLASSES);
     out.extend_from_slice(&(n as u16).to_be_bytes());
-    for (class, mean) in &learned.classes[..n] {
-        put_text(out, class);
-        put_f64(out, *mean);
+    for run_time in &learned.classes[..n] {
+        put_text(out, &run_time.class);
+        put_f64(out, run_time.mean_s);
     }
     let n = learned.jobs.len().min(MAX_JOB_ESTIMATES);
     out.extend_from_slice(&(n as u16).to_be_bytes());
@@ -219,7 +227,7 @@
         let mut r = Reader(frame);
         match r.u8()? {
             VERSION | PREVIOUS_VERSION => {}
-            v => return Err(FrameError::Version(v)),
+            v => return Err(FrameError::UnsupportedVersion(v)),
         }
         let message = match r.u8()? {
             1 => Message::Hello { member: r.text()? },
@@ -254,12 +262,12 @@
                 Message::SilentZones(zones)
             }
             5 => Message::Estimates(r.learned()?),
-            k => return Err(FrameError::Kind(k)),
+            k => return Err(FrameError::UnknownKind(k)),
         };
         if r.0.is_empty() {
             Ok(message)
         } else {
-            Err(FrameError::Long)
+            Err(FrameError::TrailingBytes)
         }
     }
 }
@@ -268,7 +276,10 @@
 
 impl Reader<'_> {
     fn take<const N: usize>(&mut self) -> Result<[u8; N], FrameError> {
-        let (head, rest) = self.0.split_first_chunk::<N>().ok_or(FrameError::Short)?;
+        let (head, rest) = self
+            .0
+            .split_first_chunk::<N>()
+            .ok_or(FrameError::Truncated)?;
         self.0 = rest;
         Ok(*head)
     }
@@ -293,7 +304,7 @@
         match self.u8()? {
             0 => Ok(false),
             1 => Ok(true),
-            _ => Err(FrameError::Flag),
+            _ => Err(FrameError::InvalidFlag),
         }
     }
 
@@ -310,7 +321,7 @@
         number
             .is_finite()
             .then_some(number)
-            .ok_or(FrameError::Number)
+            .ok_or(FrameError::NonFiniteNumber)
     }
 
     fn learned(&mut self) -> Result<Estimates, FrameError> {
@@ -318,7 +329,10 @@
         let n = self.count(MAX_CLASSES)?;
         let mut classes = Vec::with_capacity(n);
         for _ in 0..n {
-            classes.push((self.text()?, self.f64()?));
+            classes.push(ClassRunTime {
+                class: self.text()?,
+                mean_s: self.f64()?,
+            });
         }
         let n = self.count(MAX_JOB_ESTIMATES)?;
         let mut jobs = Vec::with_capacity(n);
@@ -348,11 +362,11 @@
     fn text(&mut self) -> Result<String, FrameError> {
         let n = self.u16()? as usize;
         if n > self.0.len() {
-            return Err(FrameError::Short);
+            return Err(FrameError::Truncated);
         }
         let (head, rest) = self.0.split_at(n);
         self.0 = rest;
-        String::from_utf8(head.to_vec()).map_err(|_| FrameError::Text)
+        String::from_utf8(head.to_vec()).map_err(|_| FrameError::InvalidUtf8)
     }
 }
 
@@ -385,7 +399,10 @@
             Message::Estimates(Estimates {
                 term: 7,
                 virtual_time: 12.5,
-                classes: vec![("merge".into(), 40.25)],
+                classes: vec![ClassRunTime {
+                    class: "merge".into(),
+                    mean_s: 40.25,
+                }],
                 jobs: vec![JobEstimate {
                     job: "req-1".into(),
                     initial_size: 240.0,
@@ -407,13 +424,16 @@
             }
             let mut long = frame.clone();
             long.push(0);
-            assert_eq!(Message::decode(&long[4..]), Err(FrameError::Long));
+            assert_eq!(Message::decode(&long[4..]), Err(FrameError::TrailingBytes));
             let mut before = frame.clone();
             before[4] = 3;
             assert!(Message::decode(&before[4..]).is_ok());
             let mut other = frame;
             other[4] = 9;
-            assert_eq!(Message::decode(&other[4..]), Err(FrameError::Version(9)));
+            assert_eq!(
+                Message::decode(&other[4..]),
+                Err(FrameError::UnsupportedVersion(9))
+            );
         }
         assert!(frame_length([255; 4]).is_err());
     }
@@ -429,7 +449,10 @@
                 jobs: Vec::new(),
             })
             .encode();
-            assert_eq!(Message::decode(&frame[4..]), Err(FrameError::Number));
+            assert_eq!(
+                Message::decode(&frame[4..]),
+                Err(FrameError::NonFiniteNumber)
+            );
         }
     }
 }
--- a/crates/mesh/tests/golden_bytes.rs
+++ b/crates/peer-protocol/tests/golden_frames.rs
@@ -1,8 +1,9 @@
 //! The frames among controllers, as version 84a8104 reads and writes them.
 
 use dillcleat_peer_protocol::{
-    FrameError, Learned, LearnedJob, MAX_CLASSES, MAX_FRAME, MAX_LEARNED, MAX_PROGRESS,
-    MAX_SAMPLES, MAX_ZONES, Message, Progress, Silence, VERSION, frame_len,
+    ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, MAX_CLASSES, MAX_FRAME,
+    MAX_JOB_ESTIMATES, MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, SilentZone, VERSION,
+    frame_length,
 };
 
 /// Asserts that `frame` is read as `message`, also when it comes from the version
@@ -13,7 +14,7 @@
         frame.escape_ascii().to_string()
     );
     let (head, content) = frame.split_first_chunk::<4>().expect("a length");
-    assert_eq!(frame_len(*head), Ok(content.len()));
+    assert_eq!(frame_length(*head), Ok(content.len()));
     assert_eq!(Message::decode(content).as_ref(), Ok(message));
     let mut before = content.to_vec();
     before[0] = 3;
@@ -23,7 +24,10 @@
 #[test]
 fn the_version_and_the_limits_stay_as_they_are() {
     assert_eq!((VERSION, MAX_FRAME), (4, 65_536));
-    assert_eq!((MAX_PROGRESS, MAX_ZONES, MAX_LEARNED), (500, 100, 100));
+    assert_eq!(
+        (MAX_PROGRESS, MAX_ZONES, MAX_JOB_ESTIMATES),
+        (500, 100, 100)
+    );
     assert_eq!((MAX_CLASSES, MAX_SAMPLES), (64, 16));
 }
 
@@ -37,37 +41,37 @@
 
 /// Each flag is set in one frame alone, so that none is taken for another.
 #[test]
-fn a_beat_keeps_its_bytes() {
-    let beat = |leads, served, hears| Message::Beat {
+fn a_heartbeat_keeps_its_bytes() {
+    let heartbeat = |is_leader, store_reachable, workers_reachable| Message::Heartbeat {
         term: 0x0102_0304_0506_0708,
-        leads,
-        served,
-        hears,
-        asked: 70_000,
+        is_leader,
+        store_reachable,
+        workers_reachable,
+        requests_per_s: 70_000,
     };
     assert_keeps(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x01\x00\x00\x00\x01\x11\x70",
-        &beat(true, false, false),
+        &heartbeat(true, false, false),
     );
     assert_keeps(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x01\x00\x00\x01\x11\x70",
-        &beat(false, true, false),
+        &heartbeat(false, true, false),
     );
     assert_keeps(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x00\x01\x00\x01\x11\x70",
-        &beat(false, false, true),
+        &heartbeat(false, false, true),
     );
 }
 
 #[test]
 fn progress_keeps_its_bytes() {
-    let progress = Message::Progress(vec![
-        Progress {
+    let progress = Message::JobProgress(vec![
+        JobProgress {
             job: "req-1".into(),
             done: 3,
             running: 4,
         },
-        Progress {
+        JobProgress {
             job: "req-22".into(),
             done: 100_000,
             running: 0,
@@ -81,15 +85,15 @@
     );
     assert_keeps(
         b"\x00\x00\x00\x04\x04\x03\x00\x00",
-        &Message::Progress(Vec::new()),
+        &Message::JobProgress(Vec::new()),
     );
 }
 
 #[test]
 fn silent_zones_keep_their_bytes() {
-    let silent = Message::Silent(vec![Silence {
+    let silent = Message::SilentZones(vec![SilentZone {
         zone: "a".into(),
-        quiet_ms: 9_000,
+        silent_ms: 9_000,
     }]);
     assert_keeps(
         b"\x00\x00\x00\x0b\x04\x04\x00\x01\x00\x01a\x00\x00\x23\x28",
@@ -97,32 +101,35 @@
     );
     assert_keeps(
         b"\x00\x00\x00\x04\x04\x04\x00\x00",
-        &Message::Silent(Vec::new()),
+        &Message::SilentZones(Vec::new()),
     );
 }
 
 #[test]
 fn what_was_learned_keeps_its_bytes() {
-    let learned = Message::Learned(Learned {
+    let learned = Message::Estimates(Estimates {
         term: 7,
-        clock: 12.5,
-        classes: vec![("merge".into(), 40.25)],
+        virtual_time: 12.5,
+        classes: vec![ClassRunTime {
+            class: "merge".into(),
+            mean_s: 40.25,
+        }],
         jobs: vec![
-            LearnedJob {
+            JobEstimate {
                 job: "req-1".into(),
                 initial_size: 240.0,
                 size: 120.5,
                 credit: -3.0,
-                ages: true,
+                is_ageing: true,
                 trained: false,
                 samples: vec![30.0, 31.5],
             },
-            LearnedJob {
+            JobEstimate {
                 job: "req-2".into(),
                 initial_size: 1.0,
                 size: 2.0,
                 credit: 0.0,
-                ages: false,
+                is_ageing: false,
                 trained: true,
                 samples: Vec::new(),
             },
@@ -139,9 +146,9 @@
             \x40\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00",
         &learned,
     );
-    let nothing = Message::Learned(Learned {
+    let nothing = Message::Estimates(Estimates {
         term: 7,
-        clock: 0.0,
+        virtual_time: 0.0,
         classes: Vec::new(),
         jobs: Vec::new(),
     });
@@ -156,16 +163,16 @@
 #[test]
 fn what_is_no_frame_of_this_version_is_refused_as_before() {
     let refused = |content: &[u8], error| assert_eq!(Message::decode(content), Err(error));
-    refused(b"\x02\x01\x00\x02n1", FrameError::Version(2));
-    refused(b"\x05\x01\x00\x02n1", FrameError::Version(5));
-    refused(b"\x04\x00", FrameError::Kind(0));
-    refused(b"\x04\x06", FrameError::Kind(6));
-    refused(b"\x04\x01\x00\x02n", FrameError::Short);
-    refused(b"\x04\x01\x00\x02n1x", FrameError::Long);
-    refused(b"\x04\x01\x00\x01\xff", FrameError::Text);
+    refused(b"\x02\x01\x00\x02n1", FrameError::UnsupportedVersion(2));
+    refused(b"\x05\x01\x00\x02n1", FrameError::UnsupportedVersion(5));
+    refused(b"\x04\x00", FrameError::UnknownKind(0));
+    refused(b"\x04\x06", FrameError::UnknownKind(6));
+    refused(b"\x04\x01\x00\x02n", FrameError::Truncated);
+    refused(b"\x04\x01\x00\x02n1x", FrameError::TrailingBytes);
+    refused(b"\x04\x01\x00\x01\xff", FrameError::InvalidUtf8);
     refused(
         b"\x04\x02\x00\x00\x00\x00\x00\x00\x00\x07\x02\x00\x00\x00\x00\x00\x00",
-        FrameError::Flag,
+        FrameError::InvalidFlag,
     );
     refused(b"\x04\x03\x01\xf5", FrameError::TooLong(501));
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -18,7 +18,7 @@
 };
 use dillcleat_wire::TaskName;
 use dillcleat_wire::cloud::{CloudRequest, MachineType};
-use dillcleat_wire::platform::Team;
+use dillcleat_wire::settings::Team;
 use dillcleat_wire::store::{StoreRequest, StoreResponse};
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, Priority};
 use dillcleat_wire::worker::{Command, CommandBatch, HEARTBEAT_PATH, HeartbeatReply};
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -7,6 +7,7 @@
 use dillcleat_controller::{JobEvent, Micros, Output};
 use dillcleat_kube::Out;
 use dillcleat_peer_protocol::Message;
+use dillcleat_wire::HttpRequest;
 use sha2::{Digest, Sha256};
 
 /// Separates the kinds of output in the digest.
@@ -64,7 +65,7 @@
             }
             Output::Store { id, call, timeout } => {
                 self.kind(Kind::State, id.0);
-                self.request(call.request());
+                self.request(&call.to_http());
                 self.number(*timeout);
             }
             Output::Cloud {
@@ -74,7 +75,7 @@
                 within,
             } => {
                 self.kind(Kind::Cloud, id.0);
-                self.request(call.request());
+                self.request(&call.to_http());
                 self.number(*timeout);
                 self.number(*within);
             }
@@ -118,10 +119,10 @@
         self.bytes(body);
     }
 
-    fn request(&mut self, (method, target, body): (&str, String, Vec<u8>)) {
-        self.bytes(method.as_bytes());
-        self.bytes(target.as_bytes());
-        self.bytes(&body);
+    fn request(&mut self, request: &HttpRequest) {
+        self.bytes(request.method.as_bytes());
+        self.bytes(request.target.as_bytes());
+        self.bytes(&request.body);
     }
 
     fn number(&mut self, number: u64) {
@@ -139,7 +140,7 @@
 fn canonical(message: &Message) -> Message {
     let mut message = message.clone();
     if let Message::Estimates(estimates) = &mut message {
-        estimates.classes.sort_by(|a, b| a.0.cmp(&b.0));
+        estimates.classes.sort_by(|a, b| a.class.cmp(&b.class));
     }
     message
 }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -6,7 +6,7 @@
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
-use dillcleat_wire::platform::Team;
+use dillcleat_wire::settings::Team;
 use dillcleat_wire::user::{JobSpec, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -27,7 +27,7 @@
 use dillcleat_kube::{Ask, Controller, Out};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::{CloudRequest, MachineType};
-use dillcleat_wire::platform::Team;
+use dillcleat_wire::settings::Team;
 use dillcleat_wire::store::{StoreRequest, StoreResponse};
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, Priority};
 use dillcleat_wire::user::{cancel_path, poll_path};
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud that rents machines.
 
-use crate::{BodyError, decode, encode};
+use crate::{BodyError, HttpRequest, decode, encode};
 use serde::{Deserialize, Serialize};
 
 /// The most machines one rental request may ask for.
@@ -129,8 +129,8 @@
 
 impl CloudRequest {
     /// Method, target and body of the request.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
-        match self {
+    pub fn to_http(&self) -> HttpRequest {
+        let (method, target, body) = match self {
             CloudRequest::Types => ("GET", "/flavors".into(), Vec::new()),
             CloudRequest::ScaleOut(rent) => ("POST", "/hosts".into(), encode(rent)),
             CloudRequest::Delete(names) => (
@@ -150,11 +150,16 @@
                     Vec::new(),
                 )
             }
+        };
+        HttpRequest {
+            method,
+            target,
+            body,
         }
     }
 
     /// Reads the answer. Nonsense is an error and counts as no answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> Result<CloudResponse, BodyError> {
+    pub fn parse_response(&self, status: u16, body: &[u8]) -> Result<CloudResponse, BodyError> {
         match (status, self) {
             (200, CloudRequest::Types) => {
                 Ok(CloudResponse::Types(decode::<MachineTypes>(body)?.types))
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,7 +5,7 @@
 //! teams, leases and terms. Clients written in Rust can use it as it is.
 
 pub mod cloud;
-pub mod platform;
+pub mod settings;
 pub mod store;
 pub mod user;
 pub mod worker;
@@ -46,6 +46,15 @@
     rmp_serde::to_vec_named(body).unwrap_or_default()
 }
 
+/// A request to the store or to the cloud.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HttpRequest {
+    pub method: &'static str,
+    /// The path and the query.
+    pub target: String,
+    pub body: Vec<u8>,
+}
+
 /// A task's name, `JOB/NUMBER` on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/settings.rs
@@ -11,7 +11,7 @@
     #[serde(rename = "client_listen")]
     pub client_listen: String,
     #[serde(rename = "mesh_addr")]
-    pub mesh_addr: String,
+    pub peer_listen: String,
     #[serde(rename = "siblings", default)]
     pub peers: Vec<Peer>,
     #[serde(rename = "endpoints")]
@@ -35,7 +35,7 @@
     #[serde(rename = "cloud")]
     pub cloud: String,
     #[serde(rename = "state")]
-    pub state: String,
+    pub store: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -91,7 +91,7 @@
 impl Objective {
     /// Whether decisions follow from it. The others are looked at afterwards
     /// only; which ones is said at the start, so that none is ignored by accident.
-    pub fn steers(&self) -> bool {
+    pub fn affects_scheduling(&self) -> bool {
         matches!(self.kind.as_str(), "deadline" | "wait") && self.class.is_some()
     }
 }
@@ -154,14 +154,14 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct PlatformError(pub String);
+pub struct SettingsError(pub String);
 
 impl PlatformSettings {
     /// Reads the file's text. Unknown fields are ignored; what is missing or
     /// out of range is named.
-    pub fn parse(text: &str) -> Result<PlatformSettings, PlatformError> {
+    pub fn parse(text: &str) -> Result<PlatformSettings, SettingsError> {
         let p: PlatformSettings =
-            toml::from_str(text).map_err(|e| PlatformError(one_line(&e.to_string())))?;
+            toml::from_str(text).map_err(|e| SettingsError(one_line(&e.to_string())))?;
         let c = &p.cluster;
         let checks = [
             ("cluster.workers.report_s", c.workers.report_s, 0.01, 3600.0),
@@ -177,7 +177,7 @@
         ];
         for (key, v, low, high) in checks {
             if !v.is_finite() || v < low || v > high {
-                return Err(PlatformError(format!(
+                return Err(SettingsError(format!(
                     "{key}: must be from {low} to {high}, is {v}"
                 )));
             }
@@ -189,7 +189,7 @@
             ("cluster.state.next.value_kb", next.value_kb),
         ] {
             if let Some(v) = v.filter(|v| !(1.0..=1e9).contains(v)) {
-                return Err(PlatformError(format!(
+                return Err(SettingsError(format!(
                     "{key}: must be from 1 to {}, is {v}",
                     1e9
                 )));
@@ -200,19 +200,19 @@
             ("cluster.state.next.txn_ops", next.txn_ops),
         ] {
             if let Some(ops) = ops.filter(|ops| *ops < 8) {
-                return Err(PlatformError(format!(
+                return Err(SettingsError(format!(
                     "{key}: must be at least 8, is {ops}"
                 )));
             }
         }
         if c.quota.max_connections < 32 {
-            return Err(PlatformError(format!(
+            return Err(SettingsError(format!(
                 "cluster.quota.max_connections: must be at least 32, is {}",
                 c.quota.max_connections
             )));
         }
         if c.workers.cancel_s <= c.workers.lease_s {
-            return Err(PlatformError(
+            return Err(SettingsError(
                 "cluster.workers.cancel_s: must be above lease_s".into(),
             ));
         }
@@ -224,7 +224,7 @@
                 ("gpus_max", team.gpus_max),
             ] {
                 if !v.is_finite() || v < 0.0 {
-                    return Err(PlatformError(format!(
+                    return Err(SettingsError(format!(
                         "cluster.teams.{}.{key}: must not be negative, is {v}",
                         team.name
                     )));
@@ -233,15 +233,15 @@
         }
         for (key, addr) in [
             ("client_listen", &p.client_listen),
-            ("mesh_addr", &p.mesh_addr),
+            ("mesh_addr", &p.peer_listen),
             ("endpoints.cloud", &p.endpoints.cloud),
-            ("endpoints.state", &p.endpoints.state),
+            ("endpoints.state", &p.endpoints.store),
         ]
         .into_iter()
         .chain(p.peers.iter().map(|s| ("siblings.peer_addr", &s.peer_addr)))
         {
             if addr.parse::<std::net::SocketAddr>().is_err() {
-                return Err(PlatformError(format!(
+                return Err(SettingsError(format!(
                     "{key}: must be IP:PORT, is {addr:?}"
                 )));
             }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service: keys with versions, transactions, leases, watches.
 
-use crate::{BodyError, decode, encode};
+use crate::{BodyError, HttpRequest, decode, encode};
 pub use rmpv::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -273,8 +273,8 @@
 
 impl StoreRequest {
     /// Method, target and body of the request.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
-        match self {
+    pub fn to_http(&self) -> HttpRequest {
+        let (method, target, body) = match self {
             StoreRequest::Get { key } => ("GET", format!("/kv/{key}"), Vec::new()),
             StoreRequest::List { prefix, after } => {
                 let from = after
@@ -305,11 +305,16 @@
                 format!("/changes?under={prefix}&from={after}&hold_ms={hold_ms}"),
                 Vec::new(),
             ),
+        };
+        HttpRequest {
+            method,
+            target,
+            body,
         }
     }
 
     /// Reads the answer. Nonsense is an error and counts as no answer.
-    pub fn reply(&self, status: u16, body: &[u8]) -> Result<StoreResponse, BodyError> {
+    pub fn parse_response(&self, status: u16, body: &[u8]) -> Result<StoreResponse, BodyError> {
         match (status, self) {
             (429, _) => return Ok(StoreResponse::RateLimited),
             (503, _) => return Ok(StoreResponse::Unavailable),
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -367,7 +367,7 @@
     Poll(String),
     Cancel(String),
     Health,
-    Report,
+    Heartbeat,
     NotFound,
     WrongMethod,
 }
@@ -378,7 +378,7 @@
     let (route, allowed) = if path == HEALTH_PATH {
         (Route::Health, "GET")
     } else if path == crate::worker::HEARTBEAT_PATH {
-        (Route::Report, "POST")
+        (Route::Heartbeat, "POST")
     } else if path == JOBS_PATH {
         (Route::Submit, "POST")
     } else if let Some(rest) = path
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -194,7 +194,11 @@
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
     let sends = |call: CloudRequest, method: &str, target: &str, body: &[u8]| {
-        assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
+        let request = call.to_http();
+        assert_eq!(
+            (request.method, request.target.as_str(), &request.body[..]),
+            (method, target, body)
+        );
     };
     sends(CloudRequest::Types, "GET", "/flavors", b"");
     sends(
@@ -230,7 +234,11 @@
 #[test]
 fn every_answer_is_read_as_before() {
     let reads = |call: &CloudRequest, status, body: &[u8], reply: CloudResponse| {
-        assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
+        assert_eq!(
+            call.parse_response(status, body),
+            Ok(reply),
+            "{call:?}: {status}"
+        );
     };
     let types = CloudRequest::Types;
     let rent = CloudRequest::ScaleOut(rent());
@@ -279,6 +287,6 @@
         reads(call, 503, b"", CloudResponse::Refused { status: 503 });
         reads(call, 400, b"", CloudResponse::Malformed);
         reads(call, 404, b"", CloudResponse::Malformed);
-        assert!(call.reply(500, b"").is_err(), "{call:?}");
+        assert!(call.parse_response(500, b"").is_err(), "{call:?}");
     }
 }
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -1,6 +1,6 @@
 //! The platform's settings file with every key, as version 84a8104 reads it.
 
-use dillcleat_wire::platform::{
+use dillcleat_wire::settings::{
     CloudLimits, Cluster, Endpoints, Objective, Peer, PlatformSettings, Quota, StoreLimits, Team,
     UpcomingLimits, WorkerTimings,
 };
@@ -90,7 +90,7 @@
         member: "n0".into(),
         zone: "a".into(),
         client_listen: "127.0.0.1:8080".into(),
-        mesh_addr: "127.0.0.1:8090".into(),
+        peer_listen: "127.0.0.1:8090".into(),
         peers: vec![Peer {
             member: "n1".into(),
             zone: "b".into(),
@@ -98,7 +98,7 @@
         }],
         endpoints: Endpoints {
             cloud: "127.0.0.1:8070".into(),
-            state: "127.0.0.1:8071".into(),
+            store: "127.0.0.1:8071".into(),
         },
         cluster: Cluster {
             size: 3,
--- a/crates/wire/tests/golden_state.rs
+++ b/crates/wire/tests/golden_state.rs
@@ -179,7 +179,11 @@
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
     let sends = |call: StoreRequest, method: &str, target: &str, body: &[u8]| {
-        assert_eq!(call.request(), (method, target.to_string(), body.to_vec()));
+        let request = call.to_http();
+        assert_eq!(
+            (request.method, request.target.as_str(), &request.body[..]),
+            (method, target, body)
+        );
     };
     let get = StoreRequest::Get {
         key: "s/lead".into(),
@@ -244,7 +248,11 @@
 #[test]
 fn every_answer_is_read_as_before() {
     let reads = |call: &StoreRequest, status, body: &[u8], reply: StoreResponse| {
-        assert_eq!(call.reply(status, body), Ok(reply), "{call:?}: {status}");
+        assert_eq!(
+            call.parse_response(status, body),
+            Ok(reply),
+            "{call:?}: {status}"
+        );
     };
     let [get, list, txn, new_lease, extend, end, watch] = &every_call();
 
@@ -313,20 +321,20 @@
 fn refusals_of_any_request_are_read_as_before() {
     for call in every_call() {
         assert_eq!(
-            call.reply(429, b""),
+            call.parse_response(429, b""),
             Ok(StoreResponse::RateLimited),
             "{call:?}"
         );
         assert_eq!(
-            call.reply(503, b""),
+            call.parse_response(503, b""),
             Ok(StoreResponse::Unavailable),
             "{call:?}"
         );
         assert_eq!(
-            call.reply(400, b""),
+            call.parse_response(400, b""),
             Ok(StoreResponse::Malformed),
             "{call:?}"
         );
-        assert!(call.reply(500, b"").is_err(), "{call:?}");
+        assert!(call.parse_response(500, b"").is_err(), "{call:?}");
     }
 }
--- a/crates/wire/tests/golden_user.rs
+++ b/crates/wire/tests/golden_user.rs
@@ -543,7 +543,7 @@
     );
     is("GET", "/up", Route::Health);
     is("GET", "/up?deep=1", Route::Health);
-    is("POST", "/checkin", Route::Report);
+    is("POST", "/checkin", Route::Heartbeat);
     is("GET", "/v2/runs", Route::WrongMethod);
     is("POST", "/v2/runs/req-412", Route::WrongMethod);
     is("GET", "/v2/runs/req-412/abort", Route::WrongMethod);
