--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -69,9 +69,9 @@
     assert!(frame_length([255; 4]).is_err());
 }
 
-/// An age that is no number would put its job first or last for good.
+/// An ageing credit that is not a number would keep its job first or last in the queue for good.
 #[test]
-fn numbers_that_are_none_are_refused() {
+fn numbers_that_are_not_finite_are_refused() {
     for clock in [f64::NAN, f64::INFINITY] {
         let frame = Message::Estimates(Estimates {
             term: 1,
