--- /dev/null
+++ b/crates/wire/src/store/mod.rs
@@ -0,0 +1,15 @@
+//! The store's protocol: a consensus-backed key-value store with versions, compare-and-swap
+//! transactions, leases and watches.
+
+mod request;
+mod response;
+mod transaction;
+mod value;
+mod watch;
+
+pub use request::{MAX_PAGE_ROWS, StoreRequest};
+pub use response::{RangePage, StoreResponse};
+pub use rmpv::Value;
+pub use transaction::{MAX_TRANSACTION_BYTES, Mutation, Precondition, Transaction};
+pub use value::{KeyValue, decode_value, encode_value, json_size};
+pub use watch::{WatchBatch, WatchEvent};
--- /dev/null
+++ b/crates/wire/src/user/submission.rs
@@ -0,0 +1,346 @@
+//! Reading and validating the submission of a job.
+
+use super::job::{JobKind, JobSpec, Priority};
+use crate::{BodyError, decode};
+use rmpv::Value;
+use serde::Deserialize;
+use serde::de::IntoDeserializer;
+use serde::de::value::{Error as NameError, StrDeserializer};
+use std::collections::BTreeSet;
+use std::fmt;
+
+/// The most tasks a job may have.
+pub const MAX_TASKS: u32 = 100_000;
+/// The bound of every text in a job, in bytes, so that its record fits the store.
+const MAX_TEXT_BYTES: usize = 128;
+/// The most machine types that a job may name.
+const MAX_MACHINE_TYPES: usize = 32;
+/// The bound of every amount in a job: seconds, gigabytes and numbers of CPUs.
+const MAX_AMOUNT: f64 = 1e9;
+/// What every job id begins with; digits follow.
+const JOB_ID_PREFIX: &str = "req-";
+/// The most digits of a job id.
+const MAX_JOB_ID_DIGITS: usize = 32;
+
+/// A submission: its id as far as it can be read, and the job or what is wrong with it.
+///
+/// The id is read apart from the rest because a known job is answered as known whatever
+/// else a repeated submission holds.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Submission {
+    /// The job's id, if the body has a valid one.
+    pub id: Option<String>,
+    /// The job, or why it is refused.
+    pub spec: Result<Box<JobSpec>, SpecError>,
+}
+
+/// Why a submission is refused. Its user reads the text.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum SpecError {
+    /// The body cannot be read.
+    #[error(transparent)]
+    Body(#[from] BodyError),
+    /// A required field is absent or null.
+    #[error("{0} is missing")]
+    Missing(SpecField),
+    /// An amount is negative, too large or not a number.
+    #[error("{0} is out of range")]
+    OutOfRange(SpecField),
+    /// A text is empty or over its bound.
+    #[error("{0} is empty or too long")]
+    EmptyOrTooLong(SpecField),
+    /// A list has too many elements, or one of them is too long.
+    #[error("{0} is too long")]
+    TooLong(SpecField),
+    /// The id is not `req-` and digits.
+    #[error("{} is not in its form", SpecField::Id)]
+    InvalidId,
+    /// The kind of job is unknown.
+    #[error("{} must be batch or standing", SpecField::Kind)]
+    UnknownKind,
+    /// The priority is unknown.
+    #[error("{} is unknown", SpecField::Priority)]
+    UnknownPriority,
+    /// There is no task, or there are more than [`MAX_TASKS`].
+    #[error("{} must be from 1 to {MAX_TASKS}", SpecField::Tasks)]
+    InvalidTaskCount,
+    /// The zone cannot be the name of one.
+    #[error("{} is not a zone name", SpecField::Zone)]
+    InvalidZone,
+    /// The dependencies are not a list of texts.
+    #[error("{} must be a list of refs", SpecField::DependsOn)]
+    InvalidDependencies,
+}
+
+/// A field of a submission that a [`SpecError`] names. Displayed as users spell it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SpecField {
+    /// The job's id.
+    Id,
+    /// Its class.
+    Class,
+    /// Its team.
+    Team,
+    /// Its kind.
+    Kind,
+    /// Its priority.
+    Priority,
+    /// The number of its tasks.
+    Tasks,
+    /// CPUs of each task.
+    Cpus,
+    /// GPUs of each task.
+    Gpus,
+    /// Memory of each task.
+    Memory,
+    /// Its image.
+    Image,
+    /// The image's size.
+    ImageSize,
+    /// The machine types that it may run on.
+    MachineTypes,
+    /// The zone that it must run in.
+    Zone,
+    /// Whether it must run in one zone.
+    SingleZone,
+    /// Whether its tasks are to be spread over zones.
+    Spread,
+    /// Whether it may run on spot machines.
+    Spot,
+    /// The estimated run time of a task.
+    Estimate,
+    /// The interval between checkpoints.
+    Checkpoint,
+    /// How long a task takes to save its state.
+    Save,
+    /// Its deadline.
+    Deadline,
+    /// The jobs that it depends on.
+    DependsOn,
+}
+
+impl SpecField {
+    /// The field's name in the protocol.
+    const fn wire_name(self) -> &'static str {
+        match self {
+            SpecField::Id => "ref",
+            SpecField::Class => "lot",
+            SpecField::Team => "desk",
+            SpecField::Kind => "binding",
+            SpecField::Priority => "urgency",
+            SpecField::Tasks => "leaves",
+            SpecField::Cpus => "vcpus",
+            SpecField::Gpus => "accelerators",
+            SpecField::Memory => "ram_gb",
+            SpecField::Image => "edition",
+            SpecField::ImageSize => "pull_gb",
+            SpecField::MachineTypes => "formats",
+            SpecField::Zone => "room",
+            SpecField::SingleZone => "same_place",
+            SpecField::Spread => "spread",
+            SpecField::Spot => "remainders",
+            SpecField::Estimate => "reckon_s",
+            SpecField::Checkpoint => "bookmark_s",
+            SpecField::Save => "shelve_s",
+            SpecField::Deadline => "due_s",
+            SpecField::DependsOn => "awaits",
+        }
+    }
+}
+
+impl fmt::Display for SpecField {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.wire_name())
+    }
+}
+
+/// The id alone, of a submission that may be wrong otherwise.
+#[derive(Deserialize)]
+struct RawId {
+    #[serde(rename = "ref")]
+    id: Option<String>,
+}
+
+/// A submission as it arrives, in which anything may be missing.
+#[derive(Deserialize)]
+struct RawSpec {
+    #[serde(rename = "ref")]
+    id: Option<String>,
+    #[serde(rename = "lot")]
+    class: Option<String>,
+    #[serde(rename = "desk")]
+    team: Option<String>,
+    #[serde(rename = "binding")]
+    kind: Option<String>,
+    #[serde(rename = "urgency")]
+    priority: Option<String>,
+    #[serde(rename = "leaves")]
+    tasks: Option<u64>,
+    #[serde(rename = "vcpus")]
+    cpus: Option<f64>,
+    #[serde(rename = "accelerators")]
+    gpus: Option<f64>,
+    #[serde(rename = "ram_gb")]
+    memory_gb: Option<f64>,
+    #[serde(rename = "edition")]
+    image: Option<String>,
+    #[serde(rename = "pull_gb")]
+    image_gb: Option<f64>,
+    #[serde(rename = "formats")]
+    types: Option<Vec<String>>,
+    #[serde(rename = "room")]
+    zone: Option<String>,
+    #[serde(rename = "same_place")]
+    single_zone: Option<bool>,
+    #[serde(rename = "spread")]
+    spread: Option<bool>,
+    #[serde(rename = "remainders")]
+    spot: Option<bool>,
+    #[serde(rename = "reckon_s")]
+    estimate_s: Option<f64>,
+    #[serde(rename = "bookmark_s")]
+    checkpoint_s: Option<f64>,
+    #[serde(rename = "shelve_s")]
+    save_s: Option<f64>,
+    #[serde(rename = "due_s")]
+    deadline_s: Option<f64>,
+    #[serde(rename = "awaits")]
+    depends_on: Option<Value>,
+}
+
+/// Whether `id` has the form of a job id: `req-` and digits.
+pub fn is_job_id(id: &str) -> bool {
+    id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
+        (1..=MAX_JOB_ID_DIGITS).contains(&digits.len())
+            && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
+}
+
+/// Reads a submission's body.
+pub fn parse_submission(body: &[u8]) -> Submission {
+    let id = decode::<RawId>(body)
+        .ok()
+        .and_then(|raw| raw.id)
+        .filter(|id| is_job_id(id));
+    let spec = decode::<RawSpec>(body)
+        .map_err(SpecError::from)
+        .and_then(RawSpec::validate)
+        .map(Box::new);
+    Submission { id, spec }
+}
+
+impl RawSpec {
+    /// The job, if everything required is there and in range. Of several mistakes the
+    /// first in the order of these checks is named.
+    fn validate(self) -> Result<JobSpec, SpecError> {
+        let id = required(self.id, SpecField::Id)?;
+        if !is_job_id(&id) {
+            return Err(SpecError::InvalidId);
+        }
+        let kind = required(self.kind, SpecField::Kind)?;
+        let kind: JobKind = by_wire_name(&kind).ok_or(SpecError::UnknownKind)?;
+        let priority = required(self.priority, SpecField::Priority)?;
+        let priority: Priority = by_wire_name(&priority).ok_or(SpecError::UnknownPriority)?;
+        let tasks = task_count(required(self.tasks, SpecField::Tasks)?)?;
+        validate_machine_types(self.types.as_deref())?;
+        validate_zone(self.zone.as_deref())?;
+        let cpus = amount(self.cpus, SpecField::Cpus)?;
+        let gpus = amount(self.gpus, SpecField::Gpus)?;
+        let memory_gb = amount(self.memory_gb, SpecField::Memory)?;
+        let deadline_s = match self.deadline_s {
+            None => None,
+            Some(_) => Some(amount(self.deadline_s, SpecField::Deadline)?),
+        };
+        Ok(JobSpec {
+            id,
+            class: text(self.class, SpecField::Class)?,
+            team: text(self.team, SpecField::Team)?,
+            kind,
+            priority,
+            tasks,
+            cpus,
+            gpus,
+            memory_gb,
+            image: text(self.image, SpecField::Image)?,
+            image_gb: amount(self.image_gb, SpecField::ImageSize)?,
+            types: self.types,
+            zone: self.zone,
+            single_zone: required(self.single_zone, SpecField::SingleZone)?,
+            spread: required(self.spread, SpecField::Spread)?,
+            spot: required(self.spot, SpecField::Spot)?,
+            estimate_s: amount(self.estimate_s, SpecField::Estimate)?,
+            checkpoint_s: amount(self.checkpoint_s, SpecField::Checkpoint)?,
+            save_s: amount(self.save_s, SpecField::Save)?,
+            deadline_s,
+            depends_on: dependencies(self.depends_on)?,
+        })
+    }
+}
+
+fn required<T>(value: Option<T>, field: SpecField) -> Result<T, SpecError> {
+    value.ok_or(SpecError::Missing(field))
+}
+
+fn text(value: Option<String>, field: SpecField) -> Result<String, SpecError> {
+    let text = required(value, field)?;
+    if text.is_empty() || text.len() > MAX_TEXT_BYTES {
+        return Err(SpecError::EmptyOrTooLong(field));
+    }
+    Ok(text)
+}
+
+fn amount(value: Option<f64>, field: SpecField) -> Result<f64, SpecError> {
+    let amount = required(value, field)?;
+    // Not a number is in no range.
+    if !(0.0..=MAX_AMOUNT).contains(&amount) {
+        return Err(SpecError::OutOfRange(field));
+    }
+    Ok(amount)
+}
+
+/// The variant that has this name in the protocol: serde's names are the only place that
+/// spells them.
+fn by_wire_name<'de, T: Deserialize<'de>>(name: &'de str) -> Option<T> {
+    let deserializer: StrDeserializer<'de, NameError> = name.into_deserializer();
+    T::deserialize(deserializer).ok()
+}
+
+fn task_count(tasks: u64) -> Result<u32, SpecError> {
+    match u32::try_from(tasks) {
+        Ok(tasks @ 1..=MAX_TASKS) => Ok(tasks),
+        _ => Err(SpecError::InvalidTaskCount),
+    }
+}
+
+fn validate_machine_types(types: Option<&[String]>) -> Result<(), SpecError> {
+    let types = types.unwrap_or_default();
+    if types.len() > MAX_MACHINE_TYPES || types.iter().any(|name| name.len() > MAX_TEXT_BYTES) {
+        return Err(SpecError::TooLong(SpecField::MachineTypes));
+    }
+    Ok(())
+}
+
+fn validate_zone(zone: Option<&str>) -> Result<(), SpecError> {
+    match zone {
+        Some(zone) if zone.is_empty() || zone.len() > MAX_TEXT_BYTES => Err(SpecError::InvalidZone),
+        _ => Ok(()),
+    }
+}
+
+/// The jobs that a job depends on, each once, in the order given.
+fn dependencies(list: Option<Value>) -> Result<Vec<String>, SpecError> {
+    let list = match list {
+        None => return Ok(Vec::new()),
+        Some(Value::Array(list)) => list,
+        Some(_) => return Err(SpecError::InvalidDependencies),
+    };
+    let mut seen = BTreeSet::new();
+    let mut jobs = Vec::new();
+    for job in list {
+        let job = job.as_str().ok_or(SpecError::InvalidDependencies)?;
+        if seen.insert(job.to_string()) {
+            jobs.push(job.to_string());
+        }
+    }
+    Ok(jobs)
+}
