--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,6 +5,19 @@
 //! jobs, tasks, attempts, machines, zones, teams, leases and terms. Clients written in
 //! Rust can use the crate as it is.
 
+#![warn(
+    missing_docs,
+    clippy::pedantic,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::wildcard_imports,
+    clippy::too_many_lines
+)]
+#![allow(
+    clippy::must_use_candidate,
+    reason = "an unused result of these pure functions is harmless"
+)]
+
 mod body;
 pub mod cloud;
 mod http;
