--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -2,6 +2,8 @@
 
 use dillcleat_wire::store::json_size;
 use dillcleat_wire::user::{Route, Submission, is_job_id, parse_submission, route};
+use dillcleat_wire::worker::TaskStatus;
+use dillcleat_wire::{TaskName, TaskNameError};
 use rmpv::Value;
 
 fn good() -> Vec<(Value, Value)> {
@@ -203,3 +205,27 @@
         assert!(error.contains("awaits"), "{error}");
     }
 }
+
+#[test]
+fn a_task_name_is_a_job_and_a_number() {
+    let name: TaskName = "req-1/2".parse().expect("a task name");
+    assert_eq!((name.job.as_str(), name.index), ("req-1", 2));
+    assert_eq!(name.to_string(), "req-1/2");
+    for text in [
+        "",
+        "req-1",
+        "req-1/",
+        "req-1/x",
+        "req-1/-1",
+        "req-1/4294967296",
+    ] {
+        assert_eq!(text.parse::<TaskName>(), Err(TaskNameError), "{text}");
+    }
+    // In a body, in the words of version 910d512.
+    let error = dillcleat_wire::decode::<TaskStatus>(b"\x81\xa4leaf\xa1x").expect_err("no name");
+    let form = "the body is not valid MessagePack of the expected form";
+    assert_eq!(
+        error.to_string(),
+        format!("{form}: a task name is JOB/NUMBER")
+    );
+}
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -226,3 +226,149 @@
         assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
 }
+
+/// What is out of range is named by its key, in the words of version 910d512.
+#[test]
+fn what_is_wrong_with_a_file_is_said_in_the_same_words() {
+    let refused = |from: &str, to: &str, message: &str| {
+        let text = FULL.replacen(from, to, 1);
+        assert_ne!(text, FULL, "{from}");
+        let error = PlatformSettings::parse(&text).map_err(|e| e.to_string());
+        assert_eq!(error, Err(message.to_string()));
+    };
+    refused(
+        "report_s = 2.0",
+        "report_s = 0.0",
+        "cluster.workers.report_s: must be from 0.01 to 3600, is 0",
+    );
+    refused(
+        "lease_s = 14.0",
+        "lease_s = nan",
+        "cluster.workers.lease_s: must be from 0.1 to 86400, is NaN",
+    );
+    refused(
+        "clock_error_ms = 250.0",
+        "clock_error_ms = -1.5",
+        "cluster.clock_error_ms: must be from 0 to 3600000, is -1.5",
+    );
+    refused(
+        "mem_mb = 72.0",
+        "mem_mb = inf",
+        "cluster.quota.mem_mb: must be from 8 to 1000000000, is inf",
+    );
+    refused(
+        "rps = 100.0",
+        "rps = 0.5",
+        "cluster.state.next.rps: must be from 1 to 1000000000, is 0.5",
+    );
+    refused(
+        "value_kb = 8.0",
+        "value_kb = nan",
+        "cluster.state.next.value_kb: must be from 1 to 1000000000, is NaN",
+    );
+    refused(
+        "txn_ops = 48",
+        "txn_ops = 7",
+        "cluster.state.txn_ops: must be at least 8, is 7",
+    );
+    refused(
+        "txn_ops = 24",
+        "txn_ops = 7",
+        "cluster.state.next.txn_ops: must be at least 8, is 7",
+    );
+    refused(
+        "max_connections = 500",
+        "max_connections = 31",
+        "cluster.quota.max_connections: must be at least 32, is 31",
+    );
+    refused(
+        "cancel_s = 44.0",
+        "cancel_s = 14.0",
+        "cluster.workers.cancel_s: must be above lease_s",
+    );
+    refused(
+        "gpus_max = 4.0",
+        "gpus_max = -4.0",
+        "cluster.teams.books.gpus_max: must not be negative, is -4",
+    );
+    refused(
+        "mesh_addr = \"127.0.0.1:8090\"",
+        "mesh_addr = \"here\"",
+        "mesh_addr: must be IP:PORT, is \"here\"",
+    );
+    refused(
+        "peer_addr = \"127.0.0.1:8091\"",
+        "peer_addr = \"127.0.0.1\"",
+        "siblings.peer_addr: must be IP:PORT, is \"127.0.0.1\"",
+    );
+    refused(
+        "size = 3",
+        "size = -3",
+        "TOML parse error at line 17, column 8 | 17 | size = -3 | ^^ invalid value: integer \
+         `-3`, expected u32",
+    );
+}
+
+/// Of several mistakes the same one is named as before: numbers in the order of the file's
+/// parts, then counts, then teams, then addresses.
+#[test]
+fn the_first_of_several_mistakes_is_named() {
+    let mut text = FULL.to_string();
+    for (right, wrong, key) in [
+        (
+            "peer_addr = \"127.0.0.1:8091\"",
+            "peer_addr = \"x\"",
+            "siblings.peer_addr",
+        ),
+        (
+            "client_listen = \"127.0.0.1:8080\"",
+            "client_listen = \"x\"",
+            "client_listen",
+        ),
+        ("cpus = 32.0", "cpus = -1.0", "cluster.teams.books.cpus"),
+        (
+            "cancel_s = 44.0",
+            "cancel_s = 1.0",
+            "cluster.workers.cancel_s",
+        ),
+        (
+            "max_connections = 500",
+            "max_connections = 1",
+            "cluster.quota.max_connections",
+        ),
+        ("txn_ops = 24", "txn_ops = 1", "cluster.state.next.txn_ops"),
+        ("txn_ops = 48", "txn_ops = 1", "cluster.state.txn_ops"),
+        (
+            "write_rps = 40.0",
+            "write_rps = 0.0",
+            "cluster.state.next.write_rps",
+        ),
+        ("mem_mb = 72.0", "mem_mb = 1.0", "cluster.quota.mem_mb"),
+        (
+            "list_lag_s = 5.0",
+            "list_lag_s = -1.0",
+            "cluster.cloud.list_lag_s",
+        ),
+        (
+            "write_rps = 80.0",
+            "write_rps = 0.0",
+            "cluster.state.write_rps",
+        ),
+        (
+            "clock_error_ms = 250.0",
+            "clock_error_ms = -1.0",
+            "cluster.clock_error_ms",
+        ),
+        (
+            "report_s = 2.0",
+            "report_s = 0.0",
+            "cluster.workers.report_s",
+        ),
+    ] {
+        let before = text.clone();
+        text = text.replacen(right, wrong, 1);
+        assert_ne!(text, before, "{right}");
+        let error = PlatformSettings::parse(&text).expect_err(key).to_string();
+        assert!(error.starts_with(&format!("{key}: ")), "{key}: {error}");
+    }
+}
--- a/crates/wire/tests/golden_state.rs
+++ b/crates/wire/tests/golden_state.rs
@@ -338,3 +338,28 @@
         assert!(call.parse_response(500, b"").is_err(), "{call:?}");
     }
 }
+
+/// An unexpected answer is logged in the words of version 910d512.
+#[test]
+fn an_unexpected_answer_is_described_in_the_same_words() {
+    let [get, ..] = &every_call();
+    let error = |status, body: &[u8]| get.parse_response(status, body).map_err(|e| e.to_string());
+    let form = "the body is not valid MessagePack of the expected form";
+    assert_eq!(
+        error(500, b""),
+        Err(format!("{form}: unexpected status 500"))
+    );
+    assert_eq!(
+        error(409, b""),
+        Err(format!("{form}: unexpected status 409"))
+    );
+    assert_eq!(error(200, b""), Err(format!("{form}: it is empty")));
+    assert_eq!(
+        error(200, b"\x90"),
+        Err("the body is not a map".to_string())
+    );
+    assert_eq!(
+        error(200, b"\x80"),
+        Err(format!("{form}: missing field `k`"))
+    );
+}
