--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -45,24 +45,27 @@
             }],
         }),
     ];
-    for m in messages {
-        let frame = m.encode();
-        let head = [frame[0], frame[1], frame[2], frame[3]];
-        assert_eq!(frame_length(head), Ok(frame.len() - 4));
-        assert_eq!(Message::decode(&frame[4..]), Ok(m));
+    for message in messages {
+        let frame = message.encode();
+        let header = [frame[0], frame[1], frame[2], frame[3]];
+        assert_eq!(frame_length(header), Ok(frame.len() - 4));
+        assert_eq!(Message::decode(&frame[4..]), Ok(message));
         for cut in 4..frame.len() {
             assert!(Message::decode(&frame[4..cut]).is_err());
         }
-        let mut long = frame.clone();
-        long.push(0);
-        assert_eq!(Message::decode(&long[4..]), Err(FrameError::TrailingBytes));
-        let mut before = frame.clone();
-        before[4] = 3;
-        assert!(Message::decode(&before[4..]).is_ok());
-        let mut other = frame;
-        other[4] = 9;
+        let mut longer = frame.clone();
+        longer.push(0);
         assert_eq!(
-            Message::decode(&other[4..]),
+            Message::decode(&longer[4..]),
+            Err(FrameError::TrailingBytes)
+        );
+        let mut previous_version = frame.clone();
+        previous_version[4] = 3;
+        assert!(Message::decode(&previous_version[4..]).is_ok());
+        let mut unknown_version = frame;
+        unknown_version[4] = 9;
+        assert_eq!(
+            Message::decode(&unknown_version[4..]),
             Err(FrameError::UnsupportedVersion(9))
         );
     }
@@ -72,10 +75,10 @@
 /// An ageing credit that is not a number would keep its job first or last in the queue for good.
 #[test]
 fn numbers_that_are_not_finite_are_refused() {
-    for clock in [f64::NAN, f64::INFINITY] {
+    for virtual_time in [f64::NAN, f64::INFINITY] {
         let frame = Message::Estimates(Estimates {
             term: 1,
-            virtual_time: clock,
+            virtual_time,
             classes: Vec::new(),
             jobs: Vec::new(),
         })
--- a/crates/peer-protocol/tests/golden_frames.rs
+++ b/crates/peer-protocol/tests/golden_frames.rs
@@ -16,9 +16,9 @@
     let (head, content) = frame.split_first_chunk::<4>().expect("a length");
     assert_eq!(frame_length(*head), Ok(content.len()));
     assert_eq!(Message::decode(content).as_ref(), Ok(message));
-    let mut before = content.to_vec();
-    before[0] = 3;
-    assert_eq!(Message::decode(&before).as_ref(), Ok(message));
+    let mut previous_version = content.to_vec();
+    previous_version[0] = 3;
+    assert_eq!(Message::decode(&previous_version).as_ref(), Ok(message));
 }
 
 #[test]
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn what_was_learned_keeps_its_bytes() {
-    let learned = Message::Estimates(Estimates {
+fn estimates_keep_their_bytes() {
+    let estimates = Message::Estimates(Estimates {
         term: 7,
         virtual_time: 12.5,
         classes: vec![ClassRunTime {
@@ -144,7 +144,7 @@
             \xc0\x08\x00\x00\x00\x00\x00\x00\x01\x00\x00\x02\x40\x3e\x00\x00\x00\x00\x00\x00\
             \x40\x3f\x80\x00\x00\x00\x00\x00\x00\x05req-2\x3f\xf0\x00\x00\x00\x00\x00\x00\
             \x40\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00",
-        &learned,
+        &estimates,
     );
     let nothing = Message::Estimates(Estimates {
         term: 7,
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_is_no_frame_of_this_version_is_refused_as_before() {
+fn damaged_frames_and_other_versions_are_refused_as_before() {
     let refused = |content: &[u8], error| assert_eq!(Message::decode(content), Err(error));
     refused(b"\x02\x01\x00\x02n1", FrameError::UnsupportedVersion(2));
     refused(b"\x05\x01\x00\x02n1", FrameError::UnsupportedVersion(5));
--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -6,29 +6,29 @@
 use dillcleat_wire::{TaskName, TaskNameError};
 use rmpv::Value;
 
-fn good() -> Vec<(Value, Value)> {
-    let s = Value::from;
+fn valid_fields() -> Vec<(Value, Value)> {
+    let text = Value::from;
     vec![
-        (s("ref"), s("req-000412")),
-        (s("lot"), s("train")),
-        (s("desk"), s("vision")),
-        (s("binding"), s("batch")),
-        (s("urgency"), s("high")),
-        (s("leaves"), Value::from(16)),
-        (s("vcpus"), Value::from(8.0)),
-        (s("accelerators"), Value::from(0)),
-        (s("ram_gb"), Value::from(64.0)),
-        (s("edition"), s("img-07")),
-        (s("pull_gb"), Value::from(6.2)),
-        (s("formats"), Value::Array(vec![s("g8")])),
-        (s("room"), Value::Nil),
-        (s("same_place"), Value::from(true)),
-        (s("spread"), Value::from(false)),
-        (s("remainders"), Value::from(true)),
-        (s("reckon_s"), Value::from(240.0)),
-        (s("bookmark_s"), Value::from(30.0)),
-        (s("shelve_s"), Value::from(4.0)),
-        (s("due_s"), Value::from(900.0)),
+        (text("ref"), text("req-000412")),
+        (text("lot"), text("train")),
+        (text("desk"), text("vision")),
+        (text("binding"), text("batch")),
+        (text("urgency"), text("high")),
+        (text("leaves"), Value::from(16)),
+        (text("vcpus"), Value::from(8.0)),
+        (text("accelerators"), Value::from(0)),
+        (text("ram_gb"), Value::from(64.0)),
+        (text("edition"), text("img-07")),
+        (text("pull_gb"), Value::from(6.2)),
+        (text("formats"), Value::Array(vec![text("g8")])),
+        (text("room"), Value::Nil),
+        (text("same_place"), Value::from(true)),
+        (text("spread"), Value::from(false)),
+        (text("remainders"), Value::from(true)),
+        (text("reckon_s"), Value::from(240.0)),
+        (text("bookmark_s"), Value::from(30.0)),
+        (text("shelve_s"), Value::from(4.0)),
+        (text("due_s"), Value::from(900.0)),
     ]
 }
 
@@ -39,21 +39,21 @@
 }
 
 fn with(name: &str, value: Value) -> Submission {
-    let mut fields = good();
+    let mut fields = valid_fields();
     fields.retain(|(k, _)| k.as_str() != Some(name));
     fields.push((name.into(), value));
     submit(fields)
 }
 
 fn without(name: &str) -> Submission {
-    let mut fields = good();
+    let mut fields = valid_fields();
     fields.retain(|(k, _)| k.as_str() != Some(name));
     submit(fields)
 }
 
 #[test]
-fn a_good_job_is_read_whole() {
-    let spec = submit(good()).spec.expect("good");
+fn a_valid_job_is_read_whole() {
+    let spec = submit(valid_fields()).spec.expect("good");
     assert_eq!((spec.tasks, spec.cpus, spec.gpus), (16, 8.0, 0.0));
     assert_eq!(spec.types, Some(vec!["g8".to_string()]));
     assert_eq!((spec.zone, spec.deadline_s), (None, Some(900.0)));
@@ -89,11 +89,15 @@
         ("desk", Value::Nil),
     ];
     for (name, value) in bad {
-        let s = with(name, value.clone());
-        assert!(s.spec.is_err(), "{name} = {value}");
-        assert_eq!(s.id.as_deref(), Some("req-000412"), "{name} = {value}");
+        let submission = with(name, value.clone());
+        assert!(submission.spec.is_err(), "{name} = {value}");
+        assert_eq!(
+            submission.id.as_deref(),
+            Some("req-000412"),
+            "{name} = {value}"
+        );
     }
-    for (name, _) in good() {
+    for (name, _) in valid_fields() {
         let name = name.as_str().expect("text").to_string();
         let optional = ["formats", "room", "due_s", "ref"].contains(&name.as_str());
         if !optional {
@@ -109,8 +113,11 @@
         "req-..",
         &"req-1".repeat(9),
     ] {
-        let s = with("ref", Value::from(id));
-        assert!(s.spec.is_err() && s.id.is_none() && !is_job_id(id), "{id}");
+        let submission = with("ref", Value::from(id));
+        assert!(
+            submission.spec.is_err() && submission.id.is_none() && !is_job_id(id),
+            "{id}"
+        );
     }
 }
 
@@ -125,32 +132,35 @@
         b"{\"ref\":1}",
     ];
     for body in bodies {
-        let s = parse_submission(body);
-        assert!(s.spec.is_err() && s.id.is_none(), "{body:?}");
+        let submission = parse_submission(body);
+        assert!(
+            submission.spec.is_err() && submission.id.is_none(),
+            "{body:?}"
+        );
     }
 }
 
 #[test]
-fn any_bytes_are_survived() {
-    // A fixed walk over mutations of a good body.
+fn no_bytes_make_the_parser_panic() {
+    // A fixed pseudo-random walk over mutations of a valid body.
     let mut bytes = Vec::new();
-    rmpv::encode::write_value(&mut bytes, &Value::Map(good())).expect("memory");
-    let mut x = 12345u64;
+    rmpv::encode::write_value(&mut bytes, &Value::Map(valid_fields())).expect("memory");
+    let mut random = 12345u64;
     for _ in 0..20_000 {
-        x = x
+        random = random
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
-        let mut b = bytes.clone();
-        let at = (x >> 33) as usize % b.len();
-        b[at] = (x >> 24) as u8;
-        b.truncate(b.len() - (x >> 60) as usize);
-        let _ = parse_submission(&b);
-        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Heartbeat>(&b);
+        let mut mutated = bytes.clone();
+        let at = (random >> 33) as usize % mutated.len();
+        mutated[at] = (random >> 24) as u8;
+        mutated.truncate(mutated.len() - (random >> 60) as usize);
+        let _ = parse_submission(&mutated);
+        let _ = dillcleat_wire::decode::<dillcleat_wire::worker::Heartbeat>(&mutated);
     }
 }
 
 #[test]
-fn paths_lead_where_they_should() {
+fn paths_have_their_routes() {
     assert_eq!(route("POST", "/v2/runs"), Route::Submit);
     assert_eq!(route("GET", "/v2/runs/req-1"), Route::Poll("req-1".into()));
     assert_eq!(
@@ -173,18 +183,18 @@
 
 #[test]
 fn sizes_are_never_underestimated() {
-    let v = Value::Map(vec![
+    let value = Value::Map(vec![
         ("a\"b".into(), Value::from(-12.5)),
         (
             "list".into(),
             Value::Array(vec![Value::Nil, true.into(), 7.into()]),
         ),
     ]);
-    assert!(json_size(&v) >= r#"{"a\"b":-12.5,"list":[null,true,7]}"#.len());
+    assert!(json_size(&value) >= r#"{"a\"b":-12.5,"list":[null,true,7]}"#.len());
 }
 
 #[test]
-fn the_jobs_that_one_waits_for() {
+fn dependencies_are_a_list_of_texts_each_once() {
     let list = |names: &[&str]| Value::Array(names.iter().map(|n| Value::from(*n)).collect());
     let awaits = |v| with("awaits", v).spec.map(|s| s.depends_on);
     for none in [Value::Nil, list(&[])] {
@@ -192,7 +202,7 @@
     }
     let twice = awaits(list(&["req-2", "req-1", "req-2"]));
     assert_eq!(twice, Ok(vec!["req-2".to_string(), "req-1".to_string()]));
-    // Of whatever form: whether it was accepted is another matter.
+    // Any text is read; whether there is such a job is checked at admission.
     assert!(awaits(list(&["no ref"])).is_ok());
     let mixed = Value::Array(vec![Value::from("req-1"), Value::from(7)]);
     for bad in [
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -1,4 +1,4 @@
-//! The requests to the cloud and the bytes of its answers, as version 84a8104 reads and
+//! The requests to the cloud and the bytes of its responses, as version 84a8104 reads and
 //! writes them.
 
 mod golden;
@@ -81,20 +81,20 @@
     );
 }
 
-fn listed(condition: InstanceState) -> ListedMachine {
+fn listed(state: InstanceState) -> ListedMachine {
     ListedMachine {
         name: "host-1".into(),
         addr: Some("10.1.0.1:9000".into()),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        state: condition,
+        state,
         age_s: 12.5,
     }
 }
 
 #[test]
-fn every_condition_of_a_machine_keeps_its_bytes() {
+fn every_state_of_a_machine_keeps_its_bytes() {
     assert_keeps(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn an_unknown_condition_is_another() {
+fn an_unknown_machine_state_is_read_as_other() {
     assert_read(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
@@ -169,7 +169,7 @@
     );
 }
 
-fn rent() -> ScaleOut {
+fn scale_out() -> ScaleOut {
     ScaleOut {
         request: "n0-17".into(),
         machine_type: "g8".into(),
@@ -183,7 +183,7 @@
 fn bodies_of_requests_are_read_as_they_are_written() {
     assert_keeps(
         b"\x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\xa5count\x32",
-        &rent(),
+        &scale_out(),
     );
     let names = MachineNames {
         machines: vec!["host-1".into(), "host-2".into()],
@@ -193,16 +193,16 @@
 
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |call: CloudRequest, method: &str, target: &str, body: &[u8]| {
-        let request = call.to_http();
+    let sends = |request: CloudRequest, method: &str, target: &str, body: &[u8]| {
+        let http = request.to_http();
         assert_eq!(
-            (request.method, request.target.as_str(), &request.body[..]),
+            (http.method, http.target.as_str(), &http.body[..]),
             (method, target, body)
         );
     };
     sends(CloudRequest::Types, "GET", "/flavors", b"");
     sends(
-        CloudRequest::ScaleOut(rent()),
+        CloudRequest::ScaleOut(scale_out()),
         "POST",
         "/hosts",
         b"\
@@ -232,16 +232,16 @@
 }
 
 #[test]
-fn every_answer_is_read_as_before() {
-    let reads = |call: &CloudRequest, status, body: &[u8], reply: CloudResponse| {
+fn every_response_is_read_as_before() {
+    let reads = |request: &CloudRequest, status, body: &[u8], response: CloudResponse| {
         assert_eq!(
-            call.parse_response(status, body),
-            Ok(reply),
-            "{call:?}: {status}"
+            request.parse_response(status, body),
+            Ok(response),
+            "{request:?}: {status}"
         );
     };
     let types = CloudRequest::Types;
-    let rent = CloudRequest::ScaleOut(rent());
+    let scale_out = CloudRequest::ScaleOut(scale_out());
     let delete = CloudRequest::Delete(vec!["host-1".into()]);
     let list = CloudRequest::List { after: None };
 
@@ -260,7 +260,7 @@
         CloudResponse::Types(vec![machine_type()]),
     );
     reads(
-        &rent,
+        &scale_out,
         200,
         b"\x81\xa7shelves\x91\xa6host-1",
         CloudResponse::ScaledOut(vec!["host-1".into()]),
@@ -278,15 +278,20 @@
         }),
     );
     let full = b"\x81\xa5error\xabno\x20capacity";
-    reads(&rent, 503, full, CloudResponse::NoCapacity);
+    reads(&scale_out, 503, full, CloudResponse::NoCapacity);
     reads(&list, 503, full, CloudResponse::Refused { status: 503 });
     let other = b"\x81\xa5error\xa4down";
-    reads(&rent, 503, other, CloudResponse::Refused { status: 503 });
-    for call in [&types, &rent, &delete, &list] {
-        reads(call, 429, b"", CloudResponse::Refused { status: 429 });
-        reads(call, 503, b"", CloudResponse::Refused { status: 503 });
-        reads(call, 400, b"", CloudResponse::Malformed);
-        reads(call, 404, b"", CloudResponse::Malformed);
-        assert!(call.parse_response(500, b"").is_err(), "{call:?}");
+    reads(
+        &scale_out,
+        503,
+        other,
+        CloudResponse::Refused { status: 503 },
+    );
+    for request in [&types, &scale_out, &delete, &list] {
+        reads(request, 429, b"", CloudResponse::Refused { status: 429 });
+        reads(request, 503, b"", CloudResponse::Refused { status: 503 });
+        reads(request, 400, b"", CloudResponse::Malformed);
+        reads(request, 404, b"", CloudResponse::Malformed);
+        assert!(request.parse_response(500, b"").is_err(), "{request:?}");
     }
 }
--- a/crates/wire/tests/golden_state.rs
+++ b/crates/wire/tests/golden_store.rs
@@ -1,4 +1,4 @@
-//! The requests to the state service and the bytes of its answers, as version 84a8104
+//! The requests to the store and the bytes of its responses, as version 84a8104
 //! reads and writes them.
 
 mod golden;
@@ -94,7 +94,7 @@
     assert_read(b"\x82\xa4rows\x90\xa9ledger_no\xcd\x03\x84", &last);
 }
 
-fn txn() -> Transaction {
+fn transaction() -> Transaction {
     Transaction {
         compare: vec![Precondition {
             key: "s/lead".into(),
@@ -119,26 +119,29 @@
 }
 
 #[test]
-fn every_change_of_a_transaction_keeps_its_bytes() {
+fn every_mutation_of_a_transaction_keeps_its_bytes() {
     assert_keeps(
         b"\
             \x82\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x0c\xa4then\x93\x82\xa3set\xa6s/term\
             \xa1v\x81\xa1n\x08\x83\xa3set\xa6s/lead\xa1v\x81\xa1n\x07\xa4loan\x1f\x81\
             \xa4drop\xa5q/c/1",
-        &txn(),
+        &transaction(),
     );
 }
 
 #[test]
-fn a_transaction_without_changes_keeps_its_bytes() {
-    let txn = Transaction {
+fn a_transaction_without_mutations_keeps_its_bytes() {
+    let transaction = Transaction {
         compare: vec![Precondition {
             key: "s/lead".into(),
             version: 0,
         }],
         then: Vec::new(),
     };
-    assert_keeps(b"\x81\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x00", &txn);
+    assert_keeps(
+        b"\x81\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x00",
+        &transaction,
+    );
     let empty = Transaction {
         compare: Vec::new(),
         then: Vec::new(),
@@ -178,10 +181,10 @@
 
 #[test]
 fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |call: StoreRequest, method: &str, target: &str, body: &[u8]| {
-        let request = call.to_http();
+    let sends = |request: StoreRequest, method: &str, target: &str, body: &[u8]| {
+        let http = request.to_http();
         assert_eq!(
-            (request.method, request.target.as_str(), &request.body[..]),
+            (http.method, http.target.as_str(), &http.body[..]),
             (method, target, body)
         );
     };
@@ -200,7 +203,7 @@
     };
     sends(next, "GET", "/kv?under=q/o/&from=q/o/req-1&most=1000", b"");
     sends(
-        StoreRequest::Transaction(txn()),
+        StoreRequest::Transaction(transaction()),
         "POST",
         "/txn",
         b"\
@@ -214,10 +217,10 @@
         "/holds",
         b"\x81\xa6ttl_ms\xcd\x04\xe2",
     );
-    let extend = StoreRequest::RenewLease { lease: 31 };
-    sends(extend, "POST", "/holds/31/extend", b"");
-    let end = StoreRequest::RevokeLease { lease: 31 };
-    sends(end, "DELETE", "/holds/31", b"");
+    let renew = StoreRequest::RenewLease { lease: 31 };
+    sends(renew, "POST", "/holds/31/extend", b"");
+    let revoke = StoreRequest::RevokeLease { lease: 31 };
+    sends(revoke, "DELETE", "/holds/31", b"");
     let watch = StoreRequest::Watch {
         prefix: "q/".into(),
         after: 900,
@@ -226,14 +229,14 @@
     sends(watch, "GET", "/changes?under=q/&from=900&hold_ms=2000", b"");
 }
 
-fn every_call() -> [StoreRequest; 7] {
+fn every_request() -> [StoreRequest; 7] {
     [
         StoreRequest::Get { key: "x".into() },
         StoreRequest::List {
             prefix: "x".into(),
             after: None,
         },
-        StoreRequest::Transaction(txn()),
+        StoreRequest::Transaction(transaction()),
         StoreRequest::GrantLease { ttl_ms: 1250 },
         StoreRequest::RenewLease { lease: 31 },
         StoreRequest::RevokeLease { lease: 31 },
@@ -246,15 +249,15 @@
 }
 
 #[test]
-fn every_answer_is_read_as_before() {
-    let reads = |call: &StoreRequest, status, body: &[u8], reply: StoreResponse| {
+fn every_response_is_read_as_before() {
+    let reads = |request: &StoreRequest, status, body: &[u8], response: StoreResponse| {
         assert_eq!(
-            call.parse_response(status, body),
-            Ok(reply),
-            "{call:?}: {status}"
+            request.parse_response(status, body),
+            Ok(response),
+            "{request:?}: {status}"
         );
     };
-    let [get, list, txn, new_lease, extend, end, watch] = &every_call();
+    let [get, list, transaction, grant, renew, revoke, watch] = &every_request();
 
     reads(
         get,
@@ -278,31 +281,41 @@
         StoreResponse::RangePage(page),
     );
     let committed = StoreResponse::Committed { revision: 901 };
-    reads(txn, 200, b"\x81\xa9ledger_no\xcd\x03\x85", committed);
+    reads(
+        transaction,
+        200,
+        b"\x81\xa9ledger_no\xcd\x03\x85",
+        committed,
+    );
     let conflict = |revision| StoreResponse::Conflict {
         failed: vec!["s/lead".into()],
         revision,
     };
     reads(
-        txn,
+        transaction,
         409,
         b"\x82\xa6failed\x91\xa6s/lead\xa9ledger_no\xcd\x03\x85",
         conflict(901),
     );
-    reads(txn, 409, b"\x81\xa6failed\x91\xa6s/lead", conflict(0));
+    reads(
+        transaction,
+        409,
+        b"\x81\xa6failed\x91\xa6s/lead",
+        conflict(0),
+    );
     let no_lease = b"\x81\xa5error\xadno\x20such\x20lease";
-    reads(txn, 400, no_lease, StoreResponse::LeaseExpired);
+    reads(transaction, 400, no_lease, StoreResponse::LeaseExpired);
     reads(
-        txn,
+        transaction,
         400,
         b"\x81\xa5error\xa9too\x20large",
         StoreResponse::Malformed,
     );
     let lease = StoreResponse::Lease { lease: 31 };
-    reads(new_lease, 200, b"\x81\xa4loan\x1f", lease);
-    for call in [extend, end] {
-        reads(call, 200, b"", StoreResponse::LeaseRenewed);
-        reads(call, 404, b"", StoreResponse::LeaseExpired);
+    reads(grant, 200, b"\x81\xa4loan\x1f", lease);
+    for request in [renew, revoke] {
+        reads(request, 200, b"", StoreResponse::LeaseRenewed);
+        reads(request, 404, b"", StoreResponse::LeaseExpired);
     }
     let changes = WatchBatch {
         revision: 901,
@@ -319,30 +332,30 @@
 
 #[test]
 fn refusals_of_any_request_are_read_as_before() {
-    for call in every_call() {
+    for request in every_request() {
         assert_eq!(
-            call.parse_response(429, b""),
+            request.parse_response(429, b""),
             Ok(StoreResponse::RateLimited),
-            "{call:?}"
+            "{request:?}"
         );
         assert_eq!(
-            call.parse_response(503, b""),
+            request.parse_response(503, b""),
             Ok(StoreResponse::Unavailable),
-            "{call:?}"
+            "{request:?}"
         );
         assert_eq!(
-            call.parse_response(400, b""),
+            request.parse_response(400, b""),
             Ok(StoreResponse::Malformed),
-            "{call:?}"
+            "{request:?}"
         );
-        assert!(call.parse_response(500, b"").is_err(), "{call:?}");
+        assert!(request.parse_response(500, b"").is_err(), "{request:?}");
     }
 }
 
-/// An unexpected answer is logged in the words of version 910d512.
+/// An unexpected response is logged in the words of version 910d512.
 #[test]
-fn an_unexpected_answer_is_described_in_the_same_words() {
-    let [get, ..] = &every_call();
+fn an_unexpected_response_is_described_in_the_same_words() {
+    let [get, ..] = &every_request();
     let error = |status, body: &[u8]| get.parse_response(status, body).map_err(|e| e.to_string());
     let form = "the body is not valid MessagePack of the expected form";
     assert_eq!(
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -51,7 +51,7 @@
             \xa8printing\xce\x00\x01\x11\x70\xa9closing_s\x1e",
         &stop,
     );
-    let forget = HeartbeatReply {
+    let reap = HeartbeatReply {
         fencing_token: 0,
         commands: vec![Command::Reap {
             task: task(99_999),
@@ -62,7 +62,7 @@
         b"\
             \x82\xa4seal\x00\xa5slips\x91\x83\xa9slip_kind\xa4reap\xa4leaf\xabreq-1/99999\
             \xa8printing\x02",
-        &forget,
+        &reap,
     );
 }
 
@@ -77,7 +77,7 @@
 
 #[test]
 fn commands_sent_to_a_worker_keep_their_bytes() {
-    let orders = CommandBatch {
+    let batch = CommandBatch {
         fencing_token: 9,
         incarnation: 4,
         commands: vec![
@@ -97,12 +97,12 @@
             \x83\xa4seal\x09\xa6tenure\x04\xa5slips\x92\x83\xa9slip_kind\xa6launch\
             \xa4leaf\xa7req-1/0\xa8printing\x01\x84\xa9slip_kind\xa4stop\xa4leaf\xa7req-1/1\
             \xa8printing\x02\xa9closing_s\x00",
-        &orders,
+        &batch,
     );
 }
 
 #[test]
-fn an_answer_that_sends_elsewhere_keeps_its_bytes() {
+fn a_redirect_to_the_leader_keeps_its_bytes() {
     let known = LeaderRedirect {
         leader: Some("n1".into()),
     };
@@ -111,19 +111,19 @@
     assert_keeps(b"\x80", &unknown);
 }
 
-fn task_report(state: TaskState, why: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
+fn task_status(state: TaskState, reason: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
     TaskStatus {
         task: task(3),
         attempt: 5,
         state,
-        reason: why,
+        reason,
         checkpoint_saved: saved,
     }
 }
 
 #[test]
 fn every_task_state_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], state| assert_keeps(bytes, &task_report(state, None, None));
+    let keeps = |bytes: &[u8], state| assert_keeps(bytes, &task_status(state, None, None));
     keeps(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7pulling",
         TaskState::Fetching,
@@ -147,17 +147,17 @@
 }
 
 #[test]
-fn an_unknown_task_state_is_another() {
+fn an_unknown_task_state_is_read_as_other() {
     assert_read(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8painting",
-        &task_report(TaskState::Other, None, None),
+        &task_status(TaskState::Other, None, None),
     );
 }
 
 #[test]
-fn every_reason_of_an_exit_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], why| {
-        assert_keeps(bytes, &task_report(TaskState::Exited, Some(why), None));
+fn every_exit_reason_keeps_its_bytes() {
+    let keeps = |bytes: &[u8], reason| {
+        assert_keeps(bytes, &task_status(TaskState::Exited, Some(reason), None));
     };
     keeps(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa4done",
@@ -190,17 +190,17 @@
 }
 
 #[test]
-fn an_unknown_reason_is_another() {
-    let report = task_report(TaskState::Exited, Some(ExitReason::Other), None);
+fn an_unknown_exit_reason_is_read_as_other() {
+    let status = task_status(TaskState::Exited, Some(ExitReason::Other), None);
     assert_read(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5burnt",
-        &report,
+        &status,
     );
 }
 
 #[test]
-fn what_a_task_saved_keeps_its_bytes() {
-    let saved = |saved| task_report(TaskState::Exited, Some(ExitReason::Stopped), Some(saved));
+fn whether_a_checkpoint_was_saved_keeps_its_bytes() {
+    let saved = |saved| task_status(TaskState::Exited, Some(ExitReason::Stopped), Some(saved));
     assert_keeps(
         b"\
         \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
@@ -215,7 +215,7 @@
     );
 }
 
-fn report(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
+fn heartbeat(notice_s: Option<f64>, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "host-1".into(),
         addr: "10.1.0.1:9000".into(),
@@ -231,13 +231,13 @@
 }
 
 #[test]
-fn a_report_keeps_its_bytes() {
+fn a_heartbeat_keeps_its_bytes() {
     assert_keeps(
         b"\
             \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa8recall_s\xc0\
             \xa6leaves\x90",
-        &report(None, Vec::new()),
+        &heartbeat(None, Vec::new()),
     );
     assert_keeps(
         b"\
@@ -245,26 +245,26 @@
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\
             \xa8recall_s\xcb\x40\x3b\x80\x00\x00\x00\x00\x00\xa6leaves\x91\x83\
             \xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7running",
-        &report(
+        &heartbeat(
             Some(27.5),
-            vec![task_report(TaskState::Running, None, None)],
+            vec![task_status(TaskState::Running, None, None)],
         ),
     );
 }
 
 #[test]
-fn a_report_may_leave_out_the_notice_and_hold_unknown_keys() {
+fn a_heartbeat_may_leave_out_the_notice_and_hold_unknown_keys() {
     assert_read(
         b"\
             \x89\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6leaves\x90",
-        &report(None, Vec::new()),
+        &heartbeat(None, Vec::new()),
     );
     assert_read(
         b"\
             \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6colour\xa3red\
             \xa6leaves\x90",
-        &report(None, Vec::new()),
+        &heartbeat(None, Vec::new()),
     );
 }
