--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -3,6 +3,7 @@
 use crate::cloud_queue::CloudRequestKind;
 use crate::records::OpenJob;
 use crate::{Answer, Micros, RequestId};
+use dillcleat_wire::store::LeaseId;
 use std::rc::Rc;
 
 /// What to do once a job's record is known.
@@ -73,12 +74,12 @@
     NewLease,
     /// With the lease, and when that was asked for.
     Take {
-        lease: u64,
+        lease: LeaseId,
         term: u64,
         since: Micros,
     },
     Extend {
-        lease: u64,
+        lease: LeaseId,
     },
     Watch,
     Drop,
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -11,7 +11,7 @@
 use crate::store_latency::{StoreLatency, lease_time};
 use crate::{MILLISECOND, Micros, SECOND, micros};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction, WatchEvent};
+use dillcleat_wire::store::{LeaseId, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use std::rc::Rc;
 
 const RETRY: Micros = 250 * MILLISECOND;
@@ -56,7 +56,7 @@
     /// A call is under way whose answer decides what is next.
     Busy,
     Leading {
-        lease: u64,
+        lease: LeaseId,
         term: u64,
     },
 }
@@ -80,7 +80,7 @@
     /// Since when nobody leads, as far as is known.
     vacant_since: Option<Micros>,
     /// The lease with which this node is trying to be elected.
-    taking: Option<u64>,
+    taking: Option<LeaseId>,
     /// When the call was sent by whose answer this node was last proved to lead:
     /// it made or renewed the lease of the lead.
     proved: Micros,
@@ -117,7 +117,7 @@
         }
     }
 
-    fn leads_by(&self, lease: u64) -> bool {
+    fn leads_by(&self, lease: LeaseId) -> bool {
         matches!(self.phase, Phase::Leading { lease: own, .. } if own == lease)
     }
 
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -19,6 +19,7 @@
 //! A new leader so reads what is unfinished only, however many jobs have ended.
 
 use dillcleat_wire::cloud::MachineType;
+use dillcleat_wire::store::LeaseId;
 use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +87,7 @@
     #[serde(rename = "member")]
     pub member: String,
     #[serde(rename = "lease")]
-    pub lease: u64,
+    pub lease: LeaseId,
     #[serde(rename = "term")]
     pub term: u64,
 }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -11,8 +11,8 @@
 };
 use dillcleat_wire::cloud::{MachineType, ScaleOut};
 use dillcleat_wire::store::{
-    KeyValue, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction, Value,
-    WatchBatch, WatchEvent, encode_value,
+    KeyValue, LeaseId, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction,
+    Value, WatchBatch, WatchEvent, encode_value,
 };
 use dillcleat_wire::user::{JobSpec, cancel_path};
 use dillcleat_wire::worker::{
@@ -641,7 +641,9 @@
                 }
                 reply
             }
-            StoreRequest::GrantLease { .. } => StoreResponse::Lease { lease: revision },
+            StoreRequest::GrantLease { .. } => StoreResponse::Lease {
+                lease: LeaseId(revision),
+            },
             StoreRequest::RevokeLease { lease } => {
                 let bound = |r: &&KeyValue| r.lease == Some(*lease);
                 let rows = self.store.rows.values().filter(bound);
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use dillcleat_wire::encode;
 use dillcleat_wire::settings::{PlatformSettings, Team};
 use dillcleat_wire::store::{
-    KeyValue, RangePage, StoreRequest, StoreResponse, Transaction, encode_value,
+    KeyValue, LeaseId, RangePage, StoreRequest, StoreResponse, Transaction, encode_value,
 };
 use dillcleat_wire::worker::{HEARTBEAT_PATH, Heartbeat};
 
@@ -156,7 +156,7 @@
     /// For how long leases were made, in milliseconds, by their numbers from 1 on.
     pub leases: Vec<u64>,
     /// Leases that were let go.
-    pub let_go: Vec<u64>,
+    pub let_go: Vec<LeaseId>,
     /// Transactions that were sent.
     pub writes: Vec<Transaction>,
     /// Bodies of the answers that were given.
@@ -277,7 +277,7 @@
                         }),
                         StoreRequest::GrantLease { ttl_ms } => {
                             around.leases.push(ttl_ms);
-                            let lease = around.leases.len() as u64;
+                            let lease = LeaseId(around.leases.len() as u64);
                             StoreResponse::Lease { lease }
                         }
                         StoreRequest::Transaction(txn) => {
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -9,7 +9,7 @@
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::encode;
-use dillcleat_wire::store::Mutation;
+use dillcleat_wire::store::{LeaseId, Mutation};
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, cancel_path};
 use dillcleat_wire::worker::Command;
 
@@ -252,7 +252,7 @@
     gap.around.conflict = Some(records::LEAD.into());
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), None);
-    assert_eq!(gap.around.let_go, [1]);
+    assert_eq!(gap.around.let_go, [LeaseId(1)]);
 }
 
 /// Carried out late, after its job has ended and its description is dropped.
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -7,7 +7,7 @@
     parse_tasks_key, tasks_key,
 };
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::store::{Value, decode_value, encode_value};
+use dillcleat_wire::store::{LeaseId, Value, decode_value, encode_value};
 use dillcleat_wire::user::{JobKind, JobSpec, JobState, Priority, ResourceClaim};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -71,7 +71,7 @@
 fn the_leader_keeps_its_bytes() {
     let lead = LeaderRecord {
         member: "n1".into(),
-        lease: 31,
+        lease: LeaseId(31),
         term: 7,
     };
     assert_keeps(b"\x83\xa6member\xa2n1\xa5lease\x1f\xa4term\x07", &lead);
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -12,7 +12,7 @@
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::store::{
-    KeyValue, Mutation, RangePage, StoreResponse, WatchEvent, decode_value,
+    KeyValue, LeaseId, Mutation, RangePage, StoreResponse, WatchEvent, decode_value,
 };
 use dillcleat_wire::worker::Command;
 
@@ -215,7 +215,7 @@
     gap.around.lost = None;
     let lead = LeaderRecord {
         member: "n0".into(),
-        lease: 1,
+        lease: LeaseId(1),
         term: 1,
     };
     let mut term = row(records::TERM.into(), &TermRecord { term: 1 });
@@ -223,7 +223,7 @@
     gap.around.shared = vec![row(records::LEAD.into(), &lead), term];
     gap.around.let_go.clear();
     gap.step(SECOND / 2, Input::Tick);
-    assert_eq!(gap.around.let_go, [1], "it may be its own");
+    assert_eq!(gap.around.let_go, [LeaseId(1)], "it may be its own");
     assert_eq!(gap.node.leading(), None, "the key is there still");
     gap.around.shared.remove(0);
     gap.around.writes.clear();
@@ -450,7 +450,7 @@
     assert_eq!(gap.node.leading(), None, "also when it has led before");
     let lead = LeaderRecord {
         member: "n1".into(),
-        lease: 8,
+        lease: LeaseId(8),
         term: 1,
     };
     let event = WatchEvent::Put {
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -7,7 +7,7 @@
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{
-    KeyValue, RangePage, StoreRequest, StoreResponse, WatchBatch, encode_value,
+    KeyValue, LeaseId, RangePage, StoreRequest, StoreResponse, WatchBatch, encode_value,
 };
 
 /// Users go where `/up` says 200. A follower whose watch was held for longer
@@ -22,7 +22,7 @@
     };
     let lead = LeaderRecord {
         member: "n1".into(),
-        lease: 7,
+        lease: LeaseId(7),
         term: 1,
     };
     let types = MachineTypesRecord {
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -10,7 +10,7 @@
 };
 use dillcleat_wire::decode;
 use dillcleat_wire::store::{
-    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, json_size,
+    KeyValue, LeaseId, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, json_size,
 };
 use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{Command, HeartbeatReply};
@@ -112,7 +112,9 @@
                         more: false,
                         revision: 1,
                     })),
-                    StoreRequest::GrantLease { .. } => Ok(StoreResponse::Lease { lease: 1 }),
+                    StoreRequest::GrantLease { .. } => {
+                        Ok(StoreResponse::Lease { lease: LeaseId(1) })
+                    }
                     StoreRequest::Get { .. } => {
                         self.looks += 1;
                         Ok(self.chunk.clone())
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -8,7 +8,7 @@
 use dillcleat_controller::records::OpenJob;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{CloudRequest, CloudResponse, MachineNames, MachineType, ScaleOut};
-use dillcleat_wire::store::{Mutation, StoreRequest, StoreResponse, Transaction};
+use dillcleat_wire::store::{LeaseId, Mutation, StoreRequest, StoreResponse, Transaction};
 use dillcleat_wire::worker::{
     COMMANDS_PATH, CommandBatch, HEARTBEAT_PATH, HeartbeatReply, LeaderRedirect,
 };
@@ -82,7 +82,7 @@
 
 #[derive(Serialize)]
 struct Loan {
-    loan: u64,
+    loan: LeaseId,
 }
 
 impl Loopback {
@@ -299,7 +299,7 @@
             .find(|(k, _)| *k == name)
             .map(|(_, v)| v.to_string())
     };
-    let lease = |rest: &str| rest.parse::<u64>().ok();
+    let lease = |rest: &str| rest.parse::<u64>().ok().map(LeaseId);
     Some(match method {
         "GET" if path == "/kv" => StoreRequest::List {
             prefix: param("under")?,
--- a/crates/simulator/src/state.rs
+++ b/crates/simulator/src/state.rs
@@ -2,8 +2,8 @@
 
 use dillcleat_controller::{MILLISECOND, Micros, records};
 use dillcleat_wire::store::{
-    KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value, WatchBatch,
-    WatchEvent,
+    KeyValue, LeaseId, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value,
+    WatchBatch, WatchEvent,
 };
 use dillcleat_wire::store::{MAX_TRANSACTION_BYTES, json_size};
 use std::collections::{BTreeMap, VecDeque};
@@ -37,13 +37,13 @@
 struct Entry {
     value: Value,
     version: u64,
-    lease: Option<u64>,
+    lease: Option<LeaseId>,
 }
 
 #[derive(Debug)]
 pub struct StateService {
     keys: BTreeMap<String, Entry>,
-    leases: BTreeMap<u64, (Micros, Micros)>,
+    leases: BTreeMap<LeaseId, (Micros, Micros)>,
     next_lease: u64,
     revision: u64,
     log: VecDeque<(u64, WatchEvent)>,
@@ -137,7 +137,7 @@
             }
             self.out_since = self.out_until;
         }
-        let ended: Vec<u64> = self
+        let ended: Vec<LeaseId> = self
             .leases
             .iter()
             .filter(|(_, (_, until))| now > *until)
@@ -148,7 +148,7 @@
         }
     }
 
-    fn end_lease(&mut self, lease: u64) -> bool {
+    fn end_lease(&mut self, lease: LeaseId) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
         }
@@ -230,7 +230,7 @@
             }
             StoreRequest::Transaction(txn) => self.txn(txn),
             StoreRequest::GrantLease { ttl_ms } => {
-                let lease = self.next_lease;
+                let lease = LeaseId(self.next_lease);
                 self.next_lease += 1;
                 let ttl = ttl_ms * MILLISECOND;
                 self.leases.insert(lease, (ttl, now + ttl));
--- a/crates/wire/src/store/mod.rs
+++ b/crates/wire/src/store/mod.rs
@@ -1,12 +1,14 @@
 //! The store's protocol: a consensus-backed key-value store with versions, compare-and-swap
 //! transactions, leases and watches.
 
+mod lease;
 mod request;
 mod response;
 mod transaction;
 mod value;
 mod watch;
 
+pub use lease::LeaseId;
 pub use request::{MAX_PAGE_ROWS, StoreRequest};
 pub use response::{RangePage, StoreResponse};
 pub use rmpv::Value;
--- a/crates/wire/src/store/request.rs
+++ b/crates/wire/src/store/request.rs
@@ -1,5 +1,6 @@
 //! The requests to the store, and how they go over HTTP.
 
+use super::lease::LeaseId;
 use super::transaction::Transaction;
 use crate::{HttpRequest, encode};
 use serde::Serialize;
@@ -32,12 +33,12 @@
     /// Lets a lease last for its time to live again.
     RenewLease {
         /// The lease.
-        lease: u64,
+        lease: LeaseId,
     },
     /// Ends a lease, and with it the keys that it holds.
     RevokeLease {
         /// The lease.
-        lease: u64,
+        lease: LeaseId,
     },
     /// Waits for changes below a prefix.
     Watch {
--- a/crates/wire/src/store/response.rs
+++ b/crates/wire/src/store/response.rs
@@ -1,5 +1,6 @@
 //! The store's responses, and how they are read from HTTP.
 
+use super::lease::LeaseId;
 use super::request::StoreRequest;
 use super::value::KeyValue;
 use super::watch::WatchBatch;
@@ -51,7 +52,7 @@
     /// A lease was granted.
     Lease {
         /// The lease.
-        lease: u64,
+        lease: LeaseId,
     },
     /// The lease has expired, or there never was such a lease.
     LeaseExpired,
@@ -86,7 +87,7 @@
 #[derive(Deserialize)]
 struct LeaseBody {
     #[serde(rename = "loan")]
-    lease: u64,
+    lease: LeaseId,
 }
 
 impl StoreRequest {
--- a/crates/wire/src/store/transaction.rs
+++ b/crates/wire/src/store/transaction.rs
@@ -1,5 +1,6 @@
 //! Compare-and-swap: mutations that are carried out only if some keys are unchanged.
 
+use super::lease::LeaseId;
 use super::value::encode_value;
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -32,7 +33,7 @@
         value: Value,
         /// The lease with which the key is to end, if any.
         #[serde(rename = "loan", default, skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
@@ -72,7 +73,7 @@
 
     /// Adds the writing of a record that ends with a lease.
     #[must_use]
-    pub fn put_leased<T: Serialize>(self, key: &str, record: &T, lease: u64) -> Self {
+    pub fn put_leased<T: Serialize>(self, key: &str, record: &T, lease: LeaseId) -> Self {
         self.put_with_lease(key.into(), record, Some(lease))
     }
 
@@ -83,7 +84,12 @@
         self
     }
 
-    fn put_with_lease<T: Serialize>(mut self, key: String, record: &T, lease: Option<u64>) -> Self {
+    fn put_with_lease<T: Serialize>(
+        mut self,
+        key: String,
+        record: &T,
+        lease: Option<LeaseId>,
+    ) -> Self {
         self.then.push(Mutation::Put {
             key,
             value: encode_value(record),
--- a/crates/wire/src/store/value.rs
+++ b/crates/wire/src/store/value.rs
@@ -1,5 +1,6 @@
 //! Keys, and the values that are stored under them.
 
+use super::lease::LeaseId;
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -18,7 +19,7 @@
     pub version: u64,
     /// The lease with which the key ends, if it has one.
     #[serde(rename = "loan", default)]
-    pub lease: Option<u64>,
+    pub lease: Option<LeaseId>,
 }
 
 impl KeyValue {
--- a/crates/wire/tests/golden_store.rs
+++ b/crates/wire/tests/golden_store.rs
@@ -4,7 +4,7 @@
 mod golden;
 
 use dillcleat_wire::store::{
-    KeyValue, MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
+    KeyValue, LeaseId, MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
     StoreRequest, StoreResponse, Transaction, Value, WatchBatch, WatchEvent,
 };
 use golden::{assert_keeps, assert_read};
@@ -13,7 +13,7 @@
     Value::Map(vec![(Value::from("n"), Value::from(n))])
 }
 
-fn row(lease: Option<u64>) -> KeyValue {
+fn row(lease: Option<LeaseId>) -> KeyValue {
     KeyValue {
         key: "s/lead".into(),
         value: number(7),
@@ -31,7 +31,7 @@
 fn a_row_keeps_its_bytes() {
     assert_keeps(
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
-        &row(Some(31)),
+        &row(Some(LeaseId(31))),
     );
     assert_keeps(
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\xc0",
@@ -72,7 +72,7 @@
 #[test]
 fn a_page_keeps_its_bytes() {
     let page = RangePage {
-        rows: vec![row(Some(31))],
+        rows: vec![row(Some(LeaseId(31)))],
         more: true,
         revision: 900,
     };
@@ -109,7 +109,7 @@
             Mutation::Put {
                 key: "s/lead".into(),
                 value: number(7),
-                lease: Some(31),
+                lease: Some(LeaseId(31)),
             },
             Mutation::Delete {
                 key: "q/c/1".into(),
@@ -217,9 +217,9 @@
         "/holds",
         b"\x81\xa6ttl_ms\xcd\x04\xe2",
     );
-    let renew = StoreRequest::RenewLease { lease: 31 };
+    let renew = StoreRequest::RenewLease { lease: LeaseId(31) };
     sends(renew, "POST", "/holds/31/extend", b"");
-    let revoke = StoreRequest::RevokeLease { lease: 31 };
+    let revoke = StoreRequest::RevokeLease { lease: LeaseId(31) };
     sends(revoke, "DELETE", "/holds/31", b"");
     let watch = StoreRequest::Watch {
         prefix: "q/".into(),
@@ -238,8 +238,8 @@
         },
         StoreRequest::Transaction(transaction()),
         StoreRequest::GrantLease { ttl_ms: 1250 },
-        StoreRequest::RenewLease { lease: 31 },
-        StoreRequest::RevokeLease { lease: 31 },
+        StoreRequest::RenewLease { lease: LeaseId(31) },
+        StoreRequest::RevokeLease { lease: LeaseId(31) },
         StoreRequest::Watch {
             prefix: "x".into(),
             after: 900,
@@ -263,7 +263,7 @@
         get,
         200,
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
-        StoreResponse::Found(row(Some(31))),
+        StoreResponse::Found(row(Some(LeaseId(31)))),
     );
     let absent = StoreResponse::NotFound { revision: 900 };
     reads(get, 404, b"\x81\xa9ledger_no\xcd\x03\x84", absent);
@@ -311,7 +311,7 @@
         b"\x81\xa5error\xa9too\x20large",
         StoreResponse::Malformed,
     );
-    let lease = StoreResponse::Lease { lease: 31 };
+    let lease = StoreResponse::Lease { lease: LeaseId(31) };
     reads(grant, 200, b"\x81\xa4loan\x1f", lease);
     for request in [renew, revoke] {
         reads(request, 200, b"", StoreResponse::LeaseRenewed);
