--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -10,8 +10,9 @@
 };
 use dillcleat_kube::{Controller, ControllerOutput, Rules};
 use dillcleat_peer_protocol::Message;
+use dillcleat_wire::HttpRequest;
 use dillcleat_wire::cloud::CloudRequest;
-use dillcleat_wire::platform::PlatformSettings;
+use dillcleat_wire::settings::PlatformSettings;
 use dillcleat_wire::store::StoreRequest;
 use dillcleat_wire::worker::HEARTBEAT_PATH;
 use dillcleat_wire::worker::{COMMANDS_PATH, CommandBatch};
@@ -100,7 +101,7 @@
     rules: Option<Rules>,
 ) -> Result<(), CliError> {
     let clients = bind(&platform.client_listen).await?;
-    let peers = bind(&platform.mesh_addr).await?;
+    let peers = bind(&platform.peer_listen).await?;
     let (inputs, input_queue) = smol::channel::bounded(MAX_INPUTS);
     let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_INPUTS);
     // Such a queue allocates its capacity at once, and without the listener nothing is queued.
@@ -125,7 +126,7 @@
         // a controller would have none left for its users. Idle ones count against
         // the commands that may be in flight.
         workers: ConnectionPool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
-        store_addr: platform.endpoints.state.clone(),
+        store_addr: platform.endpoints.store.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
     let mut peer_senders = Vec::new();
@@ -316,14 +317,18 @@
 }
 
 async fn store_call(shared: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
-    let (method, target, body) = call.request();
+    let HttpRequest {
+        method,
+        target,
+        body,
+    } = call.to_http();
     let time = Duration::from_micros(timeout);
     let reply = shared
         .store
         .call(&shared.store_addr, method, &target, &body, time)
         .await
         .and_then(|(status, body)| {
-            call.reply(status, &body).map_err(|e| {
+            call.parse_response(status, &body).map_err(|e| {
                 log::error!(
                     "unreadable response of the store: method={method} target={target} error={e}"
                 );
@@ -345,13 +350,17 @@
 }
 
 async fn cloud_call(shared: Rc<ServerState>, id: CallId, call: CloudRequest, limits: Limits) {
-    let (method, target, body) = call.request();
+    let HttpRequest {
+        method,
+        target,
+        body,
+    } = call.to_http();
     let reply = shared
         .cloud
         .call(&shared.cloud_addr, method, &target, &body, limits)
         .await
         .and_then(|(status, body)| {
-            call.reply(status, &body).map_err(|e| {
+            call.parse_response(status, &body).map_err(|e| {
                 log::error!(
                     "unreadable response of the cloud: method={method} target={target} error={e}"
                 );
