--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -1,54 +1,39 @@
-//! The desk that calls the cloud.
+//! The queue of calls to the cloud: one at a time, within the allowed rate, the most urgent
+//! first.
 
 use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
-use crate::{Micros, SECOND};
+use crate::{Micros, SECOND, seconds};
 use dillcleat_wire::cloud::{CloudRequest, MAX_DELETE, ScaleOut};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// What certainly was not carried out for so long is planned anew.
-const STALE: Micros = 5 * SECOND;
-/// One call may delete so many machines in any case, however small the fleet.
-const FEW: usize = 5;
+/// A scale-out that certainly was not carried out for this long is planned anew.
+const SCALE_OUT_EXPIRY: Micros = 5 * SECOND;
+/// The number of machines that one call may delete however small the fleet is.
+const MIN_DELETION_LIMIT: usize = 5;
+/// The part of the cloud's call rate that is used.
+const USED_RATE_SHARE: f64 = 0.9;
+/// How long calls pause after the cloud has failed.
+const FAILURE_PAUSE: Micros = SECOND;
 
-/// A rental that has no final answer yet.
+/// A scale-out that has no final answer yet.
 #[derive(Debug, Clone)]
-pub struct PendingScaleOut {
-    pub request: ScaleOut,
-    pub since: Micros,
-    /// An earlier try may have been carried out: its name must be repeated
-    /// until there is an answer.
-    pub uncertain: bool,
+struct PendingScaleOut {
+    request: ScaleOut,
+    since: Micros,
+    /// An earlier try may have been carried out: its request name must be repeated until
+    /// there is an answer.
+    uncertain: bool,
 }
 
 /// A machine that is to be deleted.
 #[derive(Debug, Clone, Copy)]
 struct PendingDeletion {
     reason: DeletionReason,
-    /// An earlier try may be carried out any time.
+    /// An earlier try may be carried out at any time.
     uncertain: bool,
 }
 
-/// One call to the cloud at a time, within its rate, most urgent first.
-#[derive(Debug)]
-pub struct CloudQueue {
-    rate: f64,
-    tokens: f64,
-    refilled: Micros,
-    pub busy: bool,
-    pub pause_until: Micros,
-    deletes: BTreeMap<Rc<str>, PendingDeletion>,
-    /// What the call under way deletes.
-    deleting: Vec<Rc<str>>,
-    /// Deletions and rentals take turns.
-    deleted_last: bool,
-    pub scale_outs: VecDeque<PendingScaleOut>,
-    pub list_at: Micros,
-    pub list_after: Option<String>,
-    pub types_at: Micros,
-    rented: u64,
-}
-
 /// Which call went out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudRequestKind {
@@ -58,186 +43,294 @@
     Types,
 }
 
+impl CloudRequestKind {
+    /// Its name in log lines.
+    pub fn label(self) -> &'static str {
+        match self {
+            CloudRequestKind::Delete => "delete",
+            CloudRequestKind::ScaleOut => "scale-out",
+            CloudRequestKind::List => "list",
+            CloudRequestKind::Types => "types",
+        }
+    }
+}
+
+/// A call that may be sent now.
+#[derive(Debug)]
+pub struct PermittedCloudCall {
+    pub kind: CloudRequestKind,
+    pub request: CloudRequest,
+    pub permit: CloudPermit,
+}
+
+/// Calls that are to be made to the cloud, and the one in flight.
+#[derive(Debug)]
+pub struct CloudQueue {
+    /// Calls per second that the cloud allows.
+    rate: f64,
+    /// Calls that may be made now. Not a [`crate::token_bucket::TokenBucket`]: that one
+    /// rounds differently, and with it the times of calls would change.
+    tokens: f64,
+    tokens_refilled_at: Micros,
+    call_in_flight: bool,
+    paused_until: Micros,
+    deletions: BTreeMap<Rc<str>, PendingDeletion>,
+    /// What the call in flight deletes.
+    deletions_in_flight: Vec<Rc<str>>,
+    /// Whether the last call was a deletion: deletions and scale-outs take turns.
+    deleted_last: bool,
+    scale_outs: VecDeque<PendingScaleOut>,
+    next_listing_at: Micros,
+    /// The last machine of the page before, while a listing goes on.
+    list_after: Option<String>,
+    next_types_at: Micros,
+    scale_outs_named: u64,
+}
+
 impl CloudQueue {
+    /// An empty queue for a cloud that allows `rate` calls per second.
     pub fn new(rate: f64, now: Micros) -> Self {
         CloudQueue {
             rate,
             tokens: 1.0,
-            refilled: now,
-            busy: false,
-            pause_until: now,
-            deletes: BTreeMap::new(),
-            deleting: Vec::new(),
+            tokens_refilled_at: now,
+            call_in_flight: false,
+            paused_until: now,
+            deletions: BTreeMap::new(),
+            deletions_in_flight: Vec::new(),
             deleted_last: false,
             scale_outs: VecDeque::new(),
-            list_at: now,
+            next_listing_at: now,
             list_after: None,
-            types_at: now,
-            rented: 0,
+            next_types_at: now,
+            scale_outs_named: 0,
         }
     }
 
-    /// A rental's name: never used again, by this node or another, since no
-    /// other leader has this term.
-    pub fn name(&mut self, term: u64) -> String {
-        self.rented += 1;
-        format!("t{term}-{}", self.rented)
+    /// A new name for a scale-out request. It is never used again, by this node or another,
+    /// since no other leader has this term; by it the cloud knows a repeated request.
+    pub fn new_request_name(&mut self, term: u64) -> String {
+        self.scale_outs_named += 1;
+        format!("t{term}-{}", self.scale_outs_named)
     }
 
-    /// Has a machine deleted; of several grounds the weightiest stands.
-    pub fn delete(&mut self, name: Rc<str>, ground: DeletionReason) {
-        let uncertain = false;
-        let new = PendingDeletion {
-            reason: ground,
-            uncertain,
-        };
-        let deletion = self.deletes.entry(name).or_insert(new);
-        deletion.reason = deletion.reason.min(ground);
+    /// Has machines started.
+    pub fn scale_out(&mut self, request: ScaleOut, now: Micros) {
+        self.scale_outs.push_back(PendingScaleOut {
+            request,
+            since: now,
+            uncertain: false,
+        });
+    }
+
+    /// Whether a scale-out has no final answer yet.
+    pub fn has_scale_outs(&self) -> bool {
+        !self.scale_outs.is_empty()
+    }
+
+    /// The scale-out in flight has its final answer.
+    pub fn finish_scale_out(&mut self) -> Option<ScaleOut> {
+        self.scale_outs.pop_front().map(|pending| pending.request)
+    }
+
+    /// The scale-out in flight has no final answer; it is `uncertain` if it may be carried
+    /// out all the same.
+    pub fn scale_out_failed(&mut self, now: Micros, uncertain: bool) {
+        if let Some(pending) = self.scale_outs.front_mut() {
+            pending.uncertain |= uncertain;
+            if !pending.uncertain && now > pending.since + SCALE_OUT_EXPIRY {
+                self.scale_outs.pop_front();
+            }
+        }
+    }
+
+    /// Has a machine deleted; of several reasons the most urgent stands.
+    pub fn delete(&mut self, name: Rc<str>, reason: DeletionReason) {
+        let deletion = self.deletions.entry(name).or_insert(PendingDeletion {
+            reason,
+            uncertain: false,
+        });
+        deletion.reason = deletion.reason.min(reason);
     }
 
     /// Machines that are to be deleted.
-    pub fn deletes(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.deletes.keys()
+    pub fn deletions(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.deletions.keys()
     }
 
     /// Whether the machine is to be deleted for a cancelled task.
-    pub fn urgent(&self, name: &str) -> bool {
-        let deletion = self.deletes.get(name);
+    pub fn is_deletion_urgent(&self, name: &str) -> bool {
+        let deletion = self.deletions.get(name);
         deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
 
-    /// The machine that was to be deleted for its silence is heard: it stays, unless
-    /// a call that deletes it may be carried out any time.
+    /// Withdraws the deletion of a machine that was to be deleted for its silence and is
+    /// heard again, unless a call that deletes it may be carried out at any time. Returns
+    /// whether it is withdrawn.
     pub fn withdraw(&mut self, name: &str) -> bool {
-        let Some(d) = self.deletes.get(name) else {
+        let Some(deletion) = self.deletions.get(name) else {
             return false;
         };
-        let stays = d.reason == DeletionReason::Silent
-            && !d.uncertain
-            && !self.deleting.iter().any(|n| **n == *name);
-        if stays {
-            self.deletes.remove(name);
+        let withdrawn = deletion.reason == DeletionReason::Silent
+            && !deletion.uncertain
+            && !self.deletions_in_flight.iter().any(|n| **n == *name);
+        if withdrawn {
+            self.deletions.remove(name);
         }
-        stays
+        withdrawn
     }
 
-    /// The deletion under way was carried out: the machines that are gone.
-    pub fn deleted(&mut self) -> Vec<Rc<str>> {
-        let names = std::mem::take(&mut self.deleting);
+    /// The deletion in flight was carried out. Returns the machines that are gone.
+    pub fn finish_deletion(&mut self) -> Vec<Rc<str>> {
+        let names = std::mem::take(&mut self.deletions_in_flight);
         for name in &names {
-            self.deletes.remove(name);
+            self.deletions.remove(name);
         }
         names
     }
 
-    /// The deletion under way was not answered with success; `uncertain` if it may
-    /// be carried out all the same.
-    pub fn not_deleted(&mut self, uncertain: bool) {
-        for name in std::mem::take(&mut self.deleting) {
-            if let Some(d) = self.deletes.get_mut(&name) {
-                d.uncertain |= uncertain;
+    /// The deletion in flight had no success; it is `uncertain` if it may be carried out
+    /// all the same.
+    pub fn deletion_failed(&mut self, uncertain: bool) {
+        for name in std::mem::take(&mut self.deletions_in_flight) {
+            if let Some(deletion) = self.deletions.get_mut(&name) {
+                deletion.uncertain |= uncertain;
             }
         }
     }
 
-    /// Takes the next machines to delete: those of weightier grounds first, and no
-    /// more than `most` of those that may be in use when a late call reaches them.
-    fn some(&self, most: usize, given: impl Fn(DeletionReason) -> bool) -> Vec<Rc<str>> {
-        use DeletionReason::{Cancelled, Failed, Returned, Silent};
-        let mut names = Vec::new();
-        for ground in [Cancelled, Failed, Silent, Returned] {
-            if !given(ground) {
-                continue;
-            }
-            let room = match ground {
-                Failed => MAX_DELETE - names.len(),
-                _ => most.saturating_sub(names.len()),
-            };
-            let of = self.deletes.iter().filter(|(_, d)| d.reason == ground);
-            names.extend(of.map(|(name, _)| name.clone()).take(room));
-        }
-        names
+    /// Has the next page of the list of machines asked for at `at`; it begins after the
+    /// machine `after`, or with the first.
+    pub fn schedule_listing(&mut self, at: Micros, after: Option<String>) {
+        self.next_listing_at = at;
+        self.list_after = after;
+    }
+
+    /// Has the machine types asked for at `at`.
+    pub fn schedule_types(&mut self, at: Micros) {
+        self.next_types_at = at;
+    }
+
+    /// The call in flight has ended.
+    pub fn call_finished(&mut self) {
+        self.call_in_flight = false;
     }
 
-    /// The next call, with a permit for it. `most` machines may one call delete; `permit`
-    /// tells what may be done now.
+    /// Sends nothing for a while, since the cloud fails or is out of reach. Nothing else
+    /// than scaling out and in stalls with it.
+    pub fn pause(&mut self, now: Micros) {
+        self.paused_until = now + FAILURE_PAUSE;
+    }
+
+    /// Takes the next call, if there is one that may be sent now. It deletes no more than
+    /// `deletion_limit` machines that may be in use; `permit` tells what may be done now.
     pub fn next(
         &mut self,
         now: Micros,
-        most: usize,
+        deletion_limit: usize,
         permit: impl Fn(CloudAction) -> Option<CloudPermit>,
-    ) -> Option<(CloudRequestKind, CloudRequest, CloudPermit)> {
-        self.tokens = (self.tokens
-            + crate::seconds(now.saturating_sub(self.refilled)) * self.rate * 0.9)
-            .min(self.rate.max(1.0));
-        self.refilled = now;
-        if self.busy || now < self.pause_until || self.tokens < 1.0 {
+    ) -> Option<PermittedCloudCall> {
+        self.refill_tokens(now);
+        if self.call_in_flight || now < self.paused_until || self.tokens < 1.0 {
             return None;
         }
-        let rent = permit(CloudAction::ScaleOut);
-        if rent.is_none() {
+        let scale_out_permit = permit(CloudAction::ScaleOut);
+        if scale_out_permit.is_none() {
             // By the time that there is a permit again another plan fits better.
             self.scale_outs
-                .retain(|r| r.uncertain || now < r.since + STALE);
+                .retain(|pending| pending.uncertain || now < pending.since + SCALE_OUT_EXPIRY);
         }
-        let rent = rent.filter(|_| !self.scale_outs.is_empty());
-        let mut delete = Vec::new();
-        if !self.deletes.is_empty() && (rent.is_none() || !self.deleted_last) {
-            let given = |ground| permit(CloudAction::Delete(ground)).is_some();
-            delete = self.some(most.clamp(FEW, MAX_DELETE), given);
-        }
-        let grounds = delete.iter().filter_map(|n| self.deletes.get(n));
-        let heaviest = grounds.map(|d| d.reason).min();
-        let next = if let Some(ground) = heaviest {
-            let names = delete.iter().map(|n| n.to_string()).collect();
-            self.deleting = delete;
-            let call = CloudRequest::Delete(names);
-            (
-                CloudRequestKind::Delete,
-                call,
-                permit(CloudAction::Delete(ground))?,
-            )
-        } else if now >= self.types_at {
-            (
-                CloudRequestKind::Types,
-                CloudRequest::Types,
-                permit(CloudAction::Look)?,
-            )
-        } else if let Some((r, permit)) = self.scale_outs.front().zip(rent) {
-            (
-                CloudRequestKind::ScaleOut,
-                CloudRequest::ScaleOut(r.request.clone()),
-                permit,
-            )
-        } else if now >= self.list_at {
-            let after = self.list_after.clone();
-            (
-                CloudRequestKind::List,
-                CloudRequest::List { after },
-                permit(CloudAction::Look)?,
-            )
-        } else {
-            return None;
+        let scale_out_permit = scale_out_permit.filter(|_| self.has_scale_outs());
+        let may_delete = scale_out_permit.is_none() || !self.deleted_last;
+        let deletion = may_delete
+            .then(|| self.next_deletion(deletion_limit, &permit))
+            .flatten();
+        let call = match deletion {
+            Some(deletion) => deletion,
+            None => self.next_other_call(now, scale_out_permit, &permit)?,
         };
-        self.deleted_last = next.0 == CloudRequestKind::Delete;
-        self.busy = true;
+        self.deleted_last = call.kind == CloudRequestKind::Delete;
+        self.call_in_flight = true;
         self.tokens -= 1.0;
-        Some(next)
+        Some(call)
     }
 
-    /// What an answer, or none, to a rental means for it.
-    pub fn not_rented(&mut self, now: Micros, uncertain: bool) {
-        if let Some(r) = self.scale_outs.front_mut() {
-            r.uncertain |= uncertain;
-            if !r.uncertain && now > r.since + STALE {
-                self.scale_outs.pop_front();
+    fn refill_tokens(&mut self, now: Micros) {
+        let passed_s = seconds(now.saturating_sub(self.tokens_refilled_at));
+        let tokens = self.tokens + passed_s * self.rate * USED_RATE_SHARE;
+        self.tokens = tokens.min(self.rate.max(1.0));
+        self.tokens_refilled_at = now;
+    }
+
+    /// The next call that deletes machines, if there are any that may be deleted now. Its
+    /// permit is that of the most urgent reason.
+    fn next_deletion(
+        &mut self,
+        limit: usize,
+        permit: impl Fn(CloudAction) -> Option<CloudPermit>,
+    ) -> Option<PermittedCloudCall> {
+        let is_permitted = |reason| permit(CloudAction::Delete(reason)).is_some();
+        let names = self.most_urgent_deletions(limit, is_permitted);
+        let reasons = names.iter().filter_map(|name| self.deletions.get(name));
+        let reason = reasons.map(|deletion| deletion.reason).min()?;
+        let request = CloudRequest::Delete(names.iter().map(|name| name.to_string()).collect());
+        let permit = permit(CloudAction::Delete(reason))?;
+        self.deletions_in_flight = names;
+        Some(PermittedCloudCall {
+            kind: CloudRequestKind::Delete,
+            request,
+            permit,
+        })
+    }
+
+    /// The next machines to delete: those of more urgent reasons first, and no more than
+    /// the limit of those that may be in use when a late call reaches them.
+    fn most_urgent_deletions(
+        &self,
+        limit: usize,
+        is_permitted: impl Fn(DeletionReason) -> bool,
+    ) -> Vec<Rc<str>> {
+        use DeletionReason::{Cancelled, Failed, Returned, Silent};
+        let limit = limit.clamp(MIN_DELETION_LIMIT, MAX_DELETE);
+        let mut names = Vec::new();
+        for reason in [Cancelled, Failed, Silent, Returned] {
+            if !is_permitted(reason) {
+                continue;
             }
+            let remaining = match reason {
+                Failed => MAX_DELETE - names.len(),
+                _ => limit.saturating_sub(names.len()),
+            };
+            let matching = self.deletions.iter().filter(|(_, d)| d.reason == reason);
+            names.extend(matching.map(|(name, _)| name.clone()).take(remaining));
         }
+        names
     }
 
-    /// The cloud is in trouble or out of reach: nothing but renting and
-    /// returning stalls.
-    pub fn pause(&mut self, now: Micros) {
-        self.pause_until = now + SECOND;
+    /// The next call that is not a deletion.
+    fn next_other_call(
+        &self,
+        now: Micros,
+        scale_out_permit: Option<CloudPermit>,
+        permit: impl Fn(CloudAction) -> Option<CloudPermit>,
+    ) -> Option<PermittedCloudCall> {
+        let (kind, request, permit) = if now >= self.next_types_at {
+            let permit = permit(CloudAction::Look)?;
+            (CloudRequestKind::Types, CloudRequest::Types, permit)
+        } else if let Some((pending, permit)) = self.scale_outs.front().zip(scale_out_permit) {
+            let request = CloudRequest::ScaleOut(pending.request.clone());
+            (CloudRequestKind::ScaleOut, request, permit)
+        } else if now >= self.next_listing_at {
+            let after = self.list_after.clone();
+            let permit = permit(CloudAction::Look)?;
+            (CloudRequestKind::List, CloudRequest::List { after }, permit)
+        } else {
+            return None;
+        };
+        Some(PermittedCloudCall {
+            kind,
+            request,
+            permit,
+        })
     }
 }
--- /dev/null
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -0,0 +1,252 @@
+//! Calls to the cloud, and what follows from its replies.
+
+use crate::calls::{CallError, Context};
+use crate::cloud_queue::CloudRequestKind;
+use crate::continuations::LeaderStep;
+use crate::leader::{Leader, LeaderEvent};
+use crate::leadership_guard::DeletionReason;
+use crate::machines::{Machine, MachineEnd};
+use crate::write_queue::PendingWrite;
+use crate::{Micros, SECOND, micros};
+use dillcleat_wire::cloud::{
+    CloudResponse, InstanceState, ListedMachine, MachineList, MachineType, ScaleOut,
+};
+use std::fmt;
+use std::rc::Rc;
+
+/// Time between two requests for the machine types.
+const TYPES_INTERVAL: Micros = 60 * SECOND;
+/// Time until the next request for the machine types after one that failed.
+const TYPES_RETRY: Micros = 2 * SECOND;
+/// Time between two listings of the machines.
+const LISTING_INTERVAL: Micros = 10 * SECOND;
+
+type CloudReply = Result<CloudResponse, CallError>;
+
+/// Whether a call without success may have been carried out, or may still be.
+fn is_uncertain(reply: &CloudReply) -> bool {
+    matches!(reply, Err(CallError::NoAnswer))
+}
+
+/// Why a call had no success, for log lines.
+struct FailureReason<'a>(&'a CloudReply);
+
+impl fmt::Display for FailureReason<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Err(CallError::NotSent) => f.write_str("not-sent"),
+            Err(CallError::NoAnswer) => f.write_str("no-answer"),
+            Ok(CloudResponse::Refused { status }) => write!(f, "refused status={status}"),
+            Ok(CloudResponse::NoCapacity) => f.write_str("no-capacity"),
+            Ok(CloudResponse::Malformed) => f.write_str("malformed"),
+            Ok(_) => f.write_str("unexpected-response"),
+        }
+    }
+}
+
+impl Leader {
+    /// Sends the next call to the cloud, if there is one that may be sent.
+    pub(in crate::leader) fn send_cloud_request(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        let fleet = self.derived.sums().machines_up();
+        let deletion_limit = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
+        let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
+        let cloud_queue = &mut self.autoscaler.cloud_queue;
+        if let Some(call) = cloud_queue.next(now, deletion_limit, permit) {
+            let waiter = self.waiter(LeaderStep::Cloud(call.kind));
+            ctx.cloud_request(call.request, &call.permit, waiter);
+        }
+    }
+
+    /// The call in flight to the cloud has ended.
+    pub fn cloud_reply(&mut self, ctx: &mut Context, kind: CloudRequestKind, reply: CloudReply) {
+        let now = ctx.now.monotonic;
+        self.autoscaler.cloud_queue.call_finished();
+        match (kind, reply) {
+            (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
+                for name in self.autoscaler.cloud_queue.finish_deletion() {
+                    self.remove_machine(ctx, &name, MachineEnd::Deleted);
+                }
+            }
+            (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
+                if let Some(request) = self.autoscaler.cloud_queue.finish_scale_out() {
+                    self.apply_scale_out(ctx, &request, &names);
+                }
+            }
+            (
+                CloudRequestKind::ScaleOut,
+                Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
+            ) => {
+                if let Some(request) = self.autoscaler.cloud_queue.finish_scale_out() {
+                    self.record_refusal(ctx, &request, 0);
+                }
+            }
+            (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
+                let next_at = now + TYPES_INTERVAL;
+                self.autoscaler.cloud_queue.schedule_types(next_at);
+                self.update_machine_types(types);
+            }
+            (CloudRequestKind::List, Ok(CloudResponse::Listed(list))) => {
+                self.apply_listing(ctx, list);
+            }
+            (kind, failed) => self.cloud_request_failed(now, kind, &failed),
+        }
+    }
+
+    fn cloud_request_failed(&mut self, now: Micros, kind: CloudRequestKind, reply: &CloudReply) {
+        let cloud_queue = &mut self.autoscaler.cloud_queue;
+        cloud_queue.pause(now);
+        match kind {
+            CloudRequestKind::ScaleOut => {
+                cloud_queue.scale_out_failed(now, is_uncertain(reply));
+                return;
+            }
+            CloudRequestKind::Types => {
+                cloud_queue.schedule_types(now + TYPES_RETRY);
+                return;
+            }
+            CloudRequestKind::Delete => cloud_queue.deletion_failed(is_uncertain(reply)),
+            CloudRequestKind::List => {}
+        }
+        let reason = FailureReason(reply);
+        log::info!("cloud request failed kind={} reason={reason}", kind.label());
+    }
+
+    /// Takes over the machine types that the cloud offers.
+    fn update_machine_types(&mut self, types: Vec<MachineType>) {
+        let catalog = &mut self.machine_types;
+        let same = catalog.types_stored
+            && catalog
+                .types
+                .as_ref()
+                .is_some_and(|old| have_same_descriptions(old, &types));
+        let types = Rc::new(types);
+        catalog.types = Some(types.clone());
+        // The resources of machines may be other than they were.
+        self.machines.mark_all();
+        if !same {
+            self.machine_types.types_stored = false;
+            self.writer.write_queue.push(PendingWrite::Types);
+        }
+        self.events.push(LeaderEvent::Types(types));
+    }
+
+    /// The cloud has started machines, perhaps fewer than were asked for.
+    fn apply_scale_out(&mut self, ctx: &Context, request: &ScaleOut, names: &[String]) {
+        let now = ctx.now.monotonic;
+        log::info!(
+            "scaled out request={} started={} requested={} machines={}",
+            request.request,
+            names.len(),
+            request.count,
+            names.join(",")
+        );
+        for name in names {
+            if self.autoscaler.is_removed(name) {
+                continue;
+            }
+            if !self.machines.contains_key(name) {
+                let (machine_type, zone) = (&request.machine_type, &request.zone);
+                let machine = Machine::new(name, machine_type, zone, request.spot, now);
+                self.machines.insert(machine.name.clone(), machine);
+            }
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.expected = true;
+            }
+        }
+        if (names.len() as u32) < request.count {
+            self.record_refusal(ctx, request, names.len());
+        }
+    }
+
+    /// The cloud has no more machines of what was asked for; `started` of them it had.
+    fn record_refusal(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
+        let now = ctx.now.monotonic;
+        log::info!(
+            "cloud has no more capacity machine_type={} zone={} spot={} started={started} requested={}",
+            request.machine_type,
+            request.zone,
+            request.spot,
+            request.count
+        );
+        let offering = (
+            request.machine_type.clone(),
+            request.zone.clone(),
+            request.spot,
+        );
+        let until = now + micros(ctx.config.tuning.refused_pause_s);
+        self.autoscaler.refusals.refuse(offering, until);
+        // Plan with another offering at once.
+        self.autoscaler.next_fleet_check_at = now;
+    }
+
+    /// Applies one page of the cloud's list of machines.
+    fn apply_listing(&mut self, ctx: &Context, list: MachineList) {
+        let now = ctx.now.monotonic;
+        let last = list.machines.last().map(|machine| machine.name.clone());
+        for listed in list.machines {
+            if self.autoscaler.is_removed(&listed.name) {
+                continue;
+            }
+            if listed.state == InstanceState::Failed {
+                self.remove_machine(ctx, &listed.name, MachineEnd::ListedAsFailed);
+                let name = Rc::from(listed.name);
+                let cloud_queue = &mut self.autoscaler.cloud_queue;
+                cloud_queue.delete(name, DeletionReason::Failed);
+                continue;
+            }
+            self.apply_listed_machine(listed, now);
+        }
+        let cloud_queue = &mut self.autoscaler.cloud_queue;
+        if list.more && last.is_some() {
+            cloud_queue.schedule_listing(now, last);
+        } else {
+            cloud_queue.schedule_listing(now + LISTING_INTERVAL, None);
+        }
+    }
+
+    fn apply_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
+        let is_booting = listed.state == InstanceState::Booting;
+        if !self.machines.contains_key(&listed.name) {
+            log::info!("unknown machine is listed machine={}", listed.name);
+            let (machine_type, zone) = (&listed.machine_type, &listed.zone);
+            let mut machine = Machine::new(&listed.name, machine_type, zone, listed.spot, now);
+            machine.expected = is_booting;
+            self.machines.insert(machine.name.clone(), machine);
+        }
+        let Some(machine) = self.machines.get_mut(&listed.name) else {
+            return;
+        };
+        if machine.machine_type.is_empty() {
+            machine.update_description(&listed.machine_type, &listed.zone, listed.spot);
+        }
+        if !machine.up && is_booting {
+            // Leaders change; how long it has been booting does not. A machine that never
+            // comes up is paid for until it is deleted.
+            let age = micros(listed.age_s).min(now);
+            machine.assume_booting_since(now - age);
+        }
+        if machine.addr.is_none()
+            && let Some(addr) = listed.addr.filter(|addr| !addr.is_empty())
+            && listed.state == InstanceState::Running
+        {
+            machine.addr = Some(addr);
+            machine.command_state.request();
+            let name = machine.name.clone();
+            self.command_dispatch.enqueue_background(name);
+        }
+    }
+}
+
+/// Whether the types are the same in what decides on submissions. Prices move all the
+/// time; only the rest, or the first answer, is worth a write.
+fn have_same_descriptions(old: &[MachineType], new: &[MachineType]) -> bool {
+    let is_same = |(a, b): (&MachineType, &MachineType)| {
+        a.name == b.name
+            && a.cpus == b.cpus
+            && a.gpus == b.gpus
+            && a.memory_gb == b.memory_gb
+            && a.zones == b.zones
+    };
+    old.len() == new.len() && old.iter().zip(new).all(is_same)
+}
--- /dev/null
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -0,0 +1,283 @@
+//! Deletion of machines: silent ones, idle ones, and those that hold cancelled tasks.
+
+use crate::calls::Context;
+use crate::leader::Leader;
+use crate::leader::boot_estimator::{BootEstimator, boot_time};
+use crate::leader::zone_partition::{PARTITION_LEASES, heartbeat_missed_after};
+use crate::leadership_guard::{CloudAction, DeletionReason};
+use crate::machines::{Machine, MachineEnd};
+use crate::write_queue::PendingWrite;
+use crate::{Config, Micros, SECOND, micros, records, seconds};
+use dillcleat_wire::cloud::MachineType;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// A machine is paid for by the minute, so it may as well be kept for one; the rest is for
+/// the deletion.
+const PAID_TIME: Micros = 55 * SECOND;
+/// CPUs below this are rounding errors.
+const NO_CPUS: f64 = 1e-6;
+
+/// What one check for silent machines goes by.
+struct SilenceCheck<'a> {
+    now: Micros,
+    config: &'a Config,
+    types: &'a [MachineType],
+    partitioned: &'a BTreeSet<Rc<str>>,
+    /// Many machines are silent at once.
+    many_silent: bool,
+    /// It is rather this node that is isolated.
+    isolated: bool,
+    /// When this term's leader had read the store.
+    ready_since: Micros,
+}
+
+impl SilenceCheck<'_> {
+    /// The silence after which a machine that was up is deleted.
+    fn ordinary_limit(&self) -> Micros {
+        (self.config.lease * 4 / 10).max(2 * self.config.report + SECOND)
+    }
+
+    /// For how long this machine may be silent.
+    ///
+    /// Many that are silent at once look like a partition or a stall that may heal before
+    /// leases expire; after that what was on them is gone in any case. Replicas behind a
+    /// partition serve until their lease ends. To delete them sooner once cost a third of
+    /// all replicas the time that others took to boot (rough, brunnmatt-books-grown).
+    fn limit(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
+        if !machine.up {
+            let boot = boot_time(self.types, &machine.machine_type);
+            if machine.expected {
+                boot_estimator.max_wait(machine, boot)
+            } else {
+                // Known by a record or a listing only: it should send a heartbeat right
+                // away.
+                self.ordinary_limit() + boot
+            }
+        } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
+            self.config.lease
+        } else if self.many_silent {
+            self.config.lease + self.config.report
+        } else {
+            self.ordinary_limit()
+        }
+    }
+
+    /// Whether the silence is so short that a partition may still heal.
+    fn may_heal(&self, silence: Micros) -> bool {
+        silence < self.config.lease * PARTITION_LEASES
+    }
+
+    /// Whether the machine had time to send this leader a heartbeat. One that only the
+    /// leader before found silent gets that first.
+    fn had_its_chance(&self, machine: &Machine) -> bool {
+        let missed_after = heartbeat_missed_after(self.config);
+        !machine.up || machine.ready || self.now >= self.ready_since + missed_after
+    }
+
+    /// Whether the cloud has taken the machine back by its own notice.
+    fn is_taken_back(&self, machine: &Machine, silence: Micros) -> bool {
+        let gone_at = machine.interrupted_at.map(|at| at + SECOND);
+        gone_at.is_some_and(|at| self.now >= at) && silence > self.config.report
+    }
+}
+
+impl Leader {
+    /// Has a machine deleted.
+    pub(in crate::leader) fn delete_machine(&mut self, name: &Rc<str>, reason: DeletionReason) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.being_deleted = true;
+            self.autoscaler.cloud_queue.delete(name.clone(), reason);
+        }
+    }
+
+    /// Deletes machines that hold a cancelled job's tasks and do not show their end, well
+    /// before the time by which cancelled tasks must have ended.
+    pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
+        let patience = ctx.config.cancel * 3 / 10;
+        let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
+        if now < self.recovery.ready_since + patience / 4 || !permitted {
+            return;
+        }
+        let mut overdue: BTreeSet<Rc<str>> = BTreeSet::new();
+        for index in self.derived.cancelled_jobs() {
+            let Some((id, job)) = self.jobs.at(index) else {
+                continue;
+            };
+            if job.cancelled.is_none_or(|at| now < at + patience) {
+                continue;
+            }
+            for (task, machine) in job.on_machines() {
+                if self.may_hold_cancelled_task(machine, id, task) {
+                    overdue.insert(machine.clone());
+                }
+            }
+        }
+        for name in overdue {
+            log::info!("deleting machine machine={name} reason=cancelled-task-not-seen-gone");
+            self.delete_machine(&name, DeletionReason::Cancelled);
+        }
+    }
+
+    /// Whether a cancelled task may be on the machine, which is not yet to be deleted for
+    /// such a reason.
+    fn may_hold_cancelled_task(&self, machine: &str, job: &Rc<str>, task: u32) -> bool {
+        let Some(machine) = self.machines.get(machine) else {
+            return false;
+        };
+        let cloud_queue = &self.autoscaler.cloud_queue;
+        if machine.being_deleted && cloud_queue.is_deletion_urgent(&machine.name) {
+            return false;
+        }
+        let slot = machine.slots.get(&(job.clone(), task));
+        slot.is_some_and(|slot| slot.cancelled && slot.stored)
+    }
+
+    /// Deletes machines that fell silent: the cloud's answer is the proof that what was on
+    /// them is gone. Those of `partitioned` zones have rules of their own.
+    pub(super) fn delete_silent_machines(
+        &mut self,
+        ctx: &Context,
+        partitioned: &BTreeSet<Rc<str>>,
+    ) {
+        let now = ctx.now.monotonic;
+        let may_delete = self.may_answer_heartbeats(ctx)
+            && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Silent));
+        let types = self.machine_types.types.clone();
+        let check = SilenceCheck {
+            now,
+            config: ctx.config,
+            types: types.as_deref().map_or(&[][..], Vec::as_slice),
+            partitioned,
+            many_silent: self.are_many_silent(),
+            isolated: self.is_probably_isolated(ctx.config),
+            ready_since: self.recovery.ready_since,
+        };
+        let missed_after = heartbeat_missed_after(ctx.config);
+        let mut spare = self.spare_capacity(partitioned);
+        let derived = &self.derived;
+        let suspects = &(derived.silent_machines() | derived.booting_machines())
+            | derived.interrupted_machines();
+        let mut to_probe = Vec::new();
+        let mut to_delete = Vec::new();
+        for index in suspects {
+            let Some((_, machine)) = self.machines.at(index) else {
+                continue;
+            };
+            let silence = now.saturating_sub(machine.reachability.last_heard_at());
+            // One heartbeat that got lost costs a worker up to 5 s. Whether the machine is
+            // there shows sooner when it is asked.
+            if machine.ready && silence > missed_after && !machine.command_state.is_requested() {
+                to_probe.push(index);
+            }
+            let limit = check.limit(machine, &self.autoscaler.boot_estimator);
+            // Machines in a partitioned zone may come back any time, and their capacity
+            // with them. To delete 512 machines whose work could not run elsewhere cost a
+            // third of all portals the rest of a partition and a minute besides (zone,
+            // rosterwise-nz-fleet).
+            let is_kept_for_its_work = partitioned.contains(&machine.name)
+                && check.may_heal(silence)
+                && silence >= limit
+                && !spare.take_for(machine);
+            let is_doubted = check.isolated && check.may_heal(silence);
+            let is_silent = silence >= limit
+                && check.had_its_chance(machine)
+                && !is_kept_for_its_work
+                && !is_doubted;
+            if may_delete && (is_silent || check.is_taken_back(machine, silence)) {
+                to_delete.push((machine.name.clone(), silence));
+            }
+        }
+        for index in to_probe {
+            if let Some(machine) = self.machines.quiet(index) {
+                machine.command_state.request_probe();
+                self.command_dispatch
+                    .enqueue_background(machine.name.clone());
+            }
+        }
+        for (name, silence) in to_delete {
+            let silent_s = seconds(silence);
+            log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
+            self.delete_machine(&name, DeletionReason::Silent);
+        }
+    }
+
+    /// Whether many machines are silent at once. They are counted as soon as they miss a
+    /// heartbeat: one by one they would be deleted before they are many.
+    fn are_many_silent(&self) -> bool {
+        let up = self.derived.sums().machines_up() as u64;
+        self.derived.silent_machines().len() > 2.max(up * 3 / 10)
+    }
+
+    /// Deletes machines that are idle, or that are not to be used any more and are empty.
+    pub(super) fn scale_in(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic;
+        let max_idle = micros(ctx.config.tuning.idle_s);
+        let headroom_cpus = self.headroom_ahead_cpus(ctx.config);
+        let mut free_cpus: BTreeMap<Rc<str>, f64> = BTreeMap::new();
+        let mut to_delete = Vec::new();
+        for name in self.empty_machines_in_deletion_order() {
+            let Some(machine) = self.machines.get(&name) else {
+                continue;
+            };
+            if !machine.ready
+                || machine.being_deleted
+                || !machine.slots.is_empty()
+                || !machine.unexpected_tasks().is_empty()
+            {
+                continue;
+            }
+            let is_retired = machine.health.is_cordoned() || machine.interrupted_at.is_some();
+            let is_idle = now.saturating_sub(machine.empty_since) >= max_idle
+                && now >= machine.known_since + PAID_TIME;
+            // What the headroom needs is kept: it would be asked for again at once.
+            if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
+                let total = self.type_resources(&machine.machine_type);
+                let machine_cpus = total.map_or(0.0, |total| total.cpus);
+                let free = free_cpus
+                    .entry(machine.zone.clone())
+                    .or_insert_with(|| self.derived.capacity.ordinary(&machine.zone));
+                if *free - machine_cpus + NO_CPUS < headroom_cpus {
+                    continue;
+                }
+                *free -= machine_cpus;
+            }
+            if is_retired || is_idle {
+                to_delete.push(name);
+            }
+        }
+        for name in to_delete {
+            log::info!("deleting machine machine={name} reason=idle");
+            self.delete_machine(&name, DeletionReason::Returned);
+        }
+    }
+
+    /// Machines with nothing on them; those that hold the fewest images of services first.
+    fn empty_machines_in_deletion_order(&self) -> Vec<Rc<str>> {
+        let empty = self.derived.empty_machines().iter();
+        let mut machines: Vec<(u32, Rc<str>)> = empty
+            .filter_map(|index| self.machines.at(index))
+            .map(|(name, machine)| (self.service_images_on(machine), name.clone()))
+            .collect();
+        machines.sort();
+        machines.into_iter().map(|(_, name)| name).collect()
+    }
+
+    /// Forgets a machine that is certainly gone, and frees what was on it.
+    pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
+        self.autoscaler.record_removed(name, ctx.now.monotonic);
+        let Some(mut machine) = self.machines.remove(name) else {
+            return;
+        };
+        log::info!("machine is gone machine={name} reason={end}");
+        for event in machine.take_lost_tasks(end) {
+            self.slot_event(ctx, name, event);
+        }
+        if machine.recorded {
+            self.writer
+                .write_queue
+                .push(PendingWrite::Drop(records::machine_key(name)));
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -0,0 +1,229 @@
+//! Scaling out: which machines are asked for, and for which jobs.
+
+use crate::calls::Context;
+use crate::leader::boot_estimator::BootingCapacity;
+use crate::leader::deadline_risk::DeadlineRisk;
+use crate::leader::scheduling::machine_view;
+use crate::leader::{Job, Leader};
+use crate::machines::{Machine, TaskSlot};
+use crate::sched::scale_out_plan::{PlanInputs, plan_scale_out};
+use crate::sched::{
+    CapacityIndex, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
+};
+use crate::{Micros, seconds};
+use dillcleat_wire::cloud::{MachineType, ScaleOut};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// A task that has run for longer than expected may run on for this part of its run time.
+const OVERRUN_SHARE: f64 = 0.2;
+/// CPUs below this are rounding errors.
+const NO_CPUS: f64 = 1e-6;
+
+/// Replicas on machines in partitioned zones, by the index of their job.
+type LostReplicas = BTreeMap<SlabIndex, u32>;
+
+impl Leader {
+    /// Asks for the machines that are wanted for waiting tasks, for replicas behind a
+    /// partition, and for headroom.
+    pub(super) fn scale_out(
+        &mut self,
+        ctx: &Context,
+        types: &[MachineType],
+        partitioned: &BTreeSet<Rc<str>>,
+    ) {
+        let now = ctx.now.monotonic;
+        let lost = self.lost_replicas(partitioned);
+        let ahead_cpus = self.headroom_ahead_cpus(ctx.config);
+        if self.derived.job_queue.is_empty() && lost.is_empty() && ahead_cpus <= 0.0 {
+            return;
+        }
+        let mut teams = self.allowances_without(ctx, &lost);
+        let BootingCapacity { coming, late } = self.booting_capacity(types, now);
+        let machines_by_zone = self.machines_by_zone(&coming);
+        let machines_seen: u32 = machines_by_zone.values().sum();
+        let mut capacity = CapacityIndex::without_images();
+        let soon_free = self.machines_soon_free(ctx, partitioned);
+        for view in coming.into_iter().chain(soon_free) {
+            capacity.add(view);
+        }
+        let inputs = PlanInputs {
+            types,
+            refusals: &self.autoscaler.refusals,
+            dark: self.partitions.partitioned_zones().cloned().collect(),
+            slow: late
+                .into_iter()
+                .map(|offering| (offering.machine_type, offering.zone))
+                .collect(),
+            there: machines_by_zone,
+            lent: self.derived.sums().lent_cpus(),
+            now,
+        };
+        let headroom_cpus = self.service_headroom_cpus(ctx.config);
+        let mut jobs_seen = 0;
+        let jobs = self
+            .scale_out_candidates(ctx, partitioned, &lost)
+            .take(self.autoscaler.plan_depth)
+            .inspect(|_| jobs_seen += 1);
+        let wanted = plan_scale_out(
+            jobs,
+            &mut capacity,
+            &mut teams,
+            &inputs,
+            headroom_cpus,
+            ahead_cpus,
+        );
+        self.scheduling
+            .record_plan(u64::from(machines_seen), jobs_seen as u64);
+        self.autoscaler
+            .update_plan_depth(jobs_seen, !wanted.is_empty());
+        for ((machine_type, zone, spot), count) in wanted {
+            self.request_scale_out(machine_type, zone, spot, count, now);
+        }
+    }
+
+    fn request_scale_out(
+        &mut self,
+        machine_type: String,
+        zone: String,
+        spot: bool,
+        count: u32,
+        now: Micros,
+    ) {
+        let cloud_queue = &mut self.autoscaler.cloud_queue;
+        let request = cloud_queue.new_request_name(self.term);
+        log::info!(
+            "scaling out request={request} count={count} machine_type={machine_type} zone={zone} spot={spot}"
+        );
+        let scale_out = ScaleOut {
+            request,
+            machine_type,
+            zone,
+            spot,
+            count,
+        };
+        cloud_queue.scale_out(scale_out, now);
+    }
+
+    /// Replicas in partitioned zones: others are prepared for while they serve on.
+    fn lost_replicas(&self, partitioned: &BTreeSet<Rc<str>>) -> LostReplicas {
+        let mut lost = BTreeMap::new();
+        for machine in partitioned
+            .iter()
+            .filter_map(|name| self.machines.get(name))
+        {
+            for (job, _) in machine.slots.keys() {
+                if self.is_active_service(job)
+                    && let Some(index) = self.jobs.place(job)
+                {
+                    *lost.entry(index).or_default() += 1;
+                }
+            }
+        }
+        lost
+    }
+
+    /// What each team may still use, as if the lost replicas used nothing.
+    fn allowances_without(&self, ctx: &Context, lost: &LostReplicas) -> Vec<TeamAllowance> {
+        let mut teams = self.derived.sums().team_allowances(ctx.config);
+        for (index, replicas) in lost {
+            if let Some((_, job)) = self.jobs.at(*index) {
+                teams[job.team].cpus_left += job.spec.cpus * f64::from(*replicas);
+                teams[job.team].gpus_left += job.spec.gpus * f64::from(*replicas);
+            }
+        }
+        teams
+    }
+
+    /// The machines that are up and those that are coming, by zone.
+    fn machines_by_zone(&self, coming: &[MachineView]) -> BTreeMap<Rc<str>, u32> {
+        let up = self.derived.sums().machines_up_by_zone().iter();
+        let mut machines: BTreeMap<Rc<str>, u32> = up
+            .map(|(zone, count)| (zone.clone(), *count as u32))
+            .collect();
+        for view in coming {
+            *machines.entry(view.zone.clone()).or_default() += 1;
+        }
+        machines
+    }
+
+    /// Jobs that machines may be started for, in the order in which they compete: those
+    /// that wait, and those that have lost replicas. Nothing is started for a suspect job,
+    /// which fails wherever it runs.
+    fn scale_out_candidates<'a>(
+        &'a self,
+        ctx: &'a Context,
+        partitioned: &'a BTreeSet<Rc<str>>,
+        lost: &'a LostReplicas,
+    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
+        let mut risk = DeadlineRisk::new(self.derived.sums());
+        // Those that have lost replicas are services and so come first.
+        let waiting = self.derived.job_queue.all(self.scheduling.virtual_time());
+        let waiting = waiting.filter(|index| !lost.contains_key(index));
+        let indexes = lost.keys().copied().chain(waiting);
+        indexes.filter_map(move |index| {
+            let (_, job) = self.jobs.at(index)?;
+            if job.record.doubtful() {
+                return None;
+            }
+            let mut view = self.job_view(ctx, index)?;
+            if let Some(replicas) = lost.get(&index) {
+                view.waiting += replicas;
+                view.zones = self.tasks_by_zone(job, partitioned);
+            }
+            view.at_risk_tasks = risk.tasks_at_risk(self, ctx, job, view.waiting);
+            Some((view, &job.shape))
+        })
+    }
+
+    /// Machines with the resources that will be free by the time that a new one could be
+    /// up: to start one for what fits there would gain nothing.
+    fn machines_soon_free(
+        &self,
+        ctx: &Context,
+        partitioned: &BTreeSet<Rc<str>>,
+    ) -> Vec<MachineView> {
+        let now = ctx.now.monotonic;
+        let tuning = &ctx.config.tuning;
+        let horizon_s = (self.soonest_boot_s() + tuning.fetch_s) * tuning.patience;
+        let run_times_s = self.run_times_by_job(ctx);
+        let is_soon_free = |slot: &&TaskSlot| {
+            let run_time_s = run_times_s.get(slot.job as usize).copied().unwrap_or(0.0);
+            let elapsed_s = seconds(slot.running_for(now));
+            let left_s = (run_time_s - elapsed_s).max(elapsed_s * OVERRUN_SHARE);
+            left_s <= horizon_s
+        };
+        // What is free on a machine whose heartbeat got lost is about to be there again.
+        let is_there = |machine: &&Machine| {
+            machine.accepts_tasks(now)
+                && !machine
+                    .reachability
+                    .is_unreachable_for(now, ctx.config.lease)
+                && !partitioned.contains(&machine.name)
+        };
+        let mut views = Vec::new();
+        for machine in self.machines.values().filter(is_there) {
+            let Some(total) = self.type_resources(&machine.machine_type) else {
+                continue;
+            };
+            let mut free = machine.free_resources(total);
+            for slot in machine.array_slots().filter(is_soon_free) {
+                free.add(&slot.resources);
+            }
+            if free.cpus > NO_CPUS {
+                views.push(machine_view(machine, free));
+            }
+        }
+        views
+    }
+
+    /// The expected run time of a task of each job, in seconds, by the job's index: one
+    /// number for each job instead of a look-up for each of its tasks.
+    fn run_times_by_job(&self, ctx: &Context) -> Vec<f64> {
+        let run_time_s = |job: Option<&Job>| {
+            let job = job.filter(|job| job.placed() > 0);
+            job.map_or(0.0, |job| self.mean_run_time_s(ctx.config, job))
+        };
+        self.jobs.by_place().map(run_time_s).collect()
+    }
+}
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -1,179 +1,214 @@
-//! How long machines take to come up, as seen of late.
+//! How long machines take to boot, as seen lately.
 //!
-//! Usually they are up within 1.5 times their type's boot time. Some take
-//! several times as long, a few never come, and in a bad spell all that are
-//! rented are late. One machine that is late is replaced. But to replace all of
-//! a spell pays for each twice over, and to give each up after the same time
-//! again and again once left a fleet without a single new machine for two and a
-//! half minutes, since none was waited for as long as it took.
-
-use super::*;
-
-/// Of the machines of a spell one in so many is replaced, to see whether new
-/// ones come sooner by now.
-const CANARY: usize = 8;
+//! Usually they are up within 1.5 times their type's boot time. Some take several times as
+//! long, a few never come up, and there are times in which all that are started are slow.
+//! One machine that is late is replaced. But to replace all of a slow time pays for each
+//! twice over, and to give each up after the same time again and again once left a fleet
+//! without a single new machine for two and a half minutes, since none was waited for as
+//! long as it took.
+
+use super::Leader;
+use crate::machines::Machine;
+use crate::sched::MachineView;
+use crate::{Micros, SECOND, micros};
+use dillcleat_wire::cloud::MachineType;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// While all machines are slow, one in so many is replaced, to see whether new ones come
+/// sooner by now.
+const CANARY_INTERVAL: usize = 8;
+/// The boot time that is assumed of a type that is not known.
+const DEFAULT_BOOT_TIME: Micros = 30 * SECOND;
+
+/// A machine type in a zone.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ZonalType {
+    pub machine_type: Rc<str>,
+    pub zone: Rc<str>,
+}
 
-/// Types and zones.
-pub type Offers = BTreeSet<(Rc<str>, Rc<str>)>;
+impl ZonalType {
+    fn of(machine: &Machine) -> ZonalType {
+        ZonalType {
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+        }
+    }
 
-/// The machine rented last, of those that are up, by type and zone.
-#[derive(Debug, Default)]
-pub struct BootEstimator(BTreeMap<(Rc<str>, Rc<str>), Latest>);
+    fn matches(&self, machine: &Machine) -> bool {
+        self.machine_type == machine.machine_type && self.zone == machine.zone
+    }
+}
 
+/// The boot of one machine that is up.
 #[derive(Debug, Clone, Copy)]
-struct Latest {
-    rented: Micros,
-    took: Micros,
+struct Boot {
+    started_at: Micros,
+    duration: Micros,
+}
+
+impl Boot {
+    /// Whether it began no sooner than that of the machine, give or take a second.
+    fn began_with_or_after(&self, machine: &Machine) -> bool {
+        self.started_at + SECOND >= machine.known_since
+    }
 }
 
 /// What is known of a machine that is not up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Boot {
+pub(super) enum BootProgress {
     /// It has time yet.
-    Coming,
-    /// It should be up, and none that was rented since is: perhaps all are late.
-    Spell,
+    OnTime,
+    /// It should be up, but none that was started since is up either: perhaps all are slow.
+    AllSlow,
     /// It should be up, as others are.
     Late,
 }
 
+/// Machines that are not up but may be counted on.
+pub(super) struct BootingCapacity {
+    pub coming: Vec<MachineView>,
+    /// The types and zones of which those started last are late.
+    pub late: BTreeSet<ZonalType>,
+}
+
+/// The machine started last, of those that are up, by type and zone.
+#[derive(Debug, Default)]
+pub(super) struct BootEstimator {
+    latest_boots: BTreeMap<ZonalType, Boot>,
+}
+
 impl BootEstimator {
-    /// A machine is up.
-    pub fn up(&mut self, m: &Machine, now: Micros) {
-        let key = (m.machine_type.clone(), m.zone.clone());
-        let latest = Latest {
-            rented: m.known_since,
-            took: now.saturating_sub(m.known_since),
+    /// The machine is up.
+    pub fn record_boot(&mut self, machine: &Machine, now: Micros) {
+        let boot = Boot {
+            started_at: machine.known_since,
+            duration: now.saturating_sub(machine.known_since),
         };
-        let known = self.0.entry(key).or_insert(latest);
-        // Of those rented together the slowest says most.
-        if known.rented <= latest.rented {
-            *known = latest;
+        let latest = self
+            .latest_boots
+            .entry(ZonalType::of(machine))
+            .or_insert(boot);
+        // Of those started together the slowest says most.
+        if latest.started_at <= boot.started_at {
+            *latest = boot;
         }
     }
 
-    /// The latest of the type that was rented no sooner than the machine: in
-    /// its zone if there is one, anywhere else if not.
-    fn after(&self, m: &Machine) -> Option<Latest> {
-        let own = (m.machine_type.clone(), m.zone.clone());
-        let of_type = self.0.iter().filter(|((t, _), _)| *t == m.machine_type);
-        let since = |l: &Latest| l.rented + SECOND >= m.known_since;
-        self.0.get(&own).copied().filter(since).or_else(|| {
-            of_type
-                .map(|(_, l)| *l)
-                .filter(since)
-                .max_by_key(|l| l.rented)
+    /// The latest boot of the type that began no sooner than that of the machine: in its
+    /// zone if there is one, anywhere else if not.
+    fn later_boot(&self, machine: &Machine) -> Option<Boot> {
+        let in_its_zone = self.latest_boots.get(&ZonalType::of(machine)).copied();
+        let is_later = |boot: &Boot| boot.began_with_or_after(machine);
+        in_its_zone.filter(is_later).or_else(|| {
+            self.latest_boots
+                .iter()
+                .filter(|(key, _)| key.machine_type == machine.machine_type)
+                .map(|(_, boot)| *boot)
+                .filter(is_later)
+                .max_by_key(|boot| boot.started_at)
         })
     }
 
-    /// `boot` is the usual time of the type.
-    pub fn of(&self, m: &Machine, boot: Micros, now: Micros) -> Boot {
-        let age = now.saturating_sub(m.known_since);
-        let after = self.after(m);
-        let takes = after.map_or(boot, |l| l.took.max(boot));
-        if age < takes * 7 / 4 {
-            Boot::Coming
-        } else if after.is_some() {
-            Boot::Late
+    /// How the boot of a machine goes; `usual` is the usual boot time of its type.
+    pub fn progress(&self, machine: &Machine, usual: Micros, now: Micros) -> BootProgress {
+        let age = now.saturating_sub(machine.known_since);
+        let later_boot = self.later_boot(machine);
+        let expected = later_boot.map_or(usual, |boot| boot.duration.max(usual));
+        if age < expected * 7 / 4 {
+            BootProgress::OnTime
+        } else if later_boot.is_some() {
+            BootProgress::Late
         } else {
-            Boot::Spell
+            BootProgress::AllSlow
         }
     }
 
-    /// How long to wait for a machine before it is deleted. In a spell a new one
+    /// How long to wait for a machine before it is deleted. While all are slow, a new one
     /// would come no sooner than the one that is paid for already.
-    pub fn patience(&self, m: &Machine, boot: Micros) -> Micros {
-        match self.after(m) {
-            Some(l) => (boot * 4).max(l.took * 5 / 2) + 10 * SECOND,
-            None => boot * 12 + 10 * SECOND,
+    pub fn max_wait(&self, machine: &Machine, usual: Micros) -> Micros {
+        match self.later_boot(machine) {
+            Some(boot) => (usual * 4).max(boot.duration * 5 / 2) + 10 * SECOND,
+            None => usual * 12 + 10 * SECOND,
         }
     }
+
+    /// Whether no machine of its type and zone is up that was started as late as this one.
+    fn is_newest(&self, machine: &Machine) -> bool {
+        let latest = self.latest_boots.get(&ZonalType::of(machine));
+        latest.is_none_or(|boot| !boot.began_with_or_after(machine))
+    }
 }
 
 impl Leader {
-    /// Machines that are not up but may be counted on, and the offers of which
-    /// those rented last are late.
-    pub(super) fn booting(&self, types: &[MachineType], now: Micros) -> (Vec<MachineView>, Offers) {
+    /// Machines that are not up but may be counted on.
+    pub(super) fn booting_capacity(&self, types: &[MachineType], now: Micros) -> BootingCapacity {
+        let estimator = &self.autoscaler.boot_estimator;
+        let progress = |machine: &Machine| {
+            let usual = boot_time(types, &machine.machine_type);
+            estimator.progress(machine, usual, now)
+        };
+        let booting = self.booting_machines();
         let mut coming = Vec::new();
-        let mut slow = BTreeSet::new();
-        let mut spells: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
-        let all = self.derived.booting.iter();
-        let booting: Vec<&Machine> = all
-            .filter(|place| !self.derived.silent.contains(*place))
-            .filter_map(|place| Some(self.machines.at(place)?.1))
-            .filter(|m| m.expected || m.recorded)
-            .collect();
-        for m in &booting {
-            let boot = boot_time(types, &m.machine_type);
-            let state = self.autoscaler.boot_estimator.of(m, boot, now);
-            match state {
-                Boot::Coming => coming.extend(self.view(m)),
-                Boot::Spell => spells.entry(m.machine_type.clone()).or_default().push(*m),
-                Boot::Late => {}
+        let mut late = BTreeSet::new();
+        let mut slow_by_type: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
+        for machine in &booting {
+            let progress = progress(machine);
+            match progress {
+                BootProgress::OnTime => coming.extend(self.machine_view(machine)),
+                BootProgress::AllSlow => slow_by_type
+                    .entry(machine.machine_type.clone())
+                    .or_default()
+                    .push(*machine),
+                BootProgress::Late => {}
             }
-            if state != Boot::Coming && m.expected {
-                slow.insert((m.machine_type.clone(), m.zone.clone()));
+            if progress != BootProgress::OnTime && machine.expected {
+                late.insert(ZonalType::of(machine));
             }
         }
-        for late in spells.into_values() {
-            let canaries = late.len().div_ceil(CANARY);
-            coming.extend(late.iter().skip(canaries).filter_map(|m| self.view(m)));
+        for slow in slow_by_type.into_values() {
+            let canaries = slow.len().div_ceil(CANARY_INTERVAL);
+            let counted_on = slow.iter().skip(canaries);
+            coming.extend(counted_on.filter_map(|machine| self.machine_view(machine)));
         }
-        // A zone in which others are up is not slow for a few that are late.
-        slow.retain(|offer| {
-            let mut late = booting
-                .iter()
-                .filter(|m| m.machine_type == offer.0 && m.zone == offer.1);
-            late.any(|m| {
-                let boot = boot_time(types, &m.machine_type);
-                self.autoscaler.boot_estimator.of(m, boot, now) != Boot::Coming
-                    && self
-                        .autoscaler
-                        .boot_estimator
-                        .0
-                        .get(offer)
-                        .is_none_or(|l| l.rented + SECOND < m.known_since)
+        // A zone in which others are up is not late for a few that are.
+        late.retain(|key| {
+            let mut machines = booting.iter().filter(|machine| key.matches(machine));
+            machines.any(|machine| {
+                progress(machine) != BootProgress::OnTime && estimator.is_newest(machine)
             })
         });
-        (coming, slow)
+        BootingCapacity { coming, late }
+    }
+
+    /// Machines that have yet to send a heartbeat in this term, and are known by more than
+    /// a stored placement.
+    fn booting_machines(&self) -> Vec<&Machine> {
+        let booting = self.derived.booting_machines().iter();
+        booting
+            .filter(|index| !self.derived.is_silent(*index))
+            .filter_map(|index| Some(self.machines.at(index)?.1))
+            .filter(|machine| machine.expected || machine.recorded)
+            .collect()
+    }
+
+    /// The boot time of the type that is up soonest, in seconds.
+    pub(super) fn soonest_boot_s(&self) -> f64 {
+        let types = self
+            .machine_types
+            .types
+            .iter()
+            .flat_map(|types| types.iter());
+        types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 }
 
-/// The usual boot time of a type; a guess while the types are not known.
+/// The usual boot time of a type; an assumption while the types are not known.
 pub(super) fn boot_time(types: &[MachineType], machine_type: &str) -> Micros {
     let found = types.iter().find(|t| t.name == machine_type);
-    found.map_or(30 * SECOND, |t| micros(t.boot_s))
+    found.map_or(DEFAULT_BOOT_TIME, |t| micros(t.boot_s))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const BOOT: Micros = 15 * SECOND;
-
-    fn rented(zone: &str, at: Micros) -> Machine {
-        Machine::new("m", "t", zone, true, at)
-    }
-
-    #[test]
-    fn one_that_others_overtake_is_late_and_a_spell_is_waited_out() {
-        let mut boots = BootEstimator::default();
-        let start = 1000 * SECOND;
-        let m = rented("a", start);
-        assert_eq!(boots.of(&m, BOOT, start + 20 * SECOND), Boot::Coming);
-        // Nothing else is up: a spell, and no reason to begin anew.
-        assert_eq!(boots.of(&m, BOOT, start + 60 * SECOND), Boot::Spell);
-        assert!(boots.patience(&m, BOOT) > 120 * SECOND);
-        // What was rented before says nothing of it.
-        boots.up(&rented("a", start - 100 * SECOND), start - 85 * SECOND);
-        assert_eq!(boots.of(&m, BOOT, start + 60 * SECOND), Boot::Spell);
-        // In another zone one that was rented after it is up.
-        boots.up(&rented("b", start + 30 * SECOND), start + 45 * SECOND);
-        assert_eq!(boots.of(&m, BOOT, start + 60 * SECOND), Boot::Late);
-        assert_eq!(boots.patience(&m, BOOT), 70 * SECOND);
-        // Its own zone is slow: others of the same rental took longer.
-        boots.up(&rented("a", start), start + 80 * SECOND);
-        assert_eq!(boots.of(&m, BOOT, start + 90 * SECOND), Boot::Coming);
-        assert_eq!(boots.patience(&m, BOOT), 210 * SECOND);
-    }
-}
+mod tests;
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -187,8 +187,9 @@
             log::info!("{ready}: ready, all that it waited for is done");
             job.blocked_on_dependencies = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
-            self.scheduling.service_submitted |= job.spec.kind == JobKind::Service;
-            self.scheduling.schedule_at = ctx.now.monotonic;
+            let is_service = job.spec.kind == JobKind::Service;
+            self.scheduling
+                .record_ready_job(is_service, ctx.now.monotonic);
         }
     }
 
@@ -269,7 +270,7 @@
             return (priority, due);
         }
         // Its work has to be done after this one, and so on down the longest way.
-        let takes = self.expected_run(ctx.config, dependent) + ctx.config.tuning.fetch_s;
+        let takes = self.expected_run_time_s(ctx.config, dependent) + ctx.config.tuning.fetch_s;
         let end = dependent.due.or_else(|| self.own_due(ctx, dependent));
         let end = end.map(|due| due.saturating_sub(micros(takes)));
         let due = match (due, end) {
@@ -281,7 +282,7 @@
 
     /// By when a job has to end by its own deadline, where that is worth money.
     fn own_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
-        let (due, _) = strict_deadline(ctx.config, job)?;
+        let due = strict_deadline(ctx.config, job)?.deadline_s;
         Some(job.submitted.saturating_add(micros(due)))
     }
 
--- /dev/null
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -0,0 +1,88 @@
+//! A check of the derived state, for the simulator.
+
+use super::DerivedState;
+use crate::calls::Context;
+use crate::leader::Leader;
+use crate::sched::{MachineView, SlabIndex};
+
+impl Leader {
+    /// Computes the derived state anew and returns what was not as it should have been. It
+    /// costs as much as there are jobs and machines.
+    pub fn audit(&mut self, ctx: &Context) -> Vec<&'static str> {
+        self.mark_estimated_jobs();
+        self.refresh_derived_state(ctx);
+        let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
+        self.jobs.mark_all();
+        self.machines.mark_all();
+        self.refresh_derived_state(ctx);
+        let mut differences = self.audit_queue_and_capacity(&old);
+        differences.extend(old.differing_sets(&self.derived));
+        differences
+    }
+
+    fn audit_queue_and_capacity(&self, old: &DerivedState) -> Vec<&'static str> {
+        let new = &self.derived;
+        let queue = |state: &DerivedState| -> Vec<SlabIndex> {
+            let virtual_time = self.scheduling.virtual_time();
+            state.job_queue.all(virtual_time).collect()
+        };
+        // Nobody asks which images are held by machines without free CPUs.
+        let service_images = |machine: &MachineView| match machine.free.cpus > 0.0 {
+            true => machine.service_images,
+            false => 0,
+        };
+        let view = |state: &DerivedState, index| {
+            let view = state.capacity.view(index);
+            view.map(|machine| (machine.free, service_images(machine), machine.spot))
+        };
+        let mut indexes = 0..self.machines.places();
+        differences([
+            ("dependencies", self.audit_waits()),
+            ("sums", old.sums == new.sums),
+            ("job queue", queue(old) == queue(new)),
+            (
+                "capacity index",
+                indexes.all(|index| view(old, index) == view(new, index)),
+            ),
+        ])
+    }
+}
+
+impl DerivedState {
+    fn differing_sets(&self, new: &DerivedState) -> Vec<&'static str> {
+        let arrays = |state: &DerivedState| {
+            (
+                state.ordinary_machines_with_arrays.clone(),
+                state.spot_machines_with_arrays.clone(),
+            )
+        };
+        differences([
+            ("cancelled jobs", self.cancelled_jobs == new.cancelled_jobs),
+            ("estimated jobs", self.estimated_jobs == new.estimated_jobs),
+            (
+                "unreported jobs",
+                self.unreported_jobs == new.unreported_jobs,
+            ),
+            (
+                "silent machines",
+                self.silent_machines == new.silent_machines,
+            ),
+            (
+                "booting machines",
+                self.booting_machines == new.booting_machines,
+            ),
+            (
+                "interrupted machines",
+                self.interrupted_machines == new.interrupted_machines,
+            ),
+            ("empty machines", self.empty_machines == new.empty_machines),
+            ("machines with arrays", arrays(self) == arrays(new)),
+        ])
+    }
+}
+
+/// The names of what is not the same.
+fn differences<const N: usize>(checks: [(&'static str, bool); N]) -> Vec<&'static str> {
+    let different = checks.into_iter().filter(|(_, same)| !same);
+    different.map(|(name, _)| name).collect()
+}
--- /dev/null
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -0,0 +1,164 @@
+//! The place of each job in the queue: ageing, starvation and rank.
+
+use super::due_times::DueSubject;
+use super::sums::JobContribution;
+use crate::calls::Context;
+use crate::leader::{Job, Leader};
+use crate::sched::SlabIndex;
+use crate::{Config, Micros, micros};
+use dillcleat_sched::{AgeingState, OrderedFloat, QueueEntry, QueueRank};
+use dillcleat_wire::user::JobKind;
+use std::cmp::Reverse;
+use std::rc::Rc;
+
+impl Leader {
+    /// Brings everything that is derived from a job up to date.
+    pub(super) fn refresh_job(&mut self, ctx: &Context, index: SlabIndex) {
+        if let Some(job) = self.jobs.quiet(index) {
+            job.update_ageing(self.scheduling.virtual_time());
+            job.update_starvation(ctx);
+        }
+        let job = self.jobs.at(index);
+        let entry = job.and_then(|(id, job)| self.queue_entry(ctx, id, job));
+        let contribution = job.map(|(_, job)| {
+            let estimated = is_ordered_by_estimate(job, entry.as_ref());
+            JobContribution::of(job, ctx.config, estimated)
+        });
+        let due = job.and_then(|(_, job)| self.next_job_change(ctx, job));
+        self.derived.job_queue.set(index, entry);
+        for image in self.derived.set_job(index, contribution) {
+            for machine in self.derived.capacity.holders(&image) {
+                self.machines.mark(machine);
+            }
+        }
+        if let Some(at) = due {
+            self.derived.due_times.add(at, DueSubject::Job(index));
+        }
+    }
+
+    /// The entry of a job in the queue, if it has tasks that may be placed now.
+    fn queue_entry(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
+        if !may_be_placed(ctx, job) {
+            return None;
+        }
+        let (ageing, size) = match job.ageing_since {
+            Some(_) if job.aged_at() <= self.scheduling.virtual_time() => (AgeingState::Aged, 0.0),
+            Some(_) => (AgeingState::Ageing, job.aged_at()),
+            None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
+        };
+        let remaining = self.remaining_cpu_seconds(ctx, job, size);
+        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(first && job.spec.kind == JobKind::Service),
+            priority: Reverse(job.priority),
+            tiny: Reverse(first && job.tiny(ctx.config)),
+            size: OrderedFloat(size),
+            remaining: OrderedFloat(remaining),
+            submitted: job.ready_at,
+            id: id.clone(),
+        };
+        Some(QueueEntry {
+            team: job.team,
+            request: job.shape.clone(),
+            ageing,
+            rank: rank(true, size, remaining),
+            training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
+        })
+    }
+
+    /// The expected CPU-seconds of the job's tasks that are not done, by which jobs of no
+    /// virtual size are ordered. A job whose end is of no more use comes last.
+    fn remaining_cpu_seconds(&self, ctx: &Context, job: &Job, virtual_size: f64) -> f64 {
+        if virtual_size > 0.0 || job.spec.kind == JobKind::Service {
+            return 0.0;
+        }
+        if Self::is_past_use(ctx, job) {
+            return f64::INFINITY;
+        }
+        let tasks_left = job.tasks.len() as f64 - f64::from(job.done);
+        tasks_left * job.spec.cpus * self.mean_run_time_s(ctx.config, job)
+    }
+
+    /// When a job's place in the queue changes next by time alone.
+    fn next_job_change(&self, ctx: &Context, job: &Job) -> Option<Micros> {
+        let now = ctx.now.monotonic;
+        // From the time of day to the monotonic clock.
+        let past_use_at = Self::of_use_until(ctx.config, job)
+            .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
+        [
+            Some(job.blocked_until),
+            job.record.next_try(),
+            past_use_at.filter(|_| !job.waiting.is_empty()),
+            job.starves_at(ctx.config),
+        ]
+        .into_iter()
+        .flatten()
+        .filter(|at| *at > now)
+        .min()
+    }
+}
+
+/// Whether the job has tasks that may be placed now.
+fn may_be_placed(ctx: &Context, job: &Job) -> bool {
+    let now = ctx.now.monotonic;
+    job.cancelled.is_none()
+        && !job.blocked_on_dependencies
+        && job.team < ctx.config.teams.len()
+        && job.placeable() > 0
+        && now >= job.blocked_until
+        && job
+            .record
+            .may_start(job.placed(), job.shape.starving(), now)
+}
+
+/// Whether the place of a job in the queue follows from the estimate of its class.
+///
+/// A job that does not age while it fails may have come to a size of zero as well; left
+/// out, it once kept its place by an old estimate (seed 2291 as Jobs).
+fn is_ordered_by_estimate(job: &Job, entry: Option<&QueueEntry>) -> bool {
+    entry.is_some_and(|entry| entry.ageing != AgeingState::Ageing)
+        && job.samples.is_empty()
+        && job.spec.kind == JobKind::Batch
+}
+
+impl Job {
+    /// Starts or stops the job's ageing at this virtual time.
+    fn update_ageing(&mut self, virtual_time: f64) {
+        let ages = self.spec.kind == JobKind::Batch
+            && self.cancelled.is_none()
+            && !self.blocked_on_dependencies
+            && !self.ending
+            && !self.record.doubtful();
+        match (ages, self.ageing_since) {
+            (true, None) => self.ageing_since = Some(virtual_time),
+            (false, Some(since)) => {
+                self.credit += virtual_time - since;
+                self.ageing_since = None;
+            }
+            _ => {}
+        }
+    }
+
+    /// Records since when the job waits, and whether it is starving. A pause after an
+    /// error is a part of its wait.
+    fn update_starvation(&mut self, ctx: &Context) {
+        let waits =
+            self.cancelled.is_none() && !self.blocked_on_dependencies && self.placeable() > 0;
+        let now = ctx.now.monotonic;
+        self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
+        let starves_at = self.starves_at(ctx.config);
+        let starving = starves_at.is_some_and(|at| now >= at);
+        if self.shape.starving() != starving {
+            self.shape = Rc::new(self.shape.when(starving));
+        }
+    }
+
+    /// When it will be starving, if it gets no resources until then.
+    fn starves_at(&self, config: &Config) -> Option<Micros> {
+        Some(self.waits_since? + micros(config.tuning.starve_s))
+    }
+
+    /// The virtual time at which an ageing job's virtual size is zero.
+    fn aged_at(&self) -> f64 {
+        self.size - self.credit + self.ageing_since.unwrap_or(0.0)
+    }
+}
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -79,7 +79,7 @@
         let classes = self.estimates.run_time_estimates.iter().take(MAX_CLASSES);
         Estimates {
             term: self.term,
-            virtual_time: self.scheduling.virtual_time,
+            virtual_time: self.scheduling.virtual_time(),
             classes: classes.map(|(class, s)| (class.clone(), *s)).collect(),
             jobs,
         }
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -1,8 +1,17 @@
-//! Reports of workers, and orders to them.
+//! Heartbeats of workers: applied to the machines, and answered with commands.
 
-use super::*;
+use super::zone_partition::heartbeat_missed_after;
+use super::{Leader, LeaderEvent, RecoveryStage, SIGHT, TaskPlacement};
+use crate::calls::Context;
+use crate::machines::{HeartbeatPosition, HeartbeatSource, Machine, TaskEvent};
+use crate::sched::SlabIndex;
+use crate::write_queue::PendingWrite;
+use crate::{Answer, Micros, SECOND, seconds};
+use dillcleat_wire::TaskName;
+use dillcleat_wire::worker::{Command, Heartbeat, HeartbeatReply};
+use std::rc::Rc;
 
-/// What of a machine a report may change, its slots aside, and something is
+/// What of a machine, apart from its tasks, a heartbeat may change and other state is
 /// derived from.
 #[derive(PartialEq, Eq)]
 struct MachineSummary {
@@ -12,208 +21,270 @@
     up: bool,
     ready: bool,
     recorded: bool,
-    noticed: bool,
-    strays: bool,
+    interrupted: bool,
+    has_unexpected_tasks: bool,
 }
 
 impl MachineSummary {
-    fn of(m: &Machine) -> MachineSummary {
+    fn of(machine: &Machine) -> MachineSummary {
         MachineSummary {
-            machine_type: m.machine_type.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            up: m.up,
-            ready: m.ready,
-            recorded: m.recorded,
-            noticed: m.interrupted_at.is_some(),
-            strays: !m.strays.is_empty(),
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            up: machine.up,
+            ready: machine.ready,
+            recorded: machine.recorded,
+            interrupted: machine.interrupted_at.is_some(),
+            has_unexpected_tasks: !machine.unexpected_tasks().is_empty(),
         }
     }
 }
 
 impl Leader {
-    /// Whether reports may still be answered. An answer keeps a worker's tasks for a
-    /// lease from the sending of its report. A cancellation that this leader has not read
-    /// of was confirmed after its last read; for want of answers in time the leases then
-    /// end what it cancels, whatever else is out of reach.
+    /// Whether heartbeats may still be answered. An answer keeps a worker's tasks for a
+    /// lease from the sending of its heartbeat. A cancellation that this leader has not
+    /// read was confirmed after its last read; without answers the leases then end what
+    /// it cancels in time, whatever else is out of reach.
     pub(super) fn may_answer_heartbeats(&self, ctx: &Context) -> bool {
         self.last_read_within(ctx, ctx.config.blind_limit())
     }
 
-    /// Whether the last read of the cancellations was sent so short a time ago.
-    fn last_read_within(&self, ctx: &Context, time: Micros) -> bool {
+    /// Whether the last consistent read of the job queue was sent less than `duration` ago.
+    fn last_read_within(&self, ctx: &Context, duration: Micros) -> bool {
         self.queue_watch
             .last_consistent_read
-            .is_some_and(|at| ctx.now.monotonic < at + time)
+            .is_some_and(|at| ctx.now.monotonic < at + duration)
     }
 
     /// Whether a cancelled task may have been on the machine for so long that its lease
-    /// is to run out. Its stop may not arrive, its launch may be held up on the way, its
-    /// deletion may have no proof of the lead or find the cloud out: time alone ends it.
-    fn lease_must_expire(&self, ctx: &Context, m: &Machine) -> bool {
-        let held = m.slots.iter().filter(|(_, s)| s.cancelled && s.stored);
-        let jobs = held.filter_map(|((id, _), _)| self.jobs.get(id));
+    /// has to expire. Its stop may not arrive, its launch may be held up on the way, its
+    /// deletion may lack a leadership proof or find the cloud out: time alone ends it.
+    fn lease_must_expire(&self, ctx: &Context, machine: &Machine) -> bool {
+        let slots = machine.slots.iter();
+        let cancelled = slots.filter(|(_, slot)| slot.cancelled && slot.stored);
+        let jobs = cancelled.filter_map(|((job, _), _)| self.jobs.get(job));
         let since = jobs.filter_map(|job| job.cancelled);
-        let since = since.chain(self.orphan_cancelled_on(m)).min();
+        let since = since.chain(self.orphan_cancelled_on(machine)).min();
         since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
     }
 
-    pub fn heartbeat(&mut self, ctx: &mut Context, report: &Heartbeat) -> Answer {
-        if report.fencing_token > self.term {
-            self.events.push(LeaderEvent::Higher(report.fencing_token));
+    /// Takes a periodic heartbeat and answers it.
+    pub fn heartbeat(&mut self, ctx: &mut Context, heartbeat: &Heartbeat) -> Answer {
+        if heartbeat.fencing_token > self.term {
+            self.events
+                .push(LeaderEvent::Higher(heartbeat.fencing_token));
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.may_answer_heartbeats(ctx) {
             return Answer::later("the state is out of reach");
         }
-        let mut answer = HeartbeatReply {
+        let mut reply = HeartbeatReply {
             fencing_token: self.term,
             commands: Vec::new(),
         };
-        // A report of a machine that is gone was held up on its way.
+        // A heartbeat of a machine that is gone was held up on its way.
         if self.recovery.stage == RecoveryStage::Ready
-            && !self
-                .autoscaler
-                .removed_machines
-                .contains_key(&report.machine)
+            && !self.autoscaler.is_removed(&heartbeat.machine)
         {
-            let last = self.machines.get(report.machine.as_str());
-            let last = last.filter(|m| m.up).map(|m| (m.incarnation, m.sequence));
-            // A copy of the latest report has been answered: nobody waits for this answer,
-            // and what it launched would wait for the next report.
-            let copy = last == Some((report.incarnation, report.sequence));
-            self.apply_heartbeat(ctx, report, HeartbeatSource::Checkin);
-            if let Some(m) = self.machines.get(report.machine.as_str()) {
-                if self.lease_must_expire(ctx, m) {
+            let name = heartbeat.machine.as_str();
+            let position = HeartbeatPosition::of(heartbeat);
+            let latest = self.machines.get(name).filter(|machine| machine.up);
+            // A copy of the latest heartbeat has been answered: nobody waits for this
+            // answer, and what it launched would wait for the next heartbeat.
+            let is_copy = latest.is_some_and(|machine| machine.position() == position);
+            self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::Periodic);
+            if let Some(machine) = self.machines.get(name) {
+                if self.lease_must_expire(ctx, machine) {
                     return Answer::later("a cancelled task is not seen gone");
                 }
-                let current = (m.incarnation, m.sequence) == (report.incarnation, report.sequence);
-                if m.ready && current && !copy {
-                    answer.commands = self.commands(ctx, m);
+                if machine.ready && machine.position() == position && !is_copy {
+                    reply.commands = self.permitted_commands(ctx, machine);
                 }
             }
-            let place = self.machines.place(&report.machine);
-            if let Some(m) = place.and_then(|place| self.machines.quiet(place)) {
-                m.record_reply_launches(&answer.commands);
-                if !answer.commands.is_empty() {
-                    m.needs_command = false;
-                }
+            self.record_reply(name, &reply.commands);
+        }
+        Answer::body(200, &reply)
+    }
+
+    /// The commands go out in the reply to the machine's latest heartbeat.
+    fn record_reply(&mut self, name: &str, commands: &[Command]) {
+        let index = self.machines.place(name);
+        if let Some(machine) = index.and_then(|index| self.machines.quiet(index)) {
+            machine.record_reply_launches(commands);
+            if !commands.is_empty() {
+                machine.command_state.clear_request();
             }
         }
-        Answer::body(200, &answer)
     }
 
-    /// Sure sight of the state, so that starting tasks is right.
+    /// Whether the last consistent read of the job queue is recent enough to start tasks
+    /// by it.
     pub(super) fn has_recent_read(&self, ctx: &Context) -> bool {
         self.last_read_within(ctx, SIGHT)
     }
 
+    /// Applies a heartbeat to its machine and to what is derived from it.
     pub(super) fn apply_heartbeat(
         &mut self,
         ctx: &Context,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         source: HeartbeatSource,
     ) {
         let now = ctx.now.monotonic;
-        if !self.machines.contains_key(r.machine.as_str()) {
-            log::info!("{}: a machine not known before reports", r.machine);
-            let m = Machine::new(&r.machine, "", "", false, now);
-            self.machines.insert(m.name.clone(), m);
-        }
-        let Some(place) = self.machines.place(&r.machine) else {
+        self.add_unknown_machine(&heartbeat.machine, now);
+        let Some(index) = self.machines.place(&heartbeat.machine) else {
             return;
         };
-        // Most reports of a large fleet say that nothing has changed.
-        let before = self.machines.at(place).map(|(_, m)| MachineSummary::of(m));
-        let Some(m) = self.machines.quiet(place) else {
+        let before = self.machine_summary(index);
+        self.record_sign_of_life(index, heartbeat, now);
+        let Some(machine) = self.machines.quiet(index) else {
             return;
         };
-        m.describe(&r.machine_type, &r.zone, r.spot);
-        if !self.partitions.partitioned_zones.is_empty()
-            && self.partitions.partitioned_zones.remove(&m.zone).is_some()
+        let was_ready = machine.ready;
+        let new_incarnation = heartbeat.incarnation > machine.incarnation();
+        let is_newer = !machine.up || HeartbeatPosition::of(heartbeat) > machine.position();
+        let events = machine.apply_heartbeat(heartbeat, source, self.term, now);
+        let may_have_recovered = is_newer
+            && source == HeartbeatSource::Periodic
+            && self.update_reachability(ctx, index, new_incarnation);
+        self.write_machine_record(index);
+        if !was_ready {
+            self.request_first_commands(index, now);
+        }
+        let kept = self.withdraw_deletion(index, now);
+        // Most heartbeats of a large fleet say that nothing has changed.
+        if kept
+            || may_have_recovered
+            || before != self.machine_summary(index)
+            || events.iter().any(frees_resources)
+            || self.derived.is_silent(index)
         {
-            log::info!("zone {} is heard again", m.zone);
-        }
-        if !m.up {
-            log::info!(
-                "{} is up in {} after {} s",
-                m.name,
-                m.zone,
-                seconds(now - m.known_since)
-            );
-            m.empty_since = now;
-            if m.expected {
-                self.autoscaler.boot_estimator.up(m, now);
-            }
+            self.machines.mark(index);
         }
-        let was_ready = m.ready;
-        let new = r.incarnation > m.incarnation;
-        let newer = !m.up || (r.incarnation, r.sequence) > (m.incarnation, m.sequence);
-        if m.interrupted_at.is_none() && r.interruption_notice_s.is_some() {
-            log::info!(
-                "{} is to be taken back in {:?} s",
-                m.name,
-                r.interruption_notice_s
-            );
-        }
-        let events = m.apply_heartbeat(r, source, self.term, now);
-        let mut in_touch = false;
-        if newer && source == HeartbeatSource::Checkin {
-            let missing = Self::missing(ctx.config);
-            let heard_by = ctx.config.lease + ctx.config.report + SECOND;
-            in_touch = m.heartbeat_received(now, new, heard_by, missing);
-            if m.probe {
-                self.command_dispatch.plain(m.name.clone());
-            }
+        for event in events {
+            self.slot_event(ctx, &heartbeat.machine, event);
         }
-        if !m.recorded {
-            m.recorded = true;
-            self.writer
-                .write_queue
-                .push(PendingWrite::Machine(r.machine.clone()));
+        if heartbeat.interruption_notice_s.is_some() {
+            self.evict_hopeless_tasks(ctx, &heartbeat.machine);
         }
-        if !was_ready {
-            // A new machine, or one that has yet to see this term's seal.
-            m.needs_command = true;
-            m.next_command_at = 0;
-            self.command_dispatch.plain(m.name.clone());
-            self.scheduling.schedule_at = now;
-        }
-        // Heard before its deletion went out.
-        let stays =
-            m.leaving && m.heard_at == now && self.autoscaler.cloud_queue.withdraw(&r.machine);
-        if stays {
-            log::info!("{}: heard again, not deleting it", m.name);
-            m.leaving = false;
-        }
-        let after = Some(MachineSummary::of(m));
-        let starts = |e: &TaskEvent| matches!(e, TaskEvent::Running(_));
-        if stays
-            || in_touch
-            || before != after
-            || !events.iter().all(starts)
-            || self.derived.silent.contains(place)
+    }
+
+    fn machine_summary(&self, index: SlabIndex) -> Option<MachineSummary> {
+        let (_, machine) = self.machines.at(index)?;
+        Some(MachineSummary::of(machine))
+    }
+
+    fn add_unknown_machine(&mut self, name: &str, now: Micros) {
+        if !self.machines.contains_key(name) {
+            log::info!("unknown machine sent a heartbeat machine={name}");
+            let machine = Machine::new(name, "", "", false, now);
+            self.machines.insert(machine.name.clone(), machine);
+        }
+    }
+
+    /// Records what any heartbeat shows, be it an old one: where the machine is, and that
+    /// it is up.
+    fn record_sign_of_life(&mut self, index: SlabIndex, heartbeat: &Heartbeat, now: Micros) {
+        let Some(machine) = self.machines.quiet(index) else {
+            return;
+        };
+        machine.update_description(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
+        let (name, zone) = (&machine.name, &machine.zone);
+        if self.partitions.record_heard(zone) {
+            log::info!("zone reachable again zone={zone}");
+        }
+        if !machine.up {
+            let boot_s = seconds(now - machine.known_since);
+            log::info!("machine is up machine={name} zone={zone} boot_s={boot_s}");
+            machine.empty_since = now;
+            if machine.expected {
+                self.autoscaler.boot_estimator.record_boot(machine, now);
+            }
+        }
+        if machine.interrupted_at.is_none()
+            && let Some(notice_s) = heartbeat.interruption_notice_s
         {
-            self.machines.mark(place);
+            let name = &machine.name;
+            log::info!("spot interruption notice machine={name} notice_s={notice_s}");
         }
-        for event in events {
-            self.slot_event(ctx, &r.machine, event);
+    }
+
+    /// A newer periodic heartbeat came. Returns whether the machine may have become
+    /// reachable by it.
+    fn update_reachability(
+        &mut self,
+        ctx: &Context,
+        index: SlabIndex,
+        new_incarnation: bool,
+    ) -> bool {
+        let now = ctx.now.monotonic;
+        let missed_after = heartbeat_missed_after(ctx.config);
+        let proof_after = ctx.config.lease + ctx.config.report + SECOND;
+        let Some(machine) = self.machines.quiet(index) else {
+            return false;
+        };
+        let may_have_recovered =
+            machine.heartbeat_received(now, new_incarnation, proof_after, missed_after);
+        if machine.command_state.is_probe_requested() {
+            let name = machine.name.clone();
+            self.command_dispatch.enqueue_background(name);
         }
-        if r.interruption_notice_s.is_some() {
-            self.leave(ctx, &r.machine);
+        may_have_recovered
+    }
+
+    /// Has the machine's record written once.
+    fn write_machine_record(&mut self, index: SlabIndex) {
+        if let Some(machine) = self.machines.quiet(index)
+            && !machine.recorded
+        {
+            machine.recorded = true;
+            let write = PendingWrite::Machine(machine.name.to_string());
+            self.writer.write_queue.push(write);
         }
     }
 
+    /// The machine is new, or it has yet to see this term's fencing token.
+    fn request_first_commands(&mut self, index: SlabIndex, now: Micros) {
+        let Some(machine) = self.machines.quiet(index) else {
+            return;
+        };
+        machine.command_state.request_at(0);
+        let name = machine.name.clone();
+        self.command_dispatch.enqueue_background(name);
+        self.scheduling.request_cycle(now);
+    }
+
+    /// Withdraws the deletion of a machine that was heard before the call went out.
+    /// Returns whether the machine is kept by it.
+    fn withdraw_deletion(&mut self, index: SlabIndex, now: Micros) -> bool {
+        let Some(machine) = self.machines.quiet(index) else {
+            return false;
+        };
+        let kept = machine.being_deleted
+            && machine.reachability.last_heard_at() == now
+            && self.autoscaler.cloud_queue.withdraw(&machine.name);
+        if kept {
+            let name = &machine.name;
+            log::info!("machine heard again, deletion withdrawn machine={name}");
+            machine.being_deleted = false;
+        }
+        kept
+    }
+
+    /// Whether the end of an exited attempt is in the store, so that it may be reaped.
     pub(super) fn is_end_stored(&self, task: &TaskName, attempt: u64) -> bool {
-        let known = self.jobs.place(&task.job).and_then(|p| self.jobs.at(p));
+        let known = self
+            .jobs
+            .place(&task.job)
+            .and_then(|index| self.jobs.at(index));
         let Some((id, job)) = known else {
             // Its end is stored, or it never was a job.
             return !self.stays(task);
         };
-        let Some(t) = job.tasks.get(task.index as usize) else {
+        let Some(state) = job.tasks.get(task.index as usize) else {
             return true;
         };
-        if matches!(t.state, TaskPlacement::Placed { .. }) && t.attempt == attempt {
+        if matches!(state.state, TaskPlacement::Placed { .. }) && state.attempt == attempt {
             return false;
         }
         if job.cancelled.is_some() {
@@ -226,17 +297,28 @@
                 .settled(id, job.spans.of(task.index))
     }
 
-    /// What the machine is told. Work that is to run elsewhere is stopped only by who
-    /// can prove that it leads, and without a read of a moment ago nothing is launched or
-    /// reaped. The stop of what is cancelled needs neither: no cancellation is taken back,
-    /// and this answer renews the lease of what it doesn't stop.
-    pub(super) fn commands(&self, ctx: &Context, m: &Machine) -> Vec<Command> {
+    /// The commands that the machine needs and that may be sent now.
+    ///
+    /// Work that is to run elsewhere is stopped only by a node that can prove that it
+    /// leads, and without a recent read nothing is launched or reaped. Cancelled tasks may
+    /// be stopped without either: no cancellation is taken back, and a reply renews the
+    /// lease of what it does not stop.
+    pub(super) fn permitted_commands(&self, ctx: &Context, machine: &Machine) -> Vec<Command> {
         if !self.has_recent_read(ctx) {
-            return m.cancelled().chain(self.orphan_stops(m)).collect();
+            let stops = machine.cancelled_task_stops();
+            return stops.chain(self.orphan_stops(machine)).collect();
         }
-        let lasting = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
-        let mut commands = m.commands(lasting, |task, attempt| self.is_end_stored(task, attempt));
-        commands.retain(|c| !matches!(c, Command::Stop { task, .. } if self.stays(task)));
+        let may_preempt = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
+        let mut commands = machine.needed_commands(may_preempt, |task, attempt| {
+            self.is_end_stored(task, attempt)
+        });
+        commands
+            .retain(|command| !matches!(command, Command::Stop { task, .. } if self.stays(task)));
         commands
     }
 }
+
+/// Whether other tasks may use what the event's task has held. A start frees nothing.
+fn frees_resources(event: &TaskEvent) -> bool {
+    !matches!(event, TaskEvent::Running(_))
+}
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -69,9 +69,8 @@
             };
             slot.cancelled = true;
             if slot.stored {
-                m.needs_command = true;
-                m.next_command_at = 0;
-                self.command_dispatch.urgent(m.name.clone());
+                m.command_state.request_at(0);
+                self.command_dispatch.enqueue_urgent(m.name.clone());
             } else {
                 unstored.push(i);
             }
@@ -143,7 +142,7 @@
     pub(super) fn slot_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
         // A start frees no room; everything else may.
         if !matches!(event, TaskEvent::Running(_)) {
-            self.scheduling.schedule_at = ctx.now.monotonic;
+            self.scheduling.request_cycle(ctx.now.monotonic);
         }
         match event {
             TaskEvent::Running(key) => {
@@ -277,9 +276,7 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        m.strikes.add(id);
-        if m.strikes.condemn() && !m.cordoned {
-            m.cordoned = true;
+        if m.health.add_strike(id) {
             log::info!("{machine} fails several jobs: it takes no more and is returned");
         }
     }
@@ -316,13 +313,13 @@
             return;
         };
         match why {
-            ExitReason::NoRoom => m.blocked_until = now + 3 * SECOND,
+            ExitReason::NoRoom => m.health.block_until(now + 3 * SECOND),
             ExitReason::Error => {
-                m.error_jobs.insert(key.0.clone());
+                m.health.record_failed_job(&key.0);
                 let name = m.name.clone();
                 if job.record.proven() {
                     self.strike(&name, &key.0);
-                } else if !m.strikes.any()
+                } else if !m.health.has_strikes()
                     && let Some(pause) = job.record.failed(&name, now)
                 {
                     log::info!(
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -35,37 +35,28 @@
 use self::unknown_jobs::UnknownJob;
 use self::zone_partition::ZonePartitions;
 use crate::calls::{CallError, Context};
-use crate::cloud_queue::{CloudQueue, CloudRequestKind, PendingScaleOut};
 use crate::continuations::{Continuation, LeaderStep as Step};
 use crate::dependency_graph::DependencyGraph;
 use crate::failure_attribution::FailureRecord;
 use crate::inherited_estimates::InheritedEstimates;
-use crate::leadership_guard::{CloudAction, DeletionReason, LeadershipProof};
-use crate::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey};
+use crate::leadership_guard::LeadershipProof;
+use crate::machines::{Machine, TaskEvent, TaskKey};
 use crate::records::{
     self, CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
-use crate::sched::preemption::{PreemptionCandidate, choose_preemptions};
-use crate::sched::scale_out_plan::{PlanInputs, RefusedOfferings, plan_scale_out};
-use crate::sched::{
-    self, CapacityIndex, JobQueue, JobView, MachineView, ResourceRequest, Resources, SlabIndex,
-    TeamAllowance,
-};
+use crate::sched::{ResourceRequest, SlabIndex};
 use crate::slab::Slab;
 use crate::write_queue::{PendingWrite, WriteBatch, WriteQueue, WriteRate};
-use crate::{
-    Answer, CallId, Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros, seconds,
-};
-use dillcleat_peer_protocol::JobProgress;
+use crate::{Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros, seconds};
 use dillcleat_sched::to_millionths;
 use dillcleat_wire::TaskName;
-use dillcleat_wire::cloud::{CloudResponse, InstanceState, MachineList, MachineType, ScaleOut};
+use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{
     self, KeyValue, Mutation, RangePage, StoreRequest, StoreResponse, Transaction, Value,
     WatchEvent,
 };
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
-use dillcleat_wire::worker::{Command, CommandBatch, ExitReason, Heartbeat, HeartbeatReply};
+use dillcleat_wire::worker::{Command, ExitReason};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -78,12 +69,6 @@
 // too old to place or launch by for half of the time.
 const _: () = assert!(2 * WATCH_MS * MILLISECOND + SECOND <= SIGHT);
 const RETRY: Micros = 100 * MILLISECOND;
-/// Waiting tasks of one job that a pass looks at.
-const PASS_TASKS: usize = 200;
-/// Waiting jobs that a rental plan looks at, unless those before rent nothing.
-const PLAN_JOBS: usize = 1000;
-/// How long a zone that fell silent is not rented in, unless it is heard.
-const DARK: Micros = 60 * SECOND;
 /// Part of the store's writes that records nobody waits for may take.
 const LATER_PART: f64 = 0.3;
 /// Bound of a transaction's size; the rest of the limit is for its frame.
@@ -377,7 +362,7 @@
 
     /// What its scheduling cycles and scale-out plans have done in its term.
     pub fn counts(&self) -> SchedulerCounters {
-        self.scheduling.counts
+        self.scheduling.counts()
     }
 
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,7 +1,8 @@
 //! What a new leader reads before it acts.
 
-use super::scheduling::cache_gb;
+use super::scheduling::usable_cache_gb;
 use super::*;
+use crate::machines::TaskSlot;
 
 /// How far a new leader is in taking up its work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -177,22 +178,16 @@
             self.check_done(&id);
         }
         for m in self.machines.values_mut() {
-            m.heard_at = now;
-            m.reported_at = now;
-            m.known_since = now;
-            m.empty_since = now;
-            m.needs_command = true;
-            match self.partitions.zones_silent_before.get(&*m.zone) {
+            m.begin_term(now);
+            match self.partitions.last_heard_before_term(&m.zone) {
                 // It had reported to the leader before, or it had no record.
                 Some(heard) if m.recorded => {
-                    m.up = true;
-                    m.heard_at = now.min(*heard);
-                    m.reported_at = m.heard_at;
+                    m.assume_silent_since(now.min(heard));
                     // Those that answer have their turn first.
                     self.command_dispatch
-                        .later(now + SECOND, m.name.clone(), false);
+                        .enqueue_background_at(now + SECOND, m.name.clone());
                 }
-                _ => self.command_dispatch.plain(m.name.clone()),
+                _ => self.command_dispatch.enqueue_background(m.name.clone()),
             }
         }
         log::info!(
@@ -231,13 +226,14 @@
             });
             let version = open.mark_version(version);
             let guess = self.guess(ctx.config, &open.spec.class);
-            self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
+            let is_service = open.spec.kind == JobKind::Service;
             let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
             self.inherit(id, &mut job);
             let id: Rc<str> = Rc::from(id);
             let place = self.jobs.insert(id.clone(), job);
             self.estimates.unreplicated_estimates.insert(place);
-            self.scheduling.schedule_at = ctx.now.monotonic;
+            self.scheduling
+                .record_ready_job(is_service, ctx.now.monotonic);
             self.joins(ctx, &id);
         } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
             let at = confirmed(ctx, value);
@@ -319,11 +315,11 @@
             let Some(m) = self.machines.get_mut(&machine) else {
                 continue;
             };
-            m.incarnation = m.incarnation.max(session);
-            let slot = Machine::slot(attempt, session, (place, &job.spec), true);
+            m.raise_incarnation(session);
+            let slot = TaskSlot::new(attempt, session, place, &job.spec, true);
             let image = (&job.image, job.spec.image_gb);
-            let cache = cache_gb(types.as_deref(), &m.machine_type);
-            m.place((id.clone(), i), slot, image, cache);
+            let cache = usable_cache_gb(types.as_deref(), &m.machine_type);
+            m.add_task((id.clone(), i), slot, image, cache);
         }
     }
 
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -1,112 +1,190 @@
-//! Room for services that must start sooner than any machine boots.
+//! Capacity for services that must start sooner than any machine boots: CPUs that are
+//! reserved for them, and preemption of tasks of arrays.
 
-use super::*;
+use super::Leader;
+use super::zone_partition::heartbeat_missed_after;
+use crate::calls::Context;
+use crate::machines::{Machine, TaskKey};
+use crate::sched::job_queue::QueueSection;
+use crate::sched::preemption::{PreemptionCandidate, choose_preemptions};
+use crate::sched::{JobView, MachineView};
+use crate::{Config, MILLISECOND, Micros, seconds};
+use std::collections::BTreeSet;
+use std::rc::Rc;
 
-/// Shortest time between two looks at what replicas could take: each goes over
-/// all machines that run arrays beside services.
-const ROOM_GAP: Micros = 200 * MILLISECOND;
+/// Shortest time between two preemptions: each looks at all machines that run arrays
+/// beside services.
+const PREEMPTION_INTERVAL: Micros = 200 * MILLISECOND;
 
-impl Leader {
-    /// Whether replicas of the class are to start sooner than any machine
-    /// boots.
-    fn hurried(&self, config: &Config, class: &str) -> bool {
-        let boot = self.soonest_boot();
-        let mut waits = config.waits.iter();
-        waits.any(|(c, within)| c == class && seconds(*within) < boot)
-    }
+/// A task that may be preempted, and where it runs.
+#[derive(Debug, Clone)]
+struct PreemptibleTask {
+    machine: Rc<str>,
+    key: TaskKey,
+}
 
-    /// Stops arrays' tasks on machines where waiting replicas may run.
+/// The machines on which waiting replicas may run, and the tasks that may be preempted
+/// there.
+#[derive(Default)]
+struct PreemptionInputs {
+    machines: Vec<MachineView>,
+    /// One entry for each of `tasks`, in the same order.
+    candidates: Vec<PreemptionCandidate>,
+    tasks: Vec<PreemptibleTask>,
+}
+
+impl Leader {
+    /// Preempts tasks of arrays on machines where waiting replicas may run.
     ///
-    /// Running work is not stopped otherwise. But ordinary machines are rented
-    /// for late arrays as well, and with the cloud's ordinary machines at an
-    /// end, replicas waited behind them (rough, brunnmatt-books-grown).
-    pub(super) fn make_room(&mut self, ctx: &Context) {
+    /// Running work is not stopped otherwise. But ordinary machines are started for late
+    /// arrays as well, and when the cloud had no more ordinary machines, replicas waited
+    /// behind them (rough, brunnmatt-books-grown).
+    pub(super) fn preempt_for_replicas(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        if now < self.scheduling.next_preemption_at {
+        if !self.scheduling.may_preempt(now) {
+            return;
+        }
+        let mut jobs = self.waiting_urgent_services(ctx);
+        if jobs.is_empty() {
             return;
         }
-        let mut waiting = self.derived.job_queue.cursor(
-            sched::job_queue::QueueSection::First,
-            self.scheduling.virtual_time,
+        let include_spot = jobs.iter().any(|job| job.spec.spot);
+        let mut inputs = self.preemption_inputs(ctx, include_spot);
+        let mut teams = self.derived.sums().team_allowances(ctx.config);
+        let preempted = choose_preemptions(
+            &mut jobs,
+            &mut inputs.machines,
+            &mut teams,
+            &inputs.candidates,
         );
-        let mut jobs: Vec<JobView> = Vec::new();
+        self.scheduling.defer_preemption(now + PREEMPTION_INTERVAL);
+        for candidate in preempted {
+            self.preempt(inputs.tasks[candidate].clone());
+        }
+    }
+
+    /// Services with waiting replicas that must start sooner than any machine boots.
+    fn waiting_urgent_services(&self, ctx: &Context) -> Vec<JobView<'_>> {
+        let virtual_time = self.scheduling.virtual_time();
+        let mut waiting = self
+            .derived
+            .job_queue
+            .cursor(QueueSection::First, virtual_time);
+        let mut jobs = Vec::new();
         // Services stand before tiny jobs.
-        while let Some(turn) = waiting.next_job() {
-            waiting.advance(turn.lane);
-            match self.job_view(ctx, turn.index) {
+        while let Some(queued) = waiting.next_job() {
+            waiting.advance(queued.lane);
+            match self.job_view(ctx, queued.index) {
                 Some(job) if !job.is_service() => break,
-                Some(job) if self.hurried(ctx.config, &job.spec.class) => jobs.push(job),
+                Some(job) if self.must_start_before_boot(ctx.config, &job.spec.class) => {
+                    jobs.push(job);
+                }
                 _ => {}
             }
         }
-        if jobs.is_empty() {
-            return;
-        }
-        let spot = jobs.iter().any(|j| j.spec.spot);
-        let missing = Self::missing(ctx.config);
-        let mut machines = Vec::new();
-        let mut victims = Vec::new();
-        let mut keys: Vec<(Rc<str>, TaskKey)> = Vec::new();
-        let [ordinary, cheap] = &self.derived.lending;
-        let lending = ordinary.iter().chain(cheap.iter().filter(|_| spot));
-        for m in lending.filter_map(|place| Some(self.machines.at(place)?.1)) {
-            let there = m.accepts_tasks(now) && m.is_reachable_both_ways(now, missing);
-            let Some(mut view) = self.view(m).filter(|_| there) else {
+        jobs
+    }
+
+    fn preemption_inputs(&self, ctx: &Context, include_spot: bool) -> PreemptionInputs {
+        let now = ctx.now.monotonic;
+        let missed_after = heartbeat_missed_after(ctx.config);
+        let ordinary = self.derived.ordinary_machines_with_arrays().iter();
+        let spot = self.derived.spot_machines_with_arrays().iter();
+        let mut inputs = PreemptionInputs::default();
+        for index in ordinary.chain(spot.filter(|_| include_spot)) {
+            let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
-            for (key, slot) in m.slots.iter().filter(|(_, s)| !s.service) {
-                if slot.preempted {
-                    view.free.add(&slot.resources);
-                    continue;
-                }
-                let Some(job) = self.jobs.get(&key.0) else {
-                    continue;
-                };
-                if slot.stored && slot.seen.is_some() {
-                    keys.push((m.name.clone(), key.clone()));
-                    victims.push(PreemptionCandidate {
-                        machine: machines.len(),
-                        resources: slot.resources,
-                        priority: job.priority,
-                        run_time: slot.running_since.map_or(0, |at| now.saturating_sub(at)),
-                    });
-                }
+            let is_usable = machine.accepts_tasks(now)
+                && machine
+                    .reachability
+                    .is_reachable_both_ways(now, missed_after);
+            if let Some(view) = self.machine_view(machine).filter(|_| is_usable) {
+                self.add_preemptible_tasks(&mut inputs, machine, view, now);
             }
-            machines.push(view);
         }
-        let mut teams = self.derived.sums.team_views(ctx.config);
-        let stopped = choose_preemptions(&mut jobs, &mut machines, &mut teams, &victims);
-        self.scheduling.next_preemption_at = now + ROOM_GAP;
-        for (machine, key) in stopped.into_iter().map(|v| keys[v].clone()) {
-            let Some(m) = self.machines.get_mut(&machine) else {
+        inputs
+    }
+
+    /// Adds a machine and its tasks that may be preempted. What is being preempted already
+    /// counts as free.
+    fn add_preemptible_tasks(
+        &self,
+        inputs: &mut PreemptionInputs,
+        machine: &Machine,
+        mut view: MachineView,
+        now: Micros,
+    ) {
+        for (key, slot) in machine.slots.iter().filter(|(_, slot)| !slot.service) {
+            if slot.preempted {
+                view.free.add(&slot.resources);
+                continue;
+            }
+            let Some(job) = self.jobs.get(&key.0) else {
                 continue;
             };
-            if let Some(slot) = m.slots.get_mut(&key) {
-                log::info!("{}/{} on {machine} makes room for replicas", key.0, key.1);
-                slot.preempted = true;
-                m.needs_command = true;
-                self.command_dispatch.urgent(machine);
+            if slot.is_stored_and_seen() {
+                inputs.tasks.push(PreemptibleTask {
+                    machine: machine.name.clone(),
+                    key: key.clone(),
+                });
+                inputs.candidates.push(PreemptionCandidate {
+                    machine: inputs.machines.len(),
+                    resources: slot.resources,
+                    priority: job.priority,
+                    run_time: slot.running_for(now),
+                });
             }
         }
+        inputs.machines.push(view);
     }
 
-    /// The part of the reserve that is rented before anything needs it: a
-    /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a
-    /// fifth more (rosterwise-nz).
-    pub(super) fn ahead(&self, config: &Config) -> f64 {
-        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
-        let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
-        let share = config.tuning.spare_share * self.derived.sums.fleet_cpus();
-        self.reserve(config).min(share / zones.len().max(1) as f64)
+    fn preempt(&mut self, task: PreemptibleTask) {
+        let PreemptibleTask { machine: name, key } = task;
+        let Some(machine) = self.machines.get_mut(&name) else {
+            return;
+        };
+        if let Some(slot) = machine.slots.get_mut(&key) {
+            log::info!(
+                "preempting task job={} task={} machine={name} reason=replicas-wait",
+                key.0,
+                key.1
+            );
+            slot.preempted = true;
+            machine.command_state.request();
+            self.command_dispatch.enqueue_urgent(name);
+        }
+    }
+
+    /// Whether replicas of the class are expected to start sooner than any machine boots.
+    fn must_start_before_boot(&self, config: &Config, class: &str) -> bool {
+        let boot_s = self.soonest_boot_s();
+        let mut waits = config.waits.iter();
+        waits.any(|(waiting_class, within)| waiting_class == class && seconds(*within) < boot_s)
     }
 
-    /// Room for some replicas of each class of services that is expected to
-    /// start sooner than any machine boots.
-    pub(super) fn reserve(&self, config: &Config) -> f64 {
+    /// CPUs that are reserved in each zone for some replicas of each class of services that
+    /// is expected to start sooner than any machine boots.
+    pub(super) fn service_headroom_cpus(&self, config: &Config) -> f64 {
         let waits = config.waits.iter().enumerate();
         waits
-            .filter(|(_, (class, _))| self.hurried(config, class))
-            .map(|(wait, _)| self.derived.sums.reserve(wait))
+            .filter(|(_, (class, _))| self.must_start_before_boot(config, class))
+            .map(|(wait, _)| self.derived.sums().largest_reserve_cpus(wait))
             .sum()
     }
+
+    /// The part of the headroom for which machines are started before anything needs it: a
+    /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a fifth more
+    /// (rosterwise-nz).
+    pub(super) fn headroom_ahead_cpus(&self, config: &Config) -> f64 {
+        let types = self
+            .machine_types
+            .types
+            .iter()
+            .flat_map(|types| types.iter());
+        let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
+        let share_cpus = config.tuning.spare_share * self.derived.sums().fleet_cpus();
+        let limit_cpus = share_cpus / zones.len().max(1) as f64;
+        self.service_headroom_cpus(config).min(limit_cpus)
+    }
 }
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -515,8 +515,8 @@
                 && let Some(slot) = m.slots.get_mut(&key)
             {
                 slot.stored = true;
-                m.needs_command = true;
-                self.command_dispatch.urgent(m.name.clone());
+                m.command_state.request();
+                self.command_dispatch.enqueue_urgent(m.name.clone());
                 // Of a cancelled job nothing was launched: it is not there.
                 if slot.cancelled {
                     m.slots.remove(&key);
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -60,8 +60,8 @@
         let machines = self.unknown_jobs.get(id).map(|o| o.machines.clone());
         for name in machines.unwrap_or_default() {
             if let Some(m) = self.machines.get_mut(&name) {
-                m.needs_command = true;
-                self.command_dispatch.urgent(name);
+                m.command_state.request();
+                self.command_dispatch.enqueue_urgent(name);
             }
         }
     }
@@ -144,7 +144,10 @@
             let orphan = self.unknown_jobs.get(task.job.as_str());
             orphan.is_some_and(|o| o.cancelled.is_some())
         };
-        let strays = m.strays.iter().filter(move |(task, _)| cancelled(task));
+        let strays = m
+            .unexpected_tasks()
+            .iter()
+            .filter(move |(task, _)| cancelled(task));
         strays.map(|(task, attempt)| Command::Stop {
             task: task.clone(),
             attempt: *attempt,
@@ -157,7 +160,7 @@
     /// any more of it.
     pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
         let may_hold = |id: &str, orphan: &UnknownJob| match m.ready {
-            true => m.strays.iter().any(|(task, _)| task.job == id),
+            true => m.unexpected_tasks().iter().any(|(task, _)| task.job == id),
             false => orphan.anywhere || orphan.machines.contains(&m.name),
         };
         let orphans = self.unknown_jobs.iter().filter(|(id, o)| may_hold(id, o));
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,213 +1,220 @@
-//! Zones that have fallen silent.
+//! Zones that are cut off by a network partition.
 
-use super::*;
+use super::Leader;
+use crate::machines::Machine;
+use crate::{Config, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::SilentZone;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::rc::Rc;
+
+/// After so many leases a machine is deleted though what was on it can't run elsewhere: its
+/// zone may be gone for good.
+pub(super) const PARTITION_LEASES: Micros = 4;
+/// How long nothing is started in a zone that fell silent, unless it is heard.
+const PARTITIONED_ZONE_PAUSE: Micros = 60 * SECOND;
+/// A zone is partitioned only if so many of its machines are silent.
+const MIN_SILENT_MACHINES: usize = 3;
+/// CPUs below this are rounding errors.
+const NO_CPUS: f64 = 1e-6;
+
+/// The silence by which a machine has missed a heartbeat, in microseconds.
+pub(super) fn heartbeat_missed_after(config: &Config) -> Micros {
+    config.report * 3 / 2
+}
 
-/// After so many leases a machine is deleted though there is no other room for
-/// what was on it: its zone may be gone for good.
-pub(super) const CUT_LEASES: Micros = 4;
-
-/// Room for what is on machines that are cut off, in CPUs.
+/// CPUs that what is on machines in partitioned zones could have elsewhere.
 #[derive(Debug)]
 pub(super) struct SpareCapacity {
-    /// What replicas may have: free ordinary room, and that of arrays on ordinary
-    /// machines, which comes free for them first.
-    replicas: f64,
-    /// Free room of any kind.
-    arrays: f64,
+    /// What replicas could have: free CPUs on ordinary machines, and those of arrays
+    /// there, which are preempted for them first.
+    replica_cpus: f64,
+    /// Free CPUs of any kind.
+    array_cpus: f64,
 }
 
 impl SpareCapacity {
-    /// What counts most on the machine, and the room that it may have.
-    fn need(&mut self, m: &Machine) -> (&mut f64, f64) {
-        let cpus = |service: bool| -> f64 {
-            let slots = m.slots.values().filter(|s| s.service == service);
-            slots.map(|s| s.resources.cpus).sum()
+    /// What is spare for the most important work on the machine, and what that needs.
+    fn spare_and_needed(&mut self, machine: &Machine) -> (&mut f64, f64) {
+        let placed_cpus = |service: bool| -> f64 {
+            let slots = machine.slots.values();
+            let slots = slots.filter(|slot| slot.service == service);
+            slots.map(|slot| slot.resources.cpus).sum()
         };
-        let (replicas, arrays) = (cpus(true), cpus(false));
-        if replicas > 0.0 {
-            (&mut self.replicas, replicas)
+        let (replica_cpus, array_cpus) = (placed_cpus(true), placed_cpus(false));
+        if replica_cpus > 0.0 {
+            (&mut self.replica_cpus, replica_cpus)
         } else {
-            (&mut self.arrays, arrays)
+            (&mut self.array_cpus, array_cpus)
         }
     }
 
-    /// Takes the room for what is on a machine that is being deleted already.
-    fn expect(&mut self, m: &Machine) {
-        let (left, need) = self.need(m);
-        *left -= need;
+    /// Takes the capacity for what is on a machine that is being deleted already.
+    fn reserve_for(&mut self, machine: &Machine) {
+        let (spare, needed) = self.spare_and_needed(machine);
+        *spare -= needed;
     }
 
-    /// Whether there is room for what counts most on the machine; takes it.
-    pub fn takes(&mut self, m: &Machine) -> bool {
-        let (left, need) = self.need(m);
-        let takes = need <= 0.0 || *left + 1e-6 >= need;
-        if takes {
-            *left -= need;
+    /// Takes the capacity for the most important work on the machine. Returns whether
+    /// there is enough of it; if not, none is taken.
+    pub fn take_for(&mut self, machine: &Machine) -> bool {
+        let (spare, needed) = self.spare_and_needed(machine);
+        let is_enough = needed <= 0.0 || *spare + NO_CPUS >= needed;
+        if is_enough {
+            *spare -= needed;
         }
-        takes
+        is_enough
     }
 }
 
-/// Zones that are cut off.
+/// Zones that are partitioned, or were when the term began.
 #[derive(Debug, Default)]
 pub(super) struct ZonePartitions {
-    /// Zones that fell silent as a whole, and when: what is rented there would
-    /// be paid for and never heard of.
-    pub partitioned_zones: BTreeMap<Rc<str>, Micros>,
-    /// Zones that were silent already under the leader before, and when they
-    /// were heard last.
-    pub zones_silent_before: HashMap<String, Micros>,
+    /// Zones that fell silent as a whole, and when: what is started there would be paid
+    /// for and never heard of.
+    partitioned_since: BTreeMap<Rc<str>, Micros>,
+    /// Zones that the leader before found silent, and when they were heard last.
+    last_heard_before_term: HashMap<String, Micros>,
+}
+
+impl ZonePartitions {
+    /// Zones in which nothing is started.
+    pub fn partitioned_zones(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.partitioned_since.keys()
+    }
+
+    /// The zone is silent as a whole. Returns whether it was not before.
+    pub fn record_partitioned(&mut self, zone: &Rc<str>, now: Micros) -> bool {
+        self.partitioned_since.insert(zone.clone(), now).is_none()
+    }
+
+    /// A machine of the zone is heard. Returns whether the zone was silent before.
+    pub fn record_heard(&mut self, zone: &str) -> bool {
+        self.partitioned_since.remove(zone).is_some()
+    }
+
+    /// Forgets zones that have not been found silent for a while.
+    pub fn forget_expired(&mut self, now: Micros) {
+        self.partitioned_since
+            .retain(|_, since| now < *since + PARTITIONED_ZONE_PAUSE);
+    }
+
+    /// When a zone was heard last, if the leader before found it silent.
+    pub fn last_heard_before_term(&self, zone: &str) -> Option<Micros> {
+        self.last_heard_before_term.get(zone).copied()
+    }
 }
 
 impl Leader {
-    /// Room for what is on the machines that are cut off.
-    pub(super) fn elsewhere(&self, cut: &BTreeSet<Rc<str>>) -> SpareCapacity {
-        let (ordinary, spot) = (
-            self.derived.capacity.free(false),
-            self.derived.capacity.free(true),
-        );
-        let lending = self.derived.lending[0].iter();
-        let lent: f64 = lending
-            .filter(|_| !cut.is_empty())
-            .filter_map(|place| self.machines.at(place))
-            .filter(|(name, _)| !cut.contains(*name))
-            .flat_map(|(_, m)| m.slots.values().filter(|s| !s.service))
-            .map(|s| s.resources.cpus)
+    /// What could run elsewhere of what is on the machines in partitioned zones.
+    pub(super) fn spare_capacity(&self, partitioned: &BTreeSet<Rc<str>>) -> SpareCapacity {
+        let capacity = &self.derived.capacity;
+        let (ordinary_cpus, spot_cpus) = (capacity.free(false), capacity.free(true));
+        let preemptible = self.derived.ordinary_machines_with_arrays().iter();
+        let preemptible_cpus: f64 = preemptible
+            .filter(|_| !partitioned.is_empty())
+            .filter_map(|index| self.machines.at(index))
+            .filter(|(name, _)| !partitioned.contains(*name))
+            .flat_map(|(_, machine)| machine.array_slots())
+            .map(|slot| slot.resources.cpus)
             .sum();
-        let mut elsewhere = SpareCapacity {
-            replicas: ordinary + lent,
-            arrays: ordinary + spot,
+        let mut spare = SpareCapacity {
+            replica_cpus: ordinary_cpus + preemptible_cpus,
+            array_cpus: ordinary_cpus + spot_cpus,
         };
-        // While the cloud is out deletions pile up, and what is on those machines
-        // will want its room first.
-        for name in self.autoscaler.cloud_queue.deletes() {
-            if let Some(m) = self.machines.get(name) {
-                elsewhere.expect(m);
+        // While the cloud is out deletions pile up, and what is on those machines needs
+        // its capacity first.
+        for name in self.autoscaler.cloud_queue.deletions() {
+            if let Some(machine) = self.machines.get(name) {
+                spare.reserve_for(machine);
             }
         }
-        elsewhere
+        spare
     }
 
-    /// After this long without a word from it a machine has missed a report.
-    pub(super) fn missing(config: &Config) -> Micros {
-        config.report * 3 / 2
-    }
-
-    /// Machines of zones that have fallen silent as a whole. What runs there
-    /// runs on for the rest of its lease, but is as good as lost. If most of
-    /// the fleet is silent, it is rather this node that is cut off.
-    pub(super) fn cut_off(&self) -> BTreeSet<Rc<str>> {
-        let mut zones: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
-        for (name, m) in self.silent() {
-            zones.entry(&m.zone).or_default().push(name);
+    /// Machines of zones that have fallen silent as a whole. What runs there runs on for
+    /// the rest of its lease, but is as good as lost. If most of the fleet is silent, it is
+    /// rather this node that is isolated.
+    pub(super) fn partitioned_machines(&self) -> BTreeSet<Rc<str>> {
+        let mut silent_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
+        for (name, machine) in self.silent_machines() {
+            silent_by_zone.entry(&machine.zone).or_default().push(name);
         }
-        let up = &self.derived.sums.up;
-        let all = |zone: &Rc<str>| up.get(zone).copied().unwrap_or(0);
-        let cut: BTreeSet<Rc<str>> = zones
+        let up_by_zone = self.derived.sums().machines_up_by_zone();
+        let is_partitioned = |zone: &Rc<str>, silent: usize| {
+            let up = up_by_zone.get(zone).copied().unwrap_or(0);
+            silent >= MIN_SILENT_MACHINES && silent * 2 > up
+        };
+        let partitioned: BTreeSet<Rc<str>> = silent_by_zone
             .into_iter()
-            .filter(|(zone, silent)| silent.len() >= 3 && silent.len() * 2 > all(zone))
+            .filter(|(zone, silent)| is_partitioned(zone, silent.len()))
             .flat_map(|(_, silent)| silent.into_iter().cloned())
             .collect();
-        if cut.len() * 2 > up.values().sum() {
+        if partitioned.len() * 2 > self.derived.sums().machines_up() {
             return BTreeSet::new();
         }
-        cut
+        partitioned
     }
 
-    /// Whether it is rather this node that is cut off: it hears neither a controller
-    /// nor a machine outside its own zone, where there are both.
+    /// Whether it is rather this node that is isolated: it hears neither a controller nor a
+    /// machine outside its own zone, where there are both.
     ///
-    /// Such a leader may reach the state service all the same, and so prove that it
-    /// leads. To believe what it does not hear would be the end of every other zone.
-    pub(super) fn doubts(&self, config: &Config) -> bool {
+    /// Such a leader may reach the store all the same, and so prove that it leads. To
+    /// believe what it does not hear would be the end of every other zone.
+    pub(super) fn is_probably_isolated(&self, config: &Config) -> bool {
         if !self.leadership_proof.apart {
             return false;
         }
-        let far = |zone: &str| *zone != *config.zone;
-        let up = self.derived.sums.up.iter();
-        let mut heard: BTreeMap<&Rc<str>, usize> = up
-            .filter(|(zone, _)| far(zone))
-            .map(|(z, n)| (z, *n))
+        let is_other_zone = |zone: &str| *zone != *config.zone;
+        let up_by_zone = self.derived.sums().machines_up_by_zone().iter();
+        let mut heard_by_zone: BTreeMap<&Rc<str>, usize> = up_by_zone
+            .filter(|(zone, _)| is_other_zone(zone))
+            .map(|(zone, up)| (zone, *up))
             .collect();
-        for (_, m) in self.silent() {
-            if let Some(n) = heard.get_mut(&m.zone) {
-                *n = n.saturating_sub(1);
+        for (_, machine) in self.silent_machines() {
+            if let Some(heard) = heard_by_zone.get_mut(&machine.zone) {
+                *heard = heard.saturating_sub(1);
             }
         }
-        let missed = &self.derived.silent | &self.derived.booting;
+        if heard_by_zone.values().any(|heard| *heard > 0) {
+            return false;
+        }
+        let missed = self.derived.silent_machines() | self.derived.booting_machines();
         let mut missed = missed
             .into_iter()
-            .filter_map(|place| self.machines.at(place));
-        heard.values().all(|n| *n == 0) && missed.any(|(_, m)| m.recorded && far(&m.zone))
+            .filter_map(|index| self.machines.at(index));
+        missed.any(|(_, machine)| machine.recorded && is_other_zone(&machine.zone))
     }
 
-    /// Zones that have fallen silent, and since when, for a leader to come.
-    pub fn silences(&self, now: Micros) -> Vec<SilentZone> {
-        let mut heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
-        for m in self.cut_off().iter().filter_map(|m| self.machines.get(m)) {
-            let latest = heard.entry(&m.zone).or_default();
-            *latest = m.heard_at.max(*latest);
+    /// Zones that have fallen silent, and for how long, for the next leader.
+    pub fn silent_zones(&self, now: Micros) -> Vec<SilentZone> {
+        let mut last_heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
+        let partitioned = self.partitioned_machines();
+        for machine in partitioned
+            .iter()
+            .filter_map(|name| self.machines.get(name))
+        {
+            let latest = last_heard.entry(&machine.zone).or_default();
+            *latest = machine.reachability.last_heard_at().max(*latest);
         }
-        let quiet = |at: Micros| now.saturating_sub(at) / MILLISECOND;
-        let heard = heard.into_iter().take(dillcleat_peer_protocol::MAX_ZONES);
-        heard
-            .map(|(zone, at)| SilentZone {
+        let silent_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
+        last_heard
+            .into_iter()
+            .take(dillcleat_peer_protocol::MAX_ZONES)
+            .map(|(zone, since)| SilentZone {
                 zone: zone.to_string(),
-                silent_ms: u32::try_from(quiet(at)).unwrap_or(u32::MAX),
+                silent_ms: u32::try_from(silent_ms(since)).unwrap_or(u32::MAX),
             })
             .collect()
     }
 
-    /// Zones that the leader before said were silent, with the time at which each
-    /// was heard last. Their replicas serve until that lease ends, not until one
-    /// that begins with this term: a leader that ended in the middle of a cut
-    /// once left them down for 15 s more (zone, brunnmatt-books-fleet).
-    pub fn expect_silence(&mut self, heard: HashMap<String, Micros>) {
-        self.partitions.zones_silent_before = heard;
-    }
-
-    /// Machines that are up and have missed a report.
-    pub(super) fn silent(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
-        let silent = self.derived.silent.iter();
-        silent.filter_map(|place| self.machines.at(place))
+    /// Takes over the zones that the leader before found silent, with the time at which
+    /// each was heard last. Their replicas serve until that lease ends, not until one that
+    /// begins with this term: a leader that ended in the middle of a partition once left
+    /// them down for 15 s more (zone, brunnmatt-books-fleet).
+    pub fn set_zones_silent_before_term(&mut self, last_heard: HashMap<String, Micros>) {
+        self.partitions.last_heard_before_term = last_heard;
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::machines::Machine;
-
-    fn machine(kind: JobKind, tasks: u32, cpus: f64) -> Machine {
-        let mut m = Machine::new("m", "t", "z", false, 0);
-        let spec = JobSpec::plain("req-1", kind, tasks, cpus);
-        for i in 0..tasks {
-            let slot = Machine::slot(1, 1, (0, &spec), true);
-            let key = (Rc::from("req-1"), i);
-            m.place(key, slot, (&Rc::from("i"), 1.0), 50.0);
-        }
-        m
-    }
-
-    /// Machines behind a cut were once deleted with nowhere for their replicas to
-    /// go, and came back as none (zone, rosterwise-nz-fleet).
-    #[test]
-    fn what_is_cut_off_goes_as_far_as_there_is_room_for_it() {
-        let mut elsewhere = SpareCapacity {
-            replicas: 5.0,
-            arrays: 4.0,
-        };
-        let replicas = machine(JobKind::Service, 2, 2.0);
-        let array = machine(JobKind::Batch, 1, 3.0);
-        let empty = machine(JobKind::Batch, 0, 0.0);
-        assert!(elsewhere.takes(&replicas));
-        assert!(!elsewhere.takes(&replicas), "one CPU is left for replicas");
-        assert!(elsewhere.takes(&array));
-        assert!(!elsewhere.takes(&array));
-        assert!(elsewhere.takes(&empty), "nothing on it needs room");
-        elsewhere.expect(&array);
-        assert!(!elsewhere.takes(&machine(JobKind::Batch, 1, 0.5)));
-        assert!(elsewhere.takes(&empty));
-    }
-}
+mod tests;
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -1,137 +1,109 @@
-//! What may be on each machine.
+//! The machines of the fleet, and the tasks that may be on each.
 //!
-//! A placed task occupies its slot until there is proof that it is gone: a
-//! newer report under this term's seal that shows it exited, or absent with no
-//! launch that could still be carried out; a later session; or the machine's
-//! end. Silence proves nothing.
+//! A placed task occupies its slot until there is proof that it is gone: a newer
+//! heartbeat under this term's fencing token that shows it exited, or that does not list
+//! it while no launch can still be carried out; a later incarnation of the agent; or the
+//! machine's end. Silence proves nothing.
 
-use crate::failure_attribution::MachineStrikes;
-use crate::node::WORKER_PATIENCE;
-use crate::sched::{Images, Resources, SlabIndex};
-use crate::{CallId, Micros, micros};
+mod command_state;
+mod health;
+mod heartbeat_reconciliation;
+mod reachability;
+mod task_slot;
+
+pub use self::command_state::CommandState;
+pub use self::health::MachineHealth;
+pub use self::reachability::Reachability;
+pub use self::task_slot::{
+    LaunchId, MachineEnd, TaskEvent, TaskKey, TaskLossReason, TaskSlot, task_name,
+};
+use crate::Micros;
+use crate::sched::{Images, Resources};
 use dillcleat_wire::TaskName;
-use dillcleat_wire::user::{JobKind, JobSpec};
-use dillcleat_wire::worker::{Command, ExitReason, Heartbeat, TaskState};
-use std::collections::{BTreeMap, BTreeSet};
+use dillcleat_wire::worker::{Command, Heartbeat};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The job and number of a placed task.
-pub type TaskKey = (Rc<str>, u32);
-
-#[derive(Debug, Clone)]
-pub struct TaskSlot {
-    pub attempt: u64,
-    pub incarnation: u64,
-    pub resources: Resources,
-    /// A replica of a service.
-    pub service: bool,
-    /// It takes room that was kept for services.
-    pub uses_service_headroom: bool,
-    /// The number of its job, for estimates: a job that has gone gives it on.
-    pub job: SlabIndex,
-    /// The placement is in the store; before that nothing is sent.
-    pub stored: bool,
-    /// Its job is cancelled: it is to be stopped, and never launched.
-    pub cancelled: bool,
-    /// It makes room for a replica: it is to be stopped, to run elsewhere.
-    pub preempted: bool,
-    pub seen: Option<TaskState>,
-    pub running_since: Option<Micros>,
-    /// The whole run was watched, so its time may be learned from.
-    pub watched: bool,
-    /// The report whose answer last held its launch.
-    launched_in: Option<(u64, u64)>,
-}
-
-/// A launch that was sent and not answered may be carried out minutes later.
-pub type LaunchId = (TaskName, u64);
-
-#[derive(Debug)]
-pub struct CommandsInFlight {
-    pub id: CallId,
-    launches: Vec<LaunchId>,
-}
+/// The most images that are remembered of a machine.
+const MAX_IMAGES: usize = 32;
 
+/// How a heartbeat was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// A report that the worker sent by itself, one at a time.
-    Checkin,
-    /// The answer to orders.
-    Orders,
+    /// The worker sent it by itself, one at a time.
+    Periodic,
+    /// It is the reply to commands.
+    CommandReply,
 }
 
-/// What a report has changed.
-#[derive(Debug, Clone, PartialEq)]
-pub enum TaskEvent {
-    Running(TaskKey),
-    Exited {
-        task: TaskKey,
-        attempt: u64,
-        reason: ExitReason,
-        ran: Option<Micros>,
-    },
-    /// Gone without a result: a later session, or absent by proof.
-    Lost {
-        task: TaskKey,
-        attempt: u64,
-        reason: &'static str,
-    },
+/// Where a heartbeat stands among all those of its machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatPosition {
+    /// The incarnation of the agent that sent it.
+    pub incarnation: u64,
+    /// Its number within the incarnation.
+    pub sequence: u64,
 }
 
-/// Images of a machine that are remembered.
-const MAX_IMAGES: usize = 32;
+impl HeartbeatPosition {
+    /// The position of a heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> HeartbeatPosition {
+        HeartbeatPosition {
+            incarnation: heartbeat.incarnation,
+            sequence: heartbeat.sequence,
+        }
+    }
+}
 
+/// A machine of the fleet as the leader knows it.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its name, given by the cloud.
     pub name: Rc<str>,
+    /// Where its agent takes commands.
     pub addr: Option<String>,
+    /// The name of its machine type; empty until it is known.
     pub machine_type: Rc<str>,
+    /// The zone it is in; empty until it is known.
     pub zone: Rc<str>,
+    /// Whether it is a spot instance.
     pub spot: bool,
-    pub incarnation: u64,
-    pub sequence: u64,
-    /// It has reported under this term's seal.
+    /// Whether it has sent a heartbeat under this term's fencing token.
     pub ready: bool,
-    /// It has reported at all, so it is up.
+    /// Whether it has sent any heartbeat.
     pub up: bool,
-    /// Known from this leader's own rental, so it counts as capacity to come.
+    /// Whether it is booting for certain, so that it counts as capacity to come.
     pub expected: bool,
+    /// Whether its record is in the store, or on its way there.
+    pub recorded: bool,
+    /// Whether it is to be deleted. It gets no more tasks.
+    pub being_deleted: bool,
+    /// Since when it is known or, if that is longer, booting.
     pub known_since: Micros,
-    pub heard_at: Micros,
-    /// When its last own report came. Only the answers to these renew its lease: a machine
-    /// that answers orders alone is about to lose all that is on it.
-    pub reported_at: Micros,
-    /// Since when it is not known to hear: orders had no answer, and nothing has shown
-    /// since that any message reaches it.
-    pub unresponsive_since: Option<Micros>,
+    /// Since when nothing is placed on it.
+    pub empty_since: Micros,
+    /// When the cloud takes it back, if it has said so.
     pub interrupted_at: Option<Micros>,
-    /// Being returned: takes no more tasks.
-    pub leaving: bool,
-    /// Takes no more tasks, but as a last resort, and is returned when empty.
-    pub cordoned: bool,
-    pub blocked_until: Micros,
+    /// The tasks that are placed here.
     pub slots: BTreeMap<TaskKey, TaskSlot>,
-    /// Exited tasks of the latest report.
-    pub exited: Vec<(TaskName, u64)>,
-    /// Tasks of the latest report that nobody placed there.
-    pub strays: Vec<(TaskName, u64)>,
-    pub commands_in_flight: Option<CommandsInFlight>,
-    pub next_command_at: Micros,
-    pub needs_command: bool,
-    /// Missed its report: asked by empty orders whether it is there at all.
-    pub probe: bool,
-    /// Launches that may still be carried out in this session.
-    unanswered: BTreeSet<LaunchId>,
     /// Images that were used here, the latest last.
     pub images: Images,
-    pub empty_since: Micros,
-    /// Jobs that failed here: they try another machine.
-    pub error_jobs: BTreeSet<Rc<str>>,
-    pub strikes: MachineStrikes,
-    pub recorded: bool,
+    /// When it was heard, and whether commands reach it.
+    pub reachability: Reachability,
+    /// Commands to be sent, and those that were sent.
+    pub command_state: CommandState,
+    /// Failures on it.
+    pub health: MachineHealth,
+    /// The latest heartbeat that was applied.
+    position: HeartbeatPosition,
+    /// Exited attempts that the latest heartbeat lists.
+    exited: Vec<LaunchId>,
+    /// Other attempts that the latest heartbeat lists and that are not placed here.
+    unexpected: Vec<LaunchId>,
 }
 
 impl Machine {
+    /// A machine that has sent no heartbeat to this leader.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: Micros) -> Self {
         Machine {
             name: name.into(),
@@ -139,37 +111,30 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            incarnation: 1,
-            sequence: 0,
             ready: false,
             up: false,
             expected: false,
+            recorded: false,
+            being_deleted: false,
             known_since: now,
-            heard_at: now,
-            reported_at: now,
-            unresponsive_since: None,
+            empty_since: now,
             interrupted_at: None,
-            leaving: false,
-            cordoned: false,
-            blocked_until: 0,
             slots: BTreeMap::new(),
-            exited: Vec::new(),
-            strays: Vec::new(),
-            commands_in_flight: None,
-            next_command_at: 0,
-            needs_command: false,
-            probe: false,
-            unanswered: BTreeSet::new(),
             images: Images::default(),
-            empty_since: now,
-            error_jobs: BTreeSet::new(),
-            strikes: MachineStrikes::default(),
-            recorded: false,
+            reachability: Reachability::new(now),
+            command_state: CommandState::default(),
+            health: MachineHealth::default(),
+            position: HeartbeatPosition {
+                incarnation: 1,
+                sequence: 0,
+            },
+            exited: Vec::new(),
+            unexpected: Vec::new(),
         }
     }
 
-    /// Takes over what a report or a listing says the machine is.
-    pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
+    /// Takes over what a heartbeat or the cloud's list says the machine is.
+    pub fn update_description(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if *self.machine_type != *machine_type {
             self.machine_type = Rc::from(machine_type);
         }
@@ -179,46 +144,68 @@
         self.spot = spot;
     }
 
-    /// Puts a task here. The worker keeps the images that it used most recently,
+    /// The incarnation of its agent, as far as is known.
+    pub fn incarnation(&self) -> u64 {
+        self.position.incarnation
+    }
+
+    /// The latest heartbeat that was applied. Before the first, only the incarnation says
+    /// anything.
+    pub fn position(&self) -> HeartbeatPosition {
+        self.position
+    }
+
+    /// A stored placement shows that this incarnation has begun.
+    pub fn raise_incarnation(&mut self, incarnation: u64) {
+        self.position.incarnation = self.position.incarnation.max(incarnation);
+    }
+
+    /// Starts all its times anew at the beginning of a term, and has it told of the term.
+    pub fn begin_term(&mut self, now: Micros) {
+        self.reachability.assume_silent_since(now);
+        self.known_since = now;
+        self.empty_since = now;
+        self.command_state.request();
+    }
+
+    /// It is known from the leader before that the machine was up and last heard at `at`.
+    pub fn assume_silent_since(&mut self, at: Micros) {
+        self.up = true;
+        self.reachability.assume_silent_since(at);
+    }
+
+    /// It is known to have been booting since `at` at the latest.
+    pub fn assume_booting_since(&mut self, at: Micros) {
+        self.known_since = self.known_since.min(at);
+        self.reachability.bound_last_heard(at);
+    }
+
+    /// Places a task here. The worker keeps the images that it used most recently,
     /// as many as fit its cache; `cache_gb` is what may be counted on.
-    pub fn place(&mut self, task: TaskKey, slot: TaskSlot, image: (&Rc<str>, f64), cache_gb: f64) {
+    pub fn add_task(
+        &mut self,
+        task: TaskKey,
+        slot: TaskSlot,
+        image: (&Rc<str>, f64),
+        cache_gb: f64,
+    ) {
         self.slots.insert(task, slot);
         let images = Rc::make_mut(&mut self.images);
-        images.retain(|(i, _)| i != image.0);
+        images.retain(|(name, _)| name != image.0);
         images.push((image.0.clone(), image.1));
-        let mut total: f64 = images.iter().map(|(_, gb)| gb).sum();
-        let mut first = 0;
-        while first + 1 < images.len() && (total > cache_gb || images.len() - first > MAX_IMAGES) {
-            total -= images[first].1;
-            first += 1;
-        }
-        images.drain(..first);
-    }
-
-    pub fn slot(
-        attempt: u64,
-        incarnation: u64,
-        (job, spec): (SlabIndex, &JobSpec),
-        stored: bool,
-    ) -> TaskSlot {
-        TaskSlot {
-            attempt,
-            incarnation,
-            resources: Resources::of_task(spec),
-            service: spec.kind == JobKind::Service,
-            uses_service_headroom: false,
-            job,
-            stored,
-            cancelled: false,
-            preempted: false,
-            seen: None,
-            running_since: None,
-            watched: !stored,
-            launched_in: None,
+        let mut total_gb: f64 = images.iter().map(|(_, gb)| gb).sum();
+        let mut evicted = 0;
+        while evicted + 1 < images.len()
+            && (total_gb > cache_gb || images.len() - evicted > MAX_IMAGES)
+        {
+            total_gb -= images[evicted].1;
+            evicted += 1;
         }
+        images.drain(..evicted);
     }
 
-    pub fn free(&self, total: Resources) -> Resources {
+    /// What its tasks leave of the `total` resources of its type.
+    pub fn free_resources(&self, total: Resources) -> Resources {
         let mut free = total;
         for slot in self.slots.values() {
             free.subtract(&slot.resources);
@@ -226,320 +213,164 @@
         free
     }
 
-    /// May take a new task.
-    pub fn accepts_tasks(&self, now: Micros) -> bool {
-        !self.cordoned && self.accepts_tasks_as_last_resort(now)
+    /// Whether a replica of a service is placed here.
+    pub fn has_replicas(&self) -> bool {
+        self.slots.values().any(|slot| slot.service)
     }
 
-    /// May take a new task if there is no other place for it.
-    pub fn accepts_tasks_as_last_resort(&self, now: Micros) -> bool {
-        self.ready
-            && !self.leaving
-            && self.interrupted_at.is_none()
-            && self.strays.is_empty()
-            && now >= self.blocked_until
+    /// Whether a task of an array is placed here.
+    pub fn has_array_tasks(&self) -> bool {
+        self.array_slots().next().is_some()
     }
 
-    /// Whether what is sent to it arrives, as far as is known. `missing` is when it has
-    /// missed a report.
-    pub fn is_reachable(&self, now: Micros, missing: Micros) -> bool {
-        now < self.heard_at + missing && self.unresponsive_since.is_none()
+    /// The tasks of arrays that are placed here.
+    pub fn array_slots(&self) -> impl Iterator<Item = &TaskSlot> {
+        self.slots.values().filter(|slot| !slot.service)
     }
 
-    /// Whether it is in touch both ways, so that a task placed there now is launched and
-    /// keeps its lease. `missing` is when it has missed a report.
-    pub fn is_reachable_both_ways(&self, now: Micros, missing: Micros) -> bool {
-        now < self.reported_at + missing && self.unresponsive_since.is_none()
+    /// Attempts that the latest heartbeat lists as not exited and that are not placed here.
+    pub fn unexpected_tasks(&self) -> &[LaunchId] {
+        &self.unexpected
+    }
+
+    /// Whether it may get a new task.
+    pub fn accepts_tasks(&self, now: Micros) -> bool {
+        !self.health.is_cordoned() && self.accepts_tasks_as_last_resort(now)
     }
 
-    /// Whether it has been out of touch for so long.
-    pub fn unreachable_for(&self, now: Micros, time: Micros) -> bool {
-        let since = self.unresponsive_since.unwrap_or(Micros::MAX);
-        now >= self.reported_at.min(since).saturating_add(time)
+    /// Whether it may get a new task if no other machine can take it.
+    pub fn accepts_tasks_as_last_resort(&self, now: Micros) -> bool {
+        self.ready
+            && !self.being_deleted
+            && self.interrupted_at.is_none()
+            && self.unexpected.is_empty()
+            && now >= self.health.blocked_until()
     }
 
-    /// It has sent a newer report by itself; true if it may be in touch again. With `new`
-    /// a session begins.
+    /// A newer periodic heartbeat came. Returns whether the machine may have become
+    /// reachable by it. Times are in microseconds: `missed_after` is the silence by which
+    /// a heartbeat has been missed, `proof_after` the longest that a lease takes to show
+    /// that replies arrive.
     ///
-    /// One that had no answer to a report waits for it, and pauses, before the next: one
-    /// that comes sooner shows that the answer to the last was heard. So does a session
-    /// that goes on for longer than a lease, `heard_by` being the longest that this takes
-    /// to show. Over a slow link orders may be late for ever, and answers are not.
+    /// A worker that had no reply to a heartbeat waits for it, and pauses, before the
+    /// next: one that comes sooner shows that the reply to the last has arrived. So does an
+    /// incarnation that goes on for longer than a lease. Over a slow link the replies to
+    /// commands may be late for ever, and those to heartbeats are not.
     pub fn heartbeat_received(
         &mut self,
         now: Micros,
-        new: bool,
-        heard_by: Micros,
-        missing: Micros,
+        new_incarnation: bool,
+        proof_after: Micros,
+        missed_after: Micros,
     ) -> bool {
-        let last = std::mem::replace(&mut self.reported_at, now);
-        let late = now >= last + missing;
-        let answered = |since| last >= since && now < last + WORKER_PATIENCE;
-        match self.unresponsive_since {
-            Some(_) if new => self.unresponsive_since = Some(now),
-            Some(since) if answered(since) || now >= since + heard_by => {
-                self.unresponsive_since = None;
-            }
-            Some(_) => {
-                // To be asked costs less than to wait for that.
-                self.probe = true;
-                self.needs_command = true;
-                return late;
-            }
-            None => return late,
+        let update =
+            self.reachability
+                .record_heartbeat(now, new_incarnation, proof_after, missed_after);
+        if update.needs_probe {
+            // To ask costs less than to wait for that.
+            self.command_state.request_probe();
         }
-        true
+        update.may_have_recovered
     }
 
-    /// Removes a slot by proof from outside, such as the machine's end.
-    pub fn take_lost_tasks(&mut self, why: &'static str) -> Vec<TaskEvent> {
+    /// Frees all slots, since the machine is gone.
+    pub fn take_lost_tasks(&mut self, end: MachineEnd) -> Vec<TaskEvent> {
         std::mem::take(&mut self.slots)
             .into_iter()
             .map(|(task, slot)| TaskEvent::Lost {
                 task,
                 attempt: slot.attempt,
-                reason: why,
+                reason: TaskLossReason::MachineGone(end),
             })
             .collect()
     }
 
-    fn is_launch_in_flight(&self, launch: &LaunchId) -> bool {
-        self.commands_in_flight
-            .as_ref()
-            .is_some_and(|p| p.launches.contains(launch))
+    /// The commands that the machine needs, computed anew each time, so that a lost
+    /// message needs no account of its own.
+    ///
+    /// `is_end_stored` tells whether the end of an exited attempt is in the store: no
+    /// attempt is reaped before. Unless this node `may_preempt`, nothing is stopped to run
+    /// elsewhere.
+    pub fn needed_commands(
+        &self,
+        may_preempt: bool,
+        is_end_stored: impl Fn(&TaskName, u64) -> bool,
+    ) -> Vec<Command> {
+        let mut commands: Vec<Command> = self.reaps(is_end_stored).collect();
+        commands.extend(self.unexpected_task_stops());
+        commands.extend(self.cancelled_task_stops());
+        commands.extend(self.launches_and_preemptions(may_preempt));
+        commands
     }
 
-    /// Takes a report in. Nothing but a newer one changes anything.
-    pub fn apply_heartbeat(
-        &mut self,
-        r: &Heartbeat,
-        source: HeartbeatSource,
-        term: u64,
-        now: Micros,
-    ) -> Vec<TaskEvent> {
-        let mut events = Vec::new();
-        // Of a machine that has yet to report to this leader a stored placement may tell
-        // the session: a report of one before is old, though it is the first to come.
-        let older = match self.up {
-            true => (r.incarnation, r.sequence) <= (self.incarnation, self.sequence),
-            false => r.incarnation < self.incarnation,
-        };
-        if older {
-            return events;
-        }
-        if r.incarnation > self.incarnation || !self.up {
-            // Everything of earlier sessions is killed and forgotten, and
-            // orders for them are refused.
-            self.unanswered.clear();
-            let old: Vec<TaskKey> = self
-                .slots
-                .iter()
-                .filter(|(_, s)| s.incarnation < r.incarnation)
-                .map(|(k, _)| k.clone())
-                .collect();
-            for task in old {
-                if let Some(slot) = self.slots.remove(&task) {
-                    events.push(TaskEvent::Lost {
-                        task,
-                        attempt: slot.attempt,
-                        reason: "a later session has begun",
-                    });
-                }
-            }
-        }
-        self.up = true;
-        self.incarnation = r.incarnation;
-        self.sequence = r.sequence;
-        self.heard_at = now;
-        if !r.addr.is_empty() {
-            self.addr = Some(r.addr.clone());
-        }
-        self.interrupted_at = r
-            .interruption_notice_s
-            .filter(|s| s.is_finite())
-            .map(|s| now + micros(s));
-        if r.fencing_token != term {
-            // Commands of an earlier leader may still be carried out: the list
-            // is no proof yet.
-            return events;
-        }
-        self.ready = true;
-        self.exited.clear();
-        self.strays.clear();
-        let mut present = BTreeSet::new();
-        for t in &r.tasks {
-            let key: TaskKey = (Rc::from(t.task.job.as_str()), t.task.index);
-            let launch = (t.task.clone(), t.attempt);
-            let own = self.slots.get(&key).is_some_and(|s| s.attempt == t.attempt);
-            if t.state == TaskState::Exited {
-                self.exited.push(launch);
-                if own && let Some(slot) = self.slots.remove(&key) {
-                    events.push(TaskEvent::Exited {
-                        task: key,
-                        attempt: t.attempt,
-                        reason: t.reason.unwrap_or(ExitReason::Other),
-                        ran: slot
-                            .running_since
-                            .filter(|_| slot.watched)
-                            .map(|since| now.saturating_sub(since)),
-                    });
-                }
-            } else if own {
-                if let Some(slot) = self.slots.get_mut(&key) {
-                    if t.state == TaskState::Running && slot.seen != Some(TaskState::Running) {
-                        slot.running_since = Some(now);
-                        events.push(TaskEvent::Running(key.clone()));
-                    }
-                    slot.seen = Some(t.state);
-                }
-                present.insert(key);
-            } else {
-                self.strays.push(launch);
-            }
-        }
-        // Absent: proof only if no launch can still be carried out. A launch in
-        // an answer is dropped or done by the time of the next check-in, since
-        // a worker has one under way at a time.
-        let gone: Vec<TaskKey> = self
-            .slots
+    /// Has exited attempts removed whose end is stored. After a reap the worker would
+    /// start a late launch of the same attempt again, so it keeps what may still be
+    /// launched.
+    fn reaps(
+        &self,
+        is_end_stored: impl Fn(&TaskName, u64) -> bool,
+    ) -> impl Iterator<Item = Command> {
+        let settled = self.exited.iter().filter(move |launch| {
+            is_end_stored(&launch.0, launch.1) && !self.command_state.may_still_launch(launch)
+        });
+        settled.map(|(task, attempt)| Command::Reap {
+            task: task.clone(),
+            attempt: *attempt,
+        })
+    }
+
+    fn unexpected_task_stops(&self) -> impl Iterator<Item = Command> {
+        self.unexpected.iter().map(|(task, attempt)| Command::Stop {
+            task: task.clone(),
+            attempt: *attempt,
+            grace_s: 0,
+        })
+    }
+
+    /// The stops of cancelled tasks that were seen here.
+    pub fn cancelled_task_stops(&self) -> impl Iterator<Item = Command> {
+        self.slots
             .iter()
-            .filter(|(key, s)| {
-                let launch = (name(key), s.attempt);
-                !present.contains(*key)
-                    && s.stored
-                    && (s.cancelled || s.seen.is_some())
-                    && !self.unanswered.contains(&launch)
-                    && !self.is_launch_in_flight(&launch)
-                    && s.launched_in.is_none_or(|at| {
-                        source == HeartbeatSource::Checkin && (r.incarnation, r.sequence) > at
-                    })
+            .filter(|(_, slot)| {
+                slot.cancelled
+                    && slot.incarnation == self.incarnation()
+                    && slot.is_stored_and_seen()
             })
-            .map(|(k, _)| k.clone())
-            .collect();
-        for task in gone {
-            if let Some(slot) = self.slots.remove(&task) {
-                events.push(TaskEvent::Lost {
-                    task,
-                    attempt: slot.attempt,
-                    reason: "absent from a newer report",
-                });
-            }
-        }
-        if !self.slots.is_empty() {
-            self.empty_since = now;
-        }
-        events
+            .map(|(key, slot)| slot.stop_command(key))
     }
 
-    /// The commands that the machine needs, worked out anew each time, so that
-    /// a lost message needs no account of its own. `is_end_stored` tells whether the
-    /// end of an exited attempt is in the store. Without leave for what is `lasting`
-    /// nothing is stopped to run elsewhere.
-    pub fn commands(
-        &self,
-        lasting: bool,
-        settled: impl Fn(&TaskName, u64) -> bool,
-    ) -> Vec<Command> {
-        let mut commands = Vec::new();
-        for (task, attempt) in &self.exited {
-            let launch = (task.clone(), *attempt);
-            // After a reap the worker would start a late launch of the same
-            // attempt again, so it keeps what may still be launched.
-            if settled(task, *attempt)
-                && !self.unanswered.contains(&launch)
-                && !self.is_launch_in_flight(&launch)
-            {
-                commands.push(Command::Reap {
-                    task: task.clone(),
-                    attempt: *attempt,
-                });
-            }
-        }
-        for (task, attempt) in &self.strays {
-            commands.push(Command::Stop {
-                task: task.clone(),
-                attempt: *attempt,
-                grace_s: 0,
-            });
-        }
-        commands.extend(self.cancelled());
-        for (key, slot) in &self.slots {
-            if slot.incarnation != self.incarnation || !slot.stored {
-                continue;
+    fn launches_and_preemptions(&self, may_preempt: bool) -> impl Iterator<Item = Command> {
+        let current = self.slots.iter().filter(|(_, slot)| {
+            slot.incarnation == self.incarnation() && slot.stored && !slot.cancelled
+        });
+        current.filter_map(move |(key, slot)| {
+            if slot.preempted {
+                let stop = slot.seen.is_some() && may_preempt;
+                return stop.then(|| slot.stop_command(key));
             }
-            if slot.cancelled {
-                continue;
+            if slot.seen.is_some() {
+                return None;
             }
-            if slot.preempted {
-                if slot.seen.is_some() && lasting {
-                    commands.push(stop(key, slot));
-                }
-            } else if slot.seen.is_none() && !self.is_launch_in_flight(&(name(key), slot.attempt)) {
-                commands.push(Command::Launch {
-                    task: name(key),
-                    attempt: slot.attempt,
-                });
+            let launch = (task_name(key), slot.attempt);
+            if self.command_state.is_launch_in_flight(&launch) {
+                return None;
             }
-        }
-        commands
+            let (task, attempt) = launch;
+            Some(Command::Launch { task, attempt })
+        })
     }
 
-    /// The stops of cancelled tasks that were seen here.
-    pub fn cancelled(&self) -> impl Iterator<Item = Command> {
-        let here = |s: &TaskSlot| s.incarnation == self.incarnation && s.stored && s.seen.is_some();
-        let slots = self.slots.iter();
-        let cancelled = slots.filter(move |(_, s)| s.cancelled && here(s));
-        cancelled.map(|(key, slot)| stop(key, slot))
-    }
-
-    /// Notes which launches went out in the answer to the latest report.
+    /// Records which launches the reply to the latest heartbeat carries.
     pub fn record_reply_launches(&mut self, commands: &[Command]) {
-        let at = (self.incarnation, self.sequence);
-        for c in commands {
-            if let Command::Launch { task, attempt } = c
+        for command in commands {
+            if let Command::Launch { task, attempt } = command
                 && let Some(slot) = self
                     .slots
                     .get_mut(&(Rc::from(task.job.as_str()), task.index))
                 && slot.attempt == *attempt
             {
-                slot.launched_in = Some(at);
+                slot.launch_replied_to = Some(self.position);
             }
         }
     }
-
-    pub fn commands_sent(&mut self, id: CallId, commands: &[Command]) {
-        let launches = commands
-            .iter()
-            .filter_map(|c| match c {
-                Command::Launch { task, attempt } => Some((task.clone(), *attempt)),
-                _ => None,
-            })
-            .collect();
-        self.commands_in_flight = Some(CommandsInFlight { id, launches });
-    }
-
-    /// Ends the push under way. Without an answer its launches may still come.
-    pub fn commands_finished(&mut self, id: CallId, unanswered: bool) {
-        if self.commands_in_flight.as_ref().is_some_and(|p| p.id == id)
-            && let Some(push) = self.commands_in_flight.take()
-            && unanswered
-        {
-            self.unanswered.extend(push.launches);
-        }
-    }
-}
-
-fn stop(key: &TaskKey, slot: &TaskSlot) -> Command {
-    Command::Stop {
-        task: name(key),
-        attempt: slot.attempt,
-        grace_s: 0,
-    }
-}
-
-pub fn name(key: &TaskKey) -> TaskName {
-    TaskName {
-        job: key.0.to_string(),
-        index: key.1,
-    }
 }
--- /dev/null
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -0,0 +1,181 @@
+//! Squares the tasks that a heartbeat lists with the tasks that were placed on a machine.
+//!
+//! A slot is freed here only on proof that its attempt is gone. Every early return and
+//! every condition below guards that rule.
+
+use super::{
+    HeartbeatPosition, HeartbeatSource, Machine, TaskEvent, TaskKey, TaskLossReason, TaskSlot,
+    task_name,
+};
+use crate::{Micros, micros};
+use dillcleat_wire::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+impl Machine {
+    /// Applies a heartbeat and returns what it changes for the tasks placed here. Nothing
+    /// but a newer heartbeat changes anything.
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        term: u64,
+        now: Micros,
+    ) -> Vec<TaskEvent> {
+        let mut events = Vec::new();
+        if self.is_outdated(heartbeat) {
+            return events;
+        }
+        if heartbeat.incarnation > self.position.incarnation || !self.up {
+            self.begin_incarnation(heartbeat.incarnation, &mut events);
+        }
+        self.update_from_heartbeat(heartbeat, now);
+        if heartbeat.fencing_token != term {
+            // Commands of an earlier leader may still be carried out: the list
+            // is no proof yet.
+            return events;
+        }
+        self.ready = true;
+        let present = self.reconcile_listed_tasks(&heartbeat.tasks, now, &mut events);
+        self.remove_absent_tasks(&present, source, &mut events);
+        if !self.slots.is_empty() {
+            self.empty_since = now;
+        }
+        events
+    }
+
+    /// Whether the heartbeat is no newer than what is known. A stored placement may tell
+    /// the incarnation of a machine that has yet to report to this leader: a heartbeat of
+    /// an earlier one is old, though it is the first to come.
+    fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
+        if self.up {
+            HeartbeatPosition::of(heartbeat) <= self.position
+        } else {
+            heartbeat.incarnation < self.position.incarnation
+        }
+    }
+
+    /// Frees the slots of earlier incarnations. An agent that starts anew has killed and
+    /// forgotten all their tasks, and refuses commands for them.
+    fn begin_incarnation(&mut self, incarnation: u64, events: &mut Vec<TaskEvent>) {
+        self.command_state.forget_unanswered_launches();
+        let of_earlier = |_: &TaskKey, slot: &TaskSlot| slot.incarnation < incarnation;
+        let reason = TaskLossReason::LaterIncarnation;
+        events.extend(remove_lost(&mut self.slots, of_earlier, reason));
+    }
+
+    fn update_from_heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) {
+        self.up = true;
+        self.position = HeartbeatPosition::of(heartbeat);
+        self.reachability.record_heard(now);
+        if !heartbeat.addr.is_empty() {
+            self.addr = Some(heartbeat.addr.clone());
+        }
+        self.interrupted_at = heartbeat
+            .interruption_notice_s
+            .filter(|notice_s| notice_s.is_finite())
+            .map(|notice_s| now + micros(notice_s));
+    }
+
+    /// Goes over the tasks that the heartbeat lists. Returns those placed here that are
+    /// there and have not exited.
+    fn reconcile_listed_tasks(
+        &mut self,
+        tasks: &[TaskStatus],
+        now: Micros,
+        events: &mut Vec<TaskEvent>,
+    ) -> BTreeSet<TaskKey> {
+        self.exited.clear();
+        self.unexpected.clear();
+        let mut present = BTreeSet::new();
+        for status in tasks {
+            let key: TaskKey = (Rc::from(status.task.job.as_str()), status.task.index);
+            let is_placed_here = self
+                .slots
+                .get(&key)
+                .is_some_and(|slot| slot.attempt == status.attempt);
+            if status.state == TaskState::Exited {
+                self.exited.push((status.task.clone(), status.attempt));
+                if is_placed_here {
+                    events.extend(self.remove_exited(key, status, now));
+                }
+            } else if is_placed_here {
+                events.extend(self.update_seen(&key, status.state, now));
+                present.insert(key);
+            } else {
+                self.unexpected.push((status.task.clone(), status.attempt));
+            }
+        }
+        present
+    }
+
+    /// Frees the slot of an attempt that the machine shows as exited, which is proof.
+    fn remove_exited(
+        &mut self,
+        task: TaskKey,
+        status: &TaskStatus,
+        now: Micros,
+    ) -> Option<TaskEvent> {
+        let slot = self.slots.remove(&task)?;
+        let running_since = slot.running_since.filter(|_| slot.watched);
+        Some(TaskEvent::Exited {
+            task,
+            attempt: status.attempt,
+            reason: status.reason.unwrap_or(ExitReason::Other),
+            ran: running_since.map(|since| now.saturating_sub(since)),
+        })
+    }
+
+    /// Records the state of an attempt that is there.
+    fn update_seen(&mut self, key: &TaskKey, state: TaskState, now: Micros) -> Option<TaskEvent> {
+        let slot = self.slots.get_mut(key)?;
+        let starts = state == TaskState::Running && slot.seen != Some(TaskState::Running);
+        slot.seen = Some(state);
+        if !starts {
+            return None;
+        }
+        slot.running_since = Some(now);
+        Some(TaskEvent::Running(key.clone()))
+    }
+
+    /// Frees the slots of attempts that the heartbeat does not list.
+    ///
+    /// Absence is proof only if no launch can still be carried out. A launch in the reply
+    /// to a heartbeat is dropped or done by the time of the next periodic heartbeat, since
+    /// a worker has one of these under way at a time.
+    fn remove_absent_tasks(
+        &mut self,
+        present: &BTreeSet<TaskKey>,
+        source: HeartbeatSource,
+        events: &mut Vec<TaskEvent>,
+    ) {
+        let position = self.position;
+        let reply_is_settled = |replied_to: HeartbeatPosition| {
+            source == HeartbeatSource::Periodic && position > replied_to
+        };
+        let commands = &self.command_state;
+        let is_gone = |key: &TaskKey, slot: &TaskSlot| {
+            !present.contains(key)
+                && slot.stored
+                && (slot.cancelled || slot.seen.is_some())
+                && !commands.may_still_launch(&(task_name(key), slot.attempt))
+                && slot.launch_replied_to.is_none_or(reply_is_settled)
+        };
+        let reason = TaskLossReason::AbsentFromHeartbeat;
+        events.extend(remove_lost(&mut self.slots, is_gone, reason));
+    }
+}
+
+/// Frees the slots that `is_lost` holds for.
+fn remove_lost(
+    slots: &mut BTreeMap<TaskKey, TaskSlot>,
+    is_lost: impl Fn(&TaskKey, &TaskSlot) -> bool,
+    reason: TaskLossReason,
+) -> impl Iterator<Item = TaskEvent> {
+    let lost = slots.extract_if(.., move |key, slot| is_lost(key, slot));
+    lost.map(move |(task, slot)| TaskEvent::Lost {
+        task,
+        attempt: slot.attempt,
+        reason,
+    })
+}
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -307,7 +307,7 @@
             let change = self.leadership.woke(&mut ctx);
             self.apply_leadership_change(now, out, change);
         } else if let Some(leader) = &mut self.leader {
-            leader.paused(gap, now.monotonic);
+            leader.exclude_pause(gap, now.monotonic);
         }
     }
 
@@ -333,7 +333,7 @@
                 let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
                 leader.leadership_proof.proved = self.leadership.proved();
                 if now.monotonic < self.silent_zones_at + HINT {
-                    leader.expect_silence(std::mem::take(&mut self.silent_zones));
+                    leader.set_zones_silent_before_term(std::mem::take(&mut self.silent_zones));
                 }
                 self.leader = Some(leader);
                 self.admission.progress.elected(now.monotonic);
@@ -462,7 +462,7 @@
         now: Timestamp,
         out: &mut Vec<Output>,
     ) -> Option<LeadershipChange> {
-        let since = self.leader.as_ref()?.expects_reports_since()?;
+        let since = self.leader.as_ref()?.expects_heartbeats_since()?;
         let mut patience = self.config.report * 5 / 4 + 3 * SECOND / 2;
         let term = self.leadership.leading()?;
         // Workers that a sibling has sent here would have come by now: with all
@@ -587,7 +587,7 @@
             },
         });
         if let Some(leader) = &mut self.leader {
-            let silent = leader.silences(now.monotonic);
+            let silent = leader.silent_zones(now.monotonic);
             if !silent.is_empty() {
                 out.push(Output::Peer {
                     message: Message::SilentZones(silent),
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -207,24 +207,31 @@
 fn what_shows_that_a_machine_hears() {
     let mut m = Machine::new("m", "t", "a", false, 0);
     let (heard_by, missing) = (17 * SECOND, 3 * SECOND);
-    m.unresponsive_since = Some(SECOND);
+    m.reachability.record_command_failure(SECOND);
     m.heartbeat_received(2 * SECOND, false, heard_by, missing);
-    assert!(m.probe && m.needs_command, "it is asked");
+    assert!(
+        m.command_state.is_probe_requested() && m.command_state.is_requested(),
+        "it is asked"
+    );
     m.heartbeat_received(14 * SECOND, true, heard_by, missing);
     m.heartbeat_received(19 * SECOND, false, heard_by, missing);
-    assert_eq!(m.unresponsive_since, Some(14 * SECOND));
-    assert!(!m.is_reachable_both_ways(19 * SECOND, missing));
+    assert_eq!(m.reachability.unresponsive_since(), Some(14 * SECOND));
+    assert!(!m.reachability.is_reachable_both_ways(19 * SECOND, missing));
     assert!(m.heartbeat_received(31 * SECOND, false, heard_by, missing));
-    assert!(m.is_reachable_both_ways(31 * SECOND, missing));
-    m.unresponsive_since = Some(40 * SECOND);
+    assert!(m.reachability.is_reachable_both_ways(31 * SECOND, missing));
+    m.reachability.record_command_failure(40 * SECOND);
     m.heartbeat_received(41 * SECOND, false, heard_by, missing);
     m.heartbeat_received(46 * SECOND, false, heard_by, missing);
     assert!(
-        m.unresponsive_since.is_some(),
+        m.reachability.unresponsive_since().is_some(),
         "it may have waited for an answer"
     );
     m.heartbeat_received(50 * SECOND, false, heard_by, missing);
-    assert_eq!(m.unresponsive_since, None, "too soon for one that did");
+    assert_eq!(
+        m.reachability.unresponsive_since(),
+        None,
+        "too soon for one that did"
+    );
 }
 
 /// Its machine hangs as the job is cancelled, and goes on when nobody can prove to lead:
--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use dillcleat_controller::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey};
+use dillcleat_controller::machines::{HeartbeatSource, Machine, TaskEvent, TaskKey, TaskSlot};
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{Command, ExitReason, Heartbeat, TaskState, TaskStatus};
@@ -49,15 +49,15 @@
     assert_eq!(
         m.apply_heartbeat(
             &report(1, 1, TERM, &[]),
-            HeartbeatSource::Checkin,
+            HeartbeatSource::Periodic,
             TERM,
             NOW
         ),
         []
     );
-    let mut slot = Machine::slot(1, 1, (0, &spec()), true);
+    let mut slot = TaskSlot::new(1, 1, 0, &spec(), true);
     slot.seen = Some(TaskState::Running);
-    m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     m
 }
 
@@ -73,16 +73,16 @@
         take(
             &mut m,
             &report(1, 2, TERM - 1, &[]),
-            HeartbeatSource::Checkin
+            HeartbeatSource::Periodic
         ),
         []
     );
     // Held up on its way: as old as it says.
     assert_eq!(
-        take(&mut m, &report(1, 1, TERM, &[]), HeartbeatSource::Checkin),
+        take(&mut m, &report(1, 1, TERM, &[]), HeartbeatSource::Periodic),
         []
     );
-    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Checkin);
+    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Periodic);
     assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
 
@@ -92,7 +92,7 @@
     let events = take(
         &mut m,
         &report(2, 9, TERM - 1, &[]),
-        HeartbeatSource::Checkin,
+        HeartbeatSource::Periodic,
     );
     assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
@@ -101,34 +101,36 @@
 fn an_unanswered_launch_is_neither_given_up_nor_reaped() {
     let mut m = machine();
     m.slots.clear();
-    let slot = Machine::slot(1, 1, (0, &spec()), true);
-    m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
-    let launch = m.commands(true, |_, _| true);
+    let slot = TaskSlot::new(1, 1, 0, &spec(), true);
+    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    let launch = m.needed_commands(true, |_, _| true);
     assert!(matches!(launch[..], [Command::Launch { .. }]));
-    m.commands_sent(dillcleat_controller::CallId(1), &launch);
-    m.commands_finished(dillcleat_controller::CallId(1), true);
+    m.command_state
+        .record_sent(dillcleat_controller::CallId(1), &launch);
+    m.command_state
+        .record_finished(dillcleat_controller::CallId(1), true);
     if let Some(slot) = m.slots.get_mut(&key()) {
         slot.cancelled = true;
     }
     // Absent, but it may start at any time.
     assert_eq!(
-        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Checkin),
+        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Periodic),
         []
     );
     // It did, and failed: known to the worker, a late launch has no effect,
     // and a reap would change that.
     let exited = report(1, 3, TERM, &[(1, TaskState::Exited)]);
-    let events = take(&mut m, &exited, HeartbeatSource::Checkin);
+    let events = take(&mut m, &exited, HeartbeatSource::Periodic);
     assert!(matches!(events[..], [TaskEvent::Exited { attempt: 1, .. }]));
-    assert_eq!(m.commands(true, |_, _| true), []);
+    assert_eq!(m.needed_commands(true, |_, _| true), []);
     // In a new session the old launch is refused.
     take(
         &mut m,
         &report(2, 4, TERM, &[(1, TaskState::Exited)]),
-        HeartbeatSource::Checkin,
+        HeartbeatSource::Periodic,
     );
     assert!(matches!(
-        m.commands(true, |_, _| true)[..],
+        m.needed_commands(true, |_, _| true)[..],
         [Command::Reap { .. }]
     ));
 }
@@ -137,23 +139,27 @@
 fn a_launch_in_an_answer_is_settled_by_the_next_checkin_only() {
     let mut m = machine();
     m.slots.clear();
-    m.place(
+    m.add_task(
         key(),
-        Machine::slot(1, 1, (0, &spec()), true),
+        TaskSlot::new(1, 1, 0, &spec(), true),
         (&Rc::from("img"), 1.0),
         50.0,
     );
-    let commands = m.commands(true, |_, _| true);
+    let commands = m.needed_commands(true, |_, _| true);
     m.record_reply_launches(&commands);
     if let Some(slot) = m.slots.get_mut(&key()) {
         slot.cancelled = true;
     }
     // The answer to other orders may have overtaken it.
     assert_eq!(
-        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Orders),
+        take(
+            &mut m,
+            &report(1, 2, TERM, &[]),
+            HeartbeatSource::CommandReply
+        ),
         []
     );
-    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Checkin);
+    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Periodic);
     assert!(matches!(events[..], [TaskEvent::Lost { .. }]));
 }
 
@@ -161,19 +167,19 @@
 fn nothing_is_launched_before_it_is_stored_and_nothing_reaped_before_it_is_settled() {
     let mut m = machine();
     m.slots.clear();
-    m.place(
+    m.add_task(
         key(),
-        Machine::slot(1, 1, (0, &spec()), false),
+        TaskSlot::new(1, 1, 0, &spec(), false),
         (&Rc::from("img"), 1.0),
         50.0,
     );
-    assert_eq!(m.commands(true, |_, _| true), []);
+    assert_eq!(m.needed_commands(true, |_, _| true), []);
     take(
         &mut m,
         &report(1, 2, TERM, &[(7, TaskState::Exited)]),
-        HeartbeatSource::Checkin,
+        HeartbeatSource::Periodic,
     );
-    assert_eq!(m.commands(true, |_, _| false), []);
+    assert_eq!(m.needed_commands(true, |_, _| false), []);
 }
 
 /// The end of an attempt of before is none of the present one.
@@ -181,17 +187,21 @@
 fn an_earlier_attempt_is_not_the_placed_one() {
     let mut m = machine();
     m.slots.clear();
-    let slot = Machine::slot(2, 1, (0, &spec()), true);
-    m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    let slot = TaskSlot::new(2, 1, 0, &spec(), true);
+    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let ended = report(1, 2, TERM, &[(1, TaskState::Exited)]);
-    assert_eq!(take(&mut m, &ended, HeartbeatSource::Checkin), []);
+    assert_eq!(take(&mut m, &ended, HeartbeatSource::Periodic), []);
     let both = [(1, TaskState::Exited), (2, TaskState::Running)];
-    let events = take(&mut m, &report(1, 3, TERM, &both), HeartbeatSource::Checkin);
+    let events = take(
+        &mut m,
+        &report(1, 3, TERM, &both),
+        HeartbeatSource::Periodic,
+    );
     assert_eq!(events, [TaskEvent::Running(key())]);
     // One that still runs is a stray, and is stopped.
     let stray = report(1, 4, TERM, &[(1, TaskState::Running)]);
-    take(&mut m, &stray, HeartbeatSource::Checkin);
-    let stops = m.commands(true, |_, _| true);
+    take(&mut m, &stray, HeartbeatSource::Periodic);
+    let stops = m.needed_commands(true, |_, _| true);
     assert!(matches!(&stops[..], [Command::Stop { attempt: 1, .. }, ..]));
 }
 
@@ -201,8 +211,8 @@
 fn nothing_is_commanded_for_a_session_that_is_over() {
     let mut m = machine();
     m.slots.clear();
-    take(&mut m, &report(2, 2, TERM, &[]), HeartbeatSource::Checkin);
-    let slot = Machine::slot(1, 1, (0, &spec()), true);
-    m.place(key(), slot, (&Rc::from("img"), 1.0), 50.0);
-    assert_eq!(m.commands(true, |_, _| true), []);
+    take(&mut m, &report(2, 2, TERM, &[]), HeartbeatSource::Periodic);
+    let slot = TaskSlot::new(1, 1, 0, &spec(), true);
+    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    assert_eq!(m.needed_commands(true, |_, _| true), []);
 }
