--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -3,9 +3,10 @@
 use crate::calls::Context;
 use crate::leader::Leader;
 use crate::leader::boot_estimator::{BootEstimator, boot_time};
-use crate::leader::zone_partition::{PARTITION_LEASES, heartbeat_missed_after};
+use crate::leader::zone_partition::{PARTITION_LEASES, SpareCapacity, heartbeat_missed_after};
 use crate::leadership_guard::{CloudAction, DeletionReason};
 use crate::machines::{Machine, MachineEnd};
+use crate::sched::SlabIndex;
 use crate::write_queue::PendingWrite;
 use crate::{Config, Micros, SECOND, micros, records, seconds};
 use dillcleat_wire::cloud::MachineType;
@@ -32,6 +33,20 @@
     ready_since: Micros,
 }
 
+/// A machine that has been silent for too long, and for how long.
+struct SilentMachine {
+    name: Rc<str>,
+    silence: Micros,
+}
+
+/// What a check for silent machines has found.
+#[derive(Default)]
+struct SilentMachines {
+    /// The indexes of machines that are to be asked if they are there.
+    to_probe: Vec<SlabIndex>,
+    to_delete: Vec<SilentMachine>,
+}
+
 impl SilenceCheck<'_> {
     /// The silence after which a machine that was up is deleted.
     fn ordinary_limit(&self) -> Micros {
@@ -63,6 +78,34 @@
         }
     }
 
+    /// For how long nothing was heard of the machine.
+    fn silence(&self, machine: &Machine) -> Micros {
+        let last_heard_at = machine.reachability.last_heard_at();
+        self.now.saturating_sub(last_heard_at)
+    }
+
+    /// Whether the machine is to be asked if it is there. One heartbeat that got lost costs a
+    /// worker up to 5 s; whether the machine is there shows sooner when it is asked.
+    fn needs_probe(&self, machine: &Machine, silence: Micros) -> bool {
+        machine.ready
+            && silence > heartbeat_missed_after(self.config)
+            && !machine.command_state.is_requested()
+    }
+
+    /// Whether a machine that has been silent for too long is to be deleted now.
+    ///
+    /// Machines in a partitioned zone may come back any time, and their capacity with them.
+    /// To delete 512 machines whose work could not run elsewhere cost a third of all portals
+    /// the rest of a partition and a minute besides (zone, rosterwise-nz-fleet). What the
+    /// work of this machine could have elsewhere is taken from `spare`.
+    fn is_given_up(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
+        let is_kept_for_its_work = self.partitioned.contains(&machine.name)
+            && self.may_heal(silence)
+            && !spare.take_for(machine);
+        let is_doubted = self.isolated && self.may_heal(silence);
+        self.had_its_chance(machine) && !is_kept_for_its_work && !is_doubted
+    }
+
     /// Whether the silence is so short that a partition may still heal.
     fn may_heal(&self, silence: Micros) -> bool {
         silence < self.config.lease * PARTITION_LEASES
@@ -141,12 +184,37 @@
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
     ) {
-        let now = ctx.now.monotonic;
         let may_delete = self.may_answer_heartbeats(ctx)
             && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Silent));
+        let SilentMachines {
+            to_probe,
+            to_delete,
+        } = self.find_silent_machines(ctx, partitioned);
+        for index in to_probe {
+            if let Some(machine) = self.machines.quiet(index) {
+                machine.command_state.request_probe();
+                self.command_dispatch
+                    .enqueue_background(machine.name.clone());
+            }
+        }
+        if !may_delete {
+            return;
+        }
+        for SilentMachine { name, silence } in to_delete {
+            let silent_s = seconds(silence);
+            log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
+            self.delete_machine(&name, DeletionReason::Silent);
+        }
+    }
+
+    fn find_silent_machines(
+        &self,
+        ctx: &Context,
+        partitioned: &BTreeSet<Rc<str>>,
+    ) -> SilentMachines {
         let types = self.machine_types.types.clone();
         let check = SilenceCheck {
-            now,
+            now: ctx.now.monotonic,
             config: ctx.config,
             types: types.as_deref().map_or(&[][..], Vec::as_slice),
             partitioned,
@@ -154,53 +222,27 @@
             isolated: self.is_probably_isolated(ctx.config),
             ready_since: self.recovery.ready_since,
         };
-        let missed_after = heartbeat_missed_after(ctx.config);
         let mut spare = self.spare_capacity(partitioned);
+        let mut found = SilentMachines::default();
         let derived = &self.derived;
         let suspects = &(derived.silent_machines() | derived.booting_machines())
             | derived.interrupted_machines();
-        let mut to_probe = Vec::new();
-        let mut to_delete = Vec::new();
         for index in suspects {
             let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
-            let silence = now.saturating_sub(machine.reachability.last_heard_at());
-            // One heartbeat that got lost costs a worker up to 5 s. Whether the machine is
-            // there shows sooner when it is asked.
-            if machine.ready && silence > missed_after && !machine.command_state.is_requested() {
-                to_probe.push(index);
+            let silence = check.silence(machine);
+            if check.needs_probe(machine, silence) {
+                found.to_probe.push(index);
             }
             let limit = check.limit(machine, &self.autoscaler.boot_estimator);
-            // Machines in a partitioned zone may come back any time, and their capacity
-            // with them. To delete 512 machines whose work could not run elsewhere cost a
-            // third of all portals the rest of a partition and a minute besides (zone,
-            // rosterwise-nz-fleet).
-            let is_kept_for_its_work = partitioned.contains(&machine.name)
-                && check.may_heal(silence)
-                && silence >= limit
-                && !spare.take_for(machine);
-            let is_doubted = check.isolated && check.may_heal(silence);
-            let is_silent = silence >= limit
-                && check.had_its_chance(machine)
-                && !is_kept_for_its_work
-                && !is_doubted;
-            if may_delete && (is_silent || check.is_taken_back(machine, silence)) {
-                to_delete.push((machine.name.clone(), silence));
-            }
-        }
-        for index in to_probe {
-            if let Some(machine) = self.machines.quiet(index) {
-                machine.command_state.request_probe();
-                self.command_dispatch
-                    .enqueue_background(machine.name.clone());
+            let is_silent = silence >= limit && check.is_given_up(machine, silence, &mut spare);
+            if is_silent || check.is_taken_back(machine, silence) {
+                let name = machine.name.clone();
+                found.to_delete.push(SilentMachine { name, silence });
             }
         }
-        for (name, silence) in to_delete {
-            let silent_s = seconds(silence);
-            log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
-            self.delete_machine(&name, DeletionReason::Silent);
-        }
+        found
     }
 
     /// Whether many machines are silent at once. They are counted as soon as they miss a
