--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -163,7 +163,7 @@
         let indexes = lost.keys().copied().chain(waiting);
         indexes.filter_map(move |index| {
             let (_, job) = self.jobs.at(index)?;
-            if job.record.doubtful() {
+            if job.record.is_suspect() {
                 return None;
             }
             let mut view = self.job_view(ctx, index)?;
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -86,7 +86,7 @@
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
             Some(job.blocked_until),
-            job.record.next_try(),
+            job.record.retry_at(),
             past_use_at.filter(|_| !job.waiting.is_empty()),
             job.starves_at(ctx.config),
         ]
@@ -127,7 +127,7 @@
             && self.cancelled.is_none()
             && !self.blocked_on_dependencies
             && !self.ending
-            && !self.record.doubtful();
+            && !self.record.is_suspect();
         match (ages, self.ageing_since) {
             (true, None) => self.ageing_since = Some(virtual_time),
             (false, Some(since)) => {
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -264,10 +264,10 @@
     /// A task of the job is known to have run, so its errors elsewhere were
     /// those machines' own.
     fn proves(&mut self, id: &Rc<str>) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.record.proven()) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| !j.record.is_proven()) else {
             return;
         };
-        for machine in job.record.ran() {
+        for machine in job.record.record_success() {
             self.strike(&machine, id);
         }
     }
@@ -317,10 +317,10 @@
             ExitReason::Error => {
                 m.health.record_failed_job(&key.0);
                 let name = m.name.clone();
-                if job.record.proven() {
+                if job.record.is_proven() {
                     self.strike(&name, &key.0);
                 } else if !m.health.has_strikes()
-                    && let Some(pause) = job.record.failed(&name, now)
+                    && let Some(pause) = job.record.record_failure(&name, now)
                 {
                     log::info!(
                         "{}: fails wherever it runs, tried again in {} s",
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -292,7 +292,7 @@
             }
         }
         if job.done > 0 {
-            job.record.ran();
+            job.record.record_success();
         }
         for (i, attempt, machine, session) in chunk.placed {
             let Some(t) = job.tasks.get_mut(i as usize) else {
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -33,7 +33,7 @@
         index: SlabIndex,
     ) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(index)?;
-        let max_tasks = if job.record.doubtful() {
+        let max_tasks = if job.record.is_suspect() {
             1
         } else {
             MAX_TASKS_PER_JOB
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -53,7 +53,7 @@
     /// for it now and was not before.
     pub fn add_strike(&mut self, job: &Rc<str>) -> bool {
         self.strikes.add(job);
-        let newly_cordoned = self.strikes.condemn() && !self.cordoned;
+        let newly_cordoned = self.strikes.warrant_cordon() && !self.cordoned;
         self.cordoned |= newly_cordoned;
         newly_cordoned
     }
