--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -220,7 +220,7 @@
         if machine.machine_type.is_empty() {
             machine.update_description(&listed.machine_type, &listed.zone, listed.spot);
         }
-        if !machine.up && is_booting {
+        if !machine.is_up() && is_booting {
             // Leaders change; how long it has been booting does not. A machine that never
             // comes up is paid for until it is deleted.
             let age = micros(listed.age_s).min(now);
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -60,7 +60,7 @@
     /// partition serve until their lease ends. To delete them sooner once cost a third of
     /// all replicas the time that others took to boot (rough, brunnmatt-books-grown).
     fn limit(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
-        if !machine.up {
+        if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
             if machine.expected {
                 boot_estimator.max_wait(machine, boot)
@@ -87,7 +87,7 @@
     /// Whether the machine is to be asked if it is there. One heartbeat that got lost costs a
     /// worker up to 5 s; whether the machine is there shows sooner when it is asked.
     fn needs_probe(&self, machine: &Machine, silence: Micros) -> bool {
-        machine.ready
+        machine.is_ready()
             && silence > heartbeat_missed_after(self.config)
             && !machine.command_state.is_requested()
     }
@@ -115,12 +115,12 @@
     /// leader before found silent gets that first.
     fn had_its_chance(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
-        !machine.up || machine.ready || self.now >= self.ready_since + missed_after
+        !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
 
     /// Whether the cloud has taken the machine back by its own notice.
     fn is_taken_back(&self, machine: &Machine, silence: Micros) -> bool {
-        let gone_at = machine.interrupted_at.map(|at| at + SECOND);
+        let gone_at = machine.interrupted_at().map(|at| at + SECOND);
         gone_at.is_some_and(|at| self.now >= at) && silence > self.config.report
     }
 }
@@ -263,16 +263,16 @@
             let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            if !machine.ready
+            if !machine.is_ready()
                 || machine.being_deleted
                 || !machine.slots.is_empty()
                 || !machine.unexpected_tasks().is_empty()
             {
                 continue;
             }
-            let is_retired = machine.health.is_cordoned() || machine.interrupted_at.is_some();
-            let is_idle = now.saturating_sub(machine.empty_since) >= max_idle
-                && now >= machine.known_since + PAID_TIME;
+            let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
+            let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
+                && now >= machine.known_since() + PAID_TIME;
             // What the headroom needs is kept: it would be asked for again at once.
             if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
                 let total = self.type_resources(&machine.machine_type);
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -51,7 +51,7 @@
 impl Boot {
     /// Whether it began no sooner than that of the machine, give or take a second.
     fn began_with_or_after(&self, machine: &Machine) -> bool {
-        self.started_at + SECOND >= machine.known_since
+        self.started_at + SECOND >= machine.known_since()
     }
 }
 
@@ -83,8 +83,8 @@
     /// The machine is up.
     pub fn record_boot(&mut self, machine: &Machine, now: Micros) {
         let boot = Boot {
-            started_at: machine.known_since,
-            duration: now.saturating_sub(machine.known_since),
+            started_at: machine.known_since(),
+            duration: now.saturating_sub(machine.known_since()),
         };
         let latest = self
             .latest_boots
@@ -113,7 +113,7 @@
 
     /// How the boot of a machine goes; `usual` is the usual boot time of its type.
     pub fn progress(&self, machine: &Machine, usual: Micros, now: Micros) -> BootProgress {
-        let age = now.saturating_sub(machine.known_since);
+        let age = now.saturating_sub(machine.known_since());
         let later_boot = self.later_boot(machine);
         let expected = later_boot.map_or(usual, |boot| boot.duration.max(usual));
         if age < expected * 7 / 4 {
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -191,7 +191,7 @@
                 .enqueue_at(at, name, DispatchPriority::Urgent);
             return;
         }
-        let commands = if machine.ready {
+        let commands = if machine.is_ready() {
             self.permitted_commands(ctx, machine)
         } else {
             Vec::new()
@@ -205,7 +205,7 @@
             return;
         };
         let is_probe = machine.command_state.take_request();
-        if machine.ready && commands.is_empty() && !is_probe {
+        if machine.is_ready() && commands.is_empty() && !is_probe {
             return;
         }
         let sent = commands.clone();
@@ -266,10 +266,13 @@
                 .push(LeaderEvent::Higher(heartbeat.fencing_token));
             return;
         }
-        let was_ready = self.machines.get(name).is_some_and(|machine| machine.ready);
+        let was_ready = self
+            .machines
+            .get(name)
+            .is_some_and(|machine| machine.is_ready());
         self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::CommandReply);
         if let Some(machine) = self.machines.get_mut(name)
-            && !machine.ready
+            && !machine.is_ready()
             && !was_ready
         {
             // The incarnation was another than thought: again with the right one.
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -277,7 +277,7 @@
 
     /// How many images of services the machine holds.
     pub(super) fn service_images_on(&self, machine: &Machine) -> u32 {
-        let images = machine.images.iter();
+        let images = machine.images().iter();
         let sums = &self.derived.sums;
         images
             .filter(|(image, _)| sums.services_using(image) > 0)
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -143,8 +143,8 @@
     ) -> MachineContribution {
         let cpus = total.map_or(0, |total| to_millionths(total.cpus));
         let is_kept = !machine.being_deleted;
-        let up = machine.up && is_kept;
-        let booting = !machine.ready && is_kept;
+        let up = machine.is_up() && is_kept;
+        let booting = !machine.is_ready() && is_kept;
         let borrowers = machine
             .slots
             .values()
@@ -155,11 +155,11 @@
             up,
             silent: up && machine.reachability.has_missed_heartbeat(now, missed_after),
             booting,
-            interrupted: machine.interrupted_at.is_some() && is_kept,
-            empty: machine.slots.is_empty() && machine.ready && is_kept,
+            interrupted: machine.interrupted_at().is_some() && is_kept,
+            empty: machine.slots.is_empty() && machine.is_ready() && is_kept,
             runs_arrays: machine.has_array_tasks(),
             recorded: machine.recorded && is_kept,
-            ready_cpus: if machine.ready { cpus } else { 0 },
+            ready_cpus: if machine.is_ready() { cpus } else { 0 },
             coming_cpus: if booting && machine.expected { cpus } else { 0 },
             lent_cpus: borrowers
                 .map(|slot| to_millionths(slot.resources.cpus))
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -31,10 +31,10 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            up: machine.up,
-            ready: machine.ready,
+            up: machine.is_up(),
+            ready: machine.is_ready(),
             recorded: machine.recorded,
-            interrupted: machine.interrupted_at.is_some(),
+            interrupted: machine.interrupted_at().is_some(),
             has_unexpected_tasks: !machine.unexpected_tasks().is_empty(),
         }
     }
@@ -88,7 +88,7 @@
         {
             let name = heartbeat.machine.as_str();
             let position = HeartbeatPosition::of(heartbeat);
-            let latest = self.machines.get(name).filter(|machine| machine.up);
+            let latest = self.machines.get(name).filter(|machine| machine.is_up());
             // A copy of the latest heartbeat has been answered: nobody waits for this
             // answer, and what it launched would wait for the next heartbeat.
             let is_copy = latest.is_some_and(|machine| machine.position() == position);
@@ -97,7 +97,7 @@
                 if self.lease_must_expire(ctx, machine) {
                     return Answer::later("a cancelled task is not seen gone");
                 }
-                if machine.ready && machine.position() == position && !is_copy {
+                if machine.is_ready() && machine.position() == position && !is_copy {
                     reply.commands = self.permitted_commands(ctx, machine);
                 }
             }
@@ -140,9 +140,9 @@
         let Some(machine) = self.machines.quiet(index) else {
             return;
         };
-        let was_ready = machine.ready;
+        let was_ready = machine.is_ready();
         let new_incarnation = heartbeat.incarnation > machine.incarnation();
-        let is_newer = !machine.up || HeartbeatPosition::of(heartbeat) > machine.position();
+        let is_newer = !machine.is_up() || HeartbeatPosition::of(heartbeat) > machine.position();
         let events = machine.apply_heartbeat(heartbeat, source, self.term, now);
         let may_have_recovered = is_newer
             && source == HeartbeatSource::Periodic
@@ -193,15 +193,15 @@
         if self.partitions.record_heard(zone) {
             log::info!("zone reachable again zone={zone}");
         }
-        if !machine.up {
-            let boot_s = seconds(now - machine.known_since);
+        if !machine.is_up() {
+            let boot_s = seconds(now - machine.known_since());
             log::info!("machine is up machine={name} zone={zone} boot_s={boot_s}");
-            machine.empty_since = now;
+            machine.restart_idle_time(now);
             if machine.expected {
                 self.autoscaler.boot_estimator.record_boot(machine, now);
             }
         }
-        if machine.interrupted_at.is_none()
+        if machine.interrupted_at().is_none()
             && let Some(notice_s) = heartbeat.interruption_notice_s
         {
             let name = &machine.name;
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -271,7 +271,7 @@
             let mut slot =
                 TaskSlot::new(task.attempt, incarnation, assignment.job, &job.spec, false);
             slot.uses_service_headroom = assignment.uses_service_headroom;
-            let image_held = machine.images.iter().any(|(name, _)| *name == job.image);
+            let image_held = machine.holds_image(&job.image);
             log::debug!(
                 "placing task job={job_id} task={index} machine={machine_name} image={} image_held={image_held}",
                 job.image
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -103,7 +103,7 @@
         zone: machine.zone.clone(),
         spot: machine.spot,
         free,
-        images: machine.images.clone(),
+        images: machine.images().clone(),
         service_images: 0,
         failed_jobs: machine.health.failed_jobs().cloned().collect(),
         cordoned: machine.health.is_cordoned(),
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -22,7 +22,7 @@
         let Some(machine) = self.machines.get(machine_name) else {
             return;
         };
-        let Some(gone_at) = machine.interrupted_at else {
+        let Some(gone_at) = machine.interrupted_at() else {
             return;
         };
         let notice_s = seconds(gone_at.saturating_sub(now));
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -159,7 +159,7 @@
     /// hold. What it shows under this term's seal is all that it holds: nobody launches
     /// any more of it.
     pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
-        let may_hold = |id: &str, orphan: &UnknownJob| match m.ready {
+        let may_hold = |id: &str, orphan: &UnknownJob| match m.is_ready() {
             true => m.unexpected_tasks().iter().any(|(task, _)| task.job == id),
             false => orphan.anywhere || orphan.machines.contains(&m.name),
         };
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -8,6 +8,7 @@
 mod command_state;
 mod health;
 mod heartbeat_reconciliation;
+mod needed_commands;
 mod reachability;
 mod task_slot;
 
@@ -19,8 +20,7 @@
 };
 use crate::Micros;
 use crate::sched::{Images, Resources};
-use dillcleat_wire::TaskName;
-use dillcleat_wire::worker::{Command, Heartbeat};
+use dillcleat_wire::worker::Heartbeat;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -68,32 +68,32 @@
     pub zone: Rc<str>,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// Whether it has sent a heartbeat under this term's fencing token.
-    pub ready: bool,
-    /// Whether it has sent any heartbeat.
-    pub up: bool,
     /// Whether it is booting for certain, so that it counts as capacity to come.
     pub expected: bool,
     /// Whether its record is in the store, or on its way there.
     pub recorded: bool,
     /// Whether it is to be deleted. It gets no more tasks.
     pub being_deleted: bool,
-    /// Since when it is known or, if that is longer, booting.
-    pub known_since: Micros,
-    /// Since when nothing is placed on it.
-    pub empty_since: Micros,
-    /// When the cloud takes it back, if it has said so.
-    pub interrupted_at: Option<Micros>,
     /// The tasks that are placed here.
     pub slots: BTreeMap<TaskKey, TaskSlot>,
-    /// Images that were used here, the latest last.
-    pub images: Images,
     /// When it was heard, and whether commands reach it.
     pub reachability: Reachability,
     /// Commands to be sent, and those that were sent.
     pub command_state: CommandState,
     /// Failures on it.
     pub health: MachineHealth,
+    /// Whether it has sent a heartbeat under this term's fencing token.
+    ready: bool,
+    /// Whether it has sent any heartbeat.
+    up: bool,
+    /// Since when it is known or, if that is longer, booting.
+    known_since: Micros,
+    /// Since when nothing is placed on it.
+    empty_since: Micros,
+    /// When the cloud takes it back, if it has said so.
+    interrupted_at: Option<Micros>,
+    /// Images that were used here, the latest last.
+    images: Images,
     /// The latest heartbeat that was applied.
     position: HeartbeatPosition,
     /// Exited attempts that the latest heartbeat lists.
@@ -144,6 +144,47 @@
         self.spot = spot;
     }
 
+    /// Whether it has sent a heartbeat under this term's fencing token. Before that, what
+    /// it lists proves nothing.
+    pub fn is_ready(&self) -> bool {
+        self.ready
+    }
+
+    /// Whether it has sent any heartbeat.
+    pub fn is_up(&self) -> bool {
+        self.up
+    }
+
+    /// Since when it is known or, if that is longer, booting.
+    pub fn known_since(&self) -> Micros {
+        self.known_since
+    }
+
+    /// Since when nothing is placed on it.
+    pub fn empty_since(&self) -> Micros {
+        self.empty_since
+    }
+
+    /// When the cloud takes it back, if it has said so.
+    pub fn interrupted_at(&self) -> Option<Micros> {
+        self.interrupted_at
+    }
+
+    /// Images that were used here, the latest last.
+    pub fn images(&self) -> &Images {
+        &self.images
+    }
+
+    /// Whether the image was used here lately.
+    pub fn holds_image(&self, image: &str) -> bool {
+        self.images.iter().any(|(name, _)| **name == *image)
+    }
+
+    /// It counts as empty from now on only: the time of its boot is not idle time.
+    pub fn restart_idle_time(&mut self, now: Micros) {
+        self.empty_since = now;
+    }
+
     /// The incarnation of its agent, as far as is known.
     pub fn incarnation(&self) -> u64 {
         self.position.incarnation
@@ -284,93 +325,4 @@
             })
             .collect()
     }
-
-    /// The commands that the machine needs, computed anew each time, so that a lost
-    /// message needs no account of its own.
-    ///
-    /// `is_end_stored` tells whether the end of an exited attempt is in the store: no
-    /// attempt is reaped before. Unless this node `may_preempt`, nothing is stopped to run
-    /// elsewhere.
-    pub fn needed_commands(
-        &self,
-        may_preempt: bool,
-        is_end_stored: impl Fn(&TaskName, u64) -> bool,
-    ) -> Vec<Command> {
-        let mut commands: Vec<Command> = self.reaps(is_end_stored).collect();
-        commands.extend(self.unexpected_task_stops());
-        commands.extend(self.cancelled_task_stops());
-        commands.extend(self.launches_and_preemptions(may_preempt));
-        commands
-    }
-
-    /// Has exited attempts removed whose end is stored. After a reap the worker would
-    /// start a late launch of the same attempt again, so it keeps what may still be
-    /// launched.
-    fn reaps(
-        &self,
-        is_end_stored: impl Fn(&TaskName, u64) -> bool,
-    ) -> impl Iterator<Item = Command> {
-        let settled = self.exited.iter().filter(move |launch| {
-            is_end_stored(&launch.0, launch.1) && !self.command_state.may_still_launch(launch)
-        });
-        settled.map(|(task, attempt)| Command::Reap {
-            task: task.clone(),
-            attempt: *attempt,
-        })
-    }
-
-    fn unexpected_task_stops(&self) -> impl Iterator<Item = Command> {
-        self.unexpected.iter().map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-            grace_s: 0,
-        })
-    }
-
-    /// The stops of cancelled tasks that were seen here.
-    pub fn cancelled_task_stops(&self) -> impl Iterator<Item = Command> {
-        self.slots
-            .iter()
-            .filter(|(_, slot)| {
-                slot.cancelled
-                    && slot.incarnation == self.incarnation()
-                    && slot.is_stored_and_seen()
-            })
-            .map(|(key, slot)| slot.stop_command(key))
-    }
-
-    fn launches_and_preemptions(&self, may_preempt: bool) -> impl Iterator<Item = Command> {
-        let current = self.slots.iter().filter(|(_, slot)| {
-            slot.incarnation == self.incarnation() && slot.stored && !slot.cancelled
-        });
-        current.filter_map(move |(key, slot)| {
-            if slot.preempted {
-                let stop = slot.seen.is_some() && may_preempt;
-                return stop.then(|| slot.stop_command(key));
-            }
-            if slot.seen.is_some() {
-                return None;
-            }
-            let launch = (task_name(key), slot.attempt);
-            if self.command_state.is_launch_in_flight(&launch) {
-                return None;
-            }
-            let (task, attempt) = launch;
-            Some(Command::Launch { task, attempt })
-        })
-    }
-
-    /// Records which launches the reply to the latest heartbeat carries.
-    pub fn record_reply_launches(&mut self, commands: &[Command]) {
-        for command in commands {
-            if let Command::Launch { task, attempt } = command
-                && let Some(slot) = self
-                    .slots
-                    .get_mut(&(Rc::from(task.job.as_str()), task.index))
-                && slot.attempt == *attempt
-            {
-                slot.launch_replied_to = Some(self.position);
-            }
-        }
-    }
 }
