--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -8,6 +8,7 @@
 //! has ended, or a leader comes that can read it.
 
 use super::*;
+use crate::machines::TaskAttempt;
 use dillcleat_wire::user::ResourceClaim;
 
 /// When the mark of an orphan is looked for again, if there was none.
@@ -144,15 +145,10 @@
             let orphan = self.unknown_jobs.get(task.job.as_str());
             orphan.is_some_and(|o| o.cancelled.is_some())
         };
-        let strays = m
-            .unexpected_tasks()
-            .iter()
-            .filter(move |(task, _)| cancelled(task));
-        strays.map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-            grace_s: 0,
-        })
+        let unexpected = m.unexpected_tasks().iter();
+        unexpected
+            .filter(move |unexpected| cancelled(&unexpected.task))
+            .map(TaskAttempt::stop_command)
     }
 
     /// When the oldest cancellation was confirmed of an unknown job that the machine may
@@ -160,7 +156,10 @@
     /// any more of it.
     pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
         let may_hold = |id: &str, orphan: &UnknownJob| match m.is_ready() {
-            true => m.unexpected_tasks().iter().any(|(task, _)| task.job == id),
+            true => m
+                .unexpected_tasks()
+                .iter()
+                .any(|unexpected| unexpected.task.job == id),
             false => orphan.anywhere || orphan.machines.contains(&m.name),
         };
         let orphans = self.unknown_jobs.iter().filter(|(id, o)| may_hold(id, o));
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -15,9 +15,7 @@
 pub use self::command_state::CommandState;
 pub use self::health::MachineHealth;
 pub use self::reachability::Reachability;
-pub use self::task_slot::{
-    LaunchId, MachineEnd, TaskEvent, TaskKey, TaskLossReason, TaskSlot, task_name,
-};
+pub use self::task_slot::{MachineEnd, TaskAttempt, TaskEvent, TaskKey, TaskLossReason, TaskSlot};
 use crate::Micros;
 use crate::sched::{Images, Resources};
 use dillcleat_wire::worker::Heartbeat;
@@ -97,9 +95,9 @@
     /// The latest heartbeat that was applied.
     position: HeartbeatPosition,
     /// Exited attempts that the latest heartbeat lists.
-    exited: Vec<LaunchId>,
+    exited: Vec<TaskAttempt>,
     /// Other attempts that the latest heartbeat lists and that are not placed here.
-    unexpected: Vec<LaunchId>,
+    unexpected: Vec<TaskAttempt>,
 }
 
 impl Machine {
@@ -270,7 +268,7 @@
     }
 
     /// Attempts that the latest heartbeat lists as not exited and that are not placed here.
-    pub fn unexpected_tasks(&self) -> &[LaunchId] {
+    pub fn unexpected_tasks(&self) -> &[TaskAttempt] {
         &self.unexpected
     }
 
--- a/crates/controller/src/machines/command_state.rs
+++ b/crates/controller/src/machines/command_state.rs
@@ -1,7 +1,7 @@
 //! Commands to one machine: whether any are to be sent, and which launches may still be
 //! carried out.
 
-use super::LaunchId;
+use super::TaskAttempt;
 use crate::{CallId, Micros};
 use dillcleat_wire::worker::Command;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 struct CommandsInFlight {
     call: CallId,
-    launches: Vec<LaunchId>,
+    launches: Vec<TaskAttempt>,
 }
 
 /// What is to be sent to a machine, and what was sent.
@@ -25,7 +25,7 @@
     not_before: Micros,
     /// Launches of this incarnation that were sent and not answered: they may be
     /// carried out minutes later.
-    unanswered_launches: BTreeSet<LaunchId>,
+    unanswered_launches: BTreeSet<TaskAttempt>,
 }
 
 impl CommandState {
@@ -82,7 +82,10 @@
         let launches = commands
             .iter()
             .filter_map(|command| match command {
-                Command::Launch { task, attempt } => Some((task.clone(), *attempt)),
+                Command::Launch { task, attempt } => Some(TaskAttempt {
+                    task: task.clone(),
+                    attempt: *attempt,
+                }),
                 _ => None,
             })
             .collect();
@@ -100,14 +103,14 @@
     }
 
     /// Whether the batch in flight holds the launch.
-    pub(super) fn is_launch_in_flight(&self, launch: &LaunchId) -> bool {
+    pub(super) fn is_launch_in_flight(&self, launch: &TaskAttempt) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|batch| batch.launches.contains(launch))
     }
 
     /// Whether a launch that was sent as a command may be carried out at any time.
-    pub(super) fn may_still_launch(&self, launch: &LaunchId) -> bool {
+    pub(super) fn may_still_launch(&self, launch: &TaskAttempt) -> bool {
         self.unanswered_launches.contains(launch) || self.is_launch_in_flight(launch)
     }
 
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -4,8 +4,8 @@
 //! every condition below guards that rule.
 
 use super::{
-    HeartbeatPosition, HeartbeatSource, Machine, TaskEvent, TaskKey, TaskLossReason, TaskSlot,
-    task_name,
+    HeartbeatPosition, HeartbeatSource, Machine, TaskAttempt, TaskEvent, TaskKey, TaskLossReason,
+    TaskSlot,
 };
 use crate::{Micros, micros};
 use dillcleat_wire::worker::{ExitReason, Heartbeat, TaskState, TaskStatus};
@@ -94,8 +94,12 @@
                 .slots
                 .get(&key)
                 .is_some_and(|slot| slot.attempt == status.attempt);
+            let listed = TaskAttempt {
+                task: status.task.clone(),
+                attempt: status.attempt,
+            };
             if status.state == TaskState::Exited {
-                self.exited.push((status.task.clone(), status.attempt));
+                self.exited.push(listed);
                 if is_placed_here {
                     events.extend(self.remove_exited(key, status, now));
                 }
@@ -103,7 +107,7 @@
                 events.extend(self.update_seen(&key, status.state, now));
                 present.insert(key);
             } else {
-                self.unexpected.push((status.task.clone(), status.attempt));
+                self.unexpected.push(listed);
             }
         }
         present
@@ -158,7 +162,7 @@
             !present.contains(key)
                 && slot.stored
                 && (slot.cancelled || slot.seen.is_some())
-                && !commands.may_still_launch(&(task_name(key), slot.attempt))
+                && !commands.may_still_launch(&slot.task_attempt(key))
                 && slot.launch_replied_to.is_none_or(reply_is_settled)
         };
         let reason = TaskLossReason::AbsentFromHeartbeat;
--- a/crates/controller/src/machines/needed_commands.rs
+++ b/crates/controller/src/machines/needed_commands.rs
@@ -1,6 +1,6 @@
 //! The commands that a machine needs.
 
-use super::{Machine, task_name};
+use super::{Machine, TaskAttempt};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::worker::Command;
 use std::rc::Rc;
@@ -32,20 +32,17 @@
         is_end_stored: impl Fn(&TaskName, u64) -> bool,
     ) -> impl Iterator<Item = Command> {
         let settled = self.exited.iter().filter(move |launch| {
-            is_end_stored(&launch.0, launch.1) && !self.command_state.may_still_launch(launch)
+            is_end_stored(&launch.task, launch.attempt)
+                && !self.command_state.may_still_launch(launch)
         });
-        settled.map(|(task, attempt)| Command::Reap {
-            task: task.clone(),
-            attempt: *attempt,
+        settled.map(|exited| Command::Reap {
+            task: exited.task.clone(),
+            attempt: exited.attempt,
         })
     }
 
     fn unexpected_task_stops(&self) -> impl Iterator<Item = Command> {
-        self.unexpected.iter().map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-            grace_s: 0,
-        })
+        self.unexpected.iter().map(TaskAttempt::stop_command)
     }
 
     /// The stops of cancelled tasks that were seen here.
@@ -57,7 +54,7 @@
                     && slot.incarnation == self.incarnation()
                     && slot.is_stored_and_seen()
             })
-            .map(|(key, slot)| slot.stop_command(key))
+            .map(|(key, slot)| slot.task_attempt(key).stop_command())
     }
 
     fn launches_and_preemptions(&self, may_preempt: bool) -> impl Iterator<Item = Command> {
@@ -67,17 +64,19 @@
         current.filter_map(move |(key, slot)| {
             if slot.preempted {
                 let stop = slot.seen.is_some() && may_preempt;
-                return stop.then(|| slot.stop_command(key));
+                return stop.then(|| slot.task_attempt(key).stop_command());
             }
             if slot.seen.is_some() {
                 return None;
             }
-            let launch = (task_name(key), slot.attempt);
+            let launch = slot.task_attempt(key);
             if self.command_state.is_launch_in_flight(&launch) {
                 return None;
             }
-            let (task, attempt) = launch;
-            Some(Command::Launch { task, attempt })
+            Some(Command::Launch {
+                task: launch.task,
+                attempt: launch.attempt,
+            })
         })
     }
 
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -12,8 +12,23 @@
 /// The job and index of a placed task.
 pub type TaskKey = (Rc<str>, u32);
 
-/// A task and its attempt, as a launch command names them.
-pub type LaunchId = (TaskName, u64);
+/// One attempt of a task, as commands and heartbeats name it.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TaskAttempt {
+    pub task: TaskName,
+    pub attempt: u64,
+}
+
+impl TaskAttempt {
+    /// The command that stops it at once.
+    pub fn stop_command(&self) -> Command {
+        Command::Stop {
+            task: self.task.clone(),
+            attempt: self.attempt,
+            grace_s: 0,
+        }
+    }
+}
 
 /// The resources that one attempt of a task holds on a machine, and what is known of it.
 #[derive(Debug, Clone)]
@@ -86,12 +101,14 @@
             .map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// The command that stops it at once.
-    pub(super) fn stop_command(&self, key: &TaskKey) -> Command {
-        Command::Stop {
-            task: task_name(key),
+    /// The attempt that was placed, by its name on the wire.
+    pub(super) fn task_attempt(&self, key: &TaskKey) -> TaskAttempt {
+        TaskAttempt {
+            task: TaskName {
+                job: key.0.to_string(),
+                index: key.1,
+            },
             attempt: self.attempt,
-            grace_s: 0,
         }
     }
 }
@@ -155,11 +172,3 @@
         })
     }
 }
-
-/// The name of a placed task on the wire.
-pub fn task_name(key: &TaskKey) -> TaskName {
-    TaskName {
-        job: key.0.to_string(),
-        index: key.1,
-    }
-}
