--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -3,6 +3,7 @@
 use crate::calls::Context;
 use crate::leader::Leader;
 use crate::leader::boot_estimator::{BootEstimator, boot_time};
+use crate::leader::scheduling::CPU_ROUNDING_ERROR;
 use crate::leader::zone_partition::{PARTITION_LEASES, SpareCapacity, heartbeat_missed_after};
 use crate::leadership_guard::{CloudAction, DeletionReason};
 use crate::machines::{Machine, MachineEnd};
@@ -16,8 +17,6 @@
 /// A machine is paid for by the minute, so it may as well be kept for one; the rest is for
 /// the deletion.
 const PAID_TIME: Micros = 55 * SECOND;
-/// CPUs below this are rounding errors.
-const NO_CPUS: f64 = 1e-6;
 
 /// What one check for silent machines goes by.
 struct SilenceCheck<'a> {
@@ -280,7 +279,7 @@
                 let free = free_cpus
                     .entry(machine.zone.clone())
                     .or_insert_with(|| self.derived.capacity.ordinary(&machine.zone));
-                if *free - machine_cpus + NO_CPUS < headroom_cpus {
+                if *free - machine_cpus + CPU_ROUNDING_ERROR < headroom_cpus {
                     continue;
                 }
                 *free -= machine_cpus;
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -3,7 +3,7 @@
 use crate::calls::Context;
 use crate::leader::boot_estimator::BootingCapacity;
 use crate::leader::deadline_risk::DeadlineRisk;
-use crate::leader::scheduling::machine_view;
+use crate::leader::scheduling::{CPU_ROUNDING_ERROR, machine_view};
 use crate::leader::{Job, Leader};
 use crate::machines::{Machine, TaskSlot};
 use crate::sched::scale_out_plan::{PlanInputs, plan_scale_out};
@@ -17,8 +17,6 @@
 
 /// A task that has run for longer than expected may run on for this part of its run time.
 const OVERRUN_SHARE: f64 = 0.2;
-/// CPUs below this are rounding errors.
-const NO_CPUS: f64 = 1e-6;
 
 /// Replicas on machines in partitioned zones, by the index of their job.
 type LostReplicas = BTreeMap<SlabIndex, u32>;
@@ -210,7 +208,7 @@
             for slot in machine.array_slots().filter(is_soon_free) {
                 free.add(&slot.resources);
             }
-            if free.cpus > NO_CPUS {
+            if free.cpus > CPU_ROUNDING_ERROR {
                 views.push(machine_view(machine, free));
             }
         }
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod views;
 
-pub(super) use self::views::{machine_view, usable_cache_gb};
+pub(super) use self::views::{CPU_ROUNDING_ERROR, machine_view, usable_cache_gb};
 use super::{Leader, RecoveryStage, TaskPlacement, WATCH_MS};
 use crate::calls::Context;
 use crate::continuations::LeaderStep;
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -11,6 +11,8 @@
 
 /// The most waiting tasks of one job that a cycle or a plan looks at.
 const MAX_TASKS_PER_JOB: usize = 200;
+/// CPUs below this are rounding errors.
+pub(in crate::leader) const CPU_ROUNDING_ERROR: f64 = 1e-6;
 /// The part of a type's image cache that may be counted on.
 const USABLE_CACHE_SHARE: f64 = 0.9;
 
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,6 +1,7 @@
 //! Zones that are cut off by a network partition.
 
 use super::Leader;
+use super::scheduling::CPU_ROUNDING_ERROR;
 use crate::machines::Machine;
 use crate::{Config, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::SilentZone;
@@ -14,8 +15,6 @@
 const PARTITIONED_ZONE_PAUSE: Micros = 60 * SECOND;
 /// A zone is partitioned only if so many of its machines are silent.
 const MIN_SILENT_MACHINES: usize = 3;
-/// CPUs below this are rounding errors.
-const NO_CPUS: f64 = 1e-6;
 
 /// The silence by which a machine has missed a heartbeat, in microseconds.
 pub(super) fn heartbeat_missed_after(config: &Config) -> Micros {
@@ -58,7 +57,7 @@
     /// there is enough of it; if not, none is taken.
     pub fn take_for(&mut self, machine: &Machine) -> bool {
         let (spare, needed) = self.spare_and_needed(machine);
-        let is_enough = needed <= 0.0 || *spare + NO_CPUS >= needed;
+        let is_enough = needed <= 0.0 || *spare + CPU_ROUNDING_ERROR >= needed;
         if is_enough {
             *spare -= needed;
         }
