--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -37,9 +37,13 @@
 /// Which call went out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudRequestKind {
+    /// Deletes machines.
     Delete,
+    /// Starts machines.
     ScaleOut,
+    /// Asks for a page of the list of machines.
     List,
+    /// Asks for the machine types.
     Types,
 }
 
