--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -8,6 +8,7 @@
 //! has ended, or a leader comes that can read it.
 
 use super::*;
+use crate::machines::TaskAttempt;
 use dillcleat_wire::user::ResourceClaim;
 
 /// When the mark of an orphan is looked for again, if there was none.
@@ -60,8 +61,8 @@
         let machines = self.unknown_jobs.get(id).map(|o| o.machines.clone());
         for name in machines.unwrap_or_default() {
             if let Some(m) = self.machines.get_mut(&name) {
-                m.needs_command = true;
-                self.command_dispatch.urgent(name);
+                m.command_state.request();
+                self.command_dispatch.enqueue_urgent(name);
             }
         }
     }
@@ -144,20 +145,21 @@
             let orphan = self.unknown_jobs.get(task.job.as_str());
             orphan.is_some_and(|o| o.cancelled.is_some())
         };
-        let strays = m.strays.iter().filter(move |(task, _)| cancelled(task));
-        strays.map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-            grace_s: 0,
-        })
+        let unexpected = m.unexpected_tasks().iter();
+        unexpected
+            .filter(move |unexpected| cancelled(&unexpected.task))
+            .map(TaskAttempt::stop_command)
     }
 
     /// When the oldest cancellation was confirmed of an unknown job that the machine may
     /// hold. What it shows under this term's seal is all that it holds: nobody launches
     /// any more of it.
     pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
-        let may_hold = |id: &str, orphan: &UnknownJob| match m.ready {
-            true => m.strays.iter().any(|(task, _)| task.job == id),
+        let may_hold = |id: &str, orphan: &UnknownJob| match m.is_ready() {
+            true => m
+                .unexpected_tasks()
+                .iter()
+                .any(|unexpected| unexpected.task.job == id),
             false => orphan.anywhere || orphan.machines.contains(&m.name),
         };
         let orphans = self.unknown_jobs.iter().filter(|(id, o)| may_hold(id, o));
