--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -220,7 +220,7 @@
         };
         let job = OpenJob {
             spec: *spec,
-            at: ctx.now.wall,
+            submitted_at_us: ctx.now.wall,
             chunk: ctx.config.chunk_tasks,
             unmarked: true,
             parallelism_limit: None,
@@ -417,7 +417,9 @@
                     )
                     .put(
                         records::cancelled_key(id),
-                        &CancelledJob { at: ctx.now.wall },
+                        &CancelledJob {
+                            cancelled_at_us: ctx.now.wall,
+                        },
                     );
                 let step = Step::Cancel {
                     id: id.to_string(),
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -97,7 +97,7 @@
     /// The calls to be made a second time now.
     fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
         let per_s = config.state_rps * SECOND_PART;
-        self.allowed.grow(now, per_s, per_s.max(1.0));
+        self.allowed.refill(now, per_s, per_s.max(1.0));
         let mut again = Vec::new();
         while self.urgent.front().is_some_and(|(at, ..)| now >= *at) {
             let Some((_, id, call)) = self.urgent.pop_front() else {
@@ -106,11 +106,11 @@
             let Some(first) = self
                 .waiting
                 .get_mut(&id)
-                .filter(|_| self.allowed.left >= 1.0)
+                .filter(|_| self.allowed.available() >= 1.0)
             else {
                 continue;
             };
-            self.allowed.left -= 1.0;
+            self.allowed.take(1.0);
             self.next += 1;
             let twin = CallId(self.next);
             first.twin = Some(twin);
--- a/crates/controller/src/dependency_graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -1,54 +1,62 @@
-//! Which jobs wait for which.
+//! The dependencies among open jobs, as a directed graph.
 //!
-//! Derived from the records of the open jobs, and made anew by whoever leads. An edge
-//! goes only when the end of the dependency is proved by its stored mark, or with the
-//! dependent itself: that a job is not among the open ones proves nothing.
+//! Derived from the descriptions of the open jobs, and built anew by each leader. An edge
+//! is removed only when the end of the dependency is proved by its stored state record, or
+//! with the dependent itself: that a job is not among the open ones proves nothing.
+//!
+//! Not `petgraph`, which is not in the lock file: edges are found by job id from both
+//! ends, and removed one by one, which two sorted maps do directly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-type Names = BTreeSet<Rc<str>>;
+type JobIds = BTreeSet<Rc<str>>;
 
+/// Which open jobs depend on which jobs that are not known to be done.
+///
+/// Both maps hold the same edges, and no empty set: [`DependencyGraph::is_consistent`]
+/// checks it.
 #[derive(Debug, Default, PartialEq)]
 pub struct DependencyGraph {
-    /// What each waiting job still waits for. A job that is ready is not in here.
-    needs: BTreeMap<Rc<str>, Names>,
-    /// Who waits for a job.
-    needed_by: BTreeMap<Rc<str>, Names>,
+    /// What each blocked job still depends on.
+    dependencies: BTreeMap<Rc<str>, JobIds>,
+    /// The jobs that depend on a job.
+    dependents: BTreeMap<Rc<str>, JobIds>,
 }
 
 impl DependencyGraph {
-    /// A job waits for others.
+    /// Adds that a job depends on another.
     pub fn add(&mut self, job: &Rc<str>, dependency: Rc<str>) {
-        let needs = self.needs.entry(job.clone()).or_default();
-        needs.insert(dependency.clone());
-        let needed_by = self.needed_by.entry(dependency).or_default();
-        needed_by.insert(job.clone());
+        let dependencies = self.dependencies.entry(job.clone()).or_default();
+        dependencies.insert(dependency.clone());
+        let dependents = self.dependents.entry(dependency).or_default();
+        dependents.insert(job.clone());
     }
 
-    pub fn waits(&self, job: &str) -> bool {
-        self.needs.contains_key(job)
+    /// Whether the job depends on any job that is not known to be done.
+    pub fn is_blocked(&self, job: &str) -> bool {
+        self.dependencies.contains_key(job)
     }
 
-    /// Whether any job waits for this one.
-    pub fn needed(&self, job: &str) -> bool {
-        self.needed_by.contains_key(job)
+    /// Whether any job depends on this one.
+    pub fn has_dependents(&self, job: &str) -> bool {
+        self.dependents.contains_key(job)
     }
 
-    /// What the job still waits for.
+    /// What the job still depends on.
     pub fn dependencies(&self, job: &str) -> impl Iterator<Item = &Rc<str>> {
-        self.needs.get(job).into_iter().flatten()
+        self.dependencies.get(job).into_iter().flatten()
     }
 
-    /// The jobs that wait for this one.
+    /// The jobs that depend directly on this one.
     pub fn dependents(&self, job: &str) -> impl Iterator<Item = &Rc<str>> {
-        self.needed_by.get(job).into_iter().flatten()
+        self.dependents.get(job).into_iter().flatten()
     }
 
-    /// The jobs that wait for this one, directly and through others, each once. A
-    /// stored cycle, which no submission can make, ends it all the same.
-    pub fn downstream(&self, job: &str) -> Vec<Rc<str>> {
-        let mut seen = Names::new();
+    /// The jobs that depend on this one, directly and through others, each once. Ends
+    /// also on a stored cycle, which no submission can make.
+    pub fn transitive_dependents(&self, job: &str) -> Vec<Rc<str>> {
+        let mut seen = JobIds::new();
         let mut found: Vec<Rc<str>> = Vec::new();
         let mut next: Vec<&Rc<str>> = self.dependents(job).collect();
         while let Some(id) = next.pop() {
@@ -60,14 +68,15 @@
         found
     }
 
-    /// A job is done: those that waited for nothing else are ready.
-    pub fn done(&mut self, job: &str) -> Vec<Rc<str>> {
+    /// A job is done: removes the edges to it. Returns the jobs that are not blocked any
+    /// more.
+    pub fn job_done(&mut self, job: &str) -> Vec<Rc<str>> {
         let mut ready = Vec::new();
-        for dependent in self.needed_by.remove(job).unwrap_or_default() {
-            if let Some(needs) = self.needs.get_mut(&dependent) {
-                needs.remove(job);
-                if needs.is_empty() {
-                    self.needs.remove(&dependent);
+        for dependent in self.dependents.remove(job).unwrap_or_default() {
+            if let Some(dependencies) = self.dependencies.get_mut(&dependent) {
+                dependencies.remove(job);
+                if dependencies.is_empty() {
+                    self.dependencies.remove(&dependent);
                     ready.push(dependent);
                 }
             }
@@ -75,35 +84,36 @@
         ready
     }
 
-    /// A job waits no more, since it has ended itself.
-    pub fn remove(&mut self, job: &str) {
-        for dependency in self.needs.remove(job).unwrap_or_default() {
-            if let Some(by) = self.needed_by.get_mut(&dependency) {
-                by.remove(job);
-                if by.is_empty() {
-                    self.needed_by.remove(&dependency);
+    /// A job has ended itself: removes what it depends on.
+    pub fn remove_dependencies(&mut self, job: &str) {
+        for dependency in self.dependencies.remove(job).unwrap_or_default() {
+            if let Some(dependents) = self.dependents.get_mut(&dependency) {
+                dependents.remove(job);
+                if dependents.is_empty() {
+                    self.dependents.remove(&dependency);
                 }
             }
         }
     }
 
-    /// Whether both directions tell of the same edges.
-    pub fn is_sound(&self) -> bool {
-        let edges = |of: &BTreeMap<Rc<str>, Names>| of.values().map(BTreeSet::len).sum::<usize>();
-        let mut needs = self.needs.iter();
-        needs.all(|(job, needs)| {
-            let there = |d| self.needed_by.get(d).is_some_and(|by| by.contains(job));
-            !needs.is_empty() && needs.iter().all(there)
-        }) && edges(&self.needs) == edges(&self.needed_by)
+    /// Whether both directions hold the same edges.
+    pub fn is_consistent(&self) -> bool {
+        let edge_count =
+            |map: &BTreeMap<Rc<str>, JobIds>| map.values().map(BTreeSet::len).sum::<usize>();
+        let mut blocked = self.dependencies.iter();
+        blocked.all(|(job, dependencies)| {
+            let has_reverse = |id| self.dependents.get(id).is_some_and(|ids| ids.contains(job));
+            !dependencies.is_empty() && dependencies.iter().all(has_reverse)
+        }) && edge_count(&self.dependencies) == edge_count(&self.dependents)
     }
 
-    /// Every job that others wait for.
-    pub fn awaited(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.needed_by.keys()
+    /// Every job that others depend on.
+    pub fn jobs_with_dependents(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.dependents.keys()
     }
 
-    /// How many jobs wait.
-    pub fn waiting(&self) -> usize {
-        self.needs.len()
+    /// How many jobs are blocked.
+    pub fn blocked_count(&self) -> usize {
+        self.dependencies.len()
     }
 }
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -1,94 +1,136 @@
-//! What the leader before has learned, as far as it told.
+//! What earlier leaders have learned of run times and sizes, as far as this node received
+//! it.
 //!
-//! Virtual sizes, samples and mean run times are nowhere but in a leader's memory, and
-//! went with it: large jobs waited anew at every change of leader. A leader now tells
-//! its siblings some of them with each beat. Hints: a lost one costs what was lost
-//! before, and no rule rests on any.
+//! Virtual sizes, samples and mean run times are only in a leader's memory, and were lost
+//! with it: large jobs waited anew after every failover. A leader now replicates some of
+//! them to its peers with each of its heartbeats to them. They are hints: a lost one costs
+//! what was lost before, and no rule rests on any.
 
 use crate::{Config, Micros, SECOND};
 use dillcleat_peer_protocol::{Estimates, JobEstimate};
 use std::collections::HashMap;
 
-/// What was not told again for so long is not believed: its job has ended, or the
-/// leader that told it has. In that time twenty thousand jobs have their turn.
-const BELIEVED: Micros = 600 * SECOND;
+/// An estimate that was not received again for so long is not used: its job has ended, or
+/// the leader that sent it has. In that time a leader repeats those of twenty thousand
+/// jobs.
+const MAX_AGE: Micros = 600 * SECOND;
+/// Memory that an estimate takes, about, in bytes.
+const ESTIMATE_BYTES: f64 = 250.0;
+/// Share of the node's memory that estimates may take.
+const MEMORY_SHARE: f64 = 1.0 / 16.0;
 
-/// What a node has heard of a leader.
+/// A job's estimate, and when it was received last.
+#[derive(Debug)]
+struct ReceivedEstimate {
+    estimate: JobEstimate,
+    received_at: Micros,
+}
+
+impl ReceivedEstimate {
+    fn is_recent(&self, now: Micros) -> bool {
+        now < self.received_at + MAX_AGE
+    }
+}
+
+/// The estimates that a node has received, all of one leader: that of `term`.
 #[derive(Debug, Default)]
 pub struct HeardEstimates {
-    /// Of which term it is.
     term: u64,
-    clock: f64,
+    /// That leader's virtual time, as of its last message.
+    virtual_time: f64,
+    /// Mean run times per class, in seconds.
     classes: Vec<(String, f64)>,
-    jobs: HashMap<String, (JobEstimate, Micros)>,
+    jobs: HashMap<String, ReceivedEstimate>,
 }
 
-/// What a new leader takes over.
+/// The estimates that a new leader begins with.
 #[derive(Debug, Default)]
 pub struct InheritedEstimates {
-    clock: f64,
-    pub classes: HashMap<String, f64>,
+    /// The virtual time of the leader before, as of its last message.
+    virtual_time: f64,
+    /// Mean run times per class, in seconds.
+    classes: HashMap<String, f64>,
     jobs: HashMap<String, JobEstimate>,
 }
 
 impl HeardEstimates {
-    /// Takes in what a leader tells. A later term's leader has what the one before
-    /// knew, as far as it was heard, and has gone on from there.
-    pub fn take(&mut self, config: &Config, learned: Estimates, now: Micros) {
-        if learned.term < self.term {
+    /// Receives a message of a leader. The leader of a later term began with what the one
+    /// before had replicated, so its estimates replace all others.
+    pub fn receive(&mut self, config: &Config, message: Estimates, now: Micros) {
+        if message.term < self.term {
             return;
         }
-        if learned.term > self.term {
+        if message.term > self.term {
             *self = HeardEstimates {
-                term: learned.term,
+                term: message.term,
                 ..HeardEstimates::default()
             };
         }
-        self.clock = learned.virtual_time;
-        if !learned.classes.is_empty() {
-            self.classes = learned.classes;
+        self.virtual_time = message.virtual_time;
+        if !message.classes.is_empty() {
+            self.classes = message.classes;
         }
-        // Some 250 bytes each: at most a sixteenth of the memory.
-        let limit = (config.memory_mb * 1e6 / 16.0 / 250.0) as usize;
-        if self.jobs.len() + learned.jobs.len() > limit {
-            self.jobs.retain(|_, (_, at)| now < *at + BELIEVED);
+        self.add_jobs(config, message.jobs, now);
+    }
+
+    /// Keeps the estimates of jobs, as far as memory allows.
+    fn add_jobs(&mut self, config: &Config, jobs: Vec<JobEstimate>, now: Micros) {
+        let max_jobs = max_jobs(config);
+        if self.jobs.len() + jobs.len() > max_jobs {
+            self.jobs.retain(|_, received| received.is_recent(now));
         }
-        for job in learned.jobs {
-            if self.jobs.len() < limit || self.jobs.contains_key(&job.job) {
-                self.jobs.insert(job.job.clone(), (job, now));
+        for estimate in jobs {
+            if self.jobs.len() < max_jobs || self.jobs.contains_key(&estimate.job) {
+                let received = ReceivedEstimate {
+                    received_at: now,
+                    estimate,
+                };
+                self.jobs.insert(received.estimate.job.clone(), received);
             }
         }
     }
 
-    /// What the leader of a new term may use: nothing of its own term or a later one,
-    /// which others have begun or nobody has, and nothing old.
+    /// The estimates that the leader of a new term may use: none of its own term or a
+    /// later one, which another node leads or none does, and none that are old.
     pub fn inherit(&mut self, term: u64, now: Micros) -> InheritedEstimates {
         let heard = std::mem::take(self);
         if heard.term >= term {
             return InheritedEstimates::default();
         }
         let jobs = heard.jobs.into_iter();
-        let recent = jobs.filter(|(_, (_, at))| now < *at + BELIEVED);
+        let recent = jobs.filter(|(_, received)| received.is_recent(now));
+        let classes = heard.classes.into_iter();
         InheritedEstimates {
-            clock: heard.clock,
-            classes: heard
-                .classes
-                .into_iter()
-                .filter(|(_, s)| *s > 0.0)
+            virtual_time: heard.virtual_time,
+            classes: classes
+                .filter(|(_, run_time_s)| *run_time_s > 0.0)
+                .collect(),
+            jobs: recent
+                .map(|(id, received)| (id, received.estimate))
                 .collect(),
-            jobs: recent.map(|(id, (job, _))| (id, job)).collect(),
         }
     }
 }
 
+/// How many jobs' estimates a node keeps.
+fn max_jobs(config: &Config) -> usize {
+    (config.memory_mb * 1e6 * MEMORY_SHARE / ESTIMATE_BYTES) as usize
+}
+
 impl InheritedEstimates {
-    /// What was learned of a job, with its credit as of when the leader was last heard.
+    /// Mean run times per class, in seconds.
+    pub fn classes(&self) -> &HashMap<String, f64> {
+        &self.classes
+    }
+
+    /// Removes the estimate of a job, with its credit as of the last message. None if there
+    /// is none, or none that makes sense.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
-        let mut job = self.jobs.remove(id)?;
-        if std::mem::take(&mut job.is_ageing) {
-            job.credit += self.clock;
+        let mut estimate = self.jobs.remove(id)?;
+        if std::mem::take(&mut estimate.is_ageing) {
+            estimate.credit += self.virtual_time;
         }
-        let sane = job.size > 0.0 && job.initial_size > 0.0 && job.credit >= 0.0;
-        sane.then_some(job)
+        let is_valid = estimate.size > 0.0 && estimate.initial_size > 0.0 && estimate.credit >= 0.0;
+        is_valid.then_some(estimate)
     }
 }
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -23,7 +23,7 @@
                 state: RecordedState::Open,
                 task_count: job.spec.tasks,
             },
-            version: job.mark_version(row.version),
+            version: job.state_version(row.version),
             service: job.spec.kind == JobKind::Service,
         }
     }
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -47,11 +47,11 @@
         }
         let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
         self.autoscaler.removed_machines.retain(|_, at| *at > keep);
-        let Some(types) = self.machine_types.types.clone() else {
+        let Some(types) = self.machine_types.shared() else {
             return;
         };
         // Right after the start the machines are still becoming known.
-        if now < self.recovery.ready_since + 2 * SECOND
+        if now < self.recovery.ready_since() + 2 * SECOND
             || !self.has_recent_read(ctx)
             || !self.may(ctx, CloudAction::ScaleOut)
         {
@@ -171,7 +171,7 @@
         let places = lost.keys().copied().chain(waiting);
         places.filter_map(move |place| {
             let (_, job) = self.jobs.at(place)?;
-            if job.record.doubtful() {
+            if job.failures.doubtful() {
                 return None;
             }
             let mut view = self.job_view(ctx, place)?;
@@ -180,7 +180,7 @@
                 view.zones = self.zones(job, cut_off);
             }
             view.at_risk_tasks = served.late(self, ctx, job, view.waiting);
-            Some((view, &job.shape))
+            Some((view, &job.resource_request))
         })
     }
 
@@ -245,7 +245,7 @@
         let may = self.may_answer_heartbeats(ctx)
             && self.may(ctx, CloudAction::Delete(DeletionReason::Silent));
         let doubts = self.doubts(ctx.config);
-        let types = self.machine_types.types.clone();
+        let types = self.machine_types.shared();
         let types = types.as_deref().map_or(&[][..], Vec::as_slice);
         let index = &self.derived;
         let suspects = &(&index.silent | &index.booting) | &index.noticed;
@@ -288,7 +288,7 @@
             let taken =
                 m.interrupted_at.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
             // Whom only the leader before found silent has time to report first.
-            let asked = !m.up || m.ready || now >= self.recovery.ready_since + missing;
+            let asked = !m.up || m.ready || now >= self.recovery.ready_since() + missing;
             if may && ((quiet >= limit && asked && !waits && !doubted) || taken) {
                 log::info!("{}: silent for {} s, deleting it", m.name, seconds(quiet));
                 dropped.push(m.name.clone());
@@ -363,12 +363,11 @@
         };
         log::info!("{name} is gone: {why}");
         for event in m.take_lost_tasks(why) {
-            self.slot_event(ctx, name, event);
+            self.apply_task_event(ctx, name, event);
         }
         if m.recorded {
             self.writer
-                .write_queue
-                .push(PendingWrite::Drop(records::machine_key(name)));
+                .enqueue(PendingWrite::DeleteKey(records::machine_key(name)));
         }
     }
 
@@ -427,26 +426,12 @@
     }
 
     pub(super) fn new_types(&mut self, types: Vec<MachineType>) {
-        // Prices move all the time; only what decides on submissions, or the
-        // first answer, is worth a write.
-        let shape = |ts: &[MachineType]| {
-            ts.iter()
-                .map(|t| (t.name.clone(), t.cpus, t.gpus, t.memory_gb, t.zones.clone()))
-                .collect::<Vec<_>>()
-        };
-        let same = self.machine_types.types_stored
-            && self
-                .machine_types
-                .types
-                .as_ref()
-                .is_some_and(|old| shape(old) == shape(&types));
         let types = Rc::new(types);
-        self.machine_types.types = Some(types.clone());
+        let to_store = self.machine_types.update(types.clone());
         // What they hold may be other than it was.
         self.machines.mark_all();
-        if !same {
-            self.machine_types.types_stored = false;
-            self.writer.write_queue.push(PendingWrite::Types);
+        if to_store {
+            self.writer.enqueue(PendingWrite::MachineTypes);
         }
         self.events.push(LeaderEvent::Types(types));
     }
@@ -559,7 +544,7 @@
             let id = id.to_string();
             let (done, running) = (job.done, job.running.len() as u32);
             if let Some(job) = self.jobs.quiet(place) {
-                job.shown = (done, running);
+                job.replicated_progress = (done, running);
             }
             changed.push(JobProgress {
                 job: id,
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -102,7 +102,7 @@
             } else {
                 Vec::new()
             };
-            let waiter = self.waiter(Step::CommandsInFlight {
+            let waiter = self.continuation(Step::CommandsInFlight {
                 machine: name.to_string(),
             });
             // What a push changes is derived from by nothing.
@@ -179,7 +179,7 @@
                 {
                     // Another session than thought: once more with the right one.
                     m.needs_command = true;
-                    m.next_command_at = now + RETRY;
+                    m.next_command_at = now + RETRY_INTERVAL;
                 }
             }
             None => {
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -89,11 +89,7 @@
     /// owner's estimate is worth more than the first guess.
     pub(super) fn expected_run(&self, config: &Config, job: &Job) -> f64 {
         let estimate = job.spec.estimate_s;
-        let known = !job.samples.is_empty()
-            || self
-                .estimates
-                .run_time_estimates
-                .contains_key(&job.spec.class);
+        let known = !job.samples.is_empty() || self.estimates.knows_class(&job.spec.class);
         if known || estimate <= 0.0 {
             return self.run_time(config, job);
         }
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -1,190 +1,182 @@
-//! Jobs that wait for others: who is ready, whose cancellation follows from another,
-//! and what a job inherits of those that wait for it.
+//! Dependencies of jobs on other jobs: which are ready, which are cancelled with one that
+//! they depend on, and what urgency a job inherits from its dependents.
 
 use super::deadline_risk::strict_deadline;
-use super::*;
+use super::job::{Job, Urgency};
+use super::{Leader, LeaderEvent, RETRY_INTERVAL, unknown_jobs};
+use crate::calls::{CallError, Context};
+use crate::continuations::LeaderStep;
+use crate::dependency_graph::DependencyGraph;
+use crate::records::{self, JobStateRecord, RecordedState};
 use crate::token_bucket::TokenBucket;
+use crate::write_queue::PendingWrite;
+use crate::{Micros, SECOND, micros};
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::JobKind;
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
-/// Marks of dependencies that may be read at once, and the part of the state service's
-/// requests that this may take: a new leader with many waiting jobs reads them beside
-/// its other work.
-const PROOFS_AT_ONCE: usize = 8;
-const PROOFS_PART: f64 = 0.15;
-/// When a dependency that is neither open here nor marked is looked at again. It is
-/// about to be seen open, or its team has gone from the settings.
-const AGAIN: Micros = SECOND;
+/// State records of dependencies that may be read at once, and the share of the store's
+/// requests that this may take: a new leader with many blocked jobs reads them beside its
+/// other work.
+const MAX_CONCURRENT_STATE_READS: usize = 8;
+const STATE_READ_SHARE: f64 = 0.15;
+/// The least number of reads that can be saved up.
+const MIN_STATE_READ_BURST: f64 = 2.0;
+/// After how long the state record of a dependency is read again that is neither open here
+/// nor has one. It is about to be seen open, or its team has gone from the settings.
+const STATE_RECHECK_INTERVAL: Micros = SECOND;
 
-/// Dependencies whose ends are to be proved by their marks.
+/// Reads of the state records of jobs that are not open here, which prove how they ended.
 #[derive(Debug, Default)]
-pub(super) struct DependencyProofs {
-    /// To be read, each from some time on.
+struct StateReads {
+    /// The jobs to be read, each not before some time.
     wanted: BTreeMap<Rc<str>, Micros>,
-    under_way: usize,
+    in_flight: usize,
     /// Reads that may be made now.
-    allowed: TokenBucket,
+    budget: TokenBucket,
 }
 
-impl DependencyProofs {
-    /// The mark of a job is to be read.
-    pub fn look_for(&mut self, id: Rc<str>) {
-        self.wanted.insert(id, 0);
-    }
-
+impl StateReads {
+    /// The next job to be read, which counts as in flight from now on.
     fn next(&mut self, now: Micros, per_s: f64) -> Option<Rc<str>> {
-        if self.wanted.is_empty() || self.under_way >= PROOFS_AT_ONCE {
+        if self.wanted.is_empty() || self.in_flight >= MAX_CONCURRENT_STATE_READS {
             return None;
         }
-        if self.allowed.grow(now, per_s, per_s.max(2.0)) < 1.0 {
+        let capacity = per_s.max(MIN_STATE_READ_BURST);
+        if self.budget.refill(now, per_s, capacity) < 1.0 {
             return None;
         }
         let due = self.wanted.iter().find(|(_, at)| now >= **at);
         let id = due.map(|(id, _)| id.clone())?;
         self.wanted.remove(&id);
-        self.allowed.left -= 1.0;
-        self.under_way += 1;
+        self.budget.take(1.0);
+        self.in_flight += 1;
         Some(id)
     }
 }
 
-/// The dependencies of open jobs.
+/// The dependencies of open jobs, and how the ends of jobs that are not open are proved.
+///
+/// Each job that others depend on is open, or its state record is wanted or being read, or
+/// its dependents are being cancelled.
 #[derive(Debug, Default)]
 pub(super) struct DependencyTracker {
-    /// Which of the open jobs wait for which.
-    pub dependency_graph: DependencyGraph,
-    /// Jobs that others wait for and that are not open here.
-    pub dependency_proofs: DependencyProofs,
+    graph: DependencyGraph,
+    state_reads: StateReads,
 }
 
+impl DependencyTracker {
+    /// Whether the job depends on any job that is not known to be done.
+    pub fn is_blocked(&self, job: &str) -> bool {
+        self.graph.is_blocked(job)
+    }
+
+    /// How many jobs are blocked.
+    pub fn blocked_jobs(&self) -> usize {
+        self.graph.blocked_count()
+    }
+
+    /// Whether any job depends on this one.
+    pub fn has_dependents(&self, job: &str) -> bool {
+        self.graph.has_dependents(job)
+    }
+
+    /// The state record of a job is to be read.
+    pub fn want_state(&mut self, job: Rc<str>) {
+        self.state_reads.wanted.insert(job, 0);
+    }
+
+    /// The same, from some time on.
+    fn want_state_at(&mut self, job: Rc<str>, at: Micros) {
+        self.state_reads.wanted.insert(job, at);
+    }
+
+    /// That a job is open was seen: its state record need not be read.
+    fn seen_open(&mut self, job: &str) {
+        self.state_reads.wanted.remove(job);
+    }
+
+    /// A read of a state record has ended, or was not needed.
+    fn state_read_ended(&mut self) {
+        self.state_reads.in_flight -= 1;
+    }
+
+    /// What the job depends on.
+    fn dependencies(&self, job: &str) -> Vec<Rc<str>> {
+        self.graph.dependencies(job).cloned().collect()
+    }
+}
+
+/// Dependencies as jobs come and go.
 impl Leader {
-    /// A job was taken up: it may wait for others, and others for it.
-    pub(super) fn joins(&mut self, ctx: &Context, id: &Rc<str>) {
-        // That it is open is seen here: no mark needs to be read for it.
-        self.dependencies.dependency_proofs.wanted.remove(id);
+    /// A job was added: it may depend on others, and others on it.
+    pub(super) fn track_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
+        self.dependencies.seen_open(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let awaits = job.spec.depends_on.clone();
         let mut cancelled = false;
-        for name in awaits {
-            let known = self.jobs.name(&name).cloned();
-            match &known {
-                // Whatever came first, the cancellation or who waits for it.
-                Some(known) => cancelled |= self.jobs.get(known).is_some_and(|j| j.stopped),
-                // Not being open proves nothing: pages of a load are of different
-                // revisions, and a watch tells of a job after one that names it.
-                None => {
-                    self.dependencies
-                        .dependency_proofs
-                        .wanted
-                        .insert(Rc::from(name.as_str()), 0);
-                }
-            }
-            let dependency = known.unwrap_or_else(|| Rc::from(name));
-            self.dependencies.dependency_graph.add(id, dependency);
+        for name in job.spec.depends_on.clone() {
+            cancelled |= self.add_dependency(id, name);
         }
-        if self.dependencies.dependency_graph.waits(id)
+        if self.dependencies.is_blocked(id)
             && let Some(job) = self.jobs.get_mut(id)
         {
             job.blocked_on_dependencies = true;
         }
         if cancelled {
-            self.writer
-                .write_queue
-                .push(PendingWrite::Cancel(id.clone()));
+            self.writer.enqueue(PendingWrite::JobCancelled(id.clone()));
         }
-        // All at once when all are read: one by one, each of a thousand that wait for
-        // one job goes over the others again.
-        if self.recovery.stage == RecoveryStage::Ready {
-            self.set_lift(ctx, id);
-            self.raise(ctx, id);
+        // For all jobs at once when all are read: one by one, each of a thousand that
+        // depend on one job goes over the others again.
+        if self.recovery.is_ready() {
+            self.update_urgency(ctx, id);
+            self.propagate_urgency(ctx, id);
         }
     }
 
-    /// Gives all jobs that were read what they have of those that wait for them.
-    pub(super) fn lift_all(&mut self, ctx: &Context) {
-        let awaited: Vec<Rc<str>> = self
-            .dependencies
-            .dependency_graph
-            .awaited()
-            .cloned()
-            .collect();
-        for id in awaited {
-            if self.set_lift(ctx, &id) {
-                self.raise(ctx, &id);
+    /// Adds a dependency of a job. Returns whether it is known to be cancelled, in
+    /// whichever order the cancellation and the dependent came.
+    fn add_dependency(&mut self, id: &Rc<str>, dependency: String) -> bool {
+        let open = self.jobs.name(&dependency).cloned();
+        let mut cancelled = false;
+        let dependency = match open {
+            Some(open) => {
+                cancelled = self.jobs.get(&open).is_some_and(|job| job.stopped);
+                open
             }
-        }
-    }
-
-    /// Reads marks of dependencies that are not open here.
-    pub(super) fn look_for_proofs(&mut self, ctx: &mut Context) {
-        let per_s = ctx.config.state_rps * PROOFS_PART;
-        while let Some(id) = self
-            .dependencies
-            .dependency_proofs
-            .next(ctx.now.monotonic, per_s)
-        {
-            if self.dependencies.dependency_graph.needed(&id) || self.is_orphan(&id) {
-                let key = records::job_key(&id);
-                let waiter = self.waiter(Step::Dependency { id });
-                ctx.store_request(StoreRequest::Get { key }, waiter);
-            } else {
-                self.dependencies.dependency_proofs.under_way -= 1;
+            // Not being open proves nothing: the pages that a new leader reads are of
+            // different revisions, and a watch reports a job after one that names it.
+            None => {
+                let dependency: Rc<str> = Rc::from(dependency);
+                self.dependencies.want_state(dependency.clone());
+                dependency
             }
-        }
+        };
+        self.dependencies.graph.add(id, dependency);
+        cancelled
     }
 
-    /// The mark of a dependency, or that it has none.
-    pub(super) fn proved(
-        &mut self,
-        ctx: &Context,
-        id: Rc<str>,
-        reply: Result<StoreResponse, CallError>,
-    ) {
-        self.dependencies.dependency_proofs.under_way -= 1;
-        let mark = match &reply {
-            Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>().map(|m| m.state),
-            _ => None,
-        };
-        match mark {
-            Some(RecordedState::Done) => {
-                self.orphan_ended(&id);
-                self.dependency_done(ctx, &id);
-            }
-            Some(RecordedState::Cancelled) => {
-                self.orphan_ended(&id);
-                self.cancel_dependents(&id);
-            }
-            Some(RecordedState::Open) | None => {
-                let pause = match reply {
-                    Ok(StoreResponse::NotFound { .. } | StoreResponse::Found(_)) => AGAIN,
-                    _ => RETRY,
-                };
-                let orphan = self.is_orphan(&id);
-                if orphan
-                    || self.dependencies.dependency_graph.needed(&id)
-                        && !self.jobs.contains_key(&id)
-                {
-                    let pause = if orphan {
-                        pause.max(unknown_jobs::AGAIN)
-                    } else {
-                        pause
-                    };
-                    self.dependencies
-                        .dependency_proofs
-                        .wanted
-                        .insert(id, ctx.now.monotonic + pause);
-                }
+    /// A job has ended, and depends on nothing any more.
+    pub(super) fn untrack_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
+        let dependencies = self.dependencies.dependencies(id);
+        self.dependencies.graph.remove_dependencies(id);
+        for dependency in dependencies {
+            let open = self.jobs.get(&dependency).is_some_and(|job| !job.stopped);
+            if open && self.update_urgency(ctx, &dependency) {
+                self.propagate_urgency(ctx, &dependency);
             }
         }
     }
 
-    /// A job's end is proved: what waited for nothing else becomes active.
+    /// A job's end is proved: the jobs that depended on nothing else become ready.
     pub(super) fn dependency_done(&mut self, ctx: &Context, id: &Rc<str>) {
-        for ready in self.dependencies.dependency_graph.done(id) {
+        for ready in self.dependencies.graph.job_done(id) {
             let Some(job) = self.jobs.get_mut(&ready) else {
                 continue;
             };
-            log::info!("{ready}: ready, all that it waited for is done");
+            log::info!("job ready, all its dependencies are done: job={ready}");
             job.blocked_on_dependencies = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
             self.scheduling.service_submitted |= job.spec.kind == JobKind::Service;
@@ -192,183 +184,248 @@
         }
     }
 
-    /// A job is cancelled, and with it all that need it. None of them has started.
+    /// A job is cancelled, and with it all that depend on it. None of them has started.
     pub(super) fn cancel_dependents(&mut self, id: &Rc<str>) {
-        for dependent in self.dependencies.dependency_graph.downstream(id) {
-            log::info!("{dependent}: cancelled with {id}, for which it waits");
-            self.writer
-                .write_queue
-                .push(PendingWrite::Cancel(dependent));
+        for dependent in self.dependencies.graph.transitive_dependents(id) {
+            log::info!("job cancelled with its dependency: job={dependent} dependency={id}");
+            self.writer.enqueue(PendingWrite::JobCancelled(dependent));
         }
     }
 
-    /// The cancellation of a job that waited is in the store.
-    pub(super) fn cancelled_with(&mut self, ctx: &Context, id: &Rc<str>) {
+    /// The cancellation of a job that was blocked is in the store.
+    pub(super) fn dependent_cancelled(&mut self, ctx: &Context, id: &Rc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.cancelled.get_or_insert(ctx.now.monotonic);
         job.stopped = true;
-        let n = job.spec.tasks;
+        let record = job.state_record(RecordedState::Cancelled);
         let placed = job.placed();
-        let mark = JobStateRecord {
-            state: RecordedState::Cancelled,
-            task_count: n,
-        };
-        self.events.push(LeaderEvent::Ended(id.to_string(), mark));
+        self.events.push(LeaderEvent::Ended(id.to_string(), record));
         if placed > 0 {
-            // It waits, and yet something of it was started: by a version that knows
-            // of no waiting.
-            return self.stop_job(ctx, id);
+            // It is blocked, and yet some of its tasks were started: by a version that
+            // has no dependencies.
+            return self.cancel_job(ctx, id);
         }
-        // Jobs that wait for this one may have come while its mark was written (seed
-        // 282 of the days of pipelines).
+        // Jobs that depend on this one may have come while its state record was written
+        // (seed 282 of the days of pipelines).
         self.cancel_dependents(id);
         self.forget_job(ctx, id);
         self.writer
-            .write_queue
-            .push(PendingWrite::Drop(records::open_key(id)));
+            .enqueue(PendingWrite::DeleteKey(records::open_key(id)));
     }
+}
 
-    /// A job waits no more, since it has ended.
-    pub(super) fn leaves_line(&mut self, ctx: &Context, id: &Rc<str>) {
-        let before: Vec<Rc<str>> = self
+/// Reads of state records.
+impl Leader {
+    /// Reads state records of dependencies that are not open here.
+    pub(super) fn request_dependency_states(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        let per_s = ctx.config.state_rps * STATE_READ_SHARE;
+        while let Some(id) = self.dependencies.state_reads.next(now, per_s) {
+            if self.dependencies.has_dependents(&id) || self.is_unknown_job(&id) {
+                let key = records::job_key(&id);
+                let continuation = self.continuation(LeaderStep::Dependency { id });
+                ctx.store_request(StoreRequest::Get { key }, continuation);
+            } else {
+                self.dependencies.state_read_ended();
+            }
+        }
+    }
+
+    /// Handles the state record of a dependency, or that it has none.
+    pub(super) fn dependency_state_reply(
+        &mut self,
+        ctx: &Context,
+        id: Rc<str>,
+        reply: Result<StoreResponse, CallError>,
+    ) {
+        self.dependencies.state_read_ended();
+        let state = match &reply {
+            Ok(StoreResponse::Found(row)) => row
+                .decode_value::<JobStateRecord>()
+                .map(|record| record.state),
+            _ => None,
+        };
+        match state {
+            Some(RecordedState::Done) => {
+                self.unknown_job_ended(&id);
+                self.dependency_done(ctx, &id);
+            }
+            Some(RecordedState::Cancelled) => {
+                self.unknown_job_ended(&id);
+                self.cancel_dependents(&id);
+            }
+            Some(RecordedState::Open) | None => {
+                let answered = matches!(
+                    reply,
+                    Ok(StoreResponse::NotFound { .. } | StoreResponse::Found(_))
+                );
+                self.recheck_dependency(ctx, id, answered);
+            }
+        }
+    }
+
+    /// A job is not known to have ended: its state record is read again later, if it is
+    /// still needed.
+    fn recheck_dependency(&mut self, ctx: &Context, id: Rc<str>, answered: bool) {
+        let pause = if answered {
+            STATE_RECHECK_INTERVAL
+        } else {
+            RETRY_INTERVAL
+        };
+        let now = ctx.now.monotonic;
+        if self.is_unknown_job(&id) {
+            let pause = pause.max(unknown_jobs::STATE_RECHECK_INTERVAL);
+            self.dependencies.want_state_at(id, now + pause);
+        } else if self.dependencies.has_dependents(&id) && !self.jobs.contains_key(&id) {
+            self.dependencies.want_state_at(id, now + pause);
+        }
+    }
+}
+
+/// The urgency that jobs inherit from those that depend on them.
+impl Leader {
+    /// Lets all jobs inherit from those that depend on them.
+    pub(super) fn propagate_all_urgencies(&mut self, ctx: &Context) {
+        let jobs: Vec<Rc<str>> = self
             .dependencies
-            .dependency_graph
-            .dependencies(id)
+            .graph
+            .jobs_with_dependents()
             .cloned()
             .collect();
-        self.dependencies.dependency_graph.remove(id);
-        for dependency in before {
-            let open = self.jobs.get(&dependency).is_some_and(|j| !j.stopped);
-            if open && self.set_lift(ctx, &dependency) {
-                self.raise(ctx, &dependency);
+        for id in jobs {
+            if self.update_urgency(ctx, &id) {
+                self.propagate_urgency(ctx, &id);
             }
         }
     }
 
-    /// What a job has of itself and of those that wait for it.
-    fn lift(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> (Priority, Option<Micros>) {
-        let mut lift = (job.spec.priority, None);
-        for dependent in self.dependencies.dependency_graph.dependents(id) {
+    /// The urgency of a job by itself and by those that depend on it.
+    fn inherited_urgency(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Urgency {
+        let mut urgency = Urgency {
+            priority: job.spec.priority,
+            due: None,
+        };
+        for dependent in self.dependencies.graph.dependents(id) {
             if let Some(dependent) = self.jobs.get(dependent) {
-                lift = self.lifted_by(ctx, lift, dependent);
+                urgency = self.urgency_with_dependent(ctx, urgency, dependent);
             }
         }
-        lift
+        urgency
     }
 
-    /// The same once one more job waits.
-    fn lifted_by(
-        &self,
-        ctx: &Context,
-        (priority, due): (Priority, Option<Micros>),
-        dependent: &Job,
-    ) -> (Priority, Option<Micros>) {
+    /// The urgency of a job once one more depends on it.
+    fn urgency_with_dependent(&self, ctx: &Context, urgency: Urgency, dependent: &Job) -> Urgency {
         if dependent.cancelled.is_some() {
-            return (priority, due);
+            return urgency;
+        }
+        // Its work has to be done after this one, and so on along the longest path.
+        let takes_s = self.expected_run(ctx.config, dependent) + ctx.config.tuning.fetch_s;
+        let end = dependent.due.or_else(|| self.deadline_by(ctx, dependent));
+        let due_for_dependent = end.map(|end| end.saturating_sub(micros(takes_s)));
+        Urgency {
+            priority: urgency.priority.max(dependent.priority),
+            due: urgency.due.into_iter().chain(due_for_dependent).min(),
         }
-        // Its work has to be done after this one, and so on down the longest way.
-        let takes = self.expected_run(ctx.config, dependent) + ctx.config.tuning.fetch_s;
-        let end = dependent.due.or_else(|| self.own_due(ctx, dependent));
-        let end = end.map(|due| due.saturating_sub(micros(takes)));
-        let due = match (due, end) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
-        };
-        (priority.max(dependent.priority), due)
     }
 
-    /// By when a job has to end by its own deadline, where that is worth money.
-    fn own_due(&self, ctx: &Context, job: &Job) -> Option<Micros> {
-        let (due, _) = strict_deadline(ctx.config, job)?;
-        Some(job.submitted.saturating_add(micros(due)))
+    /// Time of day by which a job has to end by its own deadline, if it has a strict one.
+    fn deadline_by(&self, ctx: &Context, job: &Job) -> Option<Micros> {
+        let (due_s, _) = strict_deadline(ctx.config, job)?;
+        Some(job.submitted.saturating_add(micros(due_s)))
     }
 
-    /// Works a job's lift out anew; true if it has changed.
-    fn set_lift(&mut self, ctx: &Context, id: &Rc<str>) -> bool {
+    /// Works out a job's urgency anew. Returns whether it has changed.
+    fn update_urgency(&mut self, ctx: &Context, id: &Rc<str>) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let lift = self.lift(ctx, id, job);
-        if (job.priority, job.due) == lift {
+        let urgency = self.inherited_urgency(ctx, id, job);
+        if job.urgency() == urgency {
             return false;
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            (job.priority, job.due) = lift;
+            job.set_urgency(urgency);
         }
         true
     }
 
-    /// Lets those that a job waits for have what it has, and those before them. After
-    /// a fall they are worked out anew, each as often as it is on a way.
-    fn raise(&mut self, ctx: &Context, id: &Rc<str>) {
-        let mut next: Vec<Rc<str>> = self
-            .dependencies
-            .dependency_graph
-            .dependencies(id)
-            .cloned()
-            .collect();
+    /// Updates the jobs that a job depends on, and those that they depend on, for as far
+    /// as their urgency changes. When it falls, a job is worked out as often as there are
+    /// paths to it.
+    fn propagate_urgency(&mut self, ctx: &Context, id: &Rc<str>) {
+        let mut next = self.dependencies.dependencies(id);
         // Only a stored cycle, which no submission can make, takes so many steps.
-        let mut steps = 16 * (self.jobs.len() + 1);
-        while let Some(before) = next.pop() {
-            steps -= 1;
-            if steps == 0 {
-                return log::error!("{id}: waits for itself");
+        let mut steps_left = 16 * (self.jobs.len() + 1);
+        while let Some(dependency) = next.pop() {
+            steps_left -= 1;
+            if steps_left == 0 {
+                return log::error!("dependency cycle: job={id}");
             }
-            if self.set_lift(ctx, &before) {
-                next.extend(
-                    self.dependencies
-                        .dependency_graph
-                        .dependencies(&before)
-                        .cloned(),
-                );
+            if self.update_urgency(ctx, &dependency) {
+                let further = self.dependencies.graph.dependencies(&dependency);
+                next.extend(further.cloned());
             }
         }
     }
+}
+
+/// Checks for simulations.
+impl Leader {
+    /// Whether the dependencies are as they would be if they were derived from the jobs
+    /// alone.
+    pub(super) fn dependencies_are_consistent(&self) -> bool {
+        let is_recovering = !self.recovery.is_ready();
+        self.edges_match_jobs()
+            && self.every_dependency_is_watched()
+            && (is_recovering || self.priorities_are_inherited())
+            && self.dependencies.graph.is_consistent()
+    }
+
+    /// Whether every edge is one that its job names, and just the jobs with edges are
+    /// blocked.
+    fn edges_match_jobs(&self) -> bool {
+        self.jobs.iter().all(|(id, job)| {
+            let is_blocked = self.dependencies.is_blocked(id);
+            let is_named = |d: &Rc<str>| job.spec.depends_on.iter().any(|name| **name == **d);
+            (job.stopped || job.blocked_on_dependencies == is_blocked)
+                && self.dependencies.graph.dependencies(id).all(is_named)
+        })
+    }
+
+    /// Whether the end of every dependency will be seen, or its dependents are being
+    /// cancelled.
+    fn every_dependency_is_watched(&self) -> bool {
+        let DependencyTracker { graph, state_reads } = &self.dependencies;
+        graph.jobs_with_dependents().all(|id| {
+            self.jobs.contains_key(id)
+                || state_reads.wanted.contains_key(id)
+                || state_reads.in_flight > 0
+                || graph.dependents(id).all(|d| self.cancellation_pending(d))
+        })
+    }
 
-    /// Whether a job's cancellation is to be written, or its mark to be read.
-    fn ends_with(&self, id: &Rc<str>) -> bool {
-        self.writer.write_queue.cancels(id)
-            || self.jobs.get(id).is_some_and(|j| j.cancelled.is_some())
+    /// Whether a job's cancellation is to be written, or its state record to be read.
+    fn cancellation_pending(&self, id: &Rc<str>) -> bool {
+        self.writer.has_cancellation(id)
+            || self.jobs.get(id).is_some_and(|job| job.cancelled.is_some())
     }
 
-    /// What of the waiting is not as it would be if it were derived from the jobs
-    /// alone. For rehearsals.
-    pub(super) fn audit_waits(&self) -> bool {
-        let edges = self.jobs.iter().all(|(id, job)| {
-            let waits = self.dependencies.dependency_graph.waits(id);
-            let named = |d: &Rc<str>| job.spec.depends_on.iter().any(|a| **a == **d);
-            (job.stopped || job.blocked_on_dependencies == waits)
-                && self
-                    .dependencies
-                    .dependency_graph
-                    .dependencies(id)
-                    .all(named)
-        });
-        let known = self.dependencies.dependency_graph.awaited().all(|id| {
-            let open = self.jobs.contains_key(id);
-            open || self.dependencies.dependency_proofs.wanted.contains_key(id)
-                || self.dependencies.dependency_proofs.under_way > 0
-                || self
-                    .dependencies
-                    .dependency_graph
-                    .dependents(id)
-                    .all(|d| self.ends_with(d))
-        });
-        let lifted = self.jobs.iter().all(|(id, job)| {
+    /// Whether every job has the highest priority of its own and of its dependents.
+    fn priorities_are_inherited(&self) -> bool {
+        self.jobs.iter().all(|(id, job)| {
             let dependents = || {
-                let names = self.dependencies.dependency_graph.dependents(id);
-                names.filter_map(|d| self.jobs.get(d))
+                let ids = self.dependencies.graph.dependents(id);
+                ids.filter_map(|dependent| self.jobs.get(dependent))
             };
             // That one is cancelled may be seen before it is worked out anew.
-            let open = dependents().filter(|d| d.cancelled.is_none());
-            let most = open.map(|d| d.priority).max();
-            let given = dependents().any(|d| d.priority == job.priority);
-            let own = job.priority == job.spec.priority || given;
-            job.stopped || (own && most.is_none_or(|most| job.priority >= most))
-        });
-        let lifted = lifted || self.recovery.stage == RecoveryStage::Loading;
-        edges && known && lifted && self.dependencies.dependency_graph.is_sound()
+            let open = dependents().filter(|dependent| dependent.cancelled.is_none());
+            let highest = open.map(|dependent| dependent.priority).max();
+            let inherited = dependents().any(|dependent| dependent.priority == job.priority);
+            let has_source = job.priority == job.spec.priority || inherited;
+            let is_high_enough = highest.is_none_or(|highest| job.priority >= highest);
+            job.stopped || (has_source && is_high_enough)
+        })
     }
 }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -409,7 +409,7 @@
         for place in self.machines.take_marked() {
             self.refresh_machine(ctx, place);
         }
-        self.derived.sums.claims = self.claims(ctx.config);
+        self.derived.sums.claims = self.unknown_jobs.claims(ctx.config);
     }
 
     /// Builds everything anew and tells what was not as it should have been.
@@ -439,7 +439,7 @@
         let view =
             |i: &DerivedState, place| i.capacity.view(place).map(|m| (m.free, warm(m), m.spot));
         [
-            ("who waits for whom", self.audit_waits()),
+            ("who waits for whom", self.dependencies_are_consistent()),
             ("sums", old.sums == new.sums),
             ("line", line(&old) == line(new)),
             ("floor", places.all(|p| view(&old, p) == view(new, p))),
@@ -461,7 +461,7 @@
     /// again, once a second: at every task's end it would be a walk over all of
     /// them each time.
     pub(super) fn mark_guessed(&mut self) {
-        if std::mem::take(&mut self.estimates.run_time_estimates_changed) {
+        if self.estimates.take_run_times_changed() {
             for place in &self.derived.guessed {
                 self.jobs.mark(place);
             }
@@ -508,8 +508,8 @@
             && job.placeable() > 0
             && now >= job.blocked_until
             && job
-                .record
-                .may_start(job.placed(), job.shape.starving(), now);
+                .failures
+                .may_start(job.placed(), job.resource_request.starving(), now);
         if !waits {
             return None;
         }
@@ -538,7 +538,7 @@
         };
         Some(QueueEntry {
             team: job.team,
-            request: job.shape.clone(),
+            request: job.resource_request.clone(),
             ageing: pace,
             rank: rank(true, size, remaining),
             training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
@@ -553,7 +553,7 @@
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
             Some(job.blocked_until),
-            job.record.next_try(),
+            job.failures.next_try(),
             useless.filter(|_| !job.waiting.is_empty()),
             job.starves_at(ctx.config),
         ]
@@ -634,7 +634,7 @@
             && self.cancelled.is_none()
             && !self.blocked_on_dependencies
             && !self.ending
-            && !self.record.doubtful();
+            && !self.failures.doubtful();
         match (ages, self.ageing_since) {
             (true, None) => self.ageing_since = Some(clock),
             (false, Some(since)) => {
@@ -654,8 +654,8 @@
         self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
-        if self.shape.starving() != starving {
-            self.shape = Rc::new(self.shape.when(starving));
+        if self.resource_request.starving() != starving {
+            self.resource_request = Rc::new(self.resource_request.when(starving));
         }
     }
 
@@ -704,7 +704,7 @@
                 }),
             cancelled: self.cancelled.is_some(),
             guessed,
-            unshown: (self.done, self.running.len() as u32) != self.shown,
+            unshown: (self.done, self.running.len() as u32) != self.replicated_progress,
         }
     }
 }
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -1,92 +1,165 @@
-//! What is told of what this leader has learned, for one that follows.
+//! The estimates that a leader has learned of run times and sizes, and their replication
+//! to peers, one of which may lead next.
 
-use super::*;
+use super::Leader;
+use super::job::Job;
+use crate::Config;
+use crate::inherited_estimates::InheritedEstimates;
+use crate::sched::SlabIndex;
 use dillcleat_peer_protocol::{
     Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_SAMPLES,
 };
+use dillcleat_wire::user::JobKind;
+use std::collections::{BTreeSet, HashMap};
 
-/// Jobs that are told again in turn in one message, and places that are looked at for
-/// them, services and what has gone among them. With a hundred a message a leader of
-/// forty arrays spoke ten times as much among controllers, for nothing.
-const IN_TURN: usize = 16;
-const LOOKED_AT: SlabIndex = 128;
+/// Jobs whose unchanged estimates one message repeats, and slab indexes that are examined
+/// for them, those of services and of ended jobs included. With a hundred a message a
+/// leader of forty arrays sent ten times as much to its peers, for nothing.
+const MAX_REPEATED_JOBS: usize = 16;
+const MAX_EXAMINED_INDEXES: SlabIndex = 128;
+/// The weight of the latest run time in the mean of its class.
+const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// What was learned of run times and sizes, and of it what peers have yet to be told.
+/// What was learned of run times and sizes, and how far it was replicated.
 #[derive(Debug)]
 pub(super) struct LearnedEstimates {
     /// Mean run time per class, learned from finished tasks, in seconds.
-    pub run_time_estimates: HashMap<String, f64>,
+    class_run_times_s: HashMap<String, f64>,
     /// One of them has changed since waiting jobs were last ordered by them.
-    pub run_time_estimates_changed: bool,
-    /// What the leader before has learned, for jobs that are taken up.
-    pub inherited: InheritedEstimates,
-    /// Jobs that were taken up as the leader before knew them.
-    pub inherited_jobs: usize,
-    /// Jobs of which something was learned that peers have yet to be told.
-    pub unreplicated_estimates: BTreeSet<SlabIndex>,
-    /// Of the others the one that was told last.
-    pub next_replicated: SlabIndex,
+    run_times_changed: bool,
+    /// What the leader before has learned, for jobs that are recovered.
+    inherited: InheritedEstimates,
+    /// Jobs that were recovered with the estimates of the leader before.
+    inherited_jobs: usize,
+    /// Slab indexes of jobs whose estimates have changed since they were last replicated.
+    changed: BTreeSet<SlabIndex>,
+    /// The slab index that was examined last for a repetition.
+    last_examined: SlabIndex,
 }
 
 impl LearnedEstimates {
+    /// Begins with what the leader before has learned.
     pub fn new(inherited: InheritedEstimates) -> LearnedEstimates {
         LearnedEstimates {
-            run_time_estimates: inherited.classes.clone(),
-            run_time_estimates_changed: false,
+            class_run_times_s: inherited.classes().clone(),
+            run_times_changed: false,
             inherited,
             inherited_jobs: 0,
-            unreplicated_estimates: BTreeSet::new(),
-            next_replicated: 0,
+            changed: BTreeSet::new(),
+            last_examined: 0,
         }
     }
+
+    /// The expected run time of a task of the class, in seconds.
+    pub fn class_run_time_s(&self, config: &Config, class: &str) -> f64 {
+        let learned = self.class_run_times_s.get(class);
+        learned.copied().unwrap_or(config.tuning.first_guess_s)
+    }
+
+    /// Whether a task of the class is known to have run.
+    pub fn knows_class(&self, class: &str) -> bool {
+        self.class_run_times_s.contains_key(class)
+    }
+
+    /// A task of the class has run for so long.
+    pub fn add_run_time(&mut self, config: &Config, class: &str, run_time_s: f64) {
+        let mean_s = self
+            .class_run_times_s
+            .entry(class.to_string())
+            .or_insert(config.tuning.first_guess_s);
+        *mean_s += (run_time_s - *mean_s) * RUN_TIME_WEIGHT;
+        self.run_times_changed = true;
+    }
+
+    /// Whether the run time of any class has changed since this was last asked.
+    pub fn take_run_times_changed(&mut self) -> bool {
+        std::mem::take(&mut self.run_times_changed)
+    }
+
+    /// The estimates of the job at this slab index have changed.
+    pub fn changed(&mut self, index: SlabIndex) {
+        self.changed.insert(index);
+    }
+
+    /// Gives a job that is recovered the estimates of the leader before.
+    pub fn apply_inherited(&mut self, id: &str, job: &mut Job) {
+        let Some(estimate) = self.inherited.take(id) else {
+            return;
+        };
+        if job.spec.kind != JobKind::Batch {
+            return;
+        }
+        self.inherited_jobs += 1;
+        job.initial_size = estimate.initial_size;
+        job.size = estimate.size;
+        job.credit = estimate.credit;
+        job.trained = estimate.trained;
+        job.samples = estimate.samples;
+    }
+
+    /// How many jobs were recovered with the estimates of the leader before.
+    pub fn inherited_jobs(&self) -> usize {
+        self.inherited_jobs
+    }
+
+    /// Everything is recovered: what is left of the leader before is not needed.
+    pub fn drop_inherited(&mut self) {
+        self.inherited = InheritedEstimates::default();
+    }
 }
 
 impl Leader {
-    /// Some of what was learned: jobs of which it has changed, and then the next ones
-    /// in turn, so that who missed something hears it a little later. What ageing does
-    /// to a job need not be told again: it follows from the clock.
-    pub fn learned(&mut self) -> Option<Estimates> {
-        if self.recovery.stage != RecoveryStage::Ready {
+    /// The estimates to be replicated now: those of jobs whose estimates have changed, and
+    /// then some others in turn, so that a peer that missed a message gets them a little
+    /// later. The effect of ageing is not replicated: it follows from the virtual time.
+    pub fn next_estimates(&mut self) -> Option<Estimates> {
+        if !self.recovery.is_ready() {
             return None;
         }
         let mut jobs = Vec::new();
         while jobs.len() < MAX_JOB_ESTIMATES
-            && let Some(place) = self.estimates.unreplicated_estimates.pop_first()
+            && let Some(index) = self.estimates.changed.pop_first()
         {
-            jobs.extend(self.learned_of(place));
+            jobs.extend(self.job_estimate(index));
         }
-        let all = self.jobs.places();
-        let mut told = 0;
-        for _ in 0..all.min(LOOKED_AT) {
-            if jobs.len() >= MAX_JOB_ESTIMATES || told >= IN_TURN {
+        let index_bound = self.jobs.places();
+        let mut repeated = 0;
+        for _ in 0..index_bound.min(MAX_EXAMINED_INDEXES) {
+            if jobs.len() >= MAX_JOB_ESTIMATES || repeated >= MAX_REPEATED_JOBS {
                 break;
             }
-            self.estimates.next_replicated = (self.estimates.next_replicated + 1) % all;
-            let learned = self.learned_of(self.estimates.next_replicated);
-            told += usize::from(learned.is_some());
-            jobs.extend(learned);
+            self.estimates.last_examined = (self.estimates.last_examined + 1) % index_bound;
+            let estimate = self.job_estimate(self.estimates.last_examined);
+            repeated += usize::from(estimate.is_some());
+            jobs.extend(estimate);
         }
-        Some(self.told(jobs))
+        Some(self.estimates_message(jobs))
     }
 
-    /// All of it, for this node itself when it leads no more.
-    pub fn all_learned(&self) -> Option<Estimates> {
-        let jobs = (0..self.jobs.places()).filter_map(|place| self.learned_of(place));
-        (self.recovery.stage == RecoveryStage::Ready).then(|| self.told(jobs.collect()))
+    /// All estimates, for this node itself when it ceases to lead.
+    pub fn all_estimates(&self) -> Option<Estimates> {
+        if !self.recovery.is_ready() {
+            return None;
+        }
+        let jobs = (0..self.jobs.places()).filter_map(|index| self.job_estimate(index));
+        Some(self.estimates_message(jobs.collect()))
     }
 
-    fn told(&self, jobs: Vec<JobEstimate>) -> Estimates {
-        let classes = self.estimates.run_time_estimates.iter().take(MAX_CLASSES);
+    fn estimates_message(&self, jobs: Vec<JobEstimate>) -> Estimates {
+        let classes = self.estimates.class_run_times_s.iter().take(MAX_CLASSES);
         Estimates {
             term: self.term,
             virtual_time: self.scheduling.virtual_time,
-            classes: classes.map(|(class, s)| (class.clone(), *s)).collect(),
+            classes: classes
+                .map(|(class, run_time_s)| (class.clone(), *run_time_s))
+                .collect(),
             jobs,
         }
     }
 
-    fn learned_of(&self, place: SlabIndex) -> Option<JobEstimate> {
-        let (id, job) = self.jobs.at(place)?;
+    /// The estimate of the job at a slab index; None for those that have none.
+    fn job_estimate(&self, index: SlabIndex) -> Option<JobEstimate> {
+        let (id, job) = self.jobs.at(index)?;
         if job.spec.kind != JobKind::Batch || job.cancelled.is_some() || job.ending {
             return None;
         }
@@ -101,20 +174,4 @@
             samples: samples.copied().collect(),
         })
     }
-
-    /// Takes over what the leader before knew of a job that is taken up.
-    pub(super) fn inherit(&mut self, id: &str, job: &mut Job) {
-        let Some(learned) = self.estimates.inherited.take(id) else {
-            return;
-        };
-        if job.spec.kind != JobKind::Batch {
-            return;
-        }
-        self.estimates.inherited_jobs += 1;
-        job.initial_size = learned.initial_size;
-        job.size = learned.size;
-        job.credit = learned.credit;
-        job.trained = learned.trained;
-        job.samples = learned.samples;
-    }
 }
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Reports of workers, and orders to them.
 
+use super::queue_watch::MAX_READ_AGE;
 use super::*;
 
 /// What of a machine a report may change, its slots aside, and something is
@@ -42,9 +43,7 @@
 
     /// Whether the last read of the cancellations was sent so short a time ago.
     fn last_read_within(&self, ctx: &Context, time: Micros) -> bool {
-        self.queue_watch
-            .last_consistent_read
-            .is_some_and(|at| ctx.now.monotonic < at + time)
+        self.queue_watch.read_within(ctx.now.monotonic, time)
     }
 
     /// Whether a cancelled task may have been on the machine for so long that its lease
@@ -54,7 +53,9 @@
         let held = m.slots.iter().filter(|(_, s)| s.cancelled && s.stored);
         let jobs = held.filter_map(|((id, _), _)| self.jobs.get(id));
         let since = jobs.filter_map(|job| job.cancelled);
-        let since = since.chain(self.orphan_cancelled_on(m)).min();
+        let since = since
+            .chain(self.unknown_jobs.oldest_cancellation_on(m))
+            .min();
         since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
     }
 
@@ -71,7 +72,7 @@
             commands: Vec::new(),
         };
         // A report of a machine that is gone was held up on its way.
-        if self.recovery.stage == RecoveryStage::Ready
+        if self.recovery.is_ready()
             && !self
                 .autoscaler
                 .removed_machines
@@ -105,7 +106,7 @@
 
     /// Sure sight of the state, so that starting tasks is right.
     pub(super) fn has_recent_read(&self, ctx: &Context) -> bool {
-        self.last_read_within(ctx, SIGHT)
+        self.last_read_within(ctx, MAX_READ_AGE)
     }
 
     pub(super) fn apply_heartbeat(
@@ -169,8 +170,7 @@
         if !m.recorded {
             m.recorded = true;
             self.writer
-                .write_queue
-                .push(PendingWrite::Machine(r.machine.clone()));
+                .enqueue(PendingWrite::Machine(r.machine.clone()));
         }
         if !was_ready {
             // A new machine, or one that has yet to see this term's seal.
@@ -197,7 +197,7 @@
             self.machines.mark(place);
         }
         for event in events {
-            self.slot_event(ctx, &r.machine, event);
+            self.apply_task_event(ctx, &r.machine, event);
         }
         if r.interruption_notice_s.is_some() {
             self.leave(ctx, &r.machine);
@@ -208,7 +208,7 @@
         let known = self.jobs.place(&task.job).and_then(|p| self.jobs.at(p));
         let Some((id, job)) = known else {
             // Its end is stored, or it never was a job.
-            return !self.stays(task);
+            return !self.unknown_jobs.protects_task(task);
         };
         let Some(t) = job.tasks.get(task.index as usize) else {
             return true;
@@ -222,8 +222,7 @@
         !job.ending
             && self
                 .writer
-                .write_queue
-                .settled(id, job.spans.of(task.index))
+                .is_stored(id, job.task_ranges.range_of(task.index))
     }
 
     /// What the machine is told. Work that is to run elsewhere is stopped only by who
@@ -232,11 +231,13 @@
     /// and this answer renews the lease of what it doesn't stop.
     pub(super) fn commands(&self, ctx: &Context, m: &Machine) -> Vec<Command> {
         if !self.has_recent_read(ctx) {
-            return m.cancelled().chain(self.orphan_stops(m)).collect();
+            return m.cancelled().chain(self.unknown_jobs.stops(m)).collect();
         }
         let lasting = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
         let mut commands = m.commands(lasting, |task, attempt| self.is_end_stored(task, attempt));
-        commands.retain(|c| !matches!(c, Command::Stop { task, .. } if self.stays(task)));
+        commands.retain(
+            |c| !matches!(c, Command::Stop { task, .. } if self.unknown_jobs.protects_task(task)),
+        );
         commands
     }
 }
--- a/crates/controller/src/leader/machine_types.rs
+++ b/crates/controller/src/leader/machine_types.rs
@@ -1,24 +1,77 @@
 //! The machine types that the cloud offers, and their stored record.
 
-use super::*;
+use super::VersionedMachineTypes;
+use dillcleat_wire::cloud::MachineType;
+use std::rc::Rc;
 
-/// The machine types, as the cloud or the store told them last.
+/// The machine types, as the cloud or the store reported them last.
 #[derive(Debug)]
 pub(super) struct MachineTypeCatalog {
     /// None until they are known.
-    pub types: Option<Rc<Vec<MachineType>>>,
-    /// Whether their record holds them.
-    pub types_stored: bool,
-    /// The version of their record.
-    pub types_version: u64,
+    types: Option<Rc<Vec<MachineType>>>,
+    /// Whether their record holds them, prices aside.
+    is_stored: bool,
+    /// The version of their record, 0 if there is none.
+    record_version: u64,
 }
 
 impl MachineTypeCatalog {
     pub fn new(record: VersionedMachineTypes) -> MachineTypeCatalog {
         MachineTypeCatalog {
-            types_stored: record.types.is_some(),
-            types_version: record.version,
+            is_stored: record.types.is_some(),
+            record_version: record.version,
             types: record.types,
         }
     }
+
+    /// The machine types; None until they are known.
+    pub fn types(&self) -> Option<&Vec<MachineType>> {
+        self.types.as_deref()
+    }
+
+    /// The machine types, to be kept beside a change of the leader.
+    pub fn shared(&self) -> Option<Rc<Vec<MachineType>>> {
+        self.types.clone()
+    }
+
+    /// The machine types; none until they are known.
+    pub fn iter(&self) -> impl Iterator<Item = &MachineType> {
+        self.types().into_iter().flatten()
+    }
+
+    /// The cloud offers these types. Returns whether their record has to be written.
+    pub fn update(&mut self, types: Rc<Vec<MachineType>>) -> bool {
+        // Prices move all the time; only what decides on submissions, or the
+        // first answer, is worth a write.
+        let known = self.types();
+        let is_stored = self.is_stored && known.is_some_and(|known| same_machines(known, &types));
+        self.types = Some(types);
+        self.is_stored = is_stored;
+        !is_stored
+    }
+
+    /// The version of their record, which a write of it compares.
+    pub fn record_version(&self) -> u64 {
+        self.record_version
+    }
+
+    /// The record turned out to have another version.
+    pub fn set_record_version(&mut self, version: u64) {
+        self.record_version = version;
+    }
+
+    /// The record was written, and has this version.
+    pub fn record_written(&mut self, version: u64) {
+        self.is_stored = true;
+        self.record_version = version;
+    }
+}
+
+/// Whether two lists offer the same machines in the same zones, at whatever price.
+fn same_machines(old: &[MachineType], new: &[MachineType]) -> bool {
+    old.len() == new.len()
+        && old.iter().zip(new).all(|(old, new)| {
+            (&old.name, old.cpus, old.gpus, old.memory_gb, &old.zones)
+                == (&new.name, new.cpus, new.gpus, new.memory_gb, &new.zones)
+        })
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,16 +1,31 @@
-//! What a new leader reads before it acts.
+//! State recovery: what a new leader reads of the store before it acts.
+//!
+//! It reads, page by page, the queue (descriptions and cancellations), the machines and
+//! the tasks, in this order, and is ready once it has read all.
 
+use super::job::{Job, TaskPlacement};
 use super::scheduling::cache_gb;
-use super::*;
+use super::{Leader, RETRY_INTERVAL};
+use crate::calls::{CallError, Context};
+use crate::continuations::LeaderStep;
+use crate::machines::Machine;
+use crate::records::{
+    self, CancelledJob, MachineRecord, OpenJob, PlacedTask, TaskChunk, TaskRange,
+};
+use crate::sched::SlabIndex;
+use crate::{Micros, SECOND};
+use dillcleat_wire::store::{self, KeyValue, RangePage, StoreRequest, StoreResponse, Value};
+use dillcleat_wire::user::JobKind;
+use std::rc::Rc;
 
-/// How far a new leader is in taking up its work.
+/// How far a new leader is in recovering its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RecoveryStage {
+enum RecoveryStage {
     Loading,
     Ready,
 }
 
-/// The page of the store that a new leader reads next; the key after which it begins.
+/// A page of the store that a new leader reads, by the key after which it begins.
 #[derive(Debug, Clone)]
 pub(super) enum RecoveryPage {
     Machines(Option<String>),
@@ -18,340 +33,426 @@
     Tasks(Option<String>),
 }
 
-/// What a new leader has read of the store so far.
+/// A page that was requested and not yet read.
+#[derive(Debug, Clone)]
+struct RequestedPage {
+    page: RecoveryPage,
+    /// When it is requested again: never while the request is under way.
+    retry_at: Micros,
+}
+
+/// How far a new leader has read the store.
+///
+/// A page is being read (`requested` is set) exactly until the stage is `Ready`.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    pub stage: RecoveryStage,
-    /// The page that is being read, and when it is asked for again.
-    pub reload_at: Option<(Micros, RecoveryPage)>,
+    stage: RecoveryStage,
+    requested: Option<RequestedPage>,
     /// Cancellations that were read before the jobs that they are of.
-    pub cancelled_rows: Vec<KeyValue>,
-    /// When the first page of the queue was asked for.
-    pub load_sent: Micros,
+    cancellations: Vec<KeyValue>,
+    /// When the first page of the queue was requested.
+    queue_requested_at: Micros,
     /// When everything had been read.
-    pub ready_since: Micros,
+    ready_since: Micros,
 }
 
 impl Recovery {
     pub fn new(now: Micros) -> Recovery {
         Recovery {
             stage: RecoveryStage::Loading,
-            reload_at: None,
-            cancelled_rows: Vec::new(),
-            load_sent: now,
+            requested: None,
+            cancellations: Vec::new(),
+            queue_requested_at: now,
             ready_since: now,
         }
     }
+
+    /// Whether everything has been read.
+    pub fn is_ready(&self) -> bool {
+        self.stage == RecoveryStage::Ready
+    }
+
+    /// When everything had been read. Meaningless before.
+    pub fn ready_since(&self) -> Micros {
+        self.ready_since
+    }
+
+    /// Whether a page is still to be read.
+    pub fn is_reading(&self) -> bool {
+        self.requested.is_some()
+    }
+
+    /// The page whose request failed and is to be made again now.
+    pub fn page_to_retry(&self, now: Micros) -> Option<RecoveryPage> {
+        let requested = self.requested.as_ref()?;
+        (now >= requested.retry_at).then(|| requested.page.clone())
+    }
+
+    fn page_requested(&mut self, page: RecoveryPage, now: Micros) {
+        if matches!(page, RecoveryPage::Queue(None)) {
+            // Cancellations up to here are in what is read now.
+            self.queue_requested_at = now;
+        }
+        self.requested = Some(RequestedPage {
+            page,
+            retry_at: Micros::MAX,
+        });
+    }
+
+    fn request_failed(&mut self, now: Micros) {
+        if let Some(requested) = &mut self.requested {
+            requested.retry_at = now + RETRY_INTERVAL;
+        }
+    }
+
+    fn all_read(&mut self, now: Micros) {
+        self.requested = None;
+        self.stage = RecoveryStage::Ready;
+        self.ready_since = now;
+    }
 }
 
 impl Leader {
-    /// Term and its record's version, once everything is taken up.
+    /// Its term and the version of the term's record, once it has recovered its state.
     pub fn fence(&self) -> Option<(u64, u64)> {
-        (self.recovery.stage == RecoveryStage::Ready).then_some((self.term, self.term_version))
+        self.recovery
+            .is_ready()
+            .then_some((self.term, self.term_version))
     }
 
+    /// Whether the job is open and its description was read.
     pub fn holds(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    pub(super) fn load(&mut self, ctx: &mut Context, from: RecoveryPage) {
-        let (prefix, after, step) = match &from {
-            RecoveryPage::Machines(after) => (records::MACHINES, after, Step::LoadMachines),
-            RecoveryPage::Queue(after) => (records::QUEUE, after, Step::LoadQueue),
-            RecoveryPage::Tasks(after) => (records::TASKS, after, Step::LoadTasks),
+    /// Requests a page of the store.
+    pub(super) fn request_page(&mut self, ctx: &mut Context, page: RecoveryPage) {
+        let (prefix, after, step) = match &page {
+            RecoveryPage::Machines(after) => (records::MACHINES, after, LeaderStep::LoadMachines),
+            RecoveryPage::Queue(after) => (records::QUEUE, after, LeaderStep::LoadQueue),
+            RecoveryPage::Tasks(after) => (records::TASKS, after, LeaderStep::LoadTasks),
         };
-        if matches!(from, RecoveryPage::Queue(None)) {
-            // Cancellations up to here are in what is read now.
-            self.recovery.load_sent = ctx.now.monotonic;
-        }
-        let call = StoreRequest::List {
+        let request = StoreRequest::List {
             prefix: prefix.into(),
             after: after.clone(),
         };
-        self.recovery.reload_at = Some((Micros::MAX, from));
-        let waiter = self.waiter(step);
-        ctx.store_request(call, waiter);
+        self.recovery.page_requested(page, ctx.now.monotonic);
+        let continuation = self.continuation(step);
+        ctx.store_request(request, continuation);
     }
 
-    pub(super) fn page_loaded(&mut self, ctx: &mut Context, step: &Step, page: RangePage) {
-        let last = page.rows.last().map(|r| r.key.clone());
-        let more = page.more && last.is_some();
-        let next = match step {
-            Step::LoadMachines => {
-                self.load_machines(ctx, &page.rows);
-                if more {
-                    RecoveryPage::Machines(last)
-                } else {
-                    RecoveryPage::Tasks(None)
+    /// Handles the reply to the request of a page. `step` says of which records.
+    pub(super) fn page_reply(
+        &mut self,
+        ctx: &mut Context,
+        step: &LeaderStep,
+        reply: Result<StoreResponse, CallError>,
+    ) {
+        let Ok(StoreResponse::RangePage(page)) = reply else {
+            return self.recovery.request_failed(ctx.now.monotonic);
+        };
+        let last_key = page.rows.last().map(|row| row.key.clone());
+        let next_key = last_key.filter(|_| page.more);
+        let next_page = match step {
+            LeaderStep::LoadMachines => {
+                self.apply_machine_records(ctx, &page.rows);
+                match next_key {
+                    Some(_) => RecoveryPage::Machines(next_key),
+                    None => RecoveryPage::Tasks(None),
                 }
             }
-            Step::LoadQueue => {
-                // Later pages may hold more, but the watch starts here: what
-                // it tells again changes nothing.
-                self.queue_watch.queue_revision.get_or_insert(page.revision);
-                for row in page.rows {
-                    // Cancellations come before descriptions in the order of
-                    // keys, but a cancellation means nothing before its job is
-                    // known: taken in that order, a new leader would let
-                    // cancelled tasks run on.
-                    if row.key.starts_with(records::OPEN) {
-                        self.queue_row(ctx, &row.key, &row.value, row.version);
-                    } else {
-                        self.recovery.cancelled_rows.push(row);
-                    }
-                }
-                let opens = |key: &String| key.starts_with(records::OPEN);
-                if self.queue_watch.last_consistent_read.is_none()
-                    && (!more || last.as_ref().is_some_and(opens))
-                {
-                    // Every cancellation is known that was confirmed before the first
-                    // page was asked for. Which machines hold its tasks is not: until
-                    // that is read, all answers end as early as those to the machine
-                    // that holds the oldest.
-                    let rows = self.recovery.cancelled_rows.iter();
-                    let oldest = rows.map(|row| confirmed(ctx, &row.value)).min();
-                    self.queue_watch.last_consistent_read =
-                        Some(oldest.unwrap_or(Micros::MAX).min(self.recovery.load_sent));
-                }
-                if more {
-                    RecoveryPage::Queue(last)
-                } else {
-                    for row in std::mem::take(&mut self.recovery.cancelled_rows) {
-                        self.queue_row(ctx, &row.key, &row.value, row.version);
+            LeaderStep::LoadQueue => {
+                self.apply_queue_page(ctx, page, next_key.as_deref());
+                match next_key {
+                    Some(_) => RecoveryPage::Queue(next_key),
+                    None => {
+                        self.apply_cancellations(ctx);
+                        RecoveryPage::Machines(None)
                     }
-                    RecoveryPage::Machines(None)
                 }
             }
             _ => {
                 // Page by page: all of a large fleet's at once took a quarter of
                 // a second, in which nothing else was answered.
                 for row in &page.rows {
-                    self.task_row(ctx, row);
+                    self.apply_task_record(ctx, row);
                 }
-                if !more {
-                    self.recovery.reload_at = None;
-                    return self.start(ctx);
+                if next_key.is_none() {
+                    return self.finish_recovery(ctx);
                 }
-                RecoveryPage::Tasks(last)
+                RecoveryPage::Tasks(next_key)
             }
         };
-        self.load(ctx, next);
+        self.request_page(ctx, next_page);
+    }
+
+    /// Applies the descriptions of a page of the queue, and keeps its cancellations until
+    /// all descriptions are read. `next_key` is where the next page begins, if there is
+    /// one.
+    fn apply_queue_page(&mut self, ctx: &Context, page: RangePage, next_key: Option<&str>) {
+        // Later pages may be of later revisions, but the watch starts here: a change that
+        // it reports again has no effect.
+        self.queue_watch.start_after(page.revision);
+        for row in page.rows {
+            // Cancellations come before descriptions in the order of keys, but a
+            // cancellation means nothing before its job is known: applied in that order,
+            // a new leader would let cancelled tasks run on.
+            if row.key.starts_with(records::OPEN) {
+                self.apply_queue_record(ctx, &row.key, &row.value, row.version);
+            } else {
+                self.recovery.cancellations.push(row);
+            }
+        }
+        let all_cancellations_read = next_key.is_none_or(|key| key.starts_with(records::OPEN));
+        if all_cancellations_read && !self.queue_watch.has_consistent_read() {
+            // Every cancellation is known that was confirmed before the first page was
+            // requested. Which machines hold its tasks is not: until that is read, all
+            // answers end as early as those to the machine that holds the oldest.
+            let cancellations = self.recovery.cancellations.iter();
+            let oldest = cancellations
+                .map(|row| earliest_confirmation(ctx, &row.value))
+                .min();
+            let requested_at = self.recovery.queue_requested_at;
+            self.queue_watch
+                .set_consistent_read(oldest.unwrap_or(Micros::MAX).min(requested_at));
+        }
     }
 
-    pub(super) fn load_machines(&mut self, ctx: &Context, rows: &[KeyValue]) {
+    /// Applies the cancellations that were kept until all descriptions were read.
+    fn apply_cancellations(&mut self, ctx: &Context) {
+        for row in std::mem::take(&mut self.recovery.cancellations) {
+            self.apply_queue_record(ctx, &row.key, &row.value, row.version);
+        }
+    }
+
+    fn apply_machine_records(&mut self, ctx: &Context, rows: &[KeyValue]) {
         for row in rows {
             let Some(name) = row.key.strip_prefix(records::MACHINES) else {
                 continue;
             };
-            let Some(r) = row.decode_value::<MachineRecord>() else {
-                log::error!("{}: not a machine's record", row.key);
+            let Some(record) = row.decode_value::<MachineRecord>() else {
+                log::error!("unreadable machine record: key={}", row.key);
                 continue;
             };
-            let mut m = Machine::new(name, &r.machine_type, &r.zone, r.spot, ctx.now.monotonic);
-            m.addr = Some(r.addr);
-            m.recorded = true;
-            self.machines.insert(m.name.clone(), m);
+            let mut machine = Machine::new(
+                name,
+                &record.machine_type,
+                &record.zone,
+                record.spot,
+                ctx.now.monotonic,
+            );
+            machine.addr = Some(record.addr);
+            machine.recorded = true;
+            self.machines.insert(machine.name.clone(), machine);
         }
     }
 
-    /// Everything is read: take up the work.
-    pub(super) fn start(&mut self, ctx: &mut Context) {
+    /// Everything is read: the leader begins to act.
+    fn finish_recovery(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        self.recovery.stage = RecoveryStage::Ready;
-        self.recovery.ready_since = now;
-        self.queue_watch.last_consistent_read = Some(self.recovery.load_sent);
-        self.queue_watch.watch_at = Some(now);
-        let ids = |of: fn(&Job) -> bool| -> Vec<Rc<str>> {
-            let jobs = self.jobs.iter();
-            jobs.filter(|(_, j)| of(j))
-                .map(|(id, _)| id.clone())
-                .collect()
-        };
-        let cancelled = ids(|j| j.cancelled.is_some());
-        let done = ids(|j| j.done as usize == j.tasks.len());
-        self.lift_all(ctx);
+        self.recovery.all_read(now);
+        self.queue_watch
+            .set_consistent_read(self.recovery.queue_requested_at);
+        self.queue_watch.watch_from(now);
+        let cancelled = self.job_ids(|job| job.cancelled.is_some());
+        let done = self.job_ids(Job::all_done);
+        self.propagate_all_urgencies(ctx);
         for id in cancelled {
-            self.stop_job(ctx, &id);
+            self.cancel_job(ctx, &id);
         }
         for id in done {
-            self.check_done(&id);
-        }
-        for m in self.machines.values_mut() {
-            m.heard_at = now;
-            m.reported_at = now;
-            m.known_since = now;
-            m.empty_since = now;
-            m.needs_command = true;
-            match self.partitions.zones_silent_before.get(&*m.zone) {
-                // It had reported to the leader before, or it had no record.
-                Some(heard) if m.recorded => {
-                    m.up = true;
-                    m.heard_at = now.min(*heard);
-                    m.reported_at = m.heard_at;
-                    // Those that answer have their turn first.
-                    self.command_dispatch
-                        .later(now + SECOND, m.name.clone(), false);
-                }
-                _ => self.command_dispatch.plain(m.name.clone()),
-            }
+            self.end_if_done(&id);
         }
+        self.start_contacting_machines(now);
         log::info!(
-            "term {}: took up {} jobs and {} machines, with what was learned of {} jobs; {} wait for others",
+            "state recovered: term={} jobs={} machines={} jobs_with_estimates={} blocked_jobs={}",
             self.term,
             self.jobs.len(),
             self.machines.len(),
-            self.estimates.inherited_jobs,
-            self.dependencies.dependency_graph.waiting()
+            self.estimates.inherited_jobs(),
+            self.dependencies.blocked_jobs()
         );
-        self.estimates.inherited = InheritedEstimates::default();
+        self.estimates.drop_inherited();
     }
 
-    pub(super) fn guess(&self, config: &Config, class: &str) -> f64 {
-        self.estimates
-            .run_time_estimates
-            .get(class)
-            .copied()
-            .unwrap_or(config.tuning.first_guess_s)
+    /// The ids of the jobs that satisfy a condition.
+    fn job_ids(&self, condition: fn(&Job) -> bool) -> Vec<Rc<str>> {
+        let jobs = self.jobs.iter().filter(|(_, job)| condition(job));
+        jobs.map(|(id, _)| id.clone()).collect()
     }
 
-    pub(super) fn queue_row(&mut self, ctx: &Context, key: &str, value: &Value, version: u64) {
-        if let Some(id) = key.strip_prefix(records::OPEN) {
-            if self.jobs.contains_key(id) {
-                return;
+    /// Sends every machine its first commands. A machine counts as heard from now on,
+    /// unless its zone was silent already.
+    fn start_contacting_machines(&mut self, now: Micros) {
+        for machine in self.machines.values_mut() {
+            machine.heard_at = now;
+            machine.reported_at = now;
+            machine.known_since = now;
+            machine.empty_since = now;
+            machine.needs_command = true;
+            match self.partitions.zones_silent_before.get(&*machine.zone) {
+                // It had sent a heartbeat to the leader before, or it had no record.
+                Some(heard) if machine.recorded => {
+                    machine.up = true;
+                    machine.heard_at = now.min(*heard);
+                    machine.reported_at = machine.heard_at;
+                    // Those that answer have their turn first.
+                    self.command_dispatch
+                        .later(now + SECOND, machine.name.clone(), false);
+                }
+                _ => self.command_dispatch.plain(machine.name.clone()),
             }
-            let Some(open) = store::decode_value::<OpenJob>(value) else {
-                log::error!("{key}: not a job's description");
-                return self.undescribed(ctx, id, value);
-            };
-            // A team that has gone from the settings, perhaps from this node's only, keeps
-            // its jobs waiting (`standing`). What of them is on machines goes on.
-            let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
-                log::error!("{id}: its team {} is not in the settings", open.spec.team);
-                ctx.config.teams.len()
-            });
-            let version = open.mark_version(version);
-            let guess = self.guess(ctx.config, &open.spec.class);
-            self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
-            let mut job = Job::new(open, version, team, guess, ctx.config.part_tasks());
-            self.inherit(id, &mut job);
-            let id: Rc<str> = Rc::from(id);
-            let place = self.jobs.insert(id.clone(), job);
-            self.estimates.unreplicated_estimates.insert(place);
-            self.scheduling.schedule_at = ctx.now.monotonic;
-            self.joins(ctx, &id);
+        }
+    }
+
+    /// Applies a record of the queue: a description or a cancellation. To apply one again
+    /// has no effect.
+    pub(super) fn apply_queue_record(
+        &mut self,
+        ctx: &Context,
+        key: &str,
+        value: &Value,
+        version: u64,
+    ) {
+        if let Some(id) = key.strip_prefix(records::OPEN) {
+            self.apply_description(ctx, id, value, version);
         } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
-            let at = confirmed(ctx, value);
-            let Some(id) = self.jobs.name(id).cloned() else {
-                return self.orphan_cancelled(id, at);
-            };
-            if let Some(job) = self.jobs.get_mut(&id) {
-                // A write may have met its mark before, which says not since when. That
-                // is read yet, perhaps for long: this row is proof enough.
-                job.cancelled = Some(job.cancelled.map_or(at, |c| c.min(at)));
-                if !job.stopped && self.recovery.stage == RecoveryStage::Ready {
-                    self.stop_job(ctx, &id);
-                }
+            self.apply_cancellation(ctx, id, value);
+        }
+    }
+
+    fn apply_description(&mut self, ctx: &Context, id: &str, value: &Value, version: u64) {
+        if self.jobs.contains_key(id) {
+            return;
+        }
+        let Some(open) = store::decode_value::<OpenJob>(value) else {
+            log::error!("unreadable job description: job={id}");
+            return self.add_undescribed_job(ctx, id, value);
+        };
+        // A team that has gone from the settings, perhaps from this node's only, keeps
+        // its jobs waiting (`standing`). What of them is on machines goes on.
+        let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
+            log::error!("unknown team: job={id} team={}", open.spec.team);
+            ctx.config.teams.len()
+        });
+        let state_version = open.state_version(version);
+        let run_time_s = self
+            .estimates
+            .class_run_time_s(ctx.config, &open.spec.class);
+        self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
+        let part_tasks = ctx.config.part_tasks();
+        let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
+        self.estimates.apply_inherited(id, &mut job);
+        let id: Rc<str> = Rc::from(id);
+        let slot = self.jobs.insert(id.clone(), job);
+        self.estimates.changed(slot);
+        self.scheduling.schedule_at = ctx.now.monotonic;
+        self.track_dependencies(ctx, &id);
+    }
+
+    fn apply_cancellation(&mut self, ctx: &Context, id: &str, value: &Value) {
+        let confirmed_at = earliest_confirmation(ctx, value);
+        let Some(id) = self.jobs.name(id).cloned() else {
+            return self.cancel_unknown_job(id, confirmed_at);
+        };
+        if let Some(job) = self.jobs.get_mut(&id) {
+            // A write may have found its state record changed before, which doesn't say
+            // since when. That record may not be read for long: this one is proof enough.
+            let known_at = job.cancelled.unwrap_or(confirmed_at);
+            job.cancelled = Some(known_at.min(confirmed_at));
+            if !job.stopped && self.recovery.is_ready() {
+                self.cancel_job(ctx, &id);
             }
         }
     }
 
-    pub(super) fn task_row(&mut self, ctx: &Context, row: &KeyValue) {
-        let Some((id, span)) = records::parse_tasks_key(&row.key) else {
+    fn apply_task_record(&mut self, ctx: &Context, row: &KeyValue) {
+        let Some((id, range)) = records::parse_tasks_key(&row.key) else {
             return;
         };
-        let Some(id) = self.jobs.name(id) else {
-            return self.orphan_row(id, row);
+        let Some(id) = self.jobs.name(id).cloned() else {
+            return self.add_unknown_job_record(id, row);
         };
-        let id = id.clone();
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
-            log::error!("{}: not a chunk of tasks", row.key);
-            return self.set_aside(ctx, &id, span, &row.key);
+            log::error!("unreadable task record: key={}", row.key);
+            return self.demote_to_unknown(ctx, &id, range, &row.key);
         };
-        let now = ctx.now.monotonic;
-        let types = self.machine_types.types.clone();
-        if matches!(span, TaskRange::Part { .. }) {
-            // Parts are written once the lower limits are in force, and stand above
-            // their chunk, which came before.
-            self.writer.value_bytes = ctx.config.value_bytes;
-            self.unload(&id, span);
+        if matches!(range, TaskRange::Part { .. }) {
+            // Parts are written once the lower limits are in force, and override their
+            // chunk, which came before.
+            self.writer.use_lower_value_limit(ctx.config);
+            self.discard_chunk_state(&id, range);
         }
-        let Some(place) = self.jobs.place(&id) else {
+        let Some(slot) = self.jobs.place(&id) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.spans.set_version(span, row.version);
-        let n = job.tasks.len() as u32;
-        for (i, attempt) in chunk.waiting {
-            if let Some(t) = job.tasks.get_mut(i as usize) {
-                t.attempt = attempt;
-            }
+        job.task_ranges.set_version(range, row.version);
+        job.apply_chunk(&chunk);
+        for placed in chunk.placed {
+            self.apply_placement(ctx, &id, slot, placed);
         }
-        for (from, to) in chunk.done {
-            for i in from..=to.min(n.saturating_sub(1)) {
-                job.tasks[i as usize].state = TaskPlacement::Done;
-                job.waiting.remove(&i);
-                job.done += 1;
-            }
-        }
-        if job.done > 0 {
-            job.record.ran();
-        }
-        for (i, attempt, machine, session) in chunk.placed {
-            let Some(t) = job.tasks.get_mut(i as usize) else {
-                continue;
-            };
-            t.attempt = attempt;
-            let machine: Rc<str> = Rc::from(machine);
-            t.state = TaskPlacement::Placed {
-                machine: machine.clone(),
-                incarnation: session,
-                stored: true,
-            };
-            job.waiting.remove(&i);
-            // A machine without a record may be running all the same: what it
-            // is shows when it reports or is listed.
-            if !self.machines.contains_key(&machine) {
-                let m = Machine::new(&machine, "", "", false, now);
-                self.machines.insert(machine.clone(), m);
-            }
-            let Some(m) = self.machines.get_mut(&machine) else {
-                continue;
-            };
-            m.incarnation = m.incarnation.max(session);
-            let slot = Machine::slot(attempt, session, (place, &job.spec), true);
-            let image = (&job.image, job.spec.image_gb);
-            let cache = cache_gb(types.as_deref(), &m.machine_type);
-            m.place((id.clone(), i), slot, image, cache);
+    }
+
+    /// Applies a stored placement of a task to its job, which is already marked as
+    /// changed, and to its machine.
+    fn apply_placement(
+        &mut self,
+        ctx: &Context,
+        id: &Rc<str>,
+        slot: SlabIndex,
+        placed: PlacedTask,
+    ) {
+        let Some(job) = self.jobs.quiet(slot) else {
+            return;
+        };
+        let Some(task) = job.tasks.get_mut(placed.index as usize) else {
+            return;
+        };
+        let name: Rc<str> = Rc::from(placed.machine);
+        task.attempt = placed.attempt;
+        task.state = TaskPlacement::Placed {
+            machine: name.clone(),
+            incarnation: placed.incarnation,
+            stored: true,
+        };
+        job.waiting.remove(&placed.index);
+        // A machine without a record may be running all the same: what it is shows when
+        // it sends a heartbeat or the cloud lists it.
+        if !self.machines.contains_key(&name) {
+            let machine = Machine::new(&name, "", "", false, ctx.now.monotonic);
+            self.machines.insert(name.clone(), machine);
         }
+        let Some(machine) = self.machines.get_mut(&name) else {
+            return;
+        };
+        machine.incarnation = machine.incarnation.max(placed.incarnation);
+        let task_slot = Machine::slot(placed.attempt, placed.incarnation, (slot, &job.spec), true);
+        let image = (&job.image, job.spec.image_gb);
+        let cache = cache_gb(self.machine_types.types(), &machine.machine_type);
+        machine.place((id.clone(), placed.index), task_slot, image, cache);
     }
 
-    /// Takes back what a chunk said of some tasks.
-    fn unload(&mut self, id: &Rc<str>, span: TaskRange) {
+    /// Discards what the record of a chunk said of some of its tasks.
+    fn discard_chunk_state(&mut self, id: &Rc<str>, range: TaskRange) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for i in job.spans.range(span) {
-            let task = &mut job.tasks[i as usize];
-            match std::mem::replace(&mut task.state, TaskPlacement::Waiting) {
-                TaskPlacement::Placed { machine, .. } => {
-                    if let Some(m) = self.machines.get_mut(&machine) {
-                        m.slots.remove(&(id.clone(), i));
-                    }
-                }
-                TaskPlacement::Done => job.done -= 1,
-                TaskPlacement::Waiting => {}
+        for index in job.task_ranges.range(range) {
+            if let Some(machine) = job.reset_task(index)
+                && let Some(machine) = self.machines.get_mut(&machine)
+            {
+                machine.slots.remove(&(id.clone(), index));
             }
-            task.attempt = 0;
-            job.waiting.insert(i);
         }
     }
 }
 
-/// When a cancellation was confirmed at the earliest, by the record of it.
-fn confirmed(ctx: &Context, value: &Value) -> Micros {
-    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.at);
+/// When a cancellation was confirmed to its user at the earliest, by its record.
+fn earliest_confirmation(ctx: &Context, value: &Value) -> Micros {
+    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.cancelled_at_us);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
     ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -42,19 +42,19 @@
 impl Leader {
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if let Some((at, from)) = self.recovery.reload_at.clone() {
-            if now >= at {
-                self.load(ctx, from);
+        if self.recovery.is_reading() {
+            if let Some(page) = self.recovery.page_to_retry(now) {
+                self.request_page(ctx, page);
             }
             return;
         }
         if !self.may_answer_heartbeats(ctx) {
-            self.queue_watch.no_consistent_read_since.get_or_insert(now);
-        } else if let Some(since) = self.queue_watch.no_consistent_read_since.take() {
+            self.queue_watch.begin_outage(now);
+        } else if let Some(outage) = self.queue_watch.end_outage(now) {
             // Whoever was refused an answer was not silent. After an outage of a
             // minute every machine once looked as if it were, and all were deleted
             // before they could report again.
-            self.paused(now - since, now);
+            self.paused(outage, now);
         }
         if self.schedule_due(ctx)
             || now >= self.scheduling.last_scheduled_at + micros(ctx.config.tuning.pass_s)
@@ -82,29 +82,16 @@
     /// a service's submission wants: a report is answered, and with it a lease
     /// renewed, without one in between.
     pub fn send_pending(&mut self, ctx: &mut Context) {
-        if self.recovery.stage != RecoveryStage::Ready {
+        if !self.recovery.is_ready() {
             return;
         }
         if self.scheduling.service_submitted && self.schedule_due(ctx) {
             self.schedule(ctx);
         }
-        if self
-            .queue_watch
-            .watch_at
-            .is_some_and(|at| ctx.now.monotonic >= at)
-        {
-            self.queue_watch.watch_at = None;
-            let call = StoreRequest::Watch {
-                prefix: records::QUEUE.into(),
-                after: self.queue_watch.queue_revision.unwrap_or(0),
-                hold_ms: WATCH_MS,
-            };
-            let waiter = self.waiter(Step::Watch);
-            ctx.store_request(call, waiter);
-        }
-        self.look_for_proofs(ctx);
-        self.read_again(ctx);
-        self.write(ctx);
+        self.send_queue_watch(ctx);
+        self.request_dependency_states(ctx);
+        self.send_due_rereads(ctx);
+        self.send_writes(ctx);
         self.send_commands(ctx);
         self.call_cloud(ctx);
     }
@@ -115,7 +102,7 @@
         let most = (fleet as f64 * ctx.config.tuning.delete_share) as usize;
         let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
         if let Some((errand, call, permit)) = self.autoscaler.cloud_queue.next(now, most, permit) {
-            let waiter = self.waiter(Step::Cloud(errand));
+            let waiter = self.continuation(Step::Cloud(errand));
             ctx.cloud_request(call, &permit, waiter);
         }
     }
@@ -140,8 +127,7 @@
     /// Since when reports of several machines should have come in.
     pub fn expects_reports_since(&self) -> Option<Micros> {
         let expected = self.derived.sums.recorded;
-        (self.recovery.stage == RecoveryStage::Ready && expected >= 2)
-            .then_some(self.recovery.ready_since)
+        (self.recovery.is_ready() && expected >= 2).then_some(self.recovery.ready_since())
     }
 
     /// Machines that hold a cancelled job's tasks and do not show their end
@@ -150,7 +136,7 @@
         let now = ctx.now.monotonic;
         let patience = ctx.config.cancel * 3 / 10;
         let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
-        if now < self.recovery.ready_since + patience / 4 || !may {
+        if now < self.recovery.ready_since() + patience / 4 || !may {
             return;
         }
         let mut late: BTreeSet<Rc<str>> = BTreeSet::new();
@@ -189,7 +175,11 @@
     /// A job as a pass or a plan sees it, with up to so many waiting tasks.
     pub(super) fn job_view(&self, ctx: &Context, place: SlabIndex) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(place)?;
-        let most = if job.record.doubtful() { 1 } else { PASS_TASKS };
+        let most = if job.failures.doubtful() {
+            1
+        } else {
+            PASS_TASKS
+        };
         Some(JobView {
             index: place,
             id,
@@ -200,7 +190,7 @@
             zones: self.zones(job, &BTreeSet::new()),
             training: job.training(ctx.config),
             at_risk_tasks: 0,
-            starving: job.shape.starving(),
+            starving: job.resource_request.starving(),
         })
     }
 
@@ -219,14 +209,14 @@
     /// What a task of the job takes, as far as is known.
     pub(super) fn run_time(&self, config: &Config, job: &Job) -> f64 {
         match job.samples.len() {
-            0 => self.guess(config, &job.spec.class),
+            0 => self.estimates.class_run_time_s(config, &job.spec.class),
             n => job.samples.iter().sum::<f64>() / n as f64,
         }
     }
 
     /// The boot time of the type that is up soonest, in seconds.
     pub(super) fn soonest_boot(&self) -> f64 {
-        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.iter();
         types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
@@ -252,8 +242,6 @@
 
     pub(super) fn total(&self, machine_type: &str) -> Option<Resources> {
         self.machine_types
-            .types
-            .as_ref()?
             .iter()
             .find(|t| t.name == machine_type)
             .map(Resources::of_type)
@@ -286,7 +274,7 @@
         self.scheduling.schedule_at = Micros::MAX;
         self.scheduling.service_submitted = false;
         self.scheduling.last_scheduled_at = now;
-        if self.has_recent_read(ctx) && self.machine_types.types.is_some() {
+        if self.has_recent_read(ctx) && self.machine_types.types().is_some() {
             self.refresh(ctx);
             self.place_waiting_jobs(ctx);
             self.make_room(ctx);
@@ -320,7 +308,7 @@
     }
 
     fn apply_assignment(&mut self, a: &sched::Assignment) {
-        let types = self.machine_types.types.clone();
+        let types = self.machine_types.shared();
         let Some((id, machine)) = self.jobs.at(a.job).zip(self.machines.at(a.machine)) else {
             return;
         };
@@ -355,7 +343,7 @@
         job.waits_since = None;
         self.scheduling.counts.placed += touched.len() as u64;
         for key in touched {
-            self.touch(&key);
+            self.enqueue_task_record(&key);
         }
     }
 
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -94,7 +94,7 @@
     /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a
     /// fifth more (rosterwise-nz).
     pub(super) fn ahead(&self, config: &Config) -> f64 {
-        let types = self.machine_types.types.iter().flat_map(|ts| ts.iter());
+        let types = self.machine_types.iter();
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
         let share = config.tuning.spare_share * self.derived.sums.fleet_cpus();
         self.reserve(config).min(share / zones.len().max(1) as f64)
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -1,530 +1,635 @@
-//! Writing, in batches that are fenced by the term.
+//! The leader's writes to the store, in batches that are fenced by its term, and what
+//! follows from their replies.
 
-use super::*;
+use super::job::{Job, TaskPlacement};
+use super::{Leader, LeaderEvent, RETRY_INTERVAL};
+use crate::calls::{CallError, Context};
+use crate::continuations::LeaderStep;
+use crate::records::{
+    self, JobStateRecord, MachineRecord, MachineTypesRecord, RecordedState, TaskRange,
+};
+use crate::write_queue::{NewPlacement, PendingWrite, WriteBatch, WriteQueue, WriteRate};
+use crate::{Config, Micros, SECOND};
+use dillcleat_wire::store::{self, StoreRequest, StoreResponse, Transaction};
+use std::collections::VecDeque;
+use std::rc::Rc;
 
-/// When what the state service has refused by itself is tried again.
-const ASIDE: Micros = 30 * SECOND;
+/// After how long a write that the store refused by itself is tried again.
+const REFUSED_WRITE_RETRY_INTERVAL: Micros = 30 * SECOND;
+/// Share of the store's writes that deferrable writes may take.
+const DEFERRABLE_WRITE_SHARE: f64 = 0.3;
+/// Bound of a transaction's size; the rest of the store's limit is for its frame.
+const MAX_BATCH_BYTES: usize = store::MAX_TRANSACTION_BYTES * 3 / 4;
+/// Changes that have to be left in a batch for one more write to be added.
+const CHANGES_PER_WRITE: usize = 3;
 
-/// The leader's writes to the store.
+/// A read that was not answered and is to be made again.
+#[derive(Debug)]
+struct DelayedRead {
+    at: Micros,
+    key: String,
+    step: LeaderStep,
+}
+
+/// The leader's writes to the store: what is queued, at which rate it may be written, and
+/// the reads that settle what became of a write.
+///
+/// `delayed_reads` is ordered by time, since every read is delayed for the same time.
 #[derive(Debug)]
 pub(super) struct StateWriter {
-    pub write_queue: WriteQueue,
-    /// Reads that were not answered, by when they are made again.
-    pub reads: VecDeque<(Micros, String, Step)>,
-    pub write_rate: WriteRate,
-    /// What a value may take, as far as is known, in bytes: less once the store has
-    /// refused one.
-    pub value_bytes: usize,
+    queue: WriteQueue,
+    rate: WriteRate,
+    delayed_reads: VecDeque<DelayedRead>,
+    /// The largest value that the store takes, as far as is known, in bytes: less once it
+    /// has refused one.
+    max_value_bytes: usize,
 }
 
 impl StateWriter {
     pub fn new(config: &Config) -> StateWriter {
         StateWriter {
-            write_queue: WriteQueue::default(),
-            reads: VecDeque::new(),
-            write_rate: WriteRate::new(config.state_write_rps_before),
-            value_bytes: config.value_bytes_before,
+            queue: WriteQueue::default(),
+            rate: WriteRate::new(config.state_write_rps_before),
+            delayed_reads: VecDeque::new(),
+            max_value_bytes: config.value_bytes_before,
         }
     }
-}
 
-impl Job {
-    /// Whether this record of its tasks is written now.
-    fn writes(&self, span: TaskRange) -> bool {
-        let split = matches!(span, TaskRange::Chunk(chunk) if self.spans.is_split(chunk));
-        !self.ending && self.cancelled.is_none() && !split
+    /// Queues a write, unless it is queued already.
+    pub fn enqueue(&mut self, write: PendingWrite) {
+        self.queue.push(write);
+    }
+
+    /// Queues a write before the others of its kind, unless it is queued already.
+    pub fn enqueue_first(&mut self, write: PendingWrite) {
+        self.queue.push_front(write);
+    }
+
+    /// Whether the latest change of these tasks is in the store.
+    pub fn is_stored(&self, job: &Rc<str>, range: TaskRange) -> bool {
+        self.queue.is_stored(job, range)
+    }
+
+    /// Whether a cancellation of the job that follows from another has yet to be stored.
+    pub fn has_cancellation(&self, job: &Rc<str>) -> bool {
+        self.queue.has_cancellation(job)
+    }
+
+    /// Whether the batch in flight stores this placement.
+    pub fn is_storing(&self, placement: &NewPlacement) -> bool {
+        let in_flight = self.queue.in_flight();
+        in_flight.is_some_and(|batch| batch.placements.contains(placement))
+    }
+
+    /// The announced lower limit of a value's size is in force.
+    pub fn use_lower_value_limit(&mut self, config: &Config) {
+        self.max_value_bytes = config.value_bytes;
+    }
+
+    /// Makes a write that the store refused by itself again, much later.
+    fn retry_refused(&mut self, now: Micros, write: PendingWrite) {
+        self.queue
+            .retry_refused_at(now + REFUSED_WRITE_RETRY_INTERVAL, write);
+    }
+
+    /// Makes a read that was not answered again after a pause: made at once, it was
+    /// refused hundreds of times a second in an outage.
+    fn delay_read(&mut self, now: Micros, key: String, step: LeaderStep) {
+        let at = now + RETRY_INTERVAL;
+        self.delayed_reads.push_back(DelayedRead { at, key, step });
+    }
+
+    fn pop_due_read(&mut self, now: Micros) -> Option<DelayedRead> {
+        self.delayed_reads.pop_front_if(|read| now >= read.at)
     }
 }
 
+/// Sending.
 impl Leader {
-    pub(super) fn write(&mut self, ctx: &mut Context) {
-        if let Some(at) = self.writer.write_queue.resend_at {
-            if ctx.now.monotonic < at {
-                return;
-            }
-            self.writer.write_queue.resend_at = None;
-            if let Some(b) = &self.writer.write_queue.batch {
-                let call = StoreRequest::Transaction(b.txn.clone());
-                let waiter = self.waiter(Step::WriteQueue);
-                ctx.store_request(call, waiter);
+    /// Sends the next batch, or the unanswered one again, if it may be sent now.
+    pub(super) fn send_writes(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic;
+        if self.writer.queue.in_flight().is_some() {
+            if let Some(transaction) = self.writer.queue.take_due_resend(now) {
+                self.send_transaction(ctx, transaction);
             }
             return;
         }
-        if self.writer.write_queue.batch.is_some() {
+        let Some(batch) = self.next_batch(ctx) else {
             return;
-        }
-        self.writer.write_queue.take_back(ctx.now.monotonic);
-        let part = ctx.config.state_write_rps * LATER_PART;
-        self.writer.write_queue.refill(ctx.now.monotonic, part);
-        if self.writer.write_queue.is_idle() {
-            return;
-        }
-        let room = self
-            .writer
-            .write_rate
-            .room(ctx.now.monotonic)
-            .min(ctx.config.txn_ops);
-        let mut batch = WriteBatch {
-            txn: Transaction::default().compare(records::TERM, self.term_version),
-            items: Vec::new(),
-            placed: Vec::new(),
-            uncertain: false,
         };
-        let most = self.writer.write_queue.most.unwrap_or(usize::MAX);
-        let (mut bytes, mut cancels) = (0, 0);
-        while batch.txn.then.len() + 3 <= room && bytes < BATCH_BYTES && batch.items.len() < most {
-            let next = self.writer.write_queue.pop(batch.items.len(), cancels);
-            let Some(item) = next.or_else(|| self.writer.write_queue.pop_later()) else {
+        let transaction = batch.transaction().clone();
+        self.writer.queue.set_in_flight(batch);
+        self.send_transaction(ctx, transaction);
+    }
+
+    fn send_transaction(&self, ctx: &mut Context, transaction: Transaction) {
+        let continuation = self.continuation(LeaderStep::WriteQueue);
+        ctx.store_request(StoreRequest::Transaction(transaction), continuation);
+    }
+
+    /// Takes queued writes into a batch, as many as the limits allow; None if there are
+    /// none.
+    fn next_batch(&mut self, ctx: &Context) -> Option<WriteBatch> {
+        let now = ctx.now.monotonic;
+        self.writer.queue.requeue_refused(now);
+        let deferrable_per_s = ctx.config.state_write_rps * DEFERRABLE_WRITE_SHARE;
+        self.writer
+            .queue
+            .refill_deferrable_budget(now, deferrable_per_s);
+        if self.writer.queue.is_idle() {
+            return None;
+        }
+        let max_changes = self.writer.rate.available(now).min(ctx.config.txn_ops);
+        let max_writes = self.writer.queue.max_batch_writes();
+        let mut batch = WriteBatch::new(self.term_version);
+        let (mut bytes, mut cancellations) = (0, 0);
+        while batch.mutation_count() + CHANGES_PER_WRITE <= max_changes
+            && bytes < MAX_BATCH_BYTES
+            && batch.writes.len() < max_writes
+        {
+            let Some(write) = self.writer.queue.pop(batch.writes.len(), cancellations) else {
                 break;
             };
-            let before = batch.mark();
-            if !self.add(&item, &mut batch) {
+            let checkpoint = batch.checkpoint();
+            if !self.add_to_batch(&write, &mut batch) {
                 continue;
             }
-            let new = batch.txn.then[before.0..].iter();
-            let sizes = new.map(|change| match change {
-                Mutation::Put { key, value, .. } => (key.len(), store::json_size(value)),
-                Mutation::Delete { .. } => (0, 0),
-            });
-            let sizes: Vec<(usize, usize)> = sizes.collect();
-            if sizes
-                .iter()
-                .any(|(_, value)| *value > self.writer.value_bytes)
-            {
-                batch.back_to(before);
-                self.too_large(ctx, item);
+            let sizes = batch.sizes_since(checkpoint);
+            if sizes.largest_value_bytes > self.writer.max_value_bytes {
+                batch.roll_back(checkpoint);
+                self.handle_oversized_record(ctx, write);
                 continue;
             }
-            bytes += sizes.iter().map(|(k, v)| 64 + k + v).sum::<usize>();
-            cancels += usize::from(matches!(item, PendingWrite::Cancel(_)));
-            batch.items.push(item);
+            bytes += sizes.total_bytes;
+            cancellations += usize::from(matches!(write, PendingWrite::JobCancelled(_)));
+            batch.writes.push(write);
         }
-        if batch.items.is_empty() {
-            return;
+        if batch.writes.is_empty() {
+            return None;
         }
-        self.writer.write_rate.take(batch.txn.then.len());
-        let call = StoreRequest::Transaction(batch.txn.clone());
-        self.writer.write_queue.batch = Some(batch);
-        let waiter = self.waiter(Step::WriteQueue);
-        ctx.store_request(call, waiter);
+        self.writer.rate.take(batch.mutation_count());
+        Some(batch)
     }
 
-    /// A record that does not fit a value any more.
-    fn too_large(&mut self, ctx: &Context, item: PendingWrite) {
-        if let PendingWrite::Tasks(id, TaskRange::Chunk(chunk)) = &item
+    /// A record no longer fits a value of the store: a chunk is written in parts from now
+    /// on; anything else is tried again much later.
+    fn handle_oversized_record(&mut self, ctx: &Context, write: PendingWrite) {
+        if let PendingWrite::Tasks {
+            job: id,
+            range: TaskRange::Chunk(chunk),
+        } = &write
             && let Some(job) = self.jobs.get_mut(id)
         {
-            log::info!("{id}: chunk {chunk} is written in parts from now on");
-            for part in job.spans.split(*chunk).into_iter().rev() {
+            log::info!("task record too large, splitting it: job={id} chunk={chunk}");
+            for range in job.task_ranges.split(*chunk).into_iter().rev() {
+                let job = id.clone();
                 self.writer
-                    .write_queue
-                    .push_front(PendingWrite::Tasks(id.clone(), part));
+                    .enqueue_first(PendingWrite::Tasks { job, range });
             }
             return;
         }
-        log::error!("{item:?}: does not fit a value of the state service");
-        self.writer
-            .write_queue
-            .put_aside(item, ctx.now.monotonic + ASIDE);
+        log::error!("record too large for the store: {write}");
+        self.writer.retry_refused(ctx.now.monotonic, write);
     }
 
-    /// Adds an item's changes and conditions; false if it needs none.
-    pub(super) fn add(&self, item: &PendingWrite, batch: &mut WriteBatch) -> bool {
-        let txn = std::mem::take(&mut batch.txn);
-        let with_job = |txn: Transaction, id: &str, version: u64| {
-            let key = records::job_key(id);
-            if txn.compare.iter().any(|c| c.key == key) {
-                txn
-            } else {
-                txn.compare(key, version)
+    /// Adds the changes and conditions of a write to a batch. Returns false if there is
+    /// nothing to be written any more.
+    fn add_to_batch(&self, write: &PendingWrite, batch: &mut WriteBatch) -> bool {
+        match write {
+            PendingWrite::Tasks { job, range } => self.add_tasks(job, *range, batch),
+            PendingWrite::JobDone(id) => self.add_job_done(id, batch),
+            PendingWrite::JobCancelled(id) => self.add_job_cancelled(id, batch),
+            PendingWrite::ClearJob(id) => {
+                batch.delete(records::open_key(id));
+                batch.delete(records::cancelled_key(id));
+                true
             }
-        };
-        let (txn, added) = match item {
-            PendingWrite::Tasks(id, span) => match self.jobs.get(id) {
-                Some(job) if job.writes(*span) => {
-                    let key = records::tasks_key(id, *span);
-                    let record = job.record_of(*span);
-                    let mut txn = txn
-                        .compare(key.clone(), job.spans.version(*span))
-                        .put(key, &record);
-                    let before = batch.placed.len();
-                    let new = job.unstored(*span);
-                    batch
-                        .placed
-                        .extend(new.map(|(i, attempt)| ((id.clone(), i), attempt)));
-                    if batch.placed.len() > before {
-                        txn = with_job(txn, id, job.version);
-                    }
-                    (txn, true)
-                }
-                _ => (txn, false),
-            },
-            PendingWrite::Done(id) => match self.jobs.get(id) {
-                Some(job) if job.cancelled.is_none() => {
-                    let mark = JobStateRecord {
-                        state: RecordedState::Done,
-                        task_count: job.spec.tasks,
-                    };
-                    let txn = with_job(txn, id, job.version)
-                        .put(records::job_key(id), &mark)
-                        .delete(records::open_key(id));
-                    (txn, true)
-                }
-                _ => (txn, false),
-            },
-            PendingWrite::Cancel(id) => match self.jobs.get(id) {
-                Some(job)
-                    if job.cancelled.is_none() && self.dependencies.dependency_graph.waits(id) =>
-                {
-                    let mark = JobStateRecord {
-                        state: RecordedState::Cancelled,
-                        task_count: job.spec.tasks,
-                    };
-                    // One change: its description goes when there is time for it.
-                    let txn = with_job(txn, id, job.version).put(records::job_key(id), &mark);
-                    (txn, true)
-                }
-                _ => (txn, false),
-            },
-            PendingWrite::Clear(id) => {
-                let txn = txn
-                    .delete(records::open_key(id))
-                    .delete(records::cancelled_key(id));
-                (txn, true)
+            PendingWrite::Machine(name) => self.add_machine(name, batch),
+            PendingWrite::DeleteKey(key) => {
+                batch.delete(key.clone());
+                true
             }
-            PendingWrite::Machine(name) => match self.machines.get(name.as_str()) {
-                Some(m) if m.addr.is_some() => {
-                    let record = MachineRecord {
-                        addr: m.addr.clone().unwrap_or_default(),
-                        machine_type: m.machine_type.to_string(),
-                        zone: m.zone.to_string(),
-                        spot: m.spot,
-                    };
-                    (txn.put(records::machine_key(name), &record), true)
-                }
-                _ => (txn, false),
-            },
-            PendingWrite::Drop(key) => (txn.delete(key.clone()), true),
-            PendingWrite::Types => match &self.machine_types.types {
-                Some(types) => {
-                    let record = records::MachineTypesRecord {
-                        types: types.to_vec(),
-                    };
-                    // An earlier try that is carried out late would set it back.
-                    let txn = txn
-                        .compare(records::TYPES, self.machine_types.types_version)
-                        .put(records::TYPES, &record);
-                    (txn, true)
-                }
-                None => (txn, false),
-            },
+            PendingWrite::MachineTypes => self.add_machine_types(batch),
+        }
+    }
+
+    fn add_tasks(&self, id: &Rc<str>, range: TaskRange, batch: &mut WriteBatch) -> bool {
+        let Some(job) = self.jobs.get(id).filter(|job| job.may_write(range)) else {
+            return false;
+        };
+        let key = records::tasks_key(id, range);
+        batch.compare(key.clone(), job.task_ranges.version(range));
+        batch.put(key, &job.task_chunk(range));
+        let placements_before = batch.placements.len();
+        let unstored = job.unstored_placements(range);
+        batch
+            .placements
+            .extend(unstored.map(|(index, attempt)| NewPlacement {
+                task: (id.clone(), index),
+                attempt,
+            }));
+        if batch.placements.len() > placements_before {
+            batch.compare_job_state(id, job.state_version());
+        }
+        true
+    }
+
+    fn add_job_done(&self, id: &str, batch: &mut WriteBatch) -> bool {
+        let job = self.jobs.get(id).filter(|job| job.cancelled.is_none());
+        let Some(job) = job else {
+            return false;
+        };
+        batch.compare_job_state(id, job.state_version());
+        batch.put(records::job_key(id), &job.state_record(RecordedState::Done));
+        batch.delete(records::open_key(id));
+        true
+    }
+
+    fn add_job_cancelled(&self, id: &str, batch: &mut WriteBatch) -> bool {
+        let job = self.jobs.get(id).filter(|job| job.cancelled.is_none());
+        let Some(job) = job.filter(|_| self.dependencies.is_blocked(id)) else {
+            return false;
+        };
+        batch.compare_job_state(id, job.state_version());
+        // One change only: its description is deleted later.
+        batch.put(
+            records::job_key(id),
+            &job.state_record(RecordedState::Cancelled),
+        );
+        true
+    }
+
+    fn add_machine(&self, name: &str, batch: &mut WriteBatch) -> bool {
+        let Some(machine) = self.machines.get(name) else {
+            return false;
+        };
+        let Some(addr) = machine.addr.clone() else {
+            return false;
+        };
+        let record = MachineRecord {
+            addr,
+            machine_type: machine.machine_type.to_string(),
+            zone: machine.zone.to_string(),
+            spot: machine.spot,
+        };
+        batch.put(records::machine_key(name), &record);
+        true
+    }
+
+    fn add_machine_types(&self, batch: &mut WriteBatch) -> bool {
+        let Some(types) = self.machine_types.types() else {
+            return false;
         };
-        batch.txn = txn;
-        added
+        let record = MachineTypesRecord {
+            types: types.clone(),
+        };
+        // An earlier try that is carried out late would set it back.
+        batch.compare(records::TYPES, self.machine_types.record_version());
+        batch.put(records::TYPES, &record);
+        true
     }
+}
 
+/// Replies.
+impl Leader {
+    /// Handles the reply to the batch in flight.
     pub(super) fn write_reply(
         &mut self,
         ctx: &mut Context,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let Some(mut batch) = self.writer.write_queue.batch.take() else {
+        let Some(mut batch) = self.writer.queue.take_in_flight() else {
             return;
         };
         match reply {
-            Ok(StoreResponse::Committed { revision }) => self.applied(ctx, batch, revision),
+            Ok(StoreResponse::Committed { revision }) => {
+                self.batch_committed(ctx, batch, revision);
+            }
             Ok(StoreResponse::Conflict { failed, .. }) => {
-                if failed.iter().any(|k| k == records::TERM) {
-                    self.events.push(LeaderEvent::Outdated);
-                    return;
-                }
-                let own = failed
-                    .iter()
-                    .find(|k| k.starts_with(records::TASKS))
-                    .cloned();
-                if let Some(key) = own.filter(|_| batch.uncertain) {
-                    // Only this leader writes chunks: the earlier try was
-                    // applied. Every key of it has the same version; read one.
-                    // A user's cancellation may have come after it, and be told later than
-                    // what was placed would be launched.
-                    for id in failed.iter().filter_map(|k| k.strip_prefix("j/")) {
-                        self.mark_changed(ctx, &Rc::from(id));
-                    }
-                    self.writer.write_queue.batch = Some(batch);
-                    let waiter = self.waiter(Step::Reread { key: key.clone() });
-                    ctx.store_request(StoreRequest::Get { key }, waiter);
-                    return;
-                }
-                self.conflict(ctx, batch, &failed);
+                self.handle_conflict(ctx, batch, &failed);
             }
-            Ok(StoreResponse::Malformed) => self.over_limit(ctx, batch),
+            Ok(StoreResponse::Malformed) => self.handle_oversized_batch(ctx, batch),
             Ok(StoreResponse::LeaseExpired) => {
-                log::error!("the state service misses a lease that no batch has");
+                log::error!(
+                    "store reports an expired lease that no batch has: term={}",
+                    self.term
+                );
                 self.events.push(LeaderEvent::Outdated);
             }
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
-                    // Perhaps by the lower limit, which nobody tells of.
-                    self.writer.write_rate.limit(ctx.config.state_write_rps);
+                    // Perhaps by the lower limit, whose start is not announced.
+                    self.writer.rate.limit(ctx.config.state_write_rps);
                 }
                 batch.uncertain |= other.is_err();
-                self.writer.write_queue.batch = Some(batch);
-                self.writer.write_queue.resend_at = Some(ctx.now.monotonic + RETRY);
+                let resend_at = ctx.now.monotonic + RETRY_INTERVAL;
+                self.writer.queue.resend_in_flight_at(batch, resend_at);
             }
         }
     }
 
-    /// A batch broke a limit, which may have fallen a moment ago. It was not applied;
-    /// an earlier try of it, which had no answer, may have been. To end the term for it
-    /// would only let the next leader meet the same.
-    fn over_limit(&mut self, ctx: &mut Context, batch: WriteBatch) {
-        let own = batch.own_key().filter(|_| batch.uncertain);
+    /// A condition of the batch did not hold.
+    fn handle_conflict(&mut self, ctx: &mut Context, batch: WriteBatch, failed: &[String]) {
+        if failed.iter().any(|key| key == records::TERM) {
+            self.events.push(LeaderEvent::Outdated);
+            return;
+        }
+        let own_key = failed.iter().find(|key| key.starts_with(records::TASKS));
+        let Some(key) = own_key.filter(|_| batch.uncertain) else {
+            return self.batch_rejected(ctx, batch, failed);
+        };
+        // Only this leader writes chunks: the earlier try was applied. Every key of it
+        // has the same version; read one. A user's cancellation may have come after it,
+        // and be reported later than what was placed would be launched.
+        for id in failed.iter().filter_map(|key| key.strip_prefix("j/")) {
+            self.job_state_changed(ctx, &Rc::from(id));
+        }
+        self.read_outcome(ctx, batch, key.clone());
+    }
+
+    /// Reads a key that only this leader writes, to see whether a batch was applied.
+    fn read_outcome(&mut self, ctx: &mut Context, batch: WriteBatch, key: String) {
+        self.writer.queue.set_in_flight(batch);
+        let continuation = self.continuation(LeaderStep::Reread { key: key.clone() });
+        ctx.store_request(StoreRequest::Get { key }, continuation);
+    }
+
+    /// A batch broke a limit, which may have been lowered a moment ago. It was not
+    /// applied; an earlier try of it, which had no answer, may have been. To end the term
+    /// for it would only let the next leader meet the same.
+    fn handle_oversized_batch(&mut self, ctx: &mut Context, batch: WriteBatch) {
         log::info!(
-            "the state service refuses a batch of {} items: smaller ones from now on",
-            batch.items.len()
+            "store refused a batch, reducing the batch size: writes={}",
+            batch.writes.len()
         );
-        match own {
-            // No copy of it can be applied from now on, so one look settles it.
-            Some(key) => {
-                self.writer.write_queue.batch = Some(batch);
-                let waiter = self.waiter(Step::Reread { key: key.clone() });
-                ctx.store_request(StoreRequest::Get { key }, waiter);
-            }
-            None => self.again_smaller(ctx, batch),
+        match batch.own_key().filter(|_| batch.uncertain) {
+            // No copy of it can be applied from now on, so one read settles it.
+            Some(key) => self.read_outcome(ctx, batch, key),
+            None => self.retry_smaller(ctx, batch),
         }
     }
 
-    /// Whether an earlier try of the batch was applied, by a key of it that only this
-    /// leader writes.
+    /// Handles the reply to [`Self::read_outcome`]: if the key has the version that the
+    /// batch compared, no try of the batch was applied.
     pub(super) fn reread_reply(
         &mut self,
         ctx: &mut Context,
         key: String,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let Some(batch) = self.writer.write_queue.batch.take() else {
+        let Some(batch) = self.writer.queue.take_in_flight() else {
             return;
         };
-        let before = batch.version(&key);
+        let version_before = batch.compared_version(&key);
         match reply {
-            Ok(StoreResponse::Found(row)) if row.version == before => {
-                self.again_smaller(ctx, batch)
+            Ok(StoreResponse::Found(row)) if row.version == version_before => {
+                self.retry_smaller(ctx, batch);
             }
-            Ok(StoreResponse::NotFound { .. }) if before == 0 => self.again_smaller(ctx, batch),
-            Ok(StoreResponse::Found(row)) => self.applied(ctx, batch, row.version),
+            Ok(StoreResponse::NotFound { .. }) if version_before == 0 => {
+                self.retry_smaller(ctx, batch);
+            }
+            Ok(StoreResponse::Found(row)) => self.batch_committed(ctx, batch, row.version),
             _ => {
-                self.writer.write_queue.batch = Some(batch);
-                self.read_later(ctx, key.clone(), Step::Reread { key });
+                self.writer.queue.set_in_flight(batch);
+                let step = LeaderStep::Reread { key: key.clone() };
+                self.writer.delay_read(ctx.now.monotonic, key, step);
             }
         }
     }
 
-    /// A read that was not answered is made again after a pause: made at once, it was
-    /// refused hundreds of times a second in an outage.
-    fn read_later(&mut self, ctx: &Context, key: String, step: Step) {
-        let at = ctx.now.monotonic + RETRY;
-        self.writer.reads.push_back((at, key, step));
-    }
-
-    /// Makes the reads that are due.
-    pub(super) fn read_again(&mut self, ctx: &mut Context) {
-        while self
-            .writer
-            .reads
-            .front()
-            .is_some_and(|(at, ..)| ctx.now.monotonic >= *at)
-        {
-            if let Some((_, key, step)) = self.writer.reads.pop_front() {
-                let waiter = self.waiter(step);
-                ctx.store_request(StoreRequest::Get { key }, waiter);
-            }
+    /// Makes the delayed reads that are due.
+    pub(super) fn send_due_rereads(&mut self, ctx: &mut Context) {
+        while let Some(read) = self.writer.pop_due_read(ctx.now.monotonic) {
+            let continuation = self.continuation(read.step);
+            ctx.store_request(StoreRequest::Get { key: read.key }, continuation);
         }
     }
 
     /// Nothing of the batch was applied, for its size.
-    fn again_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
-        if self.writer.value_bytes > ctx.config.value_bytes {
+    fn retry_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
+        if self.writer.max_value_bytes > ctx.config.value_bytes {
             // The limits that were announced are in force: larger values are written
             // in parts.
-            log::info!("values of {} bytes from now on", ctx.config.value_bytes);
-            self.writer.value_bytes = ctx.config.value_bytes;
-        } else if batch.items.len() > 1 {
-            self.writer.write_queue.most = Some(batch.items.len() / 2);
-        } else if let Some(item) = batch.items.first() {
+            log::info!(
+                "value limit lowered: value_bytes={}",
+                ctx.config.value_bytes
+            );
+            self.writer.use_lower_value_limit(ctx.config);
+        } else if batch.writes.len() > 1 {
+            self.writer.queue.shrink_batches(batch.writes.len());
+        } else if let Some(write) = batch.writes.first() {
             // By itself it is refused: the same bytes again would be as well.
-            let own_part = matches!(item, PendingWrite::Tasks(_, TaskRange::Chunk(_)));
-            if own_part {
-                self.too_large(ctx, item.clone());
+            let is_chunk = matches!(
+                write,
+                PendingWrite::Tasks {
+                    range: TaskRange::Chunk(_),
+                    ..
+                }
+            );
+            if is_chunk {
+                self.handle_oversized_record(ctx, write.clone());
             } else {
-                log::error!("{item:?}: refused by the state service");
-                self.writer
-                    .write_queue
-                    .put_aside(item.clone(), ctx.now.monotonic + ASIDE);
+                log::error!("store refused a write: {write}");
+                self.writer.retry_refused(ctx.now.monotonic, write.clone());
             }
-            return self.write(ctx);
+            return self.send_writes(ctx);
         }
-        self.give_back(batch);
-        self.write(ctx);
+        self.requeue_batch(batch);
+        self.send_writes(ctx);
     }
 
-    /// What a batch that was not applied held is to be written again.
-    fn give_back(&mut self, batch: WriteBatch) {
-        for (key, _) in &batch.placed {
-            if self.jobs.get(&key.0).is_some_and(|j| j.cancelled.is_some()) {
-                self.unplace(key);
-                if self.jobs.get(&key.0).is_some_and(|j| j.stopped) {
-                    self.check_clear(&key.0);
+    /// Queues the writes of a batch that was not applied again.
+    fn requeue_batch(&mut self, batch: WriteBatch) {
+        for placement in &batch.placements {
+            let id = &placement.task.0;
+            if self.jobs.get(id).is_some_and(|job| job.cancelled.is_some()) {
+                self.revert_unstored_placement(&placement.task);
+                if self.jobs.get(id).is_some_and(|job| job.stopped) {
+                    self.clear_if_empty(id);
                 }
             }
         }
-        for item in batch.items.into_iter().rev() {
-            self.writer.write_queue.push_front(item);
+        for write in batch.writes.into_iter().rev() {
+            self.writer.enqueue_first(write);
         }
     }
 
-    /// Some job's record has changed: it was cancelled, or its end is stored.
+    /// Some job's state record has changed: it was cancelled, or its end is stored.
     /// Nothing of the batch was applied, and it never can be.
-    pub(super) fn conflict(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
+    fn batch_rejected(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
             if let Some(id) = key.strip_prefix("j/") {
-                self.mark_changed(ctx, &Rc::from(id));
+                self.job_state_changed(ctx, &Rc::from(id));
             } else if key == records::TYPES {
-                // By an earlier try, or by the leader before, later than this one has read.
-                batch.items.retain(|item| *item != PendingWrite::Types);
-                let waiter = self.waiter(Step::TypesVersion);
-                ctx.store_request(StoreRequest::Get { key: key.clone() }, waiter);
+                // Written by an earlier try, or by the leader before, later than this one
+                // has read.
+                batch
+                    .writes
+                    .retain(|write| *write != PendingWrite::MachineTypes);
+                let continuation = self.continuation(LeaderStep::TypesVersion);
+                ctx.store_request(StoreRequest::Get { key: key.clone() }, continuation);
             } else {
-                log::error!("{key}: written by somebody else");
+                log::error!(
+                    "key written by another leader: key={key} term={}",
+                    self.term
+                );
                 self.events.push(LeaderEvent::Outdated);
             }
         }
-        self.give_back(batch);
-        self.write(ctx);
+        self.requeue_batch(batch);
+        self.send_writes(ctx);
     }
 
-    /// The machine types are written again once the version of their record is known.
-    pub(super) fn types_version(&mut self, ctx: &Context, reply: Result<StoreResponse, CallError>) {
+    /// Handles the version of the machine types' record, with which they are written
+    /// again.
+    pub(super) fn machine_types_reply(
+        &mut self,
+        ctx: &Context,
+        reply: Result<StoreResponse, CallError>,
+    ) {
         match reply {
             Ok(StoreResponse::Found(row)) => {
-                self.machine_types.types_version = row.version;
-                self.writer.write_queue.push(PendingWrite::Types);
+                self.machine_types.set_record_version(row.version);
+                self.writer.enqueue(PendingWrite::MachineTypes);
+            }
+            _ => {
+                let key = records::TYPES.to_string();
+                self.writer
+                    .delay_read(ctx.now.monotonic, key, LeaderStep::TypesVersion);
             }
-            _ => self.read_later(ctx, records::TYPES.to_string(), Step::TypesVersion),
         }
     }
 
-    /// A job has ended, be it by its cancellation or by an earlier try of this leader's:
-    /// nothing of it is to run, whichever it was.
-    fn mark_changed(&mut self, ctx: &mut Context, id: &Rc<str>) {
+    /// A job's state record has changed, be it by its cancellation or by an earlier try of
+    /// this leader's: nothing of the job is to run, whichever it was.
+    fn job_state_changed(&mut self, ctx: &mut Context, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id) {
-            log::info!("{id}: its record has changed, reading it");
+            log::info!("job state record changed, reading it: job={id}");
             // No placement of it is written from now on. When it was confirmed is not
             // known. Until its row is read answers end with the last read, which is
             // older, and then the row says when.
             job.cancelled.get_or_insert(ctx.now.monotonic);
             job.ending = false;
-            self.mark_cancelled(id);
+            self.mark_tasks_cancelled(id);
         }
-        let waiter = self.waiter(Step::Ended { id: id.clone() });
+        let continuation = self.continuation(LeaderStep::Ended { id: id.clone() });
         let key = records::job_key(id);
-        ctx.store_request(StoreRequest::Get { key }, waiter);
+        ctx.store_request(StoreRequest::Get { key }, continuation);
     }
 
-    /// The record of a job whose end came from elsewhere, or from an earlier
+    /// Handles the state record of a job whose end came from elsewhere, or from an earlier
     /// try of the batch that ended it.
-    pub(super) fn ended(
+    pub(super) fn job_state_reply(
         &mut self,
         ctx: &mut Context,
         id: Rc<str>,
         reply: Result<StoreResponse, CallError>,
     ) {
         let Ok(StoreResponse::Found(row)) = reply else {
-            return self.read_later(ctx, records::job_key(&id), Step::Ended { id });
+            let key = records::job_key(&id);
+            let step = LeaderStep::Ended { id };
+            return self.writer.delay_read(ctx.now.monotonic, key, step);
         };
-        match row.decode_value::<JobStateRecord>() {
-            Some(mark) if mark.state == RecordedState::Done => self.job_done(ctx, &id, mark),
-            Some(mark) if mark.state == RecordedState::Cancelled => {
+        let record = row.decode_value::<JobStateRecord>();
+        match record.map(|record| (record.state, record)) {
+            Some((RecordedState::Done, record)) => self.job_done(ctx, &id, record),
+            Some((RecordedState::Cancelled, _)) => {
                 if self.jobs.get(&id).is_some_and(|job| !job.stopped) {
-                    self.stop_job(ctx, &id);
+                    self.cancel_job(ctx, &id);
                 }
             }
-            other => {
-                log::error!("{id}: unexpected record {other:?}");
+            Some((RecordedState::Open, _)) => {
+                log::error!("unexpected job state record: job={id} state=open");
+                self.events.push(LeaderEvent::Outdated);
+            }
+            None => {
+                log::error!("unreadable job state record: job={id}");
                 self.events.push(LeaderEvent::Outdated);
             }
         }
     }
 
-    pub(super) fn job_done(&mut self, ctx: &Context, id: &Rc<str>, mark: JobStateRecord) {
-        log::info!("{id}: done");
+    /// That a job is done is in the store.
+    fn job_done(&mut self, ctx: &Context, id: &Rc<str>, record: JobStateRecord) {
+        log::info!("job done: job={id}");
         self.forget_job(ctx, id);
         self.dependency_done(ctx, id);
-        self.events.push(LeaderEvent::Ended(id.to_string(), mark));
+        self.events.push(LeaderEvent::Ended(id.to_string(), record));
     }
 
-    /// A batch is in the store: do what waited for it.
-    pub(super) fn applied(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
-        self.writer.write_queue.most = self.writer.write_queue.most.map(|most| most * 2);
-        self.writer
-            .write_queue
-            .most
-            .take_if(|most| *most >= ctx.config.txn_ops);
-        for item in &batch.items {
-            match item {
-                PendingWrite::Tasks(id, span) => {
-                    if let Some(job) = self.jobs.get_mut(id) {
-                        job.spans.set_version(*span, revision);
-                    }
-                }
-                PendingWrite::Done(id) => {
-                    let n = self.jobs.get(id).map_or(0, |j| j.spec.tasks);
-                    self.job_done(
-                        ctx,
-                        id,
-                        JobStateRecord {
-                            state: RecordedState::Done,
-                            task_count: n,
-                        },
-                    );
-                }
-                PendingWrite::Cancel(id) => self.cancelled_with(ctx, id),
-                PendingWrite::Clear(id) => self.forget_job(ctx, id),
-                PendingWrite::Types => {
-                    self.machine_types.types_stored = true;
-                    self.machine_types.types_version = revision;
+    /// A batch is in the store: does what waited for it.
+    fn batch_committed(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
+        self.writer.queue.grow_batches(ctx.config.txn_ops);
+        for write in &batch.writes {
+            self.write_committed(ctx, write, revision);
+        }
+        for placement in batch.placements {
+            self.placement_committed(&placement);
+        }
+        self.send_writes(ctx);
+        self.send_commands(ctx);
+    }
+
+    fn write_committed(&mut self, ctx: &Context, write: &PendingWrite, revision: u64) {
+        match write {
+            PendingWrite::Tasks { job: id, range } => {
+                if let Some(job) = self.jobs.get_mut(id) {
+                    job.task_ranges.set_version(*range, revision);
                 }
-                PendingWrite::Machine(_) | PendingWrite::Drop(_) => {}
             }
+            PendingWrite::JobDone(id) => {
+                let task_count = self.jobs.get(id).map_or(0, |job| job.spec.tasks);
+                let record = JobStateRecord {
+                    state: RecordedState::Done,
+                    task_count,
+                };
+                self.job_done(ctx, id, record);
+            }
+            PendingWrite::JobCancelled(id) => self.dependent_cancelled(ctx, id),
+            PendingWrite::ClearJob(id) => self.forget_job(ctx, id),
+            PendingWrite::MachineTypes => self.machine_types.record_written(revision),
+            PendingWrite::Machine(_) | PendingWrite::DeleteKey(_) => {}
         }
-        for ((id, i), attempt) in batch.placed {
-            let key: TaskKey = (id, i);
-            let job = self.jobs.get_mut(&key.0);
-            let task = job.map(|j| &mut j.tasks[i as usize]);
-            let Some(task) = task.filter(|t| t.attempt == attempt) else {
-                continue;
-            };
-            let TaskPlacement::Placed {
+    }
+
+    /// A placement is in the store: the task may be launched, unless it was cancelled
+    /// meanwhile.
+    fn placement_committed(&mut self, placement: &NewPlacement) {
+        let NewPlacement { task: key, attempt } = placement;
+        let Some(machine) = self.mark_placement_stored(placement) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(&machine) else {
+            return;
+        };
+        let Some(slot) = machine.slots.get_mut(key) else {
+            return;
+        };
+        slot.stored = true;
+        machine.needs_command = true;
+        self.command_dispatch.urgent(machine.name.clone());
+        // Of a cancelled job nothing was launched: it is not there.
+        if slot.cancelled {
+            machine.slots.remove(key);
+            self.return_to_waiting(key, *attempt);
+        }
+    }
+
+    /// Marks the task's current placement as stored, if it is this one. Returns the
+    /// machine.
+    fn mark_placement_stored(&mut self, placement: &NewPlacement) -> Option<Rc<str>> {
+        let (id, index) = &placement.task;
+        let job: &mut Job = self.jobs.get_mut(id)?;
+        let task = &mut job.tasks[*index as usize];
+        match &mut task.state {
+            TaskPlacement::Placed {
                 machine, stored, ..
-            } = &mut task.state
-            else {
-                continue;
-            };
-            *stored = true;
-            let machine = machine.clone();
-            if let Some(m) = self.machines.get_mut(&machine)
-                && let Some(slot) = m.slots.get_mut(&key)
-            {
-                slot.stored = true;
-                m.needs_command = true;
-                self.command_dispatch.urgent(m.name.clone());
-                // Of a cancelled job nothing was launched: it is not there.
-                if slot.cancelled {
-                    m.slots.remove(&key);
-                    self.back_to_waiting(&key, attempt);
-                }
+            } if task.attempt == placement.attempt => {
+                *stored = true;
+                Some(machine.clone())
             }
+            _ => None,
         }
-        self.write(ctx);
-        self.send_commands(ctx);
     }
 }
--- /dev/null
+++ b/crates/controller/src/leader/task_events.rs
@@ -0,0 +1,231 @@
+//! What a machine's heartbeat reports of its tasks: starts, ends and losses, and to whom
+//! failures are attributed.
+
+use super::job::{Job, TaskPlacement};
+use super::{Leader, LeaderEvent};
+use crate::calls::Context;
+use crate::machines::{TaskEvent, TaskKey};
+use crate::{Micros, SECOND, seconds};
+use dillcleat_wire::user::JobKind;
+use dillcleat_wire::worker::ExitReason;
+use std::rc::Rc;
+
+/// A replica that has run for so long is taken to serve.
+const SERVING_AFTER: Micros = 10 * SECOND;
+/// How long a machine that had not the resources for a task gets no other.
+const NO_RESOURCES_PAUSE: Micros = 3 * SECOND;
+/// How long a job is not placed after an end that is nobody's fault.
+const OTHER_EXIT_PAUSE: Micros = 2 * SECOND;
+
+/// An attempt of a task that has ended with a result.
+struct ExitedTask {
+    task: TaskKey,
+    attempt: u64,
+    reason: ExitReason,
+    /// How long it ran, if that is known.
+    ran: Option<Micros>,
+}
+
+impl Leader {
+    /// Applies what a machine has reported of a task.
+    pub(super) fn apply_task_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
+        // A start frees no resources; everything else may.
+        if !matches!(event, TaskEvent::Running(_)) {
+            self.scheduling.schedule_at = ctx.now.monotonic;
+        }
+        match event {
+            TaskEvent::Running((id, index)) => {
+                log::debug!("task running: job={id} task={index} machine={machine}");
+                if let Some(job) = self.jobs.get_mut(&id) {
+                    job.running.insert(index);
+                }
+            }
+            TaskEvent::Lost {
+                task,
+                attempt,
+                reason,
+            } => {
+                let (id, index) = &task;
+                log::info!(
+                    "task lost: job={id} task={index} attempt={attempt} machine={machine} \
+                     reason=\"{reason}\""
+                );
+                self.return_to_waiting(&task, attempt);
+            }
+            TaskEvent::Exited {
+                task,
+                attempt,
+                reason,
+                ran,
+            } => {
+                let exited = ExitedTask {
+                    task,
+                    attempt,
+                    reason,
+                    ran,
+                };
+                self.apply_exit(ctx, machine, &exited);
+            }
+        }
+    }
+
+    fn apply_exit(&mut self, ctx: &Context, machine: &str, exited: &ExitedTask) {
+        let ExitedTask { task, attempt, .. } = exited;
+        let (id, index) = task;
+        if exited.reason == ExitReason::Done {
+            log::debug!("task done: job={id} task={index} attempt={attempt} machine={machine}");
+            return self.complete_task(ctx, exited);
+        }
+        log::info!(
+            "task ended: job={id} task={index} attempt={attempt} machine={machine} reason={}",
+            exit_reason_name(exited.reason)
+        );
+        self.return_to_waiting(task, *attempt);
+        self.attribute_failure(ctx, machine, task, exited.reason);
+        if exited.reason == ExitReason::Error {
+            self.events.push(LeaderEvent::Failed {
+                job: id.to_string(),
+                task: *index,
+                attempt: *attempt,
+            });
+        }
+    }
+
+    /// An attempt of a task is known to have ended without completing: it waits again.
+    pub(super) fn return_to_waiting(&mut self, key: &TaskKey, attempt: u64) {
+        let (id, index) = key;
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.return_to_waiting(*index, attempt);
+            if job.cancelled.is_none() {
+                self.enqueue_task_record(key);
+            }
+        }
+        self.clear_if_empty(id);
+    }
+
+    fn complete_task(&mut self, ctx: &Context, exited: &ExitedTask) {
+        let (id, index) = &exited.task;
+        let slot = self.jobs.place(id);
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if !job.complete_task(*index, exited.attempt) {
+            return;
+        }
+        if let Some(ran) = exited.ran {
+            let run_time_s = seconds(ran);
+            if !job.trained {
+                if let Some(slot) = slot {
+                    self.estimates.changed(slot);
+                }
+                job.add_sample(ctx.config, run_time_s);
+            }
+            self.estimates
+                .add_run_time(ctx.config, &job.spec.class, run_time_s);
+        }
+        if job.cancelled.is_some() {
+            return self.clear_if_empty(id);
+        }
+        self.job_has_run(id);
+        self.end_if_done(id);
+        // The record of a job's end covers its last task as well.
+        if self.jobs.get(id).is_some_and(|job| !job.ending) {
+            self.enqueue_task_record(&exited.task);
+        }
+    }
+
+    /// A task of the job is known to have run, so its errors elsewhere were those
+    /// machines' own.
+    fn job_has_run(&mut self, id: &Rc<str>) {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.failures.proven()) else {
+            return;
+        };
+        for machine in job.failures.ran() {
+            self.add_strike(&machine, id);
+        }
+    }
+
+    /// An error of the job is attributed to the machine, which is cordoned once it has
+    /// failed several jobs.
+    fn add_strike(&mut self, machine: &Rc<str>, id: &Rc<str>) {
+        let Some(m) = self.machines.get_mut(machine) else {
+            return;
+        };
+        m.strikes.add(id);
+        if m.strikes.condemn() && !m.cordoned {
+            m.cordoned = true;
+            log::info!(
+                "machine cordoned, to be returned: machine={machine} reason=\"fails several jobs\""
+            );
+        }
+    }
+
+    /// Whether a replica of the service has run for longer than one that fails would:
+    /// replicas never end by themselves, so nothing else proves a service.
+    fn is_serving(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
+        job.running.iter().any(|index| {
+            let TaskPlacement::Placed { machine, .. } = &job.tasks[*index as usize].state else {
+                return false;
+            };
+            let machine = self.machines.get(machine);
+            let slot = machine.and_then(|machine| machine.slots.get(&(id.clone(), *index)));
+            let since = slot.and_then(|slot| slot.running_since);
+            since.is_some_and(|since| now >= since + SERVING_AFTER)
+        })
+    }
+
+    /// Attributes the end of a task that did not complete to its job or its machine.
+    fn attribute_failure(
+        &mut self,
+        ctx: &Context,
+        machine: &str,
+        (id, _): &TaskKey,
+        reason: ExitReason,
+    ) {
+        let now = ctx.now.monotonic;
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let is_service = job.spec.kind == JobKind::Service;
+        if reason == ExitReason::Error && is_service && self.is_serving(job, id, now) {
+            self.job_has_run(id);
+        }
+        let (Some(job), Some(m)) = (self.jobs.get_mut(id), self.machines.get_mut(machine)) else {
+            return;
+        };
+        match reason {
+            ExitReason::NoRoom => m.blocked_until = now + NO_RESOURCES_PAUSE,
+            ExitReason::Error => {
+                m.error_jobs.insert(id.clone());
+                let name = m.name.clone();
+                if job.failures.proven() {
+                    self.add_strike(&name, id);
+                } else if !m.strikes.any()
+                    && let Some(pause) = job.failures.failed(&name, now)
+                {
+                    log::info!(
+                        "job fails on every machine, pausing it: job={id} pause_s={}",
+                        seconds(pause)
+                    );
+                }
+            }
+            ExitReason::Stopped | ExitReason::Done => {}
+            ExitReason::Busy | ExitReason::Unknown | ExitReason::Other => {
+                job.blocked_until = now + OTHER_EXIT_PAUSE;
+            }
+        }
+    }
+}
+
+/// The name of an exit reason in log lines.
+fn exit_reason_name(reason: ExitReason) -> &'static str {
+    match reason {
+        ExitReason::Done => "done",
+        ExitReason::Stopped => "stopped",
+        ExitReason::Error => "error",
+        ExitReason::NoRoom => "no_resources",
+        ExitReason::Busy => "busy",
+        ExitReason::Unknown => "unknown",
+        ExitReason::Other => "other",
+    }
+}
--- /dev/null
+++ b/crates/controller/src/leader/task_ranges/tests.rs
@@ -0,0 +1,49 @@
+//! How the tasks of a job are divided among records.
+
+use super::*;
+
+/// Whatever is stored, and by whom: each task has one record to be written to, and
+/// those of a chunk cover it without overlap.
+#[test]
+fn each_task_has_one_record() {
+    let mut rng = fastrand::Rng::with_seed(7);
+    for _ in 0..300 {
+        let tasks = rng.u32(1..300);
+        let mut ranges = TaskRanges::new(tasks, rng.u32(1..120), rng.u32(1..40));
+        let chunk = rng.u32(..tasks) / ranges.chunk_tasks;
+        // Parts that a leader with other settings has left.
+        let other = rng.u32(1..40);
+        let all = ranges.chunk(chunk);
+        for from in all.clone().step_by(other as usize) {
+            if rng.u8(..3) == 0 {
+                let to = (from + other).min(all.end) - 1;
+                ranges.set_version(TaskRange::Part { chunk, from, to }, 1);
+            }
+        }
+        // What has a part is written in parts by whoever loads it.
+        let stored = !ranges.stored().is_empty();
+        assert_eq!(ranges.is_split(chunk), stored);
+        assert!(!stored || ranges.range_of(all.start) != TaskRange::Chunk(chunk));
+        let parts = ranges.split(chunk);
+        let covered: Vec<u32> = parts.iter().flat_map(|p| ranges.range(*p)).collect();
+        assert_eq!(covered, all.clone().collect::<Vec<u32>>());
+        for part in &parts {
+            assert!(
+                ranges
+                    .range(*part)
+                    .all(|task| ranges.range_of(task) == *part)
+            );
+            ranges.set_version(*part, 2);
+        }
+        // They stay what they are once they are stored.
+        assert!(
+            all.clone()
+                .all(|task| parts.contains(&ranges.range_of(task)))
+        );
+        assert_eq!(ranges.stored(), parts);
+        assert!(
+            (0..tasks).all(|t| all.contains(&t)
+                || ranges.range_of(t) == TaskRange::Chunk(t / ranges.chunk_tasks))
+        );
+    }
+}
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -1,181 +1,239 @@
-//! Stored placements of jobs that this node can't take up.
+//! Stored placements of jobs that this node can't read.
 //!
 //! That a job is unknown here says nothing of whether it has ended: its description may
-//! be in a form that only a newer version reads. Its records were once dropped, its tasks
+//! be in a format that only a newer version reads. Its records were once deleted, its tasks
 //! stopped and their results reaped, and whoever led next and could read it would have
 //! started them anew beside those whose stop hadn't arrived. So its records stay, and what
-//! it has on machines stays there and takes up the machine, until its mark says that it
-//! has ended, or a leader comes that can read it.
+//! it has on machines stays there and takes up the machine, until its state record says
+//! that it has ended, or a leader comes that can read it.
 
-use super::*;
+use super::Leader;
+use crate::calls::Context;
+use crate::machines::Machine;
+use crate::records::{OpenClaim, TaskChunk, TaskRange};
+use crate::sched::to_millionths;
+use crate::write_queue::PendingWrite;
+use crate::{Config, Micros, SECOND};
+use dillcleat_wire::TaskName;
+use dillcleat_wire::store::{self, KeyValue, Value};
 use dillcleat_wire::user::ResourceClaim;
+use dillcleat_wire::worker::Command;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
 
-/// When the mark of an orphan is looked for again, if there was none.
-pub(super) const AGAIN: Micros = 30 * SECOND;
+/// After how long the state record of an unknown job is read again, if there was none.
+pub(super) const STATE_RECHECK_INTERVAL: Micros = 30 * SECOND;
 
-/// A job that has records of tasks, and that is not known.
+/// What one task counts against the quota of a team.
+#[derive(Debug, Clone, Copy)]
+struct TaskClaim {
+    /// Index of the team in the settings.
+    team: usize,
+    cpu_millionths: i64,
+    gpu_millionths: i64,
+}
+
+/// A job that has stored records and can't be read here.
 #[derive(Debug, Default)]
-pub(super) struct UnknownJob {
-    /// It has a description, which can't be read here.
+struct UnknownJob {
+    /// It is known to be open: it has a description, which can't be read here, or whose
+    /// task records can't be.
     described: bool,
-    /// When it was confirmed as cancelled at the earliest, if it was.
+    /// When its cancellation was confirmed at the earliest, if it was cancelled.
     cancelled: Option<Micros>,
-    /// The keys of its records.
-    records: Vec<String>,
-    /// Where its tasks may be, if all of its records can be read.
+    /// The keys of its task records.
+    record_keys: Vec<String>,
+    /// The machines that hold or may hold its tasks, as far as its records can be read.
     machines: BTreeSet<Rc<str>>,
-    anywhere: bool,
-    /// What each of its tasks counts against the limit of which team.
-    claim: Option<(usize, i64, i64)>,
+    /// Some of its records can't be read: any machine may hold its tasks.
+    may_be_anywhere: bool,
+    /// None if its team is not in the settings or its description can't be read at all.
+    task_claim: Option<TaskClaim>,
     /// How many of its tasks may be on machines.
     placed: i64,
 }
 
+impl UnknownJob {
+    /// Whether a machine may hold a task of the job. What it shows under this term's
+    /// fencing token is all that it holds: nobody launches any more of it.
+    fn may_be_on(&self, id: &str, machine: &Machine) -> bool {
+        if machine.ready {
+            machine.strays.iter().any(|(task, _)| task.job == id)
+        } else {
+            self.may_be_anywhere || self.machines.contains(&machine.name)
+        }
+    }
+}
+
+/// The jobs that have stored records and can't be read here, by id.
+#[derive(Debug, Default)]
+pub(super) struct UnknownJobs(BTreeMap<Rc<str>, UnknownJob>);
+
+impl UnknownJobs {
+    fn entry(&mut self, id: &str) -> &mut UnknownJob {
+        self.0.entry(Rc::from(id)).or_default()
+    }
+
+    /// Whether the job is unknown, and not known to be open either.
+    fn may_have_ended(&self, id: &str) -> bool {
+        self.0.get(id).is_some_and(|job| !job.described)
+    }
+
+    fn is_cancelled(&self, id: &str) -> bool {
+        self.0.get(id).is_some_and(|job| job.cancelled.is_some())
+    }
+
+    /// Whether the task is of an unknown job that was not cancelled: it must not be
+    /// stopped or reaped.
+    pub fn protects_task(&self, task: &TaskName) -> bool {
+        let job = self.0.get(task.job.as_str());
+        job.is_some_and(|job| job.cancelled.is_none())
+    }
+
+    /// The stops of the machine's tasks that are of unknown and cancelled jobs.
+    pub fn stops<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Command> + 'a {
+        let strays = machine.strays.iter();
+        let cancelled = strays.filter(|(task, _)| self.is_cancelled(&task.job));
+        cancelled.map(|(task, attempt)| Command::Stop {
+            task: task.clone(),
+            attempt: *attempt,
+            grace_s: 0,
+        })
+    }
+
+    /// When the oldest cancellation was confirmed of an unknown job that the machine may
+    /// hold.
+    pub fn oldest_cancellation_on(&self, machine: &Machine) -> Option<Micros> {
+        let jobs = self.0.iter().filter(|(id, job)| job.may_be_on(id, machine));
+        jobs.filter_map(|(_, job)| job.cancelled).min()
+    }
+
+    /// What unknown jobs count against the quotas of teams: millionths of CPUs and of GPUs
+    /// by team. Empty if there are no such jobs.
+    pub fn claims(&self, config: &Config) -> Vec<(i64, i64)> {
+        if self.0.is_empty() {
+            return Vec::new();
+        }
+        let mut teams = vec![(0, 0); config.teams.len()];
+        for job in self.0.values() {
+            if let Some(claim) = job.task_claim {
+                let (cpus, gpus) = &mut teams[claim.team];
+                *cpus += claim.cpu_millionths.saturating_mul(job.placed);
+                *gpus += claim.gpu_millionths.saturating_mul(job.placed);
+            }
+        }
+        teams
+    }
+}
+
 impl Leader {
     /// A description can't be read: the job takes part in nothing.
-    pub(super) fn undescribed(&mut self, ctx: &Context, id: &str, value: &Value) {
-        let claim = store::decode_value::<records::OpenClaim>(value).and_then(|open| {
+    pub(super) fn add_undescribed_job(&mut self, ctx: &Context, id: &str, value: &Value) {
+        let task_claim = store::decode_value::<OpenClaim>(value).and_then(|open| {
             let ResourceClaim { team, cpus, gpus } = open.spec;
-            Some((
-                ctx.config.team(&team)?,
-                to_millionths(cpus),
-                to_millionths(gpus),
-            ))
+            Some(TaskClaim {
+                team: ctx.config.team(&team)?,
+                cpu_millionths: to_millionths(cpus),
+                gpu_millionths: to_millionths(gpus),
+            })
         });
-        let orphan = self.unknown_jobs.entry(Rc::from(id)).or_default();
-        orphan.described = true;
-        orphan.claim = claim;
+        let job = self.unknown_jobs.entry(id);
+        job.described = true;
+        job.task_claim = task_claim;
     }
 
     /// An unknown job is cancelled: its tasks are stopped wherever they are seen.
-    pub(super) fn orphan_cancelled(&mut self, id: &str, at: Micros) {
-        let Some(orphan) = self.unknown_jobs.get_mut(id) else {
-            return;
-        };
-        orphan.cancelled.get_or_insert(at);
-        self.ask_for_stops(id);
+    pub(super) fn cancel_unknown_job(&mut self, id: &str, confirmed_at: Micros) {
+        if let Some(job) = self.unknown_jobs.0.get_mut(id) {
+            job.cancelled.get_or_insert(confirmed_at);
+            self.send_stops(id);
+        }
     }
 
-    fn ask_for_stops(&mut self, id: &str) {
-        let machines = self.unknown_jobs.get(id).map(|o| o.machines.clone());
+    /// Sends commands to the machines that may hold tasks of an unknown job.
+    fn send_stops(&mut self, id: &str) {
+        let job = self.unknown_jobs.0.get(id);
+        let machines = job.map(|job| job.machines.clone());
         for name in machines.unwrap_or_default() {
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.needs_command = true;
+            if let Some(machine) = self.machines.get_mut(&name) {
+                machine.needs_command = true;
                 self.command_dispatch.urgent(name);
             }
         }
     }
 
-    /// A record of a job that is not known: neither dropped nor forgotten.
-    pub(super) fn orphan_row(&mut self, id: &str, row: &KeyValue) {
-        let id: Rc<str> = Rc::from(id);
-        let orphan = self.unknown_jobs.entry(id.clone()).or_default();
-        orphan.records.push(row.key.clone());
-        if !orphan.described {
+    /// Adds a task record of a job that is unknown: it is neither deleted nor forgotten.
+    pub(super) fn add_unknown_job_record(&mut self, id: &str, row: &KeyValue) {
+        let job = self.unknown_jobs.entry(id);
+        job.record_keys.push(row.key.clone());
+        if !job.described {
             // Most likely it has ended, and only the clearing was not finished.
-            self.dependencies.dependency_proofs.look_for(id);
+            self.dependencies.want_state(Rc::from(id));
         }
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
-            log::error!("{}: not a chunk of tasks", row.key);
-            orphan.anywhere = true;
+            log::error!("unreadable task record: key={}", row.key);
+            job.may_be_anywhere = true;
             return;
         };
-        orphan.placed += chunk.placed.len() as i64;
-        let machines = chunk.placed.into_iter().map(|(_, _, machine, _)| machine);
-        orphan.machines.extend(machines.map(Rc::from));
+        job.placed += chunk.placed.len() as i64;
+        let machines = chunk.placed.into_iter().map(|task| task.machine);
+        job.machines.extend(machines.map(Rc::from));
     }
 
     /// A record of a job's tasks can't be read: the job takes part in nothing, as if its
     /// description could not be read. To write that record would lose what is in it.
-    pub(super) fn set_aside(&mut self, ctx: &Context, id: &Rc<str>, span: TaskRange, key: &str) {
-        self.leaves_line(ctx, id);
+    pub(super) fn demote_to_unknown(
+        &mut self,
+        ctx: &Context,
+        id: &Rc<str>,
+        range: TaskRange,
+        key: &str,
+    ) {
+        self.untrack_dependencies(ctx, id);
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
-        let orphan = self.unknown_jobs.entry(id.clone()).or_default();
-        orphan.described = true;
-        orphan.anywhere = true;
-        orphan.cancelled = job.cancelled;
-        let (cpus, gpus) = (to_millionths(job.spec.cpus), to_millionths(job.spec.gpus));
-        let known = job.team < ctx.config.teams.len();
-        orphan.claim = known.then_some((job.team, cpus, gpus));
+        let unknown = self.unknown_jobs.entry(id);
+        unknown.described = true;
+        unknown.may_be_anywhere = true;
+        unknown.cancelled = job.cancelled;
+        let team_is_known = job.team < ctx.config.teams.len();
+        unknown.task_claim = team_is_known.then(|| TaskClaim {
+            team: job.team,
+            cpu_millionths: to_millionths(job.spec.cpus),
+            gpu_millionths: to_millionths(job.spec.gpus),
+        });
         // How many of the record's tasks are placed is not known.
-        orphan.placed = job.placed() as i64 + job.spans.range(span).len() as i64;
-        orphan.records.push(key.to_string());
-        for (i, machine) in job.on_machines() {
-            if let Some(m) = self.machines.get_mut(machine) {
-                m.slots.remove(&(id.clone(), i));
+        unknown.placed = job.placed() as i64 + job.task_ranges.range(range).len() as i64;
+        unknown.record_keys.push(key.to_string());
+        for (index, machine) in job.on_machines() {
+            if let Some(machine) = self.machines.get_mut(machine) {
+                machine.slots.remove(&(id.clone(), index));
             }
-            orphan.machines.insert(machine.clone());
+            unknown.machines.insert(machine.clone());
         }
-        if self.dependencies.dependency_graph.needed(id) {
-            self.dependencies.dependency_proofs.look_for(id.clone());
+        if self.dependencies.has_dependents(id) {
+            self.dependencies.want_state(id.clone());
         }
     }
 
-    /// Whether a job is unknown and its mark is yet to be found.
-    pub(super) fn is_orphan(&self, id: &str) -> bool {
-        self.unknown_jobs.get(id).is_some_and(|o| !o.described)
+    /// Whether a job is unknown, and its state record is needed to tell if it has ended.
+    pub(super) fn is_unknown_job(&self, id: &str) -> bool {
+        self.unknown_jobs.may_have_ended(id)
     }
 
-    /// The mark says that the job has ended: nothing needs its records any more, but where
-    /// the description is left. Then it is cancelled, and its tasks have yet to be seen gone.
-    pub(super) fn orphan_ended(&mut self, id: &str) {
-        if !self.is_orphan(id) {
+    /// The state record says that the job has ended: nothing needs its task records any
+    /// more, unless its description is left. Then it is cancelled, and its tasks have yet
+    /// to be seen gone.
+    pub(super) fn unknown_job_ended(&mut self, id: &str) {
+        if !self.is_unknown_job(id) {
             return;
         }
-        self.ask_for_stops(id);
-        if let Some(orphan) = self.unknown_jobs.remove(id) {
-            for key in orphan.records {
-                self.writer.write_queue.push(PendingWrite::Drop(key));
+        self.send_stops(id);
+        if let Some(job) = self.unknown_jobs.0.remove(id) {
+            for key in job.record_keys {
+                self.writer.enqueue(PendingWrite::DeleteKey(key));
             }
         }
     }
-
-    /// Whether an unknown job's tasks are to be left alone.
-    pub(super) fn stays(&self, task: &TaskName) -> bool {
-        let orphan = self.unknown_jobs.get(task.job.as_str());
-        orphan.is_some_and(|o| o.cancelled.is_none())
-    }
-
-    /// The stops of tasks of unknown jobs that are known to be cancelled.
-    pub(super) fn orphan_stops<'a>(&'a self, m: &'a Machine) -> impl Iterator<Item = Command> + 'a {
-        let cancelled = |task: &TaskName| {
-            let orphan = self.unknown_jobs.get(task.job.as_str());
-            orphan.is_some_and(|o| o.cancelled.is_some())
-        };
-        let strays = m.strays.iter().filter(move |(task, _)| cancelled(task));
-        strays.map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-            grace_s: 0,
-        })
-    }
-
-    /// When the oldest cancellation was confirmed of an unknown job that the machine may
-    /// hold. What it shows under this term's seal is all that it holds: nobody launches
-    /// any more of it.
-    pub(super) fn orphan_cancelled_on(&self, m: &Machine) -> Option<Micros> {
-        let may_hold = |id: &str, orphan: &UnknownJob| match m.ready {
-            true => m.strays.iter().any(|(task, _)| task.job == id),
-            false => orphan.anywhere || orphan.machines.contains(&m.name),
-        };
-        let orphans = self.unknown_jobs.iter().filter(|(id, o)| may_hold(id, o));
-        orphans.filter_map(|(_, o)| o.cancelled).min()
-    }
-
-    /// What unknown jobs count against the limits of teams: CPUs and GPUs by team.
-    pub(super) fn claims(&self, config: &Config) -> Vec<(i64, i64)> {
-        if self.unknown_jobs.is_empty() {
-            return Vec::new();
-        }
-        let mut teams = vec![(0, 0); config.teams.len()];
-        for orphan in self.unknown_jobs.values() {
-            if let Some((team, cpus, gpus)) = orphan.claim {
-                teams[team].0 += cpus.saturating_mul(orphan.placed);
-                teams[team].1 += gpus.saturating_mul(orphan.placed);
-            }
-        }
-        teams
-    }
 }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -178,6 +178,7 @@
 mod tests {
     use super::*;
     use crate::machines::Machine;
+    use dillcleat_wire::user::JobSpec;
 
     fn machine(kind: JobKind, tasks: u32, cpus: f64) -> Machine {
         let mut m = Machine::new("m", "t", "z", false, 0);
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -104,7 +104,7 @@
     /// The record of a job that is submitted now.
     pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Timestamp) -> OpenJob {
         OpenJob {
-            at: now.wall,
+            submitted_at_us: now.wall,
             chunk: self.config.chunk_tasks,
             unmarked: true,
             parallelism_limit: at_most.filter(|n| *n < spec.tasks),
@@ -341,9 +341,9 @@
             }
             Some(LeadershipChange::Deposed) => {
                 // It may lead again before anybody else has.
-                if let Some(learned) = self.leader.take().and_then(|l| l.all_learned()) {
+                if let Some(learned) = self.leader.take().and_then(|l| l.all_estimates()) {
                     self.heard_estimates
-                        .take(&self.config, learned, now.monotonic);
+                        .receive(&self.config, learned, now.monotonic);
                 }
             }
             None => {}
@@ -593,9 +593,9 @@
                     message: Message::SilentZones(silent),
                 });
             }
-            if let Some(learned) = leader.learned() {
+            if let Some(estimates) = leader.next_estimates() {
                 out.push(Output::Peer {
-                    message: Message::Estimates(learned),
+                    message: Message::Estimates(estimates),
                 });
             }
             let progress = leader.progress();
@@ -652,7 +652,7 @@
             }
             Message::Estimates(learned) => {
                 self.heard_estimates
-                    .take(&self.config, learned, now.monotonic);
+                    .receive(&self.config, learned, now.monotonic);
             }
             // A leader that has a successor may not know it yet.
             Message::JobProgress(jobs) => {
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -1,73 +1,88 @@
-//! What is kept in the state service, and under which keys.
+//! The records kept in the consensus-backed key-value store, and their keys.
 //!
 //! - `s/lead`: the leader, bound to its lease; `s/term`: the durable, growing
-//!   term; `s/types`: the machine types as last heard from the cloud.
-//! - `q/o/JOB`: an open job's description: all that a submission writes. Dropped
-//!   when the job has ended;
+//!   term; `s/types`: the machine types as last reported by the cloud.
+//! - `q/o/JOB`: an open job's description: all that a submission writes. Deleted
+//!   when the job has ended.
 //! - `j/JOB`: that a job is done or cancelled. Written once, when it ends, and
-//!   kept for ever. A job is open if it is in `q/o/` and not in here: who reads
+//!   kept for ever. A job is open if it is in `q/o/` and not in here: a reader
 //!   looks there first, since a job leaves `q/o/` no sooner than it is here.
-//!   (Before, a submission wrote an open mark here as well. Such jobs still run:
-//!   their mark has the version of their description.)
+//!   (Earlier versions also wrote an open state record here at submission. Such jobs
+//!   still run: their state record has the version of their description.)
 //!   `q/c/JOB`: it is cancelled and its tasks have yet to be seen gone.
 //! - `t/JOB/CHUNK`: where the tasks of an unfinished job may be.
-//!   `t/JOB/CHUNK/FROM-TO`: the same of some tasks of a chunk that has become too
-//!   large to be written again. It stands above the chunk, and comes after it in the
+//!   `t/JOB/CHUNK/FROM-TO`: the same for some tasks of a chunk that has become too
+//!   large to be written again. It overrides the chunk, and comes after it in the
 //!   order of keys.
-//! - `m/MACHINE`: the address of a machine that has reported.
+//! - `m/MACHINE`: the address of a machine that has sent a heartbeat.
 //!
-//! A new leader so reads what is unfinished only, however many jobs have ended.
+//! A new leader thus reads only what is unfinished, however many jobs have ended.
+//! The serialized names and tuples are fixed: `tests/golden_records.rs` guards them.
 
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 
+/// Prefix of the records that all controllers share.
 pub const SHARED: &str = "s/";
+/// Key of the [`LeaderRecord`].
 pub const LEAD: &str = "s/lead";
+/// Key of the [`TermRecord`]; every write of a leader compares its version.
 pub const TERM: &str = "s/term";
+/// Key of the [`MachineTypesRecord`].
 pub const TYPES: &str = "s/types";
+/// Prefix of open jobs and of cancellations, which the leader watches.
 pub const QUEUE: &str = "q/";
+/// Prefix of the descriptions of open jobs.
 pub const OPEN: &str = "q/o/";
+/// Prefix of cancellations.
 pub const CANCELLED: &str = "q/c/";
+/// Prefix of the records of tasks.
 pub const TASKS: &str = "t/";
+/// Prefix of the records of machines.
 pub const MACHINES: &str = "m/";
 
+/// The key of a job's state record.
 pub fn job_key(id: &str) -> String {
     format!("j/{id}")
 }
 
+/// The key of an open job's description.
 pub fn open_key(id: &str) -> String {
     format!("{OPEN}{id}")
 }
 
+/// The key of a job's cancellation.
 pub fn cancelled_key(id: &str) -> String {
     format!("{CANCELLED}{id}")
 }
 
-/// Which tasks of a job one record tells of.
+/// The tasks of a job that one record holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TaskRange {
     /// All of a chunk.
     Chunk(u32),
-    /// Those of a chunk from one to another, both included.
+    /// The tasks `from` to `to` of a chunk, both included.
     Part { chunk: u32, from: u32, to: u32 },
 }
 
-pub fn tasks_key(id: &str, span: TaskRange) -> String {
-    match span {
+/// The key of the record of some tasks of a job.
+pub fn tasks_key(id: &str, range: TaskRange) -> String {
+    match range {
         TaskRange::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
         TaskRange::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
     }
 }
 
+/// The key of a machine's record.
 pub fn machine_key(name: &str) -> String {
     format!("{MACHINES}{name}")
 }
 
-/// The job and the tasks of a key.
+/// The job and the tasks that a key of [`TASKS`] names; None if it is not such a key.
 pub fn parse_tasks_key(key: &str) -> Option<(&str, TaskRange)> {
     let (id, rest) = key.strip_prefix(TASKS)?.split_once('/')?;
-    let span = match rest.split_once('/') {
+    let range = match rest.split_once('/') {
         None => TaskRange::Chunk(rest.parse().ok()?),
         Some((chunk, part)) => {
             let (from, to) = part.split_once('-')?;
@@ -78,9 +93,10 @@
             }
         }
     };
-    Some((id, span))
+    Some((id, range))
 }
 
+/// Who leads. Its key is bound to the lease, and goes when the lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     #[serde(rename = "member")]
@@ -91,12 +107,14 @@
     pub term: u64,
 }
 
+/// The current term, which only grows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
     #[serde(rename = "term")]
     pub term: u64,
 }
 
+/// The state of a job in its state record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedState {
     #[serde(rename = "o")]
@@ -108,7 +126,7 @@
 }
 
 impl RecordedState {
-    /// What users are told of an ended job.
+    /// The state that users see of an ended job; None while it is open.
     pub fn ended(self) -> Option<JobState> {
         match self {
             RecordedState::Open => None,
@@ -118,6 +136,7 @@
     }
 }
 
+/// The state record of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStateRecord {
     #[serde(rename = "s")]
@@ -127,18 +146,19 @@
     pub task_count: u32,
 }
 
+/// The description of an open job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
     #[serde(rename = "spec")]
     pub spec: JobSpec,
     /// Time of day of the submission, in microseconds.
     #[serde(rename = "at")]
-    pub at: u64,
+    pub submitted_at_us: u64,
     /// Tasks per chunk. Fixed with the job, so that a later change of the
     /// settings does not move tasks between chunks.
     #[serde(rename = "chunk")]
     pub chunk: u32,
-    /// There is no mark of the job as long as it is open. False in descriptions
+    /// The job has no state record as long as it is open. False in descriptions
     /// that an earlier version wrote.
     #[serde(rename = "unmarked", default)]
     pub unmarked: bool,
@@ -148,42 +168,115 @@
 }
 
 impl OpenJob {
-    /// The version of the job's mark while it is open, for descriptions of the
+    /// The version of the job's state record while it is open, for a description of the
     /// given version.
-    pub fn mark_version(&self, version: u64) -> u64 {
+    pub fn state_version(&self, version: u64) -> u64 {
         if self.unmarked { 0 } else { version }
     }
 }
 
-/// What of a description tells what its tasks count against which limit, be the rest in
-/// a form that is not known here.
+/// The part of a description that says how much its tasks count against the quota of
+/// which team. It can be read even if the rest is in a format that this version doesn't
+/// know.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
     #[serde(rename = "spec")]
     pub spec: ResourceClaim,
 }
 
+/// The cancellation of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledJob {
     /// Time of day of the cancellation, in microseconds.
     #[serde(rename = "at")]
-    pub at: u64,
+    pub cancelled_at_us: u64,
 }
 
-/// The tasks of one chunk. What is in no list waits and was never placed.
+/// A task that is, or may be, on a machine. Stored as the tuple
+/// `(index, attempt, machine, incarnation)`.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+#[serde(from = "(u32, u64, String, u64)")]
+pub struct PlacedTask {
+    pub index: u32,
+    pub attempt: u64,
+    pub machine: String,
+    /// The incarnation of the machine's agent.
+    pub incarnation: u64,
+}
+
+impl From<(u32, u64, String, u64)> for PlacedTask {
+    fn from((index, attempt, machine, incarnation): (u32, u64, String, u64)) -> PlacedTask {
+        PlacedTask {
+            index,
+            attempt,
+            machine,
+            incarnation,
+        }
+    }
+}
+
+// Not by `serde(into)`, which would clone the machine's name.
+impl Serialize for PlacedTask {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.index, self.attempt, &self.machine, self.incarnation).serialize(serializer)
+    }
+}
+
+/// A task that waits and was placed before. Stored as the tuple `(index, attempt)`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, u64)", into = "(u32, u64)")]
+pub struct WaitingTask {
+    pub index: u32,
+    /// The last attempt.
+    pub attempt: u64,
+}
+
+impl From<(u32, u64)> for WaitingTask {
+    fn from((index, attempt): (u32, u64)) -> WaitingTask {
+        WaitingTask { index, attempt }
+    }
+}
+
+impl From<WaitingTask> for (u32, u64) {
+    fn from(task: WaitingTask) -> (u32, u64) {
+        (task.index, task.attempt)
+    }
+}
+
+/// Consecutive tasks that are done, both ends included. Stored as the tuple
+/// `(first, last)`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, u32)", into = "(u32, u32)")]
+pub struct DoneTasks {
+    pub first: u32,
+    pub last: u32,
+}
+
+impl From<(u32, u32)> for DoneTasks {
+    fn from((first, last): (u32, u32)) -> DoneTasks {
+        DoneTasks { first, last }
+    }
+}
+
+impl From<DoneTasks> for (u32, u32) {
+    fn from(range: DoneTasks) -> (u32, u32) {
+        (range.first, range.last)
+    }
+}
+
+/// The tasks of one chunk, or of a part of one. A task in no list waits and was never
+/// placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskChunk {
-    /// Placed tasks: number, attempt, machine, session.
     #[serde(rename = "p")]
-    pub placed: Vec<(u32, u64, String, u64)>,
-    /// Waiting tasks that were placed before: number, last attempt.
+    pub placed: Vec<PlacedTask>,
     #[serde(rename = "w")]
-    pub waiting: Vec<(u32, u64)>,
-    /// Done tasks, as ranges from..=to.
+    pub waiting: Vec<WaitingTask>,
     #[serde(rename = "d")]
-    pub done: Vec<(u32, u32)>,
+    pub done: Vec<DoneTasks>,
 }
 
+/// A machine that has sent a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     #[serde(rename = "addr")]
@@ -196,6 +289,7 @@
     pub spot: bool,
 }
 
+/// The machine types that the cloud offered last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypesRecord {
     #[serde(rename = "types")]
