--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -49,7 +49,7 @@
         RequestBudget {
             all_per_s,
             per_s,
-            saved: TokenBucket::of(per_s),
+            saved: TokenBucket::with_tokens(per_s),
         }
     }
 
@@ -59,20 +59,20 @@
     }
 
     fn refill(&mut self, now: Micros) {
-        self.saved.grow(now, self.per_s, self.per_s.max(2.0));
+        self.saved.refill(now, self.per_s, self.per_s.max(2.0));
     }
 
     /// Takes `task_count`, be it from what comes next: for what has begun.
     pub fn charge(&mut self, n: f64, now: Micros) {
         self.refill(now);
-        self.saved.left -= n;
+        self.saved.take(n);
     }
 
     /// Takes `task_count` if there is as much.
     pub fn take(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
         let has = self.has(n, need, now);
         if has {
-            self.saved.left -= n;
+            self.saved.take(n);
         }
         has
     }
@@ -85,6 +85,6 @@
             RequestPriority::Poll => self.per_s / 2.0,
             RequestPriority::End => -self.per_s / 4.0,
         };
-        self.saved.left >= n + kept.min(self.per_s - n)
+        self.saved.available() >= n + kept.min(self.per_s - n)
     }
 }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -285,7 +285,7 @@
     /// Another node has accepted the job.
     pub fn submit(&mut self, spec: JobSpec) {
         let open = OpenJob {
-            at: self.at,
+            submitted_at_us: self.at,
             chunk: 25,
             unmarked: true,
             parallelism_limit: None,
--- a/crates/controller/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -21,7 +21,12 @@
 
 /// When its user was told that the job is cancelled.
 pub fn cancelled(at: Micros) -> KeyValue {
-    row(records::cancelled_key(JOB), &CancelledJob { at })
+    row(
+        records::cancelled_key(JOB),
+        &CancelledJob {
+            cancelled_at_us: at,
+        },
+    )
 }
 
 pub struct Gap {
@@ -54,13 +59,13 @@
         };
         let open = OpenJob {
             spec,
-            at: START,
+            submitted_at_us: START,
             chunk: 25,
             unmarked: true,
             parallelism_limit: None,
         };
         let chunk = TaskChunk {
-            placed: vec![(0, 1, "m".into(), 1)],
+            placed: vec![(0, 1, "m".to_string(), 1).into()],
             ..TaskChunk::default()
         };
         let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,10 +1,10 @@
 //! The keys and records in the state service, as version 84a8104 reads and writes them.
 
 use dillcleat_controller::records::{
-    CANCELLED, CancelledJob, JobStateRecord, LEAD, LeaderRecord, MACHINES, MachineRecord,
-    MachineTypesRecord, OPEN, OpenClaim, OpenJob, QUEUE, RecordedState, SHARED, TASKS, TERM, TYPES,
-    TaskChunk, TaskRange, TermRecord, cancelled_key, job_key, machine_key, open_key,
-    parse_tasks_key, tasks_key,
+    CANCELLED, CancelledJob, DoneTasks, JobStateRecord, LEAD, LeaderRecord, MACHINES,
+    MachineRecord, MachineTypesRecord, OPEN, OpenClaim, OpenJob, PlacedTask, QUEUE, RecordedState,
+    SHARED, TASKS, TERM, TYPES, TaskChunk, TaskRange, TermRecord, WaitingTask, cancelled_key,
+    job_key, machine_key, open_key, parse_tasks_key, tasks_key,
 };
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{Value, decode_value, encode_value};
@@ -178,7 +178,7 @@
 fn an_open_job_with_every_field_keeps_its_bytes() {
     let open = OpenJob {
         spec: full_job(),
-        at: 1_700_000_000_000_000,
+        submitted_at_us: 1_700_000_000_000_000,
         chunk: 128,
         unmarked: true,
         parallelism_limit: Some(12),
@@ -206,7 +206,7 @@
 fn an_open_job_without_optional_fields_keeps_its_bytes() {
     let open = OpenJob {
         spec: plain_service(),
-        at: 1_700_000_000_000_000,
+        submitted_at_us: 1_700_000_000_000_000,
         chunk: 8,
         unmarked: false,
         parallelism_limit: None,
@@ -294,7 +294,7 @@
 #[test]
 fn a_cancelled_job_keeps_its_bytes() {
     let cancelled = CancelledJob {
-        at: 1_700_000_000_000_000,
+        cancelled_at_us: 1_700_000_000_000_000,
     };
     assert_keeps(
         b"\x81\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00",
@@ -307,11 +307,30 @@
 fn the_tasks_of_a_chunk_keep_their_bytes() {
     let chunk = TaskChunk {
         placed: vec![
-            (3, 2, "host-1".into(), 300),
-            (4, 70_000, "host-2".into(), 1),
+            PlacedTask {
+                index: 3,
+                attempt: 2,
+                machine: "host-1".into(),
+                incarnation: 300,
+            },
+            PlacedTask {
+                index: 4,
+                attempt: 70_000,
+                machine: "host-2".into(),
+                incarnation: 1,
+            },
+        ],
+        waiting: vec![WaitingTask {
+            index: 5,
+            attempt: 6,
+        }],
+        done: vec![
+            DoneTasks { first: 0, last: 2 },
+            DoneTasks {
+                first: 7,
+                last: 127,
+            },
         ],
-        waiting: vec![(5, 6)],
-        done: vec![(0, 2), (7, 127)],
     };
     assert_keeps(
         b"\
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -6,7 +6,8 @@
 use common::gap::{Gap, JOB, START, at_most, cancelled};
 use common::{machine_type, recorded, report, row, step_with, types};
 use dillcleat_controller::records::{
-    self, JobStateRecord, LeaderRecord, OpenJob, RecordedState, TaskChunk, TaskRange, TermRecord,
+    self, JobStateRecord, LeaderRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
+    TermRecord,
 };
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::Message;
@@ -32,7 +33,7 @@
 }
 
 /// Placements of the job in what was written last of its tasks.
-fn placed(gap: &Gap) -> Vec<(u32, u64, String, u64)> {
+fn placed(gap: &Gap) -> Vec<PlacedTask> {
     let key = tasks();
     let changes = gap.around.writes.iter().rev().flat_map(|t| &t.then);
     let mut records = changes.filter_map(|c| match c {
@@ -78,7 +79,9 @@
 }
 
 fn row_of(at: Micros) -> records::CancelledJob {
-    records::CancelledJob { at }
+    records::CancelledJob {
+        cancelled_at_us: at,
+    }
 }
 
 /// None of them leads for long enough to delete the machine, the stop doesn't arrive:
@@ -135,7 +138,7 @@
                 gap.reports(t * 100 * MILLISECOND);
             }
         }
-        let again = [(0, 2, "m".to_string(), 2)];
+        let again = [PlacedTask::from((0, 2, "m".to_string(), 2))];
         assert_eq!(placed(&gap) == again, !is_cancelled);
         assert_eq!(drops(&gap, &records::cancelled_key(JOB)), is_cancelled);
     }
@@ -160,11 +163,11 @@
         if t % 10 == 0 {
             gap.step(at, report("n", "a", t + 1));
         }
-        let again = placed(&gap).iter().any(|p| (p.0, p.1) == (0, 2));
+        let again = placed(&gap).iter().any(|p| (p.index, p.attempt) == (0, 2));
         assert!(deleted || !again, "{at}");
     }
     assert_eq!(gap.node.leading(), Some(1));
-    assert_eq!(placed(&gap), [(0, 2, "n".to_string(), 1)]);
+    assert_eq!(placed(&gap), [PlacedTask::from((0, 2, "n".to_string(), 1))]);
 }
 
 /// It was sent in a session before, and arrives first at a new leader, that knows of a
@@ -174,7 +177,7 @@
 fn an_old_report_takes_no_session_back() {
     let mut gap = Gap::new();
     let chunk = TaskChunk {
-        placed: vec![(0, 1, "m".into(), 3)],
+        placed: vec![(0, 1, "m".to_string(), 3).into()],
         ..TaskChunk::default()
     };
     gap.around.tasks = vec![row(tasks(), &chunk)];
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -38,7 +38,7 @@
     };
     let open = OpenJob {
         spec,
-        at: 0,
+        submitted_at_us: 0,
         chunk: 64,
         unmarked: true,
         parallelism_limit: None,
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -15,7 +15,7 @@
 fn open(spec: JobSpec) -> KeyValue {
     let key = records::open_key(&spec.id);
     let job = OpenJob {
-        at: START,
+        submitted_at_us: START,
         chunk: 16,
         unmarked: true,
         parallelism_limit: None,
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -70,7 +70,7 @@
                 spot: false,
                 ..JobSpec::plain("req-1", JobKind::Batch, TASKS, 0.25)
             },
-            at: 1,
+            submitted_at_us: 1,
             chunk: 204,
             unmarked: true,
             parallelism_limit: None,
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -72,7 +72,7 @@
 fn description(unmarked: bool) -> Value {
     encode_value(&OpenJob {
         spec: JobSpec::plain("req-1", JobKind::Batch, 2, 1.0),
-        at: 1,
+        submitted_at_us: 1,
         chunk: 8,
         unmarked,
         parallelism_limit: None,
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -27,7 +27,7 @@
     };
     let open = OpenJob {
         spec,
-        at: START,
+        submitted_at_us: START,
         chunk: 25,
         unmarked: true,
         parallelism_limit: None,
@@ -65,7 +65,9 @@
     /// A node that is about to lead, with `placed` tasks of a job on the machine m.
     fn new(config: Config, queue: Vec<KeyValue>, placed: u32) -> Day {
         let chunk = TaskChunk {
-            placed: (0..placed).map(|i| (i, 1, "m".into(), 1)).collect(),
+            placed: (0..placed)
+                .map(|i| (i, 1, "m".to_string(), 1).into())
+                .collect(),
             ..TaskChunk::default()
         };
         Day {
@@ -269,7 +271,12 @@
     let running = Some(TaskState::Running);
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
-    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
+    let cancelled = row(
+        records::cancelled_key(JOB),
+        &CancelledJob {
+            cancelled_at_us: at,
+        },
+    );
     let event = WatchEvent::Put {
         key: cancelled.key,
         value: cancelled.value,
@@ -300,7 +307,12 @@
 fn a_machine_that_has_yet_to_show_the_token_may_hold_a_cancelled_job() {
     let limit = config_with_team().blind_limit();
     let at = START - limit;
-    let cancelled = row(records::cancelled_key(JOB), &CancelledJob { at });
+    let cancelled = row(
+        records::cancelled_key(JOB),
+        &CancelledJob {
+            cancelled_at_us: at,
+        },
+    );
     for readable in [true, false] {
         let queue = vec![cancelled.clone(), undescribed(JOB)];
         let mut day = Day::new(config_with_team(), queue, 1);
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -77,13 +77,13 @@
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
         spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
-        at: START,
+        submitted_at_us: START,
         chunk: 25,
         unmarked: true,
         parallelism_limit: None,
     };
     let chunk = TaskChunk {
-        placed: vec![(0, 1, "m".into(), 1)],
+        placed: vec![(0, 1, "m".to_string(), 1).into()],
         ..TaskChunk::default()
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -50,7 +50,7 @@
             depends_on: awaits,
             ..JobSpec::plain("req-1", JobKind::Batch, 200, 4.0)
         },
-        at: 1_700_000_000_000_000,
+        submitted_at_us: 1_700_000_000_000_000,
         chunk: 204,
         unmarked: true,
         parallelism_limit: None,
@@ -71,9 +71,9 @@
     }
     same(OPEN, described(Vec::new()));
     let chunk = TaskChunk {
-        placed: vec![(3, 2, "host-000231".into(), 1)],
-        waiting: vec![(5, 1)],
-        done: vec![(0, 2)],
+        placed: vec![(3, 2, "host-000231".to_string(), 1).into()],
+        waiting: vec![(5, 1).into()],
+        done: vec![(0, 2).into()],
     };
     same(CHUNK, chunk);
     let mark = JobStateRecord {
@@ -81,7 +81,7 @@
         task_count: 200,
     };
     same(MARK, mark);
-    same(CANCELLED, CancelledJob { at: 7 });
+    same(CANCELLED, CancelledJob { cancelled_at_us: 7 });
     let machine = MachineRecord {
         addr: "10.1.0.1:9000".into(),
         machine_type: "g8".into(),
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -217,7 +217,7 @@
             annotations: wanted.annotations.clone(),
             spec: wanted.spec.clone(),
             state: Kept {
-                started: job.as_ref().map(|job| job.at),
+                started: job.as_ref().map(|job| job.submitted_at_us),
                 job: job.as_ref().map(|job| job.spec.id.clone()),
                 ..Kept::default()
             },
@@ -522,7 +522,7 @@
         }
         let job = self.open(ctx, &object.name, &old.uid, wanted)?;
         record.state.job = Some(job.spec.id.clone());
-        record.state.started = Some(job.at);
+        record.state.started = Some(job.submitted_at_us);
         Ok((record, Some(job)))
     }
 
--- a/crates/kube/src/keeper.rs
+++ b/crates/kube/src/keeper.rs
@@ -102,7 +102,12 @@
     };
     txn.compare(records::job_key(job), 0)
         .put(records::job_key(job), &mark)
-        .put(records::cancelled_key(job), &CancelledJob { at: wall })
+        .put(
+            records::cancelled_key(job),
+            &CancelledJob {
+                cancelled_at_us: wall,
+            },
+        )
 }
 
 /// Deletes an object and keeps what its name needs.
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,7 +11,9 @@
 use crate::rules::Place;
 use crate::state::{PageLimit, StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord, OpenJob, TaskChunk};
+use dillcleat_controller::records::{
+    self, MachineRecord, MachineTypesRecord, OpenJob, PlacedTask, TaskChunk,
+};
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
     SchedulerCounters, Timestamp, Tuning,
@@ -416,7 +418,7 @@
         // Handed in over the last ten minutes.
         let job = OpenJob {
             spec: spec.clone(),
-            at: WALL - self.rng.u64(..600 * SECOND),
+            submitted_at_us: WALL - self.rng.u64(..600 * SECOND),
             chunk: config(&self.setting).chunk_tasks,
             unmarked: true,
             parallelism_limit: None,
@@ -447,7 +449,12 @@
                 };
                 let worker = &mut self.workers[machine as usize];
                 worker.seat(task, 1, until, spec.cpus);
-                chunk.placed.push((index, 1, worker.name.clone(), 1));
+                chunk.placed.push(PlacedTask {
+                    index,
+                    attempt: 1,
+                    machine: worker.name.clone(),
+                    incarnation: 1,
+                });
             }
             // Jobs are no larger than a chunk here.
             self.state.put(
--- a/crates/simulator/tests/awaits.rs
+++ b/crates/simulator/tests/awaits.rs
@@ -109,7 +109,7 @@
     let mut a = alone();
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Service, &[]),
-        at: 1,
+        submitted_at_us: 1,
         chunk: 8,
         unmarked: true,
         parallelism_limit: None,
@@ -170,7 +170,7 @@
     let mut state = StateService::new(one.value_bytes, one.txn_ops);
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Batch, &["req-77"]),
-        at: 1,
+        submitted_at_us: 1,
         chunk: 8,
         unmarked: true,
         parallelism_limit: None,
