--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -12,7 +12,7 @@
 use crate::calls::{CallError, Context};
 use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
 use crate::job_cache::{JobCache, KnownJob};
-use crate::progress::TaskCounts;
+use crate::progress::ProgressTable;
 use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
 use crate::request_budget::{RequestBudget, RequestPriority};
 use crate::{Answer, Config, MILLISECOND, Micros, RequestId, SECOND};
@@ -51,7 +51,7 @@
     /// Jobs that were seen to be cancelled, for the leader of this process.
     cancelled: Vec<String>,
     /// The leader's word on how far jobs are, for display.
-    pub(crate) progress: TaskCounts,
+    pub(crate) progress: ProgressTable,
 }
 
 /// Why a job can never run here; None if it can.
@@ -102,7 +102,7 @@
             asked: 0,
             asked_per_s: 0.0,
             cancelled: Vec::new(),
-            progress: TaskCounts::default(),
+            progress: ProgressTable::default(),
         }
     }
 
@@ -171,11 +171,12 @@
     /// The leader of this process has stored a job's end.
     pub fn ended(&mut self, id: &str, mark: JobStateRecord) {
         self.cache.put(id, KnownJob::ended(mark));
-        self.progress.ended(id);
+        self.progress.job_ended(id);
     }
 
     fn status(&self, id: &str, mark: JobStateRecord) -> JobStatus {
-        let (done, running) = self.progress.get(id).unwrap_or((0, 0));
+        let counts = self.progress.get(id);
+        let (done, running) = counts.map_or((0, 0), |counts| (counts.done, counts.running));
         let (state, done, running) = match mark.state {
             RecordedState::Done => (JobState::Done, mark.task_count, 0),
             RecordedState::Cancelled => (JobState::Cancelled, done, 0),
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -147,7 +147,7 @@
         let mut lost = BTreeMap::new();
         for m in cut_off.iter().filter_map(|m| self.machines.get(m)) {
             for (id, _) in m.slots.keys().filter(|(id, _)| self.is_service(id)) {
-                if let Some(place) = self.jobs.place(id) {
+                if let Some(place) = self.jobs.index_of(id) {
                     *lost.entry(place).or_default() += 1;
                 }
             }
@@ -195,7 +195,7 @@
             let job = job.filter(|job| job.placed() > 0);
             job.map_or(0.0, |job| self.run_time(ctx.config, job))
         };
-        let runs: Vec<f64> = self.jobs.by_place().map(run_time).collect();
+        let runs: Vec<f64> = self.jobs.values_by_index().map(run_time).collect();
         let mut views = Vec::new();
         // Room behind a report that got lost is about to be there again.
         let lease = ctx.config.lease;
@@ -295,7 +295,7 @@
             }
         }
         for place in probed {
-            if let Some(m) = self.machines.quiet(place) {
+            if let Some(m) = self.machines.get_mut_unmarked(place) {
                 m.probe = true;
                 m.needs_command = true;
                 self.command_dispatch.plain(m.name.clone());
@@ -429,11 +429,11 @@
         let types = Rc::new(types);
         let to_store = self.machine_types.update(types.clone());
         // What they hold may be other than it was.
-        self.machines.mark_all();
+        self.machines.mark_all_changed();
         if to_store {
             self.writer.enqueue(PendingWrite::MachineTypes);
         }
-        self.events.push(LeaderEvent::Types(types));
+        self.events.push(LeaderEvent::MachineTypes(types));
     }
 
     pub(super) fn rented(&mut self, ctx: &Context, rent: &ScaleOut, names: &[String]) {
@@ -537,13 +537,13 @@
             .take(dillcleat_peer_protocol::MAX_PROGRESS)
             .collect();
         for place in some {
-            self.jobs.mark(place);
+            self.jobs.mark_changed(place);
             let Some((id, job)) = self.jobs.at(place) else {
                 continue;
             };
             let id = id.to_string();
             let (done, running) = (job.done, job.running.len() as u32);
-            if let Some(job) = self.jobs.quiet(place) {
+            if let Some(job) = self.jobs.get_mut_unmarked(place) {
                 job.replicated_progress = (done, running);
             }
             changed.push(JobProgress {
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -106,8 +106,8 @@
                 machine: name.to_string(),
             });
             // What a push changes is derived from by nothing.
-            let place = self.machines.place(&name);
-            let Some(m) = place.and_then(|place| self.machines.quiet(place)) else {
+            let place = self.machines.index_of(&name);
+            let Some(m) = place.and_then(|place| self.machines.get_mut_unmarked(place)) else {
                 continue;
             };
             m.needs_command = false;
@@ -168,7 +168,7 @@
         }
         match report {
             Some(r) if r.fencing_token > self.term => {
-                self.events.push(LeaderEvent::Higher(r.fencing_token))
+                self.events.push(LeaderEvent::HigherTerm(r.fencing_token))
             }
             Some(r) => {
                 let was_ready = m.ready;
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -201,7 +201,8 @@
         job.stopped = true;
         let record = job.state_record(RecordedState::Cancelled);
         let placed = job.placed();
-        self.events.push(LeaderEvent::Ended(id.to_string(), record));
+        self.events
+            .push(LeaderEvent::JobEnded(id.to_string(), record));
         if placed > 0 {
             // It is blocked, and yet some of its tasks were started: by a version that
             // has no dependencies.
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -396,17 +396,17 @@
     pub(super) fn refresh(&mut self, ctx: &Context) {
         while let Some(due) = self.derived.next_due(ctx.now.monotonic) {
             match due {
-                Due::Job(place) => self.jobs.mark(place),
-                Due::Machine(place) => self.machines.mark(place),
+                Due::Job(place) => self.jobs.mark_changed(place),
+                Due::Machine(place) => self.machines.mark_changed(place),
             }
         }
-        for place in self.jobs.take_marked() {
+        for place in self.jobs.take_changed() {
             self.refresh_job(ctx, place);
         }
         while let Some(place) = self.derived.job_queue.aged(self.scheduling.virtual_time) {
             self.refresh_job(ctx, place);
         }
-        for place in self.machines.take_marked() {
+        for place in self.machines.take_changed() {
             self.refresh_machine(ctx, place);
         }
         self.derived.sums.claims = self.unknown_jobs.claims(ctx.config);
@@ -418,8 +418,8 @@
         self.mark_guessed();
         self.refresh(ctx);
         let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
-        self.jobs.mark_all();
-        self.machines.mark_all();
+        self.jobs.mark_all_changed();
+        self.machines.mark_all_changed();
         self.refresh(ctx);
         let new = &self.derived;
         let line = |i: &DerivedState| {
@@ -427,7 +427,7 @@
                 .all(self.scheduling.virtual_time)
                 .collect::<Vec<_>>()
         };
-        let mut places = 0..self.machines.places();
+        let mut places = 0..self.machines.index_bound();
         // Of machines without room nobody asks which images they hold.
         let warm = |m: &MachineView| {
             if m.free.cpus > 0.0 {
@@ -463,13 +463,13 @@
     pub(super) fn mark_guessed(&mut self) {
         if self.estimates.take_run_times_changed() {
             for place in &self.derived.guessed {
-                self.jobs.mark(place);
+                self.jobs.mark_changed(place);
             }
         }
     }
 
     fn refresh_job(&mut self, ctx: &Context, place: SlabIndex) {
-        if let Some(job) = self.jobs.quiet(place) {
+        if let Some(job) = self.jobs.get_mut_unmarked(place) {
             job.pace(self.scheduling.virtual_time);
             job.hunger(ctx);
         }
@@ -491,7 +491,7 @@
         self.derived.job_queue.set(place, standing);
         for image in self.derived.set_job(place, part) {
             for machine in self.derived.capacity.holders(&image) {
-                self.machines.mark(machine);
+                self.machines.mark_changed(machine);
             }
         }
         if let Some(at) = due {
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -122,7 +122,7 @@
         {
             jobs.extend(self.job_estimate(index));
         }
-        let index_bound = self.jobs.places();
+        let index_bound = self.jobs.index_bound();
         let mut repeated = 0;
         for _ in 0..index_bound.min(MAX_EXAMINED_INDEXES) {
             if jobs.len() >= MAX_JOB_ESTIMATES || repeated >= MAX_REPEATED_JOBS {
@@ -141,7 +141,7 @@
         if !self.recovery.is_ready() {
             return None;
         }
-        let jobs = (0..self.jobs.places()).filter_map(|index| self.job_estimate(index));
+        let jobs = (0..self.jobs.index_bound()).filter_map(|index| self.job_estimate(index));
         Some(self.estimates_message(jobs.collect()))
     }
 
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -61,7 +61,8 @@
 
     pub fn heartbeat(&mut self, ctx: &mut Context, report: &Heartbeat) -> Answer {
         if report.fencing_token > self.term {
-            self.events.push(LeaderEvent::Higher(report.fencing_token));
+            self.events
+                .push(LeaderEvent::HigherTerm(report.fencing_token));
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.may_answer_heartbeats(ctx) {
@@ -93,8 +94,8 @@
                     answer.commands = self.commands(ctx, m);
                 }
             }
-            let place = self.machines.place(&report.machine);
-            if let Some(m) = place.and_then(|place| self.machines.quiet(place)) {
+            let place = self.machines.index_of(&report.machine);
+            if let Some(m) = place.and_then(|place| self.machines.get_mut_unmarked(place)) {
                 m.record_reply_launches(&answer.commands);
                 if !answer.commands.is_empty() {
                     m.needs_command = false;
@@ -121,12 +122,12 @@
             let m = Machine::new(&r.machine, "", "", false, now);
             self.machines.insert(m.name.clone(), m);
         }
-        let Some(place) = self.machines.place(&r.machine) else {
+        let Some(place) = self.machines.index_of(&r.machine) else {
             return;
         };
         // Most reports of a large fleet say that nothing has changed.
         let before = self.machines.at(place).map(|(_, m)| MachineSummary::of(m));
-        let Some(m) = self.machines.quiet(place) else {
+        let Some(m) = self.machines.get_mut_unmarked(place) else {
             return;
         };
         m.describe(&r.machine_type, &r.zone, r.spot);
@@ -194,7 +195,7 @@
             || !events.iter().all(starts)
             || self.derived.silent.contains(place)
         {
-            self.machines.mark(place);
+            self.machines.mark_changed(place);
         }
         for event in events {
             self.apply_task_event(ctx, &r.machine, event);
@@ -205,7 +206,7 @@
     }
 
     pub(super) fn is_end_stored(&self, task: &TaskName, attempt: u64) -> bool {
-        let known = self.jobs.place(&task.job).and_then(|p| self.jobs.at(p));
+        let known = self.jobs.index_of(&task.job).and_then(|p| self.jobs.at(p));
         let Some((id, job)) = known else {
             // Its end is stored, or it never was a job.
             return !self.unknown_jobs.protects_task(task);
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -20,7 +20,7 @@
         }
         self.untrack_dependencies(ctx, id);
         self.cancel_dependents(id);
-        self.events.push(LeaderEvent::Stopped(id.to_string()));
+        self.events.push(LeaderEvent::JobCancelled(id.to_string()));
         for index in self.mark_tasks_cancelled(id) {
             // A placement that is being written may already be stored.
             let task: TaskKey = (id.clone(), index);
--- a/crates/controller/src/leader/machine_types.rs
+++ b/crates/controller/src/leader/machine_types.rs
@@ -1,9 +1,17 @@
 //! The machine types that the cloud offers, and their stored record.
 
-use super::VersionedMachineTypes;
 use dillcleat_wire::cloud::MachineType;
 use std::rc::Rc;
 
+/// The machine types as they are in the store.
+#[derive(Debug, Clone, Default)]
+pub struct VersionedMachineTypes {
+    /// None if there is no record of them.
+    pub types: Option<Rc<Vec<MachineType>>>,
+    /// The version of their record, 0 if there is none.
+    pub version: u64,
+}
+
 /// The machine types, as the cloud or the store reported them last.
 #[derive(Debug)]
 pub(super) struct MachineTypeCatalog {
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -26,6 +26,8 @@
 mod unknown_jobs;
 mod zone_partition;
 
+pub use self::machine_types::VersionedMachineTypes;
+
 use self::autoscaling::Autoscaler;
 use self::boot_estimator::BootEstimator;
 use self::command_dispatch::CommandDispatch;
@@ -77,34 +79,25 @@
 /// How long a zone that fell silent gets no new machines, unless it is reachable again.
 const DARK: Micros = 60 * SECOND;
 
-/// The machine types as they are in the store.
-#[derive(Debug, Clone, Default)]
-pub struct VersionedMachineTypes {
-    /// None if there is no record of them.
-    pub types: Option<Rc<Vec<MachineType>>>,
-    /// The version of their record, 0 if there is none.
-    pub version: u64,
-}
-
 /// What a leader reports to its node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaderEvent {
     /// The end of this job is in the store.
-    Ended(String, JobStateRecord),
+    JobEnded(String, JobStateRecord),
     /// This job was seen to be cancelled.
-    Stopped(String),
+    JobCancelled(String),
     /// An attempt of a job's task ended with an error.
-    Failed {
+    TaskFailed {
         job: String,
         task: u32,
         attempt: u64,
     },
     /// The cloud offers these machine types.
-    Types(Rc<Vec<MachineType>>),
+    MachineTypes(Rc<Vec<MachineType>>),
     /// The term is over.
-    Outdated,
+    TermEnded,
     /// A machine has shown this higher term.
-    Higher(u64),
+    HigherTerm(u64),
 }
 
 /// The leader of one term: it recovers its state from the store, schedules tasks, sends
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -123,7 +123,7 @@
             }
             Ok(StoreResponse::Compacted) => {
                 log::error!("queue watch expired, reloading: term={}", self.term);
-                self.events.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::TermEnded);
             }
             _ => self.queue_watch.watch_from(now + RETRY_INTERVAL),
         }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -344,8 +344,8 @@
         let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
         self.estimates.apply_inherited(id, &mut job);
         let id: Rc<str> = Rc::from(id);
-        let slot = self.jobs.insert(id.clone(), job);
-        self.estimates.changed(slot);
+        let index = self.jobs.insert(id.clone(), job);
+        self.estimates.changed(index);
         self.scheduling.schedule_at = ctx.now.monotonic;
         self.track_dependencies(ctx, &id);
     }
@@ -383,7 +383,7 @@
             self.writer.use_lower_value_limit(ctx.config);
             self.discard_chunk_state(&id, range);
         }
-        let Some(slot) = self.jobs.place(&id) else {
+        let Some(index) = self.jobs.index_of(&id) else {
             return;
         };
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -392,7 +392,7 @@
         job.task_ranges.set_version(range, row.version);
         job.apply_chunk(&chunk);
         for placed in chunk.placed {
-            self.apply_placement(ctx, &id, slot, placed);
+            self.apply_placement(ctx, &id, index, placed);
         }
     }
 
@@ -402,10 +402,10 @@
         &mut self,
         ctx: &Context,
         id: &Rc<str>,
-        slot: SlabIndex,
+        job_index: SlabIndex,
         placed: PlacedTask,
     ) {
-        let Some(job) = self.jobs.quiet(slot) else {
+        let Some(job) = self.jobs.get_mut_unmarked(job_index) else {
             return;
         };
         let Some(task) = job.tasks.get_mut(placed.index as usize) else {
@@ -429,7 +429,12 @@
             return;
         };
         machine.incarnation = machine.incarnation.max(placed.incarnation);
-        let task_slot = Machine::slot(placed.attempt, placed.incarnation, (slot, &job.spec), true);
+        let task_slot = Machine::slot(
+            placed.attempt,
+            placed.incarnation,
+            (job_index, &job.spec),
+            true,
+        );
         let image = (&job.image, job.spec.image_gb);
         let cache = cache_gb(self.machine_types.types(), &machine.machine_type);
         machine.place((id.clone(), placed.index), task_slot, image, cache);
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -315,7 +315,7 @@
                     "store reports an expired lease that no batch has: term={}",
                     self.term
                 );
-                self.events.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::TermEnded);
             }
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
@@ -332,7 +332,7 @@
     /// A condition of the batch did not hold.
     fn handle_conflict(&mut self, ctx: &mut Context, batch: WriteBatch, failed: &[String]) {
         if failed.iter().any(|key| key == records::TERM) {
-            self.events.push(LeaderEvent::Outdated);
+            self.events.push(LeaderEvent::TermEnded);
             return;
         }
         let own_key = failed.iter().find(|key| key.starts_with(records::TASKS));
@@ -474,7 +474,7 @@
                     "key written by another leader: key={key} term={}",
                     self.term
                 );
-                self.events.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::TermEnded);
             }
         }
         self.requeue_batch(batch);
@@ -541,11 +541,11 @@
             }
             Some((RecordedState::Open, _)) => {
                 log::error!("unexpected job state record: job={id} state=open");
-                self.events.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::TermEnded);
             }
             None => {
                 log::error!("unreadable job state record: job={id}");
-                self.events.push(LeaderEvent::Outdated);
+                self.events.push(LeaderEvent::TermEnded);
             }
         }
     }
@@ -555,7 +555,8 @@
         log::info!("job done: job={id}");
         self.forget_job(ctx, id);
         self.dependency_done(ctx, id);
-        self.events.push(LeaderEvent::Ended(id.to_string(), record));
+        self.events
+            .push(LeaderEvent::JobEnded(id.to_string(), record));
     }
 
     /// A batch is in the store: does what waited for it.
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -83,7 +83,7 @@
         self.return_to_waiting(task, *attempt);
         self.attribute_failure(ctx, machine, task, exited.reason);
         if exited.reason == ExitReason::Error {
-            self.events.push(LeaderEvent::Failed {
+            self.events.push(LeaderEvent::TaskFailed {
                 job: id.to_string(),
                 task: *index,
                 attempt: *attempt,
@@ -105,7 +105,7 @@
 
     fn complete_task(&mut self, ctx: &Context, exited: &ExitedTask) {
         let (id, index) = &exited.task;
-        let slot = self.jobs.place(id);
+        let job_index = self.jobs.index_of(id);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -115,8 +115,8 @@
         if let Some(ran) = exited.ran {
             let run_time_s = seconds(ran);
             if !job.trained {
-                if let Some(slot) = slot {
-                    self.estimates.changed(slot);
+                if let Some(job_index) = job_index {
+                    self.estimates.changed(job_index);
                 }
                 job.add_sample(ctx.config, run_time_s);
             }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -91,7 +91,8 @@
 
     /// How many tasks of a job are done and run, as last heard, for display.
     pub fn progress(&self, job: &str) -> Option<(u32, u32)> {
-        self.admission.progress.get(job)
+        let counts = self.admission.progress.get(job)?;
+        Some((counts.done, counts.running))
     }
 
     /// Why a job can never run here; None while the machine types are unknown.
@@ -363,26 +364,26 @@
                 calls: &mut self.calls,
             };
             match note {
-                LeaderEvent::Ended(job, mark) => {
+                LeaderEvent::JobEnded(job, mark) => {
                     self.admission.ended(&job, mark);
                     let state = mark.state.ended().unwrap_or(JobState::Done);
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                LeaderEvent::Stopped(job) => {
+                LeaderEvent::JobCancelled(job) => {
                     let state = JobState::Cancelled;
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
-                LeaderEvent::Failed { job, task, attempt } => {
+                LeaderEvent::TaskFailed { job, task, attempt } => {
                     out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
                 }
-                LeaderEvent::Types(types) => self.leadership.set_types(types),
-                LeaderEvent::Outdated => {
+                LeaderEvent::MachineTypes(types) => self.leadership.set_types(types),
+                LeaderEvent::TermEnded => {
                     change = self
                         .leadership
                         .step_down(&mut ctx, "its writes are out of date", 0)
                         .or(change);
                 }
-                LeaderEvent::Higher(term) => {
+                LeaderEvent::HigherTerm(term) => {
                     change = self.leadership.outdated(&mut ctx, term).or(change);
                 }
             }
@@ -599,9 +600,9 @@
                 });
             }
             let progress = leader.progress();
-            self.admission.progress.shown(&progress);
+            self.admission.progress.set_own(&progress);
             let all = progress.len() < dillcleat_peer_protocol::MAX_PROGRESS;
-            let more = self.admission.progress.tell(all, now.monotonic);
+            let more = self.admission.progress.next_messages(all, now.monotonic);
             let changed = Some(progress).filter(|p| !p.is_empty());
             for told in more.into_iter().chain(changed) {
                 out.push(Output::Peer {
@@ -630,7 +631,7 @@
                     requests_per_s: asked,
                 };
                 if !self.peers.is_heard(&from, now.monotonic) {
-                    self.admission.progress.tell_all();
+                    self.admission.progress.repeat_all();
                 }
                 self.peers.told(from, sibling);
                 let mut ctx = Context {
@@ -657,7 +658,7 @@
             // A leader that has a successor may not know it yet.
             Message::JobProgress(jobs) => {
                 if self.leader.is_none() && !self.peers.has_successor(&from, now.monotonic) {
-                    self.admission.progress.heard(jobs);
+                    self.admission.progress.receive(jobs);
                 }
             }
         }
--- a/crates/controller/src/slab.rs
+++ b/crates/controller/src/slab.rs
@@ -1,157 +1,175 @@
-//! Named things that keep a small number for as long as they are known, and
-//! remember which of them may have changed.
+//! Named values that keep a small index for as long as they are known, and a list of
+//! those that may have changed.
 //!
-//! Whoever takes one out to change it leaves it marked, so what is derived from
-//! it (an index, a sum) can be brought up to date by looking at the marked ones
-//! alone. Nothing can be changed unmarked but by [`Slab::quiet`].
+//! A value that is borrowed mutably is marked as changed, so what is derived from it (an
+//! index, a sum) can be brought up to date by looking at the changed ones alone. Nothing
+//! can be changed unmarked but by [`Slab::get_mut_unmarked`].
+//!
+//! Not the `slab` crate: it shows neither its vacant indexes nor their bound, which arrays
+//! that are parallel to the values need, and it knows no names and no changes.
 
 use dillcleat_sched::SlabIndex;
 use std::collections::HashMap;
 use std::rc::Rc;
 
 #[derive(Debug)]
-struct Held<T> {
+struct Entry<T> {
     name: Rc<str>,
     value: T,
 }
 
+/// Values by name and by index.
+///
+/// Each index below `entries.len()` either holds an entry, to which `indexes` leads from
+/// its name, or is in `vacant`. An index of a removed value is given again. `changed` holds
+/// each index at most once: those whose `is_changed` is set.
 #[derive(Debug)]
 pub struct Slab<T> {
-    held: Vec<Option<Held<T>>>,
-    by_name: HashMap<Rc<str>, SlabIndex>,
+    entries: Vec<Option<Entry<T>>>,
+    indexes: HashMap<Rc<str>, SlabIndex>,
     vacant: Vec<SlabIndex>,
-    marked: Vec<SlabIndex>,
-    is_marked: Vec<bool>,
+    changed: Vec<SlabIndex>,
+    is_changed: Vec<bool>,
 }
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
         Slab {
-            held: Vec::new(),
-            by_name: HashMap::new(),
+            entries: Vec::new(),
+            indexes: HashMap::new(),
             vacant: Vec::new(),
-            marked: Vec::new(),
-            is_marked: Vec::new(),
+            changed: Vec::new(),
+            is_changed: Vec::new(),
         }
     }
 }
 
 impl<T> Slab<T> {
+    /// How many values there are.
     pub fn len(&self) -> usize {
-        self.by_name.len()
+        self.indexes.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.by_name.is_empty()
+        self.indexes.is_empty()
     }
 
-    pub fn place(&self, name: &str) -> Option<SlabIndex> {
-        self.by_name.get(name).copied()
+    /// The index of the value with this name.
+    pub fn index_of(&self, name: &str) -> Option<SlabIndex> {
+        self.indexes.get(name).copied()
     }
 
     pub fn contains_key(&self, name: &str) -> bool {
-        self.by_name.contains_key(name)
+        self.indexes.contains_key(name)
     }
 
-    /// The name as it is shared by all that refer to the thing.
+    /// The name as it is shared by all that refer to the value.
     pub fn name(&self, name: &str) -> Option<&Rc<str>> {
-        self.by_name.get_key_value(name).map(|(n, _)| n)
+        self.indexes.get_key_value(name).map(|(name, _)| name)
     }
 
     pub fn get(&self, name: &str) -> Option<&T> {
-        self.at(self.place(name)?).map(|(_, value)| value)
+        self.at(self.index_of(name)?).map(|(_, value)| value)
     }
 
-    /// To change it: marks it.
+    /// The value, to change it: marks it as changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut T> {
-        let place = self.place(name)?;
-        self.mark(place);
-        self.quiet(place)
+        let index = self.index_of(name)?;
+        self.mark_changed(index);
+        self.get_mut_unmarked(index)
     }
 
-    pub fn at(&self, place: SlabIndex) -> Option<(&Rc<str>, &T)> {
-        let held = self.held.get(place as usize)?.as_ref()?;
-        Some((&held.name, &held.value))
+    /// The name and the value at an index.
+    pub fn at(&self, index: SlabIndex) -> Option<(&Rc<str>, &T)> {
+        let entry = self.entries.get(index as usize)?.as_ref()?;
+        Some((&entry.name, &entry.value))
     }
 
-    /// To change what nothing is derived from.
-    pub fn quiet(&mut self, place: SlabIndex) -> Option<&mut T> {
-        let held = self.held.get_mut(place as usize)?.as_mut()?;
-        Some(&mut held.value)
+    /// The value, to change what nothing is derived from: does not mark it as changed.
+    pub fn get_mut_unmarked(&mut self, index: SlabIndex) -> Option<&mut T> {
+        let entry = self.entries.get_mut(index as usize)?.as_mut()?;
+        Some(&mut entry.value)
     }
 
-    /// Puts a thing on the slab, in place of one of the same name.
+    /// Adds a value, or replaces the one of the same name. Returns its index.
     pub fn insert(&mut self, name: Rc<str>, value: T) -> SlabIndex {
-        let place = match self.place(&name) {
-            Some(place) => place,
+        let index = match self.index_of(&name) {
+            Some(index) => index,
             None => self.vacant.pop().unwrap_or_else(|| {
-                self.held.push(None);
-                self.is_marked.push(false);
+                self.entries.push(None);
+                self.is_changed.push(false);
                 // As many as fit memory.
-                (self.held.len() - 1) as SlabIndex
+                (self.entries.len() - 1) as SlabIndex
             }),
         };
-        self.by_name.insert(name.clone(), place);
-        self.held[place as usize] = Some(Held { name, value });
-        self.mark(place);
-        place
+        self.indexes.insert(name.clone(), index);
+        self.entries[index as usize] = Some(Entry { name, value });
+        self.mark_changed(index);
+        index
     }
 
+    /// Removes a value. Its index is marked as changed, and is vacant.
     pub fn remove(&mut self, name: &str) -> Option<T> {
-        let place = self.by_name.remove(name)?;
-        self.mark(place);
-        self.vacant.push(place);
-        self.held[place as usize].take().map(|h| h.value)
+        let index = self.indexes.remove(name)?;
+        self.mark_changed(index);
+        self.vacant.push(index);
+        let entry = self.entries[index as usize].take();
+        entry.map(|entry| entry.value)
     }
 
-    pub fn mark(&mut self, place: SlabIndex) {
-        if let Some(marked) = self.is_marked.get_mut(place as usize)
-            && !*marked
+    /// Marks an index as changed.
+    pub fn mark_changed(&mut self, index: SlabIndex) {
+        if let Some(is_changed) = self.is_changed.get_mut(index as usize)
+            && !*is_changed
         {
-            *marked = true;
-            self.marked.push(place);
+            *is_changed = true;
+            self.changed.push(index);
         }
     }
 
-    /// Marks everything there is.
-    pub fn mark_all(&mut self) {
-        for place in 0..self.held.len() {
-            if self.held[place].is_some() {
-                self.mark(place as SlabIndex);
+    /// Marks every value as changed.
+    pub fn mark_all_changed(&mut self) {
+        for index in 0..self.entries.len() {
+            if self.entries[index].is_some() {
+                self.mark_changed(index as SlabIndex);
             }
         }
     }
 
-    /// What is marked, in the order in which it was, no longer marked.
-    pub fn take_marked(&mut self) -> Vec<SlabIndex> {
-        for place in &self.marked {
-            self.is_marked[*place as usize] = false;
+    /// The changed indexes, in the order in which they were marked, and unmarks them.
+    pub fn take_changed(&mut self) -> Vec<SlabIndex> {
+        for index in &self.changed {
+            self.is_changed[*index as usize] = false;
         }
-        std::mem::take(&mut self.marked)
+        std::mem::take(&mut self.changed)
     }
 
-    /// All, by place.
+    /// All names and values, by index.
     pub fn iter(&self) -> impl Iterator<Item = (&Rc<str>, &T)> {
-        self.held.iter().flatten().map(|h| (&h.name, &h.value))
+        let entries = self.entries.iter().flatten();
+        entries.map(|entry| (&entry.name, &entry.value))
     }
 
-    /// All numbers that have been given are below it.
-    pub fn places(&self) -> SlabIndex {
-        self.held.len() as SlabIndex
+    /// All indexes that have been given are below it.
+    pub fn index_bound(&self) -> SlabIndex {
+        self.entries.len() as SlabIndex
     }
 
-    /// What each number stands for; None for those that are vacant.
-    pub fn by_place(&self) -> impl Iterator<Item = Option<&T>> {
-        self.held.iter().map(|h| h.as_ref().map(|h| &h.value))
+    /// The value at each index; None for those that are vacant.
+    pub fn values_by_index(&self) -> impl Iterator<Item = Option<&T>> {
+        let entries = self.entries.iter();
+        entries.map(|entry| entry.as_ref().map(|entry| &entry.value))
     }
 
+    /// All values, by index.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.iter().map(|(_, value)| value)
     }
 
-    /// All, to change them: marks everything.
+    /// All values, to change them: marks all as changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
-        self.mark_all();
-        self.held.iter_mut().flatten().map(|h| &mut h.value)
+        self.mark_all_changed();
+        let entries = self.entries.iter_mut().flatten();
+        entries.map(|entry| &mut entry.value)
     }
 }
--- a/crates/controller/tests/slab.rs
+++ b/crates/controller/tests/slab.rs
@@ -7,9 +7,9 @@
     let mut s: Slab<u32> = Slab::default();
     let a = s.insert("a".into(), 1);
     let b = s.insert("b".into(), 2);
-    assert_eq!(s.take_marked(), [a, b]);
+    assert_eq!(s.take_changed(), [a, b]);
     assert_eq!(s.get("a"), Some(&1));
-    assert!(s.take_marked().is_empty(), "looking changes nothing");
+    assert!(s.take_changed().is_empty(), "looking changes nothing");
     for _ in 0..2 {
         if let Some(v) = s.get_mut("b") {
             *v += 1;
@@ -18,7 +18,7 @@
     assert_eq!(s.remove("a"), Some(1));
     // The place is given again before anybody has looked at the marks.
     assert_eq!(s.insert("c".into(), 9), a);
-    assert_eq!(s.take_marked(), [b, a]);
+    assert_eq!(s.take_changed(), [b, a]);
     assert_eq!(s.at(a).map(|(n, v)| (&**n, *v)), Some(("c", 9)));
     assert_eq!((s.len(), s.contains_key("a")), (2, false));
 }
