--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -542,15 +542,11 @@
                 continue;
             };
             let id = id.to_string();
-            let (done, running) = (job.done, job.running.len() as u32);
+            let counts = job.task_counts();
             if let Some(job) = self.jobs.get_mut_unmarked(place) {
-                job.replicated_progress = (done, running);
+                job.replicated_counts = counts;
             }
-            changed.push(JobProgress {
-                job: id,
-                done,
-                running,
-            });
+            changed.push(counts.message(id));
         }
         changed
     }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -704,7 +704,7 @@
                 }),
             cancelled: self.cancelled.is_some(),
             guessed,
-            unshown: (self.done, self.running.len() as u32) != self.replicated_progress,
+            unshown: self.task_counts() != self.replicated_counts,
         }
     }
 }
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -1,7 +1,9 @@
 //! The leader's view of one open job and of its tasks.
 
 use super::task_ranges::TaskRanges;
+use super::urgency::Urgency;
 use crate::failure_attribution::FailureRecord;
+use crate::progress::TaskCounts;
 use crate::records::{
     DoneTasks, JobStateRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
     WaitingTask,
@@ -29,15 +31,6 @@
     Done,
 }
 
-/// How urgent a job is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Urgency {
-    pub priority: Priority,
-    /// Time of day, in microseconds, by which it has to end for the jobs that depend on
-    /// it.
-    pub due: Option<Micros>,
-}
-
 /// One task of a job.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
@@ -60,10 +53,10 @@
     /// The version of its state record as long as it is open; 0 if it has none.
     state_version: u64,
     /// Time of day of the submission, in microseconds.
-    pub submitted: u64,
+    pub submitted: Micros,
     /// Time of day since which it waits for resources, in microseconds: its submission,
     /// or when the last job that it depends on was seen to be done.
-    pub ready_at: u64,
+    pub ready_at: Micros,
     /// It depends on jobs that are not done, and takes no part in scheduling.
     pub blocked_on_dependencies: bool,
     /// The highest priority among its own and those of the jobs that depend on it.
@@ -108,8 +101,8 @@
     pub failures: FailureRecord,
     /// No task is placed before this time.
     pub blocked_until: Micros,
-    /// The counts of done and running tasks that peers were told last.
-    pub replicated_progress: (u32, u32),
+    /// The counts of its tasks that were sent to peers last.
+    pub replicated_counts: TaskCounts,
 }
 
 impl Job {
@@ -156,7 +149,7 @@
             trained: open.spec.kind == JobKind::Service,
             failures: FailureRecord::default(),
             blocked_until: 0,
-            replicated_progress: (0, 0),
+            replicated_counts: TaskCounts::NONE,
             image: Rc::from(open.spec.image.as_str()),
             spec: open.spec,
         }
@@ -185,6 +178,14 @@
         self.done as usize == self.tasks.len()
     }
 
+    /// How many of its tasks are done, and how many run.
+    pub(super) fn task_counts(&self) -> TaskCounts {
+        TaskCounts {
+            done: self.done,
+            running: self.running.len() as u32,
+        }
+    }
+
     /// How many of its tasks are placed.
     pub(super) fn placed(&self) -> usize {
         self.tasks.len() - self.waiting.len() - self.done as usize
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -15,6 +15,7 @@
 mod job;
 mod job_lifecycle;
 mod machine_types;
+mod queue_records;
 mod queue_watch;
 mod recovery;
 mod scheduling;
@@ -24,6 +25,8 @@
 mod task_events;
 mod task_ranges;
 mod unknown_jobs;
+mod urgency;
+mod write_replies;
 mod zone_partition;
 
 pub use self::machine_types::VersionedMachineTypes;
--- /dev/null
+++ b/crates/controller/src/leader/queue_records.rs
@@ -0,0 +1,81 @@
+//! The records of the stored job queue: descriptions of open jobs, and cancellations.
+
+use super::Leader;
+use super::job::Job;
+use crate::Micros;
+use crate::calls::Context;
+use crate::records::{self, CancelledJob, OpenJob};
+use dillcleat_wire::store::{self, Value};
+use dillcleat_wire::user::JobKind;
+use std::rc::Rc;
+
+impl Leader {
+    /// Applies a record of the queue: a description or a cancellation. To apply one again
+    /// has no effect.
+    pub(super) fn apply_queue_record(
+        &mut self,
+        ctx: &Context,
+        key: &str,
+        value: &Value,
+        version: u64,
+    ) {
+        if let Some(id) = key.strip_prefix(records::OPEN) {
+            self.apply_description(ctx, id, value, version);
+        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
+            self.apply_cancellation(ctx, id, value);
+        }
+    }
+
+    fn apply_description(&mut self, ctx: &Context, id: &str, value: &Value, version: u64) {
+        if self.jobs.contains_key(id) {
+            return;
+        }
+        let Some(open) = store::decode_value::<OpenJob>(value) else {
+            log::error!("unreadable job description: job={id}");
+            return self.add_undescribed_job(ctx, id, value);
+        };
+        // A team that has gone from the settings, perhaps from this node's only, keeps
+        // its jobs waiting (`standing`). What of them is on machines goes on.
+        let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
+            log::error!("unknown team: job={id} team={}", open.spec.team);
+            ctx.config.teams.len()
+        });
+        let state_version = open.state_version(version);
+        let run_time_s = self
+            .estimates
+            .class_run_time_s(ctx.config, &open.spec.class);
+        self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
+        let part_tasks = ctx.config.part_tasks();
+        let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
+        self.estimates.apply_inherited(id, &mut job);
+        let id: Rc<str> = Rc::from(id);
+        let index = self.jobs.insert(id.clone(), job);
+        self.estimates.changed(index);
+        self.scheduling.schedule_at = ctx.now.monotonic;
+        self.track_dependencies(ctx, &id);
+    }
+
+    fn apply_cancellation(&mut self, ctx: &Context, id: &str, value: &Value) {
+        let confirmed_at = earliest_confirmation(ctx, value);
+        let Some(id) = self.jobs.name(id).cloned() else {
+            return self.cancel_unknown_job(id, confirmed_at);
+        };
+        if let Some(job) = self.jobs.get_mut(&id) {
+            // A write may have found its state record changed before, which doesn't say
+            // since when. That record may not be read for long: this one is proof enough.
+            let known_at = job.cancelled.unwrap_or(confirmed_at);
+            job.cancelled = Some(known_at.min(confirmed_at));
+            if !job.stopped && self.recovery.is_ready() {
+                self.cancel_job(ctx, &id);
+            }
+        }
+    }
+}
+
+/// When a cancellation was confirmed to its user at the earliest, by its record.
+pub(super) fn earliest_confirmation(ctx: &Context, value: &Value) -> Micros {
+    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.cancelled_at_us);
+    // Other clocks may be off, so the older of the two readings counts.
+    let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
+    ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
+}
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -4,18 +4,16 @@
 //! the tasks, in this order, and is ready once it has read all.
 
 use super::job::{Job, TaskPlacement};
+use super::queue_records::earliest_confirmation;
 use super::scheduling::cache_gb;
 use super::{Leader, RETRY_INTERVAL};
 use crate::calls::{CallError, Context};
 use crate::continuations::LeaderStep;
 use crate::machines::Machine;
-use crate::records::{
-    self, CancelledJob, MachineRecord, OpenJob, PlacedTask, TaskChunk, TaskRange,
-};
+use crate::records::{self, MachineRecord, PlacedTask, TaskChunk, TaskRange};
 use crate::sched::SlabIndex;
 use crate::{Micros, SECOND};
-use dillcleat_wire::store::{self, KeyValue, RangePage, StoreRequest, StoreResponse, Value};
-use dillcleat_wire::user::JobKind;
+use dillcleat_wire::store::{KeyValue, RangePage, StoreRequest, StoreResponse};
 use std::rc::Rc;
 
 /// How far a new leader is in recovering its state.
@@ -305,67 +303,6 @@
         }
     }
 
-    /// Applies a record of the queue: a description or a cancellation. To apply one again
-    /// has no effect.
-    pub(super) fn apply_queue_record(
-        &mut self,
-        ctx: &Context,
-        key: &str,
-        value: &Value,
-        version: u64,
-    ) {
-        if let Some(id) = key.strip_prefix(records::OPEN) {
-            self.apply_description(ctx, id, value, version);
-        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
-            self.apply_cancellation(ctx, id, value);
-        }
-    }
-
-    fn apply_description(&mut self, ctx: &Context, id: &str, value: &Value, version: u64) {
-        if self.jobs.contains_key(id) {
-            return;
-        }
-        let Some(open) = store::decode_value::<OpenJob>(value) else {
-            log::error!("unreadable job description: job={id}");
-            return self.add_undescribed_job(ctx, id, value);
-        };
-        // A team that has gone from the settings, perhaps from this node's only, keeps
-        // its jobs waiting (`standing`). What of them is on machines goes on.
-        let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
-            log::error!("unknown team: job={id} team={}", open.spec.team);
-            ctx.config.teams.len()
-        });
-        let state_version = open.state_version(version);
-        let run_time_s = self
-            .estimates
-            .class_run_time_s(ctx.config, &open.spec.class);
-        self.scheduling.service_submitted |= open.spec.kind == JobKind::Service;
-        let part_tasks = ctx.config.part_tasks();
-        let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
-        self.estimates.apply_inherited(id, &mut job);
-        let id: Rc<str> = Rc::from(id);
-        let index = self.jobs.insert(id.clone(), job);
-        self.estimates.changed(index);
-        self.scheduling.schedule_at = ctx.now.monotonic;
-        self.track_dependencies(ctx, &id);
-    }
-
-    fn apply_cancellation(&mut self, ctx: &Context, id: &str, value: &Value) {
-        let confirmed_at = earliest_confirmation(ctx, value);
-        let Some(id) = self.jobs.name(id).cloned() else {
-            return self.cancel_unknown_job(id, confirmed_at);
-        };
-        if let Some(job) = self.jobs.get_mut(&id) {
-            // A write may have found its state record changed before, which doesn't say
-            // since when. That record may not be read for long: this one is proof enough.
-            let known_at = job.cancelled.unwrap_or(confirmed_at);
-            job.cancelled = Some(known_at.min(confirmed_at));
-            if !job.stopped && self.recovery.is_ready() {
-                self.cancel_job(ctx, &id);
-            }
-        }
-    }
-
     fn apply_task_record(&mut self, ctx: &Context, row: &KeyValue) {
         let Some((id, range)) = records::parse_tasks_key(&row.key) else {
             return;
@@ -454,11 +391,3 @@
         }
     }
 }
-
-/// When a cancellation was confirmed to its user at the earliest, by its record.
-fn earliest_confirmation(ctx: &Context, value: &Value) -> Micros {
-    let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.cancelled_at_us);
-    // Other clocks may be off, so the older of the two readings counts.
-    let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
-    ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
-}
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -25,12 +25,13 @@
 
 impl TaskCounts {
     /// Also what is sent of a job that has ended.
-    const NONE: TaskCounts = TaskCounts {
+    pub const NONE: TaskCounts = TaskCounts {
         done: 0,
         running: 0,
     };
 
-    fn message(self, job: String) -> JobProgress {
+    /// The message that says so of a job.
+    pub fn message(self, job: String) -> JobProgress {
         JobProgress {
             job,
             done: self.done,
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -6,12 +6,16 @@
 //! Records are made from memory when the batch is sent; what depends on them is done once
 //! the batch is acknowledged.
 
+mod batch;
+mod rate;
+
+pub use self::batch::{BatchCheckpoint, MutationSizes, NewPlacement, WriteBatch};
+pub use self::rate::WriteRate;
+
 use crate::Micros;
-use crate::machines::TaskKey;
 use crate::records::{self, TaskRange};
 use crate::token_bucket::TokenBucket;
-use dillcleat_wire::store::{self, Mutation, Transaction};
-use serde::Serialize;
+use dillcleat_wire::store::Transaction;
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 use std::rc::Rc;
@@ -62,177 +66,6 @@
     }
 }
 
-/// A placement that a batch stores.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NewPlacement {
-    pub task: TaskKey,
-    pub attempt: u64,
-}
-
-/// How long each list of a batch was, to remove what was added since.
-#[derive(Debug, Clone, Copy)]
-pub struct BatchCheckpoint {
-    mutations: usize,
-    preconditions: usize,
-    placements: usize,
-}
-
-/// How large some mutations of a batch are, in bytes.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct MutationSizes {
-    pub largest_value_bytes: usize,
-    /// All keys and values, with what the transaction needs around them.
-    pub total_bytes: usize,
-}
-
-/// A transaction with what is in it.
-#[derive(Debug, Clone)]
-pub struct WriteBatch {
-    transaction: Transaction,
-    /// The writes that it carries out.
-    pub writes: Vec<PendingWrite>,
-    /// The placements that are stored with it.
-    pub placements: Vec<NewPlacement>,
-    /// An earlier try had no answer, so it may have been applied.
-    pub uncertain: bool,
-}
-
-impl WriteBatch {
-    /// What a mutation takes in a transaction besides its key and value, in bytes.
-    const MUTATION_OVERHEAD_BYTES: usize = 64;
-
-    /// An empty batch, which is fenced by the version of the term's record.
-    pub fn new(term_version: u64) -> WriteBatch {
-        WriteBatch {
-            transaction: Transaction::default().compare(records::TERM, term_version),
-            writes: Vec::new(),
-            placements: Vec::new(),
-            uncertain: false,
-        }
-    }
-
-    pub fn transaction(&self) -> &Transaction {
-        &self.transaction
-    }
-
-    /// How many keys it changes.
-    pub fn mutation_count(&self) -> usize {
-        self.transaction.then.len()
-    }
-
-    /// Requires that a key has a version as it is applied.
-    pub fn compare(&mut self, key: impl Into<String>, version: u64) {
-        self.edit(|transaction| transaction.compare(key, version));
-    }
-
-    /// Requires that a job's state record has a version. Once for each job.
-    pub fn compare_job_state(&mut self, job: &str, version: u64) {
-        let key = records::job_key(job);
-        if !self.transaction.compare.iter().any(|c| c.key == key) {
-            self.compare(key, version);
-        }
-    }
-
-    /// Sets a key.
-    pub fn put<T: Serialize>(&mut self, key: impl Into<String>, record: &T) {
-        self.edit(|transaction| transaction.put(key, record));
-    }
-
-    /// Deletes a key.
-    pub fn delete(&mut self, key: impl Into<String>) {
-        self.edit(|transaction| transaction.delete(key));
-    }
-
-    fn edit(&mut self, change: impl FnOnce(Transaction) -> Transaction) {
-        self.transaction = change(std::mem::take(&mut self.transaction));
-    }
-
-    /// How much is in it now.
-    pub fn checkpoint(&self) -> BatchCheckpoint {
-        BatchCheckpoint {
-            mutations: self.transaction.then.len(),
-            preconditions: self.transaction.compare.len(),
-            placements: self.placements.len(),
-        }
-    }
-
-    /// Removes what was added since.
-    pub fn roll_back(&mut self, checkpoint: BatchCheckpoint) {
-        self.transaction.then.truncate(checkpoint.mutations);
-        self.transaction.compare.truncate(checkpoint.preconditions);
-        self.placements.truncate(checkpoint.placements);
-    }
-
-    /// The sizes of the mutations that were added since.
-    pub fn sizes_since(&self, checkpoint: BatchCheckpoint) -> MutationSizes {
-        let mut sizes = MutationSizes::default();
-        for mutation in &self.transaction.then[checkpoint.mutations..] {
-            sizes.total_bytes += Self::MUTATION_OVERHEAD_BYTES;
-            if let Mutation::Put { key, value, .. } = mutation {
-                let value_bytes = store::json_size(value);
-                sizes.total_bytes += key.len() + value_bytes;
-                sizes.largest_value_bytes = sizes.largest_value_bytes.max(value_bytes);
-            }
-        }
-        sizes
-    }
-
-    /// A key that it compares and that only its leader writes, if there is one.
-    pub fn own_key(&self) -> Option<String> {
-        let mut keys = self.transaction.compare.iter().map(|c| &c.key);
-        keys.find(|key| key.starts_with(records::TASKS)).cloned()
-    }
-
-    /// The version that a key had when the batch was made.
-    pub fn compared_version(&self, key: &str) -> u64 {
-        let mut preconditions = self.transaction.compare.iter();
-        let of_key = preconditions.find(|c| c.key == key);
-        of_key.map_or(0, |c| c.version)
-    }
-}
-
-/// How many keys a leader changes in a second: as many as the store takes, less what
-/// users' submissions need. A leader that was bounded by refusals alone took all that
-/// there was, and what was refused were submissions.
-#[derive(Debug)]
-pub struct WriteRate {
-    per_s: f64,
-    bucket: TokenBucket,
-}
-
-impl WriteRate {
-    /// The leader's share of the changes that the store takes.
-    const LEADER_SHARE: f64 = 0.85;
-    /// For how long unused changes are saved up, in seconds.
-    const BURST_S: f64 = 0.6;
-    /// The least number of changes that can be saved up.
-    const MIN_BURST: f64 = 4.0;
-
-    /// For a store that takes `store_rps` changes a second.
-    pub fn new(store_rps: f64) -> WriteRate {
-        WriteRate {
-            per_s: store_rps * WriteRate::LEADER_SHARE,
-            bucket: TokenBucket::default(),
-        }
-    }
-
-    /// The store takes at most `store_rps` changes a second from now on.
-    pub fn limit(&mut self, store_rps: f64) {
-        self.per_s = self.per_s.min(store_rps * WriteRate::LEADER_SHARE);
-    }
-
-    /// How many changes may be made now.
-    pub fn available(&mut self, now: Micros) -> usize {
-        let capacity = (self.per_s * WriteRate::BURST_S).max(WriteRate::MIN_BURST);
-        self.bucket.refill(now, self.per_s, capacity) as usize
-    }
-
-    /// So many changes are made.
-    pub fn take(&mut self, changes: usize) {
-        self.bucket.take(changes as f64);
-    }
-}
-
 /// A write that the store refused by itself.
 #[derive(Debug)]
 struct RefusedWrite {
@@ -266,7 +99,8 @@
 }
 
 impl WriteQueue {
-    fn lane(&mut self, write: &PendingWrite) -> &mut VecDeque<PendingWrite> {
+    /// The queue of the writes of its kind.
+    fn sub_queue(&mut self, write: &PendingWrite) -> &mut VecDeque<PendingWrite> {
         match write {
             PendingWrite::JobCancelled(_) => &mut self.cancellations,
             _ if write.is_deferrable() => &mut self.deferrable,
@@ -277,14 +111,14 @@
     /// Queues a write behind the others of its kind, unless it is queued already.
     pub fn push(&mut self, write: PendingWrite) {
         if self.queued.insert(write.clone()) {
-            self.lane(&write).push_back(write);
+            self.sub_queue(&write).push_back(write);
         }
     }
 
     /// Queues a write before the others of its kind, unless it is queued already.
     pub fn push_front(&mut self, write: PendingWrite) {
         if self.queued.insert(write.clone()) {
-            self.lane(&write).push_front(write);
+            self.sub_queue(&write).push_front(write);
         }
     }
 
@@ -331,7 +165,7 @@
         }
         for refused in std::mem::take(&mut self.refused) {
             if now >= refused.retry_at {
-                self.lane(&refused.write).push_back(refused.write);
+                self.sub_queue(&refused.write).push_back(refused.write);
             } else {
                 self.refused.push(refused);
             }
@@ -388,7 +222,7 @@
         self.resend_at.take_if(|at| now >= *at)?;
         self.in_flight
             .as_ref()
-            .map(|batch| batch.transaction.clone())
+            .map(|batch| batch.transaction().clone())
     }
 
     /// Whether a cancellation of the job that follows from another has yet to be stored.
