--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -524,7 +524,7 @@
             // Beyond every use of its end it comes last.
             f64::INFINITY
         } else {
-            let left = job.tasks.len() as f64 - f64::from(job.done);
+            let left = f64::from(job.spec.tasks) - f64::from(job.task_counts().done);
             left * job.spec.cpus * self.run_time(ctx.config, job)
         };
         let rank = |first: bool, size: f64, remaining: f64| QueueRank {
@@ -554,7 +554,7 @@
         [
             Some(job.blocked_until),
             job.failures.next_try(),
-            useless.filter(|_| !job.waiting.is_empty()),
+            useless.filter(|_| job.waiting_count() > 0),
             job.starves_at(ctx.config),
         ]
         .into_iter()
@@ -689,7 +689,7 @@
             ages: self.ageing_since.is_some(),
             service,
             replicas: if serving {
-                (placed + self.waiting.len() as i64).saturating_mul(cpus)
+                (placed + self.waiting_count() as i64).saturating_mul(cpus)
             } else {
                 0
             },
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -211,7 +211,7 @@
             // Its end is stored, or it never was a job.
             return !self.unknown_jobs.protects_task(task);
         };
-        let Some(t) = job.tasks.get(task.index as usize) else {
+        let Some(t) = job.task(task.index) else {
             return true;
         };
         if matches!(t.state, TaskPlacement::Placed { .. }) && t.attempt == attempt {
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -68,11 +68,11 @@
     parallelism_limit: Option<u32>,
     /// Which stored record holds which tasks.
     pub task_ranges: TaskRanges,
-    pub tasks: Vec<Task>,
-    pub waiting: BTreeSet<u32>,
-    pub done: u32,
+    tasks: Vec<Task>,
+    waiting: BTreeSet<u32>,
+    done: u32,
     /// Tasks that a machine has reported as running.
-    pub running: BTreeSet<u32>,
+    running: BTreeSet<u32>,
     /// When it was cancelled, if it was. Set without `stopped`, its state record is known
     /// to have changed and has yet to be read.
     pub cancelled: Option<Micros>,
@@ -178,6 +178,25 @@
         self.done as usize == self.tasks.len()
     }
 
+    /// One of its tasks.
+    pub(super) fn task(&self, index: u32) -> Option<&Task> {
+        self.tasks.get(index as usize)
+    }
+
+    /// How many of its tasks wait.
+    pub(super) fn waiting_count(&self) -> usize {
+        self.waiting.len()
+    }
+
+    /// The tasks that are reported as running, and the machines of their placements.
+    pub(super) fn running_on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
+        let running = self.running.iter();
+        running.filter_map(|index| match &self.tasks[*index as usize].state {
+            TaskPlacement::Placed { machine, .. } => Some((*index, machine)),
+            _ => None,
+        })
+    }
+
     /// How many of its tasks are done, and how many run.
     pub(super) fn task_counts(&self) -> TaskCounts {
         TaskCounts {
@@ -303,6 +322,67 @@
         }
     }
 
+    /// Starts a new attempt of its first waiting task on a machine, which is not stored
+    /// yet. Returns the index of the task, and the attempt.
+    pub(super) fn place_next(&mut self, machine: &Rc<str>, incarnation: u64) -> Option<(u32, u64)> {
+        let index = self.waiting.pop_first()?;
+        let task = &mut self.tasks[index as usize];
+        task.attempt += 1;
+        task.state = TaskPlacement::Placed {
+            machine: machine.clone(),
+            incarnation,
+            stored: false,
+        };
+        Some((index, task.attempt))
+    }
+
+    /// Reads a stored placement of a task. Returns false if the job has no such task.
+    pub(super) fn apply_placement(&mut self, placed: &PlacedTask, machine: &Rc<str>) -> bool {
+        let Some(task) = self.tasks.get_mut(placed.index as usize) else {
+            return false;
+        };
+        task.attempt = placed.attempt;
+        task.state = TaskPlacement::Placed {
+            machine: machine.clone(),
+            incarnation: placed.incarnation,
+            stored: true,
+        };
+        self.waiting.remove(&placed.index);
+        true
+    }
+
+    /// A placement is in the store. Returns the machine, if it is the current one of its
+    /// task.
+    pub(super) fn placement_stored(&mut self, index: u32, attempt: u64) -> Option<Rc<str>> {
+        let task = &mut self.tasks[index as usize];
+        match &mut task.state {
+            TaskPlacement::Placed {
+                machine, stored, ..
+            } if task.attempt == attempt => {
+                *stored = true;
+                Some(machine.clone())
+            }
+            _ => None,
+        }
+    }
+
+    /// Reverts the placement of a task, if it has one: the task waits. Returns the machine.
+    pub(super) fn revert_placement(&mut self, index: u32) -> Option<Rc<str>> {
+        let task = &mut self.tasks[index as usize];
+        let TaskPlacement::Placed { machine, .. } = &task.state else {
+            return None;
+        };
+        let machine = machine.clone();
+        task.state = TaskPlacement::Waiting;
+        self.waiting.insert(index);
+        Some(machine)
+    }
+
+    /// A machine has reported a task as running.
+    pub(super) fn task_running(&mut self, index: u32) {
+        self.running.insert(index);
+    }
+
     /// Resets a task to one that was never placed. Returns the machine that it was on.
     pub(super) fn reset_task(&mut self, index: u32) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -1,6 +1,5 @@
 //! The ends of jobs: cancellation and completion, and what is left of them in the store.
 
-use super::job::TaskPlacement;
 use super::{Leader, LeaderEvent};
 use crate::calls::Context;
 use crate::machines::TaskKey;
@@ -36,12 +35,12 @@
     /// stayed for ever (seed 4717).
     fn is_being_stored(&self, task: &TaskKey) -> bool {
         let (id, index) = task;
-        let Some(job) = self.jobs.get(id) else {
-            return false;
-        };
-        self.writer.is_storing(&NewPlacement {
-            task: task.clone(),
-            attempt: job.tasks[*index as usize].attempt,
+        let current = self.jobs.get(id).and_then(|job| job.task(*index));
+        current.is_some_and(|current| {
+            self.writer.is_storing(&NewPlacement {
+                task: task.clone(),
+                attempt: current.attempt,
+            })
         })
     }
 
@@ -94,16 +93,12 @@
 
     /// Reverts a placement that was never stored, so that nothing was sent.
     pub(super) fn revert_unstored_placement(&mut self, key: &TaskKey) {
-        let Some(job) = self.jobs.get_mut(&key.0) else {
-            return;
-        };
-        let task = &mut job.tasks[key.1 as usize];
-        if let TaskPlacement::Placed { machine, .. } = &task.state {
-            if let Some(machine) = self.machines.get_mut(machine) {
-                machine.slots.remove(key);
-            }
-            task.state = TaskPlacement::Waiting;
-            job.waiting.insert(key.1);
+        let (id, index) = key;
+        if let Some(job) = self.jobs.get_mut(id)
+            && let Some(machine) = job.revert_placement(*index)
+            && let Some(machine) = self.machines.get_mut(&machine)
+        {
+            machine.slots.remove(key);
         }
     }
 
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -3,7 +3,7 @@
 //! It reads, page by page, the queue (descriptions and cancellations), the machines and
 //! the tasks, in this order, and is ready once it has read all.
 
-use super::job::{Job, TaskPlacement};
+use super::job::Job;
 use super::queue_records::earliest_confirmation;
 use super::scheduling::cache_gb;
 use super::{Leader, RETRY_INTERVAL};
@@ -345,17 +345,10 @@
         let Some(job) = self.jobs.get_mut_unmarked(job_index) else {
             return;
         };
-        let Some(task) = job.tasks.get_mut(placed.index as usize) else {
+        let name: Rc<str> = Rc::from(placed.machine.as_str());
+        if !job.apply_placement(&placed, &name) {
             return;
-        };
-        let name: Rc<str> = Rc::from(placed.machine);
-        task.attempt = placed.attempt;
-        task.state = TaskPlacement::Placed {
-            machine: name.clone(),
-            incarnation: placed.incarnation,
-            stored: true,
-        };
-        job.waiting.remove(&placed.index);
+        }
         // A machine without a record may be running all the same: what it is shows when
         // it sends a heartbeat or the cloud lists it.
         if !self.machines.contains_key(&name) {
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -318,17 +318,10 @@
         };
         let mut touched = Vec::new();
         for _ in 0..a.tasks {
-            let Some(i) = job.waiting.pop_first() else {
+            let Some((i, attempt)) = job.place_next(&machine, m.incarnation) else {
                 break;
             };
-            let task = &mut job.tasks[i as usize];
-            task.attempt += 1;
-            task.state = TaskPlacement::Placed {
-                machine: machine.clone(),
-                incarnation: m.incarnation,
-                stored: false,
-            };
-            let mut slot = Machine::slot(task.attempt, m.incarnation, (a.job, &job.spec), false);
+            let mut slot = Machine::slot(attempt, m.incarnation, (a.job, &job.spec), false);
             slot.uses_service_headroom = a.uses_service_headroom;
             let held = m.images.iter().any(|(i, _)| *i == job.image);
             let image = if held { "held" } else { "missing" };
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -1,7 +1,7 @@
 //! What a machine's heartbeat reports of its tasks: starts, ends and losses, and to whom
 //! failures are attributed.
 
-use super::job::{Job, TaskPlacement};
+use super::job::Job;
 use super::{Leader, LeaderEvent};
 use crate::calls::Context;
 use crate::machines::{TaskEvent, TaskKey};
@@ -37,7 +37,7 @@
             TaskEvent::Running((id, index)) => {
                 log::debug!("task running: job={id} task={index} machine={machine}");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.running.insert(index);
+                    job.task_running(index);
                 }
             }
             TaskEvent::Lost {
@@ -163,12 +163,9 @@
     /// Whether a replica of the service has run for longer than one that fails would:
     /// replicas never end by themselves, so nothing else proves a service.
     fn is_serving(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
-        job.running.iter().any(|index| {
-            let TaskPlacement::Placed { machine, .. } = &job.tasks[*index as usize].state else {
-                return false;
-            };
+        job.running_on_machines().any(|(index, machine)| {
             let machine = self.machines.get(machine);
-            let slot = machine.and_then(|machine| machine.slots.get(&(id.clone(), *index)));
+            let slot = machine.and_then(|machine| machine.slots.get(&(id.clone(), index)));
             let since = slot.and_then(|slot| slot.running_since);
             since.is_some_and(|since| now >= since + SERVING_AFTER)
         })
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -1,6 +1,5 @@
 //! Replies to the leader's writes, and what follows from them.
 
-use super::job::TaskPlacement;
 use super::{Leader, LeaderEvent};
 use crate::calls::{CallError, Context};
 use crate::continuations::LeaderStep;
@@ -306,7 +305,10 @@
     /// meanwhile.
     fn placement_committed(&mut self, placement: &NewPlacement) {
         let NewPlacement { task: key, attempt } = placement;
-        let Some(machine) = self.mark_placement_stored(placement) else {
+        let (id, index) = key;
+        let job = self.jobs.get_mut(id);
+        let machine = job.and_then(|job| job.placement_stored(*index, *attempt));
+        let Some(machine) = machine else {
             return;
         };
         let Some(machine) = self.machines.get_mut(&machine) else {
@@ -324,21 +326,4 @@
             self.return_to_waiting(key, *attempt);
         }
     }
-
-    /// Marks the task's current placement as stored, if it is this one. Returns the
-    /// machine.
-    fn mark_placement_stored(&mut self, placement: &NewPlacement) -> Option<Rc<str>> {
-        let (id, index) = &placement.task;
-        let job = self.jobs.get_mut(id)?;
-        let task = &mut job.tasks[*index as usize];
-        match &mut task.state {
-            TaskPlacement::Placed {
-                machine, stored, ..
-            } if task.attempt == placement.attempt => {
-                *stored = true;
-                Some(machine.clone())
-            }
-            _ => None,
-        }
-    }
 }
