--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -47,7 +47,7 @@
     /// This process has seen in the store that these jobs are cancelled: each stops as if
     /// the queue watch had reported it. When that was confirmed is not known here, and
     /// until the row says so answers end with the last read, which is older.
-    pub fn cancelled(&mut self, ctx: &mut Context, ids: &[String]) {
+    pub fn observe_cancellations(&mut self, ctx: &mut Context, ids: &[String]) {
         for id in ids {
             let Some(id) = self.jobs.name(id).cloned() else {
                 continue;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -239,7 +239,7 @@
                         {
                             // Its own watch says so a moment later. In that moment it once
                             // launched what its user had been told is cancelled.
-                            leader.cancelled(&mut ctx, &cancelled);
+                            leader.observe_cancellations(&mut ctx, &cancelled);
                             leader.send_pending(&mut ctx);
                         }
                     }
