--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -57,7 +57,7 @@
         // Only this leader writes chunks: the earlier try was applied. Every key of it
         // has the same version; read one. A user's cancellation may have come after it,
         // and be reported later than what was placed would be launched.
-        for id in failed.iter().filter_map(|key| key.strip_prefix("j/")) {
+        for id in failed.iter().filter_map(|key| records::parse_job_key(key)) {
             self.job_state_changed(ctx, &Rc::from(id));
         }
         self.read_outcome(ctx, batch, key.clone());
@@ -166,7 +166,7 @@
     /// Nothing of the batch was applied, and it never can be.
     fn batch_rejected(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
-            if let Some(id) = key.strip_prefix("j/") {
+            if let Some(id) = records::parse_job_key(key) {
                 self.job_state_changed(ctx, &Rc::from(id));
             } else if key == records::TYPES {
                 // Written by an earlier try, or by the leader before, later than this one
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -42,9 +42,17 @@
 /// Prefix of the records of machines.
 pub const MACHINES: &str = "m/";
 
+/// Prefix of the state records of jobs.
+const JOB_STATES: &str = "j/";
+
 /// The key of a job's state record.
 pub fn job_key(id: &str) -> String {
-    format!("j/{id}")
+    format!("{JOB_STATES}{id}")
+}
+
+/// The job whose state record has this key; None if it is not such a key.
+pub fn parse_job_key(key: &str) -> Option<&str> {
+    key.strip_prefix(JOB_STATES)
 }
 
 /// The key of an open job's description.
