--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -92,10 +92,10 @@
         let memory = 4 * ctx.config.list_lag + REMOVED_MACHINE_MEMORY;
         self.autoscaler
             .forget_removed_before(now.saturating_sub(memory));
-        let Some(types) = self.machine_types.types.clone() else {
+        let Some(types) = self.machine_types.shared() else {
             return;
         };
-        if now < self.recovery.ready_since + SCALE_OUT_DELAY
+        if now < self.recovery.ready_since() + SCALE_OUT_DELAY
             || !self.has_recent_read(ctx)
             || !self.is_permitted(ctx, CloudAction::ScaleOut)
         {
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -54,7 +54,7 @@
         let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
         let cloud_queue = &mut self.autoscaler.cloud_queue;
         if let Some(call) = cloud_queue.next(now, deletion_limit, permit) {
-            let waiter = self.waiter(LeaderStep::Cloud(call.kind));
+            let waiter = self.continuation(LeaderStep::Cloud(call.kind));
             ctx.cloud_request(call.request, &call.permit, waiter);
         }
     }
@@ -115,21 +115,14 @@
 
     /// Takes over the machine types that the cloud offers.
     fn update_machine_types(&mut self, types: Vec<MachineType>) {
-        let catalog = &mut self.machine_types;
-        let same = catalog.types_stored
-            && catalog
-                .types
-                .as_ref()
-                .is_some_and(|old| have_same_descriptions(old, &types));
         let types = Rc::new(types);
-        catalog.types = Some(types.clone());
+        let must_store = self.machine_types.update(types.clone());
         // The resources of machines may be other than they were.
-        self.machines.mark_all();
-        if !same {
-            self.machine_types.types_stored = false;
-            self.writer.write_queue.push(PendingWrite::Types);
+        self.machines.mark_all_changed();
+        if must_store {
+            self.writer.enqueue(PendingWrite::MachineTypes);
         }
-        self.events.push(LeaderEvent::Types(types));
+        self.events.push(LeaderEvent::MachineTypes(types));
     }
 
     /// The cloud has started machines, perhaps fewer than were asked for.
@@ -238,16 +231,3 @@
         }
     }
 }
-
-/// Whether the types are the same in what decides on submissions. Prices move all the
-/// time; only the rest, or the first answer, is worth a write.
-fn have_same_descriptions(old: &[MachineType], new: &[MachineType]) -> bool {
-    let is_same = |(a, b): (&MachineType, &MachineType)| {
-        a.name == b.name
-            && a.cpus == b.cpus
-            && a.gpus == b.gpus
-            && a.memory_gb == b.memory_gb
-            && a.zones == b.zones
-    };
-    old.len() == new.len() && old.iter().zip(new).all(is_same)
-}
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -139,7 +139,7 @@
         let now = ctx.now.monotonic;
         let patience = ctx.config.cancel * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
-        if now < self.recovery.ready_since + patience / 4 || !permitted {
+        if now < self.recovery.ready_since() + patience / 4 || !permitted {
             return;
         }
         let mut overdue: BTreeSet<Rc<str>> = BTreeSet::new();
@@ -190,7 +190,7 @@
             to_delete,
         } = self.find_silent_machines(ctx, partitioned);
         for index in to_probe {
-            if let Some(machine) = self.machines.quiet(index) {
+            if let Some(machine) = self.machines.get_mut_unmarked(index) {
                 machine.command_state.request_probe();
                 self.command_dispatch
                     .enqueue_background(machine.name.clone());
@@ -211,7 +211,7 @@
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
     ) -> SilentMachines {
-        let types = self.machine_types.types.clone();
+        let types = self.machine_types.shared();
         let check = SilenceCheck {
             now: ctx.now.monotonic,
             config: ctx.config,
@@ -219,7 +219,7 @@
             partitioned,
             many_silent: self.are_many_silent(),
             isolated: self.is_probably_isolated(ctx.config),
-            ready_since: self.recovery.ready_since,
+            ready_since: self.recovery.ready_since(),
         };
         let mut spare = self.spare_capacity(partitioned);
         let mut found = SilentMachines::default();
@@ -313,12 +313,11 @@
         };
         log::info!("machine is gone machine={name} reason={end}");
         for event in machine.take_lost_tasks(end) {
-            self.slot_event(ctx, name, event);
+            self.apply_task_event(ctx, name, event);
         }
         if machine.recorded {
             self.writer
-                .write_queue
-                .push(PendingWrite::Drop(records::machine_key(name)));
+                .enqueue(PendingWrite::DeleteKey(records::machine_key(name)));
         }
     }
 }
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -105,7 +105,7 @@
         {
             for (job, _) in machine.slots.keys() {
                 if self.is_active_service(job)
-                    && let Some(index) = self.jobs.place(job)
+                    && let Some(index) = self.jobs.index_of(job)
                 {
                     *lost.entry(index).or_default() += 1;
                 }
@@ -157,7 +157,7 @@
         let indexes = lost.keys().copied().chain(waiting);
         indexes.filter_map(move |index| {
             let (_, job) = self.jobs.at(index)?;
-            if job.record.is_suspect() {
+            if job.failures.is_suspect() {
                 return None;
             }
             let mut view = self.job_view(ctx, index)?;
@@ -166,7 +166,7 @@
                 view.tasks_by_zone = self.tasks_by_zone(job, partitioned);
             }
             view.at_risk_tasks = risk.tasks_at_risk(self, ctx, job, view.waiting_tasks);
-            Some((view, &job.shape))
+            Some((view, &job.resource_request))
         })
     }
 
@@ -218,6 +218,6 @@
             let job = job.filter(|job| job.placed() > 0);
             job.map_or(0.0, |job| self.mean_run_time_s(ctx.config, job))
         };
-        self.jobs.by_place().map(run_time_s).collect()
+        self.jobs.values_by_index().map(run_time_s).collect()
     }
 }
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -195,11 +195,7 @@
 
     /// The boot time of the type that is up soonest, in seconds.
     pub(super) fn soonest_boot_s(&self) -> f64 {
-        let types = self
-            .machine_types
-            .types
-            .iter()
-            .flat_map(|types| types.iter());
+        let types = self.machine_types.iter();
         types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -5,7 +5,7 @@
 //! of ten thousand machines once sent ten thousand requests in one turn, more than it has
 //! sockets, and their replies were queued before the heartbeats on which leases depend.
 
-use super::{Leader, LeaderEvent, RETRY};
+use super::{Leader, LeaderEvent, RETRY_INTERVAL};
 use crate::calls::{CallError, Context};
 use crate::continuations::LeaderStep;
 use crate::machines::HeartbeatSource;
@@ -196,12 +196,12 @@
         } else {
             Vec::new()
         };
-        let waiter = self.waiter(LeaderStep::CommandsInFlight {
+        let waiter = self.continuation(LeaderStep::CommandsInFlight {
             machine: name.to_string(),
         });
         // Nothing is derived from what sending a batch changes.
-        let index = self.machines.place(&name);
-        let Some(machine) = index.and_then(|index| self.machines.quiet(index)) else {
+        let index = self.machines.index_of(&name);
+        let Some(machine) = index.and_then(|index| self.machines.get_mut_unmarked(index)) else {
             return;
         };
         let is_probe = machine.command_state.take_request();
@@ -263,7 +263,7 @@
     fn apply_command_reply(&mut self, ctx: &Context, name: &str, heartbeat: &Heartbeat) {
         if heartbeat.fencing_token > self.term {
             self.events
-                .push(LeaderEvent::Higher(heartbeat.fencing_token));
+                .push(LeaderEvent::HigherTerm(heartbeat.fencing_token));
             return;
         }
         let was_ready = self
@@ -276,7 +276,9 @@
             && !was_ready
         {
             // The incarnation was another than thought: again with the right one.
-            machine.command_state.request_at(ctx.now.monotonic + RETRY);
+            machine
+                .command_state
+                .request_at(ctx.now.monotonic + RETRY_INTERVAL);
         }
     }
 }
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -116,8 +116,7 @@
     /// owner's estimate is worth more than the first guess.
     pub(super) fn expected_run_time_s(&self, config: &Config, job: &Job) -> f64 {
         let owners_estimate_s = job.spec.estimate_s;
-        let estimates = &self.estimates.run_time_estimates;
-        let is_known = !job.samples.is_empty() || estimates.contains_key(&job.spec.class);
+        let is_known = !job.samples.is_empty() || self.estimates.knows_class(&job.spec.class);
         if is_known || owners_estimate_s <= 0.0 {
             return self.mean_run_time_s(config, job);
         }
@@ -128,7 +127,7 @@
     /// if none has run.
     pub(super) fn mean_run_time_s(&self, config: &Config, job: &Job) -> f64 {
         match job.samples.len() {
-            0 => self.guess(config, &job.spec.class),
+            0 => self.estimates.class_run_time_s(config, &job.spec.class),
             samples => job.samples.iter().sum::<f64>() / samples as f64,
         }
     }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -201,21 +201,22 @@
     pub(super) fn refresh_derived_state(&mut self, ctx: &Context) {
         while let Some(due) = self.derived.due_times.pop_due(ctx.now.monotonic) {
             match due {
-                DueSubject::Job(index) => self.jobs.mark(index),
-                DueSubject::Machine(index) => self.machines.mark(index),
+                DueSubject::Job(index) => self.jobs.mark_changed(index),
+                DueSubject::Machine(index) => self.machines.mark_changed(index),
             }
         }
-        for index in self.jobs.take_marked() {
+        for index in self.jobs.take_changed() {
             self.refresh_job(ctx, index);
         }
         let virtual_time = self.scheduling.virtual_time();
         while let Some(index) = self.derived.job_queue.next_aged_to_zero(virtual_time) {
             self.refresh_job(ctx, index);
         }
-        for index in self.machines.take_marked() {
+        for index in self.machines.take_changed() {
             self.refresh_machine(ctx, index);
         }
-        let claims = self.claims(ctx.config).into_iter().map(TeamUsage::from);
+        let claims = self.unknown_jobs.claims(ctx.config);
+        let claims = claims.into_iter().map(TeamUsage::from);
         self.derived.sums.set_unknown_job_usage(claims.collect());
     }
 
@@ -223,9 +224,9 @@
     /// again, once a second: at every task's end it would be a walk over all of them each
     /// time.
     pub(super) fn mark_estimated_jobs(&mut self) {
-        if std::mem::take(&mut self.estimates.run_time_estimates_changed) {
+        if self.estimates.take_run_times_changed() {
             for index in &self.derived.estimated_jobs {
-                self.jobs.mark(index);
+                self.jobs.mark_changed(index);
             }
         }
     }
@@ -299,19 +300,15 @@
             .collect();
         let mut changed = Vec::new();
         for index in indexes {
-            self.jobs.mark(index);
+            self.jobs.mark_changed(index);
             let Some((id, job)) = self.jobs.at(index) else {
                 continue;
             };
-            let progress = JobProgress {
-                job: id.to_string(),
-                done: job.done,
-                running: job.running.len() as u32,
-            };
-            if let Some(job) = self.jobs.quiet(index) {
-                job.shown = (progress.done, progress.running);
+            let (id, counts) = (id.to_string(), job.task_counts());
+            if let Some(job) = self.jobs.get_mut_unmarked(index) {
+                job.replicated_counts = counts;
             }
-            changed.push(progress);
+            changed.push(counts.message(id));
         }
         changed
     }
--- a/crates/controller/src/leader/derived/audit.rs
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -12,8 +12,8 @@
         self.mark_estimated_jobs();
         self.refresh_derived_state(ctx);
         let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
-        self.jobs.mark_all();
-        self.machines.mark_all();
+        self.jobs.mark_all_changed();
+        self.machines.mark_all_changed();
         self.refresh_derived_state(ctx);
         let mut differences = self.audit_queue_and_capacity(&old);
         differences.extend(old.differing_sets(&self.derived));
@@ -35,9 +35,9 @@
             let view = state.capacity.view(index);
             view.map(|machine| (machine.free, service_images(machine), machine.spot))
         };
-        let mut indexes = 0..self.machines.places();
+        let mut indexes = 0..self.machines.index_bound();
         differences([
-            ("dependencies", self.audit_waits()),
+            ("dependencies", self.dependencies_are_consistent()),
             ("sums", old.sums == new.sums),
             ("job queue", queue(old) == queue(new)),
             (
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -14,7 +14,7 @@
 impl Leader {
     /// Brings everything that is derived from a job up to date.
     pub(super) fn refresh_job(&mut self, ctx: &Context, index: SlabIndex) {
-        if let Some(job) = self.jobs.quiet(index) {
+        if let Some(job) = self.jobs.get_mut_unmarked(index) {
             job.update_ageing(self.scheduling.virtual_time());
             job.update_starvation(ctx);
         }
@@ -28,7 +28,7 @@
         self.derived.job_queue.set(index, entry);
         for image in self.derived.set_job(index, contribution) {
             for machine in self.derived.capacity.machines_holding_image(&image) {
-                self.machines.mark(machine);
+                self.machines.mark_changed(machine);
             }
         }
         if let Some(at) = due {
@@ -58,7 +58,7 @@
         };
         Some(QueueEntry {
             team: job.team,
-            request: job.shape.clone(),
+            request: job.resource_request.clone(),
             ageing,
             rank: rank(true, size, remaining),
             training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
@@ -74,7 +74,7 @@
         if Self::is_past_use(ctx, job) {
             return f64::INFINITY;
         }
-        let tasks_left = job.tasks.len() as f64 - f64::from(job.done);
+        let tasks_left = f64::from(job.spec.tasks) - f64::from(job.task_counts().done);
         tasks_left * job.spec.cpus * self.mean_run_time_s(ctx.config, job)
     }
 
@@ -86,8 +86,8 @@
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
             Some(job.blocked_until),
-            job.record.retry_at(),
-            past_use_at.filter(|_| !job.waiting.is_empty()),
+            job.failures.retry_at(),
+            past_use_at.filter(|_| job.waiting_count() > 0),
             job.starves_at(ctx.config),
         ]
         .into_iter()
@@ -106,8 +106,8 @@
         && job.placeable() > 0
         && now >= job.blocked_until
         && job
-            .record
-            .may_start(job.placed(), job.shape.starving(), now)
+            .failures
+            .may_start(job.placed(), job.resource_request.starving(), now)
 }
 
 /// Whether the place of a job in the queue follows from the estimate of its class.
@@ -127,7 +127,7 @@
             && self.cancelled.is_none()
             && !self.blocked_on_dependencies
             && !self.ending
-            && !self.record.is_suspect();
+            && !self.failures.is_suspect();
         match (ages, self.ageing_since) {
             (true, None) => self.ageing_since = Some(virtual_time),
             (false, Some(since)) => {
@@ -147,8 +147,8 @@
         self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
-        if self.shape.starving() != starving {
-            self.shape = Rc::new(self.shape.with_starving(starving));
+        if self.resource_request.starving() != starving {
+            self.resource_request = Rc::new(self.resource_request.with_starving(starving));
         }
     }
 
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -79,7 +79,7 @@
             ages: job.ageing_since.is_some(),
             service,
             replica_cpus: if is_serving {
-                (placed + job.waiting.len() as i64).saturating_mul(task_cpus)
+                (placed + job.waiting_count() as i64).saturating_mul(task_cpus)
             } else {
                 0
             },
@@ -87,7 +87,7 @@
             reserve: ReplicaReserve::of(job, config),
             cancelled: job.cancelled.is_some(),
             estimated,
-            unreported: (job.done, job.running.len() as u32) != job.shown,
+            unreported: job.task_counts() != job.replicated_counts,
         }
     }
 }
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -1,7 +1,9 @@
 //! Heartbeats of workers: applied to the machines, and answered with commands.
 
+use super::job::TaskPlacement;
+use super::queue_watch::MAX_READ_AGE;
 use super::zone_partition::heartbeat_missed_after;
-use super::{Leader, LeaderEvent, RecoveryStage, SIGHT, TaskPlacement};
+use super::{Leader, LeaderEvent};
 use crate::calls::Context;
 use crate::machines::{HeartbeatPosition, HeartbeatSource, Machine, TaskEvent};
 use crate::sched::SlabIndex;
@@ -51,9 +53,7 @@
 
     /// Whether the last consistent read of the job queue was sent less than `duration` ago.
     fn last_read_within(&self, ctx: &Context, duration: Micros) -> bool {
-        self.queue_watch
-            .last_consistent_read
-            .is_some_and(|at| ctx.now.monotonic < at + duration)
+        self.queue_watch.read_within(ctx.now.monotonic, duration)
     }
 
     /// Whether a cancelled task may have been on the machine for so long that its lease
@@ -64,7 +64,9 @@
         let cancelled = slots.filter(|(_, slot)| slot.cancelled && slot.stored);
         let jobs = cancelled.filter_map(|((job, _), _)| self.jobs.get(job));
         let since = jobs.filter_map(|job| job.cancelled);
-        let since = since.chain(self.orphan_cancelled_on(machine)).min();
+        let since = since
+            .chain(self.unknown_jobs.oldest_cancellation_on(machine))
+            .min();
         since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
     }
 
@@ -72,7 +74,7 @@
     pub fn heartbeat(&mut self, ctx: &mut Context, heartbeat: &Heartbeat) -> Answer {
         if heartbeat.fencing_token > self.term {
             self.events
-                .push(LeaderEvent::Higher(heartbeat.fencing_token));
+                .push(LeaderEvent::HigherTerm(heartbeat.fencing_token));
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.may_answer_heartbeats(ctx) {
@@ -83,9 +85,7 @@
             commands: Vec::new(),
         };
         // A heartbeat of a machine that is gone was held up on its way.
-        if self.recovery.stage == RecoveryStage::Ready
-            && !self.autoscaler.is_removed(&heartbeat.machine)
-        {
+        if self.recovery.is_ready() && !self.autoscaler.is_removed(&heartbeat.machine) {
             let name = heartbeat.machine.as_str();
             let position = HeartbeatPosition::of(heartbeat);
             let latest = self.machines.get(name).filter(|machine| machine.is_up());
@@ -108,8 +108,8 @@
 
     /// The commands go out in the reply to the machine's latest heartbeat.
     fn record_reply(&mut self, name: &str, commands: &[Command]) {
-        let index = self.machines.place(name);
-        if let Some(machine) = index.and_then(|index| self.machines.quiet(index)) {
+        let index = self.machines.index_of(name);
+        if let Some(machine) = index.and_then(|index| self.machines.get_mut_unmarked(index)) {
             machine.record_reply_launches(commands);
             if !commands.is_empty() {
                 machine.command_state.clear_request();
@@ -120,7 +120,7 @@
     /// Whether the last consistent read of the job queue is recent enough to start tasks
     /// by it.
     pub(super) fn has_recent_read(&self, ctx: &Context) -> bool {
-        self.last_read_within(ctx, SIGHT)
+        self.last_read_within(ctx, MAX_READ_AGE)
     }
 
     /// Applies a heartbeat to its machine and to what is derived from it.
@@ -132,12 +132,12 @@
     ) {
         let now = ctx.now.monotonic;
         self.add_unknown_machine(&heartbeat.machine, now);
-        let Some(index) = self.machines.place(&heartbeat.machine) else {
+        let Some(index) = self.machines.index_of(&heartbeat.machine) else {
             return;
         };
         let before = self.machine_summary(index);
         self.record_sign_of_life(index, heartbeat, now);
-        let Some(machine) = self.machines.quiet(index) else {
+        let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
         };
         let was_ready = machine.is_ready();
@@ -159,10 +159,10 @@
             || events.iter().any(frees_resources)
             || self.derived.is_silent(index)
         {
-            self.machines.mark(index);
+            self.machines.mark_changed(index);
         }
         for event in events {
-            self.slot_event(ctx, &heartbeat.machine, event);
+            self.apply_task_event(ctx, &heartbeat.machine, event);
         }
         if heartbeat.interruption_notice_s.is_some() {
             self.evict_hopeless_tasks(ctx, &heartbeat.machine);
@@ -185,7 +185,7 @@
     /// Records what any heartbeat shows, be it an old one: where the machine is, and that
     /// it is up.
     fn record_sign_of_life(&mut self, index: SlabIndex, heartbeat: &Heartbeat, now: Micros) {
-        let Some(machine) = self.machines.quiet(index) else {
+        let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
         };
         machine.update_description(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
@@ -220,7 +220,7 @@
         let now = ctx.now.monotonic;
         let missed_after = heartbeat_missed_after(ctx.config);
         let proof_after = ctx.config.lease + ctx.config.report + SECOND;
-        let Some(machine) = self.machines.quiet(index) else {
+        let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
         };
         let may_have_recovered =
@@ -234,18 +234,18 @@
 
     /// Has the machine's record written once.
     fn write_machine_record(&mut self, index: SlabIndex) {
-        if let Some(machine) = self.machines.quiet(index)
+        if let Some(machine) = self.machines.get_mut_unmarked(index)
             && !machine.recorded
         {
             machine.recorded = true;
             let write = PendingWrite::Machine(machine.name.to_string());
-            self.writer.write_queue.push(write);
+            self.writer.enqueue(write);
         }
     }
 
     /// The machine is new, or it has yet to see this term's fencing token.
     fn request_first_commands(&mut self, index: SlabIndex, now: Micros) {
-        let Some(machine) = self.machines.quiet(index) else {
+        let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
         };
         machine.command_state.request_at(0);
@@ -257,7 +257,7 @@
     /// Withdraws the deletion of a machine that was heard before the call went out.
     /// Returns whether the machine is kept by it.
     fn withdraw_deletion(&mut self, index: SlabIndex, now: Micros) -> bool {
-        let Some(machine) = self.machines.quiet(index) else {
+        let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
         };
         let kept = machine.being_deleted
@@ -275,13 +275,13 @@
     pub(super) fn is_end_stored(&self, task: &TaskName, attempt: u64) -> bool {
         let known = self
             .jobs
-            .place(&task.job)
+            .index_of(&task.job)
             .and_then(|index| self.jobs.at(index));
         let Some((id, job)) = known else {
             // Its end is stored, or it never was a job.
-            return !self.stays(task);
+            return !self.unknown_jobs.protects_task(task);
         };
-        let Some(state) = job.tasks.get(task.index as usize) else {
+        let Some(state) = job.task(task.index) else {
             return true;
         };
         if matches!(state.state, TaskPlacement::Placed { .. }) && state.attempt == attempt {
@@ -293,8 +293,11 @@
         !job.ending
             && self
                 .writer
-                .write_queue
-                .settled(id, job.spans.of(task.index))
+                .is_stored(id, job.task_ranges.range_of(task.index))
+    }
+
+    fn stops_protected_task(&self, command: &Command) -> bool {
+        matches!(command, Command::Stop { task, .. } if self.unknown_jobs.protects_task(task))
     }
 
     /// The commands that the machine needs and that may be sent now.
@@ -306,14 +309,13 @@
     pub(super) fn permitted_commands(&self, ctx: &Context, machine: &Machine) -> Vec<Command> {
         if !self.has_recent_read(ctx) {
             let stops = machine.cancelled_task_stops();
-            return stops.chain(self.orphan_stops(machine)).collect();
+            return stops.chain(self.unknown_jobs.stops(machine)).collect();
         }
         let may_preempt = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
         let mut commands = machine.needed_commands(may_preempt, |task, attempt| {
             self.is_end_stored(task, attempt)
         });
-        commands
-            .retain(|command| !matches!(command, Command::Stop { task, .. } if self.stays(task)));
+        commands.retain(|command| !self.stops_protected_task(command));
         commands
     }
 }
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -3,12 +3,10 @@
 mod views;
 
 pub(super) use self::views::{CPU_ROUNDING_ERROR, machine_view, usable_cache_gb};
-use super::{Leader, RecoveryStage, TaskPlacement, WATCH_MS};
+use super::Leader;
 use crate::calls::Context;
-use crate::continuations::LeaderStep;
 use crate::machines::{TaskKey, TaskSlot};
-use crate::{Micros, SECOND, SchedulerCounters, micros, records, sched, seconds};
-use dillcleat_wire::store::StoreRequest;
+use crate::{Micros, SECOND, SchedulerCounters, micros, sched, seconds};
 
 /// Time between two checks of the fleet.
 const FLEET_CHECK_INTERVAL: Micros = SECOND;
@@ -104,9 +102,9 @@
     /// Does what is due by time alone.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if let Some((at, page)) = self.recovery.reload_at.clone() {
-            if now >= at {
-                self.load(ctx, page);
+        if self.recovery.is_reading() {
+            if let Some(page) = self.recovery.page_to_retry(now) {
+                self.request_page(ctx, page);
             }
             return;
         }
@@ -133,9 +131,9 @@
     fn exclude_unanswered_time(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.may_answer_heartbeats(ctx) {
-            self.queue_watch.no_consistent_read_since.get_or_insert(now);
-        } else if let Some(since) = self.queue_watch.no_consistent_read_since.take() {
-            self.exclude_pause(now - since, now);
+            self.queue_watch.begin_outage(now);
+        } else if let Some(outage) = self.queue_watch.end_outage(now) {
+            self.exclude_pause(outage, now);
         }
     }
 
@@ -148,36 +146,20 @@
     /// that the submission of a service wants: a heartbeat is answered, and with it a lease
     /// renewed, without a cycle in between.
     pub fn send_pending(&mut self, ctx: &mut Context) {
-        if self.recovery.stage != RecoveryStage::Ready {
+        if !self.recovery.is_ready() {
             return;
         }
         if self.scheduling.service_submitted && self.is_cycle_due(ctx) {
             self.run_scheduling_cycle(ctx);
         }
-        self.watch_queue(ctx);
-        self.look_for_proofs(ctx);
-        self.read_again(ctx);
-        self.write(ctx);
+        self.send_queue_watch(ctx);
+        self.request_dependency_states(ctx);
+        self.send_due_rereads(ctx);
+        self.send_writes(ctx);
         self.send_commands(ctx);
         self.send_cloud_request(ctx);
     }
 
-    /// Sends the next watch of the stored job queue when it is due.
-    fn watch_queue(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic;
-        if self.queue_watch.watch_at.is_none_or(|at| now < at) {
-            return;
-        }
-        self.queue_watch.watch_at = None;
-        let request = StoreRequest::Watch {
-            prefix: records::QUEUE.into(),
-            after: self.queue_watch.queue_revision.unwrap_or(0),
-            hold_ms: WATCH_MS,
-        };
-        let waiter = self.waiter(LeaderStep::Watch);
-        ctx.store_request(request, waiter);
-    }
-
     /// This process was not running for a while, or could not hear anybody: that nothing
     /// was heard then says nothing about the machines.
     pub fn exclude_pause(&mut self, duration: Micros, now: Micros) {
@@ -189,8 +171,7 @@
     /// Since when heartbeats of several machines should have come in.
     pub fn expects_heartbeats_since(&self) -> Option<Micros> {
         let recorded_machines = self.derived.sums().recorded_machines();
-        (self.recovery.stage == RecoveryStage::Ready && recorded_machines >= 2)
-            .then_some(self.recovery.ready_since)
+        (self.recovery.is_ready() && recorded_machines >= 2).then_some(self.recovery.ready_since())
     }
 
     /// One scheduling cycle: lets jobs age, places waiting tasks, then preempts tasks for
@@ -202,7 +183,7 @@
         self.scheduling
             .advance_virtual_time(now, sums.fleet_cpus(), sums.ageing_jobs());
         self.scheduling.begin_cycle(now);
-        if self.has_recent_read(ctx) && self.machine_types.types.is_some() {
+        if self.has_recent_read(ctx) && self.machine_types.types().is_some() {
             self.refresh_derived_state(ctx);
             self.place_waiting_tasks(ctx);
             self.preempt_for_replicas(ctx);
@@ -243,7 +224,7 @@
     /// Places waiting tasks of a job on a machine. Nothing is sent to the machine before
     /// the placement is stored.
     fn apply_assignment(&mut self, assignment: &sched::Assignment) {
-        let types = self.machine_types.types.clone();
+        let types = self.machine_types.shared();
         let job = self.jobs.at(assignment.job);
         let Some((job, machine)) = job.zip(self.machines.at(assignment.machine)) else {
             return;
@@ -257,19 +238,11 @@
         };
         let mut placed: Vec<TaskKey> = Vec::new();
         for _ in 0..assignment.tasks {
-            let Some(index) = job.waiting.pop_first() else {
+            let incarnation = machine.incarnation();
+            let Some((index, attempt)) = job.place_next(&machine_name, incarnation) else {
                 break;
             };
-            let task = &mut job.tasks[index as usize];
-            task.attempt += 1;
-            task.state = TaskPlacement::Placed {
-                machine: machine_name.clone(),
-                incarnation: machine.incarnation(),
-                stored: false,
-            };
-            let incarnation = machine.incarnation();
-            let mut slot =
-                TaskSlot::new(task.attempt, incarnation, assignment.job, &job.spec, false);
+            let mut slot = TaskSlot::new(attempt, incarnation, assignment.job, &job.spec, false);
             slot.uses_service_headroom = assignment.uses_service_headroom;
             let image_held = machine.holds_image(&job.image);
             log::debug!(
@@ -286,7 +259,7 @@
         job.waits_since = None;
         self.scheduling.counts.placed += placed.len() as u64;
         for key in placed {
-            self.touch(&key);
+            self.enqueue_task_record(&key);
         }
     }
 }
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -35,7 +35,7 @@
         index: SlabIndex,
     ) -> Option<JobView<'_>> {
         let (id, job) = self.jobs.at(index)?;
-        let max_tasks = if job.record.is_suspect() {
+        let max_tasks = if job.failures.is_suspect() {
             1
         } else {
             MAX_TASKS_PER_JOB
@@ -50,7 +50,7 @@
             tasks_by_zone: self.tasks_by_zone(job, &BTreeSet::new()),
             training_tasks: job.training(ctx.config),
             at_risk_tasks: 0,
-            starving: job.shape.starving(),
+            starving: job.resource_request.starving(),
         })
     }
 
@@ -84,8 +84,6 @@
     /// The resources of a machine type, if it is known.
     pub(in crate::leader) fn type_resources(&self, machine_type: &str) -> Option<Resources> {
         self.machine_types
-            .types
-            .as_ref()?
             .iter()
             .find(|t| t.name == machine_type)
             .map(Resources::of_type)
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -177,11 +177,7 @@
     /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a fifth more
     /// (rosterwise-nz).
     pub(super) fn headroom_ahead_cpus(&self, config: &Config) -> f64 {
-        let types = self
-            .machine_types
-            .types
-            .iter()
-            .flat_map(|types| types.iter());
+        let types = self.machine_types.iter();
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
         let share_cpus = config.tuning.spare_share * self.derived.sums().fleet_cpus();
         let limit_cpus = share_cpus / zones.len().max(1) as f64;
