--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -1,165 +1,232 @@
-//! The names of jobs that a submission waits for: each must have been accepted.
+//! Checks the jobs that a submission depends on: each must have been accepted.
 //!
-//! That a job was accepted never stops being true, so what this node knows needs no
-//! read. Of the others the records are read side by side, each as a poll would: the
-//! open one first, then the mark.
+//! That a job was accepted never stops being true, so what this node knows needs no read.
+//! The records of the others are read side by side, each as by a poll: the open record
+//! first, then the state record. Dependencies that are done already are dropped from the
+//! stored job.
 
-use super::*;
+use super::{Admission, MAX_UNDER_WAY, STORE_UNREACHABLE, TOO_MANY_REQUESTS};
+use crate::CallError;
+use crate::calls::Context;
+use crate::continuations::{AdmissionStep as Step, Continuation, JobRecordKind, PendingRequest};
+use crate::job_cache::KnownJob;
+use crate::messages::{Answer, RequestId};
+use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
+use crate::request_budget::RequestPriority;
+use crate::time::Micros;
+use dillcleat_wire::store::{StoreRequest, StoreResponse};
+use dillcleat_wire::user::is_job_id;
+use std::rc::Rc;
 
-/// A submission whose names are being looked up.
+/// Characters of a dependency's name that an error shows.
+const MAX_NAME_CHARS: usize = 64;
+
+/// Why a job can never be waited for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+enum InvalidReason {
+    #[error("which was never accepted")]
+    NeverAccepted,
+    #[error("a service, which is never done")]
+    Service,
+}
+
+/// A dependency that makes a submission invalid. The text is sent to the user.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("awaits {name}, {reason}")]
+struct InvalidDependency {
+    /// At most [`MAX_NAME_CHARS`] characters of it.
+    name: String,
+    reason: InvalidReason,
+}
+
+impl InvalidDependency {
+    fn new(name: &str, reason: InvalidReason) -> InvalidDependency {
+        InvalidDependency {
+            name: name.chars().take(MAX_NAME_CHARS).collect(),
+            reason,
+        }
+    }
+}
+
+/// A submission whose dependencies are being read.
 #[derive(Debug)]
-pub(super) struct Naming {
+pub(super) struct DependencyCheck {
     request: RequestId,
     job: OpenJob,
+    /// When the submission came in.
     since: Micros,
-    /// Look-ups without an answer.
-    left: usize,
-    /// Why it can't be taken, if so.
-    refused: Option<String>,
-    /// Some name could not be looked up.
-    unknown: bool,
-    /// Names of jobs that are done: they need not be waited for.
+    /// Dependencies whose reads have no response yet.
+    unread: usize,
+    /// The latest invalid dependency that was found.
+    invalid: Option<InvalidDependency>,
+    /// Whether a dependency could not be read.
+    inconclusive: bool,
+    /// Dependencies that are done: they need not be waited for.
     done: Vec<String>,
 }
 
-impl Naming {
-    fn refuse(&mut self, name: &str, cause: &str) {
-        let short: String = name.chars().take(64).collect();
-        self.refused = Some(format!("awaits {short}, {cause}"));
+impl DependencyCheck {
+    fn new(request: RequestId, job: OpenJob, since: Micros) -> DependencyCheck {
+        DependencyCheck {
+            request,
+            job,
+            since,
+            unread: 0,
+            invalid: None,
+            inconclusive: false,
+            done: Vec::new(),
+        }
+    }
+
+    fn reject(&mut self, name: &str, reason: InvalidReason) {
+        self.invalid = Some(InvalidDependency::new(name, reason));
     }
 
-    /// What is known of a name.
-    fn found(&mut self, name: &str, known: KnownJob) {
-        match known.mark.state {
+    /// Records what is known of a dependency.
+    fn record(&mut self, name: &str, known: KnownJob) {
+        match known.record.state {
             RecordedState::Done => self.done.push(name.to_string()),
-            RecordedState::Open if known.service => {
-                self.refuse(name, "a service, which is never done");
-            }
+            RecordedState::Open if known.is_service => self.reject(name, InvalidReason::Service),
             RecordedState::Open | RecordedState::Cancelled => {}
         }
     }
+
+    /// The job without the dependencies that are done.
+    fn into_job(self) -> OpenJob {
+        let DependencyCheck { mut job, done, .. } = self;
+        job.spec.depends_on.retain(|name| !done.contains(name));
+        job
+    }
 }
 
-/// Reads a name's mark, or its description.
-fn read(ctx: &mut Context, naming: u64, name: String, mark: bool) {
-    let key = match mark {
-        true => records::job_key(&name),
-        false => records::open_key(&name),
+fn read_dependency(ctx: &mut Context, submission: u64, dependency: String, record: JobRecordKind) {
+    let key = match record {
+        JobRecordKind::State => records::job_key(&dependency),
+        JobRecordKind::Open => records::open_key(&dependency),
+    };
+    let step = Step::ReadDependency {
+        submission,
+        dependency,
+        record,
     };
-    let step = Step::Name { naming, name, mark };
     ctx.hedged_store_request(StoreRequest::Get { key }, Continuation::Admission(step));
 }
 
-const NEVER: &str = "which was never accepted";
+/// What the response to a read of a dependency shows; None if nothing.
+fn decode_reply(
+    record: JobRecordKind,
+    reply: &Result<StoreResponse, CallError>,
+) -> Option<KnownJob> {
+    let Ok(StoreResponse::Found(row)) = reply else {
+        return None;
+    };
+    match record {
+        JobRecordKind::State => row
+            .decode_value::<JobStateRecord>()
+            .map(|state| KnownJob::from_state_record(state, row.version)),
+        JobRecordKind::Open => row
+            .decode_value::<OpenJob>()
+            .map(|job| KnownJob::from_open_row(&job, row)),
+    }
+}
 
 impl Admission {
-    /// Takes a submission that waits for other jobs.
-    pub(super) fn name(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
+    /// Handles a valid submission that depends on other jobs.
+    pub(super) fn check_dependencies(
+        &mut self,
+        ctx: &mut Context,
+        request: RequestId,
+        job: OpenJob,
+    ) {
         let now = ctx.now.monotonic;
-        let id = job.spec.id.clone();
-        let mut naming = Naming {
-            request,
-            since: now,
-            left: 0,
-            refused: None,
-            unknown: false,
-            done: Vec::new(),
-            job,
-        };
-        let mut unseen = Vec::new();
-        for name in naming.job.spec.depends_on.clone() {
-            match self.cache.get(&name) {
-                Some(job_cache) => naming.found(&name, job_cache),
-                None if name == id || !is_job_id(&name) => naming.refuse(&name, NEVER),
-                None => unseen.push(name),
-            }
-        }
-        let reads = unseen.len();
-        let calls = 1.0 + reads as f64;
-        if naming.refused.is_some() {
-            return self.named(ctx, naming);
+        let mut check = DependencyCheck::new(request, job, now);
+        let unknown = self.record_known_dependencies(&mut check);
+        if check.invalid.is_some() {
+            return self.finish_dependency_check(ctx, check);
         }
-        if self.under_way + reads >= MAX_UNDER_WAY
-            || !self.grant(calls, 1.0, RequestPriority::Change, now)
+        // The reads and the transaction that creates the job are paid for at once.
+        let calls = 1.0 + unknown.len() as f64;
+        if self.under_way + unknown.len() >= MAX_UNDER_WAY
+            || !self.take_budget(calls, 1.0, RequestPriority::Change, now)
         {
-            return ctx.answer(request, Answer::later("too many requests"));
+            return ctx.answer(request, Answer::later(TOO_MANY_REQUESTS));
         }
-        if reads == 0 {
-            return self.named(ctx, naming);
+        if unknown.is_empty() {
+            return self.finish_dependency_check(ctx, check);
         }
-        naming.left = reads;
-        self.under_way += reads;
-        self.last_naming += 1;
-        let naming_no = self.last_naming;
-        self.namings.insert(naming_no, naming);
-        for name in unseen {
-            read(ctx, naming_no, name, false);
+        check.unread = unknown.len();
+        self.under_way += unknown.len();
+        self.last_dependency_check += 1;
+        let submission = self.last_dependency_check;
+        self.dependency_checks.insert(submission, check);
+        for dependency in unknown {
+            read_dependency(ctx, submission, dependency, JobRecordKind::Open);
         }
     }
 
-    /// One of its names was looked up.
-    pub(super) fn name_found(
+    /// Records the dependencies that need no read; returns the others.
+    fn record_known_dependencies(&self, check: &mut DependencyCheck) -> Vec<String> {
+        let mut unknown = Vec::new();
+        for name in check.job.spec.depends_on.clone() {
+            match self.cache.get(&name) {
+                Some(known) => check.record(&name, known),
+                None if name == check.job.spec.id || !is_job_id(&name) => {
+                    check.reject(&name, InvalidReason::NeverAccepted);
+                }
+                None => unknown.push(name),
+            }
+        }
+        unknown
+    }
+
+    /// Handles the response to a read of a dependency.
+    pub(super) fn handle_dependency_read(
         &mut self,
         ctx: &mut Context,
-        naming_no: u64,
-        name: String,
-        mark: bool,
-        reply: Result<StoreResponse, CallError>,
+        submission: u64,
+        dependency: String,
+        record: JobRecordKind,
+        reply: &Result<StoreResponse, CallError>,
     ) {
-        let known = match &reply {
-            Ok(StoreResponse::Found(row)) if mark => {
-                let mark = row.decode_value::<JobStateRecord>();
-                mark.map(|mark| KnownJob::marked(mark, row.version))
-            }
-            Ok(StoreResponse::Found(row)) => row
-                .decode_value::<OpenJob>()
-                .map(|job| KnownJob::open(&job, row)),
-            _ => None,
-        };
-        if matches!(reply, Ok(StoreResponse::NotFound { .. })) && !mark {
-            // It has ended, or never was.
+        let not_found = matches!(reply, Ok(StoreResponse::NotFound { .. }));
+        if not_found && record == JobRecordKind::Open {
+            // It has ended, or never existed.
             self.calls.charge(1.0, ctx.now.monotonic);
-            return read(ctx, naming_no, name, true);
+            return read_dependency(ctx, submission, dependency, JobRecordKind::State);
         }
         self.under_way -= 1;
-        let Some(mut naming) = self.namings.remove(&naming_no) else {
+        let Some(mut check) = self.dependency_checks.remove(&submission) else {
             return;
         };
-        match (known, &reply) {
-            (Some(known), _) => {
-                self.cache.put(&name, known);
-                naming.found(&name, known);
+        match decode_reply(record, reply) {
+            Some(known) => {
+                self.cache.insert(&dependency, known);
+                check.record(&dependency, known);
             }
-            (None, Ok(StoreResponse::NotFound { .. })) => naming.refuse(&name, NEVER),
-            (None, _) => naming.unknown = true,
+            None if not_found => check.reject(&dependency, InvalidReason::NeverAccepted),
+            None => check.inconclusive = true,
         }
-        naming.left -= 1;
-        if naming.left > 0 {
-            self.namings.insert(naming_no, naming);
+        check.unread -= 1;
+        if check.unread > 0 {
+            self.dependency_checks.insert(submission, check);
         } else {
-            self.named(ctx, naming);
+            self.finish_dependency_check(ctx, check);
         }
     }
 
-    /// All that could be known of its names is.
-    fn named(&mut self, ctx: &mut Context, mut naming: Naming) {
-        let request = naming.request;
-        let answer = match naming.refused {
-            Some(cause) => Answer::refusal(422, cause),
-            None if naming.unknown => Answer::later("the state is out of reach"),
+    /// Stores the job, or rejects it.
+    fn finish_dependency_check(&mut self, ctx: &mut Context, check: DependencyCheck) {
+        let (request, since) = (check.request, check.since);
+        let answer = match &check.invalid {
+            Some(invalid) => Answer::refusal(422, invalid.to_string()),
+            None if check.inconclusive => Answer::later(STORE_UNREACHABLE),
             None => {
-                let done = &naming.done;
-                naming
-                    .job
-                    .spec
-                    .depends_on
-                    .retain(|name| !done.contains(name));
                 self.under_way += 1;
-                return self.create(ctx, request, Rc::new(naming.job), naming.since);
+                return self.create(ctx, request, Rc::new(check.into_job()), since);
             }
         };
-        // Whatever is wrong with its names, a known job is answered as known.
-        let ask = PendingRequest::Refuse { request, answer };
-        self.ask(ctx, naming.job.spec.id.clone(), ask);
+        // Whatever is wrong with its dependencies, a known job's state is the answer.
+        let id = check.job.spec.id;
+        self.resolve(ctx, id, PendingRequest::Reject { request, answer });
     }
 }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -1,195 +1,207 @@
-//! Submissions, polls and cancellations. Every node serves them by itself.
+//! Submissions, polls and cancellations. Every node answers them by itself, without the
+//! leader.
 //!
-//! A job's mark, `j/`, says that it is done or cancelled, and is written once.
-//! What has ended may be answered from memory for ever. Of anything else the
-//! absence of a mark is compared with the store after the request came in,
-//! because another node may just have told the user of its end.
+//! # Records
+//!
+//! A submitted job has an *open record* (`q/o/`) with its description, which stays until
+//! its tasks are gone. Its *state record* (`j/`) says that it is done or cancelled, and
+//! is written once, by compare-and-swap; whoever comes second fails and reads which end
+//! it was. (Jobs of earlier versions also have a state record that says "open".)
+//!
+//! # Requests as compare-and-swap state machines
+//!
+//! Each request is idempotent: a client that had no answer repeats it, at any node.
+//!
+//! - **Submission.** One transaction creates the open record if neither record exists.
+//!   If one does, this is a repeated submission, perhaps by an earlier try whose response
+//!   was lost, and the job's present state is the answer. The same transaction is sent
+//!   again if its outcome is unknown: it commits, or finds what the first one wrote. A
+//!   submission that must be rejected (invalid, or never schedulable) is rejected only if
+//!   the job is unknown, so that a job once accepted is not rejected later, for example
+//!   when the machine types have changed.
+//! - **Poll.** See below.
+//! - **Cancellation.** A transaction writes the state record if it still has the version
+//!   that this node knows. After a conflict the state record is read: the job's end came
+//!   first, or an earlier try was carried out.
+//!
+//! # Why no answer is out of date
+//!
+//! An end is final, so an ended job is answered from the [cache](JobCache). Anything else
+//! may have changed since it was seen: another node may just have told the user that the
+//! job is cancelled, and a later answer must not say "open". Hence for an open job the
+//! *absence of a change* of its state record is verified by a compare-only transaction
+//! that is sent after the request came in (one for many jobs, see [`verification`]), and
+//! an unknown job is read by a request of its own. "No such job" is answered only if both
+//! records were read after the request came in, the open record first: the state record
+//! is written before the open record is deleted.
+//!
+//! Task counts in an answer come from the leader's broadcasts. They are for display, and
+//! may be old.
+//!
+//! # Limits
+//!
+//! Store calls are paid from a [`RequestBudget`], and the number under way is bounded;
+//! beyond that a request is rejected at once with 503 and `Retry-After`.
 
 mod dependency_check;
 mod replies;
+mod schedulability;
+mod verification;
 
-use self::dependency_check::Naming;
-use crate::calls::{CallError, Context};
+pub use self::schedulability::{Unschedulable, check_schedulable};
+
+use self::dependency_check::DependencyCheck;
+use self::verification::Verifications;
+use crate::Config;
+use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
 use crate::job_cache::{JobCache, KnownJob};
+use crate::messages::{Answer, RequestId};
 use crate::progress::TaskCounts;
 use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
 use crate::request_budget::{RequestBudget, RequestPriority};
-use crate::{Answer, Config, MILLISECOND, Micros, RequestId, SECOND};
+use crate::time::{Micros, SECOND, seconds};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::store::{self, StoreRequest, StoreResponse, Transaction};
-use dillcleat_wire::user::{JobKind, JobSpec, JobState, JobStatus, is_job_id, parse_submission};
+use dillcleat_wire::store::{self, StoreRequest, Transaction};
+use dillcleat_wire::user::{
+    JobSpec, JobState, JobStatus, SpecError, Submission, is_job_id, parse_submission,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// How long a submission may be tried; its user gives up on it after 5 s.
-const CREATE_TIME: Micros = 4 * SECOND;
-/// Look-ups, submissions and cancellations that may be under way at once.
+/// How long a submission or cancellation is retried; its user gives up after 5 s.
+const RETRY_TIME: Micros = 4 * SECOND;
+/// Reads, submissions and cancellations that may be under way at once.
 const MAX_UNDER_WAY: usize = 256;
-/// Compare-only transactions that may be under way at once. More than one, so
-/// that a single slow answer does not hold up every poll.
-const MAX_CHECKS: usize = 3;
-/// Requests that may wait for their comparison.
-const MAX_WAITING: usize = 2000;
 
+const TOO_MANY_REQUESTS: &str = "too many requests";
+const STORE_UNREACHABLE: &str = "the state is out of reach";
+const UNREADABLE_RECORD: &str = "the job's record is unreadable";
+const NO_SUCH_JOB: &str = "no such job";
+
+/// Answers users' requests; see the [module](self).
 #[derive(Debug)]
 pub struct Admission {
     calls: RequestBudget,
     writes: RequestBudget,
     cache: JobCache,
-    /// Asks that wait for the next comparison.
-    waiting: Vec<(String, PendingRequest)>,
-    checking: HashMap<String, Vec<PendingRequest>>,
-    checks: usize,
+    verifications: Verifications,
+    /// Reads, submissions and cancellations under way.
     under_way: usize,
-    /// Submissions whose names are being looked up, by number.
-    namings: HashMap<u64, Naming>,
-    last_naming: u64,
-    /// Users' requests since the last beat, and how many come in a second.
-    asked: u32,
-    asked_per_s: f64,
+    /// Submissions whose dependencies are being read, by number.
+    dependency_checks: HashMap<u64, DependencyCheck>,
+    last_dependency_check: u64,
+    request_rate: RequestRate,
     /// Jobs that were seen to be cancelled, for the leader of this process.
     cancelled: Vec<String>,
-    /// The leader's word on how far jobs are, for display.
+    /// How far jobs are, as the leader broadcasts it; for display.
     pub(crate) progress: TaskCounts,
 }
 
-/// Why a job can never run here; None if it can.
-pub fn unfit(config: &Config, types: &[MachineType], spec: &JobSpec) -> Option<&'static str> {
-    let Some(team) = config.team(&spec.team) else {
-        return Some("unknown team");
-    };
-    let team = &config.teams[team];
-    let fits = |t: &MachineType| {
-        spec.types
-            .as_ref()
-            .is_none_or(|names| names.contains(&t.name))
-            && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && t.cpus >= spec.cpus
-            && t.gpus >= spec.gpus
-            && t.memory_gb >= spec.memory_gb
-    };
-    if !types.iter().any(fits) {
-        return Some("a task fits no allowed machine type");
-    }
-    let at_once = match spec.kind {
-        JobKind::Batch => 1.0,
-        JobKind::Service => f64::from(spec.tasks),
-    };
-    // A limit of 0 means that there is none.
-    let over = |need: f64, max: f64| max > 0.0 && need * at_once > max + 1e-9;
-    if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
-        return Some("the job needs more than its team's limit");
-    }
-    if spec.single_zone && spec.spread && spec.tasks > 1 {
-        return Some("one zone and a spread over zones exclude each other");
+/// How many requests users make at this node.
+#[derive(Debug, Default)]
+struct RequestRate {
+    count: u32,
+    /// A moving average.
+    per_s: f64,
+}
+
+impl RequestRate {
+    /// Adds the requests that were counted since the last call, `interval` ago.
+    fn update(&mut self, interval: Micros) -> f64 {
+        let count = f64::from(std::mem::take(&mut self.count));
+        let latest_per_s = count / seconds(interval).max(0.1);
+        self.per_s = (self.per_s + latest_per_s) / 2.0;
+        self.per_s
     }
-    None
 }
 
 impl Admission {
+    /// An admission that knows no job.
     pub fn new(config: &Config) -> Self {
         Admission {
             calls: RequestBudget::new(config.state_rps, config),
             writes: RequestBudget::new(config.state_write_rps, config),
             cache: JobCache::new(config),
-            waiting: Vec::new(),
-            checking: HashMap::new(),
-            checks: 0,
+            verifications: Verifications::default(),
             under_way: 0,
-            namings: HashMap::new(),
-            last_naming: 0,
-            asked: 0,
-            asked_per_s: 0.0,
+            dependency_checks: HashMap::new(),
+            last_dependency_check: 0,
+            request_rate: RequestRate::default(),
             cancelled: Vec::new(),
             progress: TaskCounts::default(),
         }
     }
 
-    /// Users' requests a second, of late; to be asked at every beat.
-    pub fn demand(&mut self, since_last: Micros) -> f64 {
-        let count = f64::from(std::mem::take(&mut self.asked));
-        let rate = count / crate::seconds(since_last).max(0.1);
-        self.asked_per_s = (self.asked_per_s + rate) / 2.0;
-        self.asked_per_s
+    /// Users' requests a second of late. To be called at a fixed interval.
+    pub fn request_rate(&mut self, interval: Micros) -> f64 {
+        self.request_rate.update(interval)
     }
 
-    /// This node's share of what users' requests may take of the state service.
-    pub fn share(&mut self, share: f64, now: Micros) {
-        self.calls.share(share, now);
-        self.writes.share(share, now);
+    /// Sets this node's share, from 0 to 1, of what users' requests may use of the store.
+    pub fn set_budget_share(&mut self, share: f64, now: Micros) {
+        self.calls.set_share(share, now);
+        self.writes.set_share(share, now);
     }
 
-    /// A user's request came in that is served elsewhere: it counts for this node's
-    /// share.
-    pub fn asked(&mut self) {
-        self.asked += 1;
+    /// Counts a user's request for this node's share of the budget.
+    pub fn count_request(&mut self) {
+        self.request_rate.count += 1;
     }
 
-    /// Whether what a request that is served elsewhere needs is there.
-    pub fn could(&mut self, calls: f64, changes: f64, need: RequestPriority, now: Micros) -> bool {
-        self.calls.has(calls, need, now) && (changes == 0.0 || self.writes.has(changes, need, now))
+    /// Whether [`take_budget`](Self::take_budget) would succeed.
+    pub fn has_budget(
+        &mut self,
+        calls: f64,
+        writes: f64,
+        priority: RequestPriority,
+        now: Micros,
+    ) -> bool {
+        self.calls.has(calls, priority, now)
+            && (writes == 0.0 || self.writes.has(writes, priority, now))
     }
 
-    /// Takes it: all of it, or nothing.
-    pub fn grant(&mut self, calls: f64, changes: f64, need: RequestPriority, now: Micros) -> bool {
-        let could = self.could(calls, changes, need, now);
-        if could {
+    /// Takes store calls, of which some are writes: all of them, or nothing.
+    pub fn take_budget(
+        &mut self,
+        calls: f64,
+        writes: f64,
+        priority: RequestPriority,
+        now: Micros,
+    ) -> bool {
+        let available = self.has_budget(calls, writes, priority, now);
+        if available {
             self.calls.charge(calls, now);
-            self.writes.charge(changes, now);
+            self.writes.charge(writes, now);
         }
-        could
+        available
     }
 
-    /// A job is in the store, and open.
-    pub fn admitted(&mut self, job: &OpenJob) {
-        let mark = JobStateRecord {
-            state: RecordedState::Open,
-            task_count: job.spec.tasks,
-        };
-        let known = KnownJob {
-            mark,
-            version: 0,
-            service: job.spec.kind == JobKind::Service,
-        };
-        self.cache.put(&job.spec.id, known);
+    /// A job was stored as open.
+    pub fn record_admission(&mut self, job: &OpenJob) {
+        self.cache.insert(&job.spec.id, KnownJob::newly_open(job));
+    }
+
+    /// The leader of this process has stored a job's end.
+    pub fn record_end(&mut self, id: &str, record: JobStateRecord) {
+        self.cache.insert(id, KnownJob::ended(record));
+        self.progress.ended(id);
     }
 
-    /// What a read or write of the store has said of a job's end is known from now on.
-    fn learn(&mut self, id: &str, known: KnownJob) {
-        if known.mark.state == RecordedState::Cancelled {
+    /// A read or write of the store has shown a job's state record.
+    fn record_state(&mut self, id: &str, known: KnownJob) {
+        if known.record.state == RecordedState::Cancelled {
             self.cancelled.push(id.to_string());
         }
-        self.cache.put(id, known);
+        self.cache.insert(id, known);
     }
 
-    /// The jobs that were seen to be cancelled since this was last asked.
+    /// The jobs that were seen to be cancelled since the last call.
     pub fn take_cancelled(&mut self) -> Vec<String> {
         std::mem::take(&mut self.cancelled)
     }
 
-    /// The leader of this process has stored a job's end.
-    pub fn ended(&mut self, id: &str, mark: JobStateRecord) {
-        self.cache.put(id, KnownJob::ended(mark));
-        self.progress.ended(id);
-    }
-
-    fn status(&self, id: &str, mark: JobStateRecord) -> JobStatus {
-        let (done, running) = self.progress.get(id).unwrap_or((0, 0));
-        let (state, done, running) = match mark.state {
-            RecordedState::Done => (JobState::Done, mark.task_count, 0),
-            RecordedState::Cancelled => (JobState::Cancelled, done, 0),
-            RecordedState::Open if running > 0 => (JobState::Running, done, running),
-            RecordedState::Open => (JobState::Queued, done, 0),
-        };
-        JobStatus {
-            id: id.to_string(),
-            state,
-            done: Some(done),
-            running: Some(running),
-        }
-    }
-
+    /// Handles a submission. `types` are the machine types, if they are known.
     pub fn submit(
         &mut self,
         ctx: &mut Context,
@@ -197,67 +209,42 @@
         body: &[u8],
         types: Option<&[MachineType]>,
     ) {
-        self.asked += 1;
-        let submission = parse_submission(body);
-        let Some(id) = submission.id else {
-            let cause = submission
-                .spec
+        self.count_request();
+        let Submission { id, spec } = parse_submission(body);
+        let Some(id) = id else {
+            let cause = spec
                 .err()
                 .map_or_else(|| "ref is not in its form".into(), |e| e.to_string());
             return ctx.answer(request, Answer::refusal(400, cause));
         };
         if self.cache.get(&id).is_some() {
-            return self.ask(ctx, id, PendingRequest::Tell(request));
-        }
-        // Whatever is wrong with the content, a known job is answered as known.
-        let refuse = |status, cause: String| PendingRequest::Refuse {
-            request,
-            answer: Answer::refusal(status, cause),
-        };
-        let spec = match submission.spec {
-            Ok(spec) => spec,
-            Err(e) => return self.ask(ctx, id, refuse(400, e.to_string())),
-        };
-        let job = OpenJob {
-            spec: *spec,
-            at: ctx.now.wall,
-            chunk: ctx.config.chunk_tasks,
-            unmarked: true,
-            parallelism_limit: None,
-        };
-        let (bytes, most) = (
-            store::json_size(&store::encode_value(&job)),
-            ctx.config.value_bytes,
-        );
-        if bytes > most {
-            let cause = format!("the job's description takes {bytes} bytes, at most {most} fit");
-            return self.ask(ctx, id, refuse(400, cause));
-        }
-        // An empty list is one from a cloud in trouble: by it nothing would ever run.
-        let Some(types) = types.filter(|types| !types.is_empty()) else {
-            let answer = Answer::later("the machine types are not known yet");
-            return self.ask(ctx, id, PendingRequest::Refuse { request, answer });
-        };
-        if let Some(cause) = unfit(ctx.config, types, &job.spec) {
-            return self.ask(ctx, id, refuse(422, cause.into()));
+            return self.resolve(ctx, id, PendingRequest::Status(request));
         }
-        if !job.spec.depends_on.is_empty() {
-            return self.name(ctx, request, job);
+        match validate(ctx, spec, types) {
+            Ok(job) if job.spec.depends_on.is_empty() => self.submit_valid(ctx, request, job),
+            Ok(job) => self.check_dependencies(ctx, request, job),
+            Err(answer) => self.resolve(ctx, id, PendingRequest::Reject { request, answer }),
         }
+    }
+
+    fn submit_valid(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
         let now = ctx.now.monotonic;
-        // Both or neither: a call taken for a change that is not to be had was lost to polls.
-        if self.under_way >= MAX_UNDER_WAY || !self.grant(1.0, 1.0, RequestPriority::Change, now) {
-            return ctx.answer(request, Answer::later("too many requests"));
+        // Both or neither: a call taken for a write that the budget did not allow was lost
+        // to polls.
+        if self.under_way >= MAX_UNDER_WAY
+            || !self.take_budget(1.0, 1.0, RequestPriority::Change, now)
+        {
+            return ctx.answer(request, Answer::later(TOO_MANY_REQUESTS));
         }
         self.under_way += 1;
-        self.create(ctx, request, Rc::new(job), ctx.now.monotonic);
+        self.create(ctx, request, Rc::new(job), now);
     }
 
     fn create(&self, ctx: &mut Context, request: RequestId, job: Rc<OpenJob>, since: Micros) {
         let id = &job.spec.id;
-        // One write: the state service's writes are what bounds submissions. With
-        // a mark of its own for each, a burst of small jobs waited for 10 s
-        // (incidents 1846, bdf3).
+        // One write: the store's writes are what bounds submissions. With a state record
+        // of its own for each, a burst of small jobs waited for 10 s (incidents 1846,
+        // bdf3).
         let txn = Transaction::default()
             .compare(records::job_key(id), 0)
             .compare(records::open_key(id), 0)
@@ -273,173 +260,172 @@
         );
     }
 
+    /// Handles a poll.
     pub fn poll(&mut self, ctx: &mut Context, request: RequestId, id: String) {
-        self.asked += 1;
-        if !is_job_id(&id) {
-            return ctx.answer(request, Answer::refusal(404, "no such job"));
-        }
-        self.ask(ctx, id, PendingRequest::Tell(request));
+        self.resolve_by_id(ctx, id, PendingRequest::Status(request));
     }
 
+    /// Handles a cancellation.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: String) {
-        self.asked += 1;
-        if !is_job_id(&id) {
-            return ctx.answer(request, Answer::refusal(404, "no such job"));
-        }
         let since = ctx.now.monotonic;
-        self.ask(ctx, id, PendingRequest::Cancel { request, since });
+        self.resolve_by_id(ctx, id, PendingRequest::Cancel { request, since });
     }
 
-    /// Settles an ask by memory, a comparison or a look-up, whichever is enough.
-    fn ask(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
-        if let Some(end) = self.cache.end(&id) {
-            return self.settle(ctx, &id, Some(end), ask);
+    fn resolve_by_id(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
+        self.count_request();
+        if !is_job_id(&id) {
+            return ctx.answer(pending.request(), Answer::refusal(404, NO_SUCH_JOB));
         }
+        self.resolve(ctx, id, pending);
+    }
+
+    /// Finds out the state of a request's job by the cheapest sufficient means: the cache,
+    /// a comparison or a read.
+    fn resolve(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         match self.cache.get(&id) {
+            Some(known) if !known.is_open() => self.conclude(ctx, &id, Some(known), pending),
             // The transaction that cancels compares by itself.
-            Some(known) if matches!(ask, PendingRequest::Cancel { .. }) => {
-                self.settle(ctx, &id, Some(known), ask);
-            }
-            Some(_) => {
-                if self.waiting.len() >= MAX_WAITING {
-                    return ctx.answer(ask.request(), Answer::later("too many requests"));
-                }
-                self.waiting.push((id, ask));
-                self.check(ctx);
+            Some(known) if matches!(pending, PendingRequest::Cancel { .. }) => {
+                self.conclude(ctx, &id, Some(known), pending);
             }
-            None => self.lookup(ctx, id, ask),
+            Some(_) => self.verify(ctx, id, pending),
+            None => self.read_open_record(ctx, id, pending),
         }
     }
 
-    fn lookup(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
-        // Each ask has a read of its own, whose answer carries it: one under way may have
-        // read before this request came in. Asks were once given the answers in the order
-        // in which they had come, and answers come in any: of an accepted job a user who
-        // had been told so was told that there is none.
-        if self.under_way >= MAX_UNDER_WAY
-            || !self
-                .calls
-                .take(1.0, RequestPriority::of(&ask), ctx.now.monotonic)
+    fn read_open_record(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
+        // Each request has a read of its own, whose continuation carries it: one under way
+        // may have read before this request came in. Requests were once matched with
+        // responses in the order in which they had come, and responses come in any: of an
+        // accepted job a user who had been told so was told that there is none.
+        let priority = RequestPriority::from(&pending);
+        if self.under_way >= MAX_UNDER_WAY || !self.calls.try_take(1.0, priority, ctx.now.monotonic)
         {
-            return ctx.answer(ask.request(), Answer::later("too many requests"));
+            return ctx.answer(pending.request(), Answer::later(TOO_MANY_REQUESTS));
         }
         self.under_way += 1;
         let call = StoreRequest::Get {
             key: records::open_key(&id),
         };
-        ctx.store_request(call, Continuation::Admission(Step::Lookup { id, ask }));
+        let step = Step::ReadOpenRecord { id, pending };
+        ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Reads the mark of a job that is not open, or whose end has just come.
-    /// Whoever is not found here was not there when it was looked for.
-    fn look_for_mark(&mut self, ctx: &mut Context, id: String, ask: PendingRequest) {
+    /// Reads the state record of a job that has no open record, or whose end has just
+    /// come. A job that is not found here did not exist when the request came in.
+    fn read_state_record(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         self.under_way += 1;
         self.calls.charge(1.0, ctx.now.monotonic);
         let call = StoreRequest::Get {
             key: records::job_key(&id),
         };
-        ctx.store_request(call, Continuation::Admission(Step::Ended { id, ask }));
-    }
-
-    fn check(&mut self, ctx: &mut Context) {
-        if self.waiting.is_empty()
-            || self.checks >= MAX_CHECKS
-            || !self
-                .calls
-                .take(1.0, RequestPriority::Poll, ctx.now.monotonic)
-        {
-            return;
-        }
-        let mut jobs: Vec<String> = Vec::new();
-        let mut txn = Transaction::default();
-        let limit = ctx.config.txn_ops * 4;
-        let mut later = Vec::new();
-        for (id, ask) in std::mem::take(&mut self.waiting) {
-            let Some(known) = self.cache.get(&id) else {
-                self.lookup(ctx, id, ask);
-                continue;
-            };
-            if known.mark.state != RecordedState::Open {
-                self.settle(ctx, &id, Some(known), ask);
-                continue;
-            }
-            // One comparison at a time per job keeps the accounts simple.
-            let own = jobs.contains(&id);
-            if !own && (jobs.len() >= limit || self.checking.contains_key(&id)) {
-                later.push((id, ask));
-                continue;
-            }
-            if !own {
-                txn = txn.compare(records::job_key(&id), known.version);
-                jobs.push(id.clone());
-            }
-            self.checking.entry(id).or_default().push(ask);
-        }
-        self.waiting = later;
-        if !jobs.is_empty() {
-            self.checks += 1;
-            // Lost, it answered none of up to `limit` jobs: with transactions lost one after the
-            // other a job was once without an answer for 90 s (seed 3909 of meetings).
-            ctx.hedged_store_request(
-                StoreRequest::Transaction(txn),
-                Continuation::Admission(Step::Check { jobs }),
-            );
-        }
+        let step = Step::ReadStateRecord { id, pending };
+        ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Answers an ask with what the store has said of its job.
-    fn settle(
-        &mut self,
+    /// Answers a request with what the store has said of its job, None if there is no such
+    /// job, or sends the cancellation of an open one.
+    fn conclude(
+        &self,
         ctx: &mut Context,
         id: &str,
         known: Option<KnownJob>,
-        ask: PendingRequest,
+        pending: PendingRequest,
     ) {
-        match (known, ask) {
-            (None, PendingRequest::Refuse { request, answer }) => {
+        match (known, pending) {
+            (None, PendingRequest::Reject { request, answer }) => {
                 if answer.status != 503 {
-                    log::info!("refused {id}: {}", answer.status);
+                    log::info!("job rejected job={id} status={}", answer.status);
                 }
                 ctx.answer(request, answer);
             }
-            (None, ask) => ctx.answer(ask.request(), Answer::refusal(404, "no such job")),
-            (Some(known), PendingRequest::Cancel { request, since })
-                if known.mark.state == RecordedState::Open =>
-            {
-                let txn = Transaction::default()
-                    .compare(records::job_key(id), known.version)
-                    .put(
-                        records::job_key(id),
-                        &JobStateRecord {
-                            state: RecordedState::Cancelled,
-                            task_count: known.mark.task_count,
-                        },
-                    )
-                    .put(
-                        records::cancelled_key(id),
-                        &CancelledJob { at: ctx.now.wall },
-                    );
-                let step = Step::Cancel {
-                    id: id.to_string(),
-                    request,
-                    since,
-                };
-                ctx.store_request(
-                    StoreRequest::Transaction(txn),
-                    Continuation::Admission(step),
-                );
+            (None, PendingRequest::Status(request) | PendingRequest::Cancel { request, .. }) => {
+                ctx.answer(request, Answer::refusal(404, NO_SUCH_JOB));
             }
-            (Some(known), ask) => {
-                let status = self.status(id, known.mark);
-                ctx.answer(ask.request(), Answer::body(200, &status));
+            (Some(known), PendingRequest::Cancel { request, since }) if known.is_open() => {
+                send_cancellation(ctx, id, known, request, since);
             }
+            (Some(known), pending) => {
+                let status = self.status(id, known.record);
+                ctx.answer(pending.request(), Answer::body(200, &status));
+            }
+        }
+    }
+
+    fn status(&self, id: &str, record: JobStateRecord) -> JobStatus {
+        let (done, running) = self.progress.get(id).unwrap_or((0, 0));
+        let (state, done, running) = match record.state {
+            RecordedState::Done => (JobState::Done, record.task_count, 0),
+            RecordedState::Cancelled => (JobState::Cancelled, done, 0),
+            RecordedState::Open if running > 0 => (JobState::Running, done, running),
+            RecordedState::Open => (JobState::Queued, done, 0),
+        };
+        JobStatus {
+            id: id.to_string(),
+            state,
+            done: Some(done),
+            running: Some(running),
         }
     }
 
+    /// Sends a comparison if one is due; called at every tick.
     pub fn tick(&mut self, ctx: &mut Context) {
-        self.check(ctx);
+        self.send_verification(ctx);
+    }
+}
+
+/// The record of a submitted job, or the answer to its rejection.
+fn validate(
+    ctx: &Context,
+    spec: Result<Box<JobSpec>, SpecError>,
+    types: Option<&[MachineType]>,
+) -> Result<OpenJob, Answer> {
+    let spec = spec.map_err(|error| Answer::refusal(400, error.to_string()))?;
+    let job = OpenJob {
+        spec: *spec,
+        at: ctx.now.wall,
+        chunk: ctx.config.chunk_tasks,
+        unmarked: true,
+        parallelism_limit: None,
+    };
+    let bytes = store::json_size(&store::encode_value(&job));
+    let max_bytes = ctx.config.value_bytes;
+    if bytes > max_bytes {
+        let cause = format!("the job's description takes {bytes} bytes, at most {max_bytes} fit");
+        return Err(Answer::refusal(400, cause));
     }
+    // An empty list comes from a cloud in trouble: by it no job could ever run.
+    let types = types
+        .filter(|types| !types.is_empty())
+        .ok_or_else(|| Answer::later("the machine types are not known yet"))?;
+    check_schedulable(ctx.config, types, &job.spec)
+        .map_err(|error| Answer::refusal(422, error.to_string()))?;
+    Ok(job)
+}
 
-    /// How often the core wants to be woken while polls wait.
-    pub const TICK: Micros = 20 * MILLISECOND;
+fn send_cancellation(
+    ctx: &mut Context,
+    id: &str,
+    known: KnownJob,
+    request: RequestId,
+    since: Micros,
+) {
+    let record = JobStateRecord {
+        state: RecordedState::Cancelled,
+        task_count: known.record.task_count,
+    };
+    let cancelled = CancelledJob { at: ctx.now.wall };
+    let txn = Transaction::default()
+        .compare(records::job_key(id), known.version)
+        .put(records::job_key(id), &record)
+        .put(records::cancelled_key(id), &cancelled);
+    let step = Step::Cancel {
+        id: id.to_string(),
+        request,
+        since,
+    };
+    ctx.store_request(
+        StoreRequest::Transaction(txn),
+        Continuation::Admission(step),
+    );
 }
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -1,8 +1,20 @@
-//! What the state service's answers mean for users' requests.
+//! Handles the store's responses to users' requests.
 
-use super::*;
+use super::{Admission, RETRY_TIME, STORE_UNREACHABLE, UNREADABLE_RECORD};
+use crate::CallError;
+use crate::calls::Context;
+use crate::continuations::{AdmissionStep as Step, PendingRequest};
+use crate::job_cache::KnownJob;
+use crate::messages::{Answer, RequestId};
+use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
+use crate::request_budget::RequestPriority;
+use crate::time::Micros;
+use dillcleat_wire::store::StoreResponse;
+use dillcleat_wire::user::{JobState, JobStatus};
+use std::rc::Rc;
 
 impl Admission {
+    /// Handles the response to the call of a step.
     pub fn reply(
         &mut self,
         ctx: &mut Context,
@@ -10,132 +22,88 @@
         reply: Result<StoreResponse, CallError>,
     ) {
         match step {
-            Step::Lookup { id, ask } => {
+            Step::ReadOpenRecord { id, pending } => {
                 self.under_way -= 1;
-                self.looked_up(ctx, id, ask, reply);
+                self.handle_open_record(ctx, id, pending, reply);
             }
-            Step::Ended { id, ask } => {
+            Step::ReadStateRecord { id, pending } => {
                 self.under_way -= 1;
-                self.found_mark(ctx, &id, ask, reply);
+                self.handle_state_record(ctx, &id, pending, reply);
             }
-            Step::Check { jobs } => {
-                self.checks -= 1;
-                for id in jobs {
-                    let asks = self.checking.remove(&id).unwrap_or_default();
-                    match &reply {
-                        Ok(StoreResponse::Committed { .. }) => {
-                            let job_cache = self.cache.get(&id);
-                            for ask in asks {
-                                match job_cache {
-                                    Some(job_cache) => self.settle(ctx, &id, Some(job_cache), ask),
-                                    None => self.lookup(ctx, id.clone(), ask),
-                                }
-                            }
-                        }
-                        Ok(StoreResponse::Conflict { failed, .. }) => {
-                            let changed = failed.contains(&records::job_key(&id));
-                            for ask in asks {
-                                match self.cache.get(&id) {
-                                    // The others were equal at that same moment.
-                                    Some(job_cache)
-                                        if !changed
-                                            || job_cache.mark.state != RecordedState::Open =>
-                                    {
-                                        self.settle(ctx, &id, Some(job_cache), ask);
-                                    }
-                                    _ if changed => self.look_for_mark(ctx, id.clone(), ask),
-                                    _ => self.lookup(ctx, id.clone(), ask),
-                                }
-                            }
-                        }
-                        _ => {
-                            for ask in asks {
-                                ctx.answer(
-                                    ask.request(),
-                                    Answer::later("the state is out of reach"),
-                                );
-                            }
-                        }
-                    }
-                }
-                self.check(ctx);
-            }
-            Step::Name { naming, name, mark } => self.name_found(ctx, naming, name, mark, reply),
+            Step::VerifyOpen { jobs } => self.handle_verification(ctx, jobs, &reply),
+            Step::ReadDependency {
+                submission,
+                dependency,
+                record,
+            } => self.handle_dependency_read(ctx, submission, dependency, record, &reply),
             Step::Create {
                 request,
                 job,
                 since,
-            } => self.created(ctx, request, job, since, reply),
-            Step::Cancel { id, request, since } => self.cancelled(ctx, id, request, since, reply),
+            } => self.handle_created(ctx, request, job, since, reply),
+            Step::Cancel { id, request, since } => {
+                self.handle_cancelled(ctx, id, request, since, reply);
+            }
         }
     }
 
-    fn looked_up(
+    fn handle_open_record(
         &mut self,
         ctx: &mut Context,
         id: String,
-        ask: PendingRequest,
+        pending: PendingRequest,
         reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            Ok(StoreResponse::Found(row)) => match row.decode_value::<OpenJob>() {
-                Some(job) => {
-                    let known = KnownJob::open(&job, &row);
-                    self.cache.put(&id, known);
-                    // A cancelled job's description stays until its tasks are
-                    // gone: that there is one does not yet say that it is open.
-                    self.ask(ctx, id, ask);
-                }
-                None => {
-                    log::error!("{}: not a job's description", row.key);
-                    ctx.answer(
-                        ask.request(),
-                        Answer::later("the job's record is unreadable"),
-                    );
-                }
-            },
-            Ok(StoreResponse::NotFound { .. }) => self.look_for_mark(ctx, id, ask),
-            _ => ctx.answer(ask.request(), Answer::later("the state is out of reach")),
+            Ok(StoreResponse::Found(row)) => {
+                let Some(job) = row.decode_value::<OpenJob>() else {
+                    return answer_unreadable(ctx, &row.key, &pending);
+                };
+                self.cache.insert(&id, KnownJob::from_open_row(&job, &row));
+                // A cancelled job's open record stays until its tasks are gone: that there
+                // is one does not yet say that the job is open.
+                self.resolve(ctx, id, pending);
+            }
+            Ok(StoreResponse::NotFound { .. }) => self.read_state_record(ctx, id, pending),
+            _ => ctx.answer(pending.request(), Answer::later(STORE_UNREACHABLE)),
         }
     }
 
-    fn found_mark(
+    fn handle_state_record(
         &mut self,
         ctx: &mut Context,
         id: &str,
-        ask: PendingRequest,
+        pending: PendingRequest,
         reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            Ok(StoreResponse::Found(row)) => match row.decode_value::<JobStateRecord>() {
-                Some(mark) => {
-                    let known = KnownJob::marked(mark, row.version);
-                    self.learn(id, known);
-                    self.settle(ctx, id, Some(known), ask);
-                }
-                None => {
-                    log::error!("{}: not a job's record", row.key);
-                    ctx.answer(
-                        ask.request(),
-                        Answer::later("the job's record is unreadable"),
-                    );
-                }
-            },
-            // It has been stored since then, and this node may have told its user: looked
-            // at again, it is not called unknown.
-            Ok(StoreResponse::NotFound { .. })
-                if (self.cache.get(id)).is_some_and(|known| {
-                    known.version == 0 || known.mark.state != RecordedState::Open
-                }) =>
-            {
-                self.ask(ctx, id.to_string(), ask);
+            Ok(StoreResponse::Found(row)) => {
+                let Some(record) = row.decode_value::<JobStateRecord>() else {
+                    return answer_unreadable(ctx, &row.key, &pending);
+                };
+                let known = KnownJob::from_state_record(record, row.version);
+                self.record_state(id, known);
+                self.conclude(ctx, id, Some(known), pending);
+            }
+            // The job was stored since the read, and this node may have told its user so:
+            // it is looked up again and not called unknown.
+            Ok(StoreResponse::NotFound { .. }) if self.is_known_without_state_record(id) => {
+                self.resolve(ctx, id.to_string(), pending);
             }
-            Ok(StoreResponse::NotFound { .. }) => self.settle(ctx, id, None, ask),
-            _ => ctx.answer(ask.request(), Answer::later("the state is out of reach")),
+            Ok(StoreResponse::NotFound { .. }) => self.conclude(ctx, id, None, pending),
+            _ => ctx.answer(pending.request(), Answer::later(STORE_UNREACHABLE)),
         }
     }
 
-    fn created(
+    /// Whether the job is known, and that its state record was not found does not
+    /// contradict it.
+    fn is_known_without_state_record(&self, id: &str) -> bool {
+        self.cache
+            .get(id)
+            .is_some_and(|known| known.version == 0 || !known.is_open())
+    }
+
+    fn handle_created(
         &mut self,
         ctx: &mut Context,
         request: RequestId,
@@ -143,81 +111,74 @@
         since: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let id = job.spec.id.clone();
+        // The outcome is unknown: the transaction may yet be carried out. The same one
+        // again settles it: it either commits or finds the record. It costs as much again.
+        if reply.is_err()
+            && ctx.now.monotonic < since + RETRY_TIME
+            && self.take_budget(1.0, 1.0, RequestPriority::Change, ctx.now.monotonic)
+        {
+            return self.create(ctx, request, job, since);
+        }
+        self.under_way -= 1;
         match reply {
-            Ok(StoreResponse::Committed { .. }) => {
-                self.under_way -= 1;
-                self.admitted(&job);
-                let due = match job.spec.deadline_s {
-                    Some(due) => format!("due in {due} s"),
-                    None => "no deadline".to_string(),
-                };
-                let after = match job.spec.depends_on.as_slice() {
-                    [] => String::new(),
-                    names => format!(", after {}", names.join(" ")),
-                };
-                log::info!(
-                    "accepted {id}: {} tasks of {} for {}, {due}{after}",
-                    job.spec.tasks,
-                    job.spec.class,
-                    job.spec.team,
-                );
-                // Cancelled or done before this answer came, and told so.
-                if let Some(end) = self.cache.end(&id) {
-                    return self.settle(ctx, &id, Some(end), PendingRequest::Tell(request));
-                }
-                let status = JobStatus {
-                    id,
-                    state: JobState::Queued,
-                    done: None,
-                    running: None,
-                };
-                ctx.answer(request, Answer::body(201, &status));
-            }
-            // It was described and had no mark: open, unless its end has come between
-            // that and this answer, of which this node then knows. To read both again
-            // took a slow submission past 200 ms.
-            Ok(StoreResponse::Conflict { failed, .. })
-                if failed == [records::open_key(&id)] && self.cache.end(&id).is_none() =>
-            {
-                self.under_way -= 1;
-                log::info!("{id} is known already, perhaps by an earlier try");
-                let mark = JobStateRecord {
-                    state: RecordedState::Open,
-                    task_count: job.spec.tasks,
-                };
-                let status = self.status(&id, mark);
-                ctx.answer(request, Answer::body(200, &status));
-            }
-            // It exists, perhaps by an earlier try of ours whose answer was lost.
-            Ok(StoreResponse::Conflict { .. }) => {
-                self.under_way -= 1;
-                log::info!("{id} is known already, perhaps by an earlier try");
-                self.ask(ctx, id, PendingRequest::Tell(request));
-            }
-            // It may yet be carried out. The same transaction again settles
-            // it: it either commits or finds the record. It costs as much again.
-            Err(_)
-                if ctx.now.monotonic < since + CREATE_TIME
-                    && self.grant(1.0, 1.0, RequestPriority::Change, ctx.now.monotonic) =>
-            {
-                self.create(ctx, request, job, since);
+            Ok(StoreResponse::Committed { .. }) => self.answer_accepted(ctx, request, &job),
+            Ok(StoreResponse::Conflict { failed, .. }) => {
+                self.answer_repeated_submission(ctx, request, &job, &failed);
             }
             Ok(StoreResponse::Malformed) => {
-                self.under_way -= 1;
-                log::error!("the state service calls the record of {id} malformed");
-                // A repeated submission may hold more than the one that was taken.
+                let id = job.spec.id.clone();
+                log::error!("store rejected record as malformed job={id}");
+                // A repeated submission may contain more than the accepted one.
                 let answer = Answer::refusal(400, "the job cannot be stored");
-                self.ask(ctx, id, PendingRequest::Refuse { request, answer });
-            }
-            _ => {
-                self.under_way -= 1;
-                ctx.answer(request, Answer::later("the state is out of reach"));
+                self.resolve(ctx, id, PendingRequest::Reject { request, answer });
             }
+            _ => ctx.answer(request, Answer::later(STORE_UNREACHABLE)),
         }
     }
 
-    fn cancelled(
+    fn answer_accepted(&mut self, ctx: &mut Context, request: RequestId, job: &OpenJob) {
+        let id = job.spec.id.clone();
+        self.record_admission(job);
+        log_accepted(job);
+        // Cancelled or done before this response came, and known to a user.
+        if let Some(ended) = self.cache.get_ended(&id) {
+            return self.conclude(ctx, &id, Some(ended), PendingRequest::Status(request));
+        }
+        let status = JobStatus {
+            id,
+            state: JobState::Queued,
+            done: None,
+            running: None,
+        };
+        ctx.answer(request, Answer::body(201, &status));
+    }
+
+    /// Answers a submission whose job exists already, perhaps by an earlier try whose
+    /// response was lost. `failed` are the keys that had changed.
+    fn answer_repeated_submission(
+        &mut self,
+        ctx: &mut Context,
+        request: RequestId,
+        job: &OpenJob,
+        failed: &[String],
+    ) {
+        let id = job.spec.id.clone();
+        log::info!("repeated submission job={id}");
+        // The job had an open record and no state record: it was open, unless its end has
+        // come between that and this response, of which this node then knows. To read both
+        // again took a slow submission past 200 ms.
+        if failed == [records::open_key(&id)] && self.cache.get_ended(&id).is_none() {
+            let record = JobStateRecord {
+                state: RecordedState::Open,
+                task_count: job.spec.tasks,
+            };
+            let status = self.status(&id, record);
+            return ctx.answer(request, Answer::body(200, &status));
+        }
+        self.resolve(ctx, id, PendingRequest::Status(request));
+    }
+
+    fn handle_cancelled(
         &mut self,
         ctx: &mut Context,
         id: String,
@@ -225,26 +186,48 @@
         since: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
+        let pending = PendingRequest::Cancel { request, since };
         match reply {
             Ok(StoreResponse::Committed { .. }) => {
-                let n = self.cache.get(&id).map_or(0, |k| k.mark.task_count);
-                let mark = JobStateRecord {
+                let known = self.cache.get(&id);
+                let record = JobStateRecord {
                     state: RecordedState::Cancelled,
-                    task_count: n,
+                    task_count: known.map_or(0, |known| known.record.task_count),
                 };
-                self.learn(&id, KnownJob::ended(mark));
-                log::info!("cancelled {id}");
-                let status = self.status(&id, mark);
+                self.record_state(&id, KnownJob::ended(record));
+                log::info!("job cancelled job={id}");
+                let status = self.status(&id, record);
                 ctx.answer(request, Answer::body(200, &status));
             }
             // Its end came first, or an earlier try was carried out: read which.
-            Ok(StoreResponse::Conflict { .. }) => {
-                self.look_for_mark(ctx, id, PendingRequest::Cancel { request, since });
+            Ok(StoreResponse::Conflict { .. }) => self.read_state_record(ctx, id, pending),
+            Err(_) if ctx.now.monotonic < since + RETRY_TIME => {
+                self.read_open_record(ctx, id, pending);
             }
-            Err(_) if ctx.now.monotonic < since + CREATE_TIME => {
-                self.lookup(ctx, id, PendingRequest::Cancel { request, since });
-            }
-            _ => ctx.answer(request, Answer::later("the state is out of reach")),
+            _ => ctx.answer(request, Answer::later(STORE_UNREACHABLE)),
         }
     }
 }
+
+fn answer_unreadable(ctx: &mut Context, key: &str, pending: &PendingRequest) {
+    log::error!("unreadable job record key={key}");
+    ctx.answer(pending.request(), Answer::later(UNREADABLE_RECORD));
+}
+
+fn log_accepted(job: &OpenJob) {
+    let spec = &job.spec;
+    let deadline = spec
+        .deadline_s
+        .map_or(String::new(), |seconds| format!(" deadline_s={seconds}"));
+    let dependencies = match spec.depends_on.as_slice() {
+        [] => String::new(),
+        names => format!(" depends_on={}", names.join(",")),
+    };
+    log::info!(
+        "job accepted job={} tasks={} class={} team={}{deadline}{dependencies}",
+        spec.id,
+        spec.tasks,
+        spec.class,
+        spec.team,
+    );
+}
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,172 +1,201 @@
-//! Requests of this node that wait for their answers, and who waits.
+//! Requests that this node has sent and that wait for their responses.
+//!
+//! [`Context`] is what every module sends requests with. [`PendingCalls`] keeps the
+//! [`Continuation`] of each until its response arrives.
 
+use crate::config::Config;
 use crate::continuations::Continuation;
 use crate::leadership_guard::CloudPermit;
+use crate::messages::{Answer, CallId, Output, RequestId};
+use crate::time::{MILLISECOND, Micros, SECOND, Timestamp, micros};
 use crate::token_bucket::TokenBucket;
-use crate::{MILLISECOND, Micros, Output, SECOND, Timestamp};
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::store::StoreRequest;
 use dillcleat_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
-
-/// Why a call has no answer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum CallError {
-    /// No connection came about: nothing was sent and nothing will arrive.
-    #[error("not sent")]
-    NotSent,
-    /// It may have been carried out, or may still be, minutes later.
-    #[error("no answer")]
-    NoAnswer,
-}
-
-/// How long an ordinary call to the state service may take.
-const STATE_TIMEOUT: Micros = 1500 * MILLISECOND;
-pub const CLOUD_TIMEOUT: Micros = 6 * SECOND;
-pub const ORDERS_TIMEOUT: Micros = 1500 * MILLISECOND;
-
-/// How long this call to the state service may take.
+/// How long to wait for the response to an ordinary request to the store.
+const STORE_TIMEOUT: Micros = 1500 * MILLISECOND;
+/// How long to wait for a response of the cloud.
+const CLOUD_TIMEOUT: Micros = 6 * SECOND;
+/// How long to wait for a worker's response to commands.
+const COMMANDS_TIMEOUT: Micros = 1500 * MILLISECOND;
+/// The part of the store's request limit that hedged requests may use: when the store is
+/// slow for all, twice as many requests would make it worse.
+const HEDGED_PART: f64 = 0.05;
+
+/// How long to wait for the response to this request to the store.
 pub fn state_timeout(call: &StoreRequest) -> Micros {
     match call {
-        StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STATE_TIMEOUT,
-        _ => STATE_TIMEOUT,
+        StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STORE_TIMEOUT,
+        _ => STORE_TIMEOUT,
     }
 }
 
-/// What a module may do while it handles an input.
+/// What a module uses while it handles an input: the time, the settings, and the ways to
+/// send requests and answers.
 pub struct Context<'a> {
     pub now: Timestamp,
-    pub config: &'a crate::Config,
-    pub out: &'a mut Vec<Output>,
-    pub calls: &'a mut PendingCalls,
+    pub config: &'a Config,
+    out: &'a mut Vec<Output>,
+    calls: &'a mut PendingCalls,
 }
 
-/// The part of the state service's requests that second calls may take: when it is slow
-/// for all, twice as many would make it worse.
-const SECOND_PART: f64 = 0.05;
-
 #[derive(Debug)]
-struct Waiting {
-    waiter: Continuation,
-    since: Micros,
-    /// The same call made a second time, or the first time.
+struct PendingCall {
+    continuation: Continuation,
+    /// Monotonic time at which the call, or the first of a hedged pair, was sent.
+    sent_at: Micros,
+    /// The other call of a hedged pair.
     twin: Option<CallId>,
 }
 
+/// A call that is repeated if its response is slow.
+#[derive(Debug)]
+struct HedgeCandidate {
+    due_at: Micros,
+    id: CallId,
+    call: StoreRequest,
+}
+
+/// The calls that wait for their responses.
 #[derive(Debug, Default)]
 pub struct PendingCalls {
-    next: u64,
-    waiting: HashMap<CallId, Waiting>,
-    /// Calls that are made a second time if they are slow, in the order of their times.
-    urgent: VecDeque<(Micros, CallId, StoreRequest)>,
-    /// Second calls that may be made now.
-    allowed: TokenBucket,
+    last_id: u64,
+    pending: HashMap<CallId, PendingCall>,
+    /// In the order of `due_at`, since the delay is the same for all.
+    hedge_candidates: VecDeque<HedgeCandidate>,
+    hedge_budget: TokenBucket,
 }
 
 impl PendingCalls {
-    fn open(&mut self, waiter: Continuation, now: Timestamp) -> CallId {
-        self.next += 1;
-        let id = CallId(self.next);
-        let since = now.monotonic;
-        let waiting = Waiting {
-            waiter,
-            since,
+    fn next_id(&mut self) -> CallId {
+        self.last_id += 1;
+        CallId(self.last_id)
+    }
+
+    fn open(&mut self, continuation: Continuation, now: Timestamp) -> CallId {
+        let id = self.next_id();
+        let call = PendingCall {
+            continuation,
+            sent_at: now.monotonic,
             twin: None,
         };
-        self.waiting.insert(id, waiting);
+        self.pending.insert(id, call);
         id
     }
 
-    /// The waiter of an answered call and when the call was made. Whoever waits for two
-    /// is told of the first answer; that one of them has failed is none.
+    /// Removes a call whose response has arrived; returns who waits for it and when it
+    /// was sent. Of a hedged pair the first response counts, unless it is a failure and
+    /// the other may still succeed: then None is returned, as for an unknown call.
     pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
-        let found = self.waiting.remove(&id)?;
-        if let Some(twin) = found.twin {
-            if failed && let Some(other) = self.waiting.get_mut(&twin) {
+        let call = self.pending.remove(&id)?;
+        if let Some(twin) = call.twin {
+            if failed && let Some(other) = self.pending.get_mut(&twin) {
                 other.twin = None;
                 return None;
             }
-            self.waiting.remove(&twin);
+            self.pending.remove(&twin);
         }
-        Some((found.waiter, found.since))
+        Some((call.continuation, call.sent_at))
     }
 
-    /// The calls to be made a second time now.
-    fn slow(&mut self, config: &crate::Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
-        let per_s = config.state_rps * SECOND_PART;
-        self.allowed.grow(now, per_s, per_s.max(1.0));
-        let mut again = Vec::new();
-        while self.urgent.front().is_some_and(|(at, ..)| now >= *at) {
-            let Some((_, id, call)) = self.urgent.pop_front() else {
-                break;
-            };
-            let Some(first) = self
-                .waiting
-                .get_mut(&id)
-                .filter(|_| self.allowed.left >= 1.0)
-            else {
+    /// Opens the second call of each pending call whose response is slow, as far as the
+    /// budget allows; a candidate beyond it is not hedged at all.
+    fn open_hedged(&mut self, config: &Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
+        let per_s = config.state_rps * HEDGED_PART;
+        self.hedge_budget.grow(now, per_s, per_s.max(1.0));
+        let mut opened = Vec::new();
+        while let Some(candidate) = self.hedge_candidates.pop_front_if(|c| now >= c.due_at) {
+            if self.hedge_budget.left < 1.0 || !self.pending.contains_key(&candidate.id) {
                 continue;
+            }
+            self.hedge_budget.left -= 1.0;
+            let twin = self.next_id();
+            self.open_twin(candidate.id, twin);
+            opened.push((twin, candidate.call));
+        }
+        opened
+    }
+
+    fn open_twin(&mut self, first_id: CallId, twin_id: CallId) {
+        if let Some(first) = self.pending.get_mut(&first_id) {
+            first.twin = Some(twin_id);
+            let twin = PendingCall {
+                continuation: first.continuation.clone(),
+                sent_at: first.sent_at,
+                twin: Some(first_id),
             };
-            self.allowed.left -= 1.0;
-            self.next += 1;
-            let twin = CallId(self.next);
-            first.twin = Some(twin);
-            let second = Waiting {
-                waiter: first.waiter.clone(),
-                since: first.since,
-                twin: Some(id),
-            };
-            self.waiting.insert(twin, second);
-            again.push((twin, call));
+            self.pending.insert(twin_id, twin);
         }
-        again
     }
 }
 
-impl Context<'_> {
-    pub fn store_request(&mut self, call: StoreRequest, waiter: Continuation) -> CallId {
+impl<'a> Context<'a> {
+    /// A context for the handling of one input.
+    pub fn new(
+        now: Timestamp,
+        config: &'a Config,
+        out: &'a mut Vec<Output>,
+        calls: &'a mut PendingCalls,
+    ) -> Context<'a> {
+        Context {
+            now,
+            config,
+            out,
+            calls,
+        }
+    }
+
+    /// Sends a request to the store.
+    pub fn store_request(&mut self, call: StoreRequest, continuation: Continuation) -> CallId {
+        let id = self.calls.open(continuation, self.now);
+        self.push_store_request(id, call);
+        id
+    }
+
+    fn push_store_request(&mut self, id: CallId, call: StoreRequest) {
         let timeout = state_timeout(&call);
-        let id = self.calls.open(waiter, self.now);
         self.out.push(Output::Store { id, call, timeout });
-        id
     }
 
-    /// A call that a user waits for, and that does no harm when it is made twice: it is,
-    /// if its answer is slow.
-    pub fn hedged_store_request(&mut self, call: StoreRequest, waiter: Continuation) {
-        let id = self.store_request(call.clone(), waiter);
-        // The state service answers most within 10 ms and some in a few hundred: of two
-        // answers one is rarely slow.
-        let slow = crate::micros(self.config.tuning.again_s);
-        if slow > 0 {
-            let due = self.now.monotonic + slow;
-            self.calls.urgent.push_back((due, id, call));
+    /// Sends a request to the store that a user waits for, and repeats it if its response
+    /// is slow. Only for requests that are idempotent.
+    pub fn hedged_store_request(&mut self, call: StoreRequest, continuation: Continuation) {
+        let id = self.store_request(call.clone(), continuation);
+        // The store answers most requests within 10 ms and some in a few hundred: of two
+        // responses one is rarely slow.
+        let delay = micros(self.config.tuning.again_s);
+        if delay > 0 {
+            let due_at = self.now.monotonic + delay;
+            let candidate = HedgeCandidate { due_at, id, call };
+            self.calls.hedge_candidates.push_back(candidate);
         }
     }
 
-    /// Makes calls whose answers are slow a second time.
+    /// Repeats the hedged requests whose responses are slow; to be called at every tick.
     pub fn send_hedged_requests(&mut self) {
-        for (id, call) in self.calls.slow(self.config, self.now.monotonic) {
-            let timeout = state_timeout(&call);
-            self.out.push(Output::Store { id, call, timeout });
+        for (id, call) in self.calls.open_hedged(self.config, self.now.monotonic) {
+            self.push_store_request(id, call);
         }
     }
 
-    /// The one door to the cloud: without a permit no call goes out.
+    /// Sends a request to the cloud: the only way to it. Without a permit that covers the
+    /// request nothing is sent.
     pub fn cloud_request(
         &mut self,
         call: CloudRequest,
         permit: &CloudPermit,
-        waiter: Continuation,
+        continuation: Continuation,
     ) {
         if !permit.covers(&call) {
-            log::error!("no permit for {call:?}");
+            log::error!(
+                "cloud request without permit dropped request={}",
+                kind(&call)
+            );
             return;
         }
-        let id = self.calls.open(waiter, self.now);
+        let id = self.calls.open(continuation, self.now);
         self.out.push(Output::Cloud {
             id,
             call,
@@ -175,23 +204,35 @@
         });
     }
 
+    /// Sends commands to a worker at this address.
     pub fn send_commands(
         &mut self,
         addr: String,
         orders: CommandBatch,
-        waiter: Continuation,
+        continuation: Continuation,
     ) -> CallId {
-        let id = self.calls.open(waiter, self.now);
+        let id = self.calls.open(continuation, self.now);
         self.out.push(Output::Commands {
             id,
             addr,
             orders,
-            timeout: ORDERS_TIMEOUT,
+            timeout: COMMANDS_TIMEOUT,
         });
         id
     }
 
-    pub fn answer(&mut self, id: crate::RequestId, answer: crate::Answer) {
+    /// Answers an HTTP request.
+    pub fn answer(&mut self, id: RequestId, answer: Answer) {
         self.out.push(Output::Answer { id, answer });
     }
 }
+
+/// The kind of a request to the cloud, for log lines.
+fn kind(call: &CloudRequest) -> &'static str {
+    match call {
+        CloudRequest::Types => "types",
+        CloudRequest::ScaleOut(_) => "scale_out",
+        CloudRequest::Delete(_) => "delete",
+        CloudRequest::List { .. } => "list",
+    }
+}
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -1,63 +1,75 @@
-//! Who waits for an answer from outside, with what is needed to go on.
+//! Who waits for a response from outside, with the state that is needed to continue.
+//!
+//! A request to the outside is stored together with a [`Continuation`] until its response
+//! arrives; the enums in it are the steps of the state machines of [`admission`],
+//! [`election`] and [`leader`].
+//!
+//! [`admission`]: crate::admission
+//! [`election`]: crate::election
+//! [`leader`]: crate::leader
 
 use crate::cloud_queue::CloudRequestKind;
+use crate::messages::{Answer, RequestId};
 use crate::records::OpenJob;
-use crate::{Answer, Micros, RequestId};
+use crate::time::Micros;
 use std::rc::Rc;
 
-/// What to do once a job's record is known.
+/// A user's request that can be answered once the state of its job is known.
 #[derive(Debug, Clone)]
 pub enum PendingRequest {
-    /// Tell its state.
-    Tell(RequestId),
-    /// A submission that cannot be taken, unless the job is known already.
-    Refuse {
-        request: RequestId,
-        answer: Answer,
-    },
-    Cancel {
-        request: RequestId,
-        since: Micros,
-    },
+    /// Report the job's state: a poll, or a submission of a known job.
+    Status(RequestId),
+    /// A submission that must be rejected with this answer, unless the job is known
+    /// already: then it is a repeated submission, and its state is reported.
+    Reject { request: RequestId, answer: Answer },
+    /// Cancel the job. `since` is the monotonic time at which the request came in.
+    Cancel { request: RequestId, since: Micros },
 }
 
 impl PendingRequest {
+    /// The HTTP request that waits.
     pub fn request(&self) -> RequestId {
         match self {
-            PendingRequest::Tell(request)
-            | PendingRequest::Refuse { request, .. }
+            PendingRequest::Status(request)
+            | PendingRequest::Reject { request, .. }
             | PendingRequest::Cancel { request, .. } => *request,
         }
     }
 }
 
-/// Of requests of users.
+/// Which of a job's two records is read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum JobRecordKind {
+    /// The job's description, present until its tasks are gone.
+    Open,
+    /// The job's state: done or cancelled, or open if it was written as such.
+    State,
+}
+
+/// The steps of users' requests.
 #[derive(Debug, Clone)]
 pub enum AdmissionStep {
-    /// Is it open? The answer is for this ask alone: it was sent after that came in.
-    Lookup {
-        id: String,
-        ask: PendingRequest,
-    },
-    /// It is not open: has it ended? For this ask alone as well.
-    Ended {
-        id: String,
-        ask: PendingRequest,
-    },
-    /// A job that a submission waits for: is it open, or has it ended?
-    Name {
-        naming: u64,
-        name: String,
-        mark: bool,
-    },
-    Check {
-        jobs: Vec<String>,
+    /// Reads the open record of a job. Each request has a read of its own, which is sent
+    /// after the request came in.
+    ReadOpenRecord { id: String, pending: PendingRequest },
+    /// Reads the state record of a job without an open record. Also for this request
+    /// alone.
+    ReadStateRecord { id: String, pending: PendingRequest },
+    /// Reads a record of a job that a submission depends on.
+    ReadDependency {
+        submission: u64,
+        dependency: String,
+        record: JobRecordKind,
     },
+    /// Compares the state records of open jobs with what this node knows.
+    VerifyOpen { jobs: Vec<String> },
+    /// Stores a submitted job. `since` is when its submission came in.
     Create {
         request: RequestId,
         job: Rc<OpenJob>,
         since: Micros,
     },
+    /// Stores the cancellation of a job. `since` is when its request came in.
     Cancel {
         id: String,
         request: RequestId,
@@ -65,63 +77,74 @@
     },
 }
 
-/// Of the election and the lease.
+/// The steps of the election.
 #[derive(Debug, Clone)]
 pub enum ElectionStep {
+    /// Reads all shared keys.
     Read,
-    EndOwn,
-    NewLease,
-    /// With the lease, and when that was asked for.
-    Take {
+    /// Revokes a lease of an earlier process of this member.
+    RevokeOwnLease,
+    /// Grants the lease of a candidacy.
+    GrantLease,
+    /// Takes the lead with a lease that was asked for at `granted_at`.
+    Claim {
         lease: u64,
         term: u64,
-        since: Micros,
-    },
-    Extend {
-        lease: u64,
+        granted_at: Micros,
     },
+    /// Renews the leader's lease.
+    Renew { lease: u64 },
+    /// Watches the shared keys.
     Watch,
-    Drop,
+    /// Revokes a lease that is no longer needed; its response decides nothing.
+    Revoke,
 }
 
-/// Of a leader.
+/// The steps of a leader.
 #[derive(Debug, Clone)]
 pub enum LeaderStep {
+    /// Reads a page of the machines' records.
     LoadMachines,
+    /// Reads a page of the open and cancelled jobs.
     LoadQueue,
+    /// Reads a page of the task records.
     LoadTasks,
+    /// Watches the queue of jobs.
     Watch,
+    /// Writes a batch of the write queue.
     WriteQueue,
-    Reread {
-        key: String,
-    },
-    /// The version of the record of the machine types.
+    /// Reads a record that another writer may have changed.
+    Reread { key: String },
+    /// Reads the version of the record of the machine types.
     TypesVersion,
-    Ended {
-        id: Rc<str>,
-    },
-    /// The mark of a job that others wait for.
-    Dependency {
-        id: Rc<str>,
-    },
-    CommandsInFlight {
-        machine: String,
-    },
+    /// Reads the state record of a job whose end may be stored.
+    Ended { id: Rc<str> },
+    /// Reads the state record of a job that others depend on.
+    Dependency { id: Rc<str> },
+    /// Sends commands to a worker.
+    CommandsInFlight { machine: String },
+    /// Sends a request to the cloud.
     Cloud(CloudRequestKind),
 }
 
-/// Who waits for an answer, with what is needed to go on.
+/// Who waits for a response, with the state that is needed to continue.
 #[derive(Debug, Clone)]
 pub enum Continuation {
     Admission(AdmissionStep),
     Election(ElectionStep),
-    Leader { term: u64, step: LeaderStep },
+    /// The leader of this term; ignored if it no longer leads.
+    Leader {
+        term: u64,
+        step: LeaderStep,
+    },
+    /// The response is ignored.
     Nobody,
 }
 
 impl Continuation {
-    /// Whether the call is held until something changes.
-    pub fn watches(&self) -> bool {
+    /// Whether the store holds the call until something changes, so that the time to its
+    /// response says nothing of the store's latency.
+    pub fn is_watch(&self) -> bool {
         matches!(
             self,
             Continuation::Election(ElectionStep::Watch)
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -1,115 +1,222 @@
-//! Who leads, and in which term.
+//! Leader election over the key-value store.
 //!
-//! `s/lead` is bound to the leader's lease and goes with it. `s/term` lasts
-//! and grows with every election; each write of a leader compares its version,
-//! so whatever an earlier leader still has under way fails. The lease only
-//! decides when somebody else tries: safety rests on the term alone.
+//! Two keys decide. `s/lead` names the leader and is bound to its **lease**: when the
+//! lease expires, or is revoked, the key is deleted. `s/term` holds the **term**, which
+//! grows by one with every election and is never deleted. A candidate grants itself a
+//! lease and then, in one compare-and-swap, checks that `s/lead` is absent and that
+//! `s/term` is unchanged, and writes both.
+//!
+//! **Fencing.** Every write of a leader compares the version of `s/term` that its election
+//! wrote, and every command to a worker carries the term as its fencing token. Whatever an
+//! earlier leader still has under way therefore fails, however late it arrives. Safety
+//! rests on the term alone; the lease only decides when another node tries.
+//!
+//! **How a leader is deposed.** It steps down by revoking its lease, so that a successor
+//! does not wait for the expiry, when
+//! - the store says that its lease has expired,
+//! - a higher term is seen: in the store, in a heartbeat of a worker or from a peer,
+//! - its fenced write failed, or the history it watches was compacted,
+//! - no worker reaches it while one may reach a peer, or
+//! - its process was paused for longer than the lease lasts.
+//!
+//! A leader that merely cannot reach the store stays in office, but its
+//! [`LeadershipProof`](crate::leadership_guard::LeadershipProof) ages, and without it
+//! nothing is done that cannot be undone.
+//!
+//! **Timers.** The lease lasts `lead_ttl_s`, or longer while the store is slow
+//! ([`lease_time`]), and is renewed every quarter of `lead_ttl_s`: three renewals may be
+//! lost. The remaining timers are the constants below, each with its reason.
 
-use crate::calls::{CallError, Context};
+use crate::calls::Context;
 use crate::continuations::{Continuation, ElectionStep as Step};
 use crate::records::{self, LeaderRecord, MachineTypesRecord, TermRecord};
 use crate::store_latency::{StoreLatency, lease_time};
-use crate::{MILLISECOND, Micros, SECOND, micros};
+use crate::{CallError, MILLISECOND, Micros, SECOND, micros};
 use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction, WatchEvent};
+use dillcleat_wire::store::{
+    RangePage, StoreRequest, StoreResponse, Transaction, Value, WatchBatch, WatchEvent,
+    decode_value,
+};
 use std::rc::Rc;
 
-const RETRY: Micros = 250 * MILLISECOND;
-/// How long a watch is held. An idle follower hears of the state service by
-/// nothing else: held for 5 s, it once called itself cut off for two of each
-/// five seconds, and the load balancer left all users to one or two busy nodes
-/// (operations, rosterwise-nz-ops).
-const WATCH_MS: u64 = 1_000;
-/// How long a node that no worker reaches leaves an election to a sibling that they
-/// reach. With two of three nodes cut off from the workers these two once led in turn,
-/// each for as long as it took to notice, until all leases had run out.
-const MAKE_WAY: Micros = 600 * MILLISECOND;
-/// The same where it knows of no such sibling: there may be one that it does not hear. A
-/// node cut off from the workers and from its siblings once won two elections by 20 ms.
-const HEAD_START: Micros = 100 * MILLISECOND;
-
-/// A change in who leads, for the node to act upon.
+/// Pause before the shared keys are read again after a failure: short beside the lease,
+/// and long enough not to add to the load of a store in trouble.
+const READ_RETRY_DELAY: Micros = 250 * MILLISECOND;
+/// Least time from the sending of a renewal that failed to the next one. After an outage
+/// of the store the lease has its full time again, so that it is worth asking soon.
+const RENEW_RETRY_DELAY: Micros = 400 * MILLISECOND;
+/// How long the store holds a watch without changes, in milliseconds. An idle follower
+/// has no other sign that it reaches the store: held for 5 s, it once called itself cut
+/// off for two of each five seconds, and the load balancer left all users to one or two
+/// busy nodes (operations, rosterwise-nz-ops).
+const WATCH_HOLD_MS: u64 = 1_000;
+/// How long a node that no worker reaches leaves an election to a peer that they reach.
+/// With two of three nodes cut off from the workers these two once led in turn, each for
+/// as long as it took to notice, until all leases had expired.
+const DELAY_FOR_BETTER_PEER: Micros = 600 * MILLISECOND;
+/// The same where the node knows of no such peer: there may be one that it cannot reach.
+/// A node cut off from the workers and from its peers once won two elections by 20 ms.
+const DELAY_FOR_UNKNOWN_PEER: Micros = 100 * MILLISECOND;
+
+/// A change in whether this node leads, for the node to act upon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipChange {
+    /// This node was elected. `term_version` is the version of the term's record, which
+    /// fences its writes.
     Elected { term: u64, term_version: u64 },
+    /// This node no longer leads.
     Deposed,
 }
 
-/// Who would make a better leader than a node.
+/// Who would make a better leader than this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BetterCandidate {
     /// Workers reach this node.
     Nobody,
-    /// Workers do not reach this node, but may reach a sibling.
+    /// Workers do not reach this node, but may reach a peer.
     Unknown,
-    /// A sibling hears the workers, and this node does not.
-    Sibling,
+    /// Workers reach a peer, and not this node.
+    Peer,
 }
 
+/// What this node does in the election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Nothing is known yet; read at the given time.
-    Reading {
-        at: Micros,
-    },
-    Waiting,
-    /// A call is under way whose answer decides what is next.
-    Busy,
-    Leading {
-        lease: u64,
-        term: u64,
-    },
+    /// The shared keys are unknown or doubtful, and are read at this time.
+    ReadScheduled { at: Micros },
+    /// A call is under way whose response decides the next phase.
+    AwaitingReply,
+    /// The shared keys are known and watched; stands for election when nobody leads.
+    Following,
+    /// Elected, and not deposed since.
+    Leading { lease: u64, term: u64 },
 }
 
+/// This node's part in the election, and its copy of the shared keys.
 #[derive(Debug)]
 pub struct Election {
     phase: Phase,
+    shared: SharedKeys,
+    /// Whether a watch of the shared keys is under way.
     watching: bool,
-    revision: u64,
-    pub lead: Option<LeaderRecord>,
-    term: u64,
-    term_version: u64,
-    pub types: Option<Rc<Vec<MachineType>>>,
-    /// The version of their record.
-    pub types_version: u64,
-    extend_at: Micros,
-    /// Not to be elected before: this node could not reach the workers.
+    /// When the lease is to be renewed next.
+    renew_at: Micros,
+    /// This node does not stand for election before: no worker reached it.
     abstain_until: Micros,
-    /// Who would lead better than this node.
-    pub better: BetterCandidate,
+    better_candidate: BetterCandidate,
     /// Since when nobody leads, as far as is known.
     vacant_since: Option<Micros>,
-    /// The lease with which this node is trying to be elected.
-    taking: Option<u64>,
-    /// When the call was sent by whose answer this node was last proved to lead:
-    /// it made or renewed the lease of the lead.
-    proved: Micros,
-    /// How slow the state service answers this node.
-    pub latency: StoreLatency,
+    /// The lease of the present candidacy.
+    candidate_lease: Option<u64>,
+    /// See [`proved_at`](Self::proved_at).
+    proved_at: Micros,
+    store_latency: StoreLatency,
+}
+
+/// The keys under [`records::SHARED`], as last read or watched.
+#[derive(Debug, Default)]
+struct SharedKeys {
+    /// The store's revision up to which they are known.
+    revision: u64,
+    leader: Option<LeaderRecord>,
+    /// The highest term seen.
+    term: u64,
+    term_version: u64,
+    machine_types: Option<Rc<Vec<MachineType>>>,
+    machine_types_version: u64,
+}
+
+impl SharedKeys {
+    /// Replaces everything that a full read contains.
+    fn apply_read(&mut self, page: &RangePage) {
+        self.revision = page.revision;
+        self.leader = None;
+        for row in &page.rows {
+            match row.key.as_str() {
+                records::LEAD => self.leader = row.decode_value(),
+                records::TERM => {
+                    if let Some(record) = row.decode_value::<TermRecord>() {
+                        (self.term, self.term_version) = (record.term, row.version);
+                    }
+                }
+                records::TYPES => {
+                    self.machine_types = row
+                        .decode_value::<MachineTypesRecord>()
+                        .map(|record| Rc::new(record.types));
+                    self.machine_types_version = row.version;
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Applies what has changed since the known revision.
+    fn apply_changes(&mut self, changes: WatchBatch) {
+        // The watch's connection may have been slow, and all keys been read meanwhile:
+        // what is older than that read was once taken for news, and a leader whose key had
+        // been deleted before for the present one, of whom nothing is heard any more.
+        let known = self.revision;
+        self.revision = known.max(changes.revision);
+        for event in changes.events {
+            match event {
+                WatchEvent::Put {
+                    key,
+                    value,
+                    version,
+                } if version > known => self.apply_put(&key, &value, version),
+                WatchEvent::Delete { key, version } if version > known => {
+                    if key == records::LEAD {
+                        self.leader = None;
+                    }
+                }
+                WatchEvent::Put { .. } | WatchEvent::Delete { .. } => {}
+            }
+        }
+    }
+
+    fn apply_put(&mut self, key: &str, value: &Value, version: u64) {
+        match key {
+            records::LEAD => self.leader = decode_value(value),
+            records::TERM => {
+                if let Some(record) = decode_value::<TermRecord>(value)
+                    && version > self.term_version
+                {
+                    (self.term, self.term_version) = (record.term, version);
+                }
+            }
+            records::TYPES => {
+                if let Some(record) = decode_value::<MachineTypesRecord>(value) {
+                    self.machine_types = Some(Rc::new(record.types));
+                }
+                self.machine_types_version = version;
+            }
+            _ => {}
+        }
+    }
 }
 
 impl Election {
+    /// How long a leader that no worker reaches abstains after it has stepped down: long
+    /// enough for a peer to be elected; if none is, better this one.
+    pub const ABSTAIN: Micros = 3 * SECOND;
+
+    /// A node that has just started, and reads the shared keys at its first tick.
     pub fn new() -> Self {
         Election {
-            phase: Phase::Reading { at: 0 },
+            phase: Phase::ReadScheduled { at: 0 },
+            shared: SharedKeys::default(),
             watching: false,
-            revision: 0,
-            lead: None,
-            term: 0,
-            term_version: 0,
-            types: None,
-            types_version: 0,
-            extend_at: 0,
+            renew_at: 0,
             abstain_until: 0,
-            better: BetterCandidate::Nobody,
+            better_candidate: BetterCandidate::Nobody,
             vacant_since: None,
-            taking: None,
-            proved: 0,
-            latency: StoreLatency::default(),
+            candidate_lease: None,
+            proved_at: 0,
+            store_latency: StoreLatency::default(),
         }
     }
 
-    /// The term in which this node leads.
+    /// The term in which this node leads, if it does.
     pub fn leading(&self) -> Option<u64> {
         match self.phase {
             Phase::Leading { term, .. } => Some(term),
@@ -117,323 +224,383 @@
         }
     }
 
-    fn leads_by(&self, lease: u64) -> bool {
+    fn leads_with_lease(&self, lease: u64) -> bool {
         matches!(self.phase, Phase::Leading { lease: own, .. } if own == lease)
     }
 
-    /// When the call was sent by whose answer this node was last proved to lead.
-    pub fn proved(&self) -> Micros {
-        self.proved
+    /// When the latest call was sent whose response proved that this node leads: the one
+    /// that made or renewed the leader's lease.
+    pub fn proved_at(&self) -> Micros {
+        self.proved_at
     }
 
-    /// The highest term seen.
+    /// The highest term seen in the store.
     pub fn term(&self) -> u64 {
-        self.term
+        self.shared.term
+    }
+
+    /// The leader according to the store.
+    pub fn known_leader(&self) -> Option<&LeaderRecord> {
+        self.shared.leader.as_ref()
     }
 
+    /// The machine types that the cloud offers; None until they were read.
+    pub fn machine_types(&self) -> Option<&[MachineType]> {
+        self.shared.machine_types.as_deref().map(Vec::as_slice)
+    }
+
+    /// The same as [`machine_types`](Self::machine_types), to be kept.
+    pub fn shared_machine_types(&self) -> Option<Rc<Vec<MachineType>>> {
+        self.shared.machine_types.clone()
+    }
+
+    /// The version of the record of the machine types; 0 if there is none.
+    pub fn machine_types_version(&self) -> u64 {
+        self.shared.machine_types_version
+    }
+
+    /// This node's leader has stored new machine types.
+    pub fn set_machine_types(&mut self, types: Rc<Vec<MachineType>>) {
+        self.shared.machine_types = Some(types);
+    }
+
+    /// Says who would make a better leader; to be called before each tick.
+    pub fn set_better_candidate(&mut self, better_candidate: BetterCandidate) {
+        self.better_candidate = better_candidate;
+    }
+
+    /// Records how long a response of the store took; a slow store gets longer leases.
+    pub fn record_store_latency(&mut self, latency: Micros, now: Micros) {
+        self.store_latency.answered(latency, now);
+    }
+
+    /// Starts whatever is due: a read, a candidacy, a renewal, a watch.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         match self.phase {
-            Phase::Reading { at } if now >= at => {
-                self.phase = Phase::Busy;
-                let call = StoreRequest::List {
-                    prefix: records::SHARED.into(),
-                    after: None,
-                };
-                ctx.store_request(call, Continuation::Election(Step::Read));
-            }
-            Phase::Waiting => self.consider(ctx),
-            Phase::Leading { lease, .. } if now >= self.extend_at => {
-                self.extend_at = now + micros(ctx.config.tuning.lead_ttl_s) / 4;
-                let waiter = Continuation::Election(Step::Extend { lease });
-                ctx.store_request(StoreRequest::RenewLease { lease }, waiter);
-            }
+            Phase::ReadScheduled { at } if now >= at => self.read_shared_keys(ctx),
+            Phase::Following => self.stand_for_election_if_vacant(ctx),
+            Phase::Leading { lease, .. } if now >= self.renew_at => self.renew_lease(ctx, lease),
             _ => {}
         }
-        if !self.watching && matches!(self.phase, Phase::Waiting | Phase::Leading { .. }) {
-            self.watching = true;
-            let call = StoreRequest::Watch {
-                prefix: records::SHARED.into(),
-                after: self.revision,
-                hold_ms: WATCH_MS,
-            };
-            ctx.store_request(call, Continuation::Election(Step::Watch));
+        if !self.watching && matches!(self.phase, Phase::Following | Phase::Leading { .. }) {
+            self.watch_shared_keys(ctx);
         }
     }
 
-    /// Tries to be elected if nobody leads.
-    fn consider(&mut self, ctx: &mut Context) {
+    fn read_shared_keys(&mut self, ctx: &mut Context) {
+        self.phase = Phase::AwaitingReply;
+        let call = StoreRequest::List {
+            prefix: records::SHARED.into(),
+            after: None,
+        };
+        ctx.store_request(call, Continuation::Election(Step::Read));
+    }
+
+    fn watch_shared_keys(&mut self, ctx: &mut Context) {
+        self.watching = true;
+        let call = StoreRequest::Watch {
+            prefix: records::SHARED.into(),
+            after: self.shared.revision,
+            hold_ms: WATCH_HOLD_MS,
+        };
+        ctx.store_request(call, Continuation::Election(Step::Watch));
+    }
+
+    fn renew_lease(&mut self, ctx: &mut Context, lease: u64) {
+        self.schedule_renewal(ctx);
+        let call = StoreRequest::RenewLease { lease };
+        ctx.store_request(call, Continuation::Election(Step::Renew { lease }));
+    }
+
+    fn schedule_renewal(&mut self, ctx: &Context) {
+        self.renew_at = ctx.now.monotonic + micros(ctx.config.tuning.lead_ttl_s) / 4;
+    }
+
+    fn revoke_lease(ctx: &mut Context, lease: u64) {
+        let call = StoreRequest::RevokeLease { lease };
+        ctx.store_request(call, Continuation::Election(Step::Revoke));
+    }
+
+    /// First step of a candidacy: grants a lease if nobody leads and this node need not
+    /// leave the election to a peer.
+    fn stand_for_election_if_vacant(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if self.lead.is_some() {
+        if self.shared.leader.is_some() {
             self.vacant_since = None;
             return;
         }
-        let since = *self.vacant_since.get_or_insert(now);
-        let pause = match self.better {
-            BetterCandidate::Sibling => MAKE_WAY,
-            // Before the first term there are no workers to be heard.
-            BetterCandidate::Unknown if self.term > 0 => HEAD_START,
+        let vacant_since = *self.vacant_since.get_or_insert(now);
+        let delay = match self.better_candidate {
+            BetterCandidate::Peer => DELAY_FOR_BETTER_PEER,
+            // Before the first term there are no workers that could be heard.
+            BetterCandidate::Unknown if self.shared.term > 0 => DELAY_FOR_UNKNOWN_PEER,
             BetterCandidate::Unknown | BetterCandidate::Nobody => 0,
         };
-        if now < self.abstain_until || now < since + pause {
+        if now < self.abstain_until || now < vacant_since + delay {
             return;
         }
-        self.phase = Phase::Busy;
-        let ttl_ms = lease_time(ctx.config, self.latency.recent(now)) / 1000;
-        ctx.store_request(
-            StoreRequest::GrantLease { ttl_ms },
-            Continuation::Election(Step::NewLease),
-        );
+        self.phase = Phase::AwaitingReply;
+        let ttl_ms = lease_time(ctx.config, self.store_latency.recent(now)) / 1000;
+        let call = StoreRequest::GrantLease { ttl_ms };
+        ctx.store_request(call, Continuation::Election(Step::GrantLease));
+    }
+
+    /// Second step of a candidacy: takes the lead by compare-and-swap. The lease was
+    /// asked for at `granted_at`.
+    fn claim_lead(&mut self, ctx: &mut Context, lease: u64, granted_at: Micros) {
+        let term = self.shared.term + 1;
+        let leader = LeaderRecord {
+            member: ctx.config.member.clone(),
+            lease,
+            term,
+        };
+        let txn = Transaction::default()
+            .compare(records::LEAD, 0)
+            .compare(records::TERM, self.shared.term_version)
+            .put(records::TERM, &TermRecord { term })
+            .put_leased(records::LEAD, &leader, lease);
+        self.candidate_lease = Some(lease);
+        let step = Step::Claim {
+            lease,
+            term,
+            granted_at,
+        };
+        ctx.store_request(StoreRequest::Transaction(txn), Continuation::Election(step));
+    }
+
+    /// The candidacy has succeeded.
+    fn become_leader(
+        &mut self,
+        ctx: &Context,
+        lease: u64,
+        term: u64,
+        granted_at: Micros,
+        term_version: u64,
+    ) -> LeadershipChange {
+        self.phase = Phase::Leading { lease, term };
+        // When nobody leads again, that is a vacancy of its own.
+        self.vacant_since = None;
+        self.proved_at = granted_at;
+        self.shared.term = term;
+        self.shared.term_version = term_version;
+        self.shared.leader = Some(LeaderRecord {
+            member: ctx.config.member.clone(),
+            lease,
+            term,
+        });
+        self.schedule_renewal(ctx);
+        log::info!("elected leader term={term}");
+        LeadershipChange::Elected { term, term_version }
+    }
+
+    /// The candidacy has failed, or its outcome is unknown. Revoking the lease settles
+    /// it, since a key cannot be set with a lease that has ended.
+    fn abandon_candidacy(&mut self, ctx: &mut Context, lease: u64, term: u64, outcome: &str) {
+        log::info!("not elected term={term} reason={outcome}");
+        Self::revoke_lease(ctx, lease);
+        self.schedule_read(ctx, READ_RETRY_DELAY);
     }
 
-    /// Gives the lead up and lets go of the lease, so that another can follow
-    /// at once. `abstain` keeps this node out of the next elections.
+    /// Gives up the lead and revokes the lease, so that another node can follow at once.
+    /// `abstain` keeps this node out of the next elections for so long. Returns None if
+    /// this node does not lead.
     pub fn step_down(
         &mut self,
         ctx: &mut Context,
-        why: &str,
+        reason: &str,
         abstain: Micros,
     ) -> Option<LeadershipChange> {
         let Phase::Leading { lease, term } = self.phase else {
             return None;
         };
-        log::info!("stepping down from term {term}: {why}");
+        log::info!("stepping down term={term} reason={reason}");
         self.abstain_until = ctx.now.monotonic + abstain;
-        self.reread(ctx, RETRY);
-        ctx.store_request(
-            StoreRequest::RevokeLease { lease },
-            Continuation::Election(Step::Drop),
-        );
+        self.schedule_read(ctx, READ_RETRY_DELAY);
+        Self::revoke_lease(ctx, lease);
         Some(LeadershipChange::Deposed)
     }
 
-    /// This node was not running for longer than a lease lasts: all that it
-    /// believes of the lead is old.
-    pub fn woke(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
+    /// This node was not running for longer than a lease lasts: all that it believes of
+    /// the lead is out of date.
+    pub fn resume_after_pause(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
         if self.leading().is_some() {
             return self.step_down(ctx, "it was not running", 0);
         }
-        self.taking = None;
-        self.reread(ctx, 0);
+        self.candidate_lease = None;
+        self.schedule_read(ctx, 0);
         None
     }
 
-    fn reread(&mut self, ctx: &Context, pause: Micros) {
-        self.phase = Phase::Reading {
-            at: ctx.now.monotonic + pause,
+    /// Someone has shown this term: a leader in a lower one is deposed.
+    pub fn observe_term(&mut self, ctx: &mut Context, term: u64) -> Option<LeadershipChange> {
+        match self.phase {
+            Phase::Leading { term: own, .. } if term > own => {
+                self.step_down(ctx, "a higher term was shown", 0)
+            }
+            _ => None,
+        }
+    }
+
+    fn schedule_read(&mut self, ctx: &Context, delay: Micros) {
+        self.phase = Phase::ReadScheduled {
+            at: ctx.now.monotonic + delay,
         };
     }
 
+    /// Handles the response to the call of a step, which was sent at `sent_at`.
     pub fn reply(
         &mut self,
         ctx: &mut Context,
         step: Step,
-        sent: Micros,
+        sent_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
-        match (step, reply) {
-            (Step::Read, Ok(StoreResponse::RangePage(page))) => {
-                self.revision = page.revision;
-                self.lead = None;
-                for row in &page.rows {
-                    match row.key.as_str() {
-                        records::LEAD => self.lead = row.decode_value(),
-                        records::TERM => {
-                            if let Some(t) = row.decode_value::<TermRecord>() {
-                                (self.term, self.term_version) = (t.term, row.version);
-                            }
-                        }
-                        records::TYPES => {
-                            self.types = row
-                                .decode_value::<MachineTypesRecord>()
-                                .map(|t| Rc::new(t.types));
-                            self.types_version = row.version;
-                        }
-                        _ => {}
-                    }
-                }
-                match &self.lead {
-                    // Left over from before this process started: nobody acts
-                    // on it any more, so nobody has to wait for it either.
-                    Some(lead) if lead.member == ctx.config.member => {
-                        let lease = lead.lease;
-                        log::info!("ending this member's earlier lease {lease}");
-                        self.phase = Phase::Busy;
-                        ctx.store_request(
-                            StoreRequest::RevokeLease { lease },
-                            Continuation::Election(Step::EndOwn),
-                        );
-                    }
-                    _ => {
-                        self.phase = Phase::Waiting;
-                        self.consider(ctx);
-                    }
-                }
-                None
-            }
-            (Step::EndOwn, Ok(StoreResponse::LeaseRenewed | StoreResponse::LeaseExpired)) => {
-                self.reread(ctx, 0);
-                None
-            }
-            // Asked before this node stopped running; it reads anew.
-            (Step::NewLease | Step::Read | Step::EndOwn, _) if self.phase != Phase::Busy => None,
-            (Step::NewLease, Ok(StoreResponse::Lease { lease })) => {
-                let term = self.term + 1;
-                let lead = LeaderRecord {
-                    member: ctx.config.member.clone(),
-                    lease,
-                    term,
-                };
-                let txn = Transaction::default()
-                    .compare(records::LEAD, 0)
-                    .compare(records::TERM, self.term_version)
-                    .put(records::TERM, &TermRecord { term })
-                    .put_leased(records::LEAD, &lead, lease);
-                self.taking = Some(lease);
-                let since = sent;
-                ctx.store_request(
-                    StoreRequest::Transaction(txn),
-                    Continuation::Election(Step::Take { lease, term, since }),
-                );
-                None
-            }
-            (Step::Take { lease, term, since }, Ok(StoreResponse::Committed { revision }))
-                if self.taking == Some(lease) =>
-            {
-                self.phase = Phase::Leading { lease, term };
-                // When nobody leads again, that is a vacancy of its own.
-                self.vacant_since = None;
-                self.proved = since;
-                self.term = term;
-                self.term_version = revision;
-                self.lead = Some(LeaderRecord {
-                    member: ctx.config.member.clone(),
-                    lease,
-                    term,
-                });
-                self.extend_at = ctx.now.monotonic + micros(ctx.config.tuning.lead_ttl_s) / 4;
-                log::info!("leading in term {term}");
-                Some(LeadershipChange::Elected {
-                    term,
-                    term_version: revision,
-                })
+        match step {
+            Step::Read => self.handle_read(ctx, reply),
+            Step::RevokeOwnLease => self.handle_own_lease_revoked(ctx, reply),
+            Step::GrantLease => self.handle_lease_granted(ctx, sent_at, reply),
+            Step::Claim {
+                lease,
+                term,
+                granted_at,
+            } => return self.handle_claim(ctx, lease, term, granted_at, reply),
+            Step::Renew { lease } => return self.handle_renewal(ctx, lease, sent_at, reply),
+            Step::Watch => {
+                self.watching = false;
+                return self.handle_watch(ctx, reply);
             }
-            (Step::Take { lease, .. }, reply) => {
-                // Lost the race, or unknown: a lease that is let go settles
-                // it, since the key cannot be set with an ended lease.
-                log::info!("not elected: {reply:?}");
+            Step::Revoke => {}
+        }
+        None
+    }
+
+    fn handle_read(&mut self, ctx: &mut Context, reply: Result<StoreResponse, CallError>) {
+        let Ok(StoreResponse::RangePage(page)) = reply else {
+            return self.retry_read(ctx);
+        };
+        self.shared.apply_read(&page);
+        match &self.shared.leader {
+            // Left over from before this process started: nobody acts on it any more, so
+            // nobody has to wait for it to expire.
+            Some(leader) if leader.member == ctx.config.member => {
+                let lease = leader.lease;
+                log::info!("revoking earlier lease of this member lease={lease}");
+                self.phase = Phase::AwaitingReply;
                 ctx.store_request(
                     StoreRequest::RevokeLease { lease },
-                    Continuation::Election(Step::Drop),
+                    Continuation::Election(Step::RevokeOwnLease),
                 );
-                self.reread(ctx, RETRY);
-                None
             }
-            (Step::Read | Step::EndOwn | Step::NewLease, _) => {
-                self.reread(ctx, RETRY);
-                None
+            _ => {
+                self.phase = Phase::Following;
+                self.stand_for_election_if_vacant(ctx);
             }
-            // Of a term before: this node was elected again meanwhile.
-            (Step::Extend { lease }, _) if !self.leads_by(lease) => None,
-            (Step::Extend { .. }, Ok(StoreResponse::LeaseExpired)) => {
-                self.step_down(ctx, "the lease has ended", 0)
+        }
+    }
+
+    fn handle_own_lease_revoked(&mut self, ctx: &Context, reply: Result<StoreResponse, CallError>) {
+        match reply {
+            Ok(StoreResponse::LeaseRenewed | StoreResponse::LeaseExpired) => {
+                self.schedule_read(ctx, 0);
             }
-            (Step::Extend { .. }, Ok(StoreResponse::LeaseRenewed)) => {
-                self.proved = self.proved.max(sent);
-                None
+            _ => self.retry_read(ctx),
+        }
+    }
+
+    fn handle_lease_granted(
+        &mut self,
+        ctx: &mut Context,
+        sent_at: Micros,
+        reply: Result<StoreResponse, CallError>,
+    ) {
+        match reply {
+            // Asked for before the process was paused; the keys are read anew.
+            _ if self.phase != Phase::AwaitingReply => {}
+            Ok(StoreResponse::Lease { lease }) => self.claim_lead(ctx, lease, sent_at),
+            _ => self.retry_read(ctx),
+        }
+    }
+
+    /// Reads again after a failure, unless the process was paused since the call was
+    /// sent: then a read is scheduled already.
+    fn retry_read(&mut self, ctx: &Context) {
+        if self.phase == Phase::AwaitingReply {
+            self.schedule_read(ctx, READ_RETRY_DELAY);
+        }
+    }
+
+    fn handle_claim(
+        &mut self,
+        ctx: &mut Context,
+        lease: u64,
+        term: u64,
+        granted_at: Micros,
+        reply: Result<StoreResponse, CallError>,
+    ) -> Option<LeadershipChange> {
+        let outcome = match reply {
+            Ok(StoreResponse::Committed { revision }) if self.candidate_lease == Some(lease) => {
+                return Some(self.become_leader(ctx, lease, term, granted_at, revision));
             }
-            (
-                Step::Extend { .. },
-                Err(_) | Ok(StoreResponse::RateLimited | StoreResponse::Unavailable),
-            ) => {
-                // Try again soon: after an outage the lease has its full time.
-                self.extend_at = self.extend_at.min(sent + micros(0.4).max(RETRY));
+            Ok(StoreResponse::Committed { .. }) => "the candidacy was given up",
+            Ok(StoreResponse::Conflict { .. }) => "another node was first",
+            Ok(StoreResponse::LeaseExpired) => "the lease has ended",
+            Ok(StoreResponse::RateLimited) => "the store limits requests",
+            Ok(StoreResponse::Unavailable) => "the store is unavailable",
+            Ok(_) => "unexpected response of the store",
+            Err(CallError::NotSent) => "not sent",
+            Err(CallError::NoAnswer) => "no answer",
+        };
+        self.abandon_candidacy(ctx, lease, term, outcome);
+        None
+    }
+
+    fn handle_renewal(
+        &mut self,
+        ctx: &mut Context,
+        lease: u64,
+        sent_at: Micros,
+        reply: Result<StoreResponse, CallError>,
+    ) -> Option<LeadershipChange> {
+        if !self.leads_with_lease(lease) {
+            // Of an earlier term: this node was elected again meanwhile.
+            return None;
+        }
+        match reply {
+            Ok(StoreResponse::LeaseExpired) => self.step_down(ctx, "the lease has ended", 0),
+            Ok(StoreResponse::LeaseRenewed) => {
+                self.proved_at = self.proved_at.max(sent_at);
                 None
             }
-            (Step::Extend { .. } | Step::Drop, _) => None,
-            (Step::Watch, reply) => {
-                self.watching = false;
-                self.watched(ctx, reply)
+            Err(_) | Ok(StoreResponse::RateLimited | StoreResponse::Unavailable) => {
+                self.renew_at = self.renew_at.min(sent_at + RENEW_RETRY_DELAY);
+                None
             }
+            Ok(_) => None,
         }
     }
 
-    fn watched(
+    fn handle_watch(
         &mut self,
         ctx: &mut Context,
         reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
         let Ok(StoreResponse::WatchBatch(changes)) = reply else {
-            if self.phase == Phase::Waiting {
-                self.reread(ctx, RETRY);
+            if self.phase == Phase::Following {
+                self.schedule_read(ctx, READ_RETRY_DELAY);
             } else if matches!(reply, Ok(StoreResponse::Compacted)) {
                 return self.step_down(ctx, "lost sight of the state", 0);
             }
             return None;
         };
-        // Its connection may have been slow, and all keys been read meanwhile: what is
-        // older than that read was once taken for news, and a leader whose key had gone
-        // before for the present one, of whom nothing is heard any more.
-        let seen = self.revision;
-        self.revision = seen.max(changes.revision);
-        let mut change = None;
-        let new = |event: &WatchEvent| match event {
-            WatchEvent::Put { version, .. } | WatchEvent::Delete { version, .. } => *version > seen,
-        };
-        for event in changes.events.into_iter().filter(new) {
-            match event {
-                WatchEvent::Put {
-                    key,
-                    value,
-                    version,
-                } => match key.as_str() {
-                    records::LEAD => self.lead = dillcleat_wire::store::decode_value(&value),
-                    records::TERM => {
-                        if let Some(t) = dillcleat_wire::store::decode_value::<TermRecord>(&value)
-                            && version > self.term_version
-                        {
-                            (self.term, self.term_version) = (t.term, version);
-                        }
-                    }
-                    records::TYPES => {
-                        if let Some(t) =
-                            dillcleat_wire::store::decode_value::<MachineTypesRecord>(&value)
-                        {
-                            self.types = Some(Rc::new(t.types));
-                        }
-                        self.types_version = version;
-                    }
-                    _ => {}
-                },
-                WatchEvent::Delete { key, .. } if key == records::LEAD => self.lead = None,
-                WatchEvent::Delete { .. } => {}
-            }
-        }
-        if let Phase::Leading { term, .. } = self.phase
-            && self.term > term
-        {
-            change = self.step_down(ctx, "a later term has begun", 0);
-        }
-        change
-    }
-
-    /// This node's leader has new machine types, stored already.
-    pub fn set_types(&mut self, types: Rc<Vec<MachineType>>) {
-        self.types = Some(types);
-    }
-
-    /// Somebody has shown a higher term than the one this node leads in.
-    pub fn outdated(&mut self, ctx: &mut Context, term: u64) -> Option<LeadershipChange> {
+        self.shared.apply_changes(changes);
         match self.phase {
-            Phase::Leading { term: own, .. } if term > own => {
-                self.step_down(ctx, "a higher term was shown", 0)
+            Phase::Leading { term, .. } if self.shared.term > term => {
+                self.step_down(ctx, "a later term has begun", 0)
             }
             _ => None,
         }
     }
-
-    /// Long enough for a sibling to be elected; if none is, better this one.
-    pub const ABSTAIN: Micros = 3 * SECOND;
 }
 
 impl Default for Election {
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -1,90 +1,117 @@
-//! What a node has seen of jobs' records.
+//! What this node has seen of jobs' records.
 
-use crate::Config;
+use crate::config::Config;
 use crate::records::{JobStateRecord, OpenJob, RecordedState};
 use dillcleat_wire::store::KeyValue;
 use dillcleat_wire::user::JobKind;
 use std::collections::{HashMap, VecDeque};
 
+/// Memory that an entry takes, in bytes: its id twice, the record, and the containers.
+const ENTRY_BYTES: f64 = 200.0;
+/// The part of the node's memory that the cache may take.
+const MEMORY_PART: f64 = 1.0 / 8.0;
+
+/// What a read or write of a job's records has shown.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KnownJob {
-    pub mark: JobStateRecord,
-    /// Of an open job's mark; 0 if it has none.
+    pub record: JobStateRecord,
+    /// The version of an open job's state record; 0 if it has none.
     pub version: u64,
-    /// It is open, and a service.
-    pub service: bool,
+    /// Whether it is an open service, which is never done.
+    pub is_service: bool,
 }
 
 impl KnownJob {
-    /// As its description tells of it.
-    pub fn open(job: &OpenJob, row: &KeyValue) -> KnownJob {
+    /// An open job without a state record.
+    pub fn newly_open(job: &OpenJob) -> KnownJob {
         KnownJob {
-            mark: JobStateRecord {
+            record: JobStateRecord {
                 state: RecordedState::Open,
                 task_count: job.spec.tasks,
             },
+            version: 0,
+            is_service: job.spec.kind == JobKind::Service,
+        }
+    }
+
+    /// A job whose open record was read from this row.
+    pub fn from_open_row(job: &OpenJob, row: &KeyValue) -> KnownJob {
+        KnownJob {
             version: job.mark_version(row.version),
-            service: job.spec.kind == JobKind::Service,
+            ..KnownJob::newly_open(job)
         }
     }
 
-    /// As its mark tells of it, of this version.
-    pub fn marked(mark: JobStateRecord, version: u64) -> KnownJob {
+    /// A job whose state record was read.
+    pub fn from_state_record(record: JobStateRecord, version: u64) -> KnownJob {
         KnownJob {
-            mark,
+            record,
             version,
-            service: false,
+            is_service: false,
         }
     }
 
-    /// Its end is in the store.
-    pub fn ended(mark: JobStateRecord) -> KnownJob {
-        KnownJob::marked(mark, 0)
+    /// A job whose end is in the store.
+    pub fn ended(record: JobStateRecord) -> KnownJob {
+        KnownJob::from_state_record(record, 0)
+    }
+
+    /// Whether the job is neither done nor cancelled, as far as was seen.
+    pub fn is_open(&self) -> bool {
+        self.record.state == RecordedState::Open
     }
 }
 
-/// Jobs whose record this node has seen. Bounded; the oldest are forgotten
-/// first and simply read again when somebody asks.
+/// Jobs whose records this node has seen. Bounded: the oldest are forgotten first, and
+/// are read again when somebody asks.
+///
+/// Not one of the usual LRU caches: an ended job must never be replaced by an open one,
+/// and the order is that of the first sight, so that a read costs no bookkeeping.
 #[derive(Debug)]
 pub(crate) struct JobCache {
     jobs: HashMap<String, KnownJob>,
-    /// In the order in which they are forgotten.
-    order: VecDeque<String>,
-    limit: usize,
+    /// Oldest first.
+    insertion_order: VecDeque<String>,
+    capacity: usize,
 }
 
 impl JobCache {
-    /// An entry takes some 200 bytes: at most an eighth of the memory.
+    /// An empty cache, bounded by a part of the node's memory.
     pub fn new(config: &Config) -> JobCache {
         JobCache {
             jobs: HashMap::new(),
-            order: VecDeque::new(),
-            limit: (config.memory_mb * 1e6 / 8.0 / 200.0) as usize,
+            insertion_order: VecDeque::new(),
+            capacity: (config.memory_mb * 1e6 * MEMORY_PART / ENTRY_BYTES) as usize,
         }
     }
 
+    /// What is known of the job.
     pub fn get(&self, id: &str) -> Option<KnownJob> {
         self.jobs.get(id).copied()
     }
 
-    /// How the job ended, if that was seen.
-    pub fn end(&self, id: &str) -> Option<KnownJob> {
-        self.get(id)
-            .filter(|known| known.mark.state != RecordedState::Open)
+    /// What is known of the job, if it has ended.
+    pub fn get_ended(&self, id: &str) -> Option<KnownJob> {
+        self.get(id).filter(|known| !known.is_open())
     }
 
-    pub fn put(&mut self, id: &str, known: KnownJob) {
-        if let Some(old) = self.jobs.get_mut(id) {
-            // An ended job stays ended, whatever a late answer says.
-            if old.mark.state == RecordedState::Open {
-                *old = known;
+    /// Stores what was seen of a job. An ended job stays ended, whatever a late response
+    /// says.
+    pub fn insert(&mut self, id: &str, seen: KnownJob) {
+        if let Some(known) = self.jobs.get_mut(id) {
+            if known.is_open() {
+                *known = seen;
             }
             return;
         }
-        self.jobs.insert(id.to_string(), known);
-        self.order.push_back(id.to_string());
-        while self.order.len() > self.limit {
-            if let Some(oldest) = self.order.pop_front() {
+        self.jobs.insert(id.to_string(), seen);
+        self.insertion_order.push_back(id.to_string());
+        self.evict_oldest();
+    }
+
+    fn evict_oldest(&mut self) {
+        while self.insertion_order.len() > self.capacity {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.jobs.remove(&oldest);
             }
         }
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -234,7 +234,9 @@
         if !self.has_recent_read(ctx) {
             return m.cancelled().chain(self.orphan_stops(m)).collect();
         }
-        let lasting = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
+        let lasting = self
+            .leadership_proof
+            .is_recent(ctx.config, ctx.now.monotonic);
         let mut commands = m.commands(lasting, |task, attempt| self.is_end_stored(task, attempt));
         commands.retain(|c| !matches!(c, Command::Stop { task, .. } if self.stays(task)));
         commands
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -34,7 +34,7 @@
 use self::task_ranges::TaskRanges;
 use self::unknown_jobs::UnknownJob;
 use self::zone_partition::ZonePartitions;
-use crate::calls::{CallError, Context};
+use crate::calls::Context;
 use crate::cloud_queue::{CloudQueue, CloudRequestKind, PendingScaleOut};
 use crate::continuations::{Continuation, LeaderStep as Step};
 use crate::dependency_graph::DependencyGraph;
@@ -54,7 +54,8 @@
 use crate::slab::Slab;
 use crate::write_queue::{PendingWrite, WriteBatch, WriteQueue, WriteRate};
 use crate::{
-    Answer, CallId, Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros, seconds,
+    Answer, CallError, CallId, Config, MILLISECOND, Micros, SECOND, SchedulerCounters, micros,
+    seconds,
 };
 use dillcleat_peer_protocol::JobProgress;
 use dillcleat_sched::to_millionths;
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -121,7 +121,7 @@
     /// Such a leader may reach the state service all the same, and so prove that it
     /// leads. To believe what it does not hear would be the end of every other zone.
     pub(super) fn doubts(&self, config: &Config) -> bool {
-        if !self.leadership_proof.apart {
+        if !self.leadership_proof.isolated {
             return false;
         }
         let far = |zone: &str| *zone != *config.zone;
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -6,8 +6,8 @@
 //! end. Silence proves nothing.
 
 use crate::failure_attribution::MachineStrikes;
-use crate::node::WORKER_PATIENCE;
 use crate::sched::{Images, Resources, SlabIndex};
+use crate::time::WORKER_FAILOVER_TIMEOUT;
 use crate::{CallId, Micros, micros};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec};
@@ -15,8 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The job and number of a placed task.
-pub type TaskKey = (Rc<str>, u32);
+pub use crate::task_key::TaskKey;
 
 #[derive(Debug, Clone)]
 pub struct TaskSlot {
@@ -274,7 +273,7 @@
     ) -> bool {
         let last = std::mem::replace(&mut self.reported_at, now);
         let late = now >= last + missing;
-        let answered = |since| last >= since && now < last + WORKER_PATIENCE;
+        let answered = |since| last >= since && now < last + WORKER_FAILOVER_TIMEOUT;
         match self.unresponsive_since {
             Some(_) if new => self.unresponsive_since = Some(now),
             Some(since) if answered(since) || now >= since + heard_by => {
--- /dev/null
+++ b/crates/controller/src/node/peer_messages.rs
@@ -0,0 +1,132 @@
+//! Messages among controllers: what this node broadcasts, and what it takes from others.
+//!
+//! They travel outside the store and prove nothing: they only make a node quicker, never
+//! allow it to act.
+
+use super::Node;
+use crate::calls::Context;
+use crate::peers::PeerStatus;
+use crate::{MILLISECOND, Micros, Output, Timestamp};
+use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS, Message};
+
+/// Time between two broadcasts.
+const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
+
+impl Node {
+    /// Broadcasts this node's status and, if it leads, what peers need of a leader.
+    pub(super) fn send_peer_heartbeat(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        self.next_peer_heartbeat_at = now.monotonic + HEARTBEAT_INTERVAL;
+        let requests_per_s = self.rebalance_budget(now);
+        let heartbeat = Message::Heartbeat {
+            term: self.election.term(),
+            is_leader: self.leader.is_some(),
+            store_reachable: self.reachability.store_reachable(now.monotonic),
+            workers_reachable: self.reachability.workers_reachable(now.monotonic),
+            requests_per_s,
+        };
+        out.push(Output::Peer { message: heartbeat });
+        let messages = self.leader_broadcast(now.monotonic);
+        out.extend(messages.into_iter().map(|message| Output::Peer { message }));
+    }
+
+    /// A leader's broadcast besides its status: silent zones, learned estimates and the
+    /// progress of jobs. Empty on any other node.
+    fn leader_broadcast(&mut self, now: Micros) -> Vec<Message> {
+        let mut messages = Vec::new();
+        let Some(leader) = &mut self.leader else {
+            return messages;
+        };
+        let silent_zones = leader.silences(now);
+        if !silent_zones.is_empty() {
+            messages.push(Message::SilentZones(silent_zones));
+        }
+        messages.extend(leader.learned().map(Message::Estimates));
+        let changed = leader.progress();
+        self.admission.progress.shown(&changed);
+        let all_changes_sent = changed.len() < MAX_PROGRESS;
+        let pages: Vec<Vec<JobProgress>> = self.admission.progress.tell(all_changes_sent, now);
+        let changed = Some(changed).filter(|changed| !changed.is_empty());
+        messages.extend(pages.into_iter().chain(changed).map(Message::JobProgress));
+        messages
+    }
+
+    /// Adjusts this node's share of the store's budget for users to its share of their
+    /// requests, since they do not spread evenly: a burst may meet a single node. What
+    /// unreachable peers might use is left untouched, and no node goes below half of an
+    /// equal share, to be ready. Returns the requests a second that users make here.
+    fn rebalance_budget(&mut self, now: Timestamp) -> u32 {
+        let own_per_s = self.admission.request_rate(HEARTBEAT_INTERVAL);
+        let nodes = (self.config.peers.len() + 1) as f64;
+        let (mut reachable_nodes, mut all_per_s) = (1.0, own_per_s);
+        for (_, peer) in self.peers.reachable(now.monotonic) {
+            reachable_nodes += 1.0;
+            all_per_s += f64::from(peer.requests_per_s);
+        }
+        let own_part = if all_per_s < 1.0 {
+            1.0 / reachable_nodes
+        } else {
+            own_per_s / all_per_s
+        };
+        let share = (own_part * reachable_nodes / nodes).max(0.5 / nodes);
+        self.admission.set_budget_share(share, now.monotonic);
+        // A float's cast to an integer saturates.
+        own_per_s.ceil() as u32
+    }
+
+    pub(super) fn handle_peer_message(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        from: String,
+        message: Message,
+    ) {
+        match message {
+            Message::Hello { .. } => {}
+            Message::Heartbeat {
+                term,
+                is_leader,
+                store_reachable,
+                workers_reachable,
+                requests_per_s,
+            } => {
+                let status = PeerStatus {
+                    received_at: now.monotonic,
+                    term,
+                    is_leader,
+                    store_reachable,
+                    workers_reachable,
+                    requests_per_s,
+                };
+                self.handle_peer_heartbeat(now, out, from, status);
+            }
+            Message::SilentZones(zones) => self.silent_zones.record(zones, now.monotonic),
+            Message::Estimates(estimates) => {
+                self.heard_estimates
+                    .take(&self.config, estimates, now.monotonic);
+            }
+            // A leader that has a successor may not know it yet.
+            Message::JobProgress(jobs) => {
+                if self.leader.is_none() && !self.peers.has_successor(&from, now.monotonic) {
+                    self.admission.progress.heard(jobs);
+                }
+            }
+        }
+    }
+
+    fn handle_peer_heartbeat(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        from: String,
+        status: PeerStatus,
+    ) {
+        if !self.peers.is_reachable(&from, now.monotonic) {
+            // It may have missed any broadcast.
+            self.admission.progress.tell_all();
+        }
+        self.peers.update(from, status);
+        let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
+        let change = self.election.observe_term(&mut ctx, status.term);
+        self.apply_leadership_change(now, out, change);
+    }
+}
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,38 +1,47 @@
-//! What users' requests may take of the state service.
+//! What users' requests may use of the store's request limits.
+//!
+//! The store limits requests a second for all controllers together. A fixed part of that
+//! is for users, divided among the nodes by how many users each one serves; the rest is
+//! the leader's, so that a flood of requests cannot end its lease.
 
+use crate::Config;
 use crate::continuations::PendingRequest;
+use crate::time::Micros;
 use crate::token_bucket::TokenBucket;
-use crate::{Config, Micros};
 
-/// This node's part of what the state service takes, for users' requests. The
-/// rest is the leader's: a flood of requests must not end its lease.
+/// The part of the store's limit that users' requests of all nodes may use together.
+const USERS_PART: f64 = 0.7;
+
+/// One limit of the store (calls, or writes) as this node's users may use it. It never
+/// saves up more than a second's worth.
 #[derive(Debug)]
 pub(crate) struct RequestBudget {
-    /// What the users' requests of all nodes together may take.
-    all_per_s: f64,
+    /// What the users' requests of all nodes together may use, a second.
+    all_nodes_per_s: f64,
+    /// What those of this node may use, a second.
     per_s: f64,
     saved: TokenBucket,
 }
 
-/// Whom a call is for: what is turned away first.
+/// How important a call is: in a shortage the least important are rejected first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// What ends something: it frees room, and its user will not give up. May take
-    /// a quarter of a second's worth of what comes next.
+    /// A call that ends something: it frees resources, and its user will not give up. It
+    /// may overdraw the budget by a quarter of a second's worth.
     End,
     /// Submissions and cancellations.
     Change,
-    /// Polls, which leave half of a second's worth to those. In a storm of
-    /// polls each call went to a poll the moment that it was to be had, and
-    /// three of four submissions were turned away (rosterwise-nz-ops).
+    /// Polls, which leave half of a second's worth to the others. In a storm of polls
+    /// each call once went to a poll the moment that it was available, and three of four
+    /// submissions were rejected (rosterwise-nz-ops).
     Poll,
 }
 
-impl RequestPriority {
-    pub(crate) fn of(ask: &PendingRequest) -> RequestPriority {
-        match ask {
-            PendingRequest::Tell(_) => RequestPriority::Poll,
-            PendingRequest::Refuse { .. } | PendingRequest::Cancel { .. } => {
+impl From<&PendingRequest> for RequestPriority {
+    fn from(pending: &PendingRequest) -> Self {
+        match pending {
+            PendingRequest::Status(_) => RequestPriority::Poll,
+            PendingRequest::Reject { .. } | PendingRequest::Cancel { .. } => {
                 RequestPriority::Change
             }
         }
@@ -40,51 +49,50 @@
 }
 
 impl RequestBudget {
-    /// Part of the whole that users' requests of all nodes together may take.
-    const PART: f64 = 0.7;
-
-    pub fn new(whole: f64, config: &Config) -> Self {
-        let all_per_s = whole * Self::PART;
-        let per_s = all_per_s / (config.peers.len() + 1) as f64;
+    /// An equal share of what users may use of `limit_per_s`.
+    pub fn new(limit_per_s: f64, config: &Config) -> Self {
+        let all_nodes_per_s = limit_per_s * USERS_PART;
+        let per_s = all_nodes_per_s / (config.peers.len() + 1) as f64;
         RequestBudget {
-            all_per_s,
+            all_nodes_per_s,
             per_s,
             saved: TokenBucket::of(per_s),
         }
     }
 
-    pub fn share(&mut self, share: f64, now: Micros) {
+    /// Sets this node's share, from 0 to 1.
+    pub fn set_share(&mut self, share: f64, now: Micros) {
         self.refill(now);
-        self.per_s = self.all_per_s * share;
+        self.per_s = self.all_nodes_per_s * share;
     }
 
     fn refill(&mut self, now: Micros) {
         self.saved.grow(now, self.per_s, self.per_s.max(2.0));
     }
 
-    /// Takes `task_count`, be it from what comes next: for what has begun.
-    pub fn charge(&mut self, n: f64, now: Micros) {
+    /// Takes `count` unconditionally, perhaps from the future: for work that has begun.
+    pub fn charge(&mut self, count: f64, now: Micros) {
         self.refill(now);
-        self.saved.left -= n;
+        self.saved.left -= count;
     }
 
-    /// Takes `task_count` if there is as much.
-    pub fn take(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
-        let has = self.has(n, need, now);
-        if has {
-            self.saved.left -= n;
+    /// Takes `count` if there is as much for this priority; returns whether there was.
+    pub fn try_take(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
+        let available = self.has(count, priority, now);
+        if available {
+            self.saved.left -= count;
         }
-        has
+        available
     }
 
-    /// Whether there is as much as `task_count`.
-    pub fn has(&mut self, n: f64, need: RequestPriority, now: Micros) -> bool {
+    /// Whether there is as much as `count` for this priority.
+    pub fn has(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
         self.refill(now);
-        let kept = match need {
+        let reserve = match priority {
             RequestPriority::Change => 0.0,
             RequestPriority::Poll => self.per_s / 2.0,
             RequestPriority::End => -self.per_s / 4.0,
         };
-        self.saved.left >= n + kept.min(self.per_s - n)
+        self.saved.left >= count + reserve.min(self.per_s - count)
     }
 }
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -6,8 +6,8 @@
 //! elsewhere wins). Records are made from memory when the batch is sent; what
 //! depends on them is done once the batch is acknowledged.
 
-use crate::machines::TaskKey;
 use crate::records::TaskRange;
+use crate::task_key::TaskKey;
 use crate::token_bucket::TokenBucket;
 use dillcleat_wire::store::Transaction;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -32,7 +32,7 @@
         let config = config(ttl);
         let sent = 100 * SECOND;
         let proof = LeadershipProof {
-            proved: sent,
+            proved_at: sent,
             ..LeadershipProof::default()
         };
         for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
@@ -78,8 +78,11 @@
 #[test]
 fn without_proof_nothing_is_deleted_on_any_ground() {
     let config = config(2.5);
-    for apart in [false, true] {
-        let proof = LeadershipProof { proved: 0, apart };
+    for isolated in [false, true] {
+        let proof = LeadershipProof {
+            proved_at: 0,
+            isolated,
+        };
         for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             assert!(proof.permit(&config, 100 * SECOND, action).is_none());
         }
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -275,8 +275,12 @@
         }
         // To read and check a create costs four times a native one's time, and in a
         // flood most are turned away.
-        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, RequestPriority::Change, ctx.now) {
-            ctx.node.asked();
+        if verb == Verb::Create
+            && !ctx
+                .node
+                .has_budget(1.0, 1.0, RequestPriority::Change, ctx.now)
+        {
+            ctx.node.count_request();
             return Err(Fault::TooMany);
         }
         let media = media(ask.content_type.as_deref());
@@ -292,7 +296,7 @@
         }
         // A watch costs the state service nothing.
         if verb != Verb::Watch {
-            ctx.node.asked();
+            ctx.node.count_request();
         }
         let request = Request {
             id,
@@ -355,7 +359,7 @@
         let need = self.waiting.iter().map(|r| need(r.verb)).min();
         if !ctx
             .node
-            .grant(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
+            .take_budget(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
         {
             return;
         }
@@ -440,7 +444,10 @@
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
-            if !ctx.node.grant(1.0, changes, RequestPriority::End, ctx.now) {
+            if !ctx
+                .node
+                .take_budget(1.0, changes, RequestPriority::End, ctx.now)
+            {
                 self.keeper.put_off(wish);
                 continue;
             }
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -104,10 +104,10 @@
     fn open(&self, ctx: &Ctx, name: &Name, uid: &str, wanted: &Wanted) -> Result<OpenJob, Fault> {
         let mut spec = wanted.job.clone();
         spec.id = self.rules.key.job(&name.namespace, &name.name, uid);
-        match ctx.node.fitness(&spec) {
+        match ctx.node.check_schedulable(&spec) {
             None => return Err(Fault::Unavailable("the machine types are not known yet")),
-            Some(Err(what)) => {
-                let cause = Cause::new("spec.template.spec", Why::Invalid, what);
+            Some(Err(error)) => {
+                let cause = Cause::new("spec.template.spec", Why::Invalid, error.to_string());
                 return Err(invalid(name, vec![cause]));
             }
             Some(Ok(())) => {}
@@ -180,7 +180,7 @@
         if self.writes >= MAX_WRITES
             || !ctx
                 .node
-                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+                .take_budget(1.0, changes, RequestPriority::Change, ctx.now)
         {
             return Err(Fault::TooMany);
         }
@@ -260,7 +260,7 @@
             Ok(StoreResponse::Committed { revision }) => {
                 self.writes -= 1;
                 if let Some(job) = &creation.job {
-                    ctx.node.admitted(job);
+                    ctx.node.record_admission(job);
                 }
                 let object = Object {
                     name: creation.name,
@@ -452,7 +452,7 @@
         if self.writes >= MAX_WRITES
             || !ctx
                 .node
-                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+                .take_budget(1.0, changes, RequestPriority::Change, ctx.now)
         {
             return Err(Fault::TooMany);
         }
@@ -590,7 +590,7 @@
         let txn = keeper::delete(txn, object);
         if !ctx
             .node
-            .grant(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
+            .take_budget(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
         {
             return Err(Fault::TooMany);
         }
