--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -45,7 +45,7 @@
         if self.may(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.return_idle(ctx);
         }
-        let keep = now.saturating_sub(4 * ctx.config.list_lag + 120 * SECOND);
+        let keep = now.saturating_sub(4 * ctx.config.cloud_list_lag + 120 * SECOND);
         self.autoscaler.removed_machines.retain(|_, at| *at > keep);
         let Some(types) = self.machine_types.types.clone() else {
             return;
@@ -198,7 +198,7 @@
         let runs: Vec<f64> = self.jobs.by_place().map(run_time).collect();
         let mut views = Vec::new();
         // Room behind a report that got lost is about to be there again.
-        let lease = ctx.config.lease;
+        let lease = ctx.config.worker_lease;
         let there = |m: &&Machine| {
             m.accepts_tasks(now) && !m.unreachable_for(now, lease) && !cut_off.contains(&m.name)
         };
@@ -230,7 +230,8 @@
     /// their own.
     fn drop_silent(&mut self, ctx: &Context, cut: &BTreeSet<Rc<str>>) {
         let now = ctx.now.monotonic;
-        let silence = (ctx.config.lease * 4 / 10).max(2 * ctx.config.report + SECOND);
+        let silence =
+            (ctx.config.worker_lease * 4 / 10).max(2 * ctx.config.heartbeat_interval + SECOND);
         let up: usize = self.derived.sums.up.values().sum();
         // Many at once look like a cut or a stall that may heal before leases
         // run out; after that what was on them is gone in any case. They are
@@ -270,9 +271,9 @@
                     silence + boot
                 }
             } else if cut.contains(&m.name) && m.slots.values().any(|s| s.service) {
-                ctx.config.lease
+                ctx.config.worker_lease
             } else if patient {
-                ctx.config.lease + ctx.config.report
+                ctx.config.worker_lease + ctx.config.heartbeat_interval
             } else {
                 silence
             };
@@ -281,12 +282,12 @@
             // third of all portals the rest of a cut and a minute besides (zone,
             // rosterwise-nz-fleet).
             let waits = cut.contains(&m.name)
-                && quiet < ctx.config.lease * CUT_LEASES
+                && quiet < ctx.config.worker_lease * CUT_LEASES
                 && quiet >= limit
                 && !elsewhere.takes(m);
-            let doubted = doubts && quiet < ctx.config.lease * CUT_LEASES;
-            let taken =
-                m.interrupted_at.is_some_and(|at| now >= at + SECOND) && quiet > ctx.config.report;
+            let doubted = doubts && quiet < ctx.config.worker_lease * CUT_LEASES;
+            let taken = m.interrupted_at.is_some_and(|at| now >= at + SECOND)
+                && quiet > ctx.config.heartbeat_interval;
             // Whom only the leader before found silent has time to report first.
             let asked = !m.up || m.ready || now >= self.recovery.ready_since + missing;
             if may && ((quiet >= limit && asked && !waits && !doubted) || taken) {
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -2,7 +2,7 @@
 
 use super::derived::Sums;
 use super::*;
-use crate::config::DeadlineAim;
+use crate::config::DeadlineObjective;
 
 /// What is known of the work that is served before a job, as a plan goes over
 /// the jobs in the order in which they will be served.
@@ -51,9 +51,12 @@
 }
 
 /// A job's deadline and what users expect of its class, where money is spent on it.
-pub(super) fn strict_deadline<'a>(config: &'a Config, job: &Job) -> Option<(f64, &'a DeadlineAim)> {
+pub(super) fn strict_deadline<'a>(
+    config: &'a Config,
+    job: &Job,
+) -> Option<(f64, &'a DeadlineObjective)> {
     let due = job.spec.deadline_s?;
-    let aim = config.aim(&job.spec.class)?;
+    let aim = config.deadline_objective(&job.spec.class)?;
     // Where users put up with a few misses, the money is worth more to them:
     // paying for each cost rosterwise-nz a fifth more (0.803 to 0.765).
     (aim.share >= config.tuning.late_share).then_some((due, aim))
@@ -82,7 +85,7 @@
     fn own_ends(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
         let (due, aim) = strict_deadline(ctx.config, job)?;
         let age = seconds(ctx.now.wall.saturating_sub(job.submitted));
-        Some([due - age, due * aim.times - age])
+        Some([due - age, due * aim.max_multiple - age])
     }
 
     /// What a task of the job takes; before its class has run at all, its
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -101,7 +101,7 @@
             arrays: 0,
             replicas: 0,
             images: HashMap::new(),
-            reserves: vec![BTreeMap::new(); config.waits.len()],
+            reserves: vec![BTreeMap::new(); config.start_objectives.len()],
             ready: 0,
             coming: 0,
             lent: BTreeMap::new(),
@@ -679,8 +679,8 @@
             placed.min(i64::from(config.tuning.training_tasks)) * cpus
         };
         let serving = service && self.cancelled.is_none() && !self.blocked_on_dependencies;
-        let mut waits = config.waits.iter();
-        let wait = waits.position(|(class, _)| *class == self.spec.class);
+        let mut objectives = config.start_objectives.iter();
+        let wait = objectives.position(|o| o.class == self.spec.class);
         JobPart {
             team: self.team,
             cpus: placed.saturating_mul(cpus),
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -160,7 +160,7 @@
         let mut in_touch = false;
         if newer && source == HeartbeatSource::Checkin {
             let missing = Self::missing(ctx.config);
-            let heard_by = ctx.config.lease + ctx.config.report + SECOND;
+            let heard_by = ctx.config.worker_lease + ctx.config.heartbeat_interval + SECOND;
             in_touch = m.heartbeat_received(now, new, heard_by, missing);
             if m.probe {
                 self.command_dispatch.plain(m.name.clone());
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -364,7 +364,7 @@
             dependencies: DependencyTracker::default(),
             derived: DerivedState::new(ctx.config),
             scheduling: SchedulingState::new(now),
-            command_dispatch: CommandDispatch::new(ctx.config.max_orders),
+            command_dispatch: CommandDispatch::new(ctx.config.max_commands_in_flight),
             writer: StateWriter::new(ctx.config),
             autoscaler: Autoscaler::new(ctx.config, now),
             machine_types: MachineTypeCatalog::new(machine_types),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -354,5 +354,7 @@
     let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.at);
     // Other clocks may be off, so the older of the two readings counts.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
-    ctx.now.monotonic.saturating_sub(ago.min(ctx.config.cancel))
+    ctx.now
+        .monotonic
+        .saturating_sub(ago.min(ctx.config.cancel_deadline))
 }
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -148,7 +148,7 @@
     /// are deleted well before the time is up.
     pub(super) fn delete_unreachable(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let patience = ctx.config.cancel * 3 / 10;
+        let patience = ctx.config.cancel_deadline * 3 / 10;
         let may = self.may(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.recovery.ready_since + patience / 4 || !may {
             return;
@@ -206,8 +206,8 @@
 
     /// The last time of day at which the end of the job is still of use.
     pub(super) fn of_use_until(config: &Config, job: &Job) -> Option<Micros> {
-        let aim = config.aim(&job.spec.class)?;
-        let due = micros(job.spec.deadline_s? * aim.times);
+        let aim = config.deadline_objective(&job.spec.class)?;
+        let due = micros(job.spec.deadline_s? * aim.max_multiple);
         Some(job.submitted.saturating_add(due))
     }
 
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -11,8 +11,8 @@
     /// boots.
     fn hurried(&self, config: &Config, class: &str) -> bool {
         let boot = self.soonest_boot();
-        let mut waits = config.waits.iter();
-        waits.any(|(c, within)| c == class && seconds(*within) < boot)
+        let mut objectives = config.start_objectives.iter();
+        objectives.any(|o| o.class == class && seconds(o.within) < boot)
     }
 
     /// Stops arrays' tasks on machines where waiting replicas may run.
@@ -103,9 +103,9 @@
     /// Room for some replicas of each class of services that is expected to
     /// start sooner than any machine boots.
     pub(super) fn reserve(&self, config: &Config) -> f64 {
-        let waits = config.waits.iter().enumerate();
-        waits
-            .filter(|(_, (class, _))| self.hurried(config, class))
+        let objectives = config.start_objectives.iter().enumerate();
+        objectives
+            .filter(|(_, objective)| self.hurried(config, &objective.class))
             .map(|(wait, _)| self.derived.sums.reserve(wait))
             .sum()
     }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -91,7 +91,7 @@
 
     /// After this long without a word from it a machine has missed a report.
     pub(super) fn missing(config: &Config) -> Micros {
-        config.report * 3 / 2
+        config.heartbeat_interval * 3 / 2
     }
 
     /// Machines of zones that have fallen silent as a whole. What runs there
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -38,12 +38,14 @@
 mod task_key;
 pub mod time;
 mod token_bucket;
+pub mod tuning;
 pub mod write_queue;
 
 pub use dillcleat_sched as sched;
 
-pub use config::{Config, Tuning, TuningError};
+pub use config::Config;
 pub use messages::{Answer, CallError, CallId, Input, JobEvent, Output, RequestId};
 pub use node::Node;
 pub use scheduler_counters::SchedulerCounters;
 pub use time::{MILLISECOND, Micros, SECOND, Timestamp, micros, seconds};
+pub use tuning::{Tuning, TuningError};
--- a/crates/controller/src/node/reachability.rs
+++ b/crates/controller/src/node/reachability.rs
@@ -84,7 +84,7 @@
         // controllers ended at once and two of three cut off from the workers, one of
         // these once led for 13 s until it believed it.
         let redirected_in_vain = self.peers.redirected_long_enough(term, now) && !heard_in_term;
-        let mut patience = self.config.report * 5 / 4 + 3 * SECOND / 2;
+        let mut patience = self.config.heartbeat_interval * 5 / 4 + 3 * SECOND / 2;
         if !heard_in_term {
             // Its workers may still be waiting for the previous leader. To step down
             // sooner once left a fleet without a leader for 7 s (incident 1ec8).
@@ -105,7 +105,7 @@
         // machine dead, leaders once stepped down for each other for ever, none of them
         // long enough to find that out (seed 10052).
         let heard_in_term = last >= expected_since;
-        let waited = heard_in_term && now >= last + self.config.lease * 3 / 5;
+        let waited = heard_in_term && now >= last + self.config.worker_lease * 3 / 5;
         no_peer_reachable || waited || peers.any(|(_, peer)| peer.workers_reachable)
     }
 }
--- a/crates/controller/src/store_latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -40,6 +40,6 @@
 pub fn lease_time(config: &Config, answers: Micros) -> Micros {
     let shortest = micros(config.tuning.lead_ttl_s);
     // Who leads next has to be elected, to read, and to be found by the workers.
-    let longest = shortest.max(config.lease / 3);
+    let longest = shortest.max(config.worker_lease / 3);
     answers.saturating_mul(ANSWERS).clamp(shortest, longest)
 }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -390,7 +390,7 @@
 
     /// Leases run out, tasks end, and what was held up is carried out.
     fn work(&mut self) {
-        let (at, lease) = (self.at, self.config.lease);
+        let (at, lease) = (self.at, self.config.worker_lease);
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let w = self.worker(&name);
@@ -449,7 +449,7 @@
     fn report(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let (at, every) = (self.at, self.config.report);
+            let (at, every) = (self.at, self.config.heartbeat_interval);
             let w = self.worker(&name);
             if w.mute || w.hung || at < w.up || at < w.report_at {
                 continue;
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -16,7 +16,7 @@
 /// Whoever was told at once after the last read is owed the end of the tasks, and the
 /// lease of a report that was answered last runs from its sending.
 fn holds(gap: &Gap, read: Micros, last_answer: Micros) {
-    let (lease, cancel) = (gap.config.lease, gap.config.cancel);
+    let (lease, cancel) = (gap.config.worker_lease, gap.config.cancel_deadline);
     assert!(
         at_most(last_answer + lease - read) < cancel,
         "read at {read}, answered until {last_answer}"
@@ -105,8 +105,8 @@
         gap.step(0, Input::Tick);
         assert_eq!(gap.reports(SECOND).is_some(), answers, "{ago}");
         let last = gap.answered_until(2 * SECOND);
-        let lease_ends = at_most(last + gap.config.lease + ago);
-        assert!(lease_ends < gap.config.cancel, "{last}");
+        let lease_ends = at_most(last + gap.config.worker_lease + ago);
+        assert!(lease_ends < gap.config.cancel_deadline, "{last}");
     }
 }
 
@@ -350,7 +350,10 @@
         }
     }
     let deleted = deleted.expect("it is deleted");
-    assert!(deleted < SECOND + gap.config.cancel * 4 / 10, "{deleted}");
+    assert!(
+        deleted < SECOND + gap.config.cancel_deadline * 4 / 10,
+        "{deleted}"
+    );
 }
 
 /// A machine was deleted, and a copy of an old report of it arrives.
@@ -444,12 +447,12 @@
 fn settings_that_leave_no_time_are_said_and_served() {
     let mut config = config_with_team();
     assert_eq!(config.cancel_shortfall(), None);
-    config.lease = config.cancel - SECOND;
+    config.worker_lease = config.cancel_deadline - SECOND;
     let short = config.cancel_shortfall().expect("no time is left");
     assert_eq!(config.blind_limit(), short);
     // With the margin, no end comes later than this.
-    let latest = config.blind_limit() + config.lease;
-    assert!(latest <= config.cancel + short);
-    config.lease = config.cancel / 2;
+    let latest = config.blind_limit() + config.worker_lease;
+    assert!(latest <= config.cancel_deadline + short);
+    config.worker_lease = config.cancel_deadline / 2;
     assert_eq!(config.cancel_shortfall(), None);
 }
--- a/crates/controller/tests/golden_settings.rs
+++ b/crates/controller/tests/golden_settings.rs
@@ -1,6 +1,6 @@
 //! The operators' settings file with every key, as version 84a8104 reads it.
 
-use dillcleat_controller::config::Tuning;
+use dillcleat_controller::Tuning;
 
 /// No value is its default, and no two are the same.
 const FULL: &str = "
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -114,8 +114,8 @@
     terms.dedup();
     assert!(terms.len() > 10, "{terms:?}");
     assert!(last > 10 * SECOND);
-    let ends = at_most(last + gap.config.lease - told);
-    assert!(ends < gap.config.cancel, "answered until {last}");
+    let ends = at_most(last + gap.config.worker_lease - told);
+    assert!(ends < gap.config.cancel_deadline, "answered until {last}");
 }
 
 /// Nobody led for longer than a lease: what was placed is over with its session, also
@@ -329,8 +329,11 @@
             last = s * SECOND;
         }
     }
-    let ends = at_most(last + gap.config.lease - told);
-    assert!(last > 20 * SECOND && ends < gap.config.cancel, "{last}");
+    let ends = at_most(last + gap.config.worker_lease - told);
+    assert!(
+        last > 20 * SECOND && ends < gap.config.cancel_deadline,
+        "{last}"
+    );
 }
 
 /// What is launched without a read of a moment ago may be cancelled already.
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Around, config_with_team, machine_type, step_with};
-use dillcleat_controller::config::DeadlineAim;
+use dillcleat_controller::config::DeadlineObjective;
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_wire::cloud::{CloudRequest, MachineType};
@@ -42,10 +42,10 @@
 /// stage without a deadline, given what else is on record.
 fn pays_for(others: Vec<JobSpec>) -> bool {
     let mut config = config_with_team();
-    config.deadlines.push(DeadlineAim {
+    config.deadline_objectives.push(DeadlineObjective {
         class: "last".into(),
         share: 0.97,
-        times: 1.0,
+        max_multiple: 1.0,
     });
     let mut node = Node::new(config);
     let jobs = std::iter::once(stage("first", "req-1")).chain(others);
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -4,6 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
+use dillcleat_controller::config::StartObjective;
 use dillcleat_controller::machines::Machine;
 use dillcleat_controller::records;
 use dillcleat_controller::{Micros, SECOND};
@@ -90,7 +91,7 @@
 fn what_a_mute_machine_had_is_placed_again_after_its_lease() {
     let mut fleet = two();
     fleet.worker("m0").mute = true;
-    let lease = fleet.config.lease;
+    let lease = fleet.config.worker_lease;
     fleet.pass(lease - 3 * SECOND);
     assert_eq!(fleet.running("req-000001"), ["m0"]);
     fleet.pass(8 * SECOND);
@@ -182,7 +183,10 @@
 #[test]
 fn nobody_counts_on_the_room_of_a_mute_machine() {
     let mut config = config_with_team();
-    config.waits = vec![("c".into(), SECOND)];
+    config.start_objectives = vec![StartObjective {
+        class: "c".into(),
+        within: SECOND,
+    }];
     let mut fleet = Fleet::new(config, vec![machine_type(4.0)]);
     fleet.machine("m0", "a", false);
     fleet.submit(job(1, 4));
@@ -248,7 +252,7 @@
             fleet.pass(goes_on * SECOND);
             let m = fleet.worker("m0");
             (m.hung, m.mute, m.deaf) = (false, way == "mute", way == "deaf");
-            let end = cancelled + fleet.config.cancel;
+            let end = cancelled + fleet.config.cancel_deadline;
             while fleet.at < end + 40 * SECOND {
                 fleet.pass(SECOND);
                 let runs = !fleet.running("req-000001").is_empty();
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -67,7 +67,7 @@
                 "{ttl} {answers}"
             );
             assert!(lease >= micros(ttl) && lease >= before);
-            assert!(lease <= micros(ttl).max(config.lease / 3));
+            assert!(lease <= micros(ttl).max(config.worker_lease / 3));
             before = lease;
         }
         assert!(ttl > 10.0 || before > micros(ttl), "it follows");
--- a/crates/controller/tests/waiting.rs
+++ b/crates/controller/tests/waiting.rs
@@ -4,6 +4,7 @@
 
 use common::fleet::Fleet;
 use common::{config_with_team, machine_type};
+use dillcleat_controller::config::StartObjective;
 use dillcleat_controller::{Config, Micros, SECOND};
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
@@ -13,7 +14,10 @@
 /// Replicas of the class `c` are expected sooner than any machine boots.
 fn hurried() -> Config {
     let mut config = config_with_team();
-    config.waits = vec![("c".into(), SECOND)];
+    config.start_objectives = vec![StartObjective {
+        class: "c".into(),
+        within: SECOND,
+    }];
     config
 }
 
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -116,7 +116,7 @@
         // A fleet may have more machines than there are sockets: with one
         // kept to each, a controller would have none left for its users.
         // Those kept count against the orders that may be under way.
-        workers: Pool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
+        workers: Pool::bounded(1, (max / 16).max(4) as usize, config.max_commands_in_flight),
         state_addr: platform.endpoints.state.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,6 +11,7 @@
 use crate::rules::Place;
 use crate::state::{PageLimit, StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
+use dillcleat_controller::config::StartObjective;
 use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord, OpenJob, TaskChunk};
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
@@ -247,23 +248,26 @@
         peers: Vec::new(),
         peers_in_other_zones: Vec::new(),
         teams: teams.collect(),
-        report: REPORT,
-        lease: LEASE,
-        cancel: CANCEL,
+        heartbeat_interval: REPORT,
+        worker_lease: LEASE,
+        cancel_deadline: CANCEL,
         clock_error: SECOND / 4,
         state_rps: setting.state_rps,
         state_write_rps: setting.state_write_rps,
         value_bytes: 16 * 1024,
         value_bytes_before: 16 * 1024,
         state_write_rps_before: setting.state_write_rps,
-        chunk_tasks: dillcleat_controller::config::chunk_tasks(16 * 1024),
+        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
         txn_ops: 48,
         cloud_rps: 4.0,
-        list_lag: 4 * SECOND,
+        cloud_list_lag: 4 * SECOND,
         memory_mb: 188.0,
-        max_orders: Fleet::MAX_ORDERS,
-        waits: vec![("search".into(), 2 * SECOND)],
-        deadlines: Vec::new(),
+        max_commands_in_flight: Fleet::MAX_ORDERS,
+        start_objectives: vec![StartObjective {
+            class: "search".into(),
+            within: 2 * SECOND,
+        }],
+        deadline_objectives: Vec::new(),
         tuning: Tuning::default(),
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -19,7 +19,7 @@
 use crate::served::Shares;
 use crate::state::{StateService, Watches};
 use crate::worker::{Happening, PATIENCE, Play, Worker};
-use dillcleat_controller::config::DeadlineAim;
+use dillcleat_controller::config::{DeadlineObjective, StartObjective};
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
     Timestamp, Tuning,
@@ -476,11 +476,11 @@
         state_write_rps_before: 200.0,
         value_bytes,
         value_bytes_before: value_bytes,
-        chunk_tasks: dillcleat_controller::config::chunk_tasks(value_bytes),
+        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(value_bytes),
         txn_ops: 48,
         cloud_rps: 4.0,
         memory_mb: 188.0,
-        max_orders: 686,
+        max_commands_in_flight: 686,
         ..config
     }
 }
@@ -505,9 +505,9 @@
             .map(name)
             .collect(),
         teams: vec![team("bound", 12.0 * f64::from(scale)), team("free", 0.0)],
-        report: 2 * SECOND,
-        lease: 14 * SECOND,
-        cancel: 44 * SECOND,
+        heartbeat_interval: 2 * SECOND,
+        worker_lease: 14 * SECOND,
+        cancel_deadline: 44 * SECOND,
         clock_error: SECOND / 4,
         state_rps: 200.0,
         state_write_rps: 80.0,
@@ -518,15 +518,18 @@
         chunk_tasks: 25,
         txn_ops: 12,
         cloud_rps: 2.0,
-        list_lag: 4 * SECOND,
+        cloud_list_lag: 4 * SECOND,
         memory_mb: 72.0,
         // Few, so that every run meets the bound.
-        max_orders: 4,
-        waits: vec![("web".into(), SECOND)],
-        deadlines: vec![DeadlineAim {
+        max_commands_in_flight: 4,
+        start_objectives: vec![StartObjective {
+            class: "web".into(),
+            within: SECOND,
+        }],
+        deadline_objectives: vec![DeadlineObjective {
             class: "merge".into(),
             share: 0.98,
-            times: 1.5,
+            max_multiple: 1.5,
         }],
         tuning: Tuning::default(),
     }
@@ -565,7 +568,11 @@
                 None => StateService::new(config.value_bytes, config.txn_ops),
                 Some(_) => StateService::new(WIDE.0, WIDE.1),
             },
-            cloud: Cloud::new(types(scenario.tight), 4 * scenario.scale, config.list_lag),
+            cloud: Cloud::new(
+                types(scenario.tight),
+                4 * scenario.scale,
+                config.cloud_list_lag,
+            ),
             workers: BTreeMap::new(),
             watches: Watches::default(),
             next: 0,
@@ -593,7 +600,7 @@
             kept_reports: Vec::new(),
             last_term: 0,
             boots: Boots::default(),
-            checker: Checker::new(config.cancel, limits),
+            checker: Checker::new(config.cancel_deadline, limits),
             config,
             inputs: 0,
             state_calls: 0,
@@ -944,7 +951,7 @@
                 if self.scenario.upgrade.is_some() {
                     config.value_bytes_before = WIDE.0;
                     (config.value_bytes, config.txn_ops) = LOW;
-                    config.chunk_tasks = dillcleat_controller::config::chunk_tasks(LOW.0);
+                    config.chunk_tasks = dillcleat_controller::config::tasks_per_chunk(LOW.0);
                 }
                 if host.old {
                     (config.value_bytes, config.txn_ops) = WIDE;
--- a/crates/simulator/src/world/workers.rs
+++ b/crates/simulator/src/world/workers.rs
@@ -7,7 +7,7 @@
         self.wake_watches();
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let lease = self.config.lease;
+            let lease = self.config.worker_lease;
             let Some(w) = self.workers.get_mut(&name) else {
                 continue;
             };
@@ -104,7 +104,7 @@
             };
             return self.at(at, ev);
         }
-        let mut happenings = worker.pass(self.now, self.config.lease, &self.plays);
+        let mut happenings = worker.pass(self.now, self.config.worker_lease, &self.plays);
         let (status, report, more) = worker.orders(&orders, self.now, &self.plays);
         happenings.extend(more);
         self.tell(&machine, happenings);
@@ -179,7 +179,7 @@
         w.under_way = None;
         match answer.status {
             200 => {
-                let mut happenings = w.pass(self.now, self.config.lease, &self.plays);
+                let mut happenings = w.pass(self.now, self.config.worker_lease, &self.plays);
                 match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
                     Ok(a) => {
                         happenings.extend(w.answered(&a, session, sent, self.now, &self.plays))
