--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -149,7 +149,7 @@
         if self.under_way + unknown.len() >= MAX_UNDER_WAY
             || !self.take_budget(calls, 1.0, RequestPriority::Change, now)
         {
-            return ctx.answer(request, Answer::later(TOO_MANY_REQUESTS));
+            return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
         if unknown.is_empty() {
             return self.finish_dependency_check(ctx, check);
@@ -219,7 +219,7 @@
         let (request, since) = (check.request, check.since);
         let answer = match &check.invalid {
             Some(invalid) => Answer::refusal(422, invalid.to_string()),
-            None if check.inconclusive => Answer::later(STORE_UNREACHABLE),
+            None if check.inconclusive => Answer::retry_later(STORE_UNREACHABLE),
             None => {
                 self.under_way += 1;
                 return self.create(ctx, request, Rc::new(check.into_job()), since);
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -234,7 +234,7 @@
         if self.under_way >= MAX_UNDER_WAY
             || !self.take_budget(1.0, 1.0, RequestPriority::Change, now)
         {
-            return ctx.answer(request, Answer::later(TOO_MANY_REQUESTS));
+            return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
         self.under_way += 1;
         self.create(ctx, request, Rc::new(job), now);
@@ -301,7 +301,7 @@
         let priority = RequestPriority::from(&pending);
         if self.under_way >= MAX_UNDER_WAY || !self.calls.try_take(1.0, priority, ctx.now.monotonic)
         {
-            return ctx.answer(pending.request(), Answer::later(TOO_MANY_REQUESTS));
+            return ctx.answer(pending.request(), Answer::retry_later(TOO_MANY_REQUESTS));
         }
         self.under_way += 1;
         let call = StoreRequest::Get {
@@ -397,7 +397,7 @@
     // An empty list comes from a cloud in trouble: by it no job could ever run.
     let types = types
         .filter(|types| !types.is_empty())
-        .ok_or_else(|| Answer::later("the machine types are not known yet"))?;
+        .ok_or_else(|| Answer::retry_later("the machine types are not known yet"))?;
     check_schedulable(ctx.config, types, &job.spec)
         .map_err(|error| Answer::refusal(422, error.to_string()))?;
     Ok(job)
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -65,7 +65,7 @@
                 self.resolve(ctx, id, pending);
             }
             Ok(StoreResponse::NotFound { .. }) => self.read_state_record(ctx, id, pending),
-            _ => ctx.answer(pending.request(), Answer::later(STORE_UNREACHABLE)),
+            _ => ctx.answer(pending.request(), Answer::retry_later(STORE_UNREACHABLE)),
         }
     }
 
@@ -91,7 +91,7 @@
                 self.resolve(ctx, id.to_string(), pending);
             }
             Ok(StoreResponse::NotFound { .. }) => self.conclude(ctx, id, None, pending),
-            _ => ctx.answer(pending.request(), Answer::later(STORE_UNREACHABLE)),
+            _ => ctx.answer(pending.request(), Answer::retry_later(STORE_UNREACHABLE)),
         }
     }
 
@@ -132,7 +132,7 @@
                 let answer = Answer::refusal(400, "the job cannot be stored");
                 self.resolve(ctx, id, PendingRequest::Reject { request, answer });
             }
-            _ => ctx.answer(request, Answer::later(STORE_UNREACHABLE)),
+            _ => ctx.answer(request, Answer::retry_later(STORE_UNREACHABLE)),
         }
     }
 
@@ -204,14 +204,14 @@
             Err(_) if ctx.now.monotonic < since + RETRY_TIME => {
                 self.read_open_record(ctx, id, pending);
             }
-            _ => ctx.answer(request, Answer::later(STORE_UNREACHABLE)),
+            _ => ctx.answer(request, Answer::retry_later(STORE_UNREACHABLE)),
         }
     }
 }
 
 fn answer_unreadable(ctx: &mut Context, key: &str, pending: &PendingRequest) {
     log::error!("unreadable job record key={key}");
-    ctx.answer(pending.request(), Answer::later(UNREADABLE_RECORD));
+    ctx.answer(pending.request(), Answer::retry_later(UNREADABLE_RECORD));
 }
 
 fn log_accepted(job: &OpenJob) {
--- a/crates/controller/src/admission/verification.rs
+++ b/crates/controller/src/admission/verification.rs
@@ -37,7 +37,7 @@
     /// Queues a request about a job that is known as open.
     pub(super) fn verify(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         if self.verifications.queued.len() >= MAX_QUEUED {
-            return ctx.answer(pending.request(), Answer::later(TOO_MANY_REQUESTS));
+            return ctx.answer(pending.request(), Answer::retry_later(TOO_MANY_REQUESTS));
         }
         self.verifications.queued.push((id, pending));
         self.send_verification(ctx);
@@ -125,7 +125,7 @@
                 }
                 _ => {
                     for pending in requests {
-                        ctx.answer(pending.request(), Answer::later(STORE_UNREACHABLE));
+                        ctx.answer(pending.request(), Answer::retry_later(STORE_UNREACHABLE));
                     }
                 }
             }
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -208,14 +208,14 @@
     pub fn send_commands(
         &mut self,
         addr: String,
-        orders: CommandBatch,
+        commands: CommandBatch,
         continuation: Continuation,
     ) -> CallId {
         let id = self.calls.open(continuation, self.now);
         self.out.push(Output::Commands {
             id,
             addr,
-            orders,
+            commands,
             timeout: COMMANDS_TIMEOUT,
         });
         id
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -64,7 +64,7 @@
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.may_answer_heartbeats(ctx) {
-            return Answer::later("the state is out of reach");
+            return Answer::retry_later("the state is out of reach");
         }
         let mut answer = HeartbeatReply {
             fencing_token: self.term,
@@ -85,7 +85,7 @@
             self.apply_heartbeat(ctx, report, HeartbeatSource::Checkin);
             if let Some(m) = self.machines.get(report.machine.as_str()) {
                 if self.lease_must_expire(ctx, m) {
-                    return Answer::later("a cancelled task is not seen gone");
+                    return Answer::retry_later("a cancelled task is not seen gone");
                 }
                 let current = (m.incarnation, m.sequence) == (report.incarnation, report.sequence);
                 if m.ready && current && !copy {
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -94,7 +94,7 @@
         id: CallId,
         /// The worker's address.
         addr: String,
-        orders: CommandBatch,
+        commands: CommandBatch,
         /// How long to wait for the response.
         timeout: Micros,
     },
@@ -146,7 +146,7 @@
 
     /// 503 with `Retry-After: 1`. It is sent at once: a client that is kept waiting
     /// cannot turn to another controller.
-    pub fn later(error: &str) -> Self {
+    pub fn retry_later(error: &str) -> Self {
         log::debug!("request rejected, retry later reason={error}");
         Answer {
             retry_after: Some(1),
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -277,7 +277,7 @@
 
     fn health_answer(&self, now: Timestamp) -> Answer {
         if !self.is_healthy(now) {
-            return Answer::later("not able to take requests");
+            return Answer::retry_later("not able to take requests");
         }
         Answer {
             status: 200,
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -562,7 +562,7 @@
                     Output::Commands {
                         id,
                         addr,
-                        orders,
+                        commands: orders,
                         timeout,
                     } => {
                         let name = addr.trim_end_matches(":9000").to_string();
--- a/crates/controller/tests/golden_answers.rs
+++ b/crates/controller/tests/golden_answers.rs
@@ -21,7 +21,7 @@
         body: b"\x81\xa5error\xb1too\x20many\x20requests".to_vec(),
         retry_after: Some(1),
     };
-    assert_eq!(Answer::later("too many requests"), later);
+    assert_eq!(Answer::retry_later("too many requests"), later);
 }
 
 #[test]
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -93,7 +93,9 @@
             for output in self.node.handle(now, input) {
                 let (id, call) = match output {
                     Output::Store { id, call, .. } => (id, call),
-                    Output::Commands { orders, .. } => {
+                    Output::Commands {
+                        commands: orders, ..
+                    } => {
                         self.launches(&orders.commands);
                         continue;
                     }
--- a/crates/dillcleat/src/serve.rs
+++ b/crates/dillcleat/src/serve.rs
@@ -256,7 +256,7 @@
         Output::Commands {
             id,
             addr,
-            orders,
+            commands: orders,
             timeout,
         } => {
             ex.spawn(orders_call(shared.clone(), id, addr, orders, timeout))
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -635,7 +635,7 @@
             Output::Commands {
                 id,
                 addr,
-                orders,
+                commands: orders,
                 timeout,
             } => {
                 self.launches(&orders.commands);
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -81,7 +81,7 @@
             Output::Commands {
                 id,
                 addr,
-                orders,
+                commands: orders,
                 timeout,
             } => {
                 self.kind(Kind::Orders, id.0);
--- a/crates/simulator/src/world/network.rs
+++ b/crates/simulator/src/world/network.rs
@@ -235,7 +235,7 @@
             Output::Commands {
                 id,
                 addr,
-                orders,
+                commands: orders,
                 timeout,
             } => {
                 self.launches(node, &orders.commands);
