--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -54,7 +54,7 @@
     request: RequestId,
     job: OpenJob,
     /// When the submission came in.
-    since: Micros,
+    received_at: Micros,
     /// Dependencies whose reads have no response yet.
     unread: usize,
     /// The latest invalid dependency that was found.
@@ -66,11 +66,11 @@
 }
 
 impl DependencyCheck {
-    fn new(request: RequestId, job: OpenJob, since: Micros) -> DependencyCheck {
+    fn new(request: RequestId, job: OpenJob, received_at: Micros) -> DependencyCheck {
         DependencyCheck {
             request,
             job,
-            since,
+            received_at,
             unread: 0,
             invalid: None,
             inconclusive: false,
@@ -216,13 +216,13 @@
 
     /// Stores the job, or rejects it.
     fn finish_dependency_check(&mut self, ctx: &mut Context, check: DependencyCheck) {
-        let (request, since) = (check.request, check.since);
+        let (request, received_at) = (check.request, check.received_at);
         let answer = match &check.invalid {
             Some(invalid) => Answer::refusal(422, invalid.to_string()),
             None if check.inconclusive => Answer::retry_later(STORE_UNREACHABLE),
             None => {
                 self.under_way += 1;
-                return self.create(ctx, request, Rc::new(check.into_job()), since);
+                return self.create(ctx, request, Rc::new(check.into_job()), received_at);
             }
         };
         // Whatever is wrong with its dependencies, a known job's state is the answer.
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -26,11 +26,11 @@
 //!
 //! # Why no answer is out of date
 //!
-//! An end is final, so an ended job is answered from the [cache](JobCache). Anything else
+//! An end is final, so an ended job is answered from the `JobCache`. Anything else
 //! may have changed since it was seen: another node may just have told the user that the
 //! job is cancelled, and a later answer must not say "open". Hence for an open job the
 //! *absence of a change* of its state record is verified by a compare-only transaction
-//! that is sent after the request came in (one for many jobs, see [`verification`]), and
+//! that is sent after the request came in (one for many jobs, see `verification.rs`), and
 //! an unknown job is read by a request of its own. "No such job" is answered only if both
 //! records were read after the request came in, the open record first: the state record
 //! is written before the open record is deleted.
@@ -40,12 +40,13 @@
 //!
 //! # Limits
 //!
-//! Store calls are paid from a [`RequestBudget`], and the number under way is bounded;
+//! Store calls are paid from a `RequestBudget`, and the number under way is bounded;
 //! beyond that a request is rejected at once with 503 and `Retry-After`.
 
 mod dependency_check;
 mod replies;
 mod schedulability;
+mod submission;
 mod verification;
 
 pub use self::schedulability::{Unschedulable, check_schedulable};
@@ -61,13 +62,9 @@
 use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
 use crate::request_budget::{RequestBudget, RequestPriority};
 use crate::time::{Micros, SECOND, seconds};
-use dillcleat_wire::cloud::MachineType;
-use dillcleat_wire::store::{self, StoreRequest, Transaction};
-use dillcleat_wire::user::{
-    JobSpec, JobState, JobStatus, SpecError, Submission, is_job_id, parse_submission,
-};
+use dillcleat_wire::store::{StoreRequest, Transaction};
+use dillcleat_wire::user::{JobState, JobStatus, is_job_id};
 use std::collections::HashMap;
-use std::rc::Rc;
 
 /// How long a submission or cancellation is retried; its user gives up after 5 s.
 const RETRY_TIME: Micros = 4 * SECOND;
@@ -201,65 +198,6 @@
         std::mem::take(&mut self.cancelled)
     }
 
-    /// Handles a submission. `types` are the machine types, if they are known.
-    pub fn submit(
-        &mut self,
-        ctx: &mut Context,
-        request: RequestId,
-        body: &[u8],
-        types: Option<&[MachineType]>,
-    ) {
-        self.count_request();
-        let Submission { id, spec } = parse_submission(body);
-        let Some(id) = id else {
-            let cause = spec
-                .err()
-                .map_or_else(|| "ref is not in its form".into(), |e| e.to_string());
-            return ctx.answer(request, Answer::refusal(400, cause));
-        };
-        if self.cache.get(&id).is_some() {
-            return self.resolve(ctx, id, PendingRequest::Status(request));
-        }
-        match validate(ctx, spec, types) {
-            Ok(job) if job.spec.depends_on.is_empty() => self.submit_valid(ctx, request, job),
-            Ok(job) => self.check_dependencies(ctx, request, job),
-            Err(answer) => self.resolve(ctx, id, PendingRequest::Reject { request, answer }),
-        }
-    }
-
-    fn submit_valid(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
-        let now = ctx.now.monotonic;
-        // Both or neither: a call taken for a write that the budget did not allow was lost
-        // to polls.
-        if self.under_way >= MAX_UNDER_WAY
-            || !self.take_budget(1.0, 1.0, RequestPriority::Change, now)
-        {
-            return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
-        }
-        self.under_way += 1;
-        self.create(ctx, request, Rc::new(job), now);
-    }
-
-    fn create(&self, ctx: &mut Context, request: RequestId, job: Rc<OpenJob>, since: Micros) {
-        let id = &job.spec.id;
-        // One write: the store's writes are what bounds submissions. With a state record
-        // of its own for each, a burst of small jobs waited for 10 s (incidents 1846,
-        // bdf3).
-        let txn = Transaction::default()
-            .compare(records::job_key(id), 0)
-            .compare(records::open_key(id), 0)
-            .put(records::open_key(id), &*job);
-        let step = Step::Create {
-            request,
-            job,
-            since,
-        };
-        ctx.hedged_store_request(
-            StoreRequest::Transaction(txn),
-            Continuation::Admission(step),
-        );
-    }
-
     /// Handles a poll.
     pub fn poll(&mut self, ctx: &mut Context, request: RequestId, id: String) {
         self.resolve_by_id(ctx, id, PendingRequest::Status(request));
@@ -267,8 +205,15 @@
 
     /// Handles a cancellation.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: String) {
-        let since = ctx.now.monotonic;
-        self.resolve_by_id(ctx, id, PendingRequest::Cancel { request, since });
+        let received_at = ctx.now.monotonic;
+        self.resolve_by_id(
+            ctx,
+            id,
+            PendingRequest::Cancel {
+                request,
+                received_at,
+            },
+        );
     }
 
     fn resolve_by_id(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
@@ -342,8 +287,14 @@
             (None, PendingRequest::Status(request) | PendingRequest::Cancel { request, .. }) => {
                 ctx.answer(request, Answer::refusal(404, NO_SUCH_JOB));
             }
-            (Some(known), PendingRequest::Cancel { request, since }) if known.is_open() => {
-                send_cancellation(ctx, id, known, request, since);
+            (
+                Some(known),
+                PendingRequest::Cancel {
+                    request,
+                    received_at,
+                },
+            ) if known.is_open() => {
+                send_cancellation(ctx, id, known, request, received_at);
             }
             (Some(known), pending) => {
                 let status = self.status(id, known.record);
@@ -374,41 +325,12 @@
     }
 }
 
-/// The record of a submitted job, or the answer to its rejection.
-fn validate(
-    ctx: &Context,
-    spec: Result<Box<JobSpec>, SpecError>,
-    types: Option<&[MachineType]>,
-) -> Result<OpenJob, Answer> {
-    let spec = spec.map_err(|error| Answer::refusal(400, error.to_string()))?;
-    let job = OpenJob {
-        spec: *spec,
-        at: ctx.now.wall,
-        chunk: ctx.config.chunk_tasks,
-        unmarked: true,
-        parallelism_limit: None,
-    };
-    let bytes = store::json_size(&store::encode_value(&job));
-    let max_bytes = ctx.config.value_bytes;
-    if bytes > max_bytes {
-        let cause = format!("the job's description takes {bytes} bytes, at most {max_bytes} fit");
-        return Err(Answer::refusal(400, cause));
-    }
-    // An empty list comes from a cloud in trouble: by it no job could ever run.
-    let types = types
-        .filter(|types| !types.is_empty())
-        .ok_or_else(|| Answer::retry_later("the machine types are not known yet"))?;
-    check_schedulable(ctx.config, types, &job.spec)
-        .map_err(|error| Answer::refusal(422, error.to_string()))?;
-    Ok(job)
-}
-
 fn send_cancellation(
     ctx: &mut Context,
     id: &str,
     known: KnownJob,
     request: RequestId,
-    since: Micros,
+    received_at: Micros,
 ) {
     let record = JobStateRecord {
         state: RecordedState::Cancelled,
@@ -422,7 +344,7 @@
     let step = Step::Cancel {
         id: id.to_string(),
         request,
-        since,
+        received_at,
     };
     ctx.store_request(
         StoreRequest::Transaction(txn),
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -39,10 +39,14 @@
             Step::Create {
                 request,
                 job,
-                since,
-            } => self.handle_created(ctx, request, job, since, reply),
-            Step::Cancel { id, request, since } => {
-                self.handle_cancelled(ctx, id, request, since, reply);
+                received_at,
+            } => self.handle_created(ctx, request, job, received_at, reply),
+            Step::Cancel {
+                id,
+                request,
+                received_at,
+            } => {
+                self.handle_cancelled(ctx, id, request, received_at, reply);
             }
         }
     }
@@ -108,16 +112,16 @@
         ctx: &mut Context,
         request: RequestId,
         job: Rc<OpenJob>,
-        since: Micros,
+        received_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
         // The outcome is unknown: the transaction may yet be carried out. The same one
         // again settles it: it either commits or finds the record. It costs as much again.
         if reply.is_err()
-            && ctx.now.monotonic < since + RETRY_TIME
+            && ctx.now.monotonic < received_at + RETRY_TIME
             && self.take_budget(1.0, 1.0, RequestPriority::Change, ctx.now.monotonic)
         {
-            return self.create(ctx, request, job, since);
+            return self.create(ctx, request, job, received_at);
         }
         self.under_way -= 1;
         match reply {
@@ -183,10 +187,13 @@
         ctx: &mut Context,
         id: String,
         request: RequestId,
-        since: Micros,
+        received_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
-        let pending = PendingRequest::Cancel { request, since };
+        let pending = PendingRequest::Cancel {
+            request,
+            received_at,
+        };
         match reply {
             Ok(StoreResponse::Committed { .. }) => {
                 let known = self.cache.get(&id);
@@ -201,7 +208,7 @@
             }
             // Its end came first, or an earlier try was carried out: read which.
             Ok(StoreResponse::Conflict { .. }) => self.read_state_record(ctx, id, pending),
-            Err(_) if ctx.now.monotonic < since + RETRY_TIME => {
+            Err(_) if ctx.now.monotonic < received_at + RETRY_TIME => {
                 self.read_open_record(ctx, id, pending);
             }
             _ => ctx.answer(request, Answer::retry_later(STORE_UNREACHABLE)),
--- /dev/null
+++ b/crates/controller/src/admission/submission.rs
@@ -0,0 +1,109 @@
+//! Validates submissions and stores their jobs.
+
+use super::{Admission, MAX_UNDER_WAY, TOO_MANY_REQUESTS, check_schedulable};
+use crate::calls::Context;
+use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
+use crate::messages::{Answer, RequestId};
+use crate::records::{self, OpenJob};
+use crate::request_budget::RequestPriority;
+use crate::time::Micros;
+use dillcleat_wire::cloud::MachineType;
+use dillcleat_wire::store::{self, StoreRequest, Transaction};
+use dillcleat_wire::user::{JobSpec, SpecError, Submission, parse_submission};
+use std::rc::Rc;
+
+impl Admission {
+    /// Handles a submission. `types` are the machine types, if they are known.
+    pub fn submit(
+        &mut self,
+        ctx: &mut Context,
+        request: RequestId,
+        body: &[u8],
+        types: Option<&[MachineType]>,
+    ) {
+        self.count_request();
+        let Submission { id, spec } = parse_submission(body);
+        let Some(id) = id else {
+            let cause = spec
+                .err()
+                .map_or_else(|| "ref is not in its form".into(), |e| e.to_string());
+            return ctx.answer(request, Answer::refusal(400, cause));
+        };
+        if self.cache.get(&id).is_some() {
+            return self.resolve(ctx, id, PendingRequest::Status(request));
+        }
+        match validate(ctx, spec, types) {
+            Ok(job) if job.spec.depends_on.is_empty() => self.submit_valid(ctx, request, job),
+            Ok(job) => self.check_dependencies(ctx, request, job),
+            Err(answer) => self.resolve(ctx, id, PendingRequest::Reject { request, answer }),
+        }
+    }
+
+    fn submit_valid(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
+        let now = ctx.now.monotonic;
+        // Both or neither: a call taken for a write that the budget did not allow was lost
+        // to polls.
+        if self.under_way >= MAX_UNDER_WAY
+            || !self.take_budget(1.0, 1.0, RequestPriority::Change, now)
+        {
+            return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
+        }
+        self.under_way += 1;
+        self.create(ctx, request, Rc::new(job), now);
+    }
+
+    pub(super) fn create(
+        &self,
+        ctx: &mut Context,
+        request: RequestId,
+        job: Rc<OpenJob>,
+        received_at: Micros,
+    ) {
+        let id = &job.spec.id;
+        // One write: the store's writes are what bounds submissions. With a state record
+        // of its own for each, a burst of small jobs waited for 10 s (incidents 1846,
+        // bdf3).
+        let txn = Transaction::default()
+            .compare(records::job_key(id), 0)
+            .compare(records::open_key(id), 0)
+            .put(records::open_key(id), &*job);
+        let step = Step::Create {
+            request,
+            job,
+            received_at,
+        };
+        ctx.hedged_store_request(
+            StoreRequest::Transaction(txn),
+            Continuation::Admission(step),
+        );
+    }
+}
+
+/// The record of a submitted job, or the answer to its rejection.
+fn validate(
+    ctx: &Context,
+    spec: Result<Box<JobSpec>, SpecError>,
+    types: Option<&[MachineType]>,
+) -> Result<OpenJob, Answer> {
+    let spec = spec.map_err(|error| Answer::refusal(400, error.to_string()))?;
+    let job = OpenJob {
+        spec: *spec,
+        at: ctx.now.wall,
+        chunk: ctx.config.chunk_tasks,
+        unmarked: true,
+        parallelism_limit: None,
+    };
+    let bytes = store::json_size(&store::encode_value(&job));
+    let max_bytes = ctx.config.value_bytes;
+    if bytes > max_bytes {
+        let cause = format!("the job's description takes {bytes} bytes, at most {max_bytes} fit");
+        return Err(Answer::refusal(400, cause));
+    }
+    // An empty list comes from a cloud in trouble: by it no job could ever run.
+    let types = types
+        .filter(|types| !types.is_empty())
+        .ok_or_else(|| Answer::retry_later("the machine types are not known yet"))?;
+    check_schedulable(ctx.config, types, &job.spec)
+        .map_err(|error| Answer::refusal(422, error.to_string()))?;
+    Ok(job)
+}
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -22,8 +22,11 @@
     /// A submission that must be rejected with this answer, unless the job is known
     /// already: then it is a repeated submission, and its state is reported.
     Reject { request: RequestId, answer: Answer },
-    /// Cancel the job. `since` is the monotonic time at which the request came in.
-    Cancel { request: RequestId, since: Micros },
+    /// Cancel the job. `received_at` is the monotonic time at which the request came in.
+    Cancel {
+        request: RequestId,
+        received_at: Micros,
+    },
 }
 
 impl PendingRequest {
@@ -63,17 +66,17 @@
     },
     /// Compares the state records of open jobs with what this node knows.
     VerifyOpen { jobs: Vec<String> },
-    /// Stores a submitted job. `since` is when its submission came in.
+    /// Stores a submitted job. `received_at` is when its submission came in.
     Create {
         request: RequestId,
         job: Rc<OpenJob>,
-        since: Micros,
+        received_at: Micros,
     },
-    /// Stores the cancellation of a job. `since` is when its request came in.
+    /// Stores the cancellation of a job. `received_at` is when its request came in.
     Cancel {
         id: String,
         request: RequestId,
-        since: Micros,
+        received_at: Micros,
     },
 }
 
--- /dev/null
+++ b/crates/controller/src/node/leadership.rs
@@ -0,0 +1,155 @@
+//! The leader's life on this node: elected, paused, deposed, and what it asks of the node.
+
+use super::Node;
+use crate::calls::Context;
+use crate::election::{BetterCandidate, LeadershipChange};
+use crate::leader::{Leader, LeaderEvent, VersionedMachineTypes};
+use crate::leadership_guard::LeadershipProof;
+use crate::{JobEvent, Micros, Output, SECOND, Timestamp, micros, seconds};
+use dillcleat_wire::user::JobState;
+
+/// Ticks come twenty times a second; a node without an input for this long was not
+/// running (process stopped, machine suspended).
+const PROCESS_PAUSE: Micros = SECOND;
+
+impl Node {
+    /// Deposes a leader that was not running for longer than its lease lasts, whatever
+    /// its memory says: it reads the store before it does anything. One that resumed
+    /// after half a minute once found every worker silent and sent the deletion of 840
+    /// machines before it heard of its successor (incident e9a6).
+    pub(super) fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let pause = now.monotonic.saturating_sub(self.last_input_at);
+        let first_input = self.last_input_at == 0;
+        self.last_input_at = now.monotonic;
+        if first_input || pause < PROCESS_PAUSE {
+            return;
+        }
+        log::info!("process was paused paused_s={}", seconds(pause));
+        if pause >= micros(self.config.tuning.lead_ttl_s) {
+            let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
+            let change = self.election.resume_after_pause(&mut ctx);
+            self.apply_leadership_change(now, out, change);
+        } else if let Some(leader) = &mut self.leader {
+            leader.paused(pause, now.monotonic);
+        }
+    }
+
+    pub(super) fn apply_leadership_change(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        change: Option<LeadershipChange>,
+    ) {
+        match change {
+            Some(LeadershipChange::Elected { term, term_version }) => {
+                self.start_leading(now, out, term, term_version);
+            }
+            Some(LeadershipChange::Deposed) => self.stop_leading(now),
+            None => {}
+        }
+    }
+
+    fn start_leading(
+        &mut self,
+        now: Timestamp,
+        out: &mut Vec<Output>,
+        term: u64,
+        term_version: u64,
+    ) {
+        let types = VersionedMachineTypes {
+            types: self.election.shared_machine_types(),
+            version: self.election.machine_types_version(),
+        };
+        let inherited = self.heard_estimates.inherit(term, now.monotonic);
+        let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
+        let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
+        leader.leadership_proof.proved_at = self.election.proved_at();
+        if let Some(last_heard) = self.silent_zones.take_recent(now.monotonic) {
+            leader.expect_silence(last_heard);
+        }
+        self.leader = Some(leader);
+        self.admission.progress.elected(now.monotonic);
+        self.next_peer_heartbeat_at = now.monotonic;
+    }
+
+    /// Keeps the leader's estimates: this node may be elected again before any other.
+    fn stop_leading(&mut self, now: Timestamp) {
+        if let Some(estimates) = self.leader.take().and_then(|l| l.all_learned()) {
+            self.heard_estimates
+                .take(&self.config, estimates, now.monotonic);
+        }
+    }
+
+    pub(super) fn handle_leader_events(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let mut change = None;
+        for event in leader.take_events() {
+            let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
+            match event {
+                LeaderEvent::Ended(job, record) => {
+                    self.admission.record_end(&job, record);
+                    let state = record.state.ended().unwrap_or(JobState::Done);
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
+                }
+                LeaderEvent::Stopped(job) => {
+                    let state = JobState::Cancelled;
+                    out.push(Output::JobEvent(JobEvent::Ended { job, state }));
+                }
+                LeaderEvent::Failed { job, task, attempt } => {
+                    out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
+                }
+                LeaderEvent::Types(types) => self.election.set_machine_types(types),
+                LeaderEvent::Outdated => {
+                    let deposed =
+                        self.election
+                            .step_down(&mut ctx, "its writes are out of date", 0);
+                    change = deposed.or(change);
+                }
+                LeaderEvent::Higher(term) => {
+                    let deposed = self.election.observe_term(&mut ctx, term);
+                    change = deposed.or(change);
+                }
+            }
+        }
+        self.apply_leadership_change(now, out, change);
+    }
+
+    /// Which other node leads, as far as is known: by the store, unless a peer says that
+    /// it leads in a later term. Two nodes that had lost sight of the store once sent all
+    /// workers to one another, past the new leader, until their leases expired.
+    pub(super) fn other_leader(&self, now: Timestamp) -> Option<&str> {
+        let stored = self.election.known_leader();
+        let term = stored.map_or(0, |leader| leader.term);
+        if let Some(name) = self.peers.leader_after(term, now.monotonic) {
+            return Some(name);
+        }
+        let stored = stored.filter(|leader| leader.member != self.config.member)?;
+        let stepped_down = self
+            .peers
+            .has_stepped_down(&stored.member, term, now.monotonic);
+        (!stepped_down).then_some(stored.member.as_str())
+    }
+
+    /// What this node knows of its right to act as leader.
+    pub(super) fn leadership_proof(&self, now: Timestamp) -> LeadershipProof {
+        let reachable = |name: &String| self.peers.is_reachable(name, now.monotonic);
+        let peers_in_other_zones = &self.config.peers_in_other_zones;
+        LeadershipProof {
+            proved_at: self.election.proved_at(),
+            isolated: !peers_in_other_zones.is_empty()
+                && !peers_in_other_zones.iter().any(reachable),
+        }
+    }
+
+    pub(super) fn better_candidate(&self, now: Timestamp) -> BetterCandidate {
+        if self.reachability.workers_reachable(now.monotonic) {
+            BetterCandidate::Nobody
+        } else if self.peers.has_better_candidate(now.monotonic) {
+            BetterCandidate::Peer
+        } else {
+            BetterCandidate::Unknown
+        }
+    }
+}
