--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -12,7 +12,7 @@
 use crate::job_cache::KnownJob;
 use crate::messages::{Answer, RequestId};
 use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
-use crate::request_budget::RequestPriority;
+use crate::request_budget::{RequestPriority, StoreCost};
 use crate::time::Micros;
 use dillcleat_wire::store::{StoreRequest, StoreResponse};
 use dillcleat_wire::user::is_job_id;
@@ -145,9 +145,12 @@
             return self.finish_dependency_check(ctx, check);
         }
         // The reads and the transaction that creates the job are paid for at once.
-        let calls = 1.0 + unknown.len() as f64;
+        let cost = StoreCost {
+            calls: 1.0 + unknown.len() as f64,
+            writes: 1.0,
+        };
         if self.under_way + unknown.len() >= MAX_UNDER_WAY
-            || !self.take_budget(calls, 1.0, RequestPriority::Change, now)
+            || !self.take_budget(cost, RequestPriority::Change, now)
         {
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -60,7 +60,7 @@
 use crate::messages::{Answer, RequestId};
 use crate::progress::TaskCounts;
 use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
-use crate::request_budget::{RequestBudget, RequestPriority};
+use crate::request_budget::{RequestBudget, RequestPriority, StoreCost};
 use crate::time::{Micros, SECOND, seconds};
 use dillcleat_wire::store::{StoreRequest, Transaction};
 use dillcleat_wire::user::{JobState, JobStatus, is_job_id};
@@ -147,29 +147,18 @@
     }
 
     /// Whether [`take_budget`](Self::take_budget) would succeed.
-    pub fn has_budget(
-        &mut self,
-        calls: f64,
-        writes: f64,
-        priority: RequestPriority,
-        now: Micros,
-    ) -> bool {
-        self.calls.has(calls, priority, now)
-            && (writes == 0.0 || self.writes.has(writes, priority, now))
+    pub fn has_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
+        self.calls.has(cost.calls, priority, now)
+            && (cost.writes == 0.0 || self.writes.has(cost.writes, priority, now))
     }
 
-    /// Takes store calls, of which some are writes: all of them, or nothing.
-    pub fn take_budget(
-        &mut self,
-        calls: f64,
-        writes: f64,
-        priority: RequestPriority,
-        now: Micros,
-    ) -> bool {
-        let available = self.has_budget(calls, writes, priority, now);
+    /// Takes a request's cost from the budget: all of it, or nothing. Returns whether it
+    /// was there.
+    pub fn take_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
+        let available = self.has_budget(cost, priority, now);
         if available {
-            self.calls.charge(calls, now);
-            self.writes.charge(writes, now);
+            self.calls.charge(cost.calls, now);
+            self.writes.charge(cost.writes, now);
         }
         available
     }
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -7,7 +7,7 @@
 use crate::job_cache::KnownJob;
 use crate::messages::{Answer, RequestId};
 use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
-use crate::request_budget::RequestPriority;
+use crate::request_budget::{RequestPriority, StoreCost};
 use crate::time::Micros;
 use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JobState, JobStatus};
@@ -119,7 +119,11 @@
         // again settles it: it either commits or finds the record. It costs as much again.
         if reply.is_err()
             && ctx.now.monotonic < received_at + RETRY_TIME
-            && self.take_budget(1.0, 1.0, RequestPriority::Change, ctx.now.monotonic)
+            && self.take_budget(
+                StoreCost::transaction(1.0),
+                RequestPriority::Change,
+                ctx.now.monotonic,
+            )
         {
             return self.create(ctx, request, job, received_at);
         }
--- a/crates/controller/src/admission/submission.rs
+++ b/crates/controller/src/admission/submission.rs
@@ -5,7 +5,7 @@
 use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
 use crate::messages::{Answer, RequestId};
 use crate::records::{self, OpenJob};
-use crate::request_budget::RequestPriority;
+use crate::request_budget::{RequestPriority, StoreCost};
 use crate::time::Micros;
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{self, StoreRequest, Transaction};
@@ -44,7 +44,7 @@
         // Both or neither: a call taken for a write that the budget did not allow was lost
         // to polls.
         if self.under_way >= MAX_UNDER_WAY
-            || !self.take_budget(1.0, 1.0, RequestPriority::Change, now)
+            || !self.take_budget(StoreCost::transaction(1.0), RequestPriority::Change, now)
         {
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -20,7 +20,7 @@
 use crate::leader::Leader;
 use crate::peers::Peers;
 use crate::records::OpenJob;
-use crate::request_budget::RequestPriority;
+use crate::request_budget::{RequestPriority, StoreCost};
 use crate::{
     Answer, CallError, CallId, Config, Input, Micros, Output, RequestId, SchedulerCounters,
     Timestamp,
@@ -119,26 +119,22 @@
     /// has to work before it knows whether it needs the budget.
     pub fn has_budget(
         &mut self,
-        calls: f64,
-        writes: f64,
+        cost: StoreCost,
         priority: RequestPriority,
         now: Timestamp,
     ) -> bool {
-        self.admission
-            .has_budget(calls, writes, priority, now.monotonic)
+        self.admission.has_budget(cost, priority, now.monotonic)
     }
 
-    /// Takes store calls, of which some are writes, from this node's share of what
-    /// users' requests may use. Takes all of it or nothing; returns whether it was there.
+    /// Takes a request's cost from this node's share of what users' requests may use of
+    /// the store. Takes all of it or nothing; returns whether it was there.
     pub fn take_budget(
         &mut self,
-        calls: f64,
-        writes: f64,
+        cost: StoreCost,
         priority: RequestPriority,
         now: Timestamp,
     ) -> bool {
-        self.admission
-            .take_budget(calls, writes, priority, now.monotonic)
+        self.admission.take_budget(cost, priority, now.monotonic)
     }
 
     /// The API server beside this node has stored the job as open.
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -23,6 +23,28 @@
     saved: TokenBucket,
 }
 
+/// What a request costs of the store's limits.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StoreCost {
+    /// Calls, whether they read or write.
+    pub calls: f64,
+    /// Keys written by them.
+    pub writes: f64,
+}
+
+impl StoreCost {
+    /// A call that writes nothing.
+    pub const READ: StoreCost = StoreCost {
+        calls: 1.0,
+        writes: 0.0,
+    };
+
+    /// One transaction that writes so many keys.
+    pub fn transaction(writes: f64) -> StoreCost {
+        StoreCost { calls: 1.0, writes }
+    }
+}
+
 /// How important a call is: in a shortage the least important are rejected first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
--- a/crates/kube/src/door/mod.rs
+++ b/crates/kube/src/door/mod.rs
@@ -20,7 +20,7 @@
 use crate::{Ask, Out, Reply, keeper, patch, table, translate, view};
 use dillcleat_controller::calls::state_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
-use dillcleat_controller::request_budget::RequestPriority;
+use dillcleat_controller::request_budget::{RequestPriority, StoreCost};
 use dillcleat_controller::{
     CallError, CallId, JobEvent, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -276,9 +276,11 @@
         // To read and check a create costs four times a native one's time, and in a
         // flood most are turned away.
         if verb == Verb::Create
-            && !ctx
-                .node
-                .has_budget(1.0, 1.0, RequestPriority::Change, ctx.now)
+            && !ctx.node.has_budget(
+                StoreCost::transaction(1.0),
+                RequestPriority::Change,
+                ctx.now,
+            )
         {
             ctx.node.count_request();
             return Err(Fault::TooMany);
@@ -357,10 +359,11 @@
         }
         // Whoever ends or changes something goes before those who only look.
         let need = self.waiting.iter().map(|r| need(r.verb)).min();
-        if !ctx
-            .node
-            .take_budget(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
-        {
+        if !ctx.node.take_budget(
+            StoreCost::READ,
+            need.unwrap_or(RequestPriority::Poll),
+            ctx.now,
+        ) {
             return;
         }
         self.looking = true;
@@ -444,10 +447,11 @@
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
-            if !ctx
-                .node
-                .take_budget(1.0, changes, RequestPriority::End, ctx.now)
-            {
+            if !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::End,
+                ctx.now,
+            ) {
                 self.keeper.put_off(wish);
                 continue;
             }
--- a/crates/kube/src/door/write.rs
+++ b/crates/kube/src/door/write.rs
@@ -178,9 +178,11 @@
         // One more change than a submission of the same job.
         let changes = 1.0 + f64::from(u8::from(creation.job.is_some()));
         if self.writes >= MAX_WRITES
-            || !ctx
-                .node
-                .take_budget(1.0, changes, RequestPriority::Change, ctx.now)
+            || !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::Change,
+                ctx.now,
+            )
         {
             return Err(Fault::TooMany);
         }
@@ -450,9 +452,11 @@
         }
         let changes = txn.then.len() as f64;
         if self.writes >= MAX_WRITES
-            || !ctx
-                .node
-                .take_budget(1.0, changes, RequestPriority::Change, ctx.now)
+            || !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::Change,
+                ctx.now,
+            )
         {
             return Err(Fault::TooMany);
         }
@@ -588,10 +592,11 @@
             txn = keeper::cancel(txn, object, job, ctx.now.wall);
         }
         let txn = keeper::delete(txn, object);
-        if !ctx
-            .node
-            .take_budget(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
-        {
+        if !ctx.node.take_budget(
+            StoreCost::transaction(txn.then.len() as f64),
+            RequestPriority::End,
+            ctx.now,
+        ) {
             return Err(Fault::TooMany);
         }
         self.writes += 1;
