--- a/crates/controller/src/admission/verification.rs
+++ b/crates/controller/src/admission/verification.rs
@@ -19,8 +19,8 @@
 const MAX_TRANSACTIONS: usize = 3;
 /// Requests that may wait for their comparison.
 const MAX_QUEUED: usize = 2000;
-/// Jobs in a transaction, as a multiple of the store's limit of operations: it counts a
-/// comparison as a quarter of one.
+/// The store takes this many comparisons in a transaction for each write that it takes
+/// (`txn_ops`).
 const COMPARISONS_PER_OP: usize = 4;
 
 /// Requests about open jobs, and the comparisons under way.
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -24,8 +24,8 @@
 //! nothing is done that cannot be undone.
 //!
 //! **Timers.** The lease lasts `lead_ttl_s`, or longer while the store is slow
-//! ([`lease_time`]), and is renewed every quarter of `lead_ttl_s`: three renewals may be
-//! lost. The remaining timers are the constants below, each with its reason.
+//! ([`lease_time`]), and is renewed every quarter of `lead_ttl_s`, so that two renewals in
+//! a row may be lost. The remaining timers are the constants below.
 
 mod replies;
 mod shared_keys;
@@ -40,8 +40,7 @@
 use dillcleat_wire::store::{StoreRequest, Transaction};
 use std::rc::Rc;
 
-/// Pause before the shared keys are read again after a failure: short beside the lease,
-/// and long enough not to add to the load of a store in trouble.
+/// Pause before the shared keys are read again after a failure.
 const READ_RETRY_DELAY: Micros = 250 * MILLISECOND;
 /// Least time from the sending of a renewal that failed to the next one. After an outage
 /// of the store the lease has its full time again, so that it is worth asking soon.
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -6,7 +6,7 @@
 use dillcleat_wire::user::JobKind;
 use std::collections::{HashMap, VecDeque};
 
-/// Memory that an entry takes, in bytes: its id twice, the record, and the containers.
+/// Memory that an entry takes, in bytes, roughly.
 const ENTRY_BYTES: f64 = 200.0;
 /// The part of the node's memory that the cache may take.
 const MEMORY_PART: f64 = 1.0 / 8.0;
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -1,8 +1,8 @@
 //! Whether a leader may still do what cannot be undone.
 //!
-//! A deletion or a scale-out cannot be undone, and the cloud, which carries it out, knows
-//! nothing of terms: no compare-and-swap fences it. So whoever sends one has to have
-//! proved a moment ago that it leads. The proof is a response of the store that made or
+//! A deletion, a scale-out or the stop of a running task cannot be undone, and no term is
+//! compared where it is carried out: the cloud knows nothing of terms. So whoever sends
+//! one has to have proved a moment ago that it leads. The proof is a response of the store that made or
 //! renewed the lease to which `s/lead` is bound: from the time at which that call was
 //! sent, no other node can be elected before the lease expires.
 //!
