--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -89,7 +89,7 @@
         if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.scale_in(ctx);
         }
-        let memory = 4 * ctx.config.list_lag + REMOVED_MACHINE_MEMORY;
+        let memory = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_MEMORY;
         self.autoscaler
             .forget_removed_before(now.saturating_sub(memory));
         let Some(types) = self.machine_types.shared() else {
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -1,6 +1,7 @@
 //! Calls to the cloud, and what follows from its replies.
 
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::cloud_queue::CloudRequestKind;
 use crate::continuations::LeaderStep;
 use crate::leader::{Leader, LeaderEvent};
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -49,7 +49,7 @@
 impl SilenceCheck<'_> {
     /// The silence after which a machine that was up is deleted.
     fn ordinary_limit(&self) -> Micros {
-        (self.config.lease * 4 / 10).max(2 * self.config.report + SECOND)
+        (self.config.worker_lease * 4 / 10).max(2 * self.config.heartbeat_interval + SECOND)
     }
 
     /// For how long this machine may be silent.
@@ -69,9 +69,9 @@
                 self.ordinary_limit() + boot
             }
         } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
-            self.config.lease
+            self.config.worker_lease
         } else if self.many_silent {
-            self.config.lease + self.config.report
+            self.config.worker_lease + self.config.heartbeat_interval
         } else {
             self.ordinary_limit()
         }
@@ -107,7 +107,7 @@
 
     /// Whether the silence is so short that a partition may still heal.
     fn may_heal(&self, silence: Micros) -> bool {
-        silence < self.config.lease * PARTITION_LEASES
+        silence < self.config.worker_lease * PARTITION_LEASES
     }
 
     /// Whether the machine had time to send this leader a heartbeat. One that only the
@@ -120,7 +120,7 @@
     /// Whether the cloud has taken the machine back by its own notice.
     fn is_taken_back(&self, machine: &Machine, silence: Micros) -> bool {
         let gone_at = machine.interrupted_at().map(|at| at + SECOND);
-        gone_at.is_some_and(|at| self.now >= at) && silence > self.config.report
+        gone_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
     }
 }
 
@@ -137,7 +137,7 @@
     /// before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let patience = ctx.config.cancel * 3 / 10;
+        let patience = ctx.config.cancel_deadline * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.recovery.ready_since() + patience / 4 || !permitted {
             return;
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -192,7 +192,7 @@
             machine.accepts_tasks(now)
                 && !machine
                     .reachability
-                    .is_unreachable_for(now, ctx.config.lease)
+                    .is_unreachable_for(now, ctx.config.worker_lease)
                 && !partitioned.contains(&machine.name)
         };
         let mut views = Vec::new();
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -6,7 +6,8 @@
 //! sockets, and their replies were queued before the heartbeats on which leases depend.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL};
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::continuations::LeaderStep;
 use crate::machines::HeartbeatSource;
 use crate::{CallId, Micros, SECOND};
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -3,7 +3,7 @@
 use super::derived::Sums;
 use super::{Job, Leader};
 use crate::calls::Context;
-use crate::config::DeadlineAim;
+use crate::config::DeadlineObjective;
 use crate::{Config, Micros, micros, seconds};
 use dillcleat_wire::user::JobKind;
 
@@ -72,13 +72,13 @@
     /// Seconds from the submission of the job.
     pub deadline_s: f64,
     /// What users expect of the class.
-    pub aim: &'a DeadlineAim,
+    pub aim: &'a DeadlineObjective,
 }
 
 /// A job's deadline and what users expect of its class, where money is spent on it.
 pub(super) fn strict_deadline<'a>(config: &'a Config, job: &Job) -> Option<StrictDeadline<'a>> {
     let deadline_s = job.spec.deadline_s?;
-    let aim = config.aim(&job.spec.class)?;
+    let aim = config.deadline_objective(&job.spec.class)?;
     // Where users put up with a few misses, the money is worth more to them: paying for
     // each cost rosterwise-nz a fifth more (0.803 to 0.765).
     (aim.share >= config.tuning.late_share).then_some(StrictDeadline { deadline_s, aim })
@@ -109,7 +109,7 @@
     fn own_ends_in_s(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
         let StrictDeadline { deadline_s, aim } = strict_deadline(ctx.config, job)?;
         let age_s = seconds(ctx.now.wall.saturating_sub(job.submitted));
-        Some([deadline_s - age_s, deadline_s * aim.times - age_s])
+        Some([deadline_s - age_s, deadline_s * aim.max_multiple - age_s])
     }
 
     /// What a task of the job takes, in seconds. Before its class has run at all, its
@@ -134,8 +134,8 @@
 
     /// The last time of day at which the end of the job is still of use.
     pub(super) fn of_use_until(config: &Config, job: &Job) -> Option<Micros> {
-        let aim = config.aim(&job.spec.class)?;
-        let of_use = micros(job.spec.deadline_s? * aim.times);
+        let aim = config.deadline_objective(&job.spec.class)?;
+        let of_use = micros(job.spec.deadline_s? * aim.max_multiple);
         Some(job.submitted.saturating_add(of_use))
     }
 
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -2,7 +2,8 @@
 //! they depend on, and what urgency a job inherits from its dependents.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL, unknown_jobs};
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::continuations::LeaderStep;
 use crate::dependency_graph::DependencyGraph;
 use crate::records::{self, JobStateRecord, RecordedState};
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -97,8 +97,8 @@
         if job.spec.kind != JobKind::Service || job.blocked_on_dependencies {
             return None;
         }
-        let mut waits = config.waits.iter();
-        let wait = waits.position(|(class, _)| *class == job.spec.class)?;
+        let mut waits = config.start_objectives.iter();
+        let wait = waits.position(|objective| objective.class == job.spec.class)?;
         // A zone takes up to half of a spread service.
         let share = job.spec.tasks.div_ceil(2);
         let replicas = config.tuning.reserve_replicas.max(share);
@@ -224,7 +224,7 @@
             array_cpus: 0,
             replica_cpus: 0,
             services_by_image: HashMap::new(),
-            reserves: vec![BTreeMap::new(); config.waits.len()],
+            reserves: vec![BTreeMap::new(); config.start_objectives.len()],
             ready_cpus: 0,
             coming_cpus: 0,
             lent_cpus: BTreeMap::new(),
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -78,7 +78,7 @@
             return Answer::refusal(421, "a later term has begun");
         }
         if !self.may_answer_heartbeats(ctx) {
-            return Answer::later("the state is out of reach");
+            return Answer::retry_later("the state is out of reach");
         }
         let mut reply = HeartbeatReply {
             fencing_token: self.term,
@@ -95,7 +95,7 @@
             self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::Periodic);
             if let Some(machine) = self.machines.get(name) {
                 if self.lease_must_expire(ctx, machine) {
-                    return Answer::later("a cancelled task is not seen gone");
+                    return Answer::retry_later("a cancelled task is not seen gone");
                 }
                 if machine.is_ready() && machine.position() == position && !is_copy {
                     reply.commands = self.permitted_commands(ctx, machine);
@@ -219,7 +219,7 @@
     ) -> bool {
         let now = ctx.now.monotonic;
         let missed_after = heartbeat_missed_after(ctx.config);
-        let proof_after = ctx.config.lease + ctx.config.report + SECOND;
+        let proof_after = ctx.config.worker_lease + ctx.config.heartbeat_interval + SECOND;
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
         };
@@ -311,7 +311,9 @@
             let stops = machine.cancelled_task_stops();
             return stops.chain(self.unknown_jobs.stops(machine)).collect();
         }
-        let may_preempt = self.leadership_proof.proved(ctx.config, ctx.now.monotonic);
+        let may_preempt = self
+            .leadership_proof
+            .is_recent(ctx.config, ctx.now.monotonic);
         let mut commands = machine.needed_commands(may_preempt, |task, attempt| {
             self.is_end_stored(task, attempt)
         });
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -45,7 +45,8 @@
 use self::state_writes::StateWriter;
 use self::unknown_jobs::UnknownJobs;
 use self::zone_partition::ZonePartitions;
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::continuations::{Continuation, LeaderStep};
 use crate::inherited_estimates::InheritedEstimates;
 use crate::leadership_guard::LeadershipProof;
@@ -148,7 +149,7 @@
             dependencies: DependencyTracker::default(),
             derived: DerivedState::new(ctx.config),
             scheduling: SchedulingState::new(now),
-            command_dispatch: CommandDispatch::new(ctx.config.max_orders),
+            command_dispatch: CommandDispatch::new(ctx.config.max_commands_in_flight),
             writer: StateWriter::new(ctx.config),
             autoscaler: Autoscaler::new(ctx.config, now),
             machine_types: MachineTypeCatalog::new(machine_types),
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -1,7 +1,8 @@
 //! The watch of the stored job queue: submissions and cancellations as they come.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL};
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::continuations::LeaderStep;
 use crate::records;
 use crate::{MILLISECOND, Micros, SECOND};
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -159,16 +159,16 @@
     /// Whether replicas of the class are expected to start sooner than any machine boots.
     fn must_start_before_boot(&self, config: &Config, class: &str) -> bool {
         let boot_s = self.soonest_boot_s();
-        let mut waits = config.waits.iter();
-        waits.any(|(waiting_class, within)| waiting_class == class && seconds(*within) < boot_s)
+        let mut waits = config.start_objectives.iter();
+        waits.any(|wait| wait.class == class && seconds(wait.within) < boot_s)
     }
 
     /// CPUs that are reserved in each zone for some replicas of each class of services that
     /// is expected to start sooner than any machine boots.
     pub(super) fn service_headroom_cpus(&self, config: &Config) -> f64 {
-        let waits = config.waits.iter().enumerate();
+        let waits = config.start_objectives.iter().enumerate();
         waits
-            .filter(|(_, (class, _))| self.must_start_before_boot(config, class))
+            .filter(|(_, wait)| self.must_start_before_boot(config, &wait.class))
             .map(|(wait, _)| self.derived.sums().largest_reserve_cpus(wait))
             .sum()
     }
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -1,7 +1,8 @@
 //! Replies to the leader's writes, and what follows from them.
 
 use super::{Leader, LeaderEvent};
-use crate::calls::{CallError, Context};
+use crate::CallError;
+use crate::calls::Context;
 use crate::continuations::LeaderStep;
 use crate::records::{self, JobStateRecord, RecordedState, TaskRange};
 use crate::write_queue::{NewPlacement, PendingWrite, WriteBatch};
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -18,7 +18,7 @@
 
 /// The silence by which a machine has missed a heartbeat, in microseconds.
 pub(super) fn heartbeat_missed_after(config: &Config) -> Micros {
-    config.report * 3 / 2
+    config.heartbeat_interval * 3 / 2
 }
 
 /// CPUs that what is on machines in partitioned zones could have elsewhere.
@@ -160,7 +160,7 @@
     /// Such a leader may reach the store all the same, and so prove that it leads. To
     /// believe what it does not hear would be the end of every other zone.
     pub(super) fn is_probably_isolated(&self, config: &Config) -> bool {
-        if !self.leadership_proof.apart {
+        if !self.leadership_proof.isolated {
             return false;
         }
         let is_other_zone = |zone: &str| *zone != *config.zone;
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -1,7 +1,7 @@
 //! Whether messages pass between the controller and a machine.
 
 use crate::Micros;
-use crate::node::WORKER_PATIENCE;
+use crate::time::WORKER_FAILOVER_TIMEOUT;
 
 /// When a machine was last heard from, and whether commands are known to reach it.
 ///
@@ -118,7 +118,7 @@
     ) -> ContactUpdate {
         let previous = std::mem::replace(&mut self.last_heartbeat_at, now);
         let was_late = now >= previous + missed_after;
-        let reply_arrived = |since| previous >= since && now < previous + WORKER_PATIENCE;
+        let reply_arrived = |since| previous >= since && now < previous + WORKER_FAILOVER_TIMEOUT;
         match self.unresponsive_since {
             Some(_) if new_incarnation => self.unresponsive_since = Some(now),
             Some(since) if reply_arrived(since) || now >= since + proof_after => {
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -7,10 +7,8 @@
 use dillcleat_wire::user::{JobKind, JobSpec};
 use dillcleat_wire::worker::{Command, ExitReason, TaskState};
 use std::fmt;
-use std::rc::Rc;
 
-/// The job and index of a placed task.
-pub type TaskKey = (Rc<str>, u32);
+pub use crate::task_key::TaskKey;
 
 /// One attempt of a task, as commands and heartbeats name it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/controller/src/store_latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -44,7 +44,7 @@
     let shortest = micros(config.tuning.lead_ttl_s);
     // The next leader has to be elected, to read the store, and to be found by the
     // machines.
-    let longest = shortest.max(config.lease / 3);
+    let longest = shortest.max(config.worker_lease / 3);
     latency
         .saturating_mul(ANSWERS_PER_LEASE)
         .clamp(shortest, longest)
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -125,7 +125,11 @@
         // A fleet may have more machines than there are sockets: with one kept to each,
         // a controller would have none left for its users. Idle ones count against
         // the commands that may be in flight.
-        workers: ConnectionPool::bounded(1, (max / 16).max(4) as usize, config.max_orders),
+        workers: ConnectionPool::bounded(
+            1,
+            (max / 16).max(4) as usize,
+            config.max_commands_in_flight,
+        ),
         store_addr: platform.endpoints.store.clone(),
         cloud_addr: platform.endpoints.cloud.clone(),
     });
@@ -299,7 +303,7 @@
         Output::Commands {
             id,
             addr,
-            orders,
+            commands: orders,
             timeout,
         } => {
             executor
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -20,7 +20,7 @@
 use crate::{ApiRequest, ApiResponse, ControllerOutput, patch, reconciler, table, translate, view};
 use dillcleat_controller::calls::state_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
-use dillcleat_controller::request_budget::RequestPriority;
+use dillcleat_controller::request_budget::{RequestPriority, StoreCost};
 use dillcleat_controller::{
     CallError, CallId, JobEvent, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -277,8 +277,14 @@
         }
         // To read and check a create costs four times a native one's time, and in a
         // flood most are turned away.
-        if verb == Verb::Create && !ctx.node.could(1.0, 1.0, RequestPriority::Change, ctx.now) {
-            ctx.node.asked();
+        if verb == Verb::Create
+            && !ctx.node.has_budget(
+                StoreCost::transaction(1.0),
+                RequestPriority::Change,
+                ctx.now,
+            )
+        {
+            ctx.node.count_request();
             return Err(StatusError::TooMany);
         }
         let media = media(ask.content_type.as_deref());
@@ -294,7 +300,7 @@
         }
         // A watch costs the store nothing.
         if verb != Verb::Watch {
-            ctx.node.asked();
+            ctx.node.count_request();
         }
         let request = Request {
             id,
@@ -355,10 +361,11 @@
         }
         // Whoever ends or changes something goes before those who only look.
         let need = self.waiting.iter().map(|r| need(r.verb)).min();
-        if !ctx
-            .node
-            .grant(1.0, 0.0, need.unwrap_or(RequestPriority::Poll), ctx.now)
-        {
+        if !ctx.node.take_budget(
+            StoreCost::READ,
+            need.unwrap_or(RequestPriority::Poll),
+            ctx.now,
+        ) {
             return;
         }
         self.looking = true;
@@ -442,7 +449,11 @@
         let holds = |job: &str| ctx.node.holds(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
-            if !ctx.node.grant(1.0, changes, RequestPriority::End, ctx.now) {
+            if !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::End,
+                ctx.now,
+            ) {
                 self.keeper.put_off(wish);
                 continue;
             }
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -110,14 +110,18 @@
     ) -> Result<OpenJob, StatusError> {
         let mut spec = wanted.job.clone();
         spec.id = self.rules.key.job(&name.namespace, &name.name, uid);
-        match ctx.node.fitness(&spec) {
+        match ctx.node.check_schedulable(&spec) {
             None => {
                 return Err(StatusError::Unavailable(
                     "the machine types are not known yet",
                 ));
             }
-            Some(Err(what)) => {
-                let cause = Cause::new("spec.template.spec", StatusReason::Invalid, what);
+            Some(Err(error)) => {
+                let cause = Cause::new(
+                    "spec.template.spec",
+                    StatusReason::Invalid,
+                    error.to_string(),
+                );
                 return Err(invalid(name, vec![cause]));
             }
             Some(Ok(())) => {}
@@ -199,9 +203,11 @@
         // One more change than a submission of the same job.
         let changes = 1.0 + f64::from(u8::from(creation.job.is_some()));
         if self.writes >= MAX_WRITES
-            || !ctx
-                .node
-                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+            || !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::Change,
+                ctx.now,
+            )
         {
             return Err(StatusError::TooMany);
         }
@@ -281,7 +287,7 @@
             Ok(StoreResponse::Committed { revision }) => {
                 self.writes -= 1;
                 if let Some(job) = &creation.job {
-                    ctx.node.admitted(job);
+                    ctx.node.record_admission(job);
                 }
                 let object = Object {
                     name: creation.name,
@@ -476,9 +482,11 @@
         }
         let changes = txn.then.len() as f64;
         if self.writes >= MAX_WRITES
-            || !ctx
-                .node
-                .grant(1.0, changes, RequestPriority::Change, ctx.now)
+            || !ctx.node.take_budget(
+                StoreCost::transaction(changes),
+                RequestPriority::Change,
+                ctx.now,
+            )
         {
             return Err(StatusError::TooMany);
         }
@@ -622,10 +630,11 @@
             txn = reconciler::cancel(txn, object, job, ctx.now.wall);
         }
         let txn = reconciler::delete(txn, object);
-        if !ctx
-            .node
-            .grant(1.0, txn.then.len() as f64, RequestPriority::End, ctx.now)
-        {
+        if !ctx.node.take_budget(
+            StoreCost::transaction(txn.then.len() as f64),
+            RequestPriority::End,
+            ctx.now,
+        ) {
             return Err(StatusError::TooMany);
         }
         self.writes += 1;
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -82,7 +82,7 @@
             Output::Commands {
                 id,
                 addr,
-                orders,
+                commands: orders,
                 timeout,
             } => {
                 self.kind(Kind::Orders, id.0);
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -235,7 +235,7 @@
             Output::Commands {
                 id,
                 addr,
-                orders,
+                commands: orders,
                 timeout,
             } => {
                 self.launches(node, &orders.commands);
