--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -180,7 +180,7 @@
             let Some(job) = self.jobs.get_mut(&ready) else {
                 continue;
             };
-            log::info!("job ready, all its dependencies are done: job={ready}");
+            log::info!("job ready, all its dependencies are done job={ready}");
             job.blocked_on_dependencies = false;
             job.ready_at = ctx.now.wall.max(job.submitted);
             let is_service = job.spec.kind == JobKind::Service;
@@ -192,7 +192,7 @@
     /// A job is cancelled, and with it all that depend on it. None of them has started.
     pub(super) fn cancel_dependents(&mut self, id: &Rc<str>) {
         for dependent in self.dependencies.graph.transitive_dependents(id) {
-            log::info!("job cancelled with its dependency: job={dependent} dependency={id}");
+            log::info!("job cancelled with its dependency job={dependent} dependency={id}");
             self.writer.enqueue(PendingWrite::JobCancelled(dependent));
         }
     }
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -10,7 +10,7 @@
 impl Leader {
     /// A job is cancelled: nothing of it starts, and what runs is stopped.
     pub(super) fn cancel_job(&mut self, ctx: &Context, id: &Rc<str>) {
-        log::info!("job cancelled, stopping its tasks: job={id}");
+        log::info!("job cancelled, stopping its tasks job={id}");
         // The cancellation may have overtaken the record of its last
         // completion: then that is not written, and the job is to be cleared.
         if let Some(job) = self.jobs.get_mut(id) {
--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -31,13 +31,13 @@
             return;
         }
         let Some(open) = store::decode_value::<OpenJob>(value) else {
-            log::error!("unreadable job description: job={id}");
+            log::error!("unreadable job description job={id}");
             return self.add_undescribed_job(ctx, id, value);
         };
         // A team that has gone from the settings, perhaps from this node's only, keeps
         // its jobs waiting (`standing`). What of them is on machines goes on.
         let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
-            log::error!("unknown team: job={id} team={}", open.spec.team);
+            log::error!("unknown team job={id} team={}", open.spec.team);
             ctx.config.teams.len()
         });
         let state_version = open.state_version(version);
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -123,7 +123,7 @@
                 self.queue_watch.watch_from(now);
             }
             Ok(StoreResponse::Compacted) => {
-                log::error!("queue watch expired, reloading: term={}", self.term);
+                log::error!("queue watch expired, reloading term={}", self.term);
                 self.events.push(LeaderEvent::TermEnded);
             }
             _ => self.queue_watch.watch_from(now + RETRY_INTERVAL),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -231,7 +231,7 @@
                 continue;
             };
             let Some(record) = row.decode_value::<MachineRecord>() else {
-                log::error!("unreadable machine record: key={}", row.key);
+                log::error!("unreadable machine record key={}", row.key);
                 continue;
             };
             let mut machine = Machine::new(
@@ -265,7 +265,7 @@
         }
         self.start_contacting_machines(now);
         log::info!(
-            "state recovered: term={} jobs={} machines={} jobs_with_estimates={} blocked_jobs={}",
+            "state recovered term={} jobs={} machines={} jobs_with_estimates={} blocked_jobs={}",
             self.term,
             self.jobs.len(),
             self.machines.len(),
@@ -309,7 +309,7 @@
             return self.add_unknown_job_record(id, row);
         };
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
-            log::error!("unreadable task record: key={}", row.key);
+            log::error!("unreadable task record key={}", row.key);
             return self.demote_to_unknown(ctx, &id, range, &row.key);
         };
         if matches!(range, TaskRange::Part { .. }) {
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -213,7 +213,7 @@
         } = &write
             && let Some(job) = self.jobs.get_mut(id)
         {
-            log::info!("task record too large, splitting it: job={id} chunk={chunk}");
+            log::info!("task record too large, splitting it job={id} chunk={chunk}");
             for range in job.task_ranges.split(*chunk).into_iter().rev() {
                 let job = id.clone();
                 self.writer
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -35,7 +35,7 @@
         }
         match event {
             TaskEvent::Running((id, index)) => {
-                log::debug!("task running: job={id} task={index} machine={machine}");
+                log::debug!("task running job={id} task={index} machine={machine}");
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.task_running(index);
                 }
@@ -73,11 +73,11 @@
         let ExitedTask { task, attempt, .. } = exited;
         let (id, index) = task;
         if exited.reason == ExitReason::Done {
-            log::debug!("task done: job={id} task={index} attempt={attempt} machine={machine}");
+            log::debug!("task done job={id} task={index} attempt={attempt} machine={machine}");
             return self.complete_task(ctx, exited);
         }
         log::info!(
-            "task ended: job={id} task={index} attempt={attempt} machine={machine} reason={}",
+            "task ended job={id} task={index} attempt={attempt} machine={machine} reason={}",
             exit_reason_name(exited.reason)
         );
         self.return_to_waiting(task, *attempt);
@@ -157,7 +157,7 @@
         };
         if m.health.add_strike(id) {
             log::info!(
-                "machine cordoned, to be returned: machine={machine} reason=\"fails several jobs\""
+                "machine cordoned, to be returned machine={machine} reason=\"fails several jobs\""
             );
         }
     }
@@ -203,7 +203,7 @@
                     && let Some(pause) = job.failures.record_failure(&name, now)
                 {
                     log::info!(
-                        "job fails on every machine, pausing it: job={id} pause_s={}",
+                        "job fails on every machine, pausing it job={id} pause_s={}",
                         seconds(pause)
                     );
                 }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -169,7 +169,7 @@
             self.dependencies.want_state(Rc::from(id));
         }
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
-            log::error!("unreadable task record: key={}", row.key);
+            log::error!("unreadable task record key={}", row.key);
             job.may_be_anywhere = true;
             return;
         };
--- a/crates/controller/src/leader/urgency.rs
+++ b/crates/controller/src/leader/urgency.rs
@@ -94,7 +94,7 @@
         while let Some(dependency) = next.pop() {
             steps_left -= 1;
             if steps_left == 0 {
-                return log::error!("dependency cycle: job={id}");
+                return log::error!("dependency cycle job={id}");
             }
             if self.update_urgency(ctx, &dependency) {
                 let further = self.dependencies.graph().dependencies(&dependency);
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -29,7 +29,7 @@
             Ok(StoreResponse::Malformed) => self.handle_oversized_batch(ctx, batch),
             Ok(StoreResponse::LeaseExpired) => {
                 log::error!(
-                    "store reports an expired lease that no batch has: term={}",
+                    "store reports an expired lease that no batch has term={}",
                     self.term
                 );
                 self.events.push(LeaderEvent::TermEnded);
@@ -76,7 +76,7 @@
     /// for it would only let the next leader meet the same.
     fn handle_oversized_batch(&mut self, ctx: &mut Context, batch: WriteBatch) {
         log::info!(
-            "store refused a batch, reducing the batch size: writes={}",
+            "store refused a batch, reducing the batch size writes={}",
             batch.writes.len()
         );
         match batch.own_key().filter(|_| batch.uncertain) {
@@ -119,10 +119,7 @@
         if self.writer.max_value_bytes() > ctx.config.value_bytes {
             // The limits that were announced are in force: larger values are written
             // in parts.
-            log::info!(
-                "value limit lowered: value_bytes={}",
-                ctx.config.value_bytes
-            );
+            log::info!("value limit lowered value_bytes={}", ctx.config.value_bytes);
             self.writer.use_lower_value_limit(ctx.config);
         } else if batch.writes.len() > 1 {
             self.writer.shrink_batches(batch.writes.len());
@@ -178,10 +175,7 @@
                 let continuation = self.continuation(LeaderStep::TypesVersion);
                 ctx.store_request(StoreRequest::Get { key: key.clone() }, continuation);
             } else {
-                log::error!(
-                    "key written by another leader: key={key} term={}",
-                    self.term
-                );
+                log::error!("key written by another leader key={key} term={}", self.term);
                 self.events.push(LeaderEvent::TermEnded);
             }
         }
@@ -213,7 +207,7 @@
     /// this leader's: nothing of the job is to run, whichever it was.
     fn job_state_changed(&mut self, ctx: &mut Context, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id) {
-            log::info!("job state record changed, reading it: job={id}");
+            log::info!("job state record changed, reading it job={id}");
             // No placement of it is written from now on. When it was confirmed is not
             // known. Until its row is read answers end with the last read, which is
             // older, and then the row says when.
@@ -248,11 +242,11 @@
                 }
             }
             Some((RecordedState::Open, _)) => {
-                log::error!("unexpected job state record: job={id} state=open");
+                log::error!("unexpected job state record job={id} state=open");
                 self.events.push(LeaderEvent::TermEnded);
             }
             None => {
-                log::error!("unreadable job state record: job={id}");
+                log::error!("unreadable job state record job={id}");
                 self.events.push(LeaderEvent::TermEnded);
             }
         }
@@ -260,7 +254,7 @@
 
     /// That a job is done is in the store.
     fn job_done(&mut self, ctx: &Context, id: &Rc<str>, record: JobStateRecord) {
-        log::info!("job done: job={id}");
+        log::info!("job done job={id}");
         self.forget_job(ctx, id);
         self.dependency_done(ctx, id);
         self.events
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -74,7 +74,7 @@
     if let Some(tls) = tls.clone() {
         executor.spawn(async move { tls.keep_up().await }).detach();
     }
-    log::info!("serving Kubernetes clients: address={}", settings.listen);
+    log::info!("serving Kubernetes clients address={}", settings.listen);
     executor
         .spawn(accept(executor.clone(), shared.clone(), listener, tls))
         .detach();
--- a/crates/dillcleat/src/peer_connections.rs
+++ b/crates/dillcleat/src/peer_connections.rs
@@ -83,7 +83,7 @@
     if let Err(e) = read_messages(stream, peers, &inputs).await
         && !matches!(e, ReceiveError::Gone)
     {
-        log::error!("peer connection closed: error={e}");
+        log::error!("peer connection closed error={e}");
     }
 }
 
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -162,7 +162,7 @@
     }
     executor.spawn(tick(shared.clone())).detach();
     log::info!(
-        "serving: member={} address={}",
+        "serving member={} address={}",
         config.member,
         platform.client_listen
     );
@@ -334,13 +334,13 @@
         .and_then(|(status, body)| {
             call.parse_response(status, &body).map_err(|e| {
                 log::error!(
-                    "unreadable response of the store: method={method} target={target} error={e}"
+                    "unreadable response of the store method={method} target={target} error={e}"
                 );
                 CallError::NoAnswer
             })
         });
     log::debug!(
-        "store request: method={method} target={target} outcome={}",
+        "store request method={method} target={target} outcome={}",
         outcome(&reply)
     );
     let _ = shared.inputs.send(Input::Store { id, reply }).await;
@@ -366,13 +366,13 @@
         .and_then(|(status, body)| {
             call.parse_response(status, &body).map_err(|e| {
                 log::error!(
-                    "unreadable response of the cloud: method={method} target={target} error={e}"
+                    "unreadable response of the cloud method={method} target={target} error={e}"
                 );
                 CallError::NoAnswer
             })
         });
     log::debug!(
-        "cloud request: method={method} target={target} outcome={}",
+        "cloud request method={method} target={target} outcome={}",
         outcome(&reply)
     );
     let _ = shared.inputs.send(Input::Cloud { id, reply }).await;
@@ -391,7 +391,7 @@
         .workers
         .call(&addr, "POST", COMMANDS_PATH, &body, time)
         .await;
-    log::debug!("commands sent: address={addr} outcome={}", outcome(&reply));
+    log::debug!("commands sent address={addr} outcome={}", outcome(&reply));
     let _ = shared.inputs.send(Input::Commands { id, reply }).await;
 }
 
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -62,26 +62,33 @@
     text.parse().ok().map(micros)
 }
 
-/// `accepted JOB: N tasks of CLASS for TEAM, due in S s, after OTHER OTHER`, without its
-/// first word; with `no deadline` instead, and the last part only where there is one.
+/// The value of a field of a log line's message, `key=value`.
+fn field<'a>(text: &'a str, key: &str) -> Option<&'a str> {
+    let mut pairs = text
+        .split_whitespace()
+        .filter_map(|word| word.split_once('='));
+    pairs.find(|(name, _)| *name == key).map(|(_, value)| value)
+}
+
+/// The array of `job accepted job=JOB tasks=N class=CLASS team=TEAM`, with `deadline_s=S`
+/// and `depends_on=JOB,JOB` where it has them.
 fn array(at: Micros, text: &str) -> Option<(&str, Array<'_>)> {
-    let (job, rest) = text.trim().split_once(": ")?;
-    let (tasks, rest) = rest.split_once(" tasks of ")?;
-    let (class, rest) = rest.split_once(" for ")?;
-    let (team, rest) = rest.split_once(", ")?;
-    let (due, after) = rest.split_once(", after ").unwrap_or((rest, ""));
-    let due = match due.strip_prefix("due in ") {
-        Some(due) => Some(at + seconds(due.strip_suffix(" s")?)?),
+    let due = match field(text, "deadline_s") {
+        Some(deadline_s) => Some(at + seconds(deadline_s)?),
         None => None,
     };
+    let dependencies = field(text, "depends_on").unwrap_or("");
     let array = Array {
-        tasks: tasks.parse().ok()?,
-        class,
-        team,
+        tasks: field(text, "tasks")?.parse().ok()?,
+        class: field(text, "class")?,
+        team: field(text, "team")?,
         due,
-        after: after.split_whitespace().collect(),
+        after: dependencies
+            .split(',')
+            .filter(|job| !job.is_empty())
+            .collect(),
     };
-    Some((job, array))
+    Some((field(text, "job")?, array))
 }
 
 /// Gives the stages of a pipeline, which have no deadline, that of its last job.
@@ -116,14 +123,14 @@
         let Some((_, text)) = line.split_once(" info ") else {
             continue;
         };
-        if let Some(rest) = text.strip_prefix("accepted ") {
-            arrays.extend(array(at, rest));
-        } else if let Some(job) = text.trim_end().strip_suffix(": done") {
-            done.entry(job).or_insert(at);
-        } else if let Some(job) = text.strip_prefix("cancelled ") {
-            cancelled.insert(job.trim_end());
-        } else if let Some((job, _)) = text.split_once(": cancelled") {
-            cancelled.insert(job);
+        if text.starts_with("job accepted ") {
+            arrays.extend(array(at, text));
+        } else if text.starts_with("job done ") {
+            if let Some(job) = field(text, "job") {
+                done.entry(job).or_insert(at);
+            }
+        } else if text.starts_with("job cancelled") {
+            cancelled.extend(field(text, "job"));
         }
     }
     hand_down(&mut arrays);
