--- a/crates/controller/src/admission/schedulability.rs
+++ b/crates/controller/src/admission/schedulability.rs
@@ -10,10 +10,13 @@
 /// Why a job can never run here. The text is sent to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unschedulable {
+    /// The team is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
+    /// No machine type that the job allows can run one of its tasks.
     #[error("a task fits no allowed machine type")]
     NoMachineType,
+    /// A single task exceeds the team's quota.
     #[error("the job needs more than its team's limit")]
     OverTeamLimit,
     /// `single_zone` and `spread` are both set on a job of several tasks.
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -35,7 +35,9 @@
 /// What a module uses while it handles an input: the time, the settings, and the ways to
 /// send requests and answers.
 pub struct Context<'a> {
+    /// Both clocks at the moment of the input.
     pub now: Timestamp,
+    /// The settings of the node.
     pub config: &'a Config,
     out: &'a mut Vec<Output>,
     calls: &'a mut PendingCalls,
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -62,8 +62,11 @@
 /// A call that may be sent now.
 #[derive(Debug)]
 pub struct PermittedCloudCall {
+    /// Which kind of request it is.
     pub kind: CloudRequestKind,
+    /// The request to send.
     pub request: CloudRequest,
+    /// The permit that the request is sent with.
     pub permit: CloudPermit,
 }
 
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -7,6 +7,7 @@
 /// What users expect of the time to the start of a class's tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartObjective {
+    /// The class of jobs that it is for.
     pub class: String,
     /// Longest time from submission to the start.
     pub within: Micros,
@@ -16,6 +17,7 @@
 /// and the greatest multiple.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeadlineObjective {
+    /// The class of jobs that it is for.
     pub class: String,
     /// Share of the class's jobs, 0 to 1, that are to end by some multiple of their
     /// deadline.
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -22,10 +22,17 @@
     Status(RequestId),
     /// A submission that must be rejected with this answer, unless the job is known
     /// already: then it is a repeated submission, and its state is reported.
-    Reject { request: RequestId, answer: Answer },
+    Reject {
+        /// The request that waits for the answer.
+        request: RequestId,
+        /// The answer.
+        answer: Answer,
+    },
     /// Cancel the job. `received_at` is the monotonic time at which the request came in.
     Cancel {
+        /// The request that waits for the answer.
         request: RequestId,
+        /// When the request was received, on the monotonic clock.
         received_at: Micros,
     },
 }
@@ -55,28 +62,50 @@
 pub enum AdmissionStep {
     /// Reads the open record of a job. Each request has a read of its own, which is sent
     /// after the request came in.
-    ReadOpenRecord { id: String, pending: PendingRequest },
+    ReadOpenRecord {
+        /// The id of the job.
+        id: String,
+        /// The request that waits for the record.
+        pending: PendingRequest,
+    },
     /// Reads the state record of a job without an open record. Also for this request
     /// alone.
-    ReadStateRecord { id: String, pending: PendingRequest },
+    ReadStateRecord {
+        /// The id of the job.
+        id: String,
+        /// The request that waits for the record.
+        pending: PendingRequest,
+    },
     /// Reads a record of a job that a submission depends on.
     ReadDependency {
+        /// The submission whose dependencies are checked.
         submission: u64,
+        /// The id of the job that it depends on.
         dependency: String,
+        /// Which record is read.
         record: JobRecordKind,
     },
     /// Compares the state records of open jobs with what this node knows.
-    VerifyOpen { jobs: Vec<String> },
+    VerifyOpen {
+        /// The ids of the jobs that are verified.
+        jobs: Vec<String>,
+    },
     /// Stores a submitted job. `received_at` is when its submission came in.
     Create {
+        /// The request that waits for the answer.
         request: RequestId,
+        /// The job that is admitted.
         job: Rc<OpenJob>,
+        /// When the request was received, on the monotonic clock.
         received_at: Micros,
     },
     /// Stores the cancellation of a job. `received_at` is when its request came in.
     Cancel {
+        /// The id of the job.
         id: String,
+        /// The request that waits for the answer.
         request: RequestId,
+        /// When the request was received, on the monotonic clock.
         received_at: Micros,
     },
 }
@@ -92,12 +121,18 @@
     GrantLease,
     /// Takes the lead with a lease that was asked for at `granted_at`.
     Claim {
+        /// The lease.
         lease: LeaseId,
+        /// The term.
         term: u64,
+        /// When the lease was asked for, on the monotonic clock.
         granted_at: Micros,
     },
     /// Renews the leader's lease.
-    Renew { lease: LeaseId },
+    Renew {
+        /// The lease.
+        lease: LeaseId,
+    },
     /// Watches the shared keys.
     Watch,
     /// Revokes a lease that is no longer needed; its response decides nothing.
@@ -118,15 +153,27 @@
     /// Writes a batch of the write queue.
     WriteQueue,
     /// Reads a record that another writer may have changed.
-    Reread { key: String },
+    Reread {
+        /// The key.
+        key: String,
+    },
     /// Reads the version of the record of the machine types.
     TypesVersion,
     /// Reads the state record of a job whose end may be stored.
-    Ended { id: Rc<str> },
+    Ended {
+        /// The id of the job.
+        id: Rc<str>,
+    },
     /// Reads the state record of a job that others depend on.
-    Dependency { id: Rc<str> },
+    Dependency {
+        /// The id of the job.
+        id: Rc<str>,
+    },
     /// Sends commands to a worker.
-    CommandsInFlight { machine: String },
+    CommandsInFlight {
+        /// The name of the machine.
+        machine: String,
+    },
     /// Sends a request to the cloud.
     Cloud(CloudRequestKind),
 }
@@ -134,11 +181,15 @@
 /// Who waits for a response, with the state that is needed to continue.
 #[derive(Debug, Clone)]
 pub enum Continuation {
+    /// A request of a user.
     Admission(AdmissionStep),
+    /// The election.
     Election(ElectionStep),
     /// The leader of this term; ignored if it no longer leads.
     Leader {
+        /// The term.
         term: u64,
+        /// What the leader goes on with.
         step: LeaderStep,
     },
     /// The response is ignored.
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -63,7 +63,12 @@
 pub enum LeadershipChange {
     /// This node was elected. `term_version` is the version of the term's record, which
     /// fences its writes.
-    Elected { term: u64, term_version: u64 },
+    Elected {
+        /// The term.
+        term: u64,
+        /// The version of the stored term, which every write compares.
+        term_version: u64,
+    },
     /// This node no longer leads.
     Deposed,
 }
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -70,8 +70,11 @@
     JobCancelled(String),
     /// An attempt of a job's task ended with an error.
     TaskFailed {
+        /// The id of the job.
         job: String,
+        /// The index of the task within the job.
         task: u32,
+        /// The attempt of the task.
         attempt: u64,
     },
     /// The cloud offers these machine types.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -13,6 +13,14 @@
 //! - [`leader`] schedules, scales and reconciles, on the elected node only;
 //! - [`calls`] and [`continuations`] match responses with whoever waits for them.
 
+#![warn(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::wildcard_imports,
+    clippy::too_many_lines
+)]
+
 pub mod admission;
 pub mod calls;
 pub mod cloud_queue;
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -13,7 +13,9 @@
 /// One attempt of a task, as commands and heartbeats name it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskAttempt {
+    /// The task.
     pub task: TaskName,
+    /// The attempt of the task.
     pub attempt: u64,
 }
 
@@ -118,16 +120,22 @@
     Running(TaskKey),
     /// The attempt has exited and left the machine's slots.
     Exited {
+        /// The task.
         task: TaskKey,
+        /// The attempt of the task.
         attempt: u64,
+        /// Why it ended.
         reason: ExitReason,
         /// The run time, if the whole run was watched.
         ran: Option<Micros>,
     },
     /// The attempt is proved to be gone without a result.
     Lost {
+        /// The task.
         task: TaskKey,
+        /// The attempt of the task.
         attempt: u64,
+        /// Why it ended.
         reason: TaskLossReason,
     },
 }
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -39,30 +39,41 @@
     /// An HTTP request of a user or a worker. It is answered by exactly one
     /// [`Output::Answer`], perhaps after later inputs.
     Request {
+        /// The id under which the answer is expected.
         id: RequestId,
+        /// The HTTP method.
         method: String,
+        /// The request target: path and query.
         target: String,
+        /// The body.
         body: Vec<u8>,
     },
     /// The key-value store's response to an [`Output::Store`].
     Store {
+        /// The call that is answered.
         id: CallId,
+        /// The reply, or why there is none.
         reply: Result<StoreResponse, CallError>,
     },
     /// The cloud's response to an [`Output::Cloud`].
     Cloud {
+        /// The call that is answered.
         id: CallId,
+        /// The reply, or why there is none.
         reply: Result<CloudResponse, CallError>,
     },
     /// A worker's response to an [`Output::Commands`]: HTTP status and body.
     Commands {
+        /// The call that is answered.
         id: CallId,
+        /// The reply, or why there is none.
         reply: Result<(u16, Vec<u8>), CallError>,
     },
     /// A message of another controller.
     Peer {
         /// The sender's member name.
         from: String,
+        /// The message.
         message: Message,
     },
 }
@@ -71,17 +82,26 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Answers an [`Input::Request`].
-    Answer { id: RequestId, answer: Answer },
+    Answer {
+        /// The request that is answered.
+        id: RequestId,
+        /// The answer.
+        answer: Answer,
+    },
     /// Sends a request to the key-value store.
     Store {
+        /// The id under which the reply is expected.
         id: CallId,
+        /// The request to send.
         call: StoreRequest,
         /// How long to wait for the response.
         timeout: Micros,
     },
     /// Sends a request to the cloud.
     Cloud {
+        /// The id under which the reply is expected.
         id: CallId,
+        /// The request to send.
         call: CloudRequest,
         /// How long to wait for the response.
         timeout: Micros,
@@ -91,15 +111,20 @@
     },
     /// Sends commands to a worker.
     Commands {
+        /// The id under which the reply is expected.
         id: CallId,
         /// The worker's address.
         addr: String,
+        /// The commands to send.
         commands: CommandBatch,
         /// How long to wait for the response.
         timeout: Micros,
     },
     /// Broadcasts a message to every other controller that is connected.
-    Peer { message: Message },
+    Peer {
+        /// The message.
+        message: Message,
+    },
     /// Informs the reconciler of objects of a change to a job.
     JobEvent(JobEvent),
 }
@@ -108,12 +133,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobEvent {
     /// The job's end, done or cancelled, is in the store.
-    Ended { job: String, state: JobState },
+    Ended {
+        /// The id of the job.
+        job: String,
+        /// How it ended.
+        state: JobState,
+    },
     /// An attempt of one of its tasks ended with an error. The event is repeated for the
     /// same attempt when a new leader receives the failure again.
     Failed {
+        /// The id of the job.
         job: String,
+        /// The index of the task within the job.
         task: u32,
+        /// The attempt of the task.
         attempt: u64,
     },
 }
@@ -123,6 +156,7 @@
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
     /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -72,7 +72,14 @@
     /// All of a chunk.
     Chunk(u32),
     /// The tasks `from` to `to` of a chunk, both included.
-    Part { chunk: u32, from: u32, to: u32 },
+    Part {
+        /// The number of the chunk.
+        chunk: u32,
+        /// The first task of the part.
+        from: u32,
+        /// The last task of the part, included.
+        to: u32,
+    },
 }
 
 /// The key of the record of some tasks of a job.
@@ -108,10 +115,13 @@
 /// Who leads. Its key is bound to the lease, and goes when the lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// The name of the controller.
     #[serde(rename = "member")]
     pub member: String,
+    /// The lease that the key is bound to.
     #[serde(rename = "lease")]
     pub lease: LeaseId,
+    /// The term in which it leads.
     #[serde(rename = "term")]
     pub term: u64,
 }
@@ -119,6 +129,7 @@
 /// The current term, which only grows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// The highest term that has begun.
     #[serde(rename = "term")]
     pub term: u64,
 }
@@ -126,10 +137,13 @@
 /// The state of a job in its state record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedState {
+    /// The job is open.
     #[serde(rename = "o")]
     Open,
+    /// Every task of the job has completed.
     #[serde(rename = "d")]
     Done,
+    /// The job was cancelled.
     #[serde(rename = "c")]
     Cancelled,
 }
@@ -148,6 +162,7 @@
 /// The state record of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStateRecord {
+    /// The recorded state.
     #[serde(rename = "s")]
     pub state: RecordedState,
     /// The job's number of tasks.
@@ -158,6 +173,7 @@
 /// The description of an open job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
+    /// The job as its user described it.
     #[serde(rename = "spec")]
     pub spec: JobSpec,
     /// Time of day of the submission, in microseconds.
@@ -189,6 +205,7 @@
 /// know.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
+    /// What each task counts against its team's quota.
     #[serde(rename = "spec")]
     pub spec: ResourceClaim,
 }
@@ -206,8 +223,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, u64, String, u64)")]
 pub struct PlacedTask {
+    /// The index of the task within the job.
     pub index: u32,
+    /// The attempt of the task.
     pub attempt: u64,
+    /// The name of the machine that it is placed on.
     pub machine: String,
     /// The incarnation of the machine's agent.
     pub incarnation: u64,
@@ -235,6 +255,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64)", into = "(u32, u64)")]
 pub struct WaitingTask {
+    /// The index of the task within the job.
     pub index: u32,
     /// The last attempt.
     pub attempt: u64,
@@ -257,7 +278,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct DoneTasks {
+    /// The first task of the range.
     pub first: u32,
+    /// The last task of the range, included.
     pub last: u32,
 }
 
@@ -277,10 +300,13 @@
 /// placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskChunk {
+    /// Placed tasks.
     #[serde(rename = "p")]
     pub placed: Vec<PlacedTask>,
+    /// Tasks that wait and were placed before.
     #[serde(rename = "w")]
     pub waiting: Vec<WaitingTask>,
+    /// Ranges of tasks that are done.
     #[serde(rename = "d")]
     pub done: Vec<DoneTasks>,
 }
@@ -288,12 +314,16 @@
 /// A machine that has sent a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
+    /// The address at which the worker takes commands.
     #[serde(rename = "addr")]
     pub addr: String,
+    /// The machine type.
     #[serde(rename = "machine_type")]
     pub machine_type: String,
+    /// The zone.
     #[serde(rename = "zone")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "spot")]
     pub spot: bool,
 }
@@ -301,6 +331,7 @@
 /// The machine types that the cloud offered last.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypesRecord {
+    /// The machine types.
     #[serde(rename = "types")]
     pub types: Vec<MachineType>,
 }
--- a/crates/controller/src/slab.rs
+++ b/crates/controller/src/slab.rs
@@ -50,6 +50,7 @@
         self.indexes.len()
     }
 
+    /// Whether it holds no entry.
     pub fn is_empty(&self) -> bool {
         self.indexes.is_empty()
     }
@@ -59,6 +60,7 @@
         self.indexes.get(name).copied()
     }
 
+    /// Whether there is an entry of this name.
     pub fn contains_key(&self, name: &str) -> bool {
         self.indexes.contains_key(name)
     }
@@ -68,6 +70,7 @@
         self.indexes.get_key_value(name).map(|(name, _)| name)
     }
 
+    /// The entry of this name.
     pub fn get(&self, name: &str) -> Option<&T> {
         self.at(self.index_of(name)?).map(|(_, value)| value)
     }
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -103,11 +103,16 @@
     /// Not TOML, an unknown key, or a value of the wrong type.
     #[error("{}", one_line(&.0.to_string()))]
     Malformed(#[from] toml::de::Error),
+    /// A value is outside its allowed range.
     #[error("{key}: must be from {min} to {max}, is {value}")]
     OutOfRange {
+        /// The key of the setting.
         key: &'static str,
+        /// The smallest allowed value.
         min: f64,
+        /// The largest allowed value.
         max: f64,
+        /// The value that was given.
         value: f64,
     },
 }
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -25,7 +25,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
     /// The record of some tasks of a job.
-    Tasks { job: Rc<str>, range: TaskRange },
+    Tasks {
+        /// The id of the job.
+        job: Rc<str>,
+        /// The tasks that the record tells of.
+        range: TaskRange,
+    },
     /// Every task of the job is done.
     JobDone(Rc<str>),
     /// The job is cancelled, since one that it depends on was.
--- a/crates/controller/src/write_queue/batch.rs
+++ b/crates/controller/src/write_queue/batch.rs
@@ -9,7 +9,9 @@
 /// A placement that a batch stores.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewPlacement {
+    /// The task.
     pub task: TaskKey,
+    /// The attempt of the task.
     pub attempt: u64,
 }
 
@@ -24,6 +26,7 @@
 /// How large some mutations of a batch are, in bytes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MutationSizes {
+    /// The size of the largest value in it, in bytes.
     pub largest_value_bytes: usize,
     /// All keys and values, with what the transaction needs around them.
     pub total_bytes: usize,
@@ -55,6 +58,7 @@
         }
     }
 
+    /// The transaction that writes the batch.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
