--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -119,14 +119,14 @@
     RevokeOwnLease,
     /// Grants the lease of a candidacy.
     GrantLease,
-    /// Takes the lead with a lease that was asked for at `granted_at`.
+    /// Takes the lead with a granted lease.
     Claim {
         /// The lease.
         lease: LeaseId,
         /// The term.
         term: u64,
         /// When the lease was asked for, on the monotonic clock.
-        granted_at: Micros,
+        lease_requested_at: Micros,
     },
     /// Renews the leader's lease.
     Renew {
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -1,31 +1,31 @@
 //! Leader election over the key-value store.
 //!
-//! Two keys decide. `s/lead` names the leader and is bound to its **lease**: when the
-//! lease expires, or is revoked, the key is deleted. `s/term` holds the **term**, which
-//! grows by one with every election and is never deleted. A candidate grants itself a
-//! lease and then, in one compare-and-swap, checks that `s/lead` is absent and that
-//! `s/term` is unchanged, and writes both.
+//! The election uses two keys. `s/lead` names the leader and is bound to the leader's
+//! **lease**: the store deletes the key when the lease expires or is revoked. `s/term`
+//! holds the **term**, which increases by one with every election and is never deleted. A
+//! candidate first requests a lease. Then one compare-and-swap checks that `s/lead` is
+//! absent and that `s/term` is unchanged, and writes both.
 //!
 //! **Fencing.** Every write of a leader compares the version of `s/term` that its election
-//! wrote, and every command to a worker carries the term as its fencing token. Whatever an
-//! earlier leader still has under way therefore fails, however late it arrives. Safety
-//! rests on the term alone; the lease only decides when another node tries.
+//! wrote, and every command to a worker carries the term as its fencing token. Delayed
+//! requests of an earlier leader therefore fail. Safety depends on the term alone; the
+//! lease only determines when another node stands for election.
 //!
-//! **How a leader is deposed.** It steps down by revoking its lease, so that a successor
-//! does not wait for the expiry, when
-//! - the store says that its lease has expired,
-//! - a higher term is seen: in the store, in a heartbeat of a worker or from a peer,
-//! - its fenced write failed, or the history it watches was compacted,
-//! - no worker reaches it while one may reach a peer, or
+//! **Stepping down.** A leader steps down, and revokes its lease so that its successor
+//! need not wait for the expiry, when
+//! - the store reports that the lease has expired,
+//! - it observes a higher term in the store, in a worker's heartbeat or from a peer,
+//! - one of its fenced writes failed, or the revisions that it watches were compacted,
+//! - no worker heartbeats reach it while they may reach a peer, or
 //! - its process was paused for longer than the lease lasts.
 //!
-//! A leader that merely cannot reach the store stays in office, but its
-//! [`LeadershipProof`](crate::leadership_guard::LeadershipProof) ages, and without it
-//! nothing is done that cannot be undone.
+//! A leader that cannot reach the store does not step down for that reason. Its
+//! [`LeadershipProof`](crate::leadership_guard::LeadershipProof) ages instead, and
+//! irreversible actions require a recent proof.
 //!
 //! **Timers.** The lease lasts `lead_ttl_s`, or longer while the store is slow
-//! ([`lease_time`]), and is renewed every quarter of `lead_ttl_s`, so that two renewals in
-//! a row may be lost. The remaining timers are the constants below.
+//! ([`lease_time`]). It is renewed every quarter of `lead_ttl_s`, so that it outlasts two
+//! consecutive lost renewals.
 
 mod replies;
 mod shared_keys;
@@ -40,78 +40,78 @@
 use dillcleat_wire::store::{LeaseId, StoreRequest, Transaction};
 use std::rc::Rc;
 
-/// Pause before the shared keys are read again after a failure.
+/// Delay before the shared keys are read again after a failure.
 const READ_RETRY_DELAY: Micros = 250 * MILLISECOND;
-/// Least time from the sending of a renewal that failed to the next one. After an outage
-/// of the store the lease has its full time again, so that it is worth asking soon.
+/// Delay from the sending of a failed renewal to the next one. A lease may survive an
+/// outage of the store, so an early retry can still renew it.
 const RENEW_RETRY_DELAY: Micros = 400 * MILLISECOND;
-/// How long the store holds a watch without changes, in milliseconds. An idle follower
-/// has no other sign that it reaches the store: held for 5 s, it once called itself cut
-/// off for two of each five seconds, and the load balancer left all users to one or two
-/// busy nodes (operations, rosterwise-nz-ops).
+/// How long the store holds a watch without changes. An idle follower has no other
+/// evidence that it reaches the store, so this must be shorter than the time for which a
+/// response counts as such evidence.
 const WATCH_HOLD_MS: u64 = 1_000;
-/// How long a node that no worker reaches leaves an election to a peer that they reach.
-/// With two of three nodes cut off from the workers these two once led in turn, each for
-/// as long as it took to notice, until all leases had expired.
+/// How long a node that receives no worker heartbeats delays its candidacy while a peer
+/// receives them. Otherwise several nodes without contact to the workers could be elected
+/// in turn until the workers' leases have expired.
 const DELAY_FOR_BETTER_PEER: Micros = 600 * MILLISECOND;
-/// The same where the node knows of no such peer: there may be one that it cannot reach.
-/// A node cut off from the workers and from its peers once won two elections by 20 ms.
+/// How long such a node delays its candidacy if it knows of no better peer, since there
+/// may be one that it cannot reach.
 const DELAY_FOR_UNKNOWN_PEER: Micros = 100 * MILLISECOND;
 
-/// A change in whether this node leads, for the node to act upon.
+/// A change of this node's leadership, for the node to act upon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeadershipChange {
-    /// This node was elected. `term_version` is the version of the term's record, which
-    /// fences its writes.
+    /// This node was elected.
     Elected {
-        /// The term.
+        /// The term in which this node leads.
         term: u64,
-        /// The version of the stored term, which every write compares.
+        /// The version of the stored term, which every write of this leader compares.
         term_version: u64,
     },
     /// This node no longer leads.
     Deposed,
 }
 
-/// Who would make a better leader than this node.
+/// Whether a peer would be a better leader than this node, judged by which of them
+/// receives worker heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BetterCandidate {
-    /// Workers reach this node.
-    Nobody,
-    /// Workers do not reach this node, but may reach a peer.
+    /// This node receives worker heartbeats.
+    None,
+    /// This node receives no worker heartbeats. It is unknown whether a peer does.
     Unknown,
-    /// Workers reach a peer, and not this node.
+    /// A peer receives worker heartbeats and this node does not.
     Peer,
 }
 
-/// What this node does in the election.
+/// The state of this node in the election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The shared keys are unknown or doubtful, and are read at this time.
+    /// The shared keys are unknown or may be outdated. They will be read at time `at`.
     ReadScheduled { at: Micros },
-    /// A call is under way whose response decides the next phase.
+    /// A call is in flight whose response determines the next phase.
     AwaitingReply,
-    /// The shared keys are known and watched; stands for election when nobody leads.
+    /// The shared keys are known and watched. This node stands for election when there is
+    /// no leader.
     Following,
-    /// Elected, and not deposed since.
+    /// This node leads.
     Leading { lease: LeaseId, term: u64 },
 }
 
-/// This node's part in the election, and its copy of the shared keys.
+/// This node's election state, and its copy of the shared keys.
 #[derive(Debug)]
 pub struct Election {
     phase: Phase,
     shared: SharedKeys,
-    /// Whether a watch of the shared keys is under way.
+    /// Whether a watch of the shared keys is in flight.
     watching: bool,
     /// When the lease is to be renewed next.
     renew_at: Micros,
-    /// This node does not stand for election before: no worker reached it.
+    /// This node does not stand for election before this time.
     abstain_until: Micros,
     better_candidate: BetterCandidate,
-    /// Since when nobody leads, as far as is known.
+    /// When this node first observed that there is no leader; None while there is one.
     vacant_since: Option<Micros>,
-    /// The lease of the present candidacy.
+    /// The lease of the current candidacy.
     candidate_lease: Option<LeaseId>,
     /// See [`proved_at`](Self::proved_at).
     proved_at: Micros,
@@ -119,11 +119,13 @@
 }
 
 impl Election {
-    /// How long a leader that no worker reaches abstains after it has stepped down: long
-    /// enough for a peer to be elected; if none is, better this one.
+    /// How long a leader that stepped down for lack of worker heartbeats does not stand
+    /// for election again. This is long enough for a peer to be elected; if none is, a
+    /// leader without heartbeats is better than none.
     pub const ABSTAIN: Micros = 3 * SECOND;
 
-    /// A node that has just started, and reads the shared keys at its first tick.
+    /// Creates the state of a node that has just started. It reads the shared keys at its
+    /// first tick.
     pub fn new() -> Self {
         Election {
             phase: Phase::ReadScheduled { at: 0 },
@@ -131,7 +133,7 @@
             watching: false,
             renew_at: 0,
             abstain_until: 0,
-            better_candidate: BetterCandidate::Nobody,
+            better_candidate: BetterCandidate::None,
             vacant_since: None,
             candidate_lease: None,
             proved_at: 0,
@@ -151,13 +153,13 @@
         matches!(self.phase, Phase::Leading { lease: own, .. } if own == lease)
     }
 
-    /// When the latest call was sent whose response proved that this node leads: the one
-    /// that made or renewed the leader's lease.
+    /// The send time of the latest successful request that granted or renewed the leader's
+    /// lease: the response proves that this node led at that time.
     pub fn proved_at(&self) -> Micros {
         self.proved_at
     }
 
-    /// The highest term seen in the store.
+    /// The highest term that was read from the store.
     pub fn term(&self) -> u64 {
         self.shared.term
     }
@@ -167,37 +169,37 @@
         self.shared.leader.as_ref()
     }
 
-    /// The machine types that the cloud offers; None until they were read.
+    /// The machine types that the cloud offers; None until they have been read.
     pub fn machine_types(&self) -> Option<&[MachineType]> {
         self.shared.machine_types.as_deref().map(Vec::as_slice)
     }
 
-    /// The same as [`machine_types`](Self::machine_types), to be kept.
+    /// Like [`machine_types`](Self::machine_types), with shared ownership.
     pub fn shared_machine_types(&self) -> Option<Rc<Vec<MachineType>>> {
         self.shared.machine_types.clone()
     }
 
-    /// The version of the record of the machine types; 0 if there is none.
+    /// The version of the machine types' record; 0 if there is none.
     pub fn machine_types_version(&self) -> u64 {
         self.shared.machine_types_version
     }
 
-    /// This node's leader has stored new machine types.
+    /// Sets the machine types that this node's leader has stored.
     pub fn set_machine_types(&mut self, types: Rc<Vec<MachineType>>) {
         self.shared.machine_types = Some(types);
     }
 
-    /// Says who would make a better leader; to be called before each tick.
+    /// Sets whether a peer would be a better leader. Must be called before each tick.
     pub fn set_better_candidate(&mut self, better_candidate: BetterCandidate) {
         self.better_candidate = better_candidate;
     }
 
-    /// Records how long a response of the store took; a slow store gets longer leases.
+    /// Records the latency of a store response. A slow store leads to longer leases.
     pub fn record_store_latency(&mut self, latency: Micros, now: Micros) {
         self.store_latency.answered(latency, now);
     }
 
-    /// Starts whatever is due: a read, a candidacy, a renewal, a watch.
+    /// Sends the requests that are due: a read, a candidacy, a lease renewal or a watch.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         match self.phase {
@@ -245,8 +247,8 @@
         ctx.store_request(call, Continuation::Election(Step::Revoke));
     }
 
-    /// First step of a candidacy: grants a lease if nobody leads and this node need not
-    /// leave the election to a peer.
+    /// First step of a candidacy: requests a lease if there is no leader and this node
+    /// need not wait for a better candidate.
     fn stand_for_election_if_vacant(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.shared.leader.is_some() {
@@ -256,9 +258,9 @@
         let vacant_since = *self.vacant_since.get_or_insert(now);
         let delay = match self.better_candidate {
             BetterCandidate::Peer => DELAY_FOR_BETTER_PEER,
-            // Before the first term there are no workers that could be heard.
+            // Before the first term no worker exists that could send heartbeats.
             BetterCandidate::Unknown if self.shared.term > 0 => DELAY_FOR_UNKNOWN_PEER,
-            BetterCandidate::Unknown | BetterCandidate::Nobody => 0,
+            BetterCandidate::Unknown | BetterCandidate::None => 0,
         };
         if now < self.abstain_until || now < vacant_since + delay {
             return;
@@ -269,9 +271,9 @@
         ctx.store_request(call, Continuation::Election(Step::GrantLease));
     }
 
-    /// Second step of a candidacy: takes the lead by compare-and-swap. The lease was
-    /// asked for at `granted_at`.
-    fn claim_lead(&mut self, ctx: &mut Context, lease: LeaseId, granted_at: Micros) {
+    /// Second step of a candidacy: claims leadership by compare-and-swap.
+    /// `lease_requested_at` is the send time of the request that granted the lease.
+    fn claim_leadership(&mut self, ctx: &mut Context, lease: LeaseId, lease_requested_at: Micros) {
         let term = self.shared.term + 1;
         let leader = LeaderRecord {
             member: ctx.config.member.clone(),
@@ -287,24 +289,23 @@
         let step = Step::Claim {
             lease,
             term,
-            granted_at,
+            lease_requested_at,
         };
         ctx.store_request(StoreRequest::Transaction(txn), Continuation::Election(step));
     }
 
-    /// The candidacy has succeeded.
+    /// Completes a successful candidacy.
     fn become_leader(
         &mut self,
         ctx: &Context,
         lease: LeaseId,
         term: u64,
-        granted_at: Micros,
+        lease_requested_at: Micros,
         term_version: u64,
     ) -> LeadershipChange {
         self.phase = Phase::Leading { lease, term };
-        // When nobody leads again, that is a vacancy of its own.
         self.vacant_since = None;
-        self.proved_at = granted_at;
+        self.proved_at = lease_requested_at;
         self.shared.term = term;
         self.shared.term_version = term_version;
         self.shared.leader = Some(LeaderRecord {
@@ -317,17 +318,17 @@
         LeadershipChange::Elected { term, term_version }
     }
 
-    /// The candidacy has failed, or its outcome is unknown. Revoking the lease settles
-    /// it, since a key cannot be set with a lease that has ended.
+    /// Ends a candidacy that failed or whose outcome is unknown. Revoking the lease makes
+    /// the outcome certain, since a key cannot be bound to a lease that has ended.
     fn abandon_candidacy(&mut self, ctx: &mut Context, lease: LeaseId, term: u64, outcome: &str) {
         log::info!("not elected term={term} reason={outcome}");
         Self::revoke_lease(ctx, lease);
         self.schedule_read(ctx, READ_RETRY_DELAY);
     }
 
-    /// Gives up the lead and revokes the lease, so that another node can follow at once.
-    /// `abstain` keeps this node out of the next elections for so long. Returns None if
-    /// this node does not lead.
+    /// Resigns leadership and revokes the lease, so that another node can be elected at
+    /// once. This node does not stand for election for the duration `abstain`. Returns
+    /// None if this node does not lead.
     pub fn step_down(
         &mut self,
         ctx: &mut Context,
@@ -344,22 +345,22 @@
         Some(LeadershipChange::Deposed)
     }
 
-    /// This node was not running for longer than a lease lasts: all that it believes of
-    /// the lead is out of date.
+    /// Discards the election state after a pause of the process that was longer than the
+    /// lease, since another node may have been elected meanwhile.
     pub fn resume_after_pause(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
         if self.leading().is_some() {
-            return self.step_down(ctx, "it was not running", 0);
+            return self.step_down(ctx, "process was paused for longer than its lease", 0);
         }
         self.candidate_lease = None;
         self.schedule_read(ctx, 0);
         None
     }
 
-    /// Someone has shown this term: a leader in a lower one is deposed.
+    /// Steps down if this node leads in a lower term than the one observed.
     pub fn observe_term(&mut self, ctx: &mut Context, term: u64) -> Option<LeadershipChange> {
         match self.phase {
             Phase::Leading { term: own, .. } if term > own => {
-                self.step_down(ctx, "a higher term was shown", 0)
+                self.step_down(ctx, "observed a higher term", 0)
             }
             _ => None,
         }
--- a/crates/controller/src/election/replies.rs
+++ b/crates/controller/src/election/replies.rs
@@ -1,4 +1,4 @@
-//! Handles the store's responses to the steps of the election.
+//! Handles the store's responses to election requests.
 
 use super::{Election, LeadershipChange, Phase, READ_RETRY_DELAY, RENEW_RETRY_DELAY};
 use crate::calls::Context;
@@ -7,7 +7,7 @@
 use dillcleat_wire::store::{LeaseId, StoreRequest, StoreResponse};
 
 impl Election {
-    /// Handles the response to the call of a step, which was sent at `sent_at`.
+    /// Handles the response to the request of an election step that was sent at `sent_at`.
     pub fn reply(
         &mut self,
         ctx: &mut Context,
@@ -22,8 +22,8 @@
             Step::Claim {
                 lease,
                 term,
-                granted_at,
-            } => return self.handle_claim(ctx, lease, term, granted_at, reply),
+                lease_requested_at,
+            } => return self.handle_claim(ctx, lease, term, lease_requested_at, reply),
             Step::Renew { lease } => return self.handle_renewal(ctx, lease, sent_at, reply),
             Step::Watch => {
                 self.watching = false;
@@ -40,8 +40,8 @@
         };
         self.shared.apply_read(&page);
         match &self.shared.leader {
-            // Left over from before this process started: nobody acts on it any more, so
-            // nobody has to wait for it to expire.
+            // The lease of an earlier process of this member, which no longer runs: there
+            // is no need to wait for its expiry.
             Some(leader) if leader.member == ctx.config.member => {
                 let lease = leader.lease;
                 log::info!("revoking earlier lease of this member lease={lease}");
@@ -74,15 +74,16 @@
         reply: Result<StoreResponse, CallError>,
     ) {
         match reply {
-            // Asked for before the process was paused; the keys are read anew.
+            // The lease was requested before a pause of the process, after which the
+            // shared keys are read again.
             _ if self.phase != Phase::AwaitingReply => {}
-            Ok(StoreResponse::Lease { lease }) => self.claim_lead(ctx, lease, sent_at),
+            Ok(StoreResponse::Lease { lease }) => self.claim_leadership(ctx, lease, sent_at),
             _ => self.retry_read(ctx),
         }
     }
 
-    /// Reads again after a failure, unless the process was paused since the call was
-    /// sent: then a read is scheduled already.
+    /// Schedules another read after a failure. If the process was paused after the request
+    /// was sent, a read is already scheduled.
     fn retry_read(&mut self, ctx: &Context) {
         if self.phase == Phase::AwaitingReply {
             self.schedule_read(ctx, READ_RETRY_DELAY);
@@ -94,21 +95,21 @@
         ctx: &mut Context,
         lease: LeaseId,
         term: u64,
-        granted_at: Micros,
+        lease_requested_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
         let outcome = match reply {
             Ok(StoreResponse::Committed { revision }) if self.candidate_lease == Some(lease) => {
-                return Some(self.become_leader(ctx, lease, term, granted_at, revision));
+                return Some(self.become_leader(ctx, lease, term, lease_requested_at, revision));
             }
-            Ok(StoreResponse::Committed { .. }) => "the candidacy was given up",
-            Ok(StoreResponse::Conflict { .. }) => "another node was first",
-            Ok(StoreResponse::LeaseExpired) => "the lease has ended",
-            Ok(StoreResponse::RateLimited) => "the store limits requests",
-            Ok(StoreResponse::Unavailable) => "the store is unavailable",
-            Ok(_) => "unexpected response of the store",
-            Err(CallError::NotSent) => "not sent",
-            Err(CallError::NoAnswer) => "no answer",
+            Ok(StoreResponse::Committed { .. }) => "candidacy abandoned after a process pause",
+            Ok(StoreResponse::Conflict { .. }) => "another node was elected first",
+            Ok(StoreResponse::LeaseExpired) => "lease expired",
+            Ok(StoreResponse::RateLimited) => "store rejected the request: rate limit exceeded",
+            Ok(StoreResponse::Unavailable) => "store unavailable",
+            Ok(_) => "unexpected store response",
+            Err(CallError::NotSent) => "request not sent to the store",
+            Err(CallError::NoAnswer) => "no response from the store",
         };
         self.abandon_candidacy(ctx, lease, term, outcome);
         None
@@ -122,11 +123,11 @@
         reply: Result<StoreResponse, CallError>,
     ) -> Option<LeadershipChange> {
         if !self.leads_with_lease(lease) {
-            // Of an earlier term: this node was elected again meanwhile.
+            // The renewal belongs to an earlier term of this node.
             return None;
         }
         match reply {
-            Ok(StoreResponse::LeaseExpired) => self.step_down(ctx, "the lease has ended", 0),
+            Ok(StoreResponse::LeaseExpired) => self.step_down(ctx, "lease expired", 0),
             Ok(StoreResponse::LeaseRenewed) => {
                 self.proved_at = self.proved_at.max(sent_at);
                 None
@@ -148,14 +149,14 @@
             if self.phase == Phase::Following {
                 self.schedule_read(ctx, READ_RETRY_DELAY);
             } else if matches!(reply, Ok(StoreResponse::Compacted)) {
-                return self.step_down(ctx, "lost sight of the state", 0);
+                return self.step_down(ctx, "watched revisions were compacted", 0);
             }
             return None;
         };
         self.shared.apply_changes(changes);
         match self.phase {
             Phase::Leading { term, .. } if self.shared.term > term => {
-                self.step_down(ctx, "a later term has begun", 0)
+                self.step_down(ctx, "store holds a higher term", 0)
             }
             _ => None,
         }
--- a/crates/controller/src/election/shared_keys.rs
+++ b/crates/controller/src/election/shared_keys.rs
@@ -5,13 +5,13 @@
 use dillcleat_wire::store::{RangePage, Value, WatchBatch, WatchEvent, decode_value};
 use std::rc::Rc;
 
-/// The keys under [`records::SHARED`], as last read or watched.
+/// The keys with the prefix [`records::SHARED`], as last read or watched.
 #[derive(Debug, Default)]
 pub(super) struct SharedKeys {
-    /// The store's revision up to which they are known.
+    /// The store revision that this copy reflects.
     pub revision: u64,
     pub leader: Option<LeaderRecord>,
-    /// The highest term seen.
+    /// The highest term observed.
     pub term: u64,
     pub term_version: u64,
     pub machine_types: Option<Rc<Vec<MachineType>>>,
@@ -19,7 +19,7 @@
 }
 
 impl SharedKeys {
-    /// Replaces everything that a full read contains.
+    /// Replaces this copy by the result of a full read.
     pub fn apply_read(&mut self, page: &RangePage) {
         self.revision = page.revision;
         self.leader = None;
@@ -42,21 +42,20 @@
         }
     }
 
-    /// Applies what has changed since the known revision.
+    /// Applies the changes that are newer than this copy.
     pub fn apply_changes(&mut self, changes: WatchBatch) {
-        // The watch's connection may have been slow, and all keys been read meanwhile:
-        // what is older than that read was once taken for news, and a leader whose key had
-        // been deleted before for the present one, of whom nothing is heard any more.
-        let known = self.revision;
-        self.revision = known.max(changes.revision);
+        // A delayed watch response may arrive after a later full read. Older events must
+        // be ignored, or else a deleted leader key would reappear.
+        let known_revision = self.revision;
+        self.revision = known_revision.max(changes.revision);
         for event in changes.events {
             match event {
                 WatchEvent::Put {
                     key,
                     value,
                     version,
-                } if version > known => self.apply_put(&key, &value, version),
-                WatchEvent::Delete { key, version } if version > known => {
+                } if version > known_revision => self.apply_put(&key, &value, version),
+                WatchEvent::Delete { key, version } if version > known_revision => {
                     if key == records::LEAD {
                         self.leader = None;
                     }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -145,7 +145,7 @@
 
     pub(super) fn better_candidate(&self, now: Timestamp) -> BetterCandidate {
         if self.reachability.workers_reachable(now.monotonic) {
-            BetterCandidate::Nobody
+            BetterCandidate::None
         } else if self.peers.has_better_candidate(now.monotonic) {
             BetterCandidate::Peer
         } else {
