--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -1,8 +1,8 @@
-//! Who waits for a response from outside, with the state that is needed to continue.
+//! What a node does with the response to each request that it has sent.
 //!
-//! A request to the outside is stored together with a [`Continuation`] until its response
-//! arrives; the enums in it are the steps of the state machines of [`admission`],
-//! [`election`] and [`leader`].
+//! A [`Continuation`] is kept for each outgoing request until the response arrives. It
+//! names the module that handles the response and the step of that module's state machine:
+//! [`admission`], [`election`] or [`leader`].
 //!
 //! [`admission`]: crate::admission
 //! [`election`]: crate::election
@@ -15,20 +15,20 @@
 use dillcleat_wire::store::LeaseId;
 use std::rc::Rc;
 
-/// A user's request that can be answered once the state of its job is known.
+/// A user's request that is answered once the state of its job is known.
 #[derive(Debug, Clone)]
 pub enum PendingRequest {
-    /// Report the job's state: a poll, or a submission of a known job.
+    /// Reports the job's state: a poll, or a submission of a known job.
     Status(RequestId),
-    /// A submission that must be rejected with this answer, unless the job is known
-    /// already: then it is a repeated submission, and its state is reported.
+    /// Rejects a submission, unless the job exists: then this is a repeated submission, and
+    /// the job's state is reported.
     Reject {
         /// The request that waits for the answer.
         request: RequestId,
-        /// The answer.
+        /// The answer that rejects the submission.
         answer: Answer,
     },
-    /// Cancel the job. `received_at` is the monotonic time at which the request came in.
+    /// Cancels the job.
     Cancel {
         /// The request that waits for the answer.
         request: RequestId,
@@ -38,7 +38,7 @@
 }
 
 impl PendingRequest {
-    /// The HTTP request that waits.
+    /// The id of the HTTP request.
     pub fn request(&self) -> RequestId {
         match self {
             PendingRequest::Status(request)
@@ -48,28 +48,27 @@
     }
 }
 
-/// Which of a job's two records is read.
+/// One of the two records of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobRecordKind {
-    /// The job's description, present until its tasks are gone.
+    /// The open record: the job's description, which exists until its tasks are gone.
     Open,
-    /// The job's state: done or cancelled, or open if it was written as such.
+    /// The state record: done, cancelled or, for jobs of earlier versions, open.
     State,
 }
 
-/// The steps of users' requests.
+/// The steps of handling users' requests.
 #[derive(Debug, Clone)]
 pub enum AdmissionStep {
-    /// Reads the open record of a job. Each request has a read of its own, which is sent
-    /// after the request came in.
+    /// Reads the open record of a job. Each request has a separate read, sent after the
+    /// request was received.
     ReadOpenRecord {
         /// The id of the job.
         id: String,
         /// The request that waits for the record.
         pending: PendingRequest,
     },
-    /// Reads the state record of a job without an open record. Also for this request
-    /// alone.
+    /// Reads the state record of a job without an open record, for a single request.
     ReadStateRecord {
         /// The id of the job.
         id: String,
@@ -85,12 +84,12 @@
         /// Which record is read.
         record: JobRecordKind,
     },
-    /// Compares the state records of open jobs with what this node knows.
+    /// Verifies that the state records of jobs that are cached as open are unchanged.
     VerifyOpen {
-        /// The ids of the jobs that are verified.
+        /// The ids of the jobs.
         jobs: Vec<String>,
     },
-    /// Stores a submitted job. `received_at` is when its submission came in.
+    /// Stores a submitted job.
     Create {
         /// The request that waits for the answer.
         request: RequestId,
@@ -99,7 +98,7 @@
         /// When the request was received, on the monotonic clock.
         received_at: Micros,
     },
-    /// Stores the cancellation of a job. `received_at` is when its request came in.
+    /// Stores the cancellation of a job.
     Cancel {
         /// The id of the job.
         id: String,
@@ -117,15 +116,15 @@
     Read,
     /// Revokes a lease of an earlier process of this member.
     RevokeOwnLease,
-    /// Grants the lease of a candidacy.
+    /// Requests the lease of a candidacy.
     GrantLease,
-    /// Takes the lead with a granted lease.
+    /// Claims leadership by compare-and-swap.
     Claim {
-        /// The lease.
+        /// The lease of the candidacy.
         lease: LeaseId,
-        /// The term.
+        /// The term of the candidacy.
         term: u64,
-        /// When the lease was asked for, on the monotonic clock.
+        /// When the request for the lease was sent, on the monotonic clock.
         lease_requested_at: Micros,
     },
     /// Renews the leader's lease.
@@ -135,7 +134,7 @@
     },
     /// Watches the shared keys.
     Watch,
-    /// Revokes a lease that is no longer needed; its response decides nothing.
+    /// Revokes a lease that is no longer needed. The response is ignored.
     Revoke,
 }
 
@@ -159,7 +158,7 @@
     },
     /// Reads the version of the record of the machine types.
     TypesVersion,
-    /// Reads the state record of a job whose end may be stored.
+    /// Reads the state record of a job that may have ended.
     Ended {
         /// The id of the job.
         id: Rc<str>,
@@ -178,27 +177,27 @@
     Cloud(CloudRequestKind),
 }
 
-/// Who waits for a response, with the state that is needed to continue.
+/// What is done with the response to a request.
 #[derive(Debug, Clone)]
 pub enum Continuation {
-    /// A request of a user.
+    /// A step of handling a user's request.
     Admission(AdmissionStep),
-    /// The election.
+    /// A step of the election.
     Election(ElectionStep),
-    /// The leader of this term; ignored if it no longer leads.
+    /// A step of the leader. The response is ignored once the leader's term is over.
     Leader {
-        /// The term.
+        /// The term of the leader that sent the request.
         term: u64,
-        /// What the leader goes on with.
+        /// The step of the leader.
         step: LeaderStep,
     },
     /// The response is ignored.
-    Nobody,
+    Ignore,
 }
 
 impl Continuation {
-    /// Whether the store holds the call until something changes, so that the time to its
-    /// response says nothing of the store's latency.
+    /// Whether this is a watch. The store holds a watch until something changes, so the
+    /// time to its response does not show the store's latency.
     pub fn is_watch(&self) -> bool {
         matches!(
             self,
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -34,7 +34,7 @@
 
 /// The estimates that a node has received, all of one leader: that of `term`.
 #[derive(Debug, Default)]
-pub struct HeardEstimates {
+pub struct ReceivedEstimates {
     term: u64,
     /// That leader's virtual time, as of its last message.
     virtual_time: f64,
@@ -53,7 +53,7 @@
     jobs: HashMap<String, JobEstimate>,
 }
 
-impl HeardEstimates {
+impl ReceivedEstimates {
     /// Receives a message of a leader. The leader of a later term began with what the one
     /// before had replicated, so its estimates replace all others.
     pub fn receive(&mut self, config: &Config, message: Estimates, now: Micros) {
@@ -61,9 +61,9 @@
             return;
         }
         if message.term > self.term {
-            *self = HeardEstimates {
+            *self = ReceivedEstimates {
                 term: message.term,
-                ..HeardEstimates::default()
+                ..ReceivedEstimates::default()
             };
         }
         self.virtual_time = message.virtual_time;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,9 +1,10 @@
-//! The controller's state machine: dispatches each input to the part that handles it.
+//! The controller's state machine: dispatches each input to the module that handles it.
 //!
 //! Every node answers users ([`Admission`]) and takes part in the election
-//! ([`Election`]); the elected one also runs a [`Leader`], which exists for exactly one
-//! term. Nothing here blocks: a request to the outside leaves as an [`Output`], and its
-//! response returns as an [`Input`] with a [`Continuation`] that says who waits for it.
+//! ([`Election`]). The elected node also runs a [`Leader`], which exists for exactly one
+//! term. Nothing here blocks: an outgoing request is returned as an [`Output`], and its
+//! response arrives later as an [`Input`], whose [`Continuation`] determines the module
+//! that handles it.
 
 mod leadership;
 mod peer_messages;
@@ -16,7 +17,7 @@
 use crate::calls::{Context, PendingCalls};
 use crate::continuations::{Continuation, LeaderStep};
 use crate::election::{Election, LeadershipChange};
-use crate::inherited_estimates::HeardEstimates;
+use crate::inherited_estimates::ReceivedEstimates;
 use crate::leader::Leader;
 use crate::peers::Peers;
 use crate::records::OpenJob;
@@ -42,17 +43,15 @@
     peers: Peers,
     reachability: Reachability,
     silent_zones: SilentZoneHint,
-    /// The estimates that leaders have broadcast, for the case that this node is
-    /// elected.
-    heard_estimates: HeardEstimates,
+    /// The estimates that leaders have broadcast, used if this node is elected.
+    received_estimates: ReceivedEstimates,
     next_peer_heartbeat_at: Micros,
     /// Monotonic time of the latest input; 0 before the first.
     last_input_at: Micros,
 }
 
 impl Node {
-    /// A node that has just started: it knows nothing and reads the store at its first
-    /// tick.
+    /// Creates a node without any state; it reads the store at its first tick.
     pub fn new(config: Config) -> Node {
         Node {
             calls: PendingCalls::default(),
@@ -62,7 +61,7 @@
             peers: Peers::default(),
             reachability: Reachability::default(),
             silent_zones: SilentZoneHint::default(),
-            heard_estimates: HeardEstimates::default(),
+            received_estimates: ReceivedEstimates::default(),
             next_peer_heartbeat_at: 0,
             last_input_at: 0,
             config,
@@ -74,50 +73,56 @@
         self.election.leading()
     }
 
-    /// The term, and the version of its record, that fence the writes of a leader that
-    /// has recovered its state; None on any other node.
+    /// The term and the version of its stored record, which fence the leader's writes.
+    /// None unless this node leads and has recovered its state.
     pub fn fence(&self) -> Option<(u64, u64)> {
         self.leader.as_ref().and_then(Leader::fence)
     }
 
-    /// Whether this node leads and knows the job as open.
+    /// Whether this node leads and has the job among its open jobs.
     pub fn holds(&self, job: &str) -> bool {
         self.leader.as_ref().is_some_and(|l| l.holds(job))
     }
 
-    /// How many tasks of a job are done and how many run, as last broadcast by a leader.
+    /// The number of done and of running tasks of a job, as last broadcast by a leader.
     /// For display only.
     pub fn progress(&self, job: &str) -> Option<(u32, u32)> {
         let counts = self.admission.progress.get(job)?;
         Some((counts.done, counts.running))
     }
 
-    /// Whether the job could ever run here; None while the machine types are unknown.
+    /// Checks whether the job can ever run on this cluster; None while the machine types
+    /// are unknown.
     pub fn check_schedulable(&self, spec: &JobSpec) -> Option<Result<(), Unschedulable>> {
         let types = self.election.machine_types()?;
         (!types.is_empty()).then(|| check_schedulable(&self.config, types, spec))
     }
 
-    /// The record of a job that is submitted now. `at_most` limits how many of its tasks
-    /// run at once.
-    pub fn open_job(&self, spec: JobSpec, at_most: Option<u32>, now: Timestamp) -> OpenJob {
+    /// Creates the record of a job that is submitted now. `parallelism_limit` is the
+    /// maximum number of its tasks that run at once.
+    pub fn open_job(
+        &self,
+        spec: JobSpec,
+        parallelism_limit: Option<u32>,
+        now: Timestamp,
+    ) -> OpenJob {
         OpenJob {
             submitted_at_us: now.wall,
             chunk: self.config.chunk_tasks,
             unmarked: true,
-            parallelism_limit: at_most.filter(|n| *n < spec.tasks),
+            parallelism_limit: parallelism_limit.filter(|limit| *limit < spec.tasks),
             spec,
         }
     }
 
-    /// Counts a client's request that the API server beside this node handles: it adds to
-    /// this node's share of the store's budget.
+    /// Counts a request that the API server in this process handles. Like the requests
+    /// that the node handles, it raises this node's share of the store's request budget.
     pub fn count_request(&mut self) {
         self.admission.count_request();
     }
 
     /// Whether [`take_budget`](Self::take_budget) would succeed now, for a caller that
-    /// has to work before it knows whether it needs the budget.
+    /// does not know yet whether it will need the budget.
     pub fn has_budget(
         &mut self,
         cost: StoreCost,
@@ -127,8 +132,8 @@
         self.admission.has_budget(cost, priority, now.monotonic)
     }
 
-    /// Takes a request's cost from this node's share of what users' requests may use of
-    /// the store. Takes all of it or nothing; returns whether it was there.
+    /// Takes a request's cost from this node's share of the store's request budget for
+    /// users. Takes either all of it or nothing, and returns whether it was available.
     pub fn take_budget(
         &mut self,
         cost: StoreCost,
@@ -138,24 +143,24 @@
         self.admission.take_budget(cost, priority, now.monotonic)
     }
 
-    /// The API server beside this node has stored the job as open.
+    /// Records that the API server in this process has stored an open job.
     pub fn record_admission(&mut self, job: &OpenJob) {
         self.admission.record_admission(job);
     }
 
-    /// The settings that this node runs with.
+    /// The configuration of this node.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// How much work this node's scheduler has done in the present term.
+    /// The work that this node's scheduler has done in the current term.
     pub fn counts(&self) -> SchedulerCounters {
         self.leader
             .as_ref()
             .map_or(SchedulerCounters::default(), Leader::counts)
     }
 
-    /// Compares the state that a leader maintains incrementally with the same state
+    /// Compares each index that a leader maintains incrementally with the same index
     /// computed from scratch, and returns the names of those that differ. For tests.
     pub fn audit(&mut self, now: Timestamp) -> Vec<&'static str> {
         let mut out = Vec::new();
@@ -164,7 +169,8 @@
         leader.map_or(Vec::new(), |l| l.audit(&ctx))
     }
 
-    /// Handles one input and returns what is to be done because of it, in order.
+    /// Handles one input and returns the resulting outputs, in the order in which they are
+    /// to be carried out.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
         self.detect_process_pause(now, &mut out);
@@ -304,8 +310,8 @@
                 if let Some(leader) = &mut self.leader
                     && !cancelled.is_empty()
                 {
-                    // The leader's own watch says so a moment later. In that moment it once
-                    // launched what its user had been told is cancelled.
+                    // The leader's watch reports these cancellations later. Until then it
+                    // could launch tasks of a job whose cancellation is already confirmed.
                     leader.observe_cancellations(&mut ctx, &cancelled);
                     leader.send_pending(&mut ctx);
                 }
@@ -325,7 +331,7 @@
                 }
                 None
             }
-            Continuation::Nobody => None,
+            Continuation::Ignore => None,
         }
     }
 
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -1,4 +1,5 @@
-//! The leader's life on this node: elected, paused, deposed, and what it asks of the node.
+//! Creates and removes this node's leader as leadership changes, and handles the events
+//! that the leader reports to the node.
 
 use super::Node;
 use crate::calls::Context;
@@ -8,20 +9,19 @@
 use crate::{JobEvent, Micros, Output, SECOND, Timestamp, micros, seconds};
 use dillcleat_wire::user::JobState;
 
-/// Ticks come twenty times a second; a node without an input for this long was not
-/// running (process stopped, machine suspended).
-const PROCESS_PAUSE: Micros = SECOND;
+/// A gap of this length between two inputs means that the process was paused, since ticks
+/// arrive twenty times a second.
+const MIN_PROCESS_PAUSE: Micros = SECOND;
 
 impl Node {
-    /// Deposes a leader that was not running for longer than its lease lasts, whatever
-    /// its memory says: it reads the store before it does anything. One that resumed
-    /// after half a minute once found every worker silent and sent the deletion of 840
-    /// machines before it heard of its successor (incident e9a6).
+    /// Deposes the leader if the process was paused for longer than the leader's lease. A
+    /// leader that resumed with its outdated state would find every worker silent and
+    /// could delete machines that already belong to its successor.
     pub(super) fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let pause = now.monotonic.saturating_sub(self.last_input_at);
         let first_input = self.last_input_at == 0;
         self.last_input_at = now.monotonic;
-        if first_input || pause < PROCESS_PAUSE {
+        if first_input || pause < MIN_PROCESS_PAUSE {
             return;
         }
         log::info!("process was paused paused_s={}", seconds(pause));
@@ -60,22 +60,23 @@
             types: self.election.shared_machine_types(),
             version: self.election.machine_types_version(),
         };
-        let inherited = self.heard_estimates.inherit(term, now.monotonic);
+        let inherited = self.received_estimates.inherit(term, now.monotonic);
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
         let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
         leader.leadership_proof.proved_at = self.election.proved_at();
-        if let Some(last_heard) = self.silent_zones.take_recent(now.monotonic) {
-            leader.set_zones_silent_before_term(last_heard);
+        if let Some(last_heartbeat_at) = self.silent_zones.take_recent(now.monotonic) {
+            leader.set_zones_silent_before_term(last_heartbeat_at);
         }
         self.leader = Some(leader);
         self.admission.progress.elected(now.monotonic);
         self.next_peer_heartbeat_at = now.monotonic;
     }
 
-    /// Keeps the leader's estimates: this node may be elected again before any other.
+    /// Removes the leader. Its estimates are kept, since this node may be the next to be
+    /// elected.
     fn stop_leading(&mut self, now: Timestamp) {
         if let Some(estimates) = self.leader.take().and_then(|l| l.all_estimates()) {
-            self.heard_estimates
+            self.received_estimates
                 .receive(&self.config, estimates, now.monotonic);
         }
     }
@@ -104,7 +105,7 @@
                 LeaderEvent::TermEnded => {
                     let deposed =
                         self.election
-                            .step_down(&mut ctx, "its writes are out of date", 0);
+                            .step_down(&mut ctx, "fenced write rejected by the store", 0);
                     change = deposed.or(change);
                 }
                 LeaderEvent::HigherTerm(term) => {
@@ -116,9 +117,10 @@
         self.apply_leadership_change(now, out, change);
     }
 
-    /// Which other node leads, as far as is known: by the store, unless a peer says that
-    /// it leads in a later term. Two nodes that had lost sight of the store once sent all
-    /// workers to one another, past the new leader, until their leases expired.
+    /// The other node that leads, as far as this node knows: the leader according to the
+    /// store, unless a peer reports that it leads in a later term. A stored leader whose
+    /// heartbeats say that it has stepped down does not count, so that nodes without
+    /// contact to the store do not redirect workers to a former leader.
     pub(super) fn other_leader(&self, now: Timestamp) -> Option<&str> {
         let stored = self.election.known_leader();
         let term = stored.map_or(0, |leader| leader.term);
@@ -132,7 +134,7 @@
         (!stepped_down).then_some(stored.member.as_str())
     }
 
-    /// What this node knows of its right to act as leader.
+    /// The current proof of this node's leadership.
     pub(super) fn leadership_proof(&self, now: Timestamp) -> LeadershipProof {
         let reachable = |name: &String| self.peers.is_reachable(name, now.monotonic);
         let peers_in_other_zones = &self.config.peers_in_other_zones;
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -1,7 +1,7 @@
-//! Messages among controllers: what this node broadcasts, and what it takes from others.
+//! The messages that this node broadcasts to the other controllers and receives from them.
 //!
-//! They travel outside the store and prove nothing: they only make a node quicker, never
-//! allow it to act.
+//! They are not fenced by a term and therefore are only hints: no irreversible action may
+//! depend on them.
 
 use super::Node;
 use crate::calls::Context;
@@ -9,11 +9,11 @@
 use crate::{MILLISECOND, Micros, Output, Timestamp};
 use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS, Message};
 
-/// Time between two broadcasts.
+/// Time between two broadcasts of a node.
 const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
 
 impl Node {
-    /// Broadcasts this node's status and, if it leads, what peers need of a leader.
+    /// Broadcasts this node's status and, if it leads, the leader's messages.
     pub(super) fn send_peer_heartbeat(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.next_peer_heartbeat_at = now.monotonic + HEARTBEAT_INTERVAL;
         let requests_per_s = self.rebalance_budget(now);
@@ -25,13 +25,13 @@
             requests_per_s,
         };
         out.push(Output::Peer { message: heartbeat });
-        let messages = self.leader_broadcast(now.monotonic);
+        let messages = self.leader_messages(now.monotonic);
         out.extend(messages.into_iter().map(|message| Output::Peer { message }));
     }
 
-    /// A leader's broadcast besides its status: silent zones, learned estimates and the
-    /// progress of jobs. Empty on any other node.
-    fn leader_broadcast(&mut self, now: Micros) -> Vec<Message> {
+    /// The messages that a leader broadcasts in addition to its status: silent zones,
+    /// estimates and job progress. Empty if this node does not lead.
+    fn leader_messages(&mut self, now: Micros) -> Vec<Message> {
         let mut messages = Vec::new();
         let Some(leader) = &mut self.leader else {
             return messages;
@@ -51,10 +51,11 @@
         messages
     }
 
-    /// Adjusts this node's share of the store's budget for users to its share of their
-    /// requests, since they do not spread evenly: a burst may meet a single node. What
-    /// unreachable peers might use is left untouched, and no node goes below half of an
-    /// equal share, to be ready. Returns the requests a second that users make here.
+    /// Sets this node's share of the store's request budget in proportion to its share of
+    /// the users' requests, which may be unevenly distributed. An equal share per
+    /// unreachable peer stays reserved, and no node gets less than half of an equal share,
+    /// so that it can serve the start of a burst. Returns the rate of users' requests at
+    /// this node, per second.
     fn rebalance_budget(&mut self, now: Timestamp) -> u32 {
         let own_per_s = self.admission.request_rate(HEARTBEAT_INTERVAL);
         let nodes = (self.config.peers.len() + 1) as f64;
@@ -63,14 +64,14 @@
             reachable_nodes += 1.0;
             all_per_s += f64::from(peer.requests_per_s);
         }
-        let own_part = if all_per_s < 1.0 {
+        let own_fraction = if all_per_s < 1.0 {
             1.0 / reachable_nodes
         } else {
             own_per_s / all_per_s
         };
-        let share = (own_part * reachable_nodes / nodes).max(0.5 / nodes);
+        let share = (own_fraction * reachable_nodes / nodes).max(0.5 / nodes);
         self.admission.set_budget_share(share, now.monotonic);
-        // A float's cast to an integer saturates.
+        // A cast from a float saturates.
         own_per_s.ceil() as u32
     }
 
@@ -102,10 +103,10 @@
             }
             Message::SilentZones(zones) => self.silent_zones.record(zones, now.monotonic),
             Message::Estimates(estimates) => {
-                self.heard_estimates
+                self.received_estimates
                     .receive(&self.config, estimates, now.monotonic);
             }
-            // A leader that has a successor may not know it yet.
+            // The sender may not know yet that another node has succeeded it as leader.
             Message::JobProgress(jobs) => {
                 if self.leader.is_none() && !self.peers.has_successor(&from, now.monotonic) {
                     self.admission.progress.receive(jobs);
@@ -122,7 +123,7 @@
         status: PeerStatus,
     ) {
         if !self.peers.is_reachable(&from, now.monotonic) {
-            // It may have missed any broadcast.
+            // The peer may have missed earlier broadcasts.
             self.admission.progress.repeat_all();
         }
         self.peers.update(from, status);
--- a/crates/controller/src/node/silent_zones.rs
+++ b/crates/controller/src/node/silent_zones.rs
@@ -1,35 +1,36 @@
-//! The leader's broadcast of zones without heartbeats, kept for a successor.
+//! The zones that the leader last reported as silent, kept in case this node succeeds it.
 
 use crate::{MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::SilentZone;
 use std::collections::HashMap;
 
-/// How long a broadcast counts. It is repeated with each heartbeat among peers.
-const VALID_FOR: Micros = 10 * SECOND;
+/// How long a received report is valid. It is repeated with each heartbeat among peers.
+const HINT_VALIDITY: Micros = 10 * SECOND;
 
-/// The zones that a leader last reported as silent. A node that is elected then does not
-/// mistake a partitioned zone for dead machines.
+/// The silent zones of the latest report. A new leader uses them to not mistake a network
+/// partition of a zone for a failure of its machines.
 #[derive(Debug, Default)]
 pub(super) struct SilentZoneHint {
-    /// When the latest heartbeat from each silent zone arrived, by this node's monotonic
-    /// clock.
-    last_heard: HashMap<String, Micros>,
+    /// Arrival of the latest heartbeat from each silent zone, converted to this node's
+    /// monotonic clock.
+    last_heartbeat_at: HashMap<String, Micros>,
     received_at: Micros,
 }
 
 impl SilentZoneHint {
-    /// Replaces the hint by a newly received one.
+    /// Replaces the hint by a newly received report.
     pub fn record(&mut self, zones: Vec<SilentZone>, now: Micros) {
-        let last_heard = |silent_ms: u32| now.saturating_sub(u64::from(silent_ms) * MILLISECOND);
-        self.last_heard = zones
+        let silent_since = |silent_ms: u32| now.saturating_sub(u64::from(silent_ms) * MILLISECOND);
+        self.last_heartbeat_at = zones
             .into_iter()
-            .map(|zone| (zone.zone, last_heard(zone.silent_ms)))
+            .map(|zone| (zone.zone, silent_since(zone.silent_ms)))
             .collect();
         self.received_at = now;
     }
 
-    /// Takes the hint if it is recent.
+    /// Takes the hint if it is still valid.
     pub fn take_recent(&mut self, now: Micros) -> Option<HashMap<String, Micros>> {
-        (now < self.received_at + VALID_FOR).then(|| std::mem::take(&mut self.last_heard))
+        (now < self.received_at + HINT_VALIDITY)
+            .then(|| std::mem::take(&mut self.last_heartbeat_at))
     }
 }
