--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -1,98 +1,103 @@
-//! Failure attribution: whether an error is put down to the job or to the machine.
+//! Failure attribution: decides whether a task failure is caused by the job or the machine.
 //!
-//! An error counts against a machine only if the same job runs elsewhere, and against a job
-//! only if the machine is not known to fail others. Errors of any two jobs once cordoned a
-//! machine: two jobs submitted with a mistake so had 29 good machines deleted in a day
-//! (operations, brunnmatt-books-ops).
+//! A failure is attributed to a machine only if the same job runs on other machines, so that
+//! a faulty job does not get healthy machines cordoned. It is attributed to a job only if no
+//! failure is attributed to the machine.
 
 use crate::{Micros, SECOND};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// On so many machines a job must have failed, and run on none, to be a suspect.
+/// The number of machines on which a job must have failed, without having run on any, to
+/// become a suspect.
 const SUSPECT_MACHINES: usize = 2;
-/// So many jobs that run elsewhere must have failed on a machine to cordon it.
+/// The number of jobs that must have failed on a machine, while running on other machines,
+/// for the machine to be cordoned.
 const CORDON_JOBS: usize = 2;
-/// The first pause between two tries of a suspect job. It doubles with each try.
-const FIRST_PAUSE: Micros = SECOND;
-/// How often the pause doubles at most.
-const MAX_DOUBLINGS: u32 = 6;
+/// The backoff after the first failed retry of a suspect job. It doubles with each retry.
+const INITIAL_BACKOFF: Micros = SECOND;
+/// The maximum number of times that the backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// What a job's errors say of it.
+/// The failures of one job that may be caused by the job.
 #[derive(Debug, Default)]
 pub struct FailureRecord {
-    /// Whether a task of it is known to have run.
-    proven: bool,
-    /// Where it failed before any task of it is known to have run.
+    /// Whether a task of the job is known to have run.
+    has_run: bool,
+    /// The machines on which the job failed before a task of it was known to have run.
     failed_on: BTreeSet<Rc<str>>,
-    /// How often it has failed as a suspect.
+    /// The number of failures since the job became a suspect.
     failed_tries: u32,
     retry_at: Micros,
 }
 
 impl FailureRecord {
-    /// Whether it fails wherever it runs, as far as is known. A suspect job is tried with
-    /// one task at a time, scales nothing out and does not count among active jobs.
+    /// Whether the job has failed on several machines and is not known to have run on any. A
+    /// suspect job is retried with one task at a time, causes no scale-out and does not
+    /// count as an active job.
     pub fn is_suspect(&self) -> bool {
-        !self.proven && self.failed_on.len() >= SUSPECT_MACHINES
+        !self.has_run && self.failed_on.len() >= SUSPECT_MACHINES
     }
 
-    /// Whether a task of it is known to have run.
+    /// Whether a task of the job is known to have run.
     pub fn is_proven(&self) -> bool {
-        self.proven
+        self.has_run
     }
 
-    /// Whether a task of it may be placed, with `placed` of them on machines. One that runs
-    /// for long proves nothing until it ends, so a starving job is tried with one more: it
-    /// once waited for as long as that one ran.
+    /// Whether another task of the job may be placed while `placed` of its tasks are. A
+    /// placed task shows nothing until it ends, however long it runs, so a starving suspect
+    /// job is retried with an additional task.
     pub fn may_start(&self, placed: usize, starving: bool, now: Micros) -> bool {
         !self.is_suspect() || ((placed == 0 || starving) && now >= self.retry_at)
     }
 
-    /// When a suspect job may be tried again.
+    /// When a suspect job may be retried; None for other jobs.
     pub fn retry_at(&self) -> Option<Micros> {
         self.is_suspect().then_some(self.retry_at)
     }
 
-    /// A task of it has failed on a machine. Returns the pause until the next try, in
-    /// microseconds, if this error starts one: of a whole array failing at once, one does.
+    /// Records that a task of the job has failed on a machine. Returns the backoff until
+    /// the next retry if this failure starts one: if a whole job array fails at once, only
+    /// one of the failures does.
     pub fn record_failure(&mut self, machine: &Rc<str>, now: Micros) -> Option<Micros> {
-        if self.proven {
+        if self.has_run {
             return None;
         }
         self.failed_on.insert(machine.clone());
         if !self.is_suspect() || now < self.retry_at {
             return None;
         }
-        let pause = FIRST_PAUSE << self.failed_tries.min(MAX_DOUBLINGS);
+        let backoff = INITIAL_BACKOFF << self.failed_tries.min(MAX_BACKOFF_DOUBLINGS);
         self.failed_tries += 1;
-        self.retry_at = now + pause;
-        Some(pause)
+        self.retry_at = now + backoff;
+        Some(backoff)
     }
 
-    /// A task of it has run. Returns the machines against which its errors count by that.
+    /// Records that a task of the job has run. Returns the machines to which its earlier
+    /// failures are attributed by that.
     pub fn record_success(&mut self) -> BTreeSet<Rc<str>> {
-        self.proven = true;
+        self.has_run = true;
         std::mem::take(&mut self.failed_on)
     }
 }
 
-/// Jobs that run elsewhere and have failed on one machine.
+/// The failures that are attributed to one machine: the ids of the jobs that failed on it
+/// and run on other machines.
 #[derive(Debug, Default)]
 pub struct MachineStrikes(BTreeSet<Rc<str>>);
 
 impl MachineStrikes {
-    /// A job that runs elsewhere has failed there.
+    /// Adds a job that failed on the machine and runs on other machines.
     pub fn add(&mut self, job: &Rc<str>) {
         self.0.insert(job.clone());
     }
 
-    /// Whether there are any, so that errors there say nothing of other jobs.
+    /// Whether any failure is attributed to the machine.
     pub fn any(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// Whether the machine is to be cordoned for them.
+    /// Whether the machine is to be cordoned.
     pub fn warrant_cordon(&self) -> bool {
         self.0.len() >= CORDON_JOBS
     }
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -1,9 +1,12 @@
-//! The machines of the fleet, and the tasks that may be on each.
+//! The machines of the fleet, and the tasks that may be running on each.
 //!
-//! A placed task occupies its slot until there is proof that it is gone: a newer
-//! heartbeat under this term's fencing token that shows it exited, or that does not list
-//! it while no launch can still be carried out; a later incarnation of the agent; or the
-//! machine's end. Silence proves nothing.
+//! A placed task occupies its slot until it is proved to be gone. One of these is a proof:
+//! - a newer heartbeat under this term's fencing token lists the task as exited;
+//! - such a heartbeat does not list the task, and no launch of it can still be executed;
+//! - a later incarnation of the worker agent has started;
+//! - the machine is deleted, or the cloud lists it as failed.
+//!
+//! Missing heartbeats are not a proof.
 
 mod command_state;
 mod health;
@@ -22,24 +25,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The most images that are remembered of a machine.
+/// The maximum number of cached images that are tracked per machine.
 const MAX_IMAGES: usize = 32;
 
 /// How a heartbeat was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker sent it by itself, one at a time.
+    /// The worker sent it periodically. At most one of these is in flight at a time.
     Periodic,
-    /// It is the reply to commands.
+    /// The worker sent it in reply to commands.
     CommandReply,
 }
 
-/// Where a heartbeat stands among all those of its machine.
+/// The position of a heartbeat in the sequence of all heartbeats of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatPosition {
-    /// The incarnation of the agent that sent it.
+    /// The incarnation of the agent that sent the heartbeat.
     pub incarnation: u64,
-    /// Its number within the incarnation.
+    /// The sequence number within the incarnation.
     pub sequence: u64,
 }
 
@@ -53,55 +56,56 @@
     }
 }
 
-/// A machine of the fleet as the leader knows it.
+/// A machine of the fleet, as known to the leader.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name, given by the cloud.
+    /// The name that the cloud has given to the machine.
     pub name: Rc<str>,
-    /// Where its agent takes commands.
+    /// The address at which the worker agent accepts commands; None until it is known.
     pub addr: Option<String>,
-    /// The name of its machine type; empty until it is known.
+    /// The name of the machine type; empty until it is known.
     pub machine_type: Rc<str>,
-    /// The zone it is in; empty until it is known.
+    /// The zone; empty until it is known.
     pub zone: Rc<str>,
-    /// Whether it is a spot instance.
+    /// Whether this is a spot instance.
     pub spot: bool,
-    /// Whether it is booting for certain, so that it counts as capacity to come.
+    /// Whether the machine is known to be booting, so that it counts as pending capacity.
     pub expected: bool,
-    /// Whether its record is in the store, or on its way there.
+    /// Whether the machine's record is stored or queued to be written.
     pub recorded: bool,
-    /// Whether it is to be deleted. It gets no more tasks.
+    /// Whether the machine is to be deleted. It gets no more tasks.
     pub being_deleted: bool,
-    /// The tasks that are placed here.
+    /// The tasks that are placed on the machine.
     pub slots: BTreeMap<TaskKey, TaskSlot>,
-    /// When it was heard, and whether commands reach it.
+    /// Whether messages pass between the controller and the machine.
     pub reachability: Reachability,
-    /// Commands to be sent, and those that were sent.
+    /// The commands to be sent and those in flight.
     pub command_state: CommandState,
-    /// Failures on it.
+    /// The task failures on the machine.
     pub health: MachineHealth,
-    /// Whether it has sent a heartbeat under this term's fencing token.
+    /// Whether a heartbeat has arrived under this term's fencing token.
     ready: bool,
-    /// Whether it has sent any heartbeat.
+    /// Whether any heartbeat has arrived.
     up: bool,
-    /// Since when it is known or, if that is longer, booting.
+    /// When the machine became known or, if that was earlier, began to boot.
     known_since: Micros,
-    /// Since when nothing is placed on it.
+    /// Start of the time during which no task has been placed on the machine.
     empty_since: Micros,
-    /// When the cloud takes it back, if it has said so.
+    /// When the cloud will reclaim the spot instance, if it has announced that.
     interrupted_at: Option<Micros>,
-    /// Images that were used here, the latest last.
+    /// The images that the machine's tasks used, the most recent last.
     images: Images,
-    /// The latest heartbeat that was applied.
+    /// The position of the latest heartbeat that was applied.
     position: HeartbeatPosition,
-    /// Exited attempts that the latest heartbeat lists.
+    /// The exited attempts that the latest heartbeat lists.
     exited: Vec<TaskAttempt>,
-    /// Other attempts that the latest heartbeat lists and that are not placed here.
+    /// The attempts that the latest heartbeat lists as not exited and that are not placed
+    /// on the machine.
     unexpected: Vec<TaskAttempt>,
 }
 
 impl Machine {
-    /// A machine that has sent no heartbeat to this leader.
+    /// Creates a machine that has sent no heartbeat to this leader.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: Micros) -> Self {
         Machine {
             name: name.into(),
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Takes over what a heartbeat or the cloud's list says the machine is.
+    /// Sets the properties that a heartbeat or the cloud's list of machines reports.
     pub fn update_description(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if *self.machine_type != *machine_type {
             self.machine_type = Rc::from(machine_type);
@@ -142,64 +146,65 @@
         self.spot = spot;
     }
 
-    /// Whether it has sent a heartbeat under this term's fencing token. Before that, what
-    /// it lists proves nothing.
+    /// Whether a heartbeat has arrived under this term's fencing token. Before that, the
+    /// task list of a heartbeat is not a proof.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether it has sent any heartbeat.
+    /// Whether any heartbeat has arrived.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// Since when it is known or, if that is longer, booting.
+    /// When the machine became known or, if that was earlier, began to boot.
     pub fn known_since(&self) -> Micros {
         self.known_since
     }
 
-    /// Since when nothing is placed on it.
+    /// Start of the time during which no task has been placed on the machine.
     pub fn empty_since(&self) -> Micros {
         self.empty_since
     }
 
-    /// When the cloud takes it back, if it has said so.
+    /// When the cloud will reclaim the spot instance, if it has announced that.
     pub fn interrupted_at(&self) -> Option<Micros> {
         self.interrupted_at
     }
 
-    /// Images that were used here, the latest last.
+    /// The images that the machine's tasks used, the most recent last.
     pub fn images(&self) -> &Images {
         &self.images
     }
 
-    /// Whether the image was used here lately.
+    /// Whether the machine is expected to have the image in its cache.
     pub fn holds_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| **name == *image)
     }
 
-    /// It counts as empty from now on only: the time of its boot is not idle time.
+    /// Restarts the idle time, so that it does not include the boot time.
     pub fn restart_idle_time(&mut self, now: Micros) {
         self.empty_since = now;
     }
 
-    /// The incarnation of its agent, as far as is known.
+    /// The latest known incarnation of the worker agent.
     pub fn incarnation(&self) -> u64 {
         self.position.incarnation
     }
 
-    /// The latest heartbeat that was applied. Before the first, only the incarnation says
-    /// anything.
+    /// The position of the latest heartbeat that was applied. Before the first heartbeat,
+    /// only its incarnation is meaningful.
     pub fn position(&self) -> HeartbeatPosition {
         self.position
     }
 
-    /// A stored placement shows that this incarnation has begun.
+    /// Records that this incarnation has started, as a stored placement shows.
     pub fn raise_incarnation(&mut self, incarnation: u64) {
         self.position.incarnation = self.position.incarnation.max(incarnation);
     }
 
-    /// Starts all its times anew at the beginning of a term, and has it told of the term.
+    /// Resets all times at the start of a term, and requests a command batch, which carries
+    /// the new fencing token to the machine.
     pub fn begin_term(&mut self, now: Micros) {
         self.reachability.assume_silent_since(now);
         self.known_since = now;
@@ -207,20 +212,21 @@
         self.command_state.request();
     }
 
-    /// It is known from the leader before that the machine was up and last heard at `at`.
+    /// Records, as reported by the previous leader, that the machine was up and that its
+    /// last heartbeat arrived at `at`.
     pub fn assume_silent_since(&mut self, at: Micros) {
         self.up = true;
         self.reachability.assume_silent_since(at);
     }
 
-    /// It is known to have been booting since `at` at the latest.
+    /// Records that the machine had begun to boot by the time `at`.
     pub fn assume_booting_since(&mut self, at: Micros) {
         self.known_since = self.known_since.min(at);
-        self.reachability.bound_last_heard(at);
+        self.reachability.limit_last_contact(at);
     }
 
-    /// Places a task here. The worker keeps the images that it used most recently,
-    /// as many as fit its cache; `cache_gb` is what may be counted on.
+    /// Places a task on the machine. The worker caches the most recently used images;
+    /// `cache_gb` is the part of the cache that can be relied on.
     pub fn add_task(
         &mut self,
         task: TaskKey,
@@ -243,7 +249,7 @@
         images.drain(..evicted);
     }
 
-    /// What its tasks leave of the `total` resources of its type.
+    /// The part of the machine type's `total` resources that no task occupies.
     pub fn free_resources(&self, total: Resources) -> Resources {
         let mut free = total;
         for slot in self.slots.values() {
@@ -252,32 +258,33 @@
         free
     }
 
-    /// Whether a replica of a service is placed here.
+    /// Whether a replica of a service is placed on the machine.
     pub fn has_replicas(&self) -> bool {
         self.slots.values().any(|slot| slot.service)
     }
 
-    /// Whether a task of an array is placed here.
+    /// Whether a task of a job array is placed on the machine.
     pub fn has_array_tasks(&self) -> bool {
         self.array_slots().next().is_some()
     }
 
-    /// The tasks of arrays that are placed here.
+    /// The tasks of job arrays that are placed on the machine.
     pub fn array_slots(&self) -> impl Iterator<Item = &TaskSlot> {
         self.slots.values().filter(|slot| !slot.service)
     }
 
-    /// Attempts that the latest heartbeat lists as not exited and that are not placed here.
+    /// The attempts that the latest heartbeat lists as not exited and that are not placed
+    /// on the machine.
     pub fn unexpected_tasks(&self) -> &[TaskAttempt] {
         &self.unexpected
     }
 
-    /// Whether it may get a new task.
+    /// Whether new tasks may be placed on the machine.
     pub fn accepts_tasks(&self, now: Micros) -> bool {
         !self.health.is_cordoned() && self.accepts_tasks_as_last_resort(now)
     }
 
-    /// Whether it may get a new task if no other machine can take it.
+    /// Whether a new task may be placed on the machine if it fits on no other.
     pub fn accepts_tasks_as_last_resort(&self, now: Micros) -> bool {
         self.ready
             && !self.being_deleted
@@ -286,33 +293,37 @@
             && now >= self.health.blocked_until()
     }
 
-    /// A newer periodic heartbeat came. Returns whether the machine may have become
-    /// reachable by it. Times are in microseconds: `missed_after` is the silence by which
-    /// a heartbeat has been missed, `proof_after` the longest that a lease takes to show
-    /// that replies arrive.
+    /// Records a newer periodic heartbeat. Returns whether the machine may have become
+    /// reachable by it. A heartbeat counts as missed after a silence of `missed_after`.
+    /// `lease_proof_after` is the time after which the worker's lease must have expired
+    /// unless replies reach the worker.
     ///
-    /// A worker that had no reply to a heartbeat waits for it, and pauses, before the
-    /// next: one that comes sooner shows that the reply to the last has arrived. So does an
-    /// incarnation that goes on for longer than a lease. Over a slow link the replies to
-    /// commands may be late for ever, and those to heartbeats are not.
+    /// There are two proofs that replies reach the worker. A worker that receives no reply
+    /// to a heartbeat waits for a timeout before it sends the next one, so an earlier next
+    /// heartbeat shows that the reply has arrived. And an incarnation that continues for
+    /// longer than the lease shows that the lease was renewed. Replies to commands are not
+    /// needed as a proof: over a slow link they may always be late.
     pub fn heartbeat_received(
         &mut self,
         now: Micros,
         new_incarnation: bool,
-        proof_after: Micros,
+        lease_proof_after: Micros,
         missed_after: Micros,
     ) -> bool {
-        let update =
-            self.reachability
-                .record_heartbeat(now, new_incarnation, proof_after, missed_after);
+        let update = self.reachability.record_heartbeat(
+            now,
+            new_incarnation,
+            lease_proof_after,
+            missed_after,
+        );
         if update.needs_probe {
-            // To ask costs less than to wait for that.
+            // A probe gives the proof sooner than further heartbeats do.
             self.command_state.request_probe();
         }
         update.may_have_recovered
     }
 
-    /// Frees all slots, since the machine is gone.
+    /// Frees all slots of a machine that is gone.
     pub fn take_lost_tasks(&mut self, end: MachineEnd) -> Vec<TaskEvent> {
         std::mem::take(&mut self.slots)
             .into_iter()
--- a/crates/controller/src/machines/command_state.rs
+++ b/crates/controller/src/machines/command_state.rs
@@ -1,30 +1,30 @@
-//! Commands to one machine: whether any are to be sent, and which launches may still be
-//! carried out.
+//! The state of command batches to one machine: whether one is to be sent, and which
+//! launches may still be executed.
 
 use super::TaskAttempt;
 use crate::{CallId, Micros};
 use dillcleat_wire::worker::Command;
 use std::collections::BTreeSet;
 
-/// A batch of commands that was sent and has no reply yet.
+/// A command batch that was sent and has no reply yet.
 #[derive(Debug)]
 struct CommandsInFlight {
     call: CallId,
     launches: Vec<TaskAttempt>,
 }
 
-/// What is to be sent to a machine, and what was sent.
+/// The state of command batches to one machine.
 #[derive(Debug, Default)]
 pub struct CommandState {
     in_flight: Option<CommandsInFlight>,
-    /// Whether a batch is to be sent, be it an empty one.
+    /// Whether the commands that the machine needs are to be computed and sent.
     requested: bool,
-    /// Whether an empty batch is to be sent as well, to see whether the machine is there.
+    /// Whether a batch is to be sent even if it is empty, to probe the machine.
     probe_requested: bool,
     /// No batch is sent before this time.
     not_before: Micros,
-    /// Launches of this incarnation that were sent and not answered: they may be
-    /// carried out minutes later.
+    /// The launches of the current incarnation that were sent and got no reply. They may
+    /// still be executed minutes later.
     unanswered_launches: BTreeSet<TaskAttempt>,
 }
 
@@ -34,50 +34,51 @@
         self.requested
     }
 
-    /// Whether the machine is to be asked if it is there.
+    /// Whether a batch is to be sent even if it is empty, to probe the machine.
     pub fn is_probe_requested(&self) -> bool {
         self.probe_requested
     }
 
-    /// Whether a batch was sent that has no reply yet.
+    /// Whether a batch has been sent and has no reply yet.
     pub fn is_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// No batch is sent before this time.
+    /// The time before which no batch is sent.
     pub fn not_before(&self) -> Micros {
         self.not_before
     }
 
-    /// A batch is to be sent, not before the time that holds already.
+    /// Requests a batch, without changing the time before which none is sent.
     pub fn request(&mut self) {
         self.requested = true;
     }
 
-    /// A batch is to be sent, and not before `at`.
+    /// Requests a batch that is not sent before `at`.
     pub fn request_at(&mut self, at: Micros) {
         self.requested = true;
         self.not_before = at;
     }
 
-    /// A batch is to be sent even if no command is needed.
+    /// Requests a batch that is sent even if it is empty.
     pub fn request_probe(&mut self) {
         self.probe_requested = true;
         self.requested = true;
     }
 
-    /// The reply to a heartbeat has carried what was to be sent.
+    /// Clears the request after the commands were sent in the reply to a heartbeat.
     pub fn clear_request(&mut self) {
         self.requested = false;
     }
 
-    /// A batch is being made up. Returns whether it is to be sent though it is empty.
+    /// Clears the request before a batch is built. Returns whether the batch is to be sent
+    /// even if it is empty.
     pub fn take_request(&mut self) -> bool {
         self.requested = false;
         std::mem::take(&mut self.probe_requested)
     }
 
-    /// A batch was sent.
+    /// Records that a batch was sent.
     pub fn record_sent(&mut self, call: CallId, commands: &[Command]) {
         let launches = commands
             .iter()
@@ -92,8 +93,8 @@
         self.in_flight = Some(CommandsInFlight { call, launches });
     }
 
-    /// The call that carried a batch has ended. If it is `unanswered`, its launches may
-    /// still be carried out.
+    /// Records that the call that carried a batch has ended. If it is `unanswered`, its
+    /// launches may still be executed.
     pub fn record_finished(&mut self, call: CallId, unanswered: bool) {
         if let Some(batch) = self.in_flight.take_if(|batch| batch.call == call)
             && unanswered
@@ -102,19 +103,19 @@
         }
     }
 
-    /// Whether the batch in flight holds the launch.
+    /// Whether the batch in flight contains the launch.
     pub(super) fn is_launch_in_flight(&self, launch: &TaskAttempt) -> bool {
         self.in_flight
             .as_ref()
             .is_some_and(|batch| batch.launches.contains(launch))
     }
 
-    /// Whether a launch that was sent as a command may be carried out at any time.
+    /// Whether a launch that was sent in a command batch may still be executed.
     pub(super) fn may_still_launch(&self, launch: &TaskAttempt) -> bool {
         self.unanswered_launches.contains(launch) || self.is_launch_in_flight(launch)
     }
 
-    /// Forgets launches for an earlier incarnation, since those are refused.
+    /// Forgets the launches for earlier incarnations, which the worker rejects.
     pub(super) fn forget_unanswered_launches(&mut self) {
         self.unanswered_launches.clear();
     }
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -1,20 +1,21 @@
-//! What failures of tasks say against a machine.
+//! The task failures on a machine, and their consequences for it.
 
 use crate::Micros;
 use crate::failure_attribution::MachineStrikes;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Failures on one machine, and what follows from them.
+/// The task failures on one machine, and their consequences for it.
 #[derive(Debug, Default)]
 pub struct MachineHealth {
     /// A cordoned machine gets new tasks only as a last resort, and is deleted when empty.
     cordoned: bool,
-    /// It gets no new task before this time, since it had no resources for one.
+    /// The machine gets no new task before this time, since it lacked the resources for one.
     blocked_until: Micros,
-    /// Jobs that failed here: they try another machine.
+    /// The jobs that failed on this machine. Their tasks are placed on other machines.
     failed_jobs: BTreeSet<Rc<str>>,
-    strikes: MachineStrikes,
+    /// The failures that are attributed to the machine.
+    attributed_failures: MachineStrikes,
 }
 
 impl MachineHealth {
@@ -23,37 +24,37 @@
         self.cordoned
     }
 
-    /// The time before which it gets no new task.
+    /// The time before which the machine gets no new task.
     pub fn blocked_until(&self) -> Micros {
         self.blocked_until
     }
 
-    /// Gives the machine no new task before `until`.
+    /// Excludes the machine from new placements until the time `until`.
     pub fn block_until(&mut self, until: Micros) {
         self.blocked_until = until;
     }
 
-    /// Jobs that failed here.
+    /// The jobs that failed on this machine.
     pub fn failed_jobs(&self) -> impl Iterator<Item = &Rc<str>> {
         self.failed_jobs.iter()
     }
 
-    /// A task of the job has failed here.
+    /// Records that a task of the job has failed on this machine.
     pub fn record_failed_job(&mut self, job: &Rc<str>) {
         self.failed_jobs.insert(job.clone());
     }
 
-    /// Whether it is known to fail tasks that run elsewhere, so that failures here say
-    /// nothing of a job.
+    /// Whether any failure is attributed to the machine. Further failures on it are then no
+    /// evidence against a job.
     pub fn has_strikes(&self) -> bool {
-        self.strikes.any()
+        self.attributed_failures.any()
     }
 
-    /// A job that runs elsewhere has failed here. Returns whether the machine is cordoned
-    /// for it now and was not before.
+    /// Attributes a failure of the job to the machine, since the job runs on other machines.
+    /// Returns whether this causes the machine to be cordoned.
     pub fn add_strike(&mut self, job: &Rc<str>) -> bool {
-        self.strikes.add(job);
-        let newly_cordoned = self.strikes.warrant_cordon() && !self.cordoned;
+        self.attributed_failures.add(job);
+        let newly_cordoned = self.attributed_failures.warrant_cordon() && !self.cordoned;
         self.cordoned |= newly_cordoned;
         newly_cordoned
     }
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -1,7 +1,7 @@
-//! Squares the tasks that a heartbeat lists with the tasks that were placed on a machine.
+//! Reconciles the tasks that a heartbeat lists with the tasks that are placed on a machine.
 //!
-//! A slot is freed here only on proof that its attempt is gone. Every early return and
-//! every condition below guards that rule.
+//! Invariant: a slot is freed only on proof that its attempt is gone. The early returns and
+//! conditions below exist for that reason.
 
 use super::{
     HeartbeatPosition, HeartbeatSource, Machine, TaskAttempt, TaskEvent, TaskKey, TaskLossReason,
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 
 impl Machine {
-    /// Applies a heartbeat and returns what it changes for the tasks placed here. Nothing
-    /// but a newer heartbeat changes anything.
+    /// Applies a heartbeat and returns the resulting changes of the placed tasks. A
+    /// heartbeat that is not newer than the latest one has no effect.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -31,8 +31,8 @@
         }
         self.update_from_heartbeat(heartbeat, now);
         if heartbeat.fencing_token != term {
-            // Commands of an earlier leader may still be carried out: the list
-            // is no proof yet.
+            // Commands of an earlier leader may still be executed, so the task list is not
+            // a proof yet.
             return events;
         }
         self.ready = true;
@@ -44,9 +44,9 @@
         events
     }
 
-    /// Whether the heartbeat is no newer than what is known. A stored placement may tell
-    /// the incarnation of a machine that has yet to report to this leader: a heartbeat of
-    /// an earlier one is old, though it is the first to come.
+    /// Whether the heartbeat is no newer than the known state. Before the first heartbeat,
+    /// only the incarnation may be known, from a stored placement; a heartbeat of an earlier
+    /// incarnation is outdated even if it is the first to arrive.
     fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         if self.up {
             HeartbeatPosition::of(heartbeat) <= self.position
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Frees the slots of earlier incarnations. An agent that starts anew has killed and
-    /// forgotten all their tasks, and refuses commands for them.
+    /// Frees the slots of earlier incarnations. A restarted agent has killed all tasks of
+    /// earlier incarnations and rejects commands for them.
     fn begin_incarnation(&mut self, incarnation: u64, events: &mut Vec<TaskEvent>) {
         self.command_state.forget_unanswered_launches();
-        let of_earlier = |_: &TaskKey, slot: &TaskSlot| slot.incarnation < incarnation;
+        let is_earlier = |_: &TaskKey, slot: &TaskSlot| slot.incarnation < incarnation;
         let reason = TaskLossReason::LaterIncarnation;
-        events.extend(remove_lost(&mut self.slots, of_earlier, reason));
+        events.extend(remove_lost(&mut self.slots, is_earlier, reason));
     }
 
     fn update_from_heartbeat(&mut self, heartbeat: &Heartbeat, now: Micros) {
         self.up = true;
         self.position = HeartbeatPosition::of(heartbeat);
-        self.reachability.record_heard(now);
+        self.reachability.record_contact(now);
         if !heartbeat.addr.is_empty() {
             self.addr = Some(heartbeat.addr.clone());
         }
@@ -77,8 +77,8 @@
             .map(|notice_s| now + micros(notice_s));
     }
 
-    /// Goes over the tasks that the heartbeat lists. Returns those placed here that are
-    /// there and have not exited.
+    /// Processes the tasks that the heartbeat lists. Returns those that are placed on the
+    /// machine and have not exited.
     fn reconcile_listed_tasks(
         &mut self,
         tasks: &[TaskStatus],
@@ -90,7 +90,7 @@
         let mut present = BTreeSet::new();
         for status in tasks {
             let key: TaskKey = (Rc::from(status.task.job.as_str()), status.task.index);
-            let is_placed_here = self
+            let is_placed = self
                 .slots
                 .get(&key)
                 .is_some_and(|slot| slot.attempt == status.attempt);
@@ -100,10 +100,10 @@
             };
             if status.state == TaskState::Exited {
                 self.exited.push(listed);
-                if is_placed_here {
+                if is_placed {
                     events.extend(self.remove_exited(key, status, now));
                 }
-            } else if is_placed_here {
+            } else if is_placed {
                 events.extend(self.update_seen(&key, status.state, now));
                 present.insert(key);
             } else {
@@ -113,7 +113,7 @@
         present
     }
 
-    /// Frees the slot of an attempt that the machine shows as exited, which is proof.
+    /// Frees the slot of an attempt that the heartbeat lists as exited.
     fn remove_exited(
         &mut self,
         task: TaskKey,
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Records the state of an attempt that is there.
+    /// Records the listed state of a placed attempt.
     fn update_seen(&mut self, key: &TaskKey, state: TaskState, now: Micros) -> Option<TaskEvent> {
         let slot = self.slots.get_mut(key)?;
         let starts = state == TaskState::Running && slot.seen != Some(TaskState::Running);
@@ -144,9 +144,9 @@
 
     /// Frees the slots of attempts that the heartbeat does not list.
     ///
-    /// Absence is proof only if no launch can still be carried out. A launch in the reply
-    /// to a heartbeat is dropped or done by the time of the next periodic heartbeat, since
-    /// a worker has one of these under way at a time.
+    /// Absence is a proof only if no launch can still be executed. A launch command in the
+    /// reply to a heartbeat has been executed or dropped before the worker sends the next
+    /// periodic heartbeat, since only one of these is in flight at a time.
     fn remove_absent_tasks(
         &mut self,
         present: &BTreeSet<TaskKey>,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Frees the slots that `is_lost` holds for.
+/// Frees the slots for which `is_lost` returns true.
 fn remove_lost(
     slots: &mut BTreeMap<TaskKey, TaskSlot>,
     is_lost: impl Fn(&TaskKey, &TaskSlot) -> bool,
--- a/crates/controller/src/machines/needed_commands.rs
+++ b/crates/controller/src/machines/needed_commands.rs
@@ -1,4 +1,4 @@
-//! The commands that a machine needs.
+//! Computes the commands that bring a machine into the desired state.
 
 use super::{Machine, TaskAttempt};
 use dillcleat_wire::TaskName;
@@ -6,12 +6,11 @@
 use std::rc::Rc;
 
 impl Machine {
-    /// The commands that the machine needs, computed anew each time, so that a lost
-    /// message needs no account of its own.
+    /// The commands that the machine needs. They are computed from the current state each
+    /// time, so lost messages need not be tracked.
     ///
-    /// `is_end_stored` tells whether the end of an exited attempt is in the store: no
-    /// attempt is reaped before. Unless this node `may_preempt`, nothing is stopped to run
-    /// elsewhere.
+    /// `is_end_stored` returns whether the end of an exited attempt is stored; attempts are
+    /// reaped only after that. Tasks are preempted only if `may_preempt` is set.
     pub fn needed_commands(
         &self,
         may_preempt: bool,
@@ -24,18 +23,18 @@
         commands
     }
 
-    /// Has exited attempts removed whose end is stored. After a reap the worker would
-    /// start a late launch of the same attempt again, so it keeps what may still be
-    /// launched.
+    /// The commands that remove exited attempts whose end is stored. An attempt is not
+    /// reaped while a launch command for it may still arrive, since the worker would then
+    /// start it a second time.
     fn reaps(
         &self,
         is_end_stored: impl Fn(&TaskName, u64) -> bool,
     ) -> impl Iterator<Item = Command> {
-        let settled = self.exited.iter().filter(move |launch| {
-            is_end_stored(&launch.task, launch.attempt)
-                && !self.command_state.may_still_launch(launch)
+        let reapable = self.exited.iter().filter(move |exited| {
+            is_end_stored(&exited.task, exited.attempt)
+                && !self.command_state.may_still_launch(exited)
         });
-        settled.map(|exited| Command::Reap {
+        reapable.map(|exited| Command::Reap {
             task: exited.task.clone(),
             attempt: exited.attempt,
         })
@@ -45,7 +44,7 @@
         self.unexpected.iter().map(TaskAttempt::stop_command)
     }
 
-    /// The stops of cancelled tasks that were seen here.
+    /// The commands that stop cancelled tasks that a heartbeat has listed.
     pub fn cancelled_task_stops(&self) -> impl Iterator<Item = Command> {
         self.slots
             .iter()
@@ -80,7 +79,7 @@
         })
     }
 
-    /// Records which launches the reply to the latest heartbeat carries.
+    /// Records the launches among the commands in the reply to the latest heartbeat.
     pub fn record_reply_launches(&mut self, commands: &[Command]) {
         for command in commands {
             if let Command::Launch { task, attempt } = command
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -3,117 +3,117 @@
 use crate::Micros;
 use crate::time::WORKER_FAILOVER_TIMEOUT;
 
-/// When a machine was last heard from, and whether commands are known to reach it.
+/// When the latest heartbeats of a machine arrived, and whether messages are known to reach
+/// the machine.
 ///
-/// The two directions are kept apart since either may fail alone.
+/// The two directions are tracked separately since either may fail alone.
 #[derive(Debug)]
 pub struct Reachability {
-    /// When its last heartbeat came, sent by itself or in reply to commands.
-    last_heard_at: Micros,
-    /// When its last periodic heartbeat came. Only the replies to these renew the lease
-    /// of its tasks: a machine that only replies to commands is about to lose all that
-    /// is on it.
+    /// Arrival of the latest heartbeat, periodic or in reply to commands.
+    last_contact_at: Micros,
+    /// Arrival of the latest periodic heartbeat. Only the replies to these renew the
+    /// worker's lease, so a machine that only replies to commands will lose its tasks.
     last_heartbeat_at: Micros,
-    /// Since when it is not known to receive messages: commands had no reply, and nothing
-    /// has shown since that any message reaches it.
+    /// When commands first had no reply, if nothing has shown since then that messages
+    /// reach the machine.
     unresponsive_since: Option<Micros>,
 }
 
-/// What a periodic heartbeat says of the connection to its machine.
+/// How a periodic heartbeat changed what is known of the connection to its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ContactUpdate {
     /// Whether the machine may have become reachable by this heartbeat.
     pub(super) may_have_recovered: bool,
-    /// Whether it remains unknown that messages reach the machine.
+    /// Whether it is still unknown if messages reach the machine.
     pub(super) needs_probe: bool,
 }
 
 impl Reachability {
-    /// A machine that counts as heard at `now`.
+    /// The state of a machine that counts as heard from at `now`.
     pub(super) fn new(now: Micros) -> Reachability {
         Reachability {
-            last_heard_at: now,
+            last_contact_at: now,
             last_heartbeat_at: now,
             unresponsive_since: None,
         }
     }
 
-    /// When its last heartbeat came, of either kind.
+    /// Arrival of the latest heartbeat, periodic or in reply to commands.
     pub fn last_heard_at(&self) -> Micros {
-        self.last_heard_at
+        self.last_contact_at
     }
 
-    /// When its last periodic heartbeat came.
+    /// Arrival of the latest periodic heartbeat.
     pub fn last_heartbeat_at(&self) -> Micros {
         self.last_heartbeat_at
     }
 
-    /// Since when commands to it had no reply.
+    /// When commands first had no reply, if nothing has shown since then that messages
+    /// reach the machine.
     pub fn unresponsive_since(&self) -> Option<Micros> {
         self.unresponsive_since
     }
 
-    /// Whether a heartbeat is overdue. `missed_after` is the silence, in microseconds,
-    /// by which a machine has missed a heartbeat.
+    /// Whether a heartbeat is overdue: the machine was silent for `missed_after`.
     pub fn has_missed_heartbeat(&self, now: Micros, missed_after: Micros) -> bool {
-        now >= self.last_heard_at + missed_after
+        now >= self.last_contact_at + missed_after
     }
 
-    /// Whether what is sent to it arrives, as far as is known.
+    /// Whether heartbeats arrive and, as far as is known, messages reach the machine.
     pub fn is_reachable(&self, now: Micros, missed_after: Micros) -> bool {
         !self.has_missed_heartbeat(now, missed_after) && self.unresponsive_since.is_none()
     }
 
-    /// Whether messages pass both ways, so that a task placed there now is launched and
-    /// keeps its lease.
+    /// Like [`is_reachable`](Self::is_reachable), but only periodic heartbeats count, so
+    /// that a task placed now can be launched and its lease is renewed.
     pub fn is_reachable_both_ways(&self, now: Micros, missed_after: Micros) -> bool {
         now < self.last_heartbeat_at + missed_after && self.unresponsive_since.is_none()
     }
 
-    /// Whether one direction or the other has failed for `duration` or longer.
+    /// Whether either direction has failed for `duration` or longer.
     pub fn is_unreachable_for(&self, now: Micros, duration: Micros) -> bool {
         let since = self.unresponsive_since.unwrap_or(Micros::MAX);
         now >= self.last_heartbeat_at.min(since).saturating_add(duration)
     }
 
-    /// A heartbeat of either kind came.
-    pub(super) fn record_heard(&mut self, now: Micros) {
-        self.last_heard_at = now;
+    /// Records the arrival of a heartbeat, periodic or in reply to commands.
+    pub(super) fn record_contact(&mut self, now: Micros) {
+        self.last_contact_at = now;
     }
 
-    /// Counts the machine as silent since `at`.
+    /// Treats the machine as silent since `at`.
     pub(super) fn assume_silent_since(&mut self, at: Micros) {
-        self.last_heard_at = at;
+        self.last_contact_at = at;
         self.last_heartbeat_at = at;
     }
 
-    /// The machine was not heard before `at` at the latest, since it is still booting.
-    pub(super) fn bound_last_heard(&mut self, at: Micros) {
-        self.last_heard_at = self.last_heard_at.min(at);
+    /// Treats the machine as silent since `at` or earlier, since it is still booting.
+    pub(super) fn limit_last_contact(&mut self, at: Micros) {
+        self.last_contact_at = self.last_contact_at.min(at);
     }
 
-    /// Does not count a time in which this node could not hear anybody.
+    /// Excludes a pause of this process from the machine's silence.
     pub fn exclude_pause(&mut self, duration: Micros, now: Micros) {
-        self.last_heard_at = (self.last_heard_at + duration).min(now);
+        self.last_contact_at = (self.last_contact_at + duration).min(now);
         self.last_heartbeat_at = (self.last_heartbeat_at + duration).min(now);
     }
 
-    /// Commands to it were answered.
+    /// Records that the machine replied to commands.
     pub fn record_command_reply(&mut self) {
         self.unresponsive_since = None;
     }
 
-    /// Commands to it had no answer, or none that is understood.
+    /// Records that the machine did not reply to commands, or not intelligibly.
     pub fn record_command_failure(&mut self, now: Micros) {
         self.unresponsive_since.get_or_insert(now);
     }
 
-    /// A newer periodic heartbeat came; see [`super::Machine::heartbeat_received`].
+    /// Records a newer periodic heartbeat; see [`super::Machine::heartbeat_received`].
     pub(super) fn record_heartbeat(
         &mut self,
         now: Micros,
         new_incarnation: bool,
-        proof_after: Micros,
+        lease_proof_after: Micros,
         missed_after: Micros,
     ) -> ContactUpdate {
         let previous = std::mem::replace(&mut self.last_heartbeat_at, now);
@@ -121,7 +121,7 @@
         let reply_arrived = |since| previous >= since && now < previous + WORKER_FAILOVER_TIMEOUT;
         match self.unresponsive_since {
             Some(_) if new_incarnation => self.unresponsive_since = Some(now),
-            Some(since) if reply_arrived(since) || now >= since + proof_after => {
+            Some(since) if reply_arrived(since) || now >= since + lease_proof_after => {
                 self.unresponsive_since = None;
             }
             unresponsive => {
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -1,4 +1,4 @@
-//! A task that was placed on a machine.
+//! The slot of a task that is placed on a machine.
 
 use super::HeartbeatPosition;
 use crate::Micros;
@@ -10,17 +10,17 @@
 
 pub use crate::task_key::TaskKey;
 
-/// One attempt of a task, as commands and heartbeats name it.
+/// One attempt of a task, as identified in commands and heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskAttempt {
     /// The task.
     pub task: TaskName,
-    /// The attempt of the task.
+    /// The number of the attempt.
     pub attempt: u64,
 }
 
 impl TaskAttempt {
-    /// The command that stops it at once.
+    /// The command that stops the attempt without a grace period.
     pub fn stop_command(&self) -> Command {
         Command::Stop {
             task: self.task.clone(),
@@ -30,42 +30,42 @@
     }
 }
 
-/// The resources that one attempt of a task holds on a machine, and what is known of it.
+/// The resources that an attempt of a task occupies on a machine, and its known state.
 #[derive(Debug, Clone)]
 pub struct TaskSlot {
     /// The attempt that was placed.
     pub attempt: u64,
-    /// The incarnation of the machine's agent for which it was placed.
+    /// The incarnation of the worker agent that the attempt was placed on.
     pub incarnation: u64,
-    /// What the task takes of the machine.
+    /// The resources that the task occupies.
     pub resources: Resources,
     /// Whether the task is a replica of a service.
     pub service: bool,
-    /// Whether it takes resources that were reserved for services.
+    /// Whether the task uses resources that were reserved for services.
     pub uses_service_headroom: bool,
-    /// The index of its job, for estimates. When a job has gone, another job may get
-    /// the index.
+    /// The index of the task's job, for estimates. The index of a removed job may be
+    /// reused for another job.
     pub job: SlabIndex,
-    /// Whether the placement is in the store. Before that nothing is sent to the machine.
+    /// Whether the placement is stored. Before that, no command for it is sent.
     pub stored: bool,
-    /// Whether its job is cancelled: the task is to be stopped, and never launched.
+    /// Whether the job is cancelled: the task is to be stopped, and never launched.
     pub cancelled: bool,
-    /// Whether it is preempted: the task is to be stopped, to run elsewhere.
+    /// Whether the task is preempted: it is to be stopped, and run elsewhere.
     pub preempted: bool,
-    /// The state that a heartbeat showed last.
+    /// The state in the latest heartbeat that listed the attempt.
     pub seen: Option<TaskState>,
-    /// When a heartbeat first showed it running.
+    /// Arrival of the first heartbeat that listed the attempt as running.
     pub running_since: Option<Micros>,
-    /// Whether this leader has watched the whole run, so that its run time may be used
+    /// Whether this leader has observed the whole run, so that its run time may be used
     /// for estimates.
     pub watched: bool,
-    /// The heartbeat whose reply last carried its launch.
+    /// The heartbeat whose reply carried the latest launch command for the attempt.
     pub(super) launch_replied_to: Option<HeartbeatPosition>,
 }
 
 impl TaskSlot {
-    /// A task that was not seen on its machine yet. `stored` says whether the placement
-    /// was read from the store rather than decided by this leader.
+    /// Creates the slot of a task that no heartbeat has listed yet. `stored` says whether
+    /// the placement was read from the store rather than decided by this leader.
     pub fn new(
         attempt: u64,
         incarnation: u64,
@@ -90,18 +90,18 @@
         }
     }
 
-    /// Whether the placement is in the store and a heartbeat has shown the task.
+    /// Whether the placement is stored and a heartbeat has listed the attempt.
     pub fn is_stored_and_seen(&self) -> bool {
         self.stored && self.seen.is_some()
     }
 
-    /// For how long it has been seen running, in microseconds; zero if it was not.
+    /// The time for which the task has been running; 0 if it has not been seen running.
     pub fn running_for(&self, now: Micros) -> Micros {
         self.running_since
             .map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// The attempt that was placed, by its name on the wire.
+    /// The placed attempt, as identified in commands and heartbeats.
     pub(super) fn task_attempt(&self, key: &TaskKey) -> TaskAttempt {
         TaskAttempt {
             task: TaskName {
@@ -113,29 +113,29 @@
     }
 }
 
-/// What a heartbeat, or the end of a machine, has changed for a placed task.
+/// A change of a placed task that a heartbeat, or the loss of its machine, has shown.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskEvent {
     /// The task was seen running for the first time.
     Running(TaskKey),
-    /// The attempt has exited and left the machine's slots.
+    /// The attempt has exited, and its slot was freed.
     Exited {
         /// The task.
         task: TaskKey,
         /// The attempt of the task.
         attempt: u64,
-        /// Why it ended.
+        /// Why the attempt exited.
         reason: ExitReason,
-        /// The run time, if the whole run was watched.
+        /// The run time, if this leader has observed the whole run.
         ran: Option<Micros>,
     },
-    /// The attempt is proved to be gone without a result.
+    /// The attempt is gone without a result, and its slot was freed.
     Lost {
         /// The task.
         task: TaskKey,
         /// The attempt of the task.
         attempt: u64,
-        /// Why it ended.
+        /// The proof that the attempt is gone.
         reason: TaskLossReason,
     },
 }
@@ -143,11 +143,12 @@
 /// The proof that an attempt is gone from its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskLossReason {
-    /// A later incarnation of the agent has begun; it kills all tasks of earlier ones.
+    /// A later incarnation of the agent has started, which kills all tasks of earlier ones.
     LaterIncarnation,
-    /// A newer heartbeat does not list it, and no launch of it can still be carried out.
+    /// A newer heartbeat does not list the attempt, and no launch of it can still be
+    /// executed.
     AbsentFromHeartbeat,
-    /// The machine itself is gone.
+    /// The machine is gone.
     MachineGone(MachineEnd),
 }
 
@@ -161,12 +162,12 @@
     }
 }
 
-/// How it became certain that a machine is gone.
+/// The proof that a machine is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEnd {
-    /// The cloud has confirmed its deletion.
+    /// The cloud has confirmed the deletion of the machine.
     Deleted,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     ListedAsFailed,
 }
 
