--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of calls to the cloud: one at a time, within the allowed rate, the most urgent
-//! first.
+//! The queue of requests to the cloud. They are sent one at a time, within the allowed rate
+//! and in the order of urgency.
 
 use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
 use crate::{Micros, SECOND, seconds};
@@ -7,22 +7,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// A scale-out that certainly was not carried out for this long is planned anew.
+/// A scale-out that was not executed within this time is dropped, so that a new one is
+/// planned from the current demand.
 const SCALE_OUT_EXPIRY: Micros = 5 * SECOND;
-/// The number of machines that one call may delete however small the fleet is.
+/// The number of machines that one request may delete however small the fleet is.
 const MIN_DELETION_LIMIT: usize = 5;
-/// The part of the cloud's call rate that is used.
-const USED_RATE_SHARE: f64 = 0.9;
-/// How long calls pause after the cloud has failed.
-const FAILURE_PAUSE: Micros = SECOND;
+/// The fraction of the cloud's rate limit that is used.
+const USED_RATE_FRACTION: f64 = 0.9;
+/// How long no requests are sent after the cloud has failed.
+const FAILURE_BACKOFF: Micros = SECOND;
 
-/// A scale-out that has no final answer yet.
+/// A scale-out that has no final response yet.
 #[derive(Debug, Clone)]
 struct PendingScaleOut {
     request: ScaleOut,
-    since: Micros,
-    /// An earlier try may have been carried out: its request name must be repeated until
-    /// there is an answer.
+    requested_at: Micros,
+    /// Whether an earlier attempt may have been executed. The same request name must then
+    /// be repeated until there is a final response.
     uncertain: bool,
 }
 
@@ -30,25 +31,25 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingDeletion {
     reason: DeletionReason,
-    /// An earlier try may be carried out at any time.
+    /// Whether an earlier attempt may still be executed at any time.
     uncertain: bool,
 }
 
-/// Which call went out.
+/// The kind of a request to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudRequestKind {
     /// Deletes machines.
     Delete,
     /// Starts machines.
     ScaleOut,
-    /// Asks for a page of the list of machines.
+    /// Reads a page of the list of machines.
     List,
-    /// Asks for the machine types.
+    /// Reads the machine types.
     Types,
 }
 
 impl CloudRequestKind {
-    /// Its name in log lines.
+    /// The name of the kind in log lines.
     pub fn label(self) -> &'static str {
         match self {
             CloudRequestKind::Delete => "delete",
@@ -59,46 +60,48 @@
     }
 }
 
-/// A call that may be sent now.
+/// A request that may be sent now.
 #[derive(Debug)]
 pub struct PermittedCloudCall {
-    /// Which kind of request it is.
+    /// The kind of the request.
     pub kind: CloudRequestKind,
     /// The request to send.
     pub request: CloudRequest,
-    /// The permit that the request is sent with.
+    /// The permit for sending the request.
     pub permit: CloudPermit,
 }
 
-/// Calls that are to be made to the cloud, and the one in flight.
+/// The pending requests to the cloud, and the one in flight.
 #[derive(Debug)]
 pub struct CloudQueue {
-    /// Calls per second that the cloud allows.
-    rate: f64,
-    /// Calls that may be made now. Not a [`crate::token_bucket::TokenBucket`]: that one
-    /// rounds differently, and with it the times of calls would change.
+    /// The cloud's rate limit, in requests per second.
+    rate_per_s: f64,
+    /// The requests that the rate limit allows now. This is not a
+    /// [`crate::token_bucket::TokenBucket`] because that one rounds differently, which would
+    /// change the times of requests.
     tokens: f64,
     tokens_refilled_at: Micros,
     call_in_flight: bool,
     paused_until: Micros,
     deletions: BTreeMap<Rc<str>, PendingDeletion>,
-    /// What the call in flight deletes.
+    /// The machines that the request in flight deletes.
     deletions_in_flight: Vec<Rc<str>>,
-    /// Whether the last call was a deletion: deletions and scale-outs take turns.
+    /// Whether the previous request was a deletion: deletions and scale-outs alternate.
     deleted_last: bool,
     scale_outs: VecDeque<PendingScaleOut>,
     next_listing_at: Micros,
-    /// The last machine of the page before, while a listing goes on.
+    /// The last machine of the previous page; None at the start of a listing.
     list_after: Option<String>,
     next_types_at: Micros,
+    /// The number of scale-out request names that were generated.
     scale_outs_named: u64,
 }
 
 impl CloudQueue {
-    /// An empty queue for a cloud that allows `rate` calls per second.
-    pub fn new(rate: f64, now: Micros) -> Self {
+    /// Creates an empty queue for a cloud that allows `rate_per_s` requests per second.
+    pub fn new(rate_per_s: f64, now: Micros) -> Self {
         CloudQueue {
-            rate,
+            rate_per_s,
             tokens: 1.0,
             tokens_refilled_at: now,
             call_in_flight: false,
@@ -114,44 +117,45 @@
         }
     }
 
-    /// A new name for a scale-out request. It is never used again, by this node or another,
-    /// since no other leader has this term; by it the cloud knows a repeated request.
+    /// Generates the unique name of a scale-out request, by which the cloud recognizes a
+    /// repeated request. No other leader generates the same name, since terms are unique.
     pub fn new_request_name(&mut self, term: u64) -> String {
         self.scale_outs_named += 1;
         format!("t{term}-{}", self.scale_outs_named)
     }
 
-    /// Has machines started.
+    /// Queues a scale-out.
     pub fn scale_out(&mut self, request: ScaleOut, now: Micros) {
         self.scale_outs.push_back(PendingScaleOut {
             request,
-            since: now,
+            requested_at: now,
             uncertain: false,
         });
     }
 
-    /// Whether a scale-out has no final answer yet.
+    /// Whether any scale-out has no final response yet.
     pub fn has_scale_outs(&self) -> bool {
         !self.scale_outs.is_empty()
     }
 
-    /// The scale-out in flight has its final answer.
+    /// Removes and returns the scale-out in flight, which has its final response.
     pub fn finish_scale_out(&mut self) -> Option<ScaleOut> {
         self.scale_outs.pop_front().map(|pending| pending.request)
     }
 
-    /// The scale-out in flight has no final answer; it is `uncertain` if it may be carried
-    /// out all the same.
+    /// Records that the scale-out in flight failed without a final response. It is
+    /// `uncertain` if it may still be executed.
     pub fn scale_out_failed(&mut self, now: Micros, uncertain: bool) {
         if let Some(pending) = self.scale_outs.front_mut() {
             pending.uncertain |= uncertain;
-            if !pending.uncertain && now > pending.since + SCALE_OUT_EXPIRY {
+            if !pending.uncertain && now > pending.requested_at + SCALE_OUT_EXPIRY {
                 self.scale_outs.pop_front();
             }
         }
     }
 
-    /// Has a machine deleted; of several reasons the most urgent stands.
+    /// Queues the deletion of a machine. If it is already queued, the more urgent reason
+    /// applies.
     pub fn delete(&mut self, name: Rc<str>, reason: DeletionReason) {
         let deletion = self.deletions.entry(name).or_insert(PendingDeletion {
             reason,
@@ -160,20 +164,20 @@
         deletion.reason = deletion.reason.min(reason);
     }
 
-    /// Machines that are to be deleted.
+    /// The machines that are to be deleted.
     pub fn deletions(&self) -> impl Iterator<Item = &Rc<str>> {
         self.deletions.keys()
     }
 
-    /// Whether the machine is to be deleted for a cancelled task.
+    /// Whether the machine is to be deleted because of a cancelled task.
     pub fn is_deletion_urgent(&self, name: &str) -> bool {
         let deletion = self.deletions.get(name);
         deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
 
-    /// Withdraws the deletion of a machine that was to be deleted for its silence and is
-    /// heard again, unless a call that deletes it may be carried out at any time. Returns
-    /// whether it is withdrawn.
+    /// Withdraws the deletion of a machine that was silent and has sent a heartbeat again,
+    /// unless a request that deletes it may still be executed. Returns whether the deletion
+    /// was withdrawn.
     pub fn withdraw(&mut self, name: &str) -> bool {
         let Some(deletion) = self.deletions.get(name) else {
             return false;
@@ -187,7 +191,7 @@
         withdrawn
     }
 
-    /// The deletion in flight was carried out. Returns the machines that are gone.
+    /// Removes the machines of the deletion in flight, which was executed, and returns them.
     pub fn finish_deletion(&mut self) -> Vec<Rc<str>> {
         let names = std::mem::take(&mut self.deletions_in_flight);
         for name in &names {
@@ -196,8 +200,8 @@
         names
     }
 
-    /// The deletion in flight had no success; it is `uncertain` if it may be carried out
-    /// all the same.
+    /// Records that the deletion in flight failed. It is `uncertain` if it may still be
+    /// executed.
     pub fn deletion_failed(&mut self, uncertain: bool) {
         for name in std::mem::take(&mut self.deletions_in_flight) {
             if let Some(deletion) = self.deletions.get_mut(&name) {
@@ -206,31 +210,31 @@
         }
     }
 
-    /// Has the next page of the list of machines asked for at `at`; it begins after the
-    /// machine `after`, or with the first.
+    /// Schedules the reading of the next page of the list of machines at `at`. The page
+    /// begins after the machine `after`, or with the first one.
     pub fn schedule_listing(&mut self, at: Micros, after: Option<String>) {
         self.next_listing_at = at;
         self.list_after = after;
     }
 
-    /// Has the machine types asked for at `at`.
+    /// Schedules the reading of the machine types at `at`.
     pub fn schedule_types(&mut self, at: Micros) {
         self.next_types_at = at;
     }
 
-    /// The call in flight has ended.
+    /// Records that the request in flight has ended, with or without a response.
     pub fn call_finished(&mut self) {
         self.call_in_flight = false;
     }
 
-    /// Sends nothing for a while, since the cloud fails or is out of reach. Nothing else
-    /// than scaling out and in stalls with it.
+    /// Sends no requests for a while, since the cloud fails or is unreachable.
     pub fn pause(&mut self, now: Micros) {
-        self.paused_until = now + FAILURE_PAUSE;
+        self.paused_until = now + FAILURE_BACKOFF;
     }
 
-    /// Takes the next call, if there is one that may be sent now. It deletes no more than
-    /// `deletion_limit` machines that may be in use; `permit` tells what may be done now.
+    /// Takes the next request that may be sent now, if there is one. It deletes at most
+    /// `deletion_limit` machines that may be in use. `permit` issues a permit for an action
+    /// that is allowed now.
     pub fn next(
         &mut self,
         now: Micros,
@@ -243,9 +247,10 @@
         }
         let scale_out_permit = permit(CloudAction::ScaleOut);
         if scale_out_permit.is_none() {
-            // By the time that there is a permit again another plan fits better.
-            self.scale_outs
-                .retain(|pending| pending.uncertain || now < pending.since + SCALE_OUT_EXPIRY);
+            // Once scale-outs are permitted again, a new plan will fit the demand better.
+            self.scale_outs.retain(|pending| {
+                pending.uncertain || now < pending.requested_at + SCALE_OUT_EXPIRY
+            });
         }
         let scale_out_permit = scale_out_permit.filter(|_| self.has_scale_outs());
         let may_delete = scale_out_permit.is_none() || !self.deleted_last;
@@ -264,13 +269,13 @@
 
     fn refill_tokens(&mut self, now: Micros) {
         let passed_s = seconds(now.saturating_sub(self.tokens_refilled_at));
-        let tokens = self.tokens + passed_s * self.rate * USED_RATE_SHARE;
-        self.tokens = tokens.min(self.rate.max(1.0));
+        let tokens = self.tokens + passed_s * self.rate_per_s * USED_RATE_FRACTION;
+        self.tokens = tokens.min(self.rate_per_s.max(1.0));
         self.tokens_refilled_at = now;
     }
 
-    /// The next call that deletes machines, if there are any that may be deleted now. Its
-    /// permit is that of the most urgent reason.
+    /// The next deletion request, if there are machines that may be deleted now. Its permit
+    /// is issued for the most urgent reason among them.
     fn next_deletion(
         &mut self,
         limit: usize,
@@ -290,8 +295,8 @@
         })
     }
 
-    /// The next machines to delete: those of more urgent reasons first, and no more than
-    /// the limit of those that may be in use when a late call reaches them.
+    /// The next machines to delete, by urgency of the reason. The limit applies to machines
+    /// that may be in use again by the time that a delayed request is executed.
     fn most_urgent_deletions(
         &self,
         limit: usize,
@@ -314,7 +319,7 @@
         names
     }
 
-    /// The next call that is not a deletion.
+    /// The next request that is not a deletion.
     fn next_other_call(
         &self,
         now: Micros,
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -1,60 +1,58 @@
-//! Whether a leader may still do what cannot be undone.
+//! Guards irreversible actions against a leader that may have lost its leadership.
 //!
-//! A deletion, a scale-out or the stop of a running task cannot be undone, and no term is
-//! compared where it is carried out: the cloud knows nothing of terms. So whoever sends
-//! one has to have proved a moment ago that it leads. The proof is a response of the store that made or
-//! renewed the lease to which `s/lead` is bound: from the time at which that call was
-//! sent, no other node can be elected before the lease expires.
+//! A deletion, a scale-out and the stop of a running task cannot be undone, and are not
+//! fenced by the term: the cloud does not check terms. The sender must therefore have
+//! proved recently that it leads. The proof is a response of the store that granted or
+//! renewed the lease to which `s/lead` is bound: after the send time of that request, no
+//! other node can be elected until the lease expires.
 //!
-//! The types enforce it: [`Context::cloud_request`](crate::calls::Context::cloud_request)
-//! is the only way to the cloud and takes a [`CloudPermit`], which only
-//! [`LeadershipProof::permit`] issues.
-//!
-//! A leader in a partitioned zone once went on for 40 s, took the two healthy zones for
-//! silent, and had 100 of their machines deleted by a call that was carried out when the
-//! partition ended (docs/incidents/rosterwise-nz-fleet-late-deletion.md).
+//! The types enforce this. A request to the cloud can only be sent by
+//! [`Context::cloud_request`](crate::calls::Context::cloud_request), which takes a
+//! [`CloudPermit`], and only [`LeadershipProof::permit`] issues one. Without it, a leader
+//! in a partitioned zone could take the other zones for failed, and a delayed request of
+//! it could delete their machines after the partition has ended.
 
 use crate::{Config, Micros, SECOND, micros};
 use dillcleat_wire::cloud::CloudRequest;
 
-/// The longest that a proof is valid, however long the lease is.
-const MAX_PROOF_TIME: Micros = 4 * SECOND;
+/// The maximum validity of a proof, however long the lease is.
+const MAX_PROOF_VALIDITY: Micros = 4 * SECOND;
 
-/// How long a proof is valid, from the sending of the call whose response gave it. Four
-/// fifths of the shortest lease: a lease ends no sooner than its time, by a clock that is
-/// up to 0.05% off, and the rest is for writing the request.
+/// How long a proof is valid after the request was sent whose response is the proof. This
+/// is four fifths of the shortest lease; the rest is a margin for clock drift and for the
+/// time that it takes to write a permitted request.
 pub fn proof_time(config: &Config) -> Micros {
-    (micros(config.tuning.lead_ttl_s) / 5 * 4).min(MAX_PROOF_TIME)
+    (micros(config.tuning.lead_ttl_s) / 5 * 4).min(MAX_PROOF_VALIDITY)
 }
 
-/// What a leader knows of its right to act, as its node sees it.
+/// The evidence for this node's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LeadershipProof {
-    /// Monotonic time at which the latest call was sent whose response proved that this
-    /// node leads.
+    /// Monotonic send time of the latest request whose response proved that this node
+    /// leads.
     pub proved_at: Micros,
-    /// There are controllers in other zones, and none of them is reachable. A silence of
-    /// other zones is then more likely this node's partition than theirs.
+    /// Whether there are controllers in other zones and none of them is reachable. If other
+    /// zones are silent, it is then more likely that this node's zone is partitioned.
     pub isolated: bool,
 }
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeletionReason {
-    /// A cancelled task may run there: its end was not confirmed.
+    /// A cancelled task may still run on the machine: its end is not confirmed.
     Cancelled,
-    /// The cloud lists it as failed: only its entry in the list is left.
+    /// The cloud lists the machine as failed, so that the deletion only removes the entry.
     Failed,
-    /// Its heartbeats were missing for too long, or it never came up.
+    /// The machine's heartbeats were missing for too long, or it never came up.
     Silent,
-    /// Nothing needs it, or it is quarantined.
+    /// The machine is not needed (scale-in), or it is cordoned.
     Returned,
 }
 
-/// What is requested of the cloud.
+/// The kind of access to the cloud that a permit is requested for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudAction {
-    /// Reads only.
+    /// Reads without changing anything.
     Look,
     /// Starts machines.
     ScaleOut,
@@ -70,19 +68,18 @@
 }
 
 impl LeadershipProof {
-    /// Whether the proof is recent enough to act on.
+    /// Whether the proof is recent enough for irreversible actions.
     pub fn is_recent(&self, config: &Config, now: Micros) -> bool {
         now < self.proved_at + proof_time(config)
     }
 
-    /// Issues a permit for the action; None if it is a change and the proof is not recent.
+    /// Issues a permit for the action; None if the action is a change and the proof is not
+    /// recent.
     ///
-    /// Without a recent proof no [`DeletionReason`] is good enough. That the store refuses
-    /// most controllers and nobody says otherwise does not prove that it is out for all:
-    /// a leader that was elected meanwhile may be unreachable (seed 11387 of the
-    /// pipelines' days). What a user was promised by the confirmation of a cancellation is
-    /// then left to time: the machine's heartbeats are not answered, and its lease ends
-    /// the task (`Leader::heartbeat`).
+    /// Without a recent proof, no [`DeletionReason`] suffices. Even if the store appears to
+    /// be unavailable to all controllers, a newly elected leader may exist that this node
+    /// cannot reach. The tasks of a cancelled job end in that case because the machine's
+    /// heartbeats are not answered and its lease expires (`Leader::heartbeat`).
     pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         match action {
             CloudAction::Look => Some(CloudPermit {
@@ -106,7 +103,7 @@
         self.allows_changes || !is_change
     }
 
-    /// The time from now within which the request must be written to its connection.
+    /// The time from `now` within which the request must be written to its connection.
     pub fn within(&self, now: Micros) -> Micros {
         self.valid_until.saturating_sub(now)
     }
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -1,10 +1,13 @@
-//! Batched writes of the leader, fenced by its term.
+//! The queue of the leader's writes, which are stored in batches and fenced by the term.
 //!
-//! One transaction is in flight at a time. It compares the term, the version of every
-//! chunk that it sets (so a copy of it that is applied late fails), and the state record
-//! of every job that it places tasks of or ends (so a cancellation elsewhere wins).
-//! Records are made from memory when the batch is sent; what depends on them is done once
-//! the batch is acknowledged.
+//! One batch is in flight at a time, as a single transaction. The transaction compares
+//! - the version of the term's record,
+//! - the version of every task record that it sets, so that a delayed duplicate fails, and
+//! - the version of the state record of every job that it ends or places tasks of, so that
+//!   it fails if the job has been cancelled meanwhile.
+//!
+//! A record is built from the leader's state when its batch is sent. Actions that depend on
+//! the record are taken after the batch is committed.
 
 mod batch;
 mod rate;
@@ -20,35 +23,34 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A change of the store that is queued. What exactly is written is worked out when its
-/// batch is made.
+/// A queued change of the store. The record to write is built together with its batch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PendingWrite {
     /// The record of some tasks of a job.
     Tasks {
         /// The id of the job.
         job: Rc<str>,
-        /// The tasks that the record tells of.
+        /// The tasks that the record covers.
         range: TaskRange,
     },
-    /// Every task of the job is done.
+    /// The end of a job all of whose tasks are done.
     JobDone(Rc<str>),
-    /// The job is cancelled, since one that it depends on was.
+    /// The cancellation of a job because a job that it depends on was cancelled.
     JobCancelled(Rc<str>),
-    /// The job is cancelled and all its tasks are gone: its records are deleted.
+    /// The deletion of the records of a cancelled job all of whose tasks are gone.
     ClearJob(Rc<str>),
     /// The record of a machine.
     Machine(String),
-    /// The deletion of a key that nothing needs any more.
+    /// The deletion of a key that is no longer needed.
     DeleteKey(String),
     /// The record of the machine types.
     MachineTypes,
 }
 
 impl PendingWrite {
-    /// Whether nothing waits for it: a machine's address helps a later leader, and a
-    /// key that is not needed may stay a while. A fleet that boots at once causes
-    /// hundreds of them, and placements must not queue behind.
+    /// Whether the write may be delayed: a machine's record is used only by a later leader,
+    /// and an unneeded key may remain for a while. A fleet that boots at once causes many
+    /// of these writes, and placements must not wait for them.
     fn is_deferrable(&self) -> bool {
         matches!(self, PendingWrite::Machine(_) | PendingWrite::DeleteKey(_))
     }
@@ -71,7 +73,7 @@
     }
 }
 
-/// A write that the store refused by itself.
+/// A write that the store rejected individually.
 #[derive(Debug)]
 struct RefusedWrite {
     retry_at: Micros,
@@ -85,26 +87,25 @@
 #[derive(Debug, Default)]
 pub struct WriteQueue {
     urgent: VecDeque<PendingWrite>,
-    /// Cancellations that follow from others: up to half of a batch while there is
-    /// anything else. A thousand jobs that depend on one that is cancelled do not hold
-    /// up placements, and neither are they held up.
+    /// Cancellations caused by the cancellation of a dependency. They fill up to half of a
+    /// batch while there are urgent writes, so that neither delays the other for long.
     cancellations: VecDeque<PendingWrite>,
     /// Writes that fill the space that the others leave in a batch.
     deferrable: VecDeque<PendingWrite>,
-    /// Writes that the store refused by themselves, to be tried again at a time.
+    /// Writes that the store rejected individually, each with the time of its retry.
     refused: Vec<RefusedWrite>,
     queued: BTreeSet<PendingWrite>,
-    /// How many deferrable writes may be made now.
+    /// Limits the rate of deferrable writes.
     deferrable_budget: TokenBucket,
-    /// The most writes in a batch, after a larger one was refused.
+    /// The maximum number of writes in a batch, set after the store rejected a larger one.
     max_batch_writes: Option<usize>,
     in_flight: Option<WriteBatch>,
-    /// When the batch is sent again. Set only while one is in flight and was not answered.
+    /// When the batch in flight is resent. Set only if a batch had no response.
     resend_at: Option<Micros>,
 }
 
 impl WriteQueue {
-    /// The queue of the writes of its kind.
+    /// The sub-queue for writes of this kind.
     fn sub_queue(&mut self, write: &PendingWrite) -> &mut VecDeque<PendingWrite> {
         match write {
             PendingWrite::JobCancelled(_) => &mut self.cancellations,
@@ -113,22 +114,22 @@
         }
     }
 
-    /// Queues a write behind the others of its kind, unless it is queued already.
+    /// Queues a write behind the others in its sub-queue, unless it is already queued.
     pub fn push(&mut self, write: PendingWrite) {
         if self.queued.insert(write.clone()) {
             self.sub_queue(&write).push_back(write);
         }
     }
 
-    /// Queues a write before the others of its kind, unless it is queued already.
+    /// Queues a write before the others in its sub-queue, unless it is already queued.
     pub fn push_front(&mut self, write: PendingWrite) {
         if self.queued.insert(write.clone()) {
             self.sub_queue(&write).push_front(write);
         }
     }
 
-    /// The next write for a batch that holds `batch_writes`, `batch_cancellations` of
-    /// which are cancellations that follow from others.
+    /// Takes the next write for a batch that already contains `batch_writes` writes,
+    /// `batch_cancellations` of which are [`PendingWrite::JobCancelled`].
     pub fn pop(&mut self, batch_writes: usize, batch_cancellations: usize) -> Option<PendingWrite> {
         let cancellation_is_next = self.urgent.is_empty() || batch_cancellations * 2 < batch_writes;
         let cancellation = cancellation_is_next
@@ -150,20 +151,20 @@
         Some(write)
     }
 
-    /// Allows `per_s` deferrable writes a second. They get only a share of the store's
-    /// writes: a burst of them would use up the rate that placements and submissions need.
+    /// Allows `per_s` deferrable writes per second. The limit keeps a burst of them from
+    /// using up the store's write rate, which placements and submissions need.
     pub fn refill_deferrable_budget(&mut self, now: Micros, per_s: f64) {
         self.deferrable_budget.refill(now, per_s, per_s.max(1.0));
     }
 
-    /// Queues a write that the store refused, for a retry at a later time. It counts as
-    /// queued until then: it must not be taken for written.
+    /// Schedules the retry of a write that the store rejected. The write counts as queued
+    /// until then, so that it is not mistaken for a stored one.
     pub fn retry_refused_at(&mut self, retry_at: Micros, write: PendingWrite) {
         self.queued.insert(write.clone());
         self.refused.push(RefusedWrite { retry_at, write });
     }
 
-    /// Moves the refused writes that are due back among the others.
+    /// Queues the rejected writes whose retry is due.
     pub fn requeue_refused(&mut self, now: Micros) {
         if !self.refused.iter().any(|refused| now >= refused.retry_at) {
             return;
@@ -177,52 +178,53 @@
         }
     }
 
-    /// Whether nothing can be written now.
+    /// Whether there is no write that can be sent now.
     pub fn is_idle(&self) -> bool {
         let nothing_deferrable =
             self.deferrable.is_empty() || self.deferrable_budget.available() < 1.0;
         self.urgent.is_empty() && self.cancellations.is_empty() && nothing_deferrable
     }
 
-    /// The most writes that the next batch may hold.
+    /// The maximum number of writes in the next batch.
     pub fn max_batch_writes(&self) -> usize {
         self.max_batch_writes.unwrap_or(usize::MAX)
     }
 
-    /// A batch of so many writes was too large for the store.
+    /// Halves the batch size after the store rejected a batch of `refused_writes` writes as
+    /// too large.
     pub fn shrink_batches(&mut self, refused_writes: usize) {
         self.max_batch_writes = Some(refused_writes / 2);
     }
 
-    /// A batch was committed: the next ones may be larger, up to a limit that needs no
-    /// bound on the number of writes.
+    /// Doubles a reduced batch size after a batch was committed. Once it reaches `limit`,
+    /// the number of writes is no longer restricted.
     pub fn grow_batches(&mut self, limit: usize) {
         self.max_batch_writes = self.max_batch_writes.map(|writes| writes * 2);
         self.max_batch_writes.take_if(|writes| *writes >= limit);
     }
 
-    /// The batch that is in flight.
+    /// The batch in flight.
     pub fn in_flight(&self) -> Option<&WriteBatch> {
         self.in_flight.as_ref()
     }
 
-    /// A batch is in flight.
+    /// Sets the batch in flight.
     pub fn set_in_flight(&mut self, batch: WriteBatch) {
         self.in_flight = Some(batch);
     }
 
-    /// Removes the batch that is in flight, to handle a reply to it.
+    /// Takes the batch in flight, to handle the response to it.
     pub fn take_in_flight(&mut self) -> Option<WriteBatch> {
         self.in_flight.take()
     }
 
-    /// The batch was not answered, and is sent again at this time.
+    /// Schedules the resending of a batch that had no response.
     pub fn resend_in_flight_at(&mut self, batch: WriteBatch, at: Micros) {
         self.in_flight = Some(batch);
         self.resend_at = Some(at);
     }
 
-    /// The transaction of the batch in flight, if it is to be sent again now.
+    /// The transaction of the batch in flight, if it is due to be resent.
     pub fn take_due_resend(&mut self, now: Micros) -> Option<Transaction> {
         self.resend_at.take_if(|at| now >= *at)?;
         self.in_flight
@@ -230,12 +232,12 @@
             .map(|batch| batch.transaction().clone())
     }
 
-    /// Whether a cancellation of the job that follows from another has yet to be stored.
+    /// Whether a [`PendingWrite::JobCancelled`] of the job is queued or in flight.
     pub fn has_cancellation(&self, job: &Rc<str>) -> bool {
         self.has(&PendingWrite::JobCancelled(job.clone()))
     }
 
-    /// Whether the latest change of these tasks is in the store.
+    /// Whether the latest change of these tasks is stored.
     pub fn is_stored(&self, job: &Rc<str>, range: TaskRange) -> bool {
         let job = job.clone();
         !self.has(&PendingWrite::Tasks { job, range })
--- a/crates/controller/src/write_queue/batch.rs
+++ b/crates/controller/src/write_queue/batch.rs
@@ -1,4 +1,4 @@
-//! A batch of writes: one transaction, and what it carries out.
+//! A batch of writes, which is stored as one transaction.
 
 use super::PendingWrite;
 use crate::machines::TaskKey;
@@ -15,7 +15,7 @@
     pub attempt: u64,
 }
 
-/// How long each list of a batch was, to remove what was added since.
+/// The lengths of a batch's lists at some time, to roll back what was added since.
 #[derive(Debug, Clone, Copy)]
 pub struct BatchCheckpoint {
     mutations: usize,
@@ -23,32 +23,32 @@
     placements: usize,
 }
 
-/// How large some mutations of a batch are, in bytes.
+/// The encoded sizes of some mutations of a batch.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MutationSizes {
-    /// The size of the largest value in it, in bytes.
+    /// The size of the largest value.
     pub largest_value_bytes: usize,
-    /// All keys and values, with what the transaction needs around them.
+    /// The size of all keys and values, including the overhead per mutation.
     pub total_bytes: usize,
 }
 
-/// A transaction with what is in it.
+/// A transaction, and the writes and placements that it stores.
 #[derive(Debug, Clone)]
 pub struct WriteBatch {
     transaction: Transaction,
-    /// The writes that it carries out.
+    /// The writes that the transaction stores.
     pub writes: Vec<PendingWrite>,
-    /// The placements that are stored with it.
+    /// The placements that the transaction stores.
     pub placements: Vec<NewPlacement>,
-    /// An earlier try had no answer, so it may have been applied.
+    /// Whether an earlier attempt had no response, so that it may have been committed.
     pub uncertain: bool,
 }
 
 impl WriteBatch {
-    /// What a mutation takes in a transaction besides its key and value, in bytes.
+    /// The size of a mutation in a transaction without its key and value.
     const MUTATION_OVERHEAD_BYTES: usize = 64;
 
-    /// An empty batch, which is fenced by the version of the term's record.
+    /// Creates an empty batch that is fenced by the version of the term's record.
     pub fn new(term_version: u64) -> WriteBatch {
         WriteBatch {
             transaction: Transaction::default().compare(records::TERM, term_version),
@@ -58,22 +58,23 @@
         }
     }
 
-    /// The transaction that writes the batch.
+    /// The transaction that stores the batch.
     pub fn transaction(&self) -> &Transaction {
         &self.transaction
     }
 
-    /// How many keys it changes.
+    /// The number of keys that the batch changes.
     pub fn mutation_count(&self) -> usize {
         self.transaction.then.len()
     }
 
-    /// Requires that a key has a version as it is applied.
+    /// Adds the precondition that a key has this version.
     pub fn compare(&mut self, key: impl Into<String>, version: u64) {
         self.edit(|transaction| transaction.compare(key, version));
     }
 
-    /// Requires that a job's state record has a version. Once for each job.
+    /// Adds the precondition that a job's state record has this version, unless the batch
+    /// already has one for the job.
     pub fn compare_job_state(&mut self, job: &str, version: u64) {
         let key = records::job_key(job);
         if !self.transaction.compare.iter().any(|c| c.key == key) {
@@ -95,7 +96,7 @@
         self.transaction = change(std::mem::take(&mut self.transaction));
     }
 
-    /// How much is in it now.
+    /// A checkpoint of the batch, for [`roll_back`](Self::roll_back).
     pub fn checkpoint(&self) -> BatchCheckpoint {
         BatchCheckpoint {
             mutations: self.transaction.then.len(),
@@ -104,14 +105,14 @@
         }
     }
 
-    /// Removes what was added since.
+    /// Removes everything that was added since the checkpoint.
     pub fn roll_back(&mut self, checkpoint: BatchCheckpoint) {
         self.transaction.then.truncate(checkpoint.mutations);
         self.transaction.compare.truncate(checkpoint.preconditions);
         self.placements.truncate(checkpoint.placements);
     }
 
-    /// The sizes of the mutations that were added since.
+    /// The sizes of the mutations that were added since the checkpoint.
     pub fn sizes_since(&self, checkpoint: BatchCheckpoint) -> MutationSizes {
         let mut sizes = MutationSizes::default();
         for mutation in &self.transaction.then[checkpoint.mutations..] {
@@ -125,13 +126,13 @@
         sizes
     }
 
-    /// A key that it compares and that only its leader writes, if there is one.
+    /// The first compared key that only the leader writes (a task record), if there is one.
     pub fn own_key(&self) -> Option<String> {
         let mut keys = self.transaction.compare.iter().map(|c| &c.key);
         keys.find(|key| key.starts_with(records::TASKS)).cloned()
     }
 
-    /// The version that a key had when the batch was made.
+    /// The version that the batch compares for a key; 0 if it compares none.
     pub fn compared_version(&self, key: &str) -> u64 {
         let mut preconditions = self.transaction.compare.iter();
         let of_key = preconditions.find(|c| c.key == key);
--- a/crates/controller/src/write_queue/rate.rs
+++ b/crates/controller/src/write_queue/rate.rs
@@ -1,11 +1,10 @@
-//! The rate of a leader's writes.
+//! The rate limit of the leader's writes.
 
 use crate::Micros;
 use crate::token_bucket::TokenBucket;
 
-/// How many keys a leader changes in a second: as many as the store takes, less what
-/// users' submissions need. A leader that was bounded by refusals alone took all that
-/// there was, and what was refused were submissions.
+/// Limits the rate at which the leader changes keys to a part of the store's write limit,
+/// so that the rest remains for users' submissions.
 #[derive(Debug)]
 pub struct WriteRate {
     per_s: f64,
@@ -13,33 +12,35 @@
 }
 
 impl WriteRate {
-    /// The leader's share of the changes that the store takes.
-    const LEADER_SHARE: f64 = 0.85;
-    /// For how long unused changes are saved up, in seconds.
+    /// The fraction of the store's write limit that the leader may use.
+    const LEADER_FRACTION: f64 = 0.85;
+    /// The size of a burst, in seconds of the leader's rate.
     const BURST_S: f64 = 0.6;
-    /// The least number of changes that can be saved up.
-    const MIN_BURST: f64 = 4.0;
+    /// The minimum size of a burst, in changes.
+    const MIN_BURST_CHANGES: f64 = 4.0;
 
-    /// For a store that takes `store_rps` changes a second.
-    pub fn new(store_rps: f64) -> WriteRate {
+    /// Creates the limit for a store that accepts `store_writes_per_s` changes per second.
+    pub fn new(store_writes_per_s: f64) -> WriteRate {
         WriteRate {
-            per_s: store_rps * WriteRate::LEADER_SHARE,
+            per_s: store_writes_per_s * WriteRate::LEADER_FRACTION,
             bucket: TokenBucket::default(),
         }
     }
 
-    /// The store takes at most `store_rps` changes a second from now on.
-    pub fn limit(&mut self, store_rps: f64) {
-        self.per_s = self.per_s.min(store_rps * WriteRate::LEADER_SHARE);
+    /// Lowers the limit for a store that accepts only `store_writes_per_s` changes per
+    /// second.
+    pub fn limit(&mut self, store_writes_per_s: f64) {
+        let per_s = store_writes_per_s * WriteRate::LEADER_FRACTION;
+        self.per_s = self.per_s.min(per_s);
     }
 
-    /// How many changes may be made now.
+    /// The number of changes that may be made now.
     pub fn available(&mut self, now: Micros) -> usize {
-        let capacity = (self.per_s * WriteRate::BURST_S).max(WriteRate::MIN_BURST);
+        let capacity = (self.per_s * WriteRate::BURST_S).max(WriteRate::MIN_BURST_CHANGES);
         self.bucket.refill(now, self.per_s, capacity) as usize
     }
 
-    /// So many changes are made.
+    /// Takes the number of changes that are made now.
     pub fn take(&mut self, changes: usize) {
         self.bucket.take(changes as f64);
     }
