--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,7 +1,7 @@
-//! Requests that this node has sent and that wait for their responses.
+//! Requests that this node sends, and those that have no response yet.
 //!
-//! [`Context`] is what every module sends requests with. [`PendingCalls`] keeps the
-//! [`Continuation`] of each until its response arrives.
+//! Every module sends its requests through [`Context`]. [`PendingCalls`] keeps the
+//! [`Continuation`] of each request until the response arrives.
 
 use crate::config::Config;
 use crate::continuations::Continuation;
@@ -14,17 +14,17 @@
 use dillcleat_wire::worker::CommandBatch;
 use std::collections::{HashMap, VecDeque};
 
-/// How long to wait for the response to an ordinary request to the store.
+/// Timeout of a request to the store, in addition to the hold time of a watch.
 const STORE_TIMEOUT: Micros = 1500 * MILLISECOND;
-/// How long to wait for a response of the cloud.
+/// Timeout of a request to the cloud.
 const CLOUD_TIMEOUT: Micros = 6 * SECOND;
-/// How long to wait for a worker's response to commands.
+/// Timeout of a command batch to a worker.
 const COMMANDS_TIMEOUT: Micros = 1500 * MILLISECOND;
-/// The part of the store's request limit that hedged requests may use: when the store is
-/// slow for all, twice as many requests would make it worse.
-const HEDGED_PART: f64 = 0.05;
+/// The fraction of the store's request limit that hedged requests may use. Without this
+/// bound, hedging would double the load of a store that is slow for all requests.
+const HEDGED_REQUEST_FRACTION: f64 = 0.05;
 
-/// How long to wait for the response to this request to the store.
+/// The timeout of a request to the store.
 pub fn state_timeout(call: &StoreRequest) -> Micros {
     match call {
         StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STORE_TIMEOUT,
@@ -32,12 +32,12 @@
     }
 }
 
-/// What a module uses while it handles an input: the time, the settings, and the ways to
-/// send requests and answers.
+/// The environment of a module while it handles an input: the time, the configuration, and
+/// methods to send requests and answers.
 pub struct Context<'a> {
-    /// Both clocks at the moment of the input.
+    /// The time of the input.
     pub now: Timestamp,
-    /// The settings of the node.
+    /// The configuration of the node.
     pub config: &'a Config,
     out: &'a mut Vec<Output>,
     calls: &'a mut PendingCalls,
@@ -46,13 +46,13 @@
 #[derive(Debug)]
 struct PendingCall {
     continuation: Continuation,
-    /// Monotonic time at which the call, or the first of a hedged pair, was sent.
+    /// Monotonic time at which the request, or the first one of a hedged pair, was sent.
     sent_at: Micros,
-    /// The other call of a hedged pair.
+    /// The other request of a hedged pair.
     twin: Option<CallId>,
 }
 
-/// A call that is repeated if its response is slow.
+/// A request that is sent a second time if its response is slow.
 #[derive(Debug)]
 struct HedgeCandidate {
     due_at: Micros,
@@ -60,12 +60,12 @@
     call: StoreRequest,
 }
 
-/// The calls that wait for their responses.
+/// The requests without a response yet.
 #[derive(Debug, Default)]
 pub struct PendingCalls {
     last_id: u64,
     pending: HashMap<CallId, PendingCall>,
-    /// In the order of `due_at`, since the delay is the same for all.
+    /// Sorted by `due_at`, since the delay is the same for all.
     hedge_candidates: VecDeque<HedgeCandidate>,
     hedge_budget: TokenBucket,
 }
@@ -87,9 +87,10 @@
         id
     }
 
-    /// Removes a call whose response has arrived; returns who waits for it and when it
-    /// was sent. Of a hedged pair the first response counts, unless it is a failure and
-    /// the other may still succeed: then None is returned, as for an unknown call.
+    /// Removes a request that has completed or failed. Returns its continuation and when it
+    /// was sent. The first response to a hedged pair completes both requests, unless it is a
+    /// failure and the other request may still succeed: then None is returned, as for an
+    /// unknown request.
     pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
         let call = self.pending.remove(&id)?;
         if let Some(twin) = call.twin {
@@ -102,10 +103,10 @@
         Some((call.continuation, call.sent_at))
     }
 
-    /// Opens the second call of each pending call whose response is slow, as far as the
-    /// budget allows; a candidate beyond it is not hedged at all.
+    /// Opens the second request for each pending request whose response is slow, as far as
+    /// the hedge budget allows. A candidate that exceeds the budget is not hedged later.
     fn open_hedged(&mut self, config: &Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
-        let per_s = config.state_rps * HEDGED_PART;
+        let per_s = config.state_rps * HEDGED_REQUEST_FRACTION;
         self.hedge_budget.refill(now, per_s, per_s.max(1.0));
         let mut opened = Vec::new();
         while let Some(candidate) = self.hedge_candidates.pop_front_if(|c| now >= c.due_at) {
@@ -134,7 +135,7 @@
 }
 
 impl<'a> Context<'a> {
-    /// A context for the handling of one input.
+    /// Creates the context for handling one input.
     pub fn new(
         now: Timestamp,
         config: &'a Config,
@@ -161,12 +162,10 @@
         self.out.push(Output::Store { id, call, timeout });
     }
 
-    /// Sends a request to the store that a user waits for, and repeats it if its response
-    /// is slow. Only for requests that are idempotent.
+    /// Sends a request to the store that a user waits for, and sends it a second time if
+    /// the response is slow. The request must be idempotent.
     pub fn hedged_store_request(&mut self, call: StoreRequest, continuation: Continuation) {
         let id = self.store_request(call.clone(), continuation);
-        // The store answers most requests within 10 ms and some in a few hundred: of two
-        // responses one is rarely slow.
         let delay = micros(self.config.tuning.again_s);
         if delay > 0 {
             let due_at = self.now.monotonic + delay;
@@ -175,15 +174,16 @@
         }
     }
 
-    /// Repeats the hedged requests whose responses are slow; to be called at every tick.
+    /// Sends the hedged requests whose responses are slow a second time. Must be called at
+    /// every tick.
     pub fn send_hedged_requests(&mut self) {
         for (id, call) in self.calls.open_hedged(self.config, self.now.monotonic) {
             self.push_store_request(id, call);
         }
     }
 
-    /// Sends a request to the cloud: the only way to it. Without a permit that covers the
-    /// request nothing is sent.
+    /// Sends a request to the cloud. This is the only way to send one. Nothing is sent
+    /// unless the permit covers the request.
     pub fn cloud_request(
         &mut self,
         call: CloudRequest,
@@ -193,7 +193,7 @@
         if !permit.covers(&call) {
             log::error!(
                 "cloud request without permit dropped request={}",
-                kind(&call)
+                request_kind(&call)
             );
             return;
         }
@@ -206,7 +206,7 @@
         });
     }
 
-    /// Sends commands to a worker at this address.
+    /// Sends commands to the worker at this address.
     pub fn send_commands(
         &mut self,
         addr: String,
@@ -230,7 +230,7 @@
 }
 
 /// The kind of a request to the cloud, for log lines.
-fn kind(call: &CloudRequest) -> &'static str {
+fn request_kind(call: &CloudRequest) -> &'static str {
     match call {
         CloudRequest::Types => "types",
         CloudRequest::ScaleOut(_) => "scale_out",
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -1,25 +1,22 @@
-//! What earlier leaders have learned of run times and sizes, as far as this node received
-//! it.
+//! The estimates of run times and job sizes that earlier leaders have sent to this node.
 //!
-//! Virtual sizes, samples and mean run times are only in a leader's memory, and were lost
-//! with it: large jobs waited anew after every failover. A leader now replicates some of
-//! them to its peers with each of its heartbeats to them. They are hints: a lost one costs
-//! what was lost before, and no rule rests on any.
+//! Virtual sizes, samples and mean run times are kept only in the leader's memory. With each
+//! of its peer heartbeats, a leader replicates some of them, so that they survive a failover.
+//! They are hints: if one is lost, the new leader estimates it again.
 
 use crate::{Config, Micros, SECOND};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate};
 use std::collections::HashMap;
 
-/// An estimate that was not received again for so long is not used: its job has ended, or
-/// the leader that sent it has. In that time a leader repeats those of twenty thousand
-/// jobs.
-const MAX_AGE: Micros = 600 * SECOND;
-/// Memory that an estimate takes, about, in bytes.
+/// An estimate that has not been received again within this time is not used: its job has
+/// ended, or there is no leader that sends it.
+const MAX_ESTIMATE_AGE: Micros = 600 * SECOND;
+/// The approximate memory use of an estimate.
 const ESTIMATE_BYTES: f64 = 250.0;
-/// Share of the node's memory that estimates may take.
-const MEMORY_SHARE: f64 = 1.0 / 16.0;
+/// The fraction of the node's memory that estimates may use.
+const MEMORY_FRACTION: f64 = 1.0 / 16.0;
 
-/// A job's estimate, and when it was received last.
+/// A job's estimate, and when it was last received.
 #[derive(Debug)]
 struct ReceivedEstimate {
     estimate: JobEstimate,
@@ -28,25 +25,25 @@
 
 impl ReceivedEstimate {
     fn is_recent(&self, now: Micros) -> bool {
-        now < self.received_at + MAX_AGE
+        now < self.received_at + MAX_ESTIMATE_AGE
     }
 }
 
-/// The estimates that a node has received, all of one leader: that of `term`.
+/// The estimates that a node has received, all of them from the leader of `term`.
 #[derive(Debug, Default)]
 pub struct ReceivedEstimates {
     term: u64,
-    /// That leader's virtual time, as of its last message.
+    /// The leader's virtual time in its latest message.
     virtual_time: f64,
     /// Mean run times per class, in seconds.
     classes: Vec<ClassRunTime>,
     jobs: HashMap<String, ReceivedEstimate>,
 }
 
-/// The estimates that a new leader begins with.
+/// The initial estimates of a new leader.
 #[derive(Debug, Default)]
 pub struct InheritedEstimates {
-    /// The virtual time of the leader before, as of its last message.
+    /// The previous leader's virtual time in its latest message.
     virtual_time: f64,
     /// Mean run times per class, in seconds.
     classes: HashMap<String, f64>,
@@ -54,8 +51,8 @@
 }
 
 impl ReceivedEstimates {
-    /// Receives a message of a leader. The leader of a later term began with what the one
-    /// before had replicated, so its estimates replace all others.
+    /// Records a leader's message. The leader of a later term inherited the estimates of the
+    /// previous one, so its estimates replace all others.
     pub fn receive(&mut self, config: &Config, message: Estimates, now: Micros) {
         if message.term < self.term {
             return;
@@ -73,7 +70,7 @@
         self.add_jobs(config, message.jobs, now);
     }
 
-    /// Keeps the estimates of jobs, as far as memory allows.
+    /// Adds the estimates of jobs, as far as memory allows.
     fn add_jobs(&mut self, config: &Config, jobs: Vec<JobEstimate>, now: Micros) {
         let max_jobs = max_jobs(config);
         if self.jobs.len() + jobs.len() > max_jobs {
@@ -90,32 +87,32 @@
         }
     }
 
-    /// The estimates that the leader of a new term may use: none of its own term or a
-    /// later one, which another node leads or none does, and none that are old.
+    /// Takes the estimates that the leader of a new term may use: those of an earlier term
+    /// that are recent.
     pub fn inherit(&mut self, term: u64, now: Micros) -> InheritedEstimates {
-        let heard = std::mem::take(self);
-        if heard.term >= term {
+        let received = std::mem::take(self);
+        if received.term >= term {
             return InheritedEstimates::default();
         }
-        let jobs = heard.jobs.into_iter();
-        let recent = jobs.filter(|(_, received)| received.is_recent(now));
-        let classes = heard.classes.into_iter();
+        let jobs = received.jobs.into_iter();
+        let recent = jobs.filter(|(_, entry)| entry.is_recent(now));
+        let classes = received.classes.into_iter();
         InheritedEstimates {
-            virtual_time: heard.virtual_time,
+            virtual_time: received.virtual_time,
             classes: classes
                 .filter(|run_time| run_time.mean_s > 0.0)
                 .map(|run_time| (run_time.class, run_time.mean_s))
                 .collect(),
             jobs: recent
-                .map(|(id, received)| (id, received.estimate))
+                .map(|(id, entry)| (id, entry.estimate))
                 .collect(),
         }
     }
 }
 
-/// How many jobs' estimates a node keeps.
+/// The maximum number of jobs whose estimates a node keeps.
 fn max_jobs(config: &Config) -> usize {
-    (config.memory_mb * 1e6 * MEMORY_SHARE / ESTIMATE_BYTES) as usize
+    (config.memory_mb * 1e6 * MEMORY_FRACTION / ESTIMATE_BYTES) as usize
 }
 
 impl InheritedEstimates {
@@ -124,8 +121,8 @@
         &self.classes
     }
 
-    /// Removes the estimate of a job, with its credit as of the last message. None if there
-    /// is none, or none that makes sense.
+    /// Removes and returns the estimate of a job, with its credit as of the latest message.
+    /// None if there is no estimate or it is invalid.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut estimate = self.jobs.remove(id)?;
         if std::mem::take(&mut estimate.is_ageing) {
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -11,22 +11,23 @@
 use dillcleat_wire::user::{ErrorReply, JobState};
 use dillcleat_wire::worker::CommandBatch;
 
-/// An HTTP request that this node has received and not answered yet. Assigned by the
-/// process that accepted the request.
+/// The id of an HTTP request that this node has received and not answered yet. Assigned by
+/// the process that accepted the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request that this node has sent. Assigned by the node, unique while it runs.
+/// The id of a request that this node has sent. Assigned by the node and unique while its
+/// process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Why a call has no response.
+/// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection was established: nothing was sent and nothing will arrive.
+    /// No connection was established, so the request was not and will not be executed.
     #[error("not sent")]
     NotSent,
-    /// The request may have been carried out, or may still be, minutes later.
+    /// The request may have been executed, or may still be executed minutes later.
     #[error("no answer")]
     NoAnswer,
 }
@@ -34,10 +35,10 @@
 /// One event for a node to handle.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed; sent twenty times a second.
+    /// A timer tick, which arrives twenty times a second.
     Tick,
     /// An HTTP request of a user or a worker. It is answered by exactly one
-    /// [`Output::Answer`], perhaps after later inputs.
+    /// [`Output::Answer`], possibly only after later inputs.
     Request {
         /// The id under which the answer is expected.
         id: RequestId,
@@ -45,31 +46,31 @@
         method: String,
         /// The request target: path and query.
         target: String,
-        /// The body.
+        /// The request body.
         body: Vec<u8>,
     },
     /// The key-value store's response to an [`Output::Store`].
     Store {
-        /// The call that is answered.
+        /// The id of the request.
         id: CallId,
-        /// The reply, or why there is none.
+        /// The response, or why there is none.
         reply: Result<StoreResponse, CallError>,
     },
     /// The cloud's response to an [`Output::Cloud`].
     Cloud {
-        /// The call that is answered.
+        /// The id of the request.
         id: CallId,
-        /// The reply, or why there is none.
+        /// The response, or why there is none.
         reply: Result<CloudResponse, CallError>,
     },
     /// A worker's response to an [`Output::Commands`]: HTTP status and body.
     Commands {
-        /// The call that is answered.
+        /// The id of the request.
         id: CallId,
-        /// The reply, or why there is none.
+        /// The response, or why there is none.
         reply: Result<(u16, Vec<u8>), CallError>,
     },
-    /// A message of another controller.
+    /// A message from another controller.
     Peer {
         /// The sender's member name.
         from: String,
@@ -78,19 +79,19 @@
     },
 }
 
-/// One effect that a node asks the process around it to carry out.
+/// One action for the process around a node to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Answers an [`Input::Request`].
     Answer {
-        /// The request that is answered.
+        /// The id of the request that is answered.
         id: RequestId,
         /// The answer.
         answer: Answer,
     },
     /// Sends a request to the key-value store.
     Store {
-        /// The id under which the reply is expected.
+        /// The id under which the response is expected.
         id: CallId,
         /// The request to send.
         call: StoreRequest,
@@ -99,19 +100,19 @@
     },
     /// Sends a request to the cloud.
     Cloud {
-        /// The id under which the reply is expected.
+        /// The id under which the response is expected.
         id: CallId,
         /// The request to send.
         call: CloudRequest,
         /// How long to wait for the response.
         timeout: Micros,
-        /// The request must be written to its connection within this time, or not be
-        /// sent at all: afterwards this node may no longer be the leader.
+        /// The request must be written to its connection within this time or not be sent at
+        /// all, since this node may no longer be the leader afterwards.
         within: Micros,
     },
     /// Sends commands to a worker.
     Commands {
-        /// The id under which the reply is expected.
+        /// The id under which the response is expected.
         id: CallId,
         /// The worker's address.
         addr: String,
@@ -125,22 +126,22 @@
         /// The message.
         message: Message,
     },
-    /// Informs the reconciler of objects of a change to a job.
+    /// Informs the API server's object reconciler of a change of a job.
     JobEvent(JobEvent),
 }
 
-/// What a leader has learned about a job.
+/// A change of a job that a leader has recorded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobEvent {
-    /// The job's end, done or cancelled, is in the store.
+    /// The job's end, done or cancelled, is stored.
     Ended {
         /// The id of the job.
         job: String,
-        /// How it ended.
+        /// The final state.
         state: JobState,
     },
-    /// An attempt of one of its tasks ended with an error. The event is repeated for the
-    /// same attempt when a new leader receives the failure again.
+    /// An attempt of one of the job's tasks failed. A new leader that receives the failure
+    /// again repeats the event for the same attempt.
     Failed {
         /// The id of the job.
         job: String,
@@ -163,7 +164,7 @@
 }
 
 impl Answer {
-    /// A response with an encoded body.
+    /// Creates a response with an encoded body.
     pub fn body<T: serde::Serialize>(status: u16, body: &T) -> Self {
         Answer {
             status,
@@ -172,14 +173,14 @@
         }
     }
 
-    /// A response that states an error.
+    /// Creates an error response.
     pub fn refusal(status: u16, error: impl Into<String>) -> Self {
         let error = error.into();
         Answer::body(status, &ErrorReply { error })
     }
 
-    /// 503 with `Retry-After: 1`. It is sent at once: a client that is kept waiting
-    /// cannot turn to another controller.
+    /// Creates a 503 response with `Retry-After: 1`. Such a request is rejected at once
+    /// rather than delayed, so that the client can try another controller.
     pub fn retry_later(error: &str) -> Self {
         log::debug!("request rejected, retry later reason={error}");
         Answer {
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -68,7 +68,7 @@
             leader.set_zones_silent_before_term(last_heartbeat_at);
         }
         self.leader = Some(leader);
-        self.admission.progress.elected(now.monotonic);
+        self.admission.progress.begin_term(now.monotonic);
         self.next_peer_heartbeat_at = now.monotonic;
     }
 
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -1,22 +1,22 @@
-//! How many tasks of each job are done and running, as leaders report it, for display.
+//! The number of done and of running tasks of each job, as reported by leaders. For display.
 //!
-//! A leader sends its peers what has changed. A peer that started later, or was out of
-//! reach, missed that, and of a job of which nothing is done and nothing runs a new leader
-//! sends nothing: so everything is sent again to a peer that becomes reachable, and once a
-//! new leader has had the time to hear from its machines.
+//! A leader sends changes to its peers. It repeats the whole table when a peer becomes
+//! reachable, since the peer may have missed changes. A new leader also repeats it once its
+//! machines have had time to report, since it sends no change for a job that has neither
+//! done nor running tasks, and peers may hold outdated counts for such a job.
 
 use crate::{Micros, SECOND};
 use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS};
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Jobs that are kept: those of 6,000 machines with ten jobs of one task each, in some
-/// 6 MB.
+/// The maximum number of jobs in the table.
 const MAX_JOBS: usize = 64_000;
-/// How long after its election a leader is taken to have heard from its machines.
-const MACHINES_HEARD_AFTER: Micros = 10 * SECOND;
+/// The time after its election within which a leader's machines are expected to have
+/// reported their tasks.
+const MACHINE_REPORT_TIME: Micros = 10 * SECOND;
 
-/// The tasks of one job that are done, and that run.
+/// The number of done and of running tasks of one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TaskCounts {
     pub done: u32,
@@ -24,13 +24,13 @@
 }
 
 impl TaskCounts {
-    /// Also what is sent of a job that has ended.
+    /// No task is done or running. This is also sent for a job that has ended.
     pub const NONE: TaskCounts = TaskCounts {
         done: 0,
         running: 0,
     };
 
-    /// The message that says so of a job.
+    /// The message that reports these counts for a job.
     pub fn message(self, job: String) -> JobProgress {
         JobProgress {
             job,
@@ -43,21 +43,21 @@
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     counts: TaskCounts,
-    /// Reported by the present leader of this process.
+    /// Whether the current leader in this process has reported the counts.
     is_own: bool,
 }
 
-/// The progress of jobs. A job without an entry has no task that is done or runs.
+/// The progress of jobs. A job without an entry has no done and no running tasks.
 #[derive(Debug, Default)]
 pub(crate) struct ProgressTable {
     jobs: BTreeMap<String, Entry>,
-    /// Jobs that have ended since their end was last sent.
+    /// The jobs that have ended and whose end has not been sent yet.
     ended: Vec<String>,
-    /// The job after which the repetition of everything continues; None when it is done.
+    /// While the table is being repeated, the job after which the next page begins.
     repeat_after: Option<String>,
-    /// When the new leader of this process has heard from its machines; None once
-    /// everything is being repeated for it.
-    machines_heard_at: Option<Micros>,
+    /// When the machines of the new leader in this process are expected to have reported;
+    /// None once the table is repeated for that reason.
+    machines_reported_at: Option<Micros>,
 }
 
 impl ProgressTable {
@@ -82,48 +82,47 @@
         self.jobs.insert(job, Entry { counts, is_own });
     }
 
-    /// A leader elsewhere has sent this.
+    /// Records the progress that a leader in another process has sent.
     pub fn receive(&mut self, progress: Vec<JobProgress>) {
         for job in progress {
             self.set(job, false);
         }
     }
 
-    /// The leader of this process sends this.
+    /// Records the progress that the leader in this process sends.
     pub fn set_own(&mut self, progress: &[JobProgress]) {
         for job in progress {
             self.set(job.clone(), true);
         }
     }
 
-    /// The leader of this process has stored the end of a job.
+    /// Records that the leader in this process has stored the end of a job.
     pub fn job_ended(&mut self, job: &str) {
         self.jobs.remove(job);
         self.ended.push(job.to_string());
     }
 
-    /// This process leads from now on.
-    pub fn elected(&mut self, now: Micros) {
+    /// Begins a term of a leader in this process.
+    pub fn begin_term(&mut self, now: Micros) {
         for entry in self.jobs.values_mut() {
             entry.is_own = false;
         }
         self.ended.clear();
         self.repeat_after = None;
-        self.machines_heard_at = Some(now + MACHINES_HEARD_AFTER);
+        self.machines_reported_at = Some(now + MACHINE_REPORT_TIME);
     }
 
-    /// A peer is reachable that was not before: it may have missed anything, so everything
-    /// is sent again.
+    /// Starts to repeat the whole table.
     pub fn repeat_all(&mut self) {
         self.repeat_after = Some(String::new());
     }
 
-    /// What the leader of this process has to send besides its changes, as messages of at
-    /// most [`MAX_PROGRESS`] jobs. `all_changes_sent` says that it has no more changes than
-    /// it sends now.
+    /// The messages that the leader in this process sends in addition to its changes, each
+    /// with at most [`MAX_PROGRESS`] jobs. `all_changes_sent` says whether no changes remain
+    /// after those that the leader sends now.
     pub fn next_messages(&mut self, all_changes_sent: bool, now: Micros) -> Vec<Vec<JobProgress>> {
-        if all_changes_sent && self.machines_heard_at.is_some_and(|at| now >= at) {
-            self.machines_heard_at = None;
+        if all_changes_sent && self.machines_reported_at.is_some_and(|at| now >= at) {
+            self.machines_reported_at = None;
             self.repeat_all();
         }
         let ended = self.ended.drain(..);
@@ -135,7 +134,7 @@
         progress.chunks(MAX_PROGRESS).map(<[_]>::to_vec).collect()
     }
 
-    /// Adds the progress of the jobs after one, as many as one message holds.
+    /// Adds one page of the repeated table to `progress`: the jobs after the job `after`.
     fn repeat_page(&mut self, after: &str, progress: &mut Vec<JobProgress>) {
         let rest = self.jobs.range::<str, _>((Excluded(after), Unbounded));
         let page: Vec<(String, Entry)> = rest
@@ -148,8 +147,8 @@
         for (job, entry) in page {
             if entry.is_own {
                 progress.push(entry.counts.message(job));
-            } else if self.machines_heard_at.is_none() {
-                // A leader before this one has reported it, and it is so no more.
+            } else if self.machines_reported_at.is_none() {
+                // Only an earlier leader reported these counts, so they are outdated.
                 self.jobs.remove(&job);
                 progress.push(TaskCounts::NONE.message(job));
             }
--- a/crates/controller/src/scheduler_counters.rs
+++ b/crates/controller/src/scheduler_counters.rs
@@ -1,16 +1,16 @@
-//! How much work a leader's scheduler has done, for tests of its cost.
+//! Counters of the scheduler's work, for tests of its cost.
 
-/// Work of a leader's scheduling cycles and scale-out plans since it was elected.
+/// The work of a leader's scheduling cycles and scale-out plans since it was elected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SchedulerCounters {
-    /// Scheduling cycles run.
+    /// The number of scheduling cycles.
     pub passes: u64,
-    /// Jobs that scheduling cycles examined.
+    /// The number of jobs that scheduling cycles examined.
     pub jobs: u64,
-    /// Jobs that scale-out plans examined.
+    /// The number of jobs that scale-out plans examined.
     pub planned: u64,
-    /// Machines that scale-out plans examined.
+    /// The number of machines that scale-out plans examined.
     pub machines: u64,
-    /// Tasks that scheduling cycles placed.
+    /// The number of tasks that scheduling cycles placed.
     pub placed: u64,
 }
--- a/crates/controller/src/token_bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -1,11 +1,11 @@
 //! A token bucket whose rate and capacity may differ at each refill.
 //!
-//! Not a crate such as `governor`: those fix rate and capacity at construction and count
-//! whole tokens, while here both vary and the bucket may be overdrawn.
+//! Crates such as `governor` fix the rate and capacity at construction and count whole
+//! tokens. Here both vary, and the bucket may be overdrawn.
 
 use crate::{Micros, seconds};
 
-/// Tokens that come at a rate and are taken by what they allow.
+/// A token bucket that may be overdrawn.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TokenBucket {
     /// Negative while it is overdrawn.
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds so many tokens at time zero.
+    /// Creates a bucket that contains this number of tokens at time zero.
     pub fn with_tokens(tokens: f64) -> TokenBucket {
         TokenBucket {
             available: tokens,
@@ -22,13 +22,13 @@
         }
     }
 
-    /// The tokens in it as of the last refill.
+    /// The number of tokens as of the last refill.
     pub fn available(&self) -> f64 {
         self.available
     }
 
-    /// Adds what has come until now at a rate of `per_s` a second, up to `capacity`.
-    /// Returns the tokens in it.
+    /// Adds `per_s` tokens for each second since the last refill, up to `capacity`. Returns
+    /// the number of tokens.
     pub fn refill(&mut self, now: Micros, per_s: f64, capacity: f64) -> f64 {
         let added = seconds(now.saturating_sub(self.refilled_at)) * per_s;
         self.available = (self.available + added).min(capacity);
@@ -36,7 +36,7 @@
         self.available
     }
 
-    /// Takes tokens, even if there are not as many.
+    /// Takes tokens, even if the bucket contains fewer.
     pub fn take(&mut self, tokens: f64) {
         self.available -= tokens;
     }
