--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -196,7 +196,7 @@
 
     /// Records the latency of a store response. A slow store leads to longer leases.
     pub fn record_store_latency(&mut self, latency: Micros, now: Micros) {
-        self.store_latency.answered(latency, now);
+        self.store_latency.record(latency, now);
     }
 
     /// Sends the requests that are due: a read, a candidacy, a lease renewal or a watch.
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -103,9 +103,7 @@
                 .filter(|run_time| run_time.mean_s > 0.0)
                 .map(|run_time| (run_time.class, run_time.mean_s))
                 .collect(),
-            jobs: recent
-                .map(|(id, entry)| (id, entry.estimate))
-                .collect(),
+            jobs: recent.map(|(id, entry)| (id, entry.estimate)).collect(),
         }
     }
 }
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,61 +1,61 @@
-//! What users' requests may use of the store's request limits.
+//! The budget of users' requests within the store's rate limits.
 //!
-//! The store limits requests a second for all controllers together. A fixed part of that
-//! is for users, divided among the nodes by how many users each one serves; the rest is
-//! the leader's, so that a flood of requests cannot end its lease.
+//! The store's rate limits apply to all controllers together. A fixed fraction is for users'
+//! requests and is divided among the nodes in proportion to their load. The rest is reserved
+//! for the leader, so that a flood of requests cannot prevent the renewal of its lease.
 
 use crate::Config;
 use crate::continuations::PendingRequest;
 use crate::time::Micros;
 use crate::token_bucket::TokenBucket;
 
-/// The part of the store's limit that users' requests of all nodes may use together.
-const USERS_PART: f64 = 0.7;
+/// The fraction of the store's limit that the users' requests at all nodes may use.
+const USERS_FRACTION: f64 = 0.7;
 
-/// One limit of the store (calls, or writes) as this node's users may use it. It never
-/// saves up more than a second's worth.
+/// The budget of this node's users within one of the store's limits (requests or writes). It
+/// accumulates at most one second's worth.
 #[derive(Debug)]
 pub(crate) struct RequestBudget {
-    /// What the users' requests of all nodes together may use, a second.
+    /// The rate that is available to users at all nodes together.
     all_nodes_per_s: f64,
-    /// What those of this node may use, a second.
+    /// The rate that is available to users at this node.
     per_s: f64,
-    saved: TokenBucket,
+    bucket: TokenBucket,
 }
 
-/// What a request costs of the store's limits.
+/// The cost of a user's request in terms of the store's limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreCost {
-    /// Calls, whether they read or write.
+    /// The number of requests to the store, reads and writes.
     pub calls: f64,
-    /// Keys written by them.
+    /// The number of keys that they write.
     pub writes: f64,
 }
 
 impl StoreCost {
-    /// A call that writes nothing.
+    /// The cost of a single read.
     pub const READ: StoreCost = StoreCost {
         calls: 1.0,
         writes: 0.0,
     };
 
-    /// One transaction that writes so many keys.
+    /// The cost of one transaction that writes this number of keys.
     pub fn transaction(writes: f64) -> StoreCost {
         StoreCost { calls: 1.0, writes }
     }
 }
 
-/// How important a call is: in a shortage the least important are rejected first.
+/// The priority of a user's request, the highest first. If the budget is short, requests of
+/// low priority are rejected first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// A call that ends something: it frees resources, and its user will not give up. It
-    /// may overdraw the budget by a quarter of a second's worth.
+    /// A request that ends or deletes something and thereby frees resources. It may overdraw
+    /// the budget by a quarter of a second's worth.
     End,
-    /// Submissions and cancellations.
+    /// A submission or cancellation.
     Change,
-    /// Polls, which leave half of a second's worth to the others. In a storm of polls
-    /// each call once went to a poll the moment that it was available, and three of four
-    /// submissions were rejected (rosterwise-nz-ops).
+    /// A poll. Polls leave half a second's worth to the others, so that a flood of polls does
+    /// not cause submissions to be rejected.
     Poll,
 }
 
@@ -71,43 +71,45 @@
 }
 
 impl RequestBudget {
-    /// An equal share of what users may use of `limit_per_s`.
+    /// Creates the budget of one node, with an equal share of the users' part of the store's
+    /// limit `limit_per_s`.
     pub fn new(limit_per_s: f64, config: &Config) -> Self {
-        let all_nodes_per_s = limit_per_s * USERS_PART;
+        let all_nodes_per_s = limit_per_s * USERS_FRACTION;
         let per_s = all_nodes_per_s / (config.peers.len() + 1) as f64;
         RequestBudget {
             all_nodes_per_s,
             per_s,
-            saved: TokenBucket::with_tokens(per_s),
+            bucket: TokenBucket::with_tokens(per_s),
         }
     }
 
-    /// Sets this node's share, from 0 to 1.
+    /// Sets this node's share of the users' part, from 0 to 1.
     pub fn set_share(&mut self, share: f64, now: Micros) {
         self.refill(now);
         self.per_s = self.all_nodes_per_s * share;
     }
 
     fn refill(&mut self, now: Micros) {
-        self.saved.refill(now, self.per_s, self.per_s.max(2.0));
+        self.bucket.refill(now, self.per_s, self.per_s.max(2.0));
     }
 
-    /// Takes `count` unconditionally, perhaps from the future: for work that has begun.
+    /// Takes `count` even if the budget is overdrawn by it, for a request that is already
+    /// being handled.
     pub fn charge(&mut self, count: f64, now: Micros) {
         self.refill(now);
-        self.saved.take(count);
+        self.bucket.take(count);
     }
 
-    /// Takes `count` if there is as much for this priority; returns whether there was.
+    /// Takes `count` if it is available to this priority; returns whether it was.
     pub fn try_take(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
         let available = self.has(count, priority, now);
         if available {
-            self.saved.take(count);
+            self.bucket.take(count);
         }
         available
     }
 
-    /// Whether there is as much as `count` for this priority.
+    /// Whether `count` is available to this priority.
     pub fn has(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
         self.refill(now);
         let reserve = match priority {
@@ -115,6 +117,6 @@
             RequestPriority::Poll => self.per_s / 2.0,
             RequestPriority::End => -self.per_s / 4.0,
         };
-        self.saved.available() >= count + reserve.min(self.per_s - count)
+        self.bucket.available() >= count + reserve.min(self.per_s - count)
     }
 }
--- a/crates/controller/src/store_latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -1,51 +1,51 @@
-//! How slowly the store answers, and how long a leadership lease lasts because of it.
+//! The store's recent latency, and the duration of the leadership lease that follows from it.
 //!
-//! A store that took 0.3 to 3 s for each call let nobody renew a lease of 1.25 s: fourteen
-//! terms in a minute, most of them over before their leader had read the queue (seed 2704
-//! of the days of meetings). So the lease follows the slowest of the latest answers. It is
-//! never shorter than the settings say, on which the proof of leadership rests
-//! (`leadership_guard`), and ends in time for a successor to be answered by the machines.
+//! With a slow store, a short lease could not be renewed in time, and leadership would change
+//! before a leader has recovered its state. The duration of the lease therefore depends on
+//! the slowest recent response. It is never shorter than the setting `lead_ttl_s`, from which
+//! the validity of leadership proofs is derived (`leadership_guard`), and short enough that a
+//! successor can reach the machines before their own leases expire.
 
 use crate::{Config, Micros, SECOND, micros};
 
-/// After how long a slow answer counts for half as much.
-const HALF_LIFE: Micros = 10 * SECOND;
-/// A lease lasts for so many of the slowest answers: it has to be created, bound to the
-/// leader's record, and renewed.
-const ANSWERS_PER_LEASE: u64 = 3;
+/// The time after which the latency of a response counts half as much.
+const LATENCY_HALF_LIFE: Micros = 10 * SECOND;
+/// The number of successive responses that a lease must outlast: it is granted, bound to the
+/// leader's record and renewed.
+const RESPONSES_PER_LEASE: u64 = 3;
 
-/// The slowest of the latest answers. A call that was not answered doesn't count: a node
-/// that is partitioned from the store has no slow store.
+/// The latency of the slowest recent response, which decays over time. Requests without a
+/// response do not count, since they may be caused by a network partition.
 #[derive(Debug, Default)]
 pub struct StoreLatency {
     slowest: Micros,
-    /// When the slowest answer came.
-    answered_at: Micros,
+    /// When the slowest response arrived.
+    slowest_at: Micros,
 }
 
 impl StoreLatency {
-    /// A call was answered after `took`.
-    pub fn answered(&mut self, took: Micros, now: Micros) {
-        if took >= self.recent(now) {
-            self.slowest = took;
-            self.answered_at = now;
+    /// Records the latency of a response.
+    pub fn record(&mut self, latency: Micros, now: Micros) {
+        if latency >= self.recent(now) {
+            self.slowest = latency;
+            self.slowest_at = now;
         }
     }
 
-    /// How long the slowest answer took, halved for each half-life since.
+    /// The latency of the slowest response, halved for each half-life since its arrival.
     pub fn recent(&self, now: Micros) -> Micros {
-        let half_lives = now.saturating_sub(self.answered_at) / HALF_LIFE;
+        let half_lives = now.saturating_sub(self.slowest_at) / LATENCY_HALF_LIFE;
         self.slowest >> half_lives.min(63)
     }
 }
 
-/// How long a leadership lease is to last while answers take `latency`.
+/// The duration of the leadership lease for the given store latency.
 pub fn lease_time(config: &Config, latency: Micros) -> Micros {
     let shortest = micros(config.tuning.lead_ttl_s);
-    // The next leader has to be elected, to read the store, and to be found by the
-    // machines.
+    // The rest of the workers' lease is for the next leader to be elected, to read the store
+    // and to be found by the machines.
     let longest = shortest.max(config.worker_lease / 3);
     latency
-        .saturating_mul(ANSWERS_PER_LEASE)
+        .saturating_mul(RESPONSES_PER_LEASE)
         .clamp(shortest, longest)
 }
--- a/crates/controller/src/task_key.rs
+++ b/crates/controller/src/task_key.rs
@@ -1,4 +1,4 @@
-//! The name of a task within a leader's state.
+//! The key of a task in a leader's state.
 
 use std::rc::Rc;
 
