--- a/crates/controller/src/dependency_graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -1,31 +1,31 @@
 //! The dependencies among open jobs, as a directed graph.
 //!
-//! Derived from the descriptions of the open jobs, and built anew by each leader. An edge
-//! is removed only when the end of the dependency is proved by its stored state record, or
-//! with the dependent itself: that a job is not among the open ones proves nothing.
+//! Each leader builds the graph from the descriptions of the open jobs. An edge is removed
+//! only when the dependent job ends, or when the stored state record of the dependency
+//! proves its end. That a dependency is not among the open jobs is not a proof.
 //!
-//! Not `petgraph`, which is not in the lock file: edges are found by job id from both
-//! ends, and removed one by one, which two sorted maps do directly.
+//! Two sorted maps suffice instead of a graph library: edges are looked up by job id from
+//! both ends and removed one by one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 type JobIds = BTreeSet<Rc<str>>;
 
-/// Which open jobs depend on which jobs that are not known to be done.
+/// The dependencies of open jobs on jobs that are not known to be done.
 ///
-/// Both maps hold the same edges, and no empty set: [`DependencyGraph::is_consistent`]
-/// checks it.
+/// Invariant: both maps contain the same edges and no empty set (see
+/// [`DependencyGraph::is_consistent`]).
 #[derive(Debug, Default, PartialEq)]
 pub struct DependencyGraph {
-    /// What each blocked job still depends on.
+    /// The unfinished dependencies of each blocked job.
     dependencies: BTreeMap<Rc<str>, JobIds>,
-    /// The jobs that depend on a job.
+    /// The blocked jobs that depend on each job.
     dependents: BTreeMap<Rc<str>, JobIds>,
 }
 
 impl DependencyGraph {
-    /// Adds that a job depends on another.
+    /// Adds the edge from a job to a job that it depends on.
     pub fn add(&mut self, job: &Rc<str>, dependency: Rc<str>) {
         let dependencies = self.dependencies.entry(job.clone()).or_default();
         dependencies.insert(dependency.clone());
@@ -43,7 +43,7 @@
         self.dependents.contains_key(job)
     }
 
-    /// What the job still depends on.
+    /// The unfinished dependencies of the job.
     pub fn dependencies(&self, job: &str) -> impl Iterator<Item = &Rc<str>> {
         self.dependencies.get(job).into_iter().flatten()
     }
@@ -53,8 +53,8 @@
         self.dependents.get(job).into_iter().flatten()
     }
 
-    /// The jobs that depend on this one, directly and through others, each once. Ends
-    /// also on a stored cycle, which no submission can make.
+    /// The jobs that depend on this one directly or transitively, each once. Terminates even
+    /// if the stored dependencies contain a cycle, which submissions cannot create.
     pub fn transitive_dependents(&self, job: &str) -> Vec<Rc<str>> {
         let mut seen = JobIds::new();
         let mut found: Vec<Rc<str>> = Vec::new();
@@ -68,8 +68,7 @@
         found
     }
 
-    /// A job is done: removes the edges to it. Returns the jobs that are not blocked any
-    /// more.
+    /// Removes the edges to a job that is done. Returns the jobs that are no longer blocked.
     pub fn job_done(&mut self, job: &str) -> Vec<Rc<str>> {
         let mut ready = Vec::new();
         for dependent in self.dependents.remove(job).unwrap_or_default() {
@@ -84,7 +83,7 @@
         ready
     }
 
-    /// A job has ended itself: removes what it depends on.
+    /// Removes the dependencies of a job that has ended.
     pub fn remove_dependencies(&mut self, job: &str) {
         for dependency in self.dependencies.remove(job).unwrap_or_default() {
             if let Some(dependents) = self.dependents.get_mut(&dependency) {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Whether both directions hold the same edges.
+    /// Whether both maps contain the same edges and no empty set.
     pub fn is_consistent(&self) -> bool {
         let edge_count =
             |map: &BTreeMap<Rc<str>, JobIds>| map.values().map(BTreeSet::len).sum::<usize>();
@@ -112,7 +111,7 @@
         self.dependents.keys()
     }
 
-    /// How many jobs are blocked.
+    /// The number of blocked jobs.
     pub fn blocked_count(&self) -> usize {
         self.dependencies.len()
     }
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -1,4 +1,4 @@
-//! What this node has seen of jobs' records.
+//! A cache of the job states that this node has read or written.
 
 use crate::config::Config;
 use crate::records::{JobStateRecord, OpenJob, RecordedState};
@@ -6,23 +6,23 @@
 use dillcleat_wire::user::JobKind;
 use std::collections::{HashMap, VecDeque};
 
-/// Memory that an entry takes, in bytes, roughly.
+/// The approximate memory use of an entry.
 const ENTRY_BYTES: f64 = 200.0;
-/// The part of the node's memory that the cache may take.
-const MEMORY_PART: f64 = 1.0 / 8.0;
+/// The fraction of the node's memory that the cache may use.
+const MEMORY_FRACTION: f64 = 1.0 / 8.0;
 
-/// What a read or write of a job's records has shown.
+/// The state of a job, as shown by a read or write of its records.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KnownJob {
     pub record: JobStateRecord,
     /// The version of an open job's state record; 0 if it has none.
     pub version: u64,
-    /// Whether it is an open service, which is never done.
+    /// Whether this is an open service job. Services run until they are cancelled.
     pub is_service: bool,
 }
 
 impl KnownJob {
-    /// An open job without a state record.
+    /// The state of an open job without a state record.
     pub fn newly_open(job: &OpenJob) -> KnownJob {
         KnownJob {
             record: JobStateRecord {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A job whose open record was read from this row.
+    /// The state of a job whose open record was read from `row`.
     pub fn from_open_row(job: &OpenJob, row: &KeyValue) -> KnownJob {
         KnownJob {
             version: job.state_version(row.version),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A job whose state record was read.
+    /// The state of a job whose state record was read.
     pub fn from_state_record(record: JobStateRecord, version: u64) -> KnownJob {
         KnownJob {
             record,
@@ -51,22 +51,21 @@
         }
     }
 
-    /// A job whose end is in the store.
+    /// The state of a job whose end is stored.
     pub fn ended(record: JobStateRecord) -> KnownJob {
         KnownJob::from_state_record(record, 0)
     }
 
-    /// Whether the job is neither done nor cancelled, as far as was seen.
+    /// Whether the job was neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.record.state == RecordedState::Open
     }
 }
 
-/// Jobs whose records this node has seen. Bounded: the oldest are forgotten first, and
-/// are read again when somebody asks.
+/// A bounded cache of job states, which evicts entries in the order of their insertion.
 ///
-/// Not one of the usual LRU caches: an ended job must never be replaced by an open one,
-/// and the order is that of the first sight, so that a read costs no bookkeeping.
+/// Unlike in an LRU cache, an ended job must never be replaced by an open one, and a lookup
+/// does not change the order.
 #[derive(Debug)]
 pub(crate) struct JobCache {
     jobs: HashMap<String, KnownJob>,
@@ -76,27 +75,27 @@
 }
 
 impl JobCache {
-    /// An empty cache, bounded by a part of the node's memory.
+    /// Creates an empty cache, whose capacity depends on the node's memory.
     pub fn new(config: &Config) -> JobCache {
         JobCache {
             jobs: HashMap::new(),
             insertion_order: VecDeque::new(),
-            capacity: (config.memory_mb * 1e6 * MEMORY_PART / ENTRY_BYTES) as usize,
+            capacity: (config.memory_mb * 1e6 * MEMORY_FRACTION / ENTRY_BYTES) as usize,
         }
     }
 
-    /// What is known of the job.
+    /// The cached state of the job.
     pub fn get(&self, id: &str) -> Option<KnownJob> {
         self.jobs.get(id).copied()
     }
 
-    /// What is known of the job, if it has ended.
+    /// The cached state of the job, if the job has ended.
     pub fn get_ended(&self, id: &str) -> Option<KnownJob> {
         self.get(id).filter(|known| !known.is_open())
     }
 
-    /// Stores what was seen of a job. An ended job stays ended, whatever a late response
-    /// says.
+    /// Inserts or replaces the state of a job. An ended job stays ended even if a delayed
+    /// response shows it as open.
     pub fn insert(&mut self, id: &str, seen: KnownJob) {
         if let Some(known) = self.jobs.get_mut(id) {
             if known.is_open() {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,17 +1,18 @@
-//! The decisions of a dillcleat controller, free of I/O, clocks and randomness.
+//! The logic of a dillcleat controller, without I/O, clocks and randomness.
 //!
 //! A controller is a [`Node`]: a deterministic state machine that takes one [`Input`] at
-//! a time and returns the [`Output`]s that follow from it (requests to send, answers to
-//! users and workers, records to write). The service and the simulator run the same
-//! code, so a fault that the simulator finds can be replayed from its seed.
+//! a time and returns the resulting [`Output`]s: requests to send, and answers to users and
+//! workers. The service and the simulator run the same code, so a fault that the simulator
+//! finds can be replayed from its seed.
 //!
-//! From the outside in:
-//! - [`node`] dispatches inputs and owns the parts below;
-//! - [`election`] decides who leads and in which term, [`leadership_guard`] what a leader
-//!   may still do;
-//! - [`admission`] answers users on every node;
-//! - [`leader`] schedules, scales and reconciles, on the elected node only;
-//! - [`calls`] and [`continuations`] match responses with whoever waits for them.
+//! The main modules:
+//! - [`node`] dispatches inputs to the other modules;
+//! - [`election`] elects a leader for each term, and [`leadership_guard`] restricts the
+//!   irreversible actions of a leader;
+//! - [`admission`] answers users' requests, on every node;
+//! - [`leader`] schedules tasks, scales the fleet and reconciles heartbeats, only on the
+//!   elected node;
+//! - [`calls`] and [`continuations`] match responses with the requests of the modules.
 
 #![warn(
     missing_docs,
--- a/crates/controller/src/slab.rs
+++ b/crates/controller/src/slab.rs
@@ -1,12 +1,11 @@
-//! Named values that keep a small index for as long as they are known, and a list of
-//! those that may have changed.
+//! A collection of named values with stable small indexes, which tracks changes.
 //!
-//! A value that is borrowed mutably is marked as changed, so what is derived from it (an
-//! index, a sum) can be brought up to date by looking at the changed ones alone. Nothing
-//! can be changed unmarked but by [`Slab::get_mut_unmarked`].
+//! A value that is borrowed mutably is marked as changed, so that derived data such as
+//! indexes and sums can be updated by visiting only the changed values. The only exception
+//! is [`Slab::get_mut_unmarked`].
 //!
-//! Not the `slab` crate: it shows neither its vacant indexes nor their bound, which arrays
-//! that are parallel to the values need, and it knows no names and no changes.
+//! The `slab` crate has neither names nor change tracking, and does not expose its vacant
+//! indexes and their upper bound, which arrays parallel to the values need.
 
 use dillcleat_sched::SlabIndex;
 use std::collections::HashMap;
@@ -20,9 +19,9 @@
 
 /// Values by name and by index.
 ///
-/// Each index below `entries.len()` either holds an entry, to which `indexes` leads from
-/// its name, or is in `vacant`. An index of a removed value is given again. `changed` holds
-/// each index at most once: those whose `is_changed` is set.
+/// Invariants: each index below `entries.len()` either has an entry, and `indexes` maps the
+/// entry's name to it, or is in `vacant`. `changed` contains exactly the indexes whose
+/// `is_changed` is set, each once. The index of a removed value is reused.
 #[derive(Debug)]
 pub struct Slab<T> {
     entries: Vec<Option<Entry<T>>>,
@@ -45,12 +44,12 @@
 }
 
 impl<T> Slab<T> {
-    /// How many values there are.
+    /// The number of values.
     pub fn len(&self) -> usize {
         self.indexes.len()
     }
 
-    /// Whether it holds no entry.
+    /// Whether there are no values.
     pub fn is_empty(&self) -> bool {
         self.indexes.is_empty()
     }
@@ -60,22 +59,22 @@
         self.indexes.get(name).copied()
     }
 
-    /// Whether there is an entry of this name.
+    /// Whether there is a value with this name.
     pub fn contains_key(&self, name: &str) -> bool {
         self.indexes.contains_key(name)
     }
 
-    /// The name as it is shared by all that refer to the value.
+    /// The shared copy of the name.
     pub fn name(&self, name: &str) -> Option<&Rc<str>> {
         self.indexes.get_key_value(name).map(|(name, _)| name)
     }
 
-    /// The entry of this name.
+    /// The value with this name.
     pub fn get(&self, name: &str) -> Option<&T> {
         self.at(self.index_of(name)?).map(|(_, value)| value)
     }
 
-    /// The value, to change it: marks it as changed.
+    /// Borrows the value mutably and marks it as changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut T> {
         let index = self.index_of(name)?;
         self.mark_changed(index);
@@ -88,20 +87,21 @@
         Some((&entry.name, &entry.value))
     }
 
-    /// The value, to change what nothing is derived from: does not mark it as changed.
+    /// Borrows the value mutably without marking it as changed. Only for changes that do not
+    /// affect derived data.
     pub fn get_mut_unmarked(&mut self, index: SlabIndex) -> Option<&mut T> {
         let entry = self.entries.get_mut(index as usize)?.as_mut()?;
         Some(&mut entry.value)
     }
 
-    /// Adds a value, or replaces the one of the same name. Returns its index.
+    /// Adds a value, or replaces the one with the same name. Returns its index.
     pub fn insert(&mut self, name: Rc<str>, value: T) -> SlabIndex {
         let index = match self.index_of(&name) {
             Some(index) => index,
             None => self.vacant.pop().unwrap_or_else(|| {
                 self.entries.push(None);
                 self.is_changed.push(false);
-                // As many as fit memory.
+                // The number of entries is limited by memory, far below the index type.
                 (self.entries.len() - 1) as SlabIndex
             }),
         };
@@ -111,7 +111,7 @@
         index
     }
 
-    /// Removes a value. Its index is marked as changed, and is vacant.
+    /// Removes and returns a value. Its index becomes vacant and is marked as changed.
     pub fn remove(&mut self, name: &str) -> Option<T> {
         let index = self.indexes.remove(name)?;
         self.mark_changed(index);
@@ -139,7 +139,8 @@
         }
     }
 
-    /// The changed indexes, in the order in which they were marked, and unmarks them.
+    /// Returns the changed indexes, in the order in which they were marked, and unmarks
+    /// them.
     pub fn take_changed(&mut self) -> Vec<SlabIndex> {
         for index in &self.changed {
             self.is_changed[*index as usize] = false;
@@ -147,29 +148,29 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// All names and values, by index.
+    /// All names and values, in the order of their indexes.
     pub fn iter(&self) -> impl Iterator<Item = (&Rc<str>, &T)> {
         let entries = self.entries.iter().flatten();
         entries.map(|entry| (&entry.name, &entry.value))
     }
 
-    /// All indexes that have been given are below it.
+    /// The exclusive upper bound of all indexes.
     pub fn index_bound(&self) -> SlabIndex {
         self.entries.len() as SlabIndex
     }
 
-    /// The value at each index; None for those that are vacant.
+    /// The value at each index; None if the index is vacant.
     pub fn values_by_index(&self) -> impl Iterator<Item = Option<&T>> {
         let entries = self.entries.iter();
         entries.map(|entry| entry.as_ref().map(|entry| &entry.value))
     }
 
-    /// All values, by index.
+    /// All values, in the order of their indexes.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.iter().map(|(_, value)| value)
     }
 
-    /// All values, to change them: marks all as changed.
+    /// Borrows all values mutably and marks them as changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.mark_all_changed();
         let entries = self.entries.iter_mut().flatten();
