--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,93 +1,99 @@
-//! Everything a node is configured with, in the units that the code works in.
+//! The configuration of a node, derived from the platform's and the operator's settings.
 
 use crate::time::{Micros, SECOND, micros};
 use crate::tuning::Tuning;
 use dillcleat_wire::settings::{Cluster, Objective, PlatformSettings, Team};
 
-/// What users expect of the time to the start of a class's tasks.
+/// The service-level objective for the start times of a class of jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartObjective {
-    /// The class of jobs that it is for.
+    /// The class of jobs.
     pub class: String,
-    /// Longest time from submission to the start.
+    /// The maximum time from the submission of a job to the start of its tasks.
     pub within: Micros,
 }
 
-/// What users expect of a class's deadlines: of all its objectives the strictest share
-/// and the greatest multiple.
+/// The service-level objective for the deadlines of a class of jobs. It combines all deadline
+/// objectives of the class: the strictest share and the greatest multiple.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeadlineObjective {
-    /// The class of jobs that it is for.
+    /// The class of jobs.
     pub class: String,
-    /// Share of the class's jobs, 0 to 1, that are to end by some multiple of their
+    /// The fraction of the class's jobs, 0 to 1, that must end by a multiple of their
     /// deadline.
     pub share: f64,
-    /// The greatest multiple of the deadline by which an end is still of use.
+    /// The greatest of these multiples. A job that ends later than that misses every
+    /// objective.
     pub max_multiple: f64,
 }
 
 /// The configuration of a node.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This controller's name among the controllers.
+    /// The unique name of this controller.
     pub member: String,
-    /// The zone that this controller is in.
+    /// The zone of this controller.
     pub zone: String,
     /// The names of the other controllers.
     pub peers: Vec<String>,
-    /// The names of those in other zones.
+    /// The names of the other controllers that are in other zones.
     pub peers_in_other_zones: Vec<String>,
     /// The teams, with their quotas.
     pub teams: Vec<Team>,
-    /// Time between two heartbeats of a worker.
+    /// The time between two periodic heartbeats of a worker.
     pub heartbeat_interval: Micros,
-    /// How long a worker keeps its tasks running after the latest answered heartbeat.
+    /// How long a worker keeps its tasks running after it has sent a heartbeat that was
+    /// answered.
     pub worker_lease: Micros,
-    /// How long after the confirmation of a cancellation the job's tasks may run on.
+    /// The time after the confirmation of a cancellation within which the job's tasks must
+    /// have ended.
     pub cancel_deadline: Micros,
-    /// Greatest difference between the wall clocks of two machines.
+    /// The maximum difference between the wall clocks of two machines.
     pub clock_error: Micros,
-    /// Requests a second that the store takes from all controllers. Here and in the next
-    /// three, the smaller of the present limit and the announced one: what is newly written
-    /// fits both.
+    /// The store's limit of requests per second from all controllers. The store may announce
+    /// new limits. This field and the next three contain the smaller of the current and the
+    /// announced limit, so that new records comply with both.
     pub state_rps: f64,
-    /// Writes a second that the store takes from all controllers.
+    /// The store's limit of writes per second from all controllers.
     pub state_write_rps: f64,
-    /// Largest value in the store, in bytes.
+    /// The maximum size of a value in the store.
     pub value_bytes: usize,
-    /// Most operations in a transaction.
+    /// The maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Writes a second until the announced limits apply.
+    /// The store's current limit of writes per second, until the announced limit applies.
     pub state_write_rps_before: f64,
-    /// Largest value until the announced limits apply, in bytes: there are stored chunks of
-    /// that size.
+    /// The current maximum size of a value, until the announced limit applies. Stored task
+    /// records may have this size.
     pub value_bytes_before: usize,
-    /// Tasks of a newly submitted job in one chunk.
+    /// The number of tasks per chunk of newly submitted jobs.
     pub chunk_tasks: u32,
-    /// Requests a second that the cloud takes.
+    /// The cloud's limit of requests per second.
     pub cloud_rps: f64,
-    /// How long the cloud's list of machines may lag behind a change.
+    /// The maximum delay until a change appears in the cloud's list of machines.
     pub cloud_list_lag: Micros,
-    /// Memory that this controller may use, in megabytes.
+    /// The memory that this controller may use, in megabytes.
     pub memory_mb: f64,
-    /// Requests with commands to workers that may be under way at once.
+    /// The maximum number of command batches to workers that are in flight at once.
     pub max_commands_in_flight: usize,
-    /// Classes whose tasks are to start within a given time.
+    /// The service-level objectives for start times.
     pub start_objectives: Vec<StartObjective>,
-    /// Classes whose jobs are to end by a multiple of their deadline; one entry a class.
+    /// The service-level objectives for deadlines, at most one per class.
     pub deadline_objectives: Vec<DeadlineObjective>,
     /// The operator's settings.
     pub tuning: Tuning,
 }
 
 impl Config {
-    /// The configuration from the platform's and the operator's settings.
+    /// Creates the configuration from the platform's and the operator's settings.
     pub fn new(platform: &PlatformSettings, tuning: Tuning) -> Config {
         let cluster = &platform.cluster;
-        let now = &cluster.state;
-        let announced = &now.next;
-        let value_bytes = kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(now.value_kb));
-        let write_rps = announced.write_rps.unwrap_or(f64::MAX).min(now.write_rps);
+        let current = &cluster.state;
+        let announced = &current.next;
+        let value_bytes = kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(current.value_kb));
+        let write_rps = announced
+            .write_rps
+            .unwrap_or(f64::MAX)
+            .min(current.write_rps);
         Config {
             member: platform.member.clone(),
             zone: platform.zone.clone(),
@@ -98,18 +104,18 @@
             worker_lease: micros(cluster.workers.lease_s),
             cancel_deadline: micros(cluster.workers.cancel_s),
             clock_error: micros(cluster.clock_error_ms / 1e3),
-            state_rps: announced.rps.unwrap_or(f64::MAX).min(now.rps),
+            state_rps: announced.rps.unwrap_or(f64::MAX).min(current.rps),
             state_write_rps: write_rps,
             value_bytes,
-            txn_ops: announced.txn_ops.unwrap_or(u32::MAX).min(now.txn_ops) as usize,
-            state_write_rps_before: now.write_rps,
-            value_bytes_before: kilobytes(now.value_kb),
+            txn_ops: announced.txn_ops.unwrap_or(u32::MAX).min(current.txn_ops) as usize,
+            state_write_rps_before: current.write_rps,
+            value_bytes_before: kilobytes(current.value_kb),
             chunk_tasks: tasks_per_chunk(value_bytes),
             cloud_rps: cluster.cloud.rps,
             cloud_list_lag: micros(cluster.cloud.list_lag_s),
             memory_mb: cluster.quota.mem_mb,
-            // With those to the store, the cloud and peers less than a quarter of the
-            // sockets.
+            // Together with the requests to the store, the cloud and peers, this is less than
+            // a quarter of the connections.
             max_commands_in_flight: (cluster.quota.max_connections / 5).clamp(6, 1024) as usize,
             start_objectives: start_objectives(cluster),
             deadline_objectives: deadline_objectives(cluster),
@@ -122,56 +128,61 @@
         self.teams.iter().position(|team| team.name == name)
     }
 
-    /// What users expect of the deadlines of a class.
+    /// The deadline objective of a class, if it has one.
     pub fn deadline_objective(&self, class: &str) -> Option<&DeadlineObjective> {
         self.deadline_objectives
             .iter()
             .find(|objective| objective.class == class)
     }
 
-    /// How long after the sending of its last read of the cancellations a leader may still
-    /// answer heartbeats, and after a cancellation the heartbeats of machines that run what
-    /// it cancels. Whoever confirms a cancellation promises the tasks' end within
-    /// `cancel_deadline`; a worker that receives nothing more ends them after
-    /// `worker_lease`.
+    /// How long a leader may continue to answer heartbeats, each answer renewing a worker's
+    /// lease: after it sent its last successful read of the cancellations, and after a
+    /// cancellation to the machines that run tasks of the cancelled job. The tasks of a
+    /// cancelled job must end within `cancel_deadline`, and a worker that gets no answers
+    /// ends them after `worker_lease`, so answers must stop early enough.
     pub fn blind_limit(&self) -> Micros {
-        self.time_without_read().max(SHORTEST_BLIND_LIMIT)
+        self.time_before_lease_must_expire()
+            .max(MIN_HEARTBEAT_ANSWER_LIMIT)
     }
 
-    /// What `cancel_deadline` leaves for answering heartbeats without a read, after the
-    /// lease and a margin for clocks and for requests under way.
-    fn time_without_read(&self) -> Micros {
+    /// The part of `cancel_deadline` that remains besides the lease and a margin for clock
+    /// drift and requests in flight.
+    fn time_before_lease_must_expire(&self) -> Micros {
         let margin = (self.cancel_deadline / 10).max(SECOND);
         self.cancel_deadline
             .saturating_sub(self.worker_lease + margin)
     }
 
-    /// By how much the end of a cancelled task may come late while the store is out of
-    /// reach, because `cancel_deadline` is too short beside the lease. None if it cannot.
+    /// By how much a cancelled task may exceed `cancel_deadline` while the store is
+    /// unreachable, because the deadline is too short compared to the lease. None if it
+    /// cannot.
     pub fn cancel_shortfall(&self) -> Option<Micros> {
-        let shortfall = SHORTEST_BLIND_LIMIT.saturating_sub(self.time_without_read());
+        let shortfall =
+            MIN_HEARTBEAT_ANSWER_LIMIT.saturating_sub(self.time_before_lease_must_expire());
         (shortfall > 0).then_some(shortfall)
     }
 
-    /// Tasks in a part of a chunk that is too large to be written as a whole again.
+    /// The number of tasks in each part of a chunk that is too large to be written as a
+    /// whole.
     pub fn part_tasks(&self) -> u32 {
         (tasks_per_chunk(self.value_bytes) / 2).max(1)
     }
 }
 
-/// Below this no leader could answer heartbeats at all times even with a store that
-/// answers: a read is as old as its watch was held, and as its response took.
-const SHORTEST_BLIND_LIMIT: Micros = 4 * SECOND;
+/// The minimum of [`Config::blind_limit`]. The latest read may be as old as the hold time of
+/// a watch plus the latency of its response, so with a lower limit a leader could not always
+/// answer heartbeats even while the store is available.
+const MIN_HEARTBEAT_ANSWER_LIMIT: Micros = 4 * SECOND;
 
-/// What a placed task takes of a chunk's record in JSON, with names of machines of up to
-/// two dozen letters. A chunk with longer ones is written in parts.
-const TASK_BYTES: usize = 40;
+/// The JSON size of a placed task in a task record, for machine names of up to 24 bytes. A
+/// chunk with longer names is written in parts.
+const PLACED_TASK_BYTES: usize = 40;
 
-/// Tasks per stored chunk, for values of so many bytes. The tasks of an array start and
-/// end together, and one write covers all that are in the same chunk; but a chunk is
-/// written as a whole.
+/// The number of tasks per chunk for the given maximum size of a value. Larger chunks need
+/// fewer writes, since the tasks of a job array often start and end together. But each write
+/// stores the whole chunk.
 pub fn tasks_per_chunk(value_bytes: usize) -> u32 {
-    (value_bytes / TASK_BYTES).clamp(8, 128) as u32
+    (value_bytes / PLACED_TASK_BYTES).clamp(8, 128) as u32
 }
 
 fn kilobytes(kb: f64) -> usize {
@@ -186,6 +197,7 @@
         .collect()
 }
 
+/// The objectives of one kind.
 fn objectives<'a>(cluster: &'a Cluster, kind: &'a str) -> impl Iterator<Item = &'a Objective> {
     cluster.objectives.iter().filter(move |o| o.kind == kind)
 }
@@ -201,7 +213,7 @@
         .collect()
 }
 
-/// The deadline objectives, of which several for one class are combined.
+/// The deadline objectives, combined into one per class.
 fn deadline_objectives(cluster: &Cluster) -> Vec<DeadlineObjective> {
     let mut combined: Vec<DeadlineObjective> = Vec::new();
     for objective in objectives(cluster, "deadline") {
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -1,30 +1,32 @@
 //! The records kept in the consensus-backed key-value store, and their keys.
 //!
-//! - `s/lead`: the leader, bound to its lease; `s/term`: the durable, growing
-//!   term; `s/types`: the machine types as last reported by the cloud.
-//! - `q/o/JOB`: an open job's description: all that a submission writes. Deleted
-//!   when the job has ended.
-//! - `j/JOB`: that a job is done or cancelled. Written once, when it ends, and
-//!   kept for ever. A job is open if it is in `q/o/` and not in here: a reader
-//!   looks there first, since a job leaves `q/o/` no sooner than it is here.
-//!   (Earlier versions also wrote an open state record here at submission. Such jobs
-//!   still run: their state record has the version of their description.)
-//!   `q/c/JOB`: it is cancelled and its tasks have yet to be seen gone.
-//! - `t/JOB/CHUNK`: where the tasks of an unfinished job may be.
-//!   `t/JOB/CHUNK/FROM-TO`: the same for some tasks of a chunk that has become too
-//!   large to be written again. It overrides the chunk, and comes after it in the
-//!   order of keys.
-//! - `m/MACHINE`: the address of a machine that has sent a heartbeat.
+//! - `s/lead`: the leader; the key is bound to the leader's lease.
+//! - `s/term`: the current term, which only increases.
+//! - `s/types`: the machine types last reported by the cloud.
+//! - `q/o/JOB`: the open record, which describes a job and is the only record that a
+//!   submission writes. It is deleted after the job has ended and its tasks are gone.
+//! - `q/c/JOB`: a cancelled job whose tasks are not yet known to be gone.
+//! - `j/JOB`: the state record of a job that is done or cancelled. It is written once, when
+//!   the job ends, and never deleted. A job is open if it has an open record and no state
+//!   record. The open record must be read first, since the state record is written before
+//!   the open record is deleted. (Earlier versions also wrote a state record at submission,
+//!   which says that the job is open and has the same version as the open record. Such jobs
+//!   may still exist.)
+//! - `t/JOB/CHUNK`: the task record of a chunk of an unfinished job's tasks, with the
+//!   machines on which the tasks may be.
+//! - `t/JOB/CHUNK/FROM-TO`: the task record of a part of a chunk that is too large to be
+//!   written as a whole. It overrides the chunk's record and follows it in key order.
+//! - `m/MACHINE`: the address and the properties of a machine that has sent a heartbeat.
 //!
-//! A new leader thus reads only what is unfinished, however many jobs have ended.
-//! The serialized names and tuples are fixed: `tests/golden_records.rs` guards them.
+//! A new leader therefore reads only unfinished work, however many jobs have ended. The
+//! serialized names and tuples must not change: `tests/golden_records.rs` checks them.
 
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::LeaseId;
 use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Prefix of the records that all controllers share.
+/// Prefix of the keys that all controllers watch for the election.
 pub const SHARED: &str = "s/";
 /// Key of the [`LeaderRecord`].
 pub const LEAD: &str = "s/lead";
@@ -32,15 +34,15 @@
 pub const TERM: &str = "s/term";
 /// Key of the [`MachineTypesRecord`].
 pub const TYPES: &str = "s/types";
-/// Prefix of open jobs and of cancellations, which the leader watches.
+/// Prefix of the records of open and cancelled jobs, which the leader watches.
 pub const QUEUE: &str = "q/";
-/// Prefix of the descriptions of open jobs.
+/// Prefix of the open records of jobs.
 pub const OPEN: &str = "q/o/";
-/// Prefix of cancellations.
+/// Prefix of the cancellation records of jobs.
 pub const CANCELLED: &str = "q/c/";
-/// Prefix of the records of tasks.
+/// Prefix of the task records.
 pub const TASKS: &str = "t/";
-/// Prefix of the records of machines.
+/// Prefix of the machine records.
 pub const MACHINES: &str = "m/";
 
 /// Prefix of the state records of jobs.
@@ -51,25 +53,25 @@
     format!("{JOB_STATES}{id}")
 }
 
-/// The job whose state record has this key; None if it is not such a key.
+/// The id of the job whose state record has this key; None if this is not such a key.
 pub fn parse_job_key(key: &str) -> Option<&str> {
     key.strip_prefix(JOB_STATES)
 }
 
-/// The key of an open job's description.
+/// The key of a job's open record.
 pub fn open_key(id: &str) -> String {
     format!("{OPEN}{id}")
 }
 
-/// The key of a job's cancellation.
+/// The key of a job's cancellation record.
 pub fn cancelled_key(id: &str) -> String {
     format!("{CANCELLED}{id}")
 }
 
-/// The tasks of a job that one record holds.
+/// The tasks of a job that one task record covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TaskRange {
-    /// All of a chunk.
+    /// All tasks of a chunk.
     Chunk(u32),
     /// The tasks `from` to `to` of a chunk, both included.
     Part {
@@ -82,7 +84,7 @@
     },
 }
 
-/// The key of the record of some tasks of a job.
+/// The key of a task record.
 pub fn tasks_key(id: &str, range: TaskRange) -> String {
     match range {
         TaskRange::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
@@ -95,7 +97,7 @@
     format!("{MACHINES}{name}")
 }
 
-/// The job and the tasks that a key of [`TASKS`] names; None if it is not such a key.
+/// The job id and the tasks of a task record's key; None if this is not such a key.
 pub fn parse_tasks_key(key: &str) -> Option<(&str, TaskRange)> {
     let (id, rest) = key.strip_prefix(TASKS)?.split_once('/')?;
     let range = match rest.split_once('/') {
@@ -112,21 +114,21 @@
     Some((id, range))
 }
 
-/// Who leads. Its key is bound to the lease, and goes when the lease expires.
+/// The current leader. The record's key is bound to the leader's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The name of the controller.
+    /// The member name of the controller that leads.
     #[serde(rename = "member")]
     pub member: String,
-    /// The lease that the key is bound to.
+    /// The lease to which the record's key is bound.
     #[serde(rename = "lease")]
     pub lease: LeaseId,
-    /// The term in which it leads.
+    /// The term in which the controller leads.
     #[serde(rename = "term")]
     pub term: u64,
 }
 
-/// The current term, which only grows.
+/// The current term, which only increases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
     /// The highest term that has begun.
@@ -134,13 +136,13 @@
     pub term: u64,
 }
 
-/// The state of a job in its state record.
+/// The job state that a state record contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedState {
     /// The job is open.
     #[serde(rename = "o")]
     Open,
-    /// Every task of the job has completed.
+    /// All tasks of the job are done.
     #[serde(rename = "d")]
     Done,
     /// The job was cancelled.
@@ -149,7 +151,7 @@
 }
 
 impl RecordedState {
-    /// The state that users see of an ended job; None while it is open.
+    /// The state of an ended job that is reported to users; None while the job is open.
     pub fn ended(self) -> Option<JobState> {
         match self {
             RecordedState::Open => None,
@@ -162,63 +164,64 @@
 /// The state record of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStateRecord {
-    /// The recorded state.
+    /// The state of the job.
     #[serde(rename = "s")]
     pub state: RecordedState,
-    /// The job's number of tasks.
+    /// The number of tasks of the job.
     #[serde(rename = "n")]
     pub task_count: u32,
 }
 
-/// The description of an open job.
+/// The open record of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenJob {
-    /// The job as its user described it.
+    /// The description of the job by its user.
     #[serde(rename = "spec")]
     pub spec: JobSpec,
-    /// Time of day of the submission, in microseconds.
+    /// Wall-clock time of the submission, in microseconds since the Unix epoch.
     #[serde(rename = "at")]
     pub submitted_at_us: u64,
-    /// Tasks per chunk. Fixed with the job, so that a later change of the
+    /// The number of tasks per chunk. It is stored with the job so that a change of the
     /// settings does not move tasks between chunks.
     #[serde(rename = "chunk")]
     pub chunk: u32,
-    /// The job has no state record as long as it is open. False in descriptions
-    /// that an earlier version wrote.
+    /// Whether the job has no state record while it is open. False in records that an
+    /// earlier version wrote.
     #[serde(rename = "unmarked", default)]
     pub unmarked: bool,
-    /// The most of its tasks that may be placed at once, if it is not all.
+    /// The maximum number of the job's tasks that may be placed at once; None if there is
+    /// no limit.
     #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
     pub parallelism_limit: Option<u32>,
 }
 
 impl OpenJob {
-    /// The version of the job's state record while it is open, for a description of the
-    /// given version.
+    /// The version of the job's state record while the job is open, given the version of
+    /// this open record.
     pub fn state_version(&self, version: u64) -> u64 {
         if self.unmarked { 0 } else { version }
     }
 }
 
-/// The part of a description that says how much its tasks count against the quota of
-/// which team. It can be read even if the rest is in a format that this version doesn't
-/// know.
+/// The part of an open record that determines how its tasks count against a team's quota.
+/// It can be decoded even if the rest of the record has a format that this version does not
+/// support.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
-    /// What each task counts against its team's quota.
+    /// The team, and the resources of each task that count against its quota.
     #[serde(rename = "spec")]
     pub spec: ResourceClaim,
 }
 
-/// The cancellation of a job.
+/// The cancellation record of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledJob {
-    /// Time of day of the cancellation, in microseconds.
+    /// Wall-clock time of the cancellation, in microseconds since the Unix epoch.
     #[serde(rename = "at")]
     pub cancelled_at_us: u64,
 }
 
-/// A task that is, or may be, on a machine. Stored as the tuple
+/// A task that is or may be running on a machine. Stored as the tuple
 /// `(index, attempt, machine, incarnation)`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, u64, String, u64)")]
@@ -227,7 +230,7 @@
     pub index: u32,
     /// The attempt of the task.
     pub attempt: u64,
-    /// The name of the machine that it is placed on.
+    /// The name of the machine that the task is placed on.
     pub machine: String,
     /// The incarnation of the machine's agent.
     pub incarnation: u64,
@@ -244,20 +247,20 @@
     }
 }
 
-// Not by `serde(into)`, which would clone the machine's name.
+// Implemented by hand since `serde(into)` would clone the machine's name.
 impl Serialize for PlacedTask {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.index, self.attempt, &self.machine, self.incarnation).serialize(serializer)
     }
 }
 
-/// A task that waits and was placed before. Stored as the tuple `(index, attempt)`.
+/// A waiting task that was placed before. Stored as the tuple `(index, attempt)`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u64)", into = "(u32, u64)")]
 pub struct WaitingTask {
     /// The index of the task within the job.
     pub index: u32,
-    /// The last attempt.
+    /// The latest attempt.
     pub attempt: u64,
 }
 
@@ -296,39 +299,39 @@
     }
 }
 
-/// The tasks of one chunk, or of a part of one. A task in no list waits and was never
-/// placed.
+/// A task record: the tasks of a chunk or of a part of one. A task in none of the lists is
+/// waiting and has never been placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskChunk {
-    /// Placed tasks.
+    /// The placed tasks.
     #[serde(rename = "p")]
     pub placed: Vec<PlacedTask>,
-    /// Tasks that wait and were placed before.
+    /// The waiting tasks that were placed before.
     #[serde(rename = "w")]
     pub waiting: Vec<WaitingTask>,
-    /// Ranges of tasks that are done.
+    /// The ranges of tasks that are done.
     #[serde(rename = "d")]
     pub done: Vec<DoneTasks>,
 }
 
-/// A machine that has sent a heartbeat.
+/// The record of a machine that has sent a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The address at which the worker takes commands.
+    /// The address at which the worker agent accepts commands.
     #[serde(rename = "addr")]
     pub addr: String,
-    /// The machine type.
+    /// The name of the machine type.
     #[serde(rename = "machine_type")]
     pub machine_type: String,
     /// The zone.
     #[serde(rename = "zone")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "spot")]
     pub spot: bool,
 }
 
-/// The machine types that the cloud offered last.
+/// The machine types last reported by the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypesRecord {
     /// The machine types.
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -1,74 +1,73 @@
-//! The operator's settings, the `[tuning]` of the settings file.
+//! The operator's settings: the `[tuning]` table of the settings file.
 
 use dillcleat_wire::settings::one_line;
 use serde::Deserialize;
 
-/// The operator's settings; each has a default, and unknown keys are errors.
+/// The operator's settings. Each has a default, and unknown keys are rejected.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Training tasks of a job, which show how long its tasks run (`t` in the paper that
-    /// the scheduler follows).
+    /// The number of training tasks of a job. Their run times are used to estimate the run
+    /// time of the job's other tasks.
     #[serde(rename = "training_tasks")]
     pub training_tasks: u32,
-    /// Share of the fleet's CPUs that training tasks may take (`T` in that paper), 0 to 1.
+    /// The fraction of the fleet's CPUs, 0 to 1, that training tasks may use.
     #[serde(rename = "training_share")]
     pub training_share: f64,
-    /// Longest time between two scheduling cycles, in seconds.
+    /// The maximum time between two scheduling cycles, in seconds.
     #[serde(rename = "pass_s")]
     pub pass_s: f64,
-    /// Shortest time between two scheduling cycles, in seconds. A change causes a cycle,
-    /// and on a large fleet there are dozens of changes a second.
+    /// The minimum time between two scheduling cycles, in seconds. Changes of the state
+    /// trigger a cycle, and a large fleet has many changes per second.
     #[serde(rename = "pass_gap_s")]
     pub pass_gap_s: f64,
-    /// Estimate of a task's run time before anything is learned, in seconds.
+    /// The estimated run time of a task for which nothing is known, in seconds.
     #[serde(rename = "first_guess_s")]
     pub first_guess_s: f64,
-    /// Shortest time-to-live of the leader's lease, in seconds. It is longer while the
-    /// store is slow ([`lease_time`](crate::store_latency::lease_time)).
+    /// The minimum time-to-live of the leader's lease, in seconds. The lease is longer while
+    /// the store is slow ([`lease_time`](crate::store_latency::lease_time)).
     #[serde(rename = "lead_ttl_s")]
     pub lead_ttl_s: f64,
-    /// Idle time after which a machine is deleted (scale-in), in seconds.
+    /// The idle time after which a machine is deleted (scale-in), in seconds.
     #[serde(rename = "idle_s")]
     pub idle_s: f64,
-    /// Usual time of an image fetch, in seconds, for judging what a scale-out would bring.
+    /// The usual time to fetch an image, in seconds, for planning scale-outs and start times.
     #[serde(rename = "fetch_s")]
     pub fetch_s: f64,
-    /// How long work may wait for resources that running tasks are about to release before
-    /// a machine is started for it, as a multiple of the time that a scale-out takes.
+    /// How long a task may wait for resources that running tasks will release before a
+    /// machine is started for it, as a multiple of the time that a scale-out takes.
     #[serde(rename = "patience")]
     pub patience: f64,
-    /// Replicas per zone for which capacity of on-demand machines is kept free of spot
-    /// work, for services that must start sooner than a machine boots.
+    /// The number of replicas per zone for which capacity on on-demand machines is reserved.
+    /// The reserve is for services that must start in less time than a machine boots.
     #[serde(rename = "reserve_replicas")]
     pub reserve_replicas: u32,
-    /// Share of the fleet's CPUs that may be started ahead of need for such services, 0
-    /// to 1.
+    /// The fraction of the fleet's CPUs, 0 to 1, for which machines may be started ahead of
+    /// demand to provide that reserve.
     #[serde(rename = "spare_share")]
     pub spare_share: f64,
-    /// Late tasks may start on-demand machines only in classes of which at least this
-    /// share, 0 to 1, is to end by some multiple of the deadline.
+    /// On-demand machines are started for late tasks only if the deadline objective of their
+    /// class requires at least this fraction of the jobs, 0 to 1, to end in time.
     #[serde(rename = "late_share")]
     pub late_share: f64,
     /// How long before its deadline a task must start, as a multiple of its expected fetch
-    /// and run time; for tasks that will start later on-demand machines may be started.
+    /// and run time. A task that would start later counts as late.
     #[serde(rename = "late_factor")]
     pub late_factor: f64,
-    /// Pause after a scale-out was refused for lack of capacity, in seconds.
+    /// The pause after a scale-out was rejected for lack of capacity, in seconds.
     #[serde(rename = "refused_pause_s")]
     pub refused_pause_s: f64,
-    /// Waiting time after which one task of a job may run where it otherwise may not: on
-    /// capacity kept for services, or on a machine on which it has failed. In seconds;
-    /// half of the 90 s for which no job may wait beside a machine that fits, since its
-    /// launch and its image take time as well.
+    /// The waiting time after which a job is starving, in seconds. One task of a starving job
+    /// may run where it otherwise may not: on capacity that is reserved for services, or on
+    /// a machine on which the job has failed.
     #[serde(rename = "starve_s")]
     pub starve_s: f64,
-    /// Share of the fleet, 0 to 1, that one request may delete: a request that is delayed
-    /// in the network may be carried out when it is no longer wanted.
+    /// The fraction of the fleet, 0 to 1, that one request may delete. It limits the damage
+    /// if a delayed request is executed when the deletion is no longer intended.
     #[serde(rename = "delete_share")]
     pub delete_share: f64,
-    /// Time without a response after which a request to the store that a user waits for is
-    /// hedged (sent a second time), in seconds; 0 means never.
+    /// The time without a response after which a user's request to the store is hedged (sent
+    /// a second time), in seconds; 0 disables hedging.
     #[serde(rename = "again_s")]
     pub again_s: f64,
 }
@@ -97,10 +96,10 @@
     }
 }
 
-/// Why settings are not accepted.
+/// Why settings are invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TuningError {
-    /// Not TOML, an unknown key, or a value of the wrong type.
+    /// The text is not TOML, or has an unknown key or a value of the wrong type.
     #[error("{}", one_line(&.0.to_string()))]
     Malformed(#[from] toml::de::Error),
     /// A value is outside its allowed range.
@@ -112,12 +111,12 @@
         min: f64,
         /// The largest allowed value.
         max: f64,
-        /// The value that was given.
+        /// The invalid value.
         value: f64,
     },
 }
 
-/// The value of a settings key and the values that it may have.
+/// The value of a settings key and its allowed range.
 struct RangeCheck {
     key: &'static str,
     value: f64,
@@ -126,14 +125,14 @@
 }
 
 impl RangeCheck {
-    fn run(self) -> Result<(), TuningError> {
+    fn check(self) -> Result<(), TuningError> {
         let RangeCheck {
             key,
             value,
             min,
             max,
         } = self;
-        // Comparisons with NaN are false, infinities are outside.
+        // Comparisons with NaN are false, so NaN is rejected as well.
         if value >= min && value <= max {
             return Ok(());
         }
@@ -147,19 +146,19 @@
 }
 
 impl Tuning {
-    /// Reads settings from TOML.
+    /// Reads settings from the text of a TOML table.
     pub fn parse(text: &str) -> Result<Tuning, TuningError> {
         toml::from_str::<Tuning>(text)?.validated()
     }
 
-    /// Reads settings from a table from which the tables that others read were removed.
+    /// Reads settings from a TOML table that contains only the operator's settings.
     pub fn read(table: toml::Table) -> Result<Tuning, TuningError> {
         table.try_into::<Tuning>()?.validated()
     }
 
     fn validated(self) -> Result<Tuning, TuningError> {
-        for check in self.range_checks() {
-            check.run()?;
+        for range_check in self.range_checks() {
+            range_check.check()?;
         }
         Ok(self)
     }
