--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -1,11 +1,11 @@
-//! Checks the jobs that a submission depends on: each must have been accepted.
+//! Checks that all jobs that a submission depends on have been accepted.
 //!
-//! That a job was accepted never stops being true, so what this node knows needs no read.
-//! The records of the others are read side by side, each as by a poll: the open record
-//! first, then the state record. Dependencies that are done already are dropped from the
-//! stored job.
+//! An accepted job stays accepted, so a cached job needs no read. The records of the other
+//! jobs are read concurrently, for each job the open record first and then, if there is
+//! none, the state record. Dependencies that are already done are removed from the stored
+//! job.
 
-use super::{Admission, MAX_UNDER_WAY, STORE_UNREACHABLE, TOO_MANY_REQUESTS};
+use super::{Admission, MAX_IN_FLIGHT, STORE_UNREACHABLE, TOO_MANY_REQUESTS};
 use crate::CallError;
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, Continuation, JobRecordKind, PendingRequest};
@@ -18,10 +18,10 @@
 use dillcleat_wire::user::is_job_id;
 use std::rc::Rc;
 
-/// Characters of a dependency's name that an error shows.
+/// The maximum length of a dependency's name in an error message.
 const MAX_NAME_CHARS: usize = 64;
 
-/// Why a job can never be waited for.
+/// Why a job must not be a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum InvalidReason {
     #[error("which was never accepted")]
@@ -30,11 +30,11 @@
     Service,
 }
 
-/// A dependency that makes a submission invalid. The text is sent to the user.
+/// A dependency that makes the submission invalid. The text is sent to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("awaits {name}, {reason}")]
 struct InvalidDependency {
-    /// At most [`MAX_NAME_CHARS`] characters of it.
+    /// The name, truncated to [`MAX_NAME_CHARS`] characters.
     name: String,
     reason: InvalidReason,
 }
@@ -53,15 +53,15 @@
 pub(super) struct DependencyCheck {
     request: RequestId,
     job: OpenJob,
-    /// When the submission came in.
+    /// When the submission was received, on the monotonic clock.
     received_at: Micros,
-    /// Dependencies whose reads have no response yet.
-    unread: usize,
-    /// The latest invalid dependency that was found.
+    /// The number of dependencies whose reads are in flight.
+    pending_reads: usize,
+    /// The invalid dependency that was found last.
     invalid: Option<InvalidDependency>,
-    /// Whether a dependency could not be read.
+    /// Whether the read of a dependency failed.
     inconclusive: bool,
-    /// Dependencies that are done: they need not be waited for.
+    /// The dependencies that are already done.
     done: Vec<String>,
 }
 
@@ -71,7 +71,7 @@
             request,
             job,
             received_at,
-            unread: 0,
+            pending_reads: 0,
             invalid: None,
             inconclusive: false,
             done: Vec::new(),
@@ -82,7 +82,7 @@
         self.invalid = Some(InvalidDependency::new(name, reason));
     }
 
-    /// Records what is known of a dependency.
+    /// Records the state of a dependency.
     fn record(&mut self, name: &str, known: KnownJob) {
         match known.record.state {
             RecordedState::Done => self.done.push(name.to_string()),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The job without the dependencies that are done.
+    /// The submitted job without the dependencies that are already done.
     fn into_job(self) -> OpenJob {
         let DependencyCheck { mut job, done, .. } = self;
         job.spec.depends_on.retain(|name| !done.contains(name));
@@ -112,7 +112,8 @@
     ctx.hedged_store_request(StoreRequest::Get { key }, Continuation::Admission(step));
 }
 
-/// What the response to a read of a dependency shows; None if nothing.
+/// The state of a dependency according to the response to a read; None if the record was not
+/// found or the read failed.
 fn decode_reply(
     record: JobRecordKind,
     reply: &Result<StoreResponse, CallError>,
@@ -144,12 +145,12 @@
         if check.invalid.is_some() {
             return self.finish_dependency_check(ctx, check);
         }
-        // The reads and the transaction that creates the job are paid for at once.
+        // The cost includes the transaction that creates the job.
         let cost = StoreCost {
             calls: 1.0 + unknown.len() as f64,
             writes: 1.0,
         };
-        if self.under_way + unknown.len() >= MAX_UNDER_WAY
+        if self.in_flight + unknown.len() >= MAX_IN_FLIGHT
             || !self.take_budget(cost, RequestPriority::Change, now)
         {
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
@@ -157,8 +158,8 @@
         if unknown.is_empty() {
             return self.finish_dependency_check(ctx, check);
         }
-        check.unread = unknown.len();
-        self.under_way += unknown.len();
+        check.pending_reads = unknown.len();
+        self.in_flight += unknown.len();
         self.last_dependency_check += 1;
         let submission = self.last_dependency_check;
         self.dependency_checks.insert(submission, check);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Records the dependencies that need no read; returns the others.
+    /// Records the dependencies that are cached or invalid. Returns those that must be read.
     fn record_known_dependencies(&self, check: &mut DependencyCheck) -> Vec<String> {
         let mut unknown = Vec::new();
         for name in check.job.spec.depends_on.clone() {
@@ -193,11 +194,11 @@
     ) {
         let not_found = matches!(reply, Ok(StoreResponse::NotFound { .. }));
         if not_found && record == JobRecordKind::Open {
-            // It has ended, or never existed.
+            // The dependency has ended, or it never existed.
             self.calls.charge(1.0, ctx.now.monotonic);
             return read_dependency(ctx, submission, dependency, JobRecordKind::State);
         }
-        self.under_way -= 1;
+        self.in_flight -= 1;
         let Some(mut check) = self.dependency_checks.remove(&submission) else {
             return;
         };
@@ -209,26 +210,27 @@
             None if not_found => check.reject(&dependency, InvalidReason::NeverAccepted),
             None => check.inconclusive = true,
         }
-        check.unread -= 1;
-        if check.unread > 0 {
+        check.pending_reads -= 1;
+        if check.pending_reads > 0 {
             self.dependency_checks.insert(submission, check);
         } else {
             self.finish_dependency_check(ctx, check);
         }
     }
 
-    /// Stores the job, or rejects it.
+    /// Stores the job or rejects the submission.
     fn finish_dependency_check(&mut self, ctx: &mut Context, check: DependencyCheck) {
         let (request, received_at) = (check.request, check.received_at);
         let answer = match &check.invalid {
             Some(invalid) => Answer::refusal(422, invalid.to_string()),
             None if check.inconclusive => Answer::retry_later(STORE_UNREACHABLE),
             None => {
-                self.under_way += 1;
+                self.in_flight += 1;
                 return self.create(ctx, request, Rc::new(check.into_job()), received_at);
             }
         };
-        // Whatever is wrong with its dependencies, a known job's state is the answer.
+        // If the job exists, this is a repeated submission and its state is the answer, even
+        // if the dependencies are invalid.
         let id = check.job.spec.id;
         self.resolve(ctx, id, PendingRequest::Reject { request, answer });
     }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -1,47 +1,48 @@
-//! Submissions, polls and cancellations. Every node answers them by itself, without the
+//! Handles users' submissions, polls and cancellations. Every node does so without the
 //! leader.
 //!
 //! # Records
 //!
-//! A submitted job has an *open record* (`q/o/`) with its description, which stays until
-//! its tasks are gone. Its *state record* (`j/`) says that it is done or cancelled, and
-//! is written once, by compare-and-swap; whoever comes second fails and reads which end
-//! it was. (Jobs of earlier versions also have a state record that says "open".)
+//! A submitted job has an *open record* (`q/o/`) with its description, which exists until
+//! the job's tasks are gone. The *state record* (`j/`) says that the job is done or
+//! cancelled. It is written once, by compare-and-swap: a second writer fails and reads the
+//! final state. (Jobs of earlier versions also have a state record while they are open.)
 //!
-//! # Requests as compare-and-swap state machines
+//! # Requests
 //!
-//! Each request is idempotent: a client that had no answer repeats it, at any node.
+//! Each request is idempotent. A client that received no answer can repeat it at any node.
 //!
-//! - **Submission.** One transaction creates the open record if neither record exists.
-//!   If one does, this is a repeated submission, perhaps by an earlier try whose response
-//!   was lost, and the job's present state is the answer. The same transaction is sent
-//!   again if its outcome is unknown: it commits, or finds what the first one wrote. A
-//!   submission that must be rejected (invalid, or never schedulable) is rejected only if
-//!   the job is unknown, so that a job once accepted is not rejected later, for example
-//!   when the machine types have changed.
-//! - **Poll.** See below.
-//! - **Cancellation.** A transaction writes the state record if it still has the version
-//!   that this node knows. After a conflict the state record is read: the job's end came
-//!   first, or an earlier try was carried out.
+//! - **Submission.** One transaction creates the open record if neither record exists. If
+//!   one exists, this is a repeated submission, and the answer is the job's current state.
+//!   If the outcome of the transaction is unknown, the same transaction is sent again: it
+//!   either commits or finds the record of the first one. An invalid or unschedulable
+//!   submission is rejected only if the job does not exist, so that an accepted job is not
+//!   rejected later, for example after a change of the machine types.
+//! - **Poll.** See the next section.
+//! - **Cancellation.** A transaction writes the state record if its version is still the
+//!   cached one. After a conflict, the state record is read: either the job has ended
+//!   before, or an earlier attempt at the cancellation was committed.
 //!
-//! # Why no answer is out of date
+//! # Consistency of answers
 //!
-//! An end is final, so an ended job is answered from the `JobCache`. Anything else
-//! may have changed since it was seen: another node may just have told the user that the
-//! job is cancelled, and a later answer must not say "open". Hence for an open job the
-//! *absence of a change* of its state record is verified by a compare-only transaction
-//! that is sent after the request came in (one for many jobs, see `verification.rs`), and
-//! an unknown job is read by a request of its own. "No such job" is answered only if both
-//! records were read after the request came in, the open record first: the state record
-//! is written before the open record is deleted.
+//! The end of a job is final, so the state of an ended job is answered from the `JobCache`.
+//! Any other cached state may be outdated: if another node has already confirmed a
+//! cancellation to the user, this node must not answer that the job is open. Therefore:
 //!
-//! Task counts in an answer come from the leader's broadcasts. They are for display, and
-//! may be old.
+//! - For a job that is cached as open, a compare-only transaction that is sent after the
+//!   request was received verifies that its state record is unchanged. One transaction
+//!   covers many jobs (see `verification.rs`).
+//! - A job that is not cached is read separately for each request. "No such job" is answered
+//!   only if both records were read after the request was received, the open record first,
+//!   since the state record is written before the open record is deleted.
+//!
+//! The task counts in an answer come from the leader's broadcasts. They are for display and
+//! may be outdated.
 //!
 //! # Limits
 //!
-//! Store calls are paid from a `RequestBudget`, and the number under way is bounded;
-//! beyond that a request is rejected at once with 503 and `Retry-After`.
+//! Requests to the store are charged to a `RequestBudget`, and the number in flight is
+//! bounded. A request that exceeds a limit is rejected at once with 503 and `Retry-After`.
 
 mod dependency_check;
 mod replies;
@@ -66,45 +67,48 @@
 use dillcleat_wire::user::{JobState, JobStatus, is_job_id};
 use std::collections::HashMap;
 
-/// How long a submission or cancellation is retried; its user gives up after 5 s.
-const RETRY_TIME: Micros = 4 * SECOND;
-/// Reads, submissions and cancellations that may be under way at once.
-const MAX_UNDER_WAY: usize = 256;
+/// How long a submission or cancellation is retried. This is shorter than the 5 s after which
+/// clients stop waiting.
+const RETRY_TIMEOUT: Micros = 4 * SECOND;
+/// The maximum number of reads, submissions and cancellations in flight.
+const MAX_IN_FLIGHT: usize = 256;
 
 const TOO_MANY_REQUESTS: &str = "too many requests";
 const STORE_UNREACHABLE: &str = "the state is out of reach";
 const UNREADABLE_RECORD: &str = "the job's record is unreadable";
 const NO_SUCH_JOB: &str = "no such job";
 
-/// Answers users' requests; see the [module](self).
+/// Handles users' requests; see the [module](self).
 #[derive(Debug)]
 pub struct Admission {
     calls: RequestBudget,
     writes: RequestBudget,
     cache: JobCache,
     verifications: Verifications,
-    /// Reads, submissions and cancellations under way.
-    under_way: usize,
-    /// Submissions whose dependencies are being read, by number.
+    /// The number of reads, submissions and cancellations in flight.
+    in_flight: usize,
+    /// Submissions whose dependencies are being read, by the number of the check.
     dependency_checks: HashMap<u64, DependencyCheck>,
     last_dependency_check: u64,
     request_rate: RequestRate,
-    /// Jobs that were seen to be cancelled, for the leader of this process.
+    /// Jobs that were observed to be cancelled and not yet reported to the leader in this
+    /// process.
     cancelled: Vec<String>,
-    /// How far jobs are, as the leader broadcasts it; for display.
+    /// The progress of jobs as broadcast by the leader; for display.
     pub(crate) progress: ProgressTable,
 }
 
-/// How many requests users make at this node.
+/// The rate of users' requests at this node.
 #[derive(Debug, Default)]
 struct RequestRate {
+    /// The number of requests since the last update.
     count: u32,
-    /// A moving average.
+    /// The moving average of the rate.
     per_s: f64,
 }
 
 impl RequestRate {
-    /// Adds the requests that were counted since the last call, `interval` ago.
+    /// Updates and returns the rate. `interval` is the time since the last update.
     fn update(&mut self, interval: Micros) -> f64 {
         let count = f64::from(std::mem::take(&mut self.count));
         let latest_per_s = count / seconds(interval).max(0.1);
@@ -114,14 +118,14 @@
 }
 
 impl Admission {
-    /// An admission that knows no job.
+    /// Creates the state of a node with an empty cache.
     pub fn new(config: &Config) -> Self {
         Admission {
             calls: RequestBudget::new(config.state_rps, config),
             writes: RequestBudget::new(config.state_write_rps, config),
             cache: JobCache::new(config),
             verifications: Verifications::default(),
-            under_way: 0,
+            in_flight: 0,
             dependency_checks: HashMap::new(),
             last_dependency_check: 0,
             request_rate: RequestRate::default(),
@@ -130,18 +134,19 @@
         }
     }
 
-    /// Users' requests a second of late. To be called at a fixed interval.
+    /// Updates and returns the rate of users' requests at this node, per second. Must be
+    /// called at the fixed interval `interval`.
     pub fn request_rate(&mut self, interval: Micros) -> f64 {
         self.request_rate.update(interval)
     }
 
-    /// Sets this node's share, from 0 to 1, of what users' requests may use of the store.
+    /// Sets this node's share, from 0 to 1, of the store's request budget for users.
     pub fn set_budget_share(&mut self, share: f64, now: Micros) {
         self.calls.set_share(share, now);
         self.writes.set_share(share, now);
     }
 
-    /// Counts a user's request for this node's share of the budget.
+    /// Counts a user's request, for the rate of requests.
     pub fn count_request(&mut self) {
         self.request_rate.count += 1;
     }
@@ -152,8 +157,8 @@
             && (cost.writes == 0.0 || self.writes.has(cost.writes, priority, now))
     }
 
-    /// Takes a request's cost from the budget: all of it, or nothing. Returns whether it
-    /// was there.
+    /// Takes a request's cost from the budget: either all of it or nothing. Returns whether
+    /// it was available.
     pub fn take_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
         let available = self.has_budget(cost, priority, now);
         if available {
@@ -163,18 +168,18 @@
         available
     }
 
-    /// A job was stored as open.
+    /// Records that an open job was stored.
     pub fn record_admission(&mut self, job: &OpenJob) {
         self.cache.insert(&job.spec.id, KnownJob::newly_open(job));
     }
 
-    /// The leader of this process has stored a job's end.
+    /// Records that the leader in this process has stored a job's end.
     pub fn record_end(&mut self, id: &str, record: JobStateRecord) {
         self.cache.insert(id, KnownJob::ended(record));
         self.progress.job_ended(id);
     }
 
-    /// A read or write of the store has shown a job's state record.
+    /// Records the state of a job as shown by its state record.
     fn record_state(&mut self, id: &str, known: KnownJob) {
         if known.record.state == RecordedState::Cancelled {
             self.cancelled.push(id.to_string());
@@ -182,7 +187,7 @@
         self.cache.insert(id, known);
     }
 
-    /// The jobs that were seen to be cancelled since the last call.
+    /// The jobs that were observed to be cancelled since the last call.
     pub fn take_cancelled(&mut self) -> Vec<String> {
         std::mem::take(&mut self.cancelled)
     }
@@ -213,12 +218,12 @@
         self.resolve(ctx, id, pending);
     }
 
-    /// Finds out the state of a request's job by the cheapest sufficient means: the cache,
-    /// a comparison or a read.
+    /// Determines the state of a request's job by the cheapest sufficient means: the cache,
+    /// a verification of the cached state, or a read.
     fn resolve(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         match self.cache.get(&id) {
             Some(known) if !known.is_open() => self.conclude(ctx, &id, Some(known), pending),
-            // The transaction that cancels compares by itself.
+            // The transaction of the cancellation verifies the cached state itself.
             Some(known) if matches!(pending, PendingRequest::Cancel { .. }) => {
                 self.conclude(ctx, &id, Some(known), pending);
             }
@@ -228,16 +233,14 @@
     }
 
     fn read_open_record(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
-        // Each request has a read of its own, whose continuation carries it: one under way
-        // may have read before this request came in. Requests were once matched with
-        // responses in the order in which they had come, and responses come in any: of an
-        // accepted job a user who had been told so was told that there is none.
+        // Requests must not share a read: the store may have executed a read that is already
+        // in flight before this request was received.
         let priority = RequestPriority::from(&pending);
-        if self.under_way >= MAX_UNDER_WAY || !self.calls.try_take(1.0, priority, ctx.now.monotonic)
+        if self.in_flight >= MAX_IN_FLIGHT || !self.calls.try_take(1.0, priority, ctx.now.monotonic)
         {
             return ctx.answer(pending.request(), Answer::retry_later(TOO_MANY_REQUESTS));
         }
-        self.under_way += 1;
+        self.in_flight += 1;
         let call = StoreRequest::Get {
             key: records::open_key(&id),
         };
@@ -245,10 +248,10 @@
         ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Reads the state record of a job that has no open record, or whose end has just
-    /// come. A job that is not found here did not exist when the request came in.
+    /// Reads the state record of a job that has no open record or has just ended. A job
+    /// without either record did not exist when the request was received.
     fn read_state_record(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
-        self.under_way += 1;
+        self.in_flight += 1;
         self.calls.charge(1.0, ctx.now.monotonic);
         let call = StoreRequest::Get {
             key: records::job_key(&id),
@@ -257,8 +260,8 @@
         ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Answers a request with what the store has said of its job, None if there is no such
-    /// job, or sends the cancellation of an open one.
+    /// Answers a request whose job has the state `known`, None if the job does not exist. The
+    /// cancellation of an open job is sent to the store instead.
     fn conclude(
         &self,
         ctx: &mut Context,
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Sends a comparison if one is due; called at every tick.
+    /// Sends a verification of queued requests if the limits allow it. Called at every tick.
     pub fn tick(&mut self, ctx: &mut Context) {
         self.send_verification(ctx);
     }
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -1,6 +1,6 @@
 //! Handles the store's responses to users' requests.
 
-use super::{Admission, RETRY_TIME, STORE_UNREACHABLE, UNREADABLE_RECORD};
+use super::{Admission, RETRY_TIMEOUT, STORE_UNREACHABLE, UNREADABLE_RECORD};
 use crate::CallError;
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, PendingRequest};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 impl Admission {
-    /// Handles the response to the call of a step.
+    /// Handles the response to the request of an admission step.
     pub fn reply(
         &mut self,
         ctx: &mut Context,
@@ -23,11 +23,11 @@
     ) {
         match step {
             Step::ReadOpenRecord { id, pending } => {
-                self.under_way -= 1;
+                self.in_flight -= 1;
                 self.handle_open_record(ctx, id, pending, reply);
             }
             Step::ReadStateRecord { id, pending } => {
-                self.under_way -= 1;
+                self.in_flight -= 1;
                 self.handle_state_record(ctx, &id, pending, reply);
             }
             Step::VerifyOpen { jobs } => self.handle_verification(ctx, jobs, &reply),
@@ -64,8 +64,8 @@
                     return answer_unreadable(ctx, &row.key, &pending);
                 };
                 self.cache.insert(&id, KnownJob::from_open_row(&job, &row));
-                // A cancelled job's open record stays until its tasks are gone: that there
-                // is one does not yet say that the job is open.
+                // The open record of a cancelled job exists until its tasks are gone, so its
+                // existence does not prove that the job is open.
                 self.resolve(ctx, id, pending);
             }
             Ok(StoreResponse::NotFound { .. }) => self.read_state_record(ctx, id, pending),
@@ -89,8 +89,8 @@
                 self.record_state(id, known);
                 self.conclude(ctx, id, Some(known), pending);
             }
-            // The job was stored since the read, and this node may have told its user so:
-            // it is looked up again and not called unknown.
+            // The job was stored after the read, and this node may have confirmed that to
+            // the user. The state is determined again instead of answering "no such job".
             Ok(StoreResponse::NotFound { .. }) if self.is_known_without_state_record(id) => {
                 self.resolve(ctx, id.to_string(), pending);
             }
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Whether the job is known, and that its state record was not found does not
-    /// contradict it.
+    /// Whether the job is cached with a state that is consistent with the absence of a state
+    /// record.
     fn is_known_without_state_record(&self, id: &str) -> bool {
         self.cache
             .get(id)
@@ -115,10 +115,10 @@
         received_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
-        // The outcome is unknown: the transaction may yet be carried out. The same one
-        // again settles it: it either commits or finds the record. It costs as much again.
+        // The outcome is unknown, since the transaction may still be executed. The same
+        // transaction is sent again: it either commits or finds the record of the first one.
         if reply.is_err()
-            && ctx.now.monotonic < received_at + RETRY_TIME
+            && ctx.now.monotonic < received_at + RETRY_TIMEOUT
             && self.take_budget(
                 StoreCost::transaction(1.0),
                 RequestPriority::Change,
@@ -127,7 +127,7 @@
         {
             return self.create(ctx, request, job, received_at);
         }
-        self.under_way -= 1;
+        self.in_flight -= 1;
         match reply {
             Ok(StoreResponse::Committed { .. }) => self.answer_accepted(ctx, request, &job),
             Ok(StoreResponse::Conflict { failed, .. }) => {
@@ -136,7 +136,8 @@
             Ok(StoreResponse::Malformed) => {
                 let id = job.spec.id.clone();
                 log::error!("store rejected record as malformed job={id}");
-                // A repeated submission may contain more than the accepted one.
+                // If the job exists, this is a repeated submission, which may be larger than
+                // the accepted one.
                 let answer = Answer::refusal(400, "the job cannot be stored");
                 self.resolve(ctx, id, PendingRequest::Reject { request, answer });
             }
@@ -148,7 +149,7 @@
         let id = job.spec.id.clone();
         self.record_admission(job);
         log_accepted(job);
-        // Cancelled or done before this response came, and known to a user.
+        // The job has ended before this response arrived, and a user may know that.
         if let Some(ended) = self.cache.get_ended(&id) {
             return self.conclude(ctx, &id, Some(ended), PendingRequest::Status(request));
         }
@@ -161,8 +162,8 @@
         ctx.answer(request, Answer::body(201, &status));
     }
 
-    /// Answers a submission whose job exists already, perhaps by an earlier try whose
-    /// response was lost. `failed` are the keys that had changed.
+    /// Answers a submission whose job already exists. `failed` are the keys of the failed
+    /// comparisons.
     fn answer_repeated_submission(
         &mut self,
         ctx: &mut Context,
@@ -172,9 +173,9 @@
     ) {
         let id = job.spec.id.clone();
         log::info!("repeated submission job={id}");
-        // The job had an open record and no state record: it was open, unless its end has
-        // come between that and this response, of which this node then knows. To read both
-        // again took a slow submission past 200 ms.
+        // The job had an open record and no state record, so it was open when the transaction
+        // was executed. If this node does not know of an end since then, no further read is
+        // needed.
         if failed == [records::open_key(&id)] && self.cache.get_ended(&id).is_none() {
             let record = JobStateRecord {
                 state: RecordedState::Open,
@@ -210,9 +211,9 @@
                 let status = self.status(&id, record);
                 ctx.answer(request, Answer::body(200, &status));
             }
-            // Its end came first, or an earlier try was carried out: read which.
+            // Either the job has ended before, or an earlier attempt was committed.
             Ok(StoreResponse::Conflict { .. }) => self.read_state_record(ctx, id, pending),
-            Err(_) if ctx.now.monotonic < received_at + RETRY_TIME => {
+            Err(_) if ctx.now.monotonic < received_at + RETRY_TIMEOUT => {
                 self.read_open_record(ctx, id, pending);
             }
             _ => ctx.answer(request, Answer::retry_later(STORE_UNREACHABLE)),
--- a/crates/controller/src/admission/schedulability.rs
+++ b/crates/controller/src/admission/schedulability.rs
@@ -1,16 +1,16 @@
-//! Whether a job could ever run on this deployment.
+//! Checks whether a job can ever run on this cluster.
 
 use crate::config::Config;
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::{JobKind, JobSpec};
 
-/// Rounding error that is tolerated when a demand is compared with a limit.
-const TOLERANCE: f64 = 1e-9;
+/// The tolerated rounding error when a demand is compared with a quota.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Why a job can never run here. The text is sent to the user.
+/// Why a job can never run on this cluster. The text is sent to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unschedulable {
-    /// The team is not in the settings.
+    /// The settings do not contain the team.
     #[error("unknown team")]
     UnknownTeam,
     /// No machine type that the job allows can run one of its tasks.
@@ -24,7 +24,7 @@
     ZoneConflict,
 }
 
-/// Whether the job could run here if it had all machines for itself.
+/// Checks whether the job could run on this cluster if all machines were free.
 pub fn check_schedulable(
     config: &Config,
     types: &[MachineType],
@@ -35,14 +35,15 @@
         return Err(Unschedulable::NoMachineType);
     }
     let team = &config.teams[team];
-    // All replicas of a service run at once; a batch job can run a task at a time.
+    // All replicas of a service must run at once. A batch job can run one task at a time.
     let tasks_at_once = match spec.kind {
         JobKind::Batch => 1.0,
         JobKind::Service => f64::from(spec.tasks),
     };
-    // A limit of 0 means that there is none.
-    let exceeds =
-        |demand: f64, limit: f64| limit > 0.0 && demand * tasks_at_once > limit + TOLERANCE;
+    // A quota of 0 means unlimited.
+    let exceeds = |demand: f64, quota: f64| {
+        quota > 0.0 && demand * tasks_at_once > quota + ROUNDING_TOLERANCE
+    };
     if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
         return Err(Unschedulable::OverTeamLimit);
     }
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// Whether one task of the job fits a machine of this type that the job allows.
+/// Whether the job allows this machine type and one of its tasks fits on such a machine.
 fn fits(machine_type: &MachineType, spec: &JobSpec) -> bool {
     let type_allowed = spec
         .types
--- a/crates/controller/src/admission/submission.rs
+++ b/crates/controller/src/admission/submission.rs
@@ -1,6 +1,6 @@
-//! Validates submissions and stores their jobs.
+//! Validates submissions and stores the submitted jobs.
 
-use super::{Admission, MAX_UNDER_WAY, TOO_MANY_REQUESTS, check_schedulable};
+use super::{Admission, MAX_IN_FLIGHT, TOO_MANY_REQUESTS, check_schedulable};
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
 use crate::messages::{Answer, RequestId};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 impl Admission {
-    /// Handles a submission. `types` are the machine types, if they are known.
+    /// Handles a submission. `types` are the machine types; None if they are unknown.
     pub fn submit(
         &mut self,
         ctx: &mut Context,
@@ -41,14 +41,12 @@
 
     fn submit_valid(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
         let now = ctx.now.monotonic;
-        // Both or neither: a call taken for a write that the budget did not allow was lost
-        // to polls.
-        if self.under_way >= MAX_UNDER_WAY
+        if self.in_flight >= MAX_IN_FLIGHT
             || !self.take_budget(StoreCost::transaction(1.0), RequestPriority::Change, now)
         {
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
-        self.under_way += 1;
+        self.in_flight += 1;
         self.create(ctx, request, Rc::new(job), now);
     }
 
@@ -60,9 +58,8 @@
         received_at: Micros,
     ) {
         let id = &job.spec.id;
-        // One write: the store's writes are what bounds submissions. With a state record
-        // of its own for each, a burst of small jobs waited for 10 s (incidents 1846,
-        // bdf3).
+        // Only one key is written, since the store's write limit bounds the rate of
+        // submissions.
         let txn = Transaction::default()
             .compare(records::job_key(id), 0)
             .compare(records::open_key(id), 0)
@@ -79,7 +76,7 @@
     }
 }
 
-/// The record of a submitted job, or the answer to its rejection.
+/// The open record of a submitted job, or the answer that rejects the submission.
 fn validate(
     ctx: &Context,
     spec: Result<Box<JobSpec>, SpecError>,
@@ -99,7 +96,8 @@
         let cause = format!("the job's description takes {bytes} bytes, at most {max_bytes} fit");
         return Err(Answer::refusal(400, cause));
     }
-    // An empty list comes from a cloud in trouble: by it no job could ever run.
+    // The cloud reports an empty list only in case of a fault. With it, every job would be
+    // rejected as unschedulable.
     let types = types
         .filter(|types| !types.is_empty())
         .ok_or_else(|| Answer::retry_later("the machine types are not known yet"))?;
--- a/crates/controller/src/admission/verification.rs
+++ b/crates/controller/src/admission/verification.rs
@@ -1,8 +1,8 @@
-//! Verifies by compare-only transactions that jobs known as open are open still.
+//! Verifies by compare-only transactions that jobs that are cached as open are still open.
 //!
-//! One transaction compares the state records of many jobs, and so answers the polls of
-//! all of them. Requests that come in while a transaction is under way wait for a later
-//! one: only a comparison that is sent after a request came in may answer it.
+//! One transaction compares the state records of many jobs. A request that is received while
+//! a transaction is in flight must wait for a later one, since only a comparison that is
+//! sent after the request was received may answer it.
 
 use super::{Admission, STORE_UNREACHABLE, TOO_MANY_REQUESTS};
 use crate::CallError;
@@ -14,36 +14,37 @@
 use dillcleat_wire::store::{StoreRequest, StoreResponse, Transaction};
 use std::collections::HashMap;
 
-/// Transactions that may be under way at once. More than one, so that a single slow
-/// response does not hold up every poll.
+/// The maximum number of transactions in flight. There may be several, so that one slow
+/// response does not delay all polls.
 const MAX_TRANSACTIONS: usize = 3;
-/// Requests that may wait for their comparison.
-const MAX_QUEUED: usize = 2000;
-/// The store takes this many comparisons in a transaction for each write that it takes
+/// The maximum number of queued requests.
+const MAX_QUEUED_REQUESTS: usize = 2000;
+/// The number of comparisons that the store accepts in a transaction for each operation
 /// (`txn_ops`).
 const COMPARISONS_PER_OP: usize = 4;
 
-/// Requests about open jobs, and the comparisons under way.
+/// Requests about jobs that are cached as open, and the verifications in flight.
 #[derive(Debug, Default)]
 pub(super) struct Verifications {
-    /// Requests that wait for the next transaction, with their jobs' ids.
+    /// Requests for the next transaction, with the ids of their jobs.
     queued: Vec<(String, PendingRequest)>,
-    /// Requests whose job is in a transaction under way, by the job's id.
+    /// Requests whose job is in a transaction in flight, by the id of the job.
     in_flight: HashMap<String, Vec<PendingRequest>>,
+    /// The number of transactions in flight.
     transactions: usize,
 }
 
 impl Admission {
-    /// Queues a request about a job that is known as open.
+    /// Queues a request about a job that is cached as open.
     pub(super) fn verify(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
-        if self.verifications.queued.len() >= MAX_QUEUED {
+        if self.verifications.queued.len() >= MAX_QUEUED_REQUESTS {
             return ctx.answer(pending.request(), Answer::retry_later(TOO_MANY_REQUESTS));
         }
         self.verifications.queued.push((id, pending));
         self.send_verification(ctx);
     }
 
-    /// Sends a transaction for the queued requests, as far as the limits allow.
+    /// Sends a transaction for the queued requests if the limits allow it.
     pub(super) fn send_verification(&mut self, ctx: &mut Context) {
         if self.verifications.queued.is_empty()
             || self.verifications.transactions >= MAX_TRANSACTIONS
@@ -58,16 +59,18 @@
             return;
         }
         self.verifications.transactions += 1;
-        // Hedged: a lost one answered none of its jobs. With transactions lost one after
-        // the other a job was once without an answer for 90 s (seed 3909 of meetings).
+        // The transaction is hedged because the loss of one would delay the answers of many
+        // requests.
         ctx.hedged_store_request(
             StoreRequest::Transaction(txn),
             Continuation::Admission(AdmissionStep::VerifyOpen { jobs }),
         );
     }
 
-    /// Moves queued requests in flight, up to the limit of a transaction. Requests whose
-    /// jobs have ended meanwhile, or are no longer cached, take another way.
+    /// Builds a transaction for queued requests, up to the maximum number of comparisons,
+    /// and moves these requests in flight. A request whose job has ended meanwhile is
+    /// answered, and one whose job is no longer cached is continued with a read. Returns the
+    /// transaction and the ids of its jobs.
     fn collect_comparisons(&mut self, ctx: &mut Context) -> (Transaction, Vec<String>) {
         let mut jobs: Vec<String> = Vec::new();
         let mut txn = Transaction::default();
@@ -83,8 +86,8 @@
                 continue;
             }
             let in_this_transaction = jobs.contains(&id);
-            // One comparison of a job at a time, so that a response belongs to all
-            // requests that are in flight for it.
+            // A job is in at most one transaction at a time, so that the response concerns
+            // all requests that are in flight for the job.
             let in_another = self.verifications.in_flight.contains_key(&id);
             if !in_this_transaction && (jobs.len() >= max_jobs || in_another) {
                 still_queued.push((id, pending));
@@ -104,7 +107,7 @@
         (txn, jobs)
     }
 
-    /// Handles the response to a transaction that compared these jobs.
+    /// Handles the response to a transaction that compared the state records of `jobs`.
     pub(super) fn handle_verification(
         &mut self,
         ctx: &mut Context,
@@ -118,7 +121,8 @@
                 Ok(StoreResponse::Committed { .. }) => {
                     self.conclude_verified(ctx, &id, requests, false);
                 }
-                // The other jobs of the transaction were unchanged at that same moment.
+                // A conflict lists the changed keys. The other jobs of the transaction were
+                // unchanged.
                 Ok(StoreResponse::Conflict { failed, .. }) => {
                     let changed = failed.contains(&records::job_key(&id));
                     self.conclude_verified(ctx, &id, requests, changed);
@@ -133,7 +137,7 @@
         self.send_verification(ctx);
     }
 
-    /// Continues the requests of a job whose state record has or has not `changed`.
+    /// Continues the requests of a job. `changed` says whether its state record has changed.
     fn conclude_verified(
         &mut self,
         ctx: &mut Context,
