--- a/crates/sched/src/candidates.rs
+++ b/crates/sched/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The order in which the machines for a job are tried.
+//! Iteration over the candidate machines for a job, in the order in which they are tried.
 
 use crate::capacity_index::CapacityIndex;
 use crate::machine_ranking::{CapacityKey, MachineRanking, ServiceImagesKey};
@@ -7,11 +7,13 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// A group of machines that a job tries together.
+/// The spot or on-demand machines that hold, or do not hold, the job's image. Groups are tried
+/// one after the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CandidateGroup {
+    /// Whether the group has the spot machines or the on-demand machines.
     pub spot: bool,
-    /// Whether the machines hold the job's image.
+    /// Whether the group has the machines that hold the job's image or the other ones.
     pub holds_image: bool,
 }
 
@@ -19,7 +21,7 @@
     CandidateGroup { spot, holds_image }
 }
 
-/// The groups for jobs that may run on spot machines, in order.
+/// The groups for jobs that may run on spot machines, in the order in which they are tried.
 const GROUPS_WITH_SPOT: [CandidateGroup; 4] = [
     group(true, true),
     group(true, false),
@@ -27,7 +29,7 @@
     group(false, false),
 ];
 
-/// The groups for all other jobs, in order.
+/// The groups for all other jobs, in the order in which they are tried.
 const ON_DEMAND_GROUPS: [CandidateGroup; 2] = [group(false, true), group(false, false)];
 
 fn candidate_groups(job: &JobView) -> &'static [CandidateGroup] {
@@ -38,7 +40,7 @@
     }
 }
 
-/// The machine of a group that was returned last.
+/// The key of the last machine that was returned from the current group.
 #[derive(Debug, Clone, Copy)]
 enum LastCandidate {
     None,
@@ -46,14 +48,15 @@
     ByServiceImages(ServiceImagesKey),
 }
 
-/// Goes over the machines that have the CPUs for a task of a job, the best first
+/// Iterates over the machines with enough free CPUs for a task of a job, the best first
 /// (see [`crate::capacity_index`] for the order).
 ///
-/// The index may change between the calls, so this is not an [`Iterator`] that borrows it. A
-/// machine that has taken a task never moves behind those that are still to come.
+/// This is not an [`Iterator`] that borrows the index, because the index changes between calls.
+/// A machine that is assigned a task moves up in the ranking, so the machines not yet returned
+/// remain in order.
 #[derive(Debug)]
 pub(crate) struct CandidateCursor {
-    /// Position in the list of groups.
+    /// Index of the current group in the list of groups.
     group: usize,
     last: LastCandidate,
     min_cpus_millionths: i64,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// The next machine with the CPUs that a task needs.
+    /// The next machine with enough free CPUs for a task.
     pub fn next_candidate(
         &mut self,
         capacity: &CapacityIndex,
@@ -87,7 +90,7 @@
         None
     }
 
-    /// The next machine of a ranking that contains the group.
+    /// The next machine of a ranking that contains the group, and possibly other machines.
     fn next_in_group(
         &mut self,
         capacity: &CapacityIndex,
@@ -113,7 +116,7 @@
         }
     }
 
-    /// The machine with the least free capacity that has enough CPUs.
+    /// The machine with the least free capacity among those with enough CPUs.
     fn next_best_fit(&mut self, machines: &BTreeSet<CapacityKey>) -> Option<MachineIndex> {
         let from = match self.last {
             LastCandidate::ByCapacity(key) => Bound::Excluded(key),
@@ -128,7 +131,7 @@
     fn next_worst_fit(&mut self, machines: &BTreeSet<CapacityKey>) -> Option<MachineIndex> {
         let min = CapacityKey::min_with_cpus(self.min_cpus_millionths);
         let to = match self.last {
-            // A range that ends before it starts would panic.
+            // `BTreeSet::range` panics if the end is below the start.
             LastCandidate::ByCapacity(key) if key <= min => return None,
             LastCandidate::ByCapacity(key) => Bound::Excluded(key),
             _ => Bound::Unbounded,
@@ -139,8 +142,8 @@
         Some(key.machine)
     }
 
-    /// The machine with the fewest images of services, of equals the one with the least free
-    /// capacity, that has enough CPUs.
+    /// The machine with the fewest service images among those with enough CPUs. Ties are broken
+    /// by the least free capacity.
     fn next_by_service_images(
         &mut self,
         machines: &BTreeSet<ServiceImagesKey>,
@@ -156,8 +159,7 @@
                 self.last = LastCandidate::ByServiceImages(key);
                 return Some(key.capacity.machine);
             }
-            // The first machine with that many images has too few CPUs: skip to those that
-            // have enough.
+            // Skip the machines with this number of service images that have too few CPUs.
             from = Bound::Included(ServiceImagesKey::min_with(key.service_images, min_cpus));
         }
     }
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -1,21 +1,20 @@
-//! An index of the machines with free capacity, ranked for the jobs that may use it.
+//! An index of machines by free capacity, which ranks the machines for a job.
 //!
-//! Machines are tried in this order:
+//! Machines are compared by these criteria, in order:
 //!
-//! - Spot machines before on-demand machines for jobs that may run there, so that on-demand
-//!   capacity is left for services.
-//! - Machines that hold the job's image before others: that saves a download.
-//! - Among on-demand machines, work other than services takes the one with the fewest images
-//!   of services, to leave the others to replicas.
-//! - Then the machine with the least free capacity that is enough (best fit), so that others
-//!   become empty and can be returned. A replica whose image has to be downloaded in any case
-//!   takes the machine with the most free capacity (worst fit) instead, so that as many more
-//!   replicas as possible find the image there.
+//! - Jobs that may run on spot machines try these before on-demand machines, which leaves
+//!   on-demand capacity to services.
+//! - Machines that hold the job's image come before others, which saves a download.
+//! - Jobs other than services prefer on-demand machines with few service images, which leaves
+//!   machines with cached service images to replicas.
+//! - Last, the machine with the least sufficient free capacity is chosen (best fit), so that
+//!   other machines become idle and can be scaled in. A replica whose image has to be downloaded
+//!   takes the machine with the most free capacity instead (worst fit), so that as many further
+//!   replicas as possible can use the downloaded image.
 //!
-//! On a busy fleet few machines have free CPUs, each for a moment only: those that hold an
-//! image are found by looking at all of them. Only while many machines have free CPUs is there
-//! a ranking per image as well, since a machine holds dozens of images and each task that is
-//! placed would change the ranking of each of them.
+//! A ranking per image is maintained only while many machines have free CPUs. A machine holds
+//! dozens of images, and every placement would update the rankings of all of them. While few
+//! machines have free CPUs, those that hold an image are found by a scan.
 
 use crate::candidates::CandidateGroup;
 use crate::machine_ranking::{CapacityKey, MachineRank, MachineRanking, PerMachineKind};
@@ -26,30 +25,30 @@
 use std::rc::Rc;
 
 /// Rankings per image are built when more machines than this have free CPUs, and dropped when
-/// fewer than half as many have.
-const IMAGE_RANKING_THRESHOLD: usize = 128;
+/// fewer than half this number have.
+const IMAGE_RANKING_MACHINES: usize = 128;
 
-/// Rankings of the machines that hold an image, by image.
+/// For each image, rankings of the machines that hold it.
 type ImageRankings = PerMachineKind<HashMap<Rc<str>, MachineRanking>>;
 
-/// Machines that may take tasks, indexed by their free capacity.
+/// An index of machines by free capacity (see the [module](self)).
 ///
 /// The [`Default`] index does not rank machines by image (see
 /// [`CapacityIndex::without_images`]).
 #[derive(Debug, Default)]
 pub struct CapacityIndex {
     views: Vec<Option<MachineView>>,
-    /// Machines with free CPUs.
+    /// Rankings of the machines with free CPUs.
     rankings: PerMachineKind<MachineRanking>,
-    /// The same by image, while many machines have free CPUs.
+    /// The same rankings per image; None while few machines have free CPUs.
     image_rankings: Option<ImageRankings>,
     /// Machines without free CPUs.
     without_free_cpus: BTreeSet<MachineIndex>,
-    /// How many machines are [`MachineView::outbound_unreachable`].
-    outbound_unreachable: usize,
-    /// Free on-demand CPUs by zone, in millionths; without cordoned machines.
+    /// Number of machines that are [`MachineView::outbound_unreachable`].
+    outbound_unreachable_count: usize,
+    /// Free on-demand CPUs in millionths by zone, excluding cordoned machines.
     on_demand_cpus_by_zone: BTreeMap<Rc<str>, i64>,
-    /// Free CPUs in millionths; without cordoned machines.
+    /// Free CPUs in millionths, excluding cordoned machines.
     free_cpus: PerMachineKind<i64>,
     /// Whether machines that hold a job's image are preferred.
     prefers_image_holders: bool,
@@ -64,43 +63,43 @@
         }
     }
 
-    /// An empty index that does not look at images: enough to tell whether there is capacity.
+    /// An empty index that ignores images, for callers that only check whether capacity exists.
     pub fn without_images() -> CapacityIndex {
         CapacityIndex::default()
     }
 
-    /// The machine as it is in the index.
+    /// The current view of a machine in the index.
     pub fn view(&self, machine: MachineIndex) -> Option<&MachineView> {
         self.views.get(machine as usize)?.as_ref()
     }
 
-    /// Replaces the view of a machine; None removes the machine.
+    /// Inserts or replaces the view of a machine; None removes the machine.
     pub fn set(&mut self, machine: MachineIndex, view: Option<MachineView>) {
-        let position = machine as usize;
-        if position >= self.views.len() {
-            self.views.resize(position + 1, None);
+        let slot = machine as usize;
+        if slot >= self.views.len() {
+            self.views.resize(slot + 1, None);
         }
-        if self.views[position] == view {
+        if self.views[slot] == view {
             return;
         }
-        if let Some(old) = self.views[position].take() {
+        if let Some(old) = self.views[slot].take() {
             self.remove_from_indexes(machine, &old);
         }
         if let Some(new) = view {
             self.add_to_indexes(machine, &new);
-            self.views[position] = Some(new);
+            self.views[slot] = Some(new);
         }
         self.update_image_rankings();
     }
 
-    /// Adds a machine at the next index that is not in use.
+    /// Adds a machine at the next unused index.
     pub fn add(&mut self, view: MachineView) {
-        // There are no more machines than indexes.
+        // The number of machines fits into a `MachineIndex`.
         self.set(self.views.len() as MachineIndex, Some(view));
     }
 
     fn add_to_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
-        self.outbound_unreachable += usize::from(view.outbound_unreachable);
+        self.outbound_unreachable_count += usize::from(view.outbound_unreachable);
         let rank = MachineRank::of(machine, view);
         let counted_cpus = counted_cpus_millionths(rank, view);
         *self.free_cpus.of_mut(view.spot) += counted_cpus;
@@ -119,7 +118,7 @@
     }
 
     fn remove_from_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
-        self.outbound_unreachable -= usize::from(view.outbound_unreachable);
+        self.outbound_unreachable_count -= usize::from(view.outbound_unreachable);
         let rank = MachineRank::of(machine, view);
         let counted_cpus = counted_cpus_millionths(rank, view);
         *self.free_cpus.of_mut(view.spot) -= counted_cpus;
@@ -138,14 +137,14 @@
         }
     }
 
-    /// Builds or drops the rankings per image, as many or few machines have free CPUs.
+    /// Builds or drops the rankings per image, depending on how many machines have free CPUs.
     fn update_image_rankings(&mut self) {
         let machines = self.rankings.iter().map(MachineRanking::len).sum::<usize>();
         if self.image_rankings.is_some() {
-            if machines < IMAGE_RANKING_THRESHOLD / 2 {
+            if machines < IMAGE_RANKING_MACHINES / 2 {
                 self.image_rankings = None;
             }
-        } else if self.prefers_image_holders && machines > IMAGE_RANKING_THRESHOLD {
+        } else if self.prefers_image_holders && machines > IMAGE_RANKING_MACHINES {
             let mut image_rankings = ImageRankings::default();
             for machine in self.machines_with_free_cpus() {
                 if let Some(view) = self.view(machine) {
@@ -162,7 +161,8 @@
         rankings.flat_map(|ranking| ranking.by_capacity().iter().map(|key| key.machine))
     }
 
-    /// A ranking that contains all machines of the group with free CPUs, and perhaps others.
+    /// A ranking that contains all machines of the group with free CPUs, and possibly other
+    /// machines (see [`CapacityIndex::is_in_group`]).
     pub(crate) fn ranking(&self, group: CandidateGroup, image: &str) -> Option<&MachineRanking> {
         match &self.image_rankings {
             Some(rankings) if group.holds_image => rankings.of(group.spot).get(image),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Whether a machine of the group's ranking is itself in the group.
+    /// Whether a machine of the group's ranking belongs to the group.
     pub(crate) fn is_in_group(
         &self,
         machine: MachineIndex,
@@ -188,7 +188,7 @@
 
     /// Whether any machine is [`MachineView::outbound_unreachable`].
     pub fn any_outbound_unreachable(&self) -> bool {
-        self.outbound_unreachable > 0
+        self.outbound_unreachable_count > 0
     }
 
     /// Whether the machine is [`MachineView::outbound_unreachable`].
@@ -197,13 +197,13 @@
             .is_some_and(|view| view.outbound_unreachable)
     }
 
-    /// Free CPUs of the on-demand machines in a zone, without those that are cordoned.
+    /// Free CPUs of the on-demand machines in a zone, excluding cordoned machines.
     pub fn free_on_demand_cpus(&self, zone: &str) -> f64 {
         let millionths = self.on_demand_cpus_by_zone.get(zone).copied();
         millionths.map_or(0.0, from_millionths)
     }
 
-    /// Free CPUs of all spot or of all on-demand machines, without those that are cordoned.
+    /// Free CPUs of all spot or all on-demand machines, excluding cordoned machines.
     pub fn free_cpus(&self, spot: bool) -> f64 {
         from_millionths(*self.free_cpus.of(spot))
     }
@@ -215,13 +215,13 @@
             .collect()
     }
 
-    /// Machines without free CPUs: they take tasks that need none.
+    /// Machines without free CPUs, which can run only tasks that require no CPUs.
     pub fn machines_without_free_cpus(&self) -> Vec<MachineIndex> {
         self.without_free_cpus.iter().copied().collect()
     }
 
-    /// Whether the machine's zone keeps its service headroom if it takes one more task of the
-    /// job.
+    /// Whether the service headroom of the machine's zone remains free if one more task of the
+    /// job is placed on the machine.
     fn leaves_headroom(&self, headroom_cpus: f64, job: &JobView, view: &MachineView) -> bool {
         if headroom_cpus <= 0.0 || !is_bound_by_headroom(job, view) {
             return true;
@@ -229,26 +229,26 @@
         self.free_on_demand_cpus(&view.zone) - job.spec.cpus + ROUNDING_TOLERANCE >= headroom_cpus
     }
 
-    /// Whether the policy lets the job use the machine; `failed` tells that the machine is one
-    /// to avoid.
+    /// Whether the policy allows the job to use the machine. `is_suspect` means that the machine
+    /// is cordoned or that the job failed on it.
     fn policy_allows(
         &self,
         policy: PlacementPolicy,
         job: &JobView,
         view: &MachineView,
-        failed: bool,
+        is_suspect: bool,
     ) -> bool {
         match policy {
             PlacementPolicy::Standard {
                 service_headroom_cpus,
-            } => !failed && self.leaves_headroom(service_headroom_cpus, job, view),
-            PlacementPolicy::IgnoreHeadroom => !failed,
+            } => !is_suspect && self.leaves_headroom(service_headroom_cpus, job, view),
+            PlacementPolicy::IgnoreHeadroom => !is_suspect,
             PlacementPolicy::LastResort => true,
         }
     }
 
-    /// Whether the zone of a machine, with a task of the job on it, has less than the headroom
-    /// that is reserved for services.
+    /// Whether a task of the job on this machine uses the service headroom: the job is not a
+    /// service, and the machine's zone has fewer free CPUs than the headroom.
     pub fn is_short_of_headroom(
         &self,
         machine: MachineIndex,
@@ -265,13 +265,13 @@
             })
     }
 
-    /// Whether any machine has the capacity for a task of a job with an equal request.
+    /// Whether any machine has capacity for a task of any job with an equal request.
     pub fn any_machine_fits(&self, job: &JobView, policy: PlacementPolicy) -> bool {
         let need = job.resources();
         let min_cpus = to_millionths(need.cpus);
         let fits = |machine: MachineIndex| {
             self.view(machine).is_some_and(|view| {
-                // Where this job failed itself does not matter to others like it.
+                // Machines on which only this job failed are open to jobs with an equal request.
                 view.free.fits(&need)
                     && job.request_allows(view)
                     && self.policy_allows(policy, job, view, view.cordoned)
@@ -287,8 +287,8 @@
             || (min_cpus == 0 && self.without_free_cpus.iter().copied().any(fits))
     }
 
-    /// Assigns as many of the job's waiting tasks as the machine takes, at most `max_tasks`,
-    /// and returns how many.
+    /// Assigns as many of the job's waiting tasks as fit on the machine, but at most `max_tasks`.
+    /// Returns the number of tasks assigned.
     pub fn assign_tasks(
         &mut self,
         machine: MachineIndex,
@@ -311,18 +311,18 @@
             && job.assign_next_task(&mut view, teams)
         {
             assigned += 1;
-            // The headroom left in the zone shrinks with every task.
+            // The headroom check of the next task must include this one.
             self.adjust_zone_cpus(&view, -task_cpus);
         }
         if assigned > 0 {
-            // Replacing the view subtracts the tasks' CPUs from the zone once more.
+            // Undo the adjustments: replacing the view subtracts the tasks' CPUs again.
             self.adjust_zone_cpus(&view, task_cpus * i64::from(assigned));
             self.set(machine, Some(view));
         }
         assigned
     }
 
-    /// Changes the free on-demand CPUs of the machine's zone if the machine counts there.
+    /// Adjusts the free on-demand CPUs of the machine's zone if the machine is included in them.
     fn adjust_zone_cpus(&mut self, view: &MachineView, change_millionths: i64) {
         if !view.spot
             && !view.cordoned
@@ -333,7 +333,7 @@
     }
 }
 
-/// Free CPUs of the machine, in millionths, that count towards the sums.
+/// The machine's contribution to the sums of free CPUs, in millionths.
 fn counted_cpus_millionths(rank: MachineRank, view: &MachineView) -> i64 {
     if view.cordoned {
         0
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -1,20 +1,21 @@
 //! The scheduling cycle: assigns waiting tasks to free capacity, job by job.
 //!
-//! A cycle goes over the job queue three times, in the order of HFSP (the Hadoop fair
-//! sojourn protocol, a shortest-remaining-size-first discipline with ageing):
+//! A cycle makes three passes over the job queue. Jobs are ordered by HFSP (Hadoop fair sojourn
+//! protocol), a shortest-remaining-size-first discipline with ageing:
 //!
-//! 1. services and tiny jobs;
-//! 2. training tasks, the job of the smallest initial size first, until training tasks use
-//!    their share of the CPUs: their run times tell how large the job is;
-//! 3. all other jobs, the smallest virtual size first. The virtual size of a job is its
-//!    estimated work in CPU seconds, less what it would have been served under fair sharing;
-//!    this ageing keeps large jobs from waiting for ever.
+//! 1. Services and tiny jobs.
+//! 2. Training tasks, whose run times give an estimate of the job's size. The job with the
+//!    smallest initial size comes first. The pass ends when training tasks use their share of
+//!    the CPUs.
+//! 3. All other jobs, the smallest virtual size first. The virtual size of a job is its
+//!    estimated work in CPU seconds minus the service that it would have received under fair
+//!    sharing. This ageing prevents the starvation of large jobs.
 //!
-//! Within each of the three, a job of higher priority comes before all of lower priority
-//! ([`crate::job_queue::QueueRank`] has the full order).
+//! Within each pass, jobs of higher priority come first
+//! ([`crate::job_queue::QueueRank`] defines the full order).
 //!
-//! Jobs whose team is at its quota are skipped. When a job finds no capacity, all jobs with an
-//! equal [`ResourceRequest`] are skipped as well.
+//! Jobs whose team is at its quota are skipped. When no machine has capacity for a job, all jobs
+//! with an equal [`ResourceRequest`] are skipped as well.
 
 use crate::candidates::CandidateCursor;
 use crate::capacity_index::CapacityIndex;
@@ -29,39 +30,39 @@
 /// A decision to start tasks of a job on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
-    /// Whose tasks.
+    /// Index of the job that the tasks belong to.
     pub job: JobIndex,
-    /// Where they are to run.
+    /// Index of the machine on which the tasks are to run.
     pub machine: MachineIndex,
-    /// How many.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Whether they use capacity that is reserved for services.
+    /// Whether the tasks use capacity that is reserved for services.
     pub uses_service_headroom: bool,
 }
 
-/// What a scheduling cycle decided.
+/// The result of a scheduling cycle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CycleResult {
-    /// The placements, in the order in which they were decided.
+    /// The assignments, in the order in which they were made.
     pub assignments: Vec<Assignment>,
-    /// How many jobs were looked at, a measure of what the cycle cost.
+    /// Number of jobs examined, a measure of the cost of the cycle.
     pub jobs_examined: usize,
 }
 
-/// What bounds a cycle besides quotas and free capacity.
+/// The parameters of a cycle, besides quotas and free capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
     /// The virtual time at which the cycle runs, in CPU seconds
     /// (see [`crate::job_queue`]).
     pub virtual_time: f64,
-    /// CPUs that training tasks may still take.
+    /// CPUs that further training tasks may use.
     pub training_cpus: f64,
-    /// On-demand CPUs per zone that work which may run on spot machines leaves to services
-    /// that must start sooner than any machine can be rented.
+    /// On-demand CPUs per zone that jobs which may run on spot machines must leave free, for
+    /// services that must start before a new machine could boot.
     pub service_headroom_cpus: f64,
 }
 
-/// Tasks of one job that were placed on one machine.
+/// A number of tasks of one job that were placed on the same machine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Placement {
     pub machine: MachineIndex,
@@ -71,11 +72,10 @@
 
 /// Places up to `max_tasks` of the job's waiting tasks, each on the best machine.
 ///
-/// A starving job for which no other capacity is left has one task placed where its kind is
-/// normally not allowed: in the service headroom, or on a machine where it failed. When that
-/// capacity was withheld without a limit in time, such a job once waited for ever beside free
-/// machines. One task is enough to end the starvation, and leaves the rest of the headroom to
-/// services.
+/// If no other capacity is left for a starving job, one of its tasks is placed under a less
+/// restrictive policy: in the service headroom, or on a machine where it failed. Otherwise the
+/// job could wait forever although machines are free. A single task ends the starvation and
+/// leaves the rest of the headroom to services.
 pub(crate) fn place_tasks(
     job: &mut JobView,
     capacity: &mut CapacityIndex,
@@ -109,7 +109,7 @@
     capacity: &'p mut CapacityIndex,
     teams: &'p mut [TeamAllowance],
     policy: PlacementPolicy,
-    /// How many tasks are still to be placed.
+    /// Number of tasks still to be placed.
     remaining_tasks: u32,
     placements: Vec<Placement>,
 }
@@ -132,10 +132,9 @@
         }
     }
 
-    /// Machines whose heartbeats do not arrive come last, for as long as there are any.
-    /// Leaving them out cost replicas and job arrays more than what their expiring leases end:
-    /// on days on which a third of the machines or a whole zone was in that state
-    /// (docs/results.md).
+    /// Places the tasks on machines whose heartbeats arrive first, then on outbound-unreachable
+    /// machines. The latter are not excluded, so that tasks still start while many machines or a
+    /// whole zone are in that state, at the risk that their leases expire.
     fn place(mut self) -> Vec<Placement> {
         self.place_on_ranked_machines(false);
         if self.capacity.any_outbound_unreachable() {
@@ -145,11 +144,11 @@
         self.placements
     }
 
-    /// Fills machines with free CPUs, the best first.
+    /// Fills machines with free CPUs, the best-ranked first.
     ///
-    /// A machine that has taken a task ranks higher than before, so it stays the best while it
-    /// may take more; and taking one never makes another machine eligible. Looking for the best
-    /// machine anew for every task would place them the same, at many times the cost.
+    /// One search per machine gives the same placements as one search per task, at lower cost: a
+    /// machine that is assigned a task moves up in the ranking, so it stays the best as long as
+    /// more tasks fit on it, and an assignment never makes another machine eligible.
     fn place_on_ranked_machines(&mut self, outbound_unreachable: bool) {
         let mut candidates = CandidateCursor::new(self.job);
         while self.remaining_tasks > 0 && self.job.team_allows(self.teams) {
@@ -162,7 +161,7 @@
         }
     }
 
-    /// Tasks that need no CPUs may also go where none are left.
+    /// Places tasks that require no CPUs on machines without free CPUs.
     fn place_on_machines_without_cpus(&mut self) {
         if self.remaining_tasks == 0 || to_millionths(self.job.spec.cpus) != 0 {
             return;
@@ -191,15 +190,15 @@
     }
 }
 
-/// What becomes of the sub-queue of a job that was looked at.
+/// How to proceed with a job's sub-queue after the job was examined.
 enum SubQueueDecision {
-    /// The next job of the sub-queue takes its turn.
+    /// Examine the next job of the sub-queue.
     Advance,
-    /// No other job of the sub-queue can be placed in this section of the queue.
-    Leave,
+    /// Skip the rest of the sub-queue: none of its jobs can be placed in this pass.
+    SkipRest,
 }
 
-/// Which tasks of the jobs are placed.
+/// Which tasks of the jobs a pass places.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TaskSelection {
     All,
@@ -207,7 +206,8 @@
 }
 
 impl TaskSelection {
-    /// How many tasks of the job may be placed; None if training tasks have used up their CPUs.
+    /// The number of tasks of the job that may be placed; None if the CPUs for training tasks are
+    /// used up.
     fn max_tasks(self, job: &JobView, training_cpus: f64) -> Option<u32> {
         match self {
             TaskSelection::All => Some(u32::MAX),
@@ -221,47 +221,47 @@
 
 /// The state of one scheduling cycle.
 struct Cycle<'a, 'c, V> {
-    /// Gives the view of a job of the queue.
+    /// Returns the view of a queued job.
     view_job: V,
     capacity: &'c mut CapacityIndex,
     teams: &'c mut [TeamAllowance],
     limits: CycleLimits,
-    /// Views of the jobs that were looked at, as the cycle has changed them.
+    /// Views of the jobs examined, including the changes made by the cycle.
     job_views: BTreeMap<JobIndex, JobView<'a>>,
-    /// Requests for which no capacity is left.
+    /// Requests for which no machine has capacity left.
     exhausted_requests: BTreeSet<Rc<ResourceRequest>>,
     assignments: Vec<Assignment>,
 }
 
 impl<'a, V: Fn(JobIndex) -> Option<JobView<'a>>> Cycle<'a, '_, V> {
-    /// Places tasks of the jobs of one section of the queue, in order.
+    /// Runs one pass: places tasks of the jobs of one section of the queue, in order.
     fn run_section(&mut self, mut cursor: QueueCursor<'_>, selection: TaskSelection) {
         while let Some(queued) = cursor.next_job() {
             match self.place_job(&queued, selection) {
                 SubQueueDecision::Advance => cursor.advance(queued.sub_queue),
-                SubQueueDecision::Leave => {}
+                SubQueueDecision::SkipRest => {}
             }
         }
     }
 
-    /// Places tasks of the job whose turn it is.
+    /// Places tasks of one queued job.
     fn place_job(&mut self, queued: &QueuedJob<'_>, selection: TaskSelection) -> SubQueueDecision {
         if self.exhausted_requests.contains(queued.request) {
-            return SubQueueDecision::Leave;
+            return SubQueueDecision::SkipRest;
         }
         let job = match self.job_views.entry(queued.index) {
-            Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(unknown) => match (self.view_job)(queued.index) {
-                Some(job) => unknown.insert(job),
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => match (self.view_job)(queued.index) {
+                Some(job) => entry.insert(job),
                 None => return SubQueueDecision::Advance,
             },
         };
-        // The jobs of a sub-queue have the same team and need the same.
+        // All jobs of a sub-queue have the same team and the same resource requirements.
         if !job.team_allows(self.teams) {
-            return SubQueueDecision::Leave;
+            return SubQueueDecision::SkipRest;
         }
         let Some(max_tasks) = selection.max_tasks(job, self.limits.training_cpus) else {
-            return SubQueueDecision::Leave;
+            return SubQueueDecision::SkipRest;
         };
         let headroom_cpus = self.limits.service_headroom_cpus;
         let placements = place_tasks(job, self.capacity, self.teams, headroom_cpus, max_tasks);
@@ -282,13 +282,13 @@
         let policy = PlacementPolicy::for_request(queued.request, headroom_cpus);
         if tasks_left && !self.capacity.any_machine_fits(job, policy) {
             self.exhausted_requests.insert(queued.request.clone());
-            return SubQueueDecision::Leave;
+            return SubQueueDecision::SkipRest;
         }
         SubQueueDecision::Advance
     }
 }
 
-/// How many tasks of so many CPUs each fit into `available_cpus`.
+/// How many tasks of `task_cpus` each fit into `available_cpus`.
 fn affordable_tasks(available_cpus: f64, task_cpus: f64) -> u32 {
     if task_cpus > ROUNDING_TOLERANCE {
         // A cast from a float saturates.
@@ -300,8 +300,8 @@
 
 /// Runs one scheduling cycle (see the [module](self)).
 ///
-/// `view_job` gives the view of a job of the queue, or None for a job that is to be skipped.
-/// `capacity` and `teams` are left as they are once all assignments are applied.
+/// `view_job` returns the view of a queued job, or None for a job that is to be skipped.
+/// `capacity` and `teams` are updated with the assignments.
 pub fn run_cycle<'a>(
     queue: &JobQueue,
     view_job: impl Fn(JobIndex) -> Option<JobView<'a>>,
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -1,20 +1,20 @@
 //! The waiting jobs in the order in which they compete for capacity.
 //!
-//! Jobs are kept in sub-queues, one for each team, [`ResourceRequest`] and [`AgeingState`], and
-//! a [`QueueCursor`] merges the heads of the sub-queues. When a team is at its quota, or there
-//! is no capacity for a request, the cursor leaves the whole sub-queue: its other jobs are not
-//! looked at.
+//! Jobs are kept in sub-queues, one for each combination of team, [`ResourceRequest`] and
+//! [`AgeingState`]. A [`QueueCursor`] merges the heads of the sub-queues. When a team is at its
+//! quota, or no machine has capacity for a request, the caller skips the rest of the sub-queue
+//! without examining its jobs.
 //!
 //! # Ageing
 //!
 //! Ageing subtracts the same amount from the virtual size of every ageing job, so it does not
-//! change their order. Therefore no size is stored that would have to be updated: a job is
-//! entered with the virtual time at which its size will be zero (its size plus the virtual time
-//! at the moment), and only the virtual time, common to all jobs, advances. Virtual time and
-//! sizes are in CPU seconds.
+//! change their order. Therefore an entry does not store the current virtual size, which would
+//! have to be updated, but the virtual time at which it reaches zero: the size plus the virtual
+//! time of the insertion. Only the virtual time, which all jobs share, advances. Virtual time
+//! and sizes are in CPU seconds.
 //!
-//! A job whose size is zero is ordered by its remaining work instead and belongs to another
-//! sub-queue. The owner of the queue has to move it when its time has come
+//! A job whose virtual size has reached zero is ordered by its remaining work instead and
+//! belongs to another sub-queue. The owner of the queue has to replace the entries of such jobs
 //! ([`JobQueue::next_aged_to_zero`]).
 
 use crate::resources::OrderedFloat;
@@ -24,18 +24,18 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
 use std::rc::Rc;
 
-/// How a job's virtual size follows from [`QueueRank::size`].
+/// How a job's virtual size is computed from [`QueueRank::size`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AgeingState {
-    /// The virtual size has aged to zero.
+    /// The virtual size has reached zero.
     Aged,
-    /// The virtual size is `size` less the virtual time.
+    /// The virtual size is `size` minus the virtual time.
     Ageing,
-    /// The virtual size is `size`: for services, and for jobs that do not age at present.
+    /// The virtual size is `size`. Used for services and for jobs whose ageing is paused.
     Fixed,
 }
 
-/// The order of the jobs of a sub-queue: field by field, the least first.
+/// The sort key of the jobs of a sub-queue: fields are compared in order, the least first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueRank {
     /// Services come first.
@@ -44,35 +44,35 @@
     pub priority: Reverse<Priority>,
     /// Tiny jobs come before others.
     pub tiny: Reverse<bool>,
-    /// The virtual size in CPU seconds, or for an ageing job the virtual time at which it is
-    /// zero ([`AgeingState`]).
+    /// The virtual size in CPU seconds or, for an ageing job, the virtual time at which it
+    /// reaches zero (see [`AgeingState`]).
     pub size: OrderedFloat,
-    /// The remaining work in CPU seconds: orders jobs that have aged to zero; 0 for all others.
+    /// The remaining work in CPU seconds of a job that has aged to zero; 0 for all other jobs.
     pub remaining: OrderedFloat,
-    /// Time of day in microseconds at which the job was submitted or, if later, its dependencies
-    /// were met: older jobs come first among equals.
+    /// Wall-clock time in microseconds at which the job was submitted or, if later, its
+    /// dependencies were met. Older jobs come first.
     pub ready_at_us: u64,
-    /// The job's id, which makes the order unambiguous.
+    /// The job's id, which makes the order total.
     pub id: Rc<str>,
 }
 
 /// A waiting job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueueEntry {
-    /// Position of its team in the list of allowances.
+    /// Index of its team in the list of allowances.
     pub team: usize,
-    /// What decides where its tasks may run.
+    /// The properties that decide which machines its tasks may run on.
     pub request: Rc<ResourceRequest>,
-    /// How its virtual size moves.
+    /// Whether and how its virtual size changes.
     pub ageing: AgeingState,
-    /// Its rank among all jobs.
+    /// Its rank in the urgent or the regular section.
     pub rank: QueueRank,
-    /// Its rank, by initial size, among jobs that have training tasks to place.
+    /// Its rank, by initial size, in the training section; None if it has no training tasks to
+    /// place.
     pub training: Option<QueueRank>,
 }
 
 impl QueueEntry {
-    /// Services and tiny jobs go before training tasks.
     fn section(&self) -> QueueSection {
         if self.rank.service.0 || self.rank.tiny.0 {
             QueueSection::Urgent
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Initial sizes do not age.
+    /// The sub-queue for training tasks, which are ordered by initial sizes that do not age.
     fn training_sub_queue(&self) -> SubQueueKey {
         SubQueueKey {
             ageing: AgeingState::Fixed,
@@ -98,10 +98,10 @@
     }
 }
 
-/// Which jobs a [`QueueCursor`] goes over.
+/// A part of the queue, over which a [`QueueCursor`] iterates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueSection {
-    /// Services and tiny jobs.
+    /// Services and tiny jobs, which are placed before training tasks.
     Urgent,
     /// Jobs with training tasks to place, by initial size.
     Training,
@@ -109,7 +109,7 @@
     Regular,
 }
 
-/// What the jobs of a sub-queue have in common.
+/// The properties that all jobs of a sub-queue share.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SubQueueKey {
     team: usize,
@@ -143,7 +143,7 @@
     }
 }
 
-/// When the virtual size of an ageing job is zero.
+/// The virtual time at which the virtual size of an ageing job reaches zero.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AgeingEnd {
     virtual_time: OrderedFloat,
@@ -171,21 +171,21 @@
 }
 
 impl JobQueue {
-    /// Replaces the entry of a job; None removes the job.
+    /// Inserts or replaces the entry of a job; None removes it.
     pub fn set(&mut self, job: JobIndex, entry: Option<QueueEntry>) {
-        let position = job as usize;
-        if position >= self.entries.len() {
-            self.entries.resize(position + 1, None);
+        let slot = job as usize;
+        if slot >= self.entries.len() {
+            self.entries.resize(slot + 1, None);
         }
-        if self.entries[position] == entry {
+        if self.entries[slot] == entry {
             return;
         }
-        if let Some(old) = self.entries[position].take() {
+        if let Some(old) = self.entries[slot].take() {
             self.remove(job, old);
         }
         if let Some(new) = entry {
             self.insert(job, &new);
-            self.entries[position] = Some(new);
+            self.entries[slot] = Some(new);
         }
     }
 
@@ -232,19 +232,19 @@
         }
     }
 
-    /// A job whose entry says [`AgeingState::Ageing`] and whose virtual size is zero by now, if
-    /// there is one. The caller has to [`set`](JobQueue::set) its entry anew.
+    /// Returns a job whose entry is [`AgeingState::Ageing`] but whose virtual size has reached
+    /// zero, if there is one. The caller has to replace its entry by [`set`](JobQueue::set).
     pub fn next_aged_to_zero(&self, virtual_time: f64) -> Option<JobIndex> {
         let end = self.ageing_ends.first()?;
         (end.virtual_time.0 <= virtual_time).then_some(end.job)
     }
 
-    /// Whether no job waits.
+    /// Whether no job is waiting.
     pub fn is_empty(&self) -> bool {
         self.urgent.0.is_empty() && self.regular.0.is_empty()
     }
 
-    /// Goes over a section of the queue, in order.
+    /// A cursor over the jobs of a section, in order.
     pub fn cursor(&self, section: QueueSection, virtual_time: f64) -> QueueCursor<'_> {
         let sub_queues = self.section(section).0.iter();
         let mut cursor = QueueCursor {
@@ -263,11 +263,12 @@
         cursor
     }
 
-    /// All jobs in the order in which they compete, training tasks aside.
+    /// All jobs in the order in which they compete, without regard to training tasks.
     pub fn iter_in_order(&self, virtual_time: f64) -> impl Iterator<Item = JobIndex> + '_ {
         let mut urgent = self.cursor(QueueSection::Urgent, virtual_time);
         let mut regular = self.cursor(QueueSection::Regular, virtual_time);
-        // The priority counts before whether a job is tiny, so the sections are merged.
+        // The sections are merged and not concatenated because a regular job of higher priority
+        // comes before a tiny job.
         std::iter::from_fn(move || {
             let urgent_is_next = match (urgent.heads.peek(), regular.heads.peek()) {
                 (Some(urgent), Some(regular)) => urgent.0.rank <= regular.0.rank,
@@ -285,7 +286,7 @@
     }
 }
 
-/// A [`QueueRank`] at a given virtual time, comparable between sub-queues.
+/// A [`QueueRank`] evaluated at a virtual time, which makes it comparable across sub-queues.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EffectiveRank<'q> {
     service: Reverse<bool>,
@@ -316,7 +317,7 @@
     }
 }
 
-/// The first job of a sub-queue that has not been returned yet.
+/// The next job of a sub-queue.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SubQueueHead<'q> {
     rank: EffectiveRank<'q>,
@@ -324,28 +325,28 @@
     sub_queue: usize,
 }
 
-/// The jobs of a sub-queue behind its head.
+/// The jobs of a sub-queue after its head.
 #[derive(Debug)]
 struct SubQueueIter<'q> {
     key: &'q SubQueueKey,
     jobs: btree_set::Iter<'q, QueuePosition>,
 }
 
-/// A job whose turn it is.
+/// A job returned by a [`QueueCursor`].
 #[derive(Debug, Clone, Copy)]
 pub struct QueuedJob<'q> {
-    /// Which job.
+    /// Index into the table of jobs.
     pub index: JobIndex,
-    /// Its sub-queue, for [`QueueCursor::advance`].
+    /// Index of its sub-queue, to be passed to [`QueueCursor::advance`].
     pub sub_queue: usize,
-    /// The request of all jobs of the sub-queue.
+    /// The request, which all jobs of the sub-queue share.
     pub request: &'q Rc<ResourceRequest>,
 }
 
-/// Goes over the jobs of a section in order: a merge of its sub-queues.
+/// Iterates over the jobs of a section in order, by merging its sub-queues.
 ///
-/// A sub-queue contributes its next job only after [`QueueCursor::advance`]: one that the
-/// caller does not advance is left for good.
+/// After a job was returned, its sub-queue yields another one only if the caller calls
+/// [`QueueCursor::advance`]; otherwise the rest of the sub-queue is skipped.
 #[derive(Debug)]
 pub struct QueueCursor<'q> {
     sub_queues: Vec<SubQueueIter<'q>>,
@@ -354,7 +355,7 @@
 }
 
 impl<'q> QueueCursor<'q> {
-    /// The first of the heads of all sub-queues.
+    /// Removes and returns the first of the heads of all sub-queues.
     pub fn next_job(&mut self) -> Option<QueuedJob<'q>> {
         let Reverse(head) = self.heads.pop()?;
         Some(QueuedJob {
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,20 +1,20 @@
 //! Scheduling decisions: which waiting task runs on which machine, which running tasks are
-//! preempted, and which machines are rented. No clock, no I/O, and no knowledge of agents or of
-//! the store: all of it is computed from what the caller passes in.
+//! preempted, and which machines are provisioned. The crate reads no clock, does no I/O and does
+//! not communicate with workers or the store: every decision is computed from the arguments.
 //!
-//! The order of jobs is that of HFSP, a size-based fair scheduling discipline; [`cycle`]
-//! explains it.
+//! Jobs are ordered by HFSP, a size-based fair scheduling discipline described in [`cycle`].
 //!
 //! - [`job_queue`] keeps the waiting jobs in order, and [`capacity_index`] the machines with
-//!   free capacity. Both are updated with every change, so that a scheduling cycle costs what
-//!   it places, however many machines and waiting tasks there are.
+//!   free capacity. Both are updated incrementally, so that the cost of a scheduling cycle
+//!   depends on the number of tasks placed and not on the size of the fleet or the backlog.
 //! - [`cycle`] assigns waiting tasks to free capacity.
-//! - [`preemption`] chooses running tasks to stop for replicas that must start soon.
-//! - [`scale_out_plan`] decides which machines to rent for the tasks that find no capacity.
-//! - [`views`], [`resources`] and [`placement_policy`] hold the types that these share.
+//! - [`preemption`] selects running tasks to stop for replicas that must start soon.
+//! - [`scale_out_plan`] decides which machines to provision for tasks that do not fit on the
+//!   existing ones.
+//! - [`views`], [`resources`] and [`placement_policy`] define the types shared by these modules.
 //!
-//! Amounts are in CPUs, GPUs and GB of memory; sums that live for long are in whole millionths
-//! of these ([`to_millionths`]). Job sizes and virtual time are in CPU seconds.
+//! Amounts are in CPUs, GPUs and GB of memory; long-lived sums are in whole millionths of these
+//! units ([`to_millionths`]). Job sizes and virtual time are in CPU seconds.
 
 #![warn(
     missing_docs,
--- a/crates/sched/src/machine_ranking.rs
+++ b/crates/sched/src/machine_ranking.rs
@@ -1,10 +1,10 @@
-//! Sorted sets of machines with free CPUs.
+//! Ordered sets of machines with free CPUs.
 
 use crate::resources::to_millionths;
 use crate::views::{MachineIndex, MachineView};
 use std::collections::BTreeSet;
 
-/// One value for on-demand and one for spot machines.
+/// A pair of values, one for on-demand and one for spot machines.
 #[derive(Debug, Default)]
 pub(crate) struct PerMachineKind<T> {
     on_demand: T,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The value of on-demand, then that of spot machines.
+    /// Iterates over the value for on-demand machines, then that for spot machines.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         [&self.on_demand, &self.spot].into_iter()
     }
@@ -39,7 +39,7 @@
 }
 
 impl CapacityKey {
-    /// A bound below all machines that have so many free CPUs.
+    /// The lower bound of the keys of machines with at least this many free CPUs.
     pub fn min_with_cpus(cpus_millionths: i64) -> CapacityKey {
         CapacityKey {
             cpus_millionths,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sorts machines by how many images of services they hold, then by free capacity.
+/// Sorts machines by the number of service images that they hold, then by free capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceImagesKey {
     pub service_images: u32,
@@ -57,7 +57,8 @@
 }
 
 impl ServiceImagesKey {
-    /// A bound below all machines that hold so many such images and have so many free CPUs.
+    /// The lower bound of the keys of machines with this many service images and at least this
+    /// many free CPUs.
     pub fn min_with(service_images: u32, cpus_millionths: i64) -> ServiceImagesKey {
         ServiceImagesKey {
             service_images,
@@ -66,7 +67,7 @@
     }
 }
 
-/// What a machine is ranked by.
+/// The position of a machine in the rankings.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MachineRank {
     spot: bool,
@@ -74,7 +75,7 @@
 }
 
 impl MachineRank {
-    /// The rank of a machine; free amounts below zero count as none.
+    /// The rank of a machine. Negative free amounts count as zero.
     pub fn of(machine: MachineIndex, view: &MachineView) -> MachineRank {
         let capacity = CapacityKey {
             cpus_millionths: to_millionths(view.free.cpus).max(0),
@@ -90,7 +91,6 @@
         }
     }
 
-    /// A machine without free CPUs takes only tasks that need none.
     pub fn has_free_cpus(&self) -> bool {
         self.cpus_millionths() > 0
     }
@@ -100,11 +100,11 @@
     }
 }
 
-/// Machines of one kind (on demand or spot) in the orders in which they are tried.
+/// Machines of one kind (on-demand or spot) in the orders in which they are tried.
 #[derive(Debug, Default)]
 pub(crate) struct MachineRanking {
     by_capacity: BTreeSet<CapacityKey>,
-    /// On-demand machines only: no service runs on spot machines.
+    /// Contains on-demand machines only, because services do not run on spot machines.
     by_service_images: BTreeSet<ServiceImagesKey>,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Removes a machine; `rank` is the one that it was inserted with.
+    /// Removes a machine. `rank` must equal the rank with which it was inserted.
     pub fn remove(&mut self, rank: MachineRank) {
         self.by_capacity.remove(&rank.key.capacity);
         if !rank.spot {
--- a/crates/sched/src/placement_policy.rs
+++ b/crates/sched/src/placement_policy.rs
@@ -1,23 +1,24 @@
-//! Which capacity a job may use.
+//! Policies for the use of reserved capacity and of machines on which jobs failed.
 
 use crate::views::{JobView, MachineView, ResourceRequest};
 
-/// What a job's tasks may use beside what its own rules allow.
+/// The restrictions that apply to a job's tasks in addition to the job's own constraints.
 #[derive(Debug, Clone, Copy)]
 pub enum PlacementPolicy {
-    /// Neither the service headroom nor machines on which it or others failed.
+    /// Tasks may use neither the service headroom nor machines on which the job failed or that
+    /// are cordoned.
     Standard {
-        /// On-demand CPUs per zone that are left to services.
+        /// On-demand CPUs per zone that are reserved for services.
         service_headroom_cpus: f64,
     },
-    /// The service headroom as well.
+    /// Tasks may use the service headroom as well.
     IgnoreHeadroom,
-    /// Every machine, also where it or others failed.
+    /// Tasks may use every machine.
     LastResort,
 }
 
 impl PlacementPolicy {
-    /// The most that jobs with this request may use: starving ones go anywhere.
+    /// The least restrictive policy that applies to jobs with this request.
     pub fn for_request(request: &ResourceRequest, service_headroom_cpus: f64) -> PlacementPolicy {
         if request.starving() {
             PlacementPolicy::LastResort
@@ -29,8 +30,8 @@
     }
 }
 
-/// Whether the service headroom is withheld from the job: from work that may run on spot
-/// machines, but never from services.
+/// Whether the job must leave the service headroom free on this machine: this holds for jobs that
+/// may run on spot machines and are not services.
 pub(crate) fn is_bound_by_headroom(job: &JobView, machine: &MachineView) -> bool {
     !machine.spot && job.spec.spot && !job.is_service()
 }
--- a/crates/sched/src/preemption.rs
+++ b/crates/sched/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which running tasks to stop for replicas that must start soon.
+//! Preemption: selects running tasks to stop so that replicas which must start soon can be placed.
 
 use crate::resources::Resources;
 use crate::views::{JobView, MachineView, TeamAllowance};
@@ -7,17 +7,17 @@
 /// A running task that may be preempted.
 #[derive(Debug, Clone)]
 pub struct PreemptionCandidate {
-    /// Position of its machine in the list of machines.
+    /// Index of its machine in the list of machines.
     pub machine: usize,
-    /// What stopping it sets free.
+    /// Resources that are released when it stops.
     pub resources: Resources,
     /// The priority of its job.
     pub priority: Priority,
-    /// How long it has run, in microseconds: the work that is lost.
+    /// How long it has run, in microseconds, as a measure of the work that would be lost.
     pub run_time_us: u64,
 }
 
-/// What it costs to place a replica on a machine, compared field by field.
+/// The cost of placing a replica on a machine. Fields are compared in order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
     preempts_tasks: bool,
@@ -25,20 +25,21 @@
     lost_run_time_us: u64,
 }
 
-/// A way to place one more replica.
+/// A machine for one more replica, with the tasks that would be preempted there.
 struct PreemptionChoice {
     cost: PreemptionCost,
-    /// Position of the machine in the list of machines.
+    /// Index of the machine in the list of machines.
     machine: usize,
-    /// Positions in the list of candidates.
+    /// Indexes into the list of candidates.
     victims: Vec<usize>,
 }
 
-/// The state of one choice of preemptions.
+/// The state of one call of [`choose_preemptions`].
 struct PreemptionPlanner<'a> {
     machines: &'a mut [MachineView],
     candidates: &'a [PreemptionCandidate],
-    /// Positions of the candidates on each machine that are left, the shortest run time first.
+    /// For each machine, the indexes of its candidates that are not yet preempted, the shortest
+    /// run time first.
     candidates_by_machine: Vec<Vec<usize>>,
 }
 
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The tasks to stop so that the machine takes one more task of the job, with the cost;
-    /// None if stopping all that may be stopped is not enough.
+    /// The tasks to stop so that one more task of the job fits on the machine, with the cost;
+    /// None if it would not fit even if all preemptible tasks were stopped.
     fn choice_on(&self, job: &JobView, machine: usize) -> Option<PreemptionChoice> {
         let need = job.resources();
         let view = &self.machines[machine];
@@ -92,7 +93,8 @@
         })
     }
 
-    /// The cheapest way to place one more task of the job; of equals the first machine's.
+    /// The cheapest way to place one more task of the job. Ties are broken by the lower machine
+    /// index.
     fn cheapest_choice(&self, job: &JobView) -> Option<PreemptionChoice> {
         (0..self.machines.len())
             .filter(|&machine| job.allows(&self.machines[machine]))
@@ -106,7 +108,7 @@
             })
     }
 
-    /// Frees what the victims on the machine use; none of them is chosen again.
+    /// Releases the resources of the victims and removes them from the candidates.
     fn release_victims(&mut self, choice: &PreemptionChoice) {
         for victim in &choice.victims {
             let machine = &mut self.machines[choice.machine];
@@ -116,13 +118,14 @@
     }
 }
 
-/// Chooses the running tasks to preempt so that waiting replicas can be placed, as positions
-/// in `candidates`.
+/// Chooses the running tasks to preempt so that waiting replicas can be placed. Returns their
+/// indexes in `candidates`.
 ///
-/// `jobs` are services in the order in which they compete. For each replica the machine is
-/// taken where the least work is lost, and only tasks of lower priority are stopped. What
-/// `machines` have free must include the resources of tasks that were told to stop earlier, so
-/// that one replica does not stop a second task while the first one ends.
+/// `jobs` are services in the order in which they compete. Each replica is placed on the machine
+/// with the lowest cost: without preemption if possible, then where its image is present, then
+/// where the least work is lost. Only tasks of lower priority are preempted. The free
+/// resources of `machines` must include those of tasks that are already stopping; otherwise one
+/// replica could preempt a second task while the first one is still ending.
 pub fn choose_preemptions(
     jobs: &mut [JobView],
     machines: &mut [MachineView],
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -4,15 +4,15 @@
 use dillcleat_wire::user::JobSpec;
 use std::cmp::Ordering;
 
-/// Amounts that differ by less are taken as equal: the difference is rounding.
+/// Amounts that differ by less than this are equal: the difference is a rounding error.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 const MILLIONTHS_PER_UNIT: f64 = 1e6;
 
 /// Converts an amount to whole millionths (of a CPU, a GPU or a GB).
 ///
-/// Sums that are updated by additions and subtractions for weeks are kept in this unit: sums
-/// of floats would drift. Amounts out of range saturate, and NaN becomes 0.
+/// Long-lived running sums are kept in this unit, because rounding errors of floats would
+/// accumulate. Amounts out of range saturate, and NaN becomes 0.
 pub fn to_millionths(amount: f64) -> i64 {
     (amount * MILLIONTHS_PER_UNIT).round() as i64
 }
@@ -24,8 +24,8 @@
 
 /// A float with a total order ([`f64::total_cmp`]), for use in ordered keys.
 ///
-/// The `ordered-float` crate is not used because it takes -0.0 and 0.0 as equal, which would
-/// order jobs differently.
+/// The `ordered-float` crate is not used because it treats -0.0 and 0.0 as equal, which would
+/// change the order of jobs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OrderedFloat(pub f64);
 
@@ -43,12 +43,12 @@
     }
 }
 
-/// What a task needs, or what a machine has in total or free.
+/// The resources that a task requires, or the total or free resources of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// CPUs; fractions are allowed.
+    /// Number of CPUs, which may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What one task of the job needs.
+    /// The resources that one task of the job requires.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -73,30 +73,30 @@
         }
     }
 
-    /// Whether `need` fits into this amount.
+    /// Whether these resources suffice for `need`.
     pub fn fits(&self, need: &Resources) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= need.cpus
             && self.gpus + ROUNDING_TOLERANCE >= need.gpus
             && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
     }
 
-    /// Takes `need` away from this amount.
+    /// Subtracts `need`; the result may be negative.
     pub fn subtract(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.memory_gb -= need.memory_gb;
     }
 
-    /// Adds what is released.
+    /// Adds released resources.
     pub fn add(&mut self, released: &Resources) {
         self.cpus += released.cpus;
         self.gpus += released.gpus;
         self.memory_gb += released.memory_gb;
     }
 
-    /// How many times `need` fits; [`u32::MAX`] if it needs nothing at all.
+    /// How many times `need` fits; [`u32::MAX`] if `need` is zero.
     pub fn count_fitting(&self, need: &Resources) -> u32 {
-        let times = |available: f64, needed: f64| {
+        let count = |available: f64, needed: f64| {
             if needed > ROUNDING_TOLERANCE {
                 // A cast from a float saturates.
                 ((available + ROUNDING_TOLERANCE) / needed) as u32
@@ -104,8 +104,8 @@
                 u32::MAX
             }
         };
-        times(self.cpus, need.cpus)
-            .min(times(self.gpus, need.gpus))
-            .min(times(self.memory_gb, need.memory_gb))
+        count(self.cpus, need.cpus)
+            .min(count(self.gpus, need.gpus))
+            .min(count(self.memory_gb, need.memory_gb))
     }
 }
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,10 +1,11 @@
-//! The scale-out plan: which machines to rent for tasks that find no capacity.
+//! The scale-out plan: which machines to provision for tasks that do not fit on existing ones.
 //!
-//! The plan goes over the waiting jobs in the order in which they compete. A job first takes
-//! the capacity that will be free by the time a rented machine could be up. For what is left
-//! of it the offer with the lowest price per task is rented, one machine after the other, and
-//! what the job leaves free on a new machine is there for the jobs behind it. Last, on-demand
-//! machines are rented ahead of services that must start sooner than any machine boots.
+//! The planner goes over the waiting jobs in the order in which they compete. A job is first
+//! assigned the capacity that will be free by the time a new machine could have booted. For its
+//! remaining tasks the planner provisions machines one by one, each from the offer with the lowest
+//! price per task. Capacity that the job leaves free on a new machine is available to later jobs.
+//! Finally, on-demand machines are provisioned proactively for services that must start before
+//! a new machine could boot.
 
 use crate::capacity_index::CapacityIndex;
 use crate::cycle::place_tasks;
@@ -15,30 +16,30 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Prices per hour that differ by no more are taken as equal.
+/// Prices per hour that differ by at most this amount are equal.
 const PRICE_TOLERANCE: f64 = 1e-9;
 
-/// What the cloud rents out: machines of one type in one zone, either spot or on demand.
+/// A kind of machine that the cloud offers: a type in a zone, either spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct InstanceOffering {
     /// The name of the machine type.
     pub machine_type: String,
-    /// The zone in which the machine runs.
+    /// The zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
 }
 
-/// Machines of one offering that are to be rented.
+/// A number of machines of one offering that are to be provisioned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedScaleOut {
-    /// What to rent.
+    /// The offering from which the machines are requested.
     pub offering: InstanceOffering,
-    /// How many machines, at most [`MAX_SCALE_OUT`].
+    /// Number of machines, at most [`MAX_SCALE_OUT`].
     pub count: u32,
 }
 
-/// Offerings that the cloud refused lately, with the time until which not to ask for them.
+/// Offerings that the cloud refused recently, with the time until which they are not requested.
 #[derive(Debug, Default)]
 pub struct RefusedOfferings(HashMap<InstanceOffering, u64>);
 
@@ -48,54 +49,57 @@
         self.0.insert(offering, until_us);
     }
 
-    /// Whether the offering may be asked for; `now_us` is in microseconds of the monotonic
-    /// clock.
+    /// Whether the offering may be requested; `now_us` is in microseconds of the monotonic clock.
     pub fn is_open(&self, offering: &InstanceOffering, now_us: u64) -> bool {
         let refused_until_us = self.0.get(offering);
         refused_until_us.is_none_or(|until_us| now_us >= *until_us)
     }
 }
 
-/// What a plan is made from, beside the jobs and the capacity.
+/// The inputs of a plan, besides the jobs and the capacity.
 #[derive(Debug)]
 pub struct PlanInputs<'a> {
-    /// All machine types of the cloud.
+    /// All machine types that the cloud offers.
     pub types: &'a [MachineType],
-    /// Offerings that are not asked for at present.
+    /// Offerings that must not be requested at present.
     pub refusals: &'a RefusedOfferings,
-    /// Zones in which nothing is rented: machines there would be paid for and never heard of.
+    /// Zones in which no machines are provisioned, because they could not be reached after they
+    /// have booted.
     pub unreachable_zones: BTreeSet<Rc<str>>,
-    /// Machine types and zones whose machine rented last is late to boot.
+    /// Pairs of machine type and zone whose most recently provisioned machine has exceeded the
+    /// expected boot time.
     pub late_offerings: BTreeSet<(Rc<str>, Rc<str>)>,
-    /// Number of machines by zone, those that are booting included.
+    /// Number of machines by zone, including those that are booting.
     pub machines_by_zone: BTreeMap<Rc<str>, u32>,
-    /// CPUs by zone of the service headroom that are lent to work which services may preempt.
+    /// CPUs of the service headroom, by zone, that are used by tasks which services may preempt.
     pub lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
-    /// On-demand CPUs per zone that spot work must leave free for services.
+    /// On-demand CPUs per zone that jobs which may run on spot machines must leave free for
+    /// services.
     pub service_headroom_cpus: f64,
-    /// On-demand CPUs per zone, a part of the headroom, that are rented before any service
-    /// needs them.
+    /// The part of the headroom, in on-demand CPUs per zone, that is provisioned before any
+    /// service requires it.
     pub proactive_headroom_cpus: f64,
-    /// In microseconds of the monotonic clock.
+    /// The current time in microseconds of the monotonic clock.
     pub now_us: u64,
 }
 
-/// An offering that may be rented now.
+/// An offering that is available now, with the number of machines planned from it.
 struct Offer {
     offering: InstanceOffering,
-    /// Of one machine.
+    /// The price of one machine per hour.
     price_per_hour: f64,
-    /// The machine of this type and zone rented last is late to boot.
-    late: bool,
+    /// Whether the most recently provisioned machine of this type and zone has exceeded the
+    /// expected boot time.
+    is_late: bool,
     /// A new machine of the offering.
     machine: MachineView,
-    /// How many machines the plan rents.
+    /// Number of machines that the plan provisions.
     planned_machines: u32,
 }
 
 impl Offer {
-    /// The offer of the machine type, or None if it cannot be rented now.
-    fn open(
+    /// The offer for a machine type in a zone; None if it is not available now.
+    fn if_available(
         inputs: &PlanInputs,
         machine_type: &MachineType,
         zone: &str,
@@ -119,17 +123,17 @@
         Some(Offer {
             offering,
             price_per_hour,
-            late: inputs.late_offerings.contains(&type_and_zone),
+            is_late: inputs.late_offerings.contains(&type_and_zone),
             machine,
             planned_machines: 0,
         })
     }
 
-    /// The price per hour for each of the job's tasks that a new machine would take; None if it
-    /// would take none.
+    /// The price of a new machine per hour, divided by the number of the job's tasks that it would
+    /// run; None if it would run none.
     fn price_per_task(&self, job: &JobView) -> Option<f64> {
-        // On-demand machines are rented for spot work only if it is late, so only the late
-        // tasks count.
+        // For a job that may run on spot machines, on-demand machines are provisioned only for
+        // the tasks at risk.
         let tasks = if self.machine.spot || !job.spec.spot || job.at_risk_tasks == 0 {
             job.waiting_tasks
         } else {
@@ -142,7 +146,7 @@
         Some(self.price_per_hour / f64::from(fitting))
     }
 
-    /// How many machines have so many CPUs together.
+    /// How many machines of the offering provide at least `cpus` CPUs in total.
     fn machines_for_cpus(&self, cpus: f64) -> f64 {
         (cpus / self.machine.free.cpus.max(ROUNDING_TOLERANCE)).ceil()
     }
@@ -162,7 +166,7 @@
     }
 }
 
-fn open_offers(inputs: &PlanInputs) -> Vec<Offer> {
+fn available_offers(inputs: &PlanInputs) -> Vec<Offer> {
     let mut offers = Vec::new();
     for machine_type in inputs.types {
         for zone in &machine_type.zones {
@@ -170,27 +174,27 @@
                 continue;
             }
             for spot in [true, false] {
-                offers.extend(Offer::open(inputs, machine_type, zone, spot));
+                offers.extend(Offer::if_available(inputs, machine_type, zone, spot));
             }
         }
     }
     offers
 }
 
-/// Decides between offers of equal price, field by field, the least first.
+/// Selects between offers of equal price: fields are compared in order, the least first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TieBreak {
-    late: bool,
-    /// Few, so that the loss of a zone takes as few machines as possible.
+    is_late: bool,
+    /// Zones with few machines are preferred, which limits the impact of a zone outage.
     machines_in_zone: u32,
 }
 
-/// How good an offer is for a job.
+/// The rating of an offer for a job.
 #[derive(Debug, Clone, Copy)]
 struct RatedOffer {
-    /// Position in the list of offers.
+    /// Index into the list of offers.
     offer: usize,
-    /// A service would wait for a machine that is late.
+    /// Whether a service would have to wait for a machine that boots late.
     delays_service: bool,
     price_per_task: f64,
     tie_break: TieBreak,
@@ -209,21 +213,22 @@
     }
 }
 
-/// What else than the request decides which offer suits a job.
+/// The inputs to the choice of an offer that may differ between jobs with equal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
     waiting_tasks: u32,
     at_risk_tasks: u32,
 }
 
-/// What is known of all jobs with an equal request.
+/// Planning results that hold for all jobs with an equal request.
 struct RequestState {
-    /// The existing and planned machines have no capacity for them, as found when the plan had
-    /// [`ScaleOutPlanner::machines_added`] at this value.
+    /// The value of [`ScaleOutPlanner::machines_added`] at which the existing and planned
+    /// machines had no capacity left for these jobs.
     exhausted_at: Option<usize>,
-    /// How many tasks the largest offer takes: more waiting ones make none cheaper.
+    /// Number of tasks that fit on the largest offer. Waiting tasks beyond this number do not
+    /// change the price per task of any offer.
     max_tasks_per_machine: u32,
-    /// Demands that no offer suits. Machines planned later do not change that.
+    /// Demands that no offer satisfies. Planning further machines does not change this.
     unmet_demands: BTreeSet<Demand>,
 }
 
@@ -247,23 +252,24 @@
     }
 }
 
-/// A plan in the making.
+/// The state of a plan under construction.
 struct ScaleOutPlanner<'a> {
     inputs: &'a PlanInputs<'a>,
     capacity: &'a mut CapacityIndex,
     teams: &'a mut [TeamAllowance],
     offers: Vec<Offer>,
-    /// Positions of the offers rented for jobs, in the order in which they were first chosen:
-    /// the cloud takes a call or two a second, so the most urgent goes first.
+    /// Indexes of the offers chosen for jobs, in the order in which they were first chosen. The
+    /// cloud's API is rate limited, so the most urgent requests have to be sent first.
     chosen_offers: Vec<usize>,
-    /// Planned machines that still have free CPUs, as they were added to the capacity.
+    /// Number of planned machines that were added to the capacity, because they had free CPUs
+    /// left.
     machines_added: usize,
     machines_by_zone: BTreeMap<Rc<str>, u32>,
     lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
 }
 
 impl ScaleOutPlanner<'_> {
-    /// Plans for one job: uses the capacity that there is, then rents.
+    /// Plans for one job: uses expected capacity first, then provisions machines.
     fn plan_job(&mut self, job: &mut JobView, request: &ResourceRequest, state: &mut RequestState) {
         if state.exhausted_at != Some(self.machines_added) && job.team_allows(self.teams) {
             self.use_expected_capacity(job);
@@ -276,11 +282,11 @@
             let Some(offer) = self.choose_offer(job, state) else {
                 break;
             };
-            self.rent_machine(offer, job);
+            self.provision_machine(offer, job);
         }
     }
 
-    /// Places the job's tasks on machines that are up, booting or planned.
+    /// Places the job's tasks on machines that are running, booting or planned.
     fn use_expected_capacity(&mut self, job: &mut JobView) {
         let headroom_cpus = self.inputs.service_headroom_cpus;
         let placements = place_tasks(job, self.capacity, self.teams, headroom_cpus, u32::MAX);
@@ -295,23 +301,25 @@
         }
     }
 
-    /// The best offer for the next tasks of the job, remembering demands that none suits.
+    /// The best offer for the next tasks of the job. Demands that no offer satisfies are cached.
     fn choose_offer(&self, job: &JobView, state: &mut RequestState) -> Option<usize> {
-        // Whether rules about the job's other tasks are met differs from job to job.
-        let comparable = !job.spec.spread && !job.spec.single_zone;
+        // The constraints of spread and single-zone jobs depend on where their other tasks run,
+        // so the result cannot be reused for other jobs.
+        let is_cacheable = !job.spec.spread && !job.spec.single_zone;
         let demand = state.demand(job);
-        if comparable && state.unmet_demands.contains(&demand) {
+        if is_cacheable && state.unmet_demands.contains(&demand) {
             return None;
         }
         let offer = self.best_offer(job);
-        if offer.is_none() && comparable {
+        if offer.is_none() && is_cacheable {
             state.unmet_demands.insert(demand);
         }
         offer
     }
 
-    /// The best offer for the next tasks of the job: the cheapest, except that services do not
-    /// wait for a late machine while other offers arrive; of equals one that is not late.
+    /// The best offer for the next tasks of the job: the one with the lowest price per task,
+    /// except that for services an offer that boots late is chosen only if there is no other.
+    /// [`TieBreak`] selects between offers of equal price.
     fn best_offer(&self, job: &JobView) -> Option<usize> {
         let spot_only = self.waits_for_spot(job);
         let mut best: Option<RatedOffer> = None;
@@ -324,9 +332,8 @@
                 continue;
             };
             if offer.planned_machines >= MAX_SCALE_OUT {
-                // More machines of it are asked for once this request is answered. Going on to
-                // a dearer offer meanwhile once rented all on-demand machines at the start of
-                // a day (rosterwise-nz-grown).
+                // The next plan can request more machines of this offer, so the job waits for
+                // that instead of using a more expensive offer now.
                 lowest_capped_price = price_per_task.min(lowest_capped_price);
                 continue;
             }
@@ -339,10 +346,8 @@
             .map(|best| best.offer)
     }
 
-    /// Whether the job waits for spot machines rather than pay the on-demand price: as long as
-    /// no task is at risk and any type that fits has spot machines at all. With every spot
-    /// machine taken, rosterwise-nz-grown once missed a third of its deadlines beside idle
-    /// on-demand offers.
+    /// Whether the job waits for spot machines instead of using on-demand machines: no task is at
+    /// risk of missing its deadline, and a machine type that fits is offered as a spot machine.
     fn waits_for_spot(&self, job: &JobView) -> bool {
         let need = job.resources();
         let has_spot = |machine_type: &MachineType| {
@@ -356,17 +361,17 @@
         let machines_in_zone = self.machines_by_zone.get(&offer.machine.zone);
         RatedOffer {
             offer: index,
-            delays_service: job.is_service() && offer.late,
+            delays_service: job.is_service() && offer.is_late,
             price_per_task,
             tie_break: TieBreak {
-                late: offer.late,
+                is_late: offer.is_late,
                 machines_in_zone: machines_in_zone.copied().unwrap_or(0),
             },
         }
     }
 
     /// Plans one more machine of the offer and places the job's tasks on it.
-    fn rent_machine(&mut self, index: usize, job: &mut JobView) {
+    fn provision_machine(&mut self, index: usize, job: &mut JobView) {
         let offer = &mut self.offers[index];
         offer.planned_machines += 1;
         let mut machine = offer.machine.clone();
@@ -385,19 +390,19 @@
                 job.at_risk_tasks = job.at_risk_tasks.saturating_sub(1);
             }
         }
-        // What is left of it is for the jobs that come after.
+        // The remaining capacity is available to later jobs.
         if machine.free.cpus > 0.0 {
             self.machines_added += 1;
             self.capacity.add(machine);
         }
     }
 
-    /// Rents on-demand machines ahead of the services that must start sooner than any machine
-    /// boots, until each zone has the proactive headroom free.
+    /// Provisions on-demand machines for services that must start before a new machine could
+    /// boot, until each zone has the proactive headroom free.
     ///
-    /// Headroom that is only kept from other work is used up by the first service that comes.
-    /// What is lent counts as free: rented anew, it would be lent again to the next job that
-    /// starves, and so on for as long as any does.
+    /// Reserving the headroom is not enough, because the first services that start use it up.
+    /// Lent headroom counts as free. If it were replaced, the replacement would be lent to the
+    /// next starving job, and on-demand machines would be provisioned without limit.
     fn plan_proactive_headroom(&mut self) {
         if self.inputs.proactive_headroom_cpus <= 0.0 {
             return;
@@ -419,7 +424,8 @@
         if missing_cpus <= ROUNDING_TOLERANCE {
             return;
         }
-        // A large machine is cheaper per CPU, but not for a few of them.
+        // Total cost is compared and not cost per CPU: a large machine may be cheaper per CPU but
+        // more expensive for a few CPUs.
         let cost = |offer: &Offer| offer.price_per_hour * offer.machines_for_cpus(missing_cpus);
         let cheapest = self
             .offers
@@ -434,7 +440,7 @@
         }
     }
 
-    /// The plan: offers chosen for jobs come first.
+    /// The resulting plan. Offers chosen for jobs come first.
     fn into_planned_scale_outs(self) -> Vec<PlannedScaleOut> {
         let chosen = self.chosen_offers.iter().copied();
         let others = (0..self.offers.len()).filter(|index| !self.chosen_offers.contains(index));
@@ -450,12 +456,12 @@
     }
 }
 
-/// Plans which machines to rent for the tasks that find no capacity, the most urgent first and
-/// at most [`MAX_SCALE_OUT`] of each offering (see the [module](self)).
+/// Plans which machines to provision for tasks that do not fit on existing ones, the most urgent
+/// first and at most [`MAX_SCALE_OUT`] of each offering (see the [module](self)).
 ///
-/// `jobs` come in the order in which they compete, with their requests. `capacity` must hold
-/// the machines with what will be free by the time that a rented machine could be up; the plan
-/// fills it and adds the machines that it rents.
+/// `jobs` must be in the order in which they compete, each with its request. `capacity` must
+/// contain the machines with the resources that will be free by the time a new machine could
+/// have booted. The planner assigns tasks in it and adds the planned machines to it.
 pub fn plan_scale_out<'a>(
     jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)>,
     capacity: &mut CapacityIndex,
@@ -466,7 +472,7 @@
         inputs,
         capacity,
         teams,
-        offers: open_offers(inputs),
+        offers: available_offers(inputs),
         chosen_offers: Vec::new(),
         machines_added: 0,
         machines_by_zone: inputs.machines_by_zone.clone(),
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -1,75 +1,73 @@
-//! Jobs, machines and teams as a scheduling cycle or a scale-out plan sees them.
+//! Snapshots of jobs, machines and teams on which a scheduling cycle or a scale-out plan works.
 //!
-//! The views are copies that a cycle may change freely: [`JobView::assign_next_task`] takes
-//! resources from the view of a machine, and nothing else learns of it until the caller applies
-//! the result.
+//! The views are copies: [`JobView::assign_next_task`] subtracts resources from the view of a
+//! machine only. The scheduler's state changes when the caller applies the result.
 
 use crate::resources::{ROUNDING_TOLERANCE, Resources, to_millionths};
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Position in a table of jobs or of machines: a small number that each keeps for as long
-/// as it is known.
+/// Index into a table of jobs or machines. An entry keeps its index until it is removed.
 pub type SlabIndex = u32;
 
-/// Position of a job in the table of jobs.
+/// Index into the table of jobs.
 pub type JobIndex = SlabIndex;
 
-/// Position of a machine in the table of machines.
+/// Index into the table of machines.
 pub type MachineIndex = SlabIndex;
 
-/// The zone of a machine that has neither a stored record nor sent a heartbeat yet.
+/// The zone of a machine that has no stored record and has not sent a heartbeat yet.
 const UNKNOWN_ZONE: &str = "";
 
-/// Container images and their sizes in GB, shared by a machine and its views.
+/// Container images with their sizes in GB. Views of the same machine share the list.
 pub type Images = Rc<Vec<(Rc<str>, f64)>>;
 
-/// A machine that may take tasks, now or (in a scale-out plan) later.
+/// A machine that can run tasks now or, in a scale-out plan, once it has booted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineView {
     /// The name of the machine's type.
     pub machine_type: Rc<str>,
-    /// The zone in which it runs; empty while unknown.
+    /// The zone of the machine; empty if unknown.
     pub zone: Rc<str>,
-    /// Whether it is a spot machine, which the cloud may take back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// What its tasks leave free.
+    /// Resources not used by its tasks.
     pub free: Resources,
-    /// Images that it holds or is fetching.
+    /// Images in its cache or being downloaded to it.
     pub images: Images,
     /// How many of these images are used by services.
     pub service_images: u32,
-    /// Ids of the jobs that failed on it.
+    /// Ids of the jobs that failed on the machine.
     pub failed_jobs: Vec<Rc<str>>,
-    /// Several jobs failed on it: it takes tasks as a last resort only, and its free resources
-    /// are not counted.
+    /// Whether the machine is cordoned because several jobs failed on it. It runs tasks only as
+    /// a last resort, and its free resources are excluded from the sums.
     pub cordoned: bool,
-    /// It answers commands, but its own heartbeats do not arrive. Tasks placed there may end
-    /// when its lease expires, so it is used after all others.
+    /// Whether the machine answers commands while its heartbeats do not arrive. Its tasks may be
+    /// ended when its lease expires, so it is tried after all other machines.
     pub outbound_unreachable: bool,
 }
 
 impl MachineView {
-    /// Whether it holds or is fetching the image.
+    /// Whether the image is in the machine's cache or being downloaded to it.
     pub fn holds_image(&self, image: &str) -> bool {
-        self.images.iter().any(|(held, _)| &**held == image)
+        self.images.iter().any(|(cached, _)| &**cached == image)
     }
 }
 
-/// What the tasks of a team may still take of its quota; infinite if there is no limit.
+/// The unused part of a team's quota; infinite if the team has no limit.
 #[derive(Debug, Clone)]
 pub struct TeamAllowance {
-    /// CPUs left.
+    /// CPUs that the team may still use.
     pub cpus_left: f64,
-    /// GPUs left.
+    /// GPUs that the team may still use.
     pub gpus_left: f64,
 }
 
 /// The properties of a job that decide which machines its tasks may run on.
 ///
-/// Where one job finds no capacity at all, no other job with an equal request does, so that a
-/// cycle passes over all of them at once.
+/// If no machine has capacity for a job, none has capacity for any job with an equal request,
+/// so that a cycle skips all of these jobs at once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ResourceRequest {
     cpus_millionths: i64,
@@ -83,7 +81,7 @@
 }
 
 impl ResourceRequest {
-    /// The request of a job that is not starving.
+    /// The request of a job that is not starving (see [`JobView::starving`]).
     pub fn of(spec: &JobSpec) -> ResourceRequest {
         ResourceRequest {
             cpus_millionths: to_millionths(spec.cpus),
@@ -97,7 +95,7 @@
         }
     }
 
-    /// The same request for a job that is starving or not (see [`JobView::starving`]).
+    /// A copy of the request with the given starvation flag.
     #[must_use]
     pub fn with_starving(&self, starving: bool) -> ResourceRequest {
         ResourceRequest {
@@ -106,54 +104,54 @@
         }
     }
 
-    /// Whether it is the request of a starving job.
+    /// Whether the request belongs to a starving job.
     pub fn starving(&self) -> bool {
         self.starving
     }
 }
 
-/// A job with tasks that wait to be placed.
+/// A job with tasks that are waiting to be placed.
 #[derive(Debug, Clone)]
 pub struct JobView<'a> {
-    /// Its position in the table of jobs.
+    /// Index into the table of jobs.
     pub index: JobIndex,
-    /// Its id.
+    /// Id of the job.
     pub id: &'a str,
-    /// What the user asked for.
+    /// The specification that the user submitted.
     pub spec: &'a JobSpec,
     /// The container image of its tasks.
     pub image: &'a Rc<str>,
-    /// Position of its team in the list of allowances.
+    /// Index of its team in the list of allowances.
     pub team: usize,
-    /// How many of its tasks wait; the caller may cap the number for one cycle.
+    /// Number of tasks waiting to be placed, which the caller may cap for one cycle.
     pub waiting_tasks: u32,
-    /// How many of its tasks are or may be on machines, by zone. Needed only for jobs that are
-    /// spread over zones or bound to a single one.
+    /// Number of tasks that are or may be on machines, by zone. Filled only for jobs that are
+    /// spread over zones or restricted to a single zone.
     pub tasks_by_zone: BTreeMap<Rc<str>, u32>,
-    /// How many of the waiting tasks are training tasks, whose run times give the estimate of
-    /// the job's size.
+    /// Number of waiting tasks that are training tasks: the job's size is estimated from their
+    /// run times.
     pub training_tasks: u32,
-    /// Waiting tasks that would start too late for the deadline on the fleet as it is. A plan
-    /// may rent on-demand machines for them when spot machines are not available. The number
-    /// changes what is rented, never the order of jobs.
+    /// Number of waiting tasks that would start too late for the deadline on the existing fleet.
+    /// A plan may provision on-demand machines for them if spot machines are not available. The
+    /// number affects scale-out only, not the order of jobs.
     pub at_risk_tasks: u32,
-    /// It has waited for so long that one of its tasks may go where other jobs of its kind may
-    /// not: into the headroom for services, or to machines where it or others failed.
+    /// Whether the job has waited for longer than the starvation limit. One of its tasks may
+    /// then use the service headroom or machines on which this or other jobs failed.
     pub starving: bool,
 }
 
 impl JobView<'_> {
-    /// What one of its tasks needs.
+    /// The resources that one of its tasks requires.
     pub fn resources(&self) -> Resources {
         Resources::of_task(self.spec)
     }
 
-    /// Whether it is a service (its tasks are replicas that run without end).
+    /// Whether the job is a service, whose tasks are replicas that run until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    /// Whether the job's rules allow one more task in this zone.
+    /// Whether the job's zone constraints allow one more task in this zone.
     fn allows_zone(&self, zone: &str) -> bool {
         if self.spec.zone.as_ref().is_some_and(|only| only != zone) {
             return false;
@@ -165,18 +163,18 @@
         if self.spec.single_zone && in_other_zone() {
             return false;
         }
-        // At most half of the tasks, rounded up, may be in one zone.
+        // A spread job may have at most half of its tasks, rounded up, in one zone.
         !self.spec.spread || self.max_tasks_in(zone) < self.spec.tasks.div_ceil(2)
     }
 
-    /// How many of the job's tasks are or may be in this zone: a machine that a new leader
-    /// knows from stored placements only may be in any.
+    /// Upper bound of the number of the job's tasks in this zone. Tasks whose machine's zone is
+    /// unknown count in every zone: a new leader may know a machine only from stored placements.
     fn max_tasks_in(&self, zone: &str) -> u32 {
         let count = |zone| self.tasks_by_zone.get(zone).copied().unwrap_or(0);
         count(zone) + count(UNKNOWN_ZONE)
     }
 
-    /// Whether the machine is of the right kind for every job with an equal
+    /// Whether the machine's type, zone and kind (spot or on-demand) satisfy the job's
     /// [`ResourceRequest`].
     pub fn request_allows(&self, machine: &MachineView) -> bool {
         let type_allowed = || {
@@ -190,30 +188,32 @@
         (!machine.spot || self.spec.spot) && type_allowed() && zone_allowed()
     }
 
-    /// Whether the job's own rules, which count its other tasks, allow one more task there.
+    /// Whether the request and the job's zone constraints allow one more task on the machine.
     pub fn rules_allow(&self, machine: &MachineView) -> bool {
         self.request_allows(machine) && self.allows_zone(&machine.zone)
     }
 
-    /// Whether this job failed on the machine, or so many others did that it is cordoned.
+    /// Whether this job failed on the machine, or the machine is cordoned.
     pub fn has_failed_on(&self, machine: &MachineView) -> bool {
         machine.cordoned || machine.failed_jobs.iter().any(|job| **job == *self.id)
     }
 
-    /// Whether the rules allow one more task there and nothing speaks against the machine.
+    /// Whether the rules allow one more task on the machine and neither this job failed on it
+    /// nor is it cordoned.
     pub fn allows(&self, machine: &MachineView) -> bool {
         self.rules_allow(machine) && !self.has_failed_on(machine)
     }
 
-    /// Whether the quota of the job's team has enough left for one more task.
+    /// Whether the team's remaining quota suffices for one more task.
     pub fn team_allows(&self, teams: &[TeamAllowance]) -> bool {
         let team = &teams[self.team];
         team.cpus_left + ROUNDING_TOLERANCE >= self.spec.cpus
             && team.gpus_left + ROUNDING_TOLERANCE >= self.spec.gpus
     }
 
-    /// Assigns the job's next waiting task to the machine: takes its resources there and from
-    /// the team's quota. Returns false if no task waits. Does not check whether it fits.
+    /// Assigns the job's next waiting task to the machine: subtracts its resources from the
+    /// machine and from the team's quota. Returns false if no task is waiting. Does not check
+    /// whether the task fits.
     pub fn assign_next_task(
         &mut self,
         machine: &mut MachineView,
