--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs, machines and teams for small test cases.
+//! Builders of jobs, machines and teams for tests.
 
-// Each test file uses some of this.
+// Each test crate uses only some of these items.
 #![allow(dead_code)]
 
 use dillcleat_sched::{
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A waiting job and all that its position in the queue depends on.
+/// A waiting job with all properties that determine its position in the queue.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: JobSpec,
@@ -23,7 +23,7 @@
     pub initial_size: f64,
     pub virtual_size: f64,
     pub remaining: f64,
-    pub submitted: u64,
+    pub ready_at_us: u64,
     pub at_risk_tasks: u32,
     pub starving: bool,
 }
@@ -39,7 +39,7 @@
             initial_size: size,
             virtual_size: size,
             remaining: 0.0,
-            submitted: 0,
+            ready_at_us: 0,
             at_risk_tasks: 0,
             starving: false,
         }
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Its queue entry at a virtual time, if its size ages or (`fixed`) does not.
+    /// The job's queue entry at a virtual time. Its virtual size does not age if `fixed`.
     pub fn queue_entry(&self, virtual_time: f64, fixed: bool) -> QueueEntry {
-        let rank = |with_urgency: bool, size: f64, remaining: f64| QueueRank {
-            service: Reverse(with_urgency && self.spec.kind == JobKind::Service),
+        let rank = |include_urgency: bool, size: f64, remaining: f64| QueueRank {
+            service: Reverse(include_urgency && self.spec.kind == JobKind::Service),
             priority: Reverse(self.spec.priority),
-            tiny: Reverse(with_urgency && self.tiny),
+            tiny: Reverse(include_urgency && self.tiny),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
-            ready_at_us: self.submitted,
+            ready_at_us: self.ready_at_us,
             id: Rc::from(self.spec.id.as_str()),
         };
         let (ageing, size, remaining) = if fixed {
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -1,4 +1,4 @@
-//! Which tasks are placed where, in small test cases and against a plain reference scheduler.
+//! Placement, queue order and preemption, in small cases and compared to a reference scheduler.
 
 mod common;
 
@@ -17,7 +17,7 @@
     JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
 }
 
-/// The placements of a scheduling cycle as job and machine, one for each task.
+/// The placements of a scheduling cycle: one pair of job and machine for each task.
 fn run(
     jobs: &[Job],
     capacity: &mut CapacityIndex,
@@ -42,7 +42,7 @@
         .collect()
 }
 
-/// How many tasks of which jobs are placed, in the order of their first placements.
+/// The number of tasks placed of each job, in the order of the jobs' first placements.
 fn placed_tasks(
     jobs: &[Job],
     machines: &[MachineView],
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn services_then_tiny_then_training_then_smallest_virtual_size() {
+fn jobs_are_placed_in_order_of_section_and_size() {
     let mut service = spec("service", 2);
     service.kind = JobKind::Service;
     let mut jobs = vec![
@@ -94,13 +94,13 @@
 }
 
 #[test]
-fn training_stops_at_its_share() {
+fn training_tasks_are_limited_by_training_cpus() {
     let jobs = vec![
         Job::new(spec("a", 9), 200.0, 2),
         Job::new(spec("b", 9), 100.0, 2),
     ];
     let machines = vec![machine("a", 3.0, true)];
-    // The smaller initial size trains first; the rest goes by virtual size.
+    // The job with the smaller initial size trains first. Other tasks are ordered by virtual size.
     assert_eq!(
         placed_tasks(&jobs, &machines, 99.0, 1.0),
         counts(&[("b", 3)])
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_team_at_its_quota_is_skipped() {
+fn team_at_its_quota_is_skipped() {
     let mut jobs = vec![
         Job::new(spec("a", 9), 1.0, 0),
         Job::new(spec("b", 9), 2.0, 0),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn zones_spot_types_and_spread_are_respected() {
+fn spot_spread_and_single_zone_constraints_are_respected() {
     let mut spread = spec("s", 5);
     spread.spread = true;
     spread.spot = false;
@@ -160,9 +160,9 @@
     assert_eq!(placements[0].1, placements[1].1);
 }
 
-/// Replicas once waited behind spot work on on-demand machines.
+/// Jobs that may run on spot machines must not delay replicas by using all on-demand machines.
 #[test]
-fn spot_work_leaves_the_headroom_to_services() {
+fn jobs_allowed_on_spot_leave_service_headroom_free() {
     let jobs = [Job::new(spec("batch", 9), 1.0, 0)];
     let mut capacity = capacity_index(&[machine("a", 5.0, false), machine("a", 1.0, true)]);
     let placements = run(&jobs, &mut capacity, &mut one_team(99.0), 0.0, 3.0);
@@ -194,10 +194,10 @@
     );
 }
 
-/// A job of the reference scheduler, with its view as it changes.
+/// A job of the reference scheduler, with its current view.
 type ReferenceJob<'a> = (&'a Job, JobView<'a>);
 
-/// The best machine for the job's next task, searched for among all.
+/// The best machine for the job's next task, found by comparing all machines.
 fn best_machine(job: &JobView, machines: &[MachineView], policy: PlacementPolicy) -> Option<usize> {
     let need = job.resources();
     let leaves_headroom = |machine: &MachineView, headroom_cpus: f64| {
@@ -235,7 +235,7 @@
         );
         (!machine.outbound_unreachable, order)
     };
-    let mut found: Option<usize> = None;
+    let mut best: Option<usize> = None;
     for (index, view) in machines.iter().enumerate() {
         if view.free.fits(&need)
             && match policy {
@@ -246,12 +246,12 @@
                 PlacementPolicy::LastResort => true,
             }
             && job.rules_allow(view)
-            && found.is_none_or(|best| rank(index, view) > rank(best, &machines[best]))
+            && best.is_none_or(|best| rank(index, view) > rank(best, &machines[best]))
         {
-            found = Some(index);
+            best = Some(index);
         }
     }
-    found
+    best
 }
 
 /// All jobs in the order of the job queue.
@@ -266,7 +266,7 @@
             .then(b.tiny.cmp(&a.tiny))
             .then(a.virtual_size.total_cmp(&b.virtual_size))
             .then(a.remaining.total_cmp(&b.remaining))
-            .then(a.submitted.cmp(&b.submitted))
+            .then(a.ready_at_us.cmp(&b.ready_at_us))
             .then(a.spec.id.cmp(&b.spec.id))
     });
     order
@@ -281,13 +281,13 @@
             .priority
             .cmp(&a.spec.priority)
             .then(a.initial_size.total_cmp(&b.initial_size))
-            .then(a.submitted.cmp(&b.submitted))
+            .then(a.ready_at_us.cmp(&b.ready_at_us))
             .then(a.spec.id.cmp(&b.spec.id))
     });
     training
 }
 
-/// The reference scheduler: looks at every job, and for every task at every machine.
+/// The reference scheduler: examines every job, and for every task every machine.
 fn run_reference(
     jobs: &mut [ReferenceJob],
     machines: &mut [MachineView],
@@ -371,7 +371,7 @@
     if job.tiny {
         job.training = 0;
     }
-    job.submitted = rng.u64(..3);
+    job.ready_at_us = rng.u64(..3);
     job.starving = rng.u8(..4) == 0;
     job
 }
@@ -393,7 +393,7 @@
     view
 }
 
-/// A capacity index that has seen changes, and the machines that it holds in the end.
+/// A capacity index after random changes, and the machines that it then contains.
 fn random_fleet(
     rng: &mut fastrand::Rng,
     peak: Range<usize>,
@@ -403,7 +403,7 @@
     let mut machines = Vec::new();
     for index in 0..rng.usize(peak) {
         for _ in 0..rng.usize(1..3) {
-            // A machine that is replaced leaves nothing behind.
+            // Setting a machine again must remove all traces of its previous view.
             let view = random_machine(rng);
             capacity.set(index as MachineIndex, Some(view.clone()));
             machines.truncate(index);
@@ -422,8 +422,8 @@
     (capacity, machines)
 }
 
-/// Runs random jobs on the machines by a cycle and by the reference scheduler, compares the
-/// two, and returns how many tasks were placed.
+/// Compares a cycle with the reference scheduler on the same jobs and machines. Returns the
+/// number of tasks placed.
 fn compare_with_reference(
     rng: &mut fastrand::Rng,
     jobs: &[Job],
@@ -466,10 +466,10 @@
         .collect()
 }
 
-/// Sub-queues, machine rankings and the skipping of exhausted requests are for speed alone, on
-/// a capacity index that has seen changes as on one that is new.
+/// Sub-queues, machine rankings and the skipping of exhausted requests are optimizations that
+/// must not change placements, also after updates of the capacity index.
 #[test]
-fn the_indexed_cycle_places_as_the_reference_scheduler() {
+fn indexed_cycle_matches_reference_scheduler() {
     let mut placed = 0;
     for seed in 0..600 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -480,10 +480,9 @@
     assert!(placed > 8000, "{placed} placed");
 }
 
-/// The rankings per image, which exist only while many machines have free CPUs, do not change
-/// what is placed: built, in use, and dropped again.
+/// Rankings per image must not change placements while they are built, used and dropped.
 #[test]
-fn rankings_by_image_place_as_the_reference_scheduler() {
+fn cycle_with_image_rankings_matches_reference_scheduler() {
     let mut placed = 0;
     for seed in 0..120 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -494,7 +493,7 @@
     assert!(placed > 3000, "{placed} placed");
 }
 
-/// The jobs, each with whether its size is fixed, in the order of a plain sort.
+/// The order of the jobs by a plain sort. The flag of a job means that its size is fixed.
 fn plain_sort(jobs: &[Option<(Job, bool)>]) -> Vec<JobIndex> {
     let known: Vec<(JobIndex, &Job, bool)> = jobs
         .iter()
@@ -507,7 +506,7 @@
     let reference: Vec<Job> = known
         .iter()
         .map(|(_, j, fixed)| Job {
-            // Remaining work counts among jobs that have aged to zero.
+            // Remaining work matters only for jobs that have aged to zero.
             remaining: if *fixed || j.virtual_size > 0.0 {
                 0.0
             } else {
@@ -523,10 +522,9 @@
         .collect()
 }
 
-/// While jobs arrive, age, train, stop ageing and leave, the order of the queue is that of a
-/// plain sort by what each job is at the time.
+/// The queue's order must equal a plain sort after jobs are added, removed, aged and resized.
 #[test]
-fn the_queue_orders_as_a_plain_sort_while_everything_changes() {
+fn queue_order_matches_plain_sort_after_random_updates() {
     let mut compared = 0;
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -573,9 +571,9 @@
     assert!(compared > 30_000, "{compared} compared");
 }
 
-/// Replicas once waited behind late job arrays on the last on-demand machines.
+/// Replicas must not wait for batch jobs of lower priority on the last on-demand machines.
 #[test]
-fn replicas_preempt_the_least_work_and_no_more_than_they_need() {
+fn replicas_preempt_only_as_many_tasks_as_needed_with_least_lost_work() {
     let mut service = spec("service", 3);
     service.kind = JobKind::Service;
     service.priority = Priority::Production;
@@ -610,8 +608,8 @@
     let job = Job::new(service, 0.0, 0);
     let mut jobs = vec![job.view()];
     let preempted = choose_preemptions(&mut jobs, &mut machines(), &mut one_team(99.0), &victims);
-    // One replica takes the free capacity of the second machine, which then holds the image.
-    // The others preempt what has run for the shortest time, there and on the first machine.
+    // One replica uses the free capacity of the second machine, which then holds the image.
+    // The others preempt the tasks with the shortest run times, there and on the first machine.
     assert_eq!(preempted, [3, 1]);
     assert_eq!(jobs[0].waiting_tasks, 0);
     // A team at its quota preempts nothing.
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Which machines are rented for waiting tasks.
+//! The scale-out plan: which machines are provisioned for waiting tasks.
 
 mod common;
 
@@ -39,7 +39,8 @@
     }
 }
 
-/// The scale-out plan for jobs, given in order, beside machines that are booting.
+/// The scale-out plan for `jobs`, which are in the order in which they compete, and for machines
+/// that are booting.
 fn plan(
     jobs: &[Job],
     booting: &[MachineView],
@@ -104,10 +105,10 @@
     ("large", "a", true),
 ];
 
-/// With every spot offering refused, on-demand machines are rented for tasks at risk alone,
-/// and no more of them than they need.
+/// If every spot offering is refused, on-demand machines are provisioned for the tasks at risk
+/// and no others.
 #[test]
-fn on_demand_machines_are_rented_for_tasks_at_risk_once_spot_is_refused() {
+fn on_demand_machines_are_provisioned_only_for_tasks_at_risk() {
     let batch = |at_risk_tasks| [job("batch", JobKind::Batch, 20, at_risk_tasks)];
     assert_eq!(plan(&batch(0), &[], &SPOT, &[], 0.0), []);
     let planned = plan(&batch(5), &[], &SPOT, &[], 0.0);
@@ -122,19 +123,18 @@
     );
 }
 
-/// When a spot offering had reached the largest size of a request, tasks at risk once went on
-/// to on-demand offerings, though more spot machines were available a second later.
+/// More machines of a spot offering can be requested in the next plan, so tasks at risk must not
+/// use on-demand offerings when one request has reached its maximum size.
 #[test]
-fn a_plan_does_not_go_on_to_dearer_offerings() {
+fn offering_at_request_limit_is_not_replaced_by_more_expensive_one() {
     let jobs = [job("batch", JobKind::Batch, 1000, 1000)];
     let planned = plan(&jobs, &[], &[], &[], 0.0);
     assert_eq!(rows(&planned), [("large", "a", true, 50)]);
 }
 
-/// Machines rented in a partitioned zone were paid for and never heard of. What services need
-/// is requested first.
+/// Controllers could not reach a machine provisioned in a partitioned zone.
 #[test]
-fn nothing_is_rented_in_unreachable_zones_and_services_go_first() {
+fn unreachable_zones_are_excluded_and_services_are_planned_first() {
     let jobs = [
         job("service", JobKind::Service, 2, 0),
         job("batch", JobKind::Batch, 4, 0),
@@ -146,10 +146,10 @@
     );
 }
 
-/// What fits on booting machines waits for them, and what one job leaves free of a rented
-/// machine is there for the next job.
+/// Tasks that fit on booting machines or on the remaining capacity of planned machines do not
+/// cause further machines to be provisioned.
 #[test]
-fn a_plan_counts_booting_machines_and_what_is_left_free() {
+fn capacity_of_booting_and_planned_machines_is_used_first() {
     let booting = [machine("b", 8.0, true)];
     let jobs = [
         job("one", JobKind::Batch, 5, 0),
@@ -161,7 +161,7 @@
         5,
         "{planned:?}"
     );
-    // Two of six CPUs fit a large machine alone and leave four of them.
+    // Two tasks of six CPUs fit on a large machine only and leave four of its CPUs free.
     let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
     let jobs = [wide, job("narrow", JobKind::Batch, 1, 0)];
@@ -181,9 +181,9 @@
     );
 }
 
-/// A large machine was once rented ahead of demand in each zone for three CPUs.
+/// The type with the lowest price per CPU is not the cheapest one for a few CPUs.
 #[test]
-fn headroom_is_rented_at_the_lowest_cost() {
+fn headroom_is_provisioned_at_lowest_total_cost() {
     let planned = plan(&[], &[], &[], &[], 3.0);
     assert_eq!(
         rows(&planned),
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Capacity that is withheld from jobs, and jobs that wait for too long.
+//! The service headroom, and the placement of starving jobs.
 
 mod common;
 
@@ -17,7 +17,7 @@
 /// Service headroom per zone, in CPUs.
 const HEADROOM_CPUS: f64 = 3.0;
 
-/// Ten tasks of a CPU each, which may run on spot machines.
+/// A job of ten tasks of one CPU each, which may run on spot machines.
 fn job(id: &str, starving: bool) -> Job {
     Job {
         starving,
@@ -42,7 +42,7 @@
     .assignments
 }
 
-/// How many tasks of each job are placed, and how many of all in the service headroom.
+/// The number of tasks placed of each job, and the total number placed in the service headroom.
 fn placed(jobs: &[Job], machines: &[MachineView]) -> (Vec<u32>, u32) {
     let assignments = run(jobs, &mut capacity_index(machines), 0.0);
     let tasks_of = |job| {
@@ -63,10 +63,10 @@
     )
 }
 
-/// With no spot machine available such a job once waited for ever beside the service
-/// headroom. A job that is not starving neither uses the headroom nor blocks the others.
+/// Without this, a job would wait forever beside free headroom if no spot machine is available.
+/// A job that is not starving neither uses the headroom nor blocks the other jobs.
 #[test]
-fn a_starving_job_gets_one_task_into_the_reserve() {
+fn starving_job_places_one_task_in_service_headroom() {
     let jobs = [job("a", false), job("b", true), job("c", true)];
     let machines = [machine("a", HEADROOM_CPUS, false)];
     assert_eq!(placed(&jobs, &machines), (vec![0, 1, 1], 2));
@@ -74,18 +74,18 @@
     assert_eq!(placed(&many, &machines), (vec![1, 1, 1, 0, 0], 3));
 }
 
-/// Capacity that is open to all comes first, and a job that gets some starves no more.
+/// A job that is placed on other capacity is no longer starving.
 #[test]
-fn a_starving_job_leaves_the_headroom_alone_beside_other_capacity() {
+fn starving_job_uses_other_capacity_before_headroom() {
     let machines = [machine("a", HEADROOM_CPUS, false), machine("b", 4.0, false)];
     assert_eq!(placed(&[job("b", true)], &machines), (vec![1], 0));
     let machines = [machine("a", HEADROOM_CPUS, false), machine("a", 2.0, true)];
     assert_eq!(placed(&[job("b", true)], &machines), (vec![2], 0));
 }
 
-/// It may have failed on every machine there is because of the machines.
+/// The failures may have been caused by the machines, so they must not exclude the job forever.
 #[test]
-fn a_starving_job_goes_where_it_has_failed() {
+fn starving_job_uses_machine_where_it_failed_as_last_resort() {
     let mut failed = machine("a", 8.0, true);
     failed.failed_jobs = vec!["b".into()];
     let alone = [failed.clone()];
@@ -99,21 +99,20 @@
     );
 }
 
-/// A cordoned machine comes after the headroom, and only when all else is full.
 #[test]
-fn a_starving_job_goes_to_a_cordoned_machine_last() {
-    let mut faulty = machine("a", 8.0, true);
-    faulty.cordoned = true;
-    let alone = [faulty.clone()];
+fn starving_job_uses_cordoned_machine_after_headroom() {
+    let mut cordoned = machine("a", 8.0, true);
+    cordoned.cordoned = true;
+    let alone = [cordoned.clone()];
     assert_eq!(placed(&[job("b", false)], &alone).0, [0]);
     assert_eq!(placed(&[job("b", true)], &alone).0, [1]);
-    let beside = [faulty, machine("a", HEADROOM_CPUS, false)];
+    let beside = [cordoned, machine("a", HEADROOM_CPUS, false)];
     assert_eq!(placed(&[job("b", true)], &beside), (vec![1], 1));
 }
 
-/// Without CPUs for training, training tasks compete as the others do.
+/// Training tasks that exceed the training CPUs are placed in the regular pass.
 #[test]
-fn the_training_share_withholds_no_capacity() {
+fn training_tasks_are_placed_as_regular_tasks_without_training_cpus() {
     let mut untrained = job("a", false);
     untrained.training = 2;
     let assignments = run(
@@ -130,8 +129,8 @@
     );
 }
 
-/// The scale-out plan with every spot offering refused, with so many free and lent CPUs in
-/// the only zone.
+/// The scale-out plan if every spot offering is refused and the only zone has `free_cpus` free
+/// and `lent_cpus` lent on-demand CPUs.
 fn plan(jobs: &[Job], free_cpus: f64, lent_cpus: f64) -> Vec<PlannedScaleOut> {
     let types = [MachineType {
         name: "m".into(),
@@ -171,10 +170,9 @@
     plan_scale_out(jobs, &mut capacity, &mut one_team(99.0), &inputs)
 }
 
-/// If they were rented anew for each starving job, on-demand machines would be paid for
-/// without end by work that waits for spot machines.
+/// Otherwise each starving job would cause another on-demand machine to be provisioned.
 #[test]
-fn what_is_lent_of_the_reserve_is_not_rented_again() {
+fn lent_headroom_is_not_provisioned_again() {
     assert_eq!(plan(&[], 2.0, 0.0).len(), 1);
     assert_eq!(plan(&[], 2.0, 1.0), []);
     assert_eq!(
--- a/crates/sched/tests/zones.rs
+++ b/crates/sched/tests/zones.rs
@@ -1,4 +1,4 @@
-//! In which zones the tasks of a job that is spread over zones may run.
+//! Zone constraints of jobs whose tasks are spread over zones.
 
 mod common;
 
@@ -16,7 +16,7 @@
     Job::new(spec, 10.0, 0)
 }
 
-/// The job with so many tasks in zone a and on machines whose zone is not known.
+/// The job with `in_a` tasks in zone a and `unknown` tasks on machines whose zone is unknown.
 fn with_tasks_in(job: &Job, in_a: u32, unknown: u32) -> JobView<'_> {
     let zones = [(Rc::from("a"), in_a), (Rc::from(""), unknown)];
     JobView {
@@ -25,11 +25,10 @@
     }
 }
 
-/// A leader that follows while a fleet grows knows thousands of machines from stored
-/// placements only: their records are written after all else. It once placed half of a
-/// job in each zone in addition to those (`large_fleet`, seed 1 at scale 110).
+/// A new leader may know many machines from stored placements only, without their zones. It must
+/// not place up to half of the tasks in one zone in addition to the tasks on those machines.
 #[test]
-fn tasks_whose_zone_is_not_known_count_in_every_zone() {
+fn tasks_in_unknown_zone_count_in_every_zone() {
     let job = spread_job();
     let allowed = |in_a, unknown, zone| {
         with_tasks_in(&job, in_a, unknown).rules_allow(&machine(zone, 8.0, false))
@@ -41,7 +40,7 @@
 }
 
 #[test]
-fn half_of_the_tasks_may_be_in_one_zone() {
+fn spread_job_may_have_at_most_half_of_its_tasks_in_one_zone() {
     let job = spread_job();
     let allowed = |in_a| with_tasks_in(&job, in_a, 0).rules_allow(&machine("a", 8.0, false));
     assert!(allowed(4));
