--- a/crates/peer-protocol/src/encoder.rs
+++ b/crates/peer-protocol/src/encoder.rs
@@ -1,15 +1,15 @@
-//! Writes the fields of a frame.
+//! Encoding of the fields of a frame.
 
-/// The bytes of the length field that stands before each frame.
+/// Size of the length field at the start of each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// A frame that is being written. Its length is filled in at the end.
+/// A frame under construction. [`Encoder::finish`] fills in its length.
 pub(crate) struct Encoder {
     bytes: Vec<u8>,
 }
 
 impl Encoder {
-    /// A frame of this version, with room for its length.
+    /// Starts a frame of this version, with space for its length.
     pub(crate) fn new(version: u8) -> Encoder {
         Encoder {
             bytes: vec![0, 0, 0, 0, version],
@@ -40,28 +40,28 @@
         self.u8(u8::from(flag));
     }
 
-    /// A text, cut at the last whole character that fits into 65535 bytes.
-    pub(crate) fn text(&mut self, text: &str) {
-        let text = &text[..text.floor_char_boundary(usize::from(u16::MAX))];
-        self.u16(saturating_u16(text.len()));
-        self.bytes.extend_from_slice(text.as_bytes());
+    /// Appends a string, truncated at the last character boundary within 65535 bytes.
+    pub(crate) fn string(&mut self, string: &str) {
+        let string = &string[..string.floor_char_boundary(usize::from(u16::MAX))];
+        self.u16(saturating_u16(string.len()));
+        self.bytes.extend_from_slice(string.as_bytes());
     }
 
-    /// A list, cut at `limit`, with `write` for each element.
+    /// Appends a list, truncated to `limit` elements, each of which `encode` appends.
     pub(crate) fn list<T>(
         &mut self,
         elements: &[T],
         limit: usize,
-        write: impl Fn(&mut Encoder, &T),
+        encode: impl Fn(&mut Encoder, &T),
     ) {
         let elements = &elements[..elements.len().min(limit)];
         self.u16(saturating_u16(elements.len()));
         for element in elements {
-            write(self, element);
+            encode(self, element);
         }
     }
 
-    /// The whole frame with its length.
+    /// Returns the complete frame with its length.
     pub(crate) fn finish(mut self) -> Vec<u8> {
         let length = u32::try_from(self.bytes.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
@@ -69,7 +69,7 @@
     }
 }
 
-/// A length that its caller has bounded to what fits.
+/// Converts a length that the caller has limited to [`u16::MAX`].
 fn saturating_u16(length: usize) -> u16 {
     u16::try_from(length).unwrap_or(u16::MAX)
 }
--- a/crates/peer-protocol/src/error.rs
+++ b/crates/peer-protocol/src/error.rs
@@ -1,30 +1,30 @@
-//! What can be wrong with a received frame.
+//! Errors of decoding a frame.
 
-/// Why a frame was refused. Each of these closes the connection.
+/// The reason why a received frame was rejected. The receiver closes the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The announced length, or the count of a list, is above its bound.
-    #[error("frame of {0} bytes is over the bound")]
+    /// The length of the frame or the count of a list exceeds its limit.
+    #[error("frame length or list count {0} exceeds its limit")]
     TooLong(usize),
-    /// The frame is of a version that this node does not read.
-    #[error("unknown version {0}")]
+    /// The frame's protocol version is not supported.
+    #[error("unsupported protocol version {0}")]
     UnsupportedVersion(u8),
-    /// No message has this kind byte.
-    #[error("unknown kind {0}")]
+    /// The kind byte does not belong to any message.
+    #[error("unknown message kind {0}")]
     UnknownKind(u8),
     /// The frame ends before its last field.
-    #[error("frame ends early")]
+    #[error("frame is truncated")]
     Truncated,
-    /// Bytes follow the last field.
-    #[error("frame has bytes left over")]
+    /// There are bytes after the last field.
+    #[error("frame has trailing bytes")]
     TrailingBytes,
-    /// A text is not UTF-8.
-    #[error("text is not UTF-8")]
+    /// A string is not valid UTF-8.
+    #[error("string is not valid UTF-8")]
     InvalidUtf8,
-    /// A flag is neither 0 nor 1.
-    #[error("a flag is neither 0 nor 1")]
+    /// The byte of a flag is neither 0 nor 1.
+    #[error("flag is neither 0 nor 1")]
     InvalidFlag,
-    /// A number is infinite or not a number; a job's ageing must not rest on one.
-    #[error("a number is not finite")]
+    /// A number is infinite or NaN, which must not enter the ageing of jobs.
+    #[error("number is not finite")]
     NonFiniteNumber,
 }
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -1,20 +1,20 @@
-//! Frames: the length, the version and the kind that stand before a message's fields.
+//! Frames: the header (length, version and kind) and the message that follows it.
 
 use crate::encoder::Encoder;
 use crate::error::FrameError;
 use crate::message::{Estimates, JobProgress, MAX_PROGRESS, MAX_ZONES, Message, SilentZone};
 use crate::reader::Reader;
 
-/// The version that this node writes. A frame of an unknown version closes the connection.
-pub const VERSION: u8 = 4;
-/// The version before, of which every frame is a valid frame of this version too. During a
-/// rolling upgrade new nodes read the old nodes' frames; old nodes refuse the new ones and
-/// work without their hints.
+/// The protocol version of encoded frames. Frames of an unsupported version are rejected.
+pub const PROTOCOL_VERSION: u8 = 4;
+/// The previous protocol version, whose frames are also valid frames of the current version.
+/// During a rolling upgrade, upgraded controllers decode frames of old controllers. Old
+/// controllers reject the frames of upgraded ones and operate without these hints.
 const PREVIOUS_VERSION: u8 = 3;
-/// The bound of a frame's length field, in bytes.
-pub const MAX_FRAME: usize = 64 * 1024;
-/// The length of what every frame has: its version and its kind.
-const MIN_FRAME: usize = 2;
+/// The maximum value of a frame's length field.
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
+/// The minimum value of a frame's length field: the size of version and kind.
+const MIN_FRAME_BYTES: usize = 2;
 
 const KIND_HELLO: u8 = 1;
 const KIND_HEARTBEAT: u8 = 2;
@@ -22,28 +22,28 @@
 const KIND_SILENT_ZONES: u8 = 4;
 const KIND_ESTIMATES: u8 = 5;
 
-/// The length that a frame's first four bytes announce: that of what follows them.
+/// Decodes the length field of a frame: the number of bytes that follow the field.
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLong`] above [`MAX_FRAME`], [`FrameError::Truncated`] if not even the
-/// version and the kind fit in.
+/// Returns [`FrameError::TooLong`] if the length exceeds [`MAX_FRAME_BYTES`], and
+/// [`FrameError::Truncated`] if it is too short for the version and the kind.
 pub fn frame_length(header: [u8; 4]) -> Result<usize, FrameError> {
     match u32::from_be_bytes(header) as usize {
-        length if length > MAX_FRAME => Err(FrameError::TooLong(length)),
-        length if length < MIN_FRAME => Err(FrameError::Truncated),
+        length if length > MAX_FRAME_BYTES => Err(FrameError::TooLong(length)),
+        length if length < MIN_FRAME_BYTES => Err(FrameError::Truncated),
         length => Ok(length),
     }
 }
 
 impl Message {
-    /// The whole frame, length included.
+    /// Encodes the message as a complete frame, including the length.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = Encoder::new(VERSION);
+        let mut out = Encoder::new(PROTOCOL_VERSION);
         match self {
             Message::Hello { member } => {
                 out.u8(KIND_HELLO);
-                out.text(member);
+                out.string(member);
             }
             Message::Heartbeat {
                 term,
@@ -75,20 +75,21 @@
         out.finish()
     }
 
-    /// Reads a frame's content: what follows the length.
+    /// Decodes a frame without its length.
     ///
     /// # Errors
     ///
-    /// Whatever is wrong with the frame; it is read whole or not at all.
+    /// Returns an error if the version is not supported, the kind is unknown, a field is invalid,
+    /// or the frame is too short or too long.
     pub fn decode(frame: &[u8]) -> Result<Message, FrameError> {
         let mut reader = Reader::new(frame);
         match reader.u8()? {
-            VERSION | PREVIOUS_VERSION => {}
+            PROTOCOL_VERSION | PREVIOUS_VERSION => {}
             version => return Err(FrameError::UnsupportedVersion(version)),
         }
         let message = match reader.u8()? {
             KIND_HELLO => Message::Hello {
-                member: reader.text()?,
+                member: reader.string()?,
             },
             KIND_HEARTBEAT => Message::Heartbeat {
                 term: reader.u64()?,
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! The binary protocol that the controllers speak among themselves.
+//! The binary protocol between controllers.
 //!
-//! A frame is a length (u32, of what follows it), a version byte, a kind byte and the
-//! message's fields. Integers and IEEE 754 numbers are big endian, a text is a u16 length
-//! and UTF-8, a list is a u16 count and its elements. Every length is checked against its
-//! bound before memory is allocated for it.
+//! A frame consists of a length (u32, not counting itself), a version byte, a kind byte and the
+//! fields of the message. Integers and IEEE 754 numbers are big-endian, a string is a u16 length
+//! and UTF-8 bytes, a list is a u16 count and its elements. Every length is checked against its
+//! limit before memory is allocated.
 //!
-//! The messages are hints. Leadership and all placements are settled by compare-and-swap
-//! in the store, so a lost or forged message costs time and never correctness.
+//! The messages are hints. Leadership and placements are decided by compare-and-swap in the
+//! store, so a lost or forged message may cause delays but does not affect correctness.
 
 #![warn(
     missing_docs,
@@ -28,7 +28,7 @@
 mod reader;
 
 pub use error::FrameError;
-pub use frame::{MAX_FRAME, VERSION, frame_length};
+pub use frame::{MAX_FRAME_BYTES, PROTOCOL_VERSION, frame_length};
 pub use message::{
     ClassRunTime, Estimates, JobEstimate, JobProgress, MAX_CLASSES, MAX_JOB_ESTIMATES,
     MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, SilentZone,
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -1,111 +1,112 @@
-//! The messages among controllers: their fields, and their encoding field by field.
+//! The messages between controllers and their encoding.
 
 use crate::encoder::Encoder;
 use crate::error::FrameError;
 use crate::reader::Reader;
 
-/// The most jobs in one [`Message::JobProgress`].
+/// Maximum number of jobs in one [`Message::JobProgress`].
 pub const MAX_PROGRESS: usize = 500;
-/// The most zones in one [`Message::SilentZones`].
+/// Maximum number of zones in one [`Message::SilentZones`].
 pub const MAX_ZONES: usize = 100;
-/// The most jobs in one [`Estimates`].
+/// Maximum number of jobs in one [`Estimates`].
 pub const MAX_JOB_ESTIMATES: usize = 100;
-/// The most classes in one [`Estimates`].
+/// Maximum number of classes in one [`Estimates`].
 pub const MAX_CLASSES: usize = 64;
-/// The most run-time samples in one [`JobEstimate`].
+/// Maximum number of run-time samples in one [`JobEstimate`].
 pub const MAX_SAMPLES: usize = 16;
 
-/// What one controller tells the others.
+/// A message from one controller to the others.
 ///
-/// A list longer than its bound is cut to the bound when it is encoded.
+/// A list that exceeds its limit is truncated when it is encoded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// The first frame of a connection: which member has connected.
+    /// The first message of a connection, which identifies the sender.
     Hello {
-        /// The sender's name in the settings.
+        /// The sender's member name from the settings.
         member: String,
     },
-    /// Sent about twice a second: the sender's view of the cluster.
+    /// The sender's view of the cluster, sent periodically.
     Heartbeat {
-        /// The highest term that the sender has seen.
+        /// The highest term known to the sender.
         term: u64,
         /// Whether the sender is the leader of that term.
         is_leader: bool,
-        /// Whether the store answers the sender.
+        /// Whether the sender receives responses from the store.
         store_reachable: bool,
-        /// Whether workers' heartbeats reach the sender.
+        /// Whether the sender receives heartbeats from workers.
         workers_reachable: bool,
-        /// How many requests a second users send to it.
+        /// The rate of user requests that the sender receives, per second.
         requests_per_s: u32,
     },
-    /// From the leader: the progress of some jobs.
+    /// The progress of some jobs, sent by the leader.
     JobProgress(Vec<JobProgress>),
-    /// From the leader: the zones of which no machine is heard.
+    /// The zones from which the leader receives no heartbeats, sent by the leader.
     SilentZones(Vec<SilentZone>),
-    /// From the leader: what it has learned about run times.
+    /// Estimates of run times, sent by the leader.
     Estimates(Estimates),
 }
 
-/// How far a job has come. Only shown to users; nothing is decided by it.
+/// The progress of a job. It is displayed to users but does not affect scheduling.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobProgress {
     /// The job's id.
     pub job: String,
-    /// How many of its tasks are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How many of its tasks are running.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
-/// A zone of which no machine is heard.
+/// A zone from which the leader receives no heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SilentZone {
     /// The zone's name.
     pub zone: String,
-    /// Milliseconds since the last heartbeat of any of its machines.
+    /// Time since the last heartbeat from any machine of the zone, in milliseconds.
     pub silent_ms: u32,
 }
 
-/// What a leader has learned about run times, so that its successor starts from there.
-/// Each message has some of the jobs.
+/// The leader's run-time estimates, from which its successor continues after a failover. Each
+/// message contains some of the jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Estimates {
     /// The leader's term.
     pub term: u64,
-    /// The leader's virtual time in CPU-seconds: the credit of a job array that was
-    /// ageing all the time.
+    /// The leader's virtual time in CPU-seconds: the amount by which a job that was never paused
+    /// has aged.
     pub virtual_time: f64,
     /// Mean run times by class.
     pub classes: Vec<ClassRunTime>,
-    /// Estimates of single job arrays.
+    /// Estimates of individual batch jobs.
     pub jobs: Vec<JobEstimate>,
 }
 
-/// The mean run time of a class's tasks.
+/// The mean run time of the tasks of a class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRunTime {
     /// The class's name.
     pub class: String,
-    /// In seconds.
+    /// The mean run time in seconds.
     pub mean_s: f64,
 }
 
-/// What a leader has learned about one job array.
+/// The leader's size estimate of one batch job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobEstimate {
     /// The job's id.
     pub job: String,
-    /// The job's size by the first estimate, in CPU-seconds.
+    /// The first estimate of the job's size, in CPU-seconds.
     pub initial_size: f64,
-    /// The same, or the final size once the job is trained, in CPU-seconds.
+    /// The current estimate of the job's size, in CPU-seconds. It equals the initial size until
+    /// the job's training tasks have completed.
     pub size: f64,
-    /// How much of the size ageing has taken off, in CPU-seconds. For a job that is
-    /// ageing the leader's virtual time is subtracted: so the number stays the same
-    /// while the job ages, and need not be sent again.
+    /// The amount by which ageing has reduced the virtual size, in CPU-seconds. For an ageing job
+    /// the leader's virtual time is subtracted. The difference is constant while the job ages, so
+    /// that it does not have to be sent again.
     pub credit: f64,
     /// Whether the job is ageing.
     pub is_ageing: bool,
-    /// Whether its training tasks have given the final size.
+    /// Whether the training tasks have completed and the size is final.
     pub trained: bool,
     /// Run times of its training tasks, in seconds.
     pub samples: Vec<f64>,
@@ -113,14 +114,14 @@
 
 impl JobProgress {
     pub(crate) fn encode(&self, out: &mut Encoder) {
-        out.text(&self.job);
+        out.string(&self.job);
         out.u32(self.done);
         out.u32(self.running);
     }
 
     pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<JobProgress, FrameError> {
         Ok(JobProgress {
-            job: reader.text()?,
+            job: reader.string()?,
             done: reader.u32()?,
             running: reader.u32()?,
         })
@@ -129,13 +130,13 @@
 
 impl SilentZone {
     pub(crate) fn encode(&self, out: &mut Encoder) {
-        out.text(&self.zone);
+        out.string(&self.zone);
         out.u32(self.silent_ms);
     }
 
     pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<SilentZone, FrameError> {
         Ok(SilentZone {
-            zone: reader.text()?,
+            zone: reader.string()?,
             silent_ms: reader.u32()?,
         })
     }
@@ -161,13 +162,13 @@
 
 impl ClassRunTime {
     fn encode(&self, out: &mut Encoder) {
-        out.text(&self.class);
+        out.string(&self.class);
         out.f64(self.mean_s);
     }
 
     fn decode(reader: &mut Reader<'_>) -> Result<ClassRunTime, FrameError> {
         Ok(ClassRunTime {
-            class: reader.text()?,
+            class: reader.string()?,
             mean_s: reader.f64()?,
         })
     }
@@ -175,7 +176,7 @@
 
 impl JobEstimate {
     fn encode(&self, out: &mut Encoder) {
-        out.text(&self.job);
+        out.string(&self.job);
         out.f64(self.initial_size);
         out.f64(self.size);
         out.f64(self.credit);
@@ -186,7 +187,7 @@
 
     fn decode(reader: &mut Reader<'_>) -> Result<JobEstimate, FrameError> {
         Ok(JobEstimate {
-            job: reader.text()?,
+            job: reader.string()?,
             initial_size: reader.f64()?,
             size: reader.f64()?,
             credit: reader.f64()?,
--- a/crates/peer-protocol/src/reader.rs
+++ b/crates/peer-protocol/src/reader.rs
@@ -1,8 +1,8 @@
-//! Reads the fields of a received frame.
+//! Decoding of the fields of a received frame.
 
 use crate::error::FrameError;
 
-/// What is left of a frame's content.
+/// Reads fields from the bytes of a frame that follow its length.
 pub(crate) struct Reader<'a> {
     remaining: &'a [u8],
 }
@@ -12,7 +12,7 @@
         Reader { remaining: content }
     }
 
-    /// The next `N` bytes.
+    /// Reads the next `N` bytes.
     fn array<const N: usize>(&mut self) -> Result<[u8; N], FrameError> {
         let (head, remaining) = self
             .remaining
@@ -54,21 +54,21 @@
         }
     }
 
-    pub(crate) fn text(&mut self) -> Result<String, FrameError> {
+    pub(crate) fn string(&mut self) -> Result<String, FrameError> {
         let length = usize::from(self.u16()?);
-        let (text, remaining) = self
+        let (string, remaining) = self
             .remaining
             .split_at_checked(length)
             .ok_or(FrameError::Truncated)?;
         self.remaining = remaining;
-        String::from_utf8(text.to_vec()).map_err(|_| FrameError::InvalidUtf8)
+        String::from_utf8(string.to_vec()).map_err(|_| FrameError::InvalidUtf8)
     }
 
-    /// A list of at most `limit` elements, each of which `read` reads.
+    /// Reads a list of at most `limit` elements, each of which `decode` reads.
     pub(crate) fn list<T>(
         &mut self,
         limit: usize,
-        read: impl Fn(&mut Reader<'a>) -> Result<T, FrameError>,
+        decode: impl Fn(&mut Reader<'a>) -> Result<T, FrameError>,
     ) -> Result<Vec<T>, FrameError> {
         let count = usize::from(self.u16()?);
         if count > limit {
@@ -76,12 +76,12 @@
         }
         let mut elements = Vec::with_capacity(count);
         for _ in 0..count {
-            elements.push(read(self)?);
+            elements.push(decode(self)?);
         }
         Ok(elements)
     }
 
-    /// Fails if bytes are left over.
+    /// Returns an error if there are unread bytes.
     pub(crate) fn expect_end(self) -> Result<(), FrameError> {
         if self.remaining.is_empty() {
             Ok(())
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! What a frame holds after a round trip, and which frames are refused.
+//! Round trips of all messages, and rejection of invalid frames.
 
 use dillcleat_peer_protocol::{
     ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, Message, SilentZone,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn frames_round_trip_and_damaged_ones_are_refused() {
+fn messages_round_trip_and_invalid_frames_are_rejected() {
     let messages = [
         Message::Hello {
             member: "a-0".into(),
@@ -72,9 +72,9 @@
     assert!(frame_length([255; 4]).is_err());
 }
 
-/// An ageing credit that is not a number would keep its job first or last in the queue for good.
+/// A job with a non-finite ageing credit would permanently be the first or last in the queue.
 #[test]
-fn numbers_that_are_not_finite_are_refused() {
+fn non_finite_numbers_are_rejected() {
     for virtual_time in [f64::NAN, f64::INFINITY] {
         let frame = Message::Estimates(Estimates {
             term: 1,
--- a/crates/peer-protocol/tests/golden_frames.rs
+++ b/crates/peer-protocol/tests/golden_frames.rs
@@ -1,19 +1,19 @@
-//! The frames among controllers, as version 84a8104 reads and writes them.
+//! The bytes of all frames between controllers, which must not change within a protocol version.
 
 use dillcleat_peer_protocol::{
-    ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, MAX_CLASSES, MAX_FRAME,
-    MAX_JOB_ESTIMATES, MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, SilentZone, VERSION,
+    ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, MAX_CLASSES, MAX_FRAME_BYTES,
+    MAX_JOB_ESTIMATES, MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, PROTOCOL_VERSION, SilentZone,
     frame_length,
 };
 
-/// Asserts that `frame` is read as `message`, also when it comes from the version
-/// before, and that `message` is written as `frame`.
-fn assert_keeps(frame: &[u8], message: &Message) {
+/// Asserts that `message` is encoded as `frame`, and that `frame` is decoded as `message`, also
+/// with the previous protocol version.
+fn assert_matches_golden(frame: &[u8], message: &Message) {
     assert_eq!(
         message.encode().escape_ascii().to_string(),
         frame.escape_ascii().to_string()
     );
-    let (head, content) = frame.split_first_chunk::<4>().expect("a length");
+    let (head, content) = frame.split_first_chunk::<4>().expect("length field");
     assert_eq!(frame_length(*head), Ok(content.len()));
     assert_eq!(Message::decode(content).as_ref(), Ok(message));
     let mut previous_version = content.to_vec();
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn the_version_and_the_limits_stay_as_they_are() {
-    assert_eq!((VERSION, MAX_FRAME), (4, 65_536));
+fn protocol_version_and_limits_are_unchanged() {
+    assert_eq!((PROTOCOL_VERSION, MAX_FRAME_BYTES), (4, 65_536));
     assert_eq!(
         (MAX_PROGRESS, MAX_ZONES, MAX_JOB_ESTIMATES),
         (500, 100, 100)
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn a_hello_keeps_its_bytes() {
+fn hello_matches_golden_frame() {
     let hello = Message::Hello {
         member: "n1".into(),
     };
-    assert_keeps(b"\x00\x00\x00\x06\x04\x01\x00\x02n1", &hello);
+    assert_matches_golden(b"\x00\x00\x00\x06\x04\x01\x00\x02n1", &hello);
 }
 
-/// Each flag is set in one frame alone, so that none is taken for another.
+/// Each flag is set in exactly one frame, which detects swapped flags.
 #[test]
-fn a_heartbeat_keeps_its_bytes() {
+fn heartbeat_matches_golden_frames() {
     let heartbeat = |is_leader, store_reachable, workers_reachable| Message::Heartbeat {
         term: 0x0102_0304_0506_0708,
         is_leader,
@@ -49,22 +49,22 @@
         workers_reachable,
         requests_per_s: 70_000,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x01\x00\x00\x00\x01\x11\x70",
         &heartbeat(true, false, false),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x01\x00\x00\x01\x11\x70",
         &heartbeat(false, true, false),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x11\x04\x02\x01\x02\x03\x04\x05\x06\x07\x08\x00\x00\x01\x00\x01\x11\x70",
         &heartbeat(false, false, true),
     );
 }
 
 #[test]
-fn progress_keeps_its_bytes() {
+fn job_progress_matches_golden_frames() {
     let progress = Message::JobProgress(vec![
         JobProgress {
             job: "req-1".into(),
@@ -77,36 +77,36 @@
             running: 0,
         },
     ]);
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x00\x00\x00\x23\x04\x03\x00\x02\x00\x05req-1\x00\x00\x00\x03\x00\x00\x00\x04\
             \x00\x06req-22\x00\x01\x86\xa0\x00\x00\x00\x00",
         &progress,
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x04\x04\x03\x00\x00",
         &Message::JobProgress(Vec::new()),
     );
 }
 
 #[test]
-fn silent_zones_keep_their_bytes() {
+fn silent_zones_match_golden_frames() {
     let silent = Message::SilentZones(vec![SilentZone {
         zone: "a".into(),
         silent_ms: 9_000,
     }]);
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x0b\x04\x04\x00\x01\x00\x01a\x00\x00\x23\x28",
         &silent,
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x00\x00\x00\x04\x04\x04\x00\x00",
         &Message::SilentZones(Vec::new()),
     );
 }
 
 #[test]
-fn estimates_keep_their_bytes() {
+fn estimates_match_golden_frames() {
     let estimates = Message::Estimates(Estimates {
         term: 7,
         virtual_time: 12.5,
@@ -135,7 +135,7 @@
             },
         ],
     });
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x00\x00\x00\x7b\x04\x05\x00\x00\x00\x00\x00\x00\x00\x07\
             \x40\x29\x00\x00\x00\x00\x00\x00\x00\x01\x00\x05merge\
@@ -146,33 +146,33 @@
             \x40\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00",
         &estimates,
     );
-    let nothing = Message::Estimates(Estimates {
+    let empty = Message::Estimates(Estimates {
         term: 7,
         virtual_time: 0.0,
         classes: Vec::new(),
         jobs: Vec::new(),
     });
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x00\x00\x00\x16\x04\x05\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x00\x00\x00\x00\x00\
         \x00\x00\x00\x00",
-        &nothing,
+        &empty,
     );
 }
 
 #[test]
-fn damaged_frames_and_other_versions_are_refused_as_before() {
-    let refused = |content: &[u8], error| assert_eq!(Message::decode(content), Err(error));
-    refused(b"\x02\x01\x00\x02n1", FrameError::UnsupportedVersion(2));
-    refused(b"\x05\x01\x00\x02n1", FrameError::UnsupportedVersion(5));
-    refused(b"\x04\x00", FrameError::UnknownKind(0));
-    refused(b"\x04\x06", FrameError::UnknownKind(6));
-    refused(b"\x04\x01\x00\x02n", FrameError::Truncated);
-    refused(b"\x04\x01\x00\x02n1x", FrameError::TrailingBytes);
-    refused(b"\x04\x01\x00\x01\xff", FrameError::InvalidUtf8);
-    refused(
+fn invalid_frames_are_rejected_with_specific_errors() {
+    let assert_rejected = |content: &[u8], error| assert_eq!(Message::decode(content), Err(error));
+    assert_rejected(b"\x02\x01\x00\x02n1", FrameError::UnsupportedVersion(2));
+    assert_rejected(b"\x05\x01\x00\x02n1", FrameError::UnsupportedVersion(5));
+    assert_rejected(b"\x04\x00", FrameError::UnknownKind(0));
+    assert_rejected(b"\x04\x06", FrameError::UnknownKind(6));
+    assert_rejected(b"\x04\x01\x00\x02n", FrameError::Truncated);
+    assert_rejected(b"\x04\x01\x00\x02n1x", FrameError::TrailingBytes);
+    assert_rejected(b"\x04\x01\x00\x01\xff", FrameError::InvalidUtf8);
+    assert_rejected(
         b"\x04\x02\x00\x00\x00\x00\x00\x00\x00\x07\x02\x00\x00\x00\x00\x00\x00",
         FrameError::InvalidFlag,
     );
-    refused(b"\x04\x03\x01\xf5", FrameError::TooLong(501));
+    assert_rejected(b"\x04\x03\x01\xf5", FrameError::TooLong(501));
 }
