--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,43 +1,43 @@
-//! Message bodies: `MessagePack` maps with text keys.
+//! Message bodies: `MessagePack` maps with string keys.
 
 use crate::user::ErrorReply;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The protocol's limit for request bodies, and for answers to workers and users, in bytes.
+/// Maximum size of request bodies, and of responses to workers and users, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Why a body could not be read.
+/// The reason why a body could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The body is a list or a single value.
+    /// The body is not a map but a list or a scalar.
     #[error("the body is not a map")]
     NotAMap,
-    /// There is no body.
+    /// The body is empty.
     #[error("the body is not valid MessagePack of the expected form: it is empty")]
     Empty,
-    /// The body is damaged, or its fields are not those of the message.
+    /// The body is not valid `MessagePack`, or its fields do not match the message type.
     #[error("the body is not valid MessagePack of the expected form: {message}")]
     InvalidMessagePack {
-        /// The decoder's message. Its error itself can be neither cloned nor compared.
+        /// The decoder's message. Its error type implements neither `Clone` nor `PartialEq`.
         message: String,
     },
-    /// The server answered with a status that the protocol does not have for the request.
+    /// The response has an HTTP status that the protocol does not define for the request.
     #[error("the body is not valid MessagePack of the expected form: unexpected status {0}")]
     UnexpectedStatus(u16),
 }
 
-/// Reads a body that must be a map with text keys.
+/// Decodes a body that must be a map with string keys.
 ///
-/// The decoder would take a list for a struct as well; the protocol does not, so the first
-/// byte is looked at before anything else.
+/// The first byte is checked before decoding, because the decoder would also accept a list as a
+/// struct, which the protocol does not allow.
 ///
 /// # Errors
 ///
-/// The body is empty, is not a map, or is not a `T`.
+/// Returns an error if the body is empty, is not a map, or does not decode as `T`.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BodyError> {
     match body.first() {
-        // The first bytes of MessagePack's three forms of a map.
+        // The markers of fixmap, map 16 and map 32.
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
         Some(_) => return Err(BodyError::NotAMap),
         None => return Err(BodyError::Empty),
@@ -47,14 +47,14 @@
     })
 }
 
-/// Writes a body as a map with text keys.
+/// Encodes a body as a map with string keys.
 pub fn encode<T: Serialize>(body: &T) -> Vec<u8> {
-    // Writing to memory fails only for maps of unknown length, and no type of this crate
-    // has one.
+    // Encoding to memory fails only for maps of unknown length, which no type of this crate
+    // contains.
     rmp_serde::to_vec_named(body).unwrap_or_default()
 }
 
-/// Whether a body is a refusal with exactly this text.
-pub(crate) fn is_refusal(body: &[u8], text: &str) -> bool {
+/// Whether a body is an [`ErrorReply`] with exactly this text.
+pub(crate) fn is_error_reply(body: &[u8], text: &str) -> bool {
     decode::<ErrorReply>(body).is_ok_and(|reply| reply.error == text)
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,16 +1,16 @@
-//! The cloud's protocol: machine types, and machines that are scaled out and deleted.
+//! The cloud protocol: listing machine types and machines, scaling out, and deleting machines.
 
-use crate::body::is_refusal;
+use crate::body::is_error_reply;
 use crate::{BodyError, HttpRequest, decode, encode};
 use serde::{Deserialize, Serialize};
 
-/// The most machines that one scale-out may ask for.
+/// Maximum number of machines that one scale-out may request.
 pub const MAX_SCALE_OUT: u32 = 50;
-/// The most machines that one deletion may name.
+/// Maximum number of machines in one deletion.
 pub const MAX_DELETE: usize = 100;
-/// The most rows of one page of the machine list.
+/// Maximum number of machines in one page of the machine list.
 pub const MAX_PAGE_ROWS: u32 = 500;
-/// How the cloud refuses a scale-out for which it has no machines.
+/// The cloud's error text for a scale-out for which it has no capacity.
 const NO_CAPACITY: &str = "no capacity";
 
 /// A type of machine that the cloud offers.
@@ -31,19 +31,19 @@
     /// Size of its image cache, in gigabytes.
     #[serde(rename = "cache_gb", default)]
     pub cache_gb: f64,
-    /// How fast it fetches images, in gigabytes a second.
+    /// Download rate of images, in gigabytes per second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an on-demand machine. All prices are in the same unit.
+    /// Price of an on-demand machine per hour. All prices are in the same currency.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price of a spot machine; None if there are no spot machines of this type.
+    /// Price of a spot machine per hour; None if the type is not offered as spot machine.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
-    /// How long a machine takes to boot, in seconds.
+    /// Boot time of a machine, in seconds.
     #[serde(rename = "boot_s", default)]
     pub boot_s: f64,
-    /// The zones that have this type.
+    /// The zones in which the type is offered.
     #[serde(rename = "rooms")]
     pub zones: Vec<String>,
 }
@@ -59,7 +59,7 @@
 /// A request for new machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScaleOut {
-    /// The request's id. The cloud carries out requests with the same id only once.
+    /// The idempotency key. The cloud carries out requests with the same key only once.
     #[serde(rename = "hire_note")]
     pub request: String,
     /// The name of the machine type.
@@ -68,15 +68,15 @@
     /// The zone.
     #[serde(rename = "room")]
     pub zone: String,
-    /// Whether spot machines are asked for.
+    /// Whether to create spot machines.
     #[serde(rename = "remainders")]
     pub spot: bool,
-    /// How many machines, at most [`MAX_SCALE_OUT`].
+    /// Number of machines, at most [`MAX_SCALE_OUT`].
     #[serde(rename = "count")]
     pub count: u32,
 }
 
-/// Machines by name: what a deletion names, and what a scale-out has made.
+/// Names of machines: the body of a deletion, and of the response to a scale-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -87,16 +87,16 @@
 /// The state of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It has not yet booted.
+    /// The machine has not booted yet.
     #[serde(rename = "starting")]
     Booting,
-    /// It has booted.
+    /// The machine has booted.
     #[serde(rename = "running")]
     Running,
-    /// It did not boot, or has broken down.
+    /// The machine did not boot or has failed.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that this version does not know.
+    /// A state that this version does not support.
     #[serde(rename = "Other", other)]
     Other,
 }
@@ -107,7 +107,7 @@
     /// The machine's name.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Where its worker takes commands, `IP:PORT`, once that is known.
+    /// The address at which its worker receives commands, `IP:PORT`; None until it is known.
     #[serde(rename = "addr", default)]
     pub addr: Option<String>,
     /// The name of its machine type.
@@ -122,7 +122,7 @@
     /// Its state.
     #[serde(rename = "condition")]
     pub state: InstanceState,
-    /// How long ago it was scaled out, in seconds.
+    /// Time since the scale-out that created it, in seconds.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -141,43 +141,44 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// Asks for the machine types.
+    /// Lists the machine types.
     Types,
-    /// Scales out.
+    /// Creates machines.
     ScaleOut(ScaleOut),
     /// Deletes machines by name, at most [`MAX_DELETE`].
     Delete(Vec<String>),
-    /// Asks for one page of the list of machines.
+    /// Reads one page of the list of machines.
     List {
-        /// The last machine of the page before; None for the first page.
+        /// The last machine of the previous page; None for the first page.
         after: Option<String>,
     },
 }
 
-/// What the cloud answered.
+/// A response of the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudResponse {
     /// The machine types.
     Types(Vec<MachineType>),
-    /// The names of the new machines.
+    /// The scale-out was carried out. Contains the names of the new machines.
     ScaledOut(Vec<String>),
-    /// Not carried out: the cloud has no such machines at present.
+    /// The scale-out was not carried out because the cloud has no capacity at present.
     NoCapacity,
-    /// The machines are deleted.
+    /// The machines were deleted.
     Deleted,
     /// One page of the list of machines.
     Listed(MachineList),
-    /// Not carried out: too many requests, or the cloud's interface is in trouble.
+    /// The request was not carried out because of a rate limit or because the cloud's API is
+    /// unavailable.
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// Not carried out: the request itself was at fault.
+    /// The request was not carried out because it is invalid.
     Malformed,
 }
 
 impl CloudRequest {
-    /// The request as it goes over HTTP.
+    /// Converts the request to an HTTP request.
     pub fn to_http(&self) -> HttpRequest {
         match self {
             CloudRequest::Types => HttpRequest::get("/flavors"),
@@ -197,12 +198,12 @@
         }
     }
 
-    /// Reads the response to this request.
+    /// Decodes the response to this request.
     ///
     /// # Errors
     ///
-    /// The response is not one that the protocol has for this request. That counts as no
-    /// response: the request may have been carried out.
+    /// Returns an error if the protocol does not define such a response to this request. The
+    /// caller must treat this like a missing response: the request may have been carried out.
     pub fn parse_response(&self, status: u16, body: &[u8]) -> Result<CloudResponse, BodyError> {
         match (status, self) {
             (200, CloudRequest::Types) => {
@@ -213,7 +214,7 @@
             )),
             (200, CloudRequest::Delete(_)) => Ok(CloudResponse::Deleted),
             (200, CloudRequest::List { .. }) => Ok(CloudResponse::Listed(decode(body)?)),
-            (503, CloudRequest::ScaleOut(_)) if is_refusal(body, NO_CAPACITY) => {
+            (503, CloudRequest::ScaleOut(_)) if is_error_reply(body, NO_CAPACITY) => {
                 Ok(CloudResponse::NoCapacity)
             }
             (400 | 404, _) => Ok(CloudResponse::Malformed),
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,13 +1,13 @@
-//! What is sent to the store and to the cloud, both of which speak HTTP.
+//! HTTP requests to the store and the cloud.
 
-/// A request over HTTP.
+/// An HTTP request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// The method, in capitals.
+    /// The method, in upper case.
     pub method: &'static str,
-    /// The path and the query.
+    /// The path and the query string.
     pub target: String,
-    /// The body in `MessagePack`; empty for a request without one.
+    /// The `MessagePack` body; empty if the request has none.
     pub body: Vec<u8>,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,8 @@
-//! Typed messages of every protocol that dillcleat speaks, and their validation.
+//! Typed messages of the protocols that dillcleat implements, and their validation.
 //!
-//! This crate is the only place that knows how the protocols spell their fields: explicit
-//! serde names map that spelling to the terms of the field. Everything above speaks of
-//! jobs, tasks, attempts, machines, zones, teams, leases and terms. Clients written in
-//! Rust can use the crate as it is.
+//! The names of fields on the wire occur only in this crate, as explicit serde names. All other
+//! crates use the Rust names: jobs, tasks, attempts, machines, zones, teams, leases and terms.
+//! Clients written in Rust can use this crate directly.
 
 #![warn(
     missing_docs,
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! The ranges of the settings. Of several mistakes the first in this order is reported.
+//! Validation of the settings. Only the first error in the order of these checks is reported.
 
 use super::{Cluster, PlatformSettings, SettingsError, Team, UpcomingLimits};
 use std::net::SocketAddr;
@@ -6,17 +6,16 @@
 const HOUR_S: f64 = 3600.0;
 const HOUR_MS: f64 = 3.6e6;
 const DAY_S: f64 = 86400.0;
-/// The bound of numbers that have no natural one.
-const UNBOUNDED: f64 = 1e9;
-/// The largest value size, in units of 1024 bytes.
+/// The maximum of numbers that have no specific limit.
+const MAX_NUMBER: f64 = 1e9;
+/// The maximum size of a stored value, in units of 1024 bytes.
 const MAX_VALUE_KB: f64 = 1e6;
-/// The fewest mutations in one transaction that the controller's transactions fit in.
+/// The minimum number of mutations per transaction that controllers require.
 const MIN_TXN_OPS: u32 = 8;
-/// The fewest connections that a controller can work with.
+/// The minimum number of connections that a controller requires.
 const MIN_CONNECTIONS: u32 = 32;
 
 impl PlatformSettings {
-    /// Checks every range.
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         self.cluster.validate()?;
         self.validate_addresses()
@@ -63,12 +62,12 @@
             ("cluster.workers.lease_s", workers.lease_s, 0.1, DAY_S),
             ("cluster.workers.cancel_s", workers.cancel_s, 0.1, DAY_S),
             ("cluster.clock_error_ms", self.clock_error_ms, 0.0, HOUR_MS),
-            ("cluster.state.rps", state.rps, 1.0, UNBOUNDED),
-            ("cluster.state.write_rps", state.write_rps, 1.0, UNBOUNDED),
+            ("cluster.state.rps", state.rps, 1.0, MAX_NUMBER),
+            ("cluster.state.write_rps", state.write_rps, 1.0, MAX_NUMBER),
             ("cluster.state.value_kb", state.value_kb, 1.0, MAX_VALUE_KB),
-            ("cluster.cloud.rps", cloud.rps, 0.01, UNBOUNDED),
+            ("cluster.cloud.rps", cloud.rps, 0.01, MAX_NUMBER),
             ("cluster.cloud.list_lag_s", cloud.list_lag_s, 0.0, DAY_S),
-            ("cluster.quota.mem_mb", quota.mem_mb, 8.0, UNBOUNDED),
+            ("cluster.quota.mem_mb", quota.mem_mb, 8.0, MAX_NUMBER),
         ] {
             validate_range(key, value, min, max)?;
         }
@@ -84,7 +83,7 @@
             ("cluster.state.next.value_kb", self.value_kb),
         ] {
             if let Some(value) = value {
-                validate_range(key, value, 1.0, UNBOUNDED)?;
+                validate_range(key, value, 1.0, MAX_NUMBER)?;
             }
         }
         Ok(())
@@ -111,7 +110,7 @@
     }
 }
 
-/// Not a number is in no range.
+/// NaN is in no range.
 fn validate_range(key: &'static str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
     if (min..=max).contains(&value) {
         Ok(())
--- a/crates/wire/src/store/lease.rs
+++ b/crates/wire/src/store/lease.rs
@@ -1,10 +1,10 @@
-//! What a lease is known by.
+//! Lease ids.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number that the store gives a lease. A type of its own, so that it is not mixed up
-/// with a version, a revision or a duration.
+/// The id that the store assigns to a lease. A separate type prevents confusion with versions,
+/// revisions and durations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
--- a/crates/wire/src/store/mod.rs
+++ b/crates/wire/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store's protocol: a consensus-backed key-value store with versions, compare-and-swap
+//! The store protocol: a consensus-backed key-value store with versions, compare-and-swap
 //! transactions, leases and watches.
 
 mod lease;
--- a/crates/wire/src/store/request.rs
+++ b/crates/wire/src/store/request.rs
@@ -1,11 +1,11 @@
-//! The requests to the store, and how they go over HTTP.
+//! Requests to the store and their HTTP encoding.
 
 use super::lease::LeaseId;
 use super::transaction::Transaction;
 use crate::{HttpRequest, encode};
 use serde::Serialize;
 
-/// The most rows of one page of a listing.
+/// Maximum number of rows in one page of a list.
 pub const MAX_PAGE_ROWS: u32 = 1000;
 
 /// A request to the store.
@@ -16,37 +16,38 @@
         /// The key.
         key: String,
     },
-    /// Reads one page of the keys below a prefix, in their order.
+    /// Reads one page of the keys with a prefix, in key order.
     List {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The last key of the page before; None for the first page.
+        /// The last key of the previous page; None for the first page.
         after: Option<String>,
     },
-    /// Compare-and-swap.
+    /// Carries out a compare-and-swap transaction.
     Transaction(Transaction),
     /// Grants a lease.
     GrantLease {
-        /// How long the lease lasts unless it is renewed, in milliseconds.
+        /// The time after which the lease expires unless it is renewed, in milliseconds.
         ttl_ms: u64,
     },
-    /// Lets a lease last for its time to live again.
+    /// Renews a lease for its time to live.
     RenewLease {
         /// The lease.
         lease: LeaseId,
     },
-    /// Ends a lease, and with it the keys that it holds.
+    /// Revokes a lease, which deletes the keys attached to it.
     RevokeLease {
         /// The lease.
         lease: LeaseId,
     },
-    /// Waits for changes below a prefix.
+    /// Waits for changes of keys with a prefix.
     Watch {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The revision after which changes are wanted.
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long the store may hold the request until there is a change, in milliseconds.
+        /// The time for which the store may hold the request while there is no change, in
+        /// milliseconds.
         hold_ms: u64,
     },
 }
@@ -58,7 +59,7 @@
 }
 
 impl StoreRequest {
-    /// The request as it goes over HTTP.
+    /// Converts the request to an HTTP request.
     pub fn to_http(&self) -> HttpRequest {
         match self {
             StoreRequest::Get { key } => HttpRequest::get(format!("/kv/{key}")),
--- a/crates/wire/src/store/response.rs
+++ b/crates/wire/src/store/response.rs
@@ -1,17 +1,17 @@
-//! The store's responses, and how they are read from HTTP.
+//! Responses of the store and their decoding from HTTP.
 
 use super::lease::LeaseId;
 use super::request::StoreRequest;
 use super::value::KeyValue;
 use super::watch::WatchBatch;
-use crate::body::is_refusal;
+use crate::body::is_error_reply;
 use crate::{BodyError, decode};
 use serde::{Deserialize, Serialize};
 
-/// How the store refuses a transaction of which a lease has expired.
+/// The store's error text for a transaction that refers to an expired lease.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// One page of a listing.
+/// One page of a list of keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RangePage {
     /// The keys with their values, in the order of the keys.
@@ -25,28 +25,28 @@
     pub revision: u64,
 }
 
-/// What the store answered.
+/// A response of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
-    /// The key that was asked for.
+    /// The requested key.
     Found(KeyValue),
-    /// There is no such key.
+    /// The requested key does not exist.
     NotFound {
-        /// The revision at which that was so.
+        /// The revision at which the key was read.
         revision: u64,
     },
-    /// A page of a listing.
+    /// A page of a list.
     RangePage(RangePage),
     /// The transaction was carried out.
     Committed {
-        /// The revision that it made: the new version of the keys that it wrote.
+        /// The revision of the commit, which is the new version of the keys written.
         revision: u64,
     },
-    /// The transaction was not carried out: a precondition failed.
+    /// The transaction was not carried out because a precondition failed.
     Conflict {
-        /// The keys whose version was another.
+        /// The keys whose version did not match.
         failed: Vec<String>,
-        /// The revision at which that was so.
+        /// The revision at which the preconditions were checked.
         revision: u64,
     },
     /// A lease was granted.
@@ -54,19 +54,20 @@
         /// The lease.
         lease: LeaseId,
     },
-    /// The lease has expired, or there never was such a lease.
+    /// The lease has expired or never existed.
     LeaseExpired,
-    /// The lease was renewed or, as asked for, revoked.
+    /// The lease was renewed or, on a revoke request, revoked.
     LeaseRenewed,
-    /// What a watch brought.
+    /// The changes reported by a watch.
     WatchBatch(WatchBatch),
-    /// The watch starts too far back: the changes since then are no longer known.
+    /// The changes since the start revision of the watch are no longer available.
     Compacted,
-    /// Not carried out: over a rate limit.
+    /// The request was not carried out because a rate limit was exceeded.
     RateLimited,
-    /// Not carried out: the store is out, or this node alone is refused.
+    /// The request was not carried out because the store is unavailable, or unavailable to this
+    /// controller.
     Unavailable,
-    /// Not carried out: the request itself was at fault.
+    /// The request was not carried out because it is invalid.
     Malformed,
 }
 
@@ -91,17 +92,17 @@
 }
 
 impl StoreRequest {
-    /// Reads the response to this request.
+    /// Decodes the response to this request.
     ///
     /// # Errors
     ///
-    /// The response is not one that the protocol has for this request. That counts as no
-    /// response: the request may have been carried out.
+    /// Returns an error if the protocol does not define such a response to this request. The
+    /// caller must treat this like a missing response: the request may have been carried out.
     pub fn parse_response(&self, status: u16, body: &[u8]) -> Result<StoreResponse, BodyError> {
         match (status, self) {
             (429, _) => Ok(StoreResponse::RateLimited),
             (503, _) => Ok(StoreResponse::Unavailable),
-            (400, StoreRequest::Transaction(_)) if is_refusal(body, NO_SUCH_LEASE) => {
+            (400, StoreRequest::Transaction(_)) if is_error_reply(body, NO_SUCH_LEASE) => {
                 Ok(StoreResponse::LeaseExpired)
             }
             (400, _) => Ok(StoreResponse::Malformed),
@@ -136,7 +137,7 @@
     }
 }
 
-/// The revision that a body tells; 0 if it tells none.
+/// The revision in a response body; 0 if it has none.
 fn revision(body: &[u8]) -> Result<u64, BodyError> {
     Ok(decode::<RevisionBody>(body)?.revision)
 }
--- a/crates/wire/src/store/transaction.rs
+++ b/crates/wire/src/store/transaction.rs
@@ -1,20 +1,21 @@
-//! Compare-and-swap: mutations that are carried out only if some keys are unchanged.
+//! Compare-and-swap transactions: mutations that are carried out only if given keys have not
+//! changed.
 
 use super::lease::LeaseId;
 use super::value::encode_value;
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// The bound of a whole transaction, in bytes of the JSON form.
+/// Maximum size of a transaction, in bytes of its JSON form.
 pub const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
-/// A key that must have a version for the transaction to be carried out.
+/// The version that a key must have for the transaction to be carried out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The version that it must have; 0 if there must be no such key.
+    /// The required version; 0 if the key must not exist.
     #[serde(rename = "entry_no")]
     pub version: u64,
 }
@@ -23,15 +24,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
-    /// Writes a key, whether or not there is one.
+    /// Creates or overwrites a key.
     Put {
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// What is stored under it.
+        /// The new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease with which the key is to end, if any.
+        /// The lease to which the key is attached, if any.
         #[serde(rename = "loan", default, skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
@@ -43,19 +44,19 @@
     },
 }
 
-/// Mutations that are carried out all together, or not at all if a precondition fails.
+/// Mutations that are carried out atomically if all preconditions hold.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// The preconditions.
     #[serde(rename = "when")]
     pub compare: Vec<Precondition>,
-    /// What is then written.
+    /// The mutations.
     #[serde(rename = "then", default, skip_serializing_if = "Vec::is_empty")]
     pub then: Vec<Mutation>,
 }
 
 impl Transaction {
-    /// Adds the precondition that `key` has this version; 0 if it must not exist.
+    /// Adds the precondition that `key` has this version, or does not exist if `version` is 0.
     #[must_use]
     pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
         self.compare.push(Precondition {
@@ -65,19 +66,19 @@
         self
     }
 
-    /// Adds the writing of a record.
+    /// Adds a mutation that writes a record.
     #[must_use]
     pub fn put<T: Serialize>(self, key: impl Into<String>, record: &T) -> Self {
         self.put_with_lease(key.into(), record, None)
     }
 
-    /// Adds the writing of a record that ends with a lease.
+    /// Adds a mutation that writes a record attached to a lease.
     #[must_use]
     pub fn put_leased<T: Serialize>(self, key: &str, record: &T, lease: LeaseId) -> Self {
         self.put_with_lease(key.into(), record, Some(lease))
     }
 
-    /// Adds the deletion of a key.
+    /// Adds a mutation that deletes a key.
     #[must_use]
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.then.push(Mutation::Delete { key: key.into() });
--- a/crates/wire/src/store/watch.rs
+++ b/crates/wire/src/store/watch.rs
@@ -1,9 +1,9 @@
-//! What a watch of a key prefix brings.
+//! Events of a watch on a key prefix.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// One change seen by a watch.
+/// A change of one key, reported by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -19,7 +19,7 @@
         #[serde(rename = "entry_no")]
         version: u64,
     },
-    /// A key was deleted, by a transaction or by the end of its lease.
+    /// A key was deleted, by a transaction or because its lease ended.
     Delete {
         /// The key.
         #[serde(rename = "drop")]
@@ -30,13 +30,13 @@
     },
 }
 
-/// The changes that one watch request brought, oldest first.
+/// The changes returned by one watch request, oldest first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchBatch {
-    /// The revision up to which there are no other changes: the next request starts here.
+    /// The revision up to which the batch is complete. The next request must start from it.
     #[serde(rename = "ledger_no")]
     pub revision: u64,
-    /// The changes; empty if nothing changed while the request was held.
+    /// The changes; empty if there were none before the request timed out.
     #[serde(rename = "events", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/wire/src/task_name.rs
+++ b/crates/wire/src/task_name.rs
@@ -1,20 +1,20 @@
-//! How a task is named on the wire.
+//! Names of tasks.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 
-/// A task's name, `JOB/NUMBER` on the wire.
+/// The name of a task, encoded as `JOB/NUMBER`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
     /// The id of the task's job.
     pub job: String,
-    /// The task's number within the job, from 0.
+    /// The index of the task within the job, starting at 0.
     pub index: u32,
 }
 
-/// A text is not a task's name.
+/// The error of parsing a string that is not a task name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a task name is JOB/NUMBER")]
 pub struct TaskNameError;
--- a/crates/wire/src/user/job.rs
+++ b/crates/wire/src/user/job.rs
@@ -1,40 +1,40 @@
-//! What a job is, as its user describes it.
+//! The specification of a job.
 
 use serde::{Deserialize, Serialize};
 
-/// How a job's tasks end.
+/// The kind of a job, which determines how its tasks end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks that each run to completion.
+    /// The job has independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Batch,
-    /// Replicas that run until the job is cancelled.
+    /// The job has replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
 
-/// How urgent a job is, ordered from the least to the most urgent.
+/// The priority of a job, ordered from lowest to highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// May wait for everything else.
+    /// The lowest priority, for jobs that may wait for all others.
     #[serde(rename = "best_effort")]
     BestEffort,
-    /// The ordinary priority.
+    /// The priority of ordinary jobs.
     #[serde(rename = "normal")]
     Normal,
-    /// Goes before ordinary jobs.
+    /// Takes precedence over [`Priority::Normal`].
     #[serde(rename = "high")]
     High,
-    /// Goes before everything else.
+    /// Takes precedence over all other priorities.
     #[serde(rename = "production")]
     Production,
 }
 
-/// What each task of a job takes of its team's quota. Can be read from the bytes of a whole
+/// The part of its team's quota that each task of a job uses. It can be decoded from an encoded
 /// [`JobSpec`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ResourceClaim {
-    /// The team whose quota it is.
+    /// The team whose quota is used.
     #[serde(rename = "desk")]
     pub team: String,
     /// CPUs of each task.
@@ -45,25 +45,26 @@
     pub gpus: f64,
 }
 
-/// A job as its user describes it, validated. This is also the form in which it is stored.
+/// A validated job specification. Jobs are also stored in this form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The id that the user chose: `req-` and digits. Submitting it again is idempotent.
+    /// The id chosen by the user: `req-` followed by digits. Submissions with the same id are
+    /// idempotent.
     #[serde(rename = "ref")]
     pub id: String,
-    /// The class of jobs alike, whose run times are estimated together.
+    /// The class of similar jobs, which share a run-time estimate.
     #[serde(rename = "lot")]
     pub class: String,
     /// The team whose quota the job uses.
     #[serde(rename = "desk")]
     pub team: String,
-    /// Whether its tasks run to completion or until the job is cancelled.
+    /// Whether it is a batch job or a service.
     #[serde(rename = "binding")]
     pub kind: JobKind,
-    /// How urgent it is.
+    /// The priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks it has, from 1 to [`MAX_TASKS`](super::MAX_TASKS).
+    /// Number of tasks, from 1 to [`MAX_TASKS`](super::MAX_TASKS).
     #[serde(rename = "leaves")]
     pub tasks: u32,
     /// CPUs of each task.
@@ -81,41 +82,41 @@
     /// The image's size, in gigabytes.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// The machine types that it may run on; None for any.
+    /// The machine types on which the job may run; None for any.
     #[serde(rename = "formats", default)]
     pub types: Option<Vec<String>>,
-    /// The zone that it must run in; None for any.
+    /// The zone in which the job must run; None for any.
     #[serde(rename = "room", default)]
     pub zone: Option<String>,
-    /// Whether all its tasks must run in one zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(rename = "same_place")]
     pub single_zone: bool,
-    /// Whether no zone may have more than half of its tasks, rounded up.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "spread")]
     pub spread: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "remainders")]
     pub spot: bool,
     /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "reckon_s")]
     pub estimate_s: f64,
-    /// The interval between a task's checkpoints, in seconds; 0 if it saves none.
+    /// The interval between a task's checkpoints, in seconds; 0 if it saves no checkpoints.
     #[serde(rename = "bookmark_s")]
     pub checkpoint_s: f64,
-    /// How long a task takes to save its state when it is stopped, in seconds.
+    /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "shelve_s")]
     pub save_s: f64,
-    /// The deadline in seconds after submission, if it has one.
+    /// The deadline in seconds after submission, if any.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// The jobs that have to be done before any task of this one starts, each once.
+    /// Ids of the jobs that must be done before any task of this job starts, without duplicates.
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<String>,
 }
 
 impl JobSpec {
-    /// A job of equal tasks without any special requirements, to start from: of class `c`
-    /// and team `t`, with image `i` of 1 GB. Batch jobs may run on spot machines.
+    /// A minimal job specification: class `c`, team `t`, image `i` of 1 GB, and no
+    /// optional constraints. Batch jobs may run on spot machines.
     pub fn plain(id: &str, kind: JobKind, tasks: u32, cpus: f64) -> JobSpec {
         JobSpec {
             id: id.into(),
--- a/crates/wire/src/user/mod.rs
+++ b/crates/wire/src/user/mod.rs
@@ -1,4 +1,4 @@
-//! The users' protocol: submissions, polls and cancellations of jobs.
+//! The user protocol: submission, polling and cancellation of jobs.
 
 mod job;
 mod route;
--- a/crates/wire/src/user/route.rs
+++ b/crates/wire/src/user/route.rs
@@ -1,20 +1,20 @@
-//! The paths that a controller serves.
+//! The HTTP paths that a controller serves.
 
 use crate::worker::HEARTBEAT_PATH;
 
-/// Where jobs are submitted. A job's own path is below it.
+/// The path at which jobs are submitted, and the prefix of the paths of jobs.
 pub const JOBS_PATH: &str = "/v2/runs";
-/// Where the load balancer asks whether a node is up.
+/// The path of the load balancer's health check.
 pub const HEALTH_PATH: &str = "/up";
 /// The last segment of the path that cancels a job.
 const CANCEL_SEGMENT: &str = "abort";
 
-/// What a request asks for, by its path and method.
+/// The operation that a request invokes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Route {
     /// A user submits a job.
     Submit,
-    /// A user asks for the status of the job with this id.
+    /// A user polls the status of the job with this id.
     Poll(String),
     /// A user cancels the job with this id.
     Cancel(String),
@@ -24,11 +24,11 @@
     Heartbeat,
     /// The path is unknown.
     NotFound,
-    /// The path is known, but not with this method.
+    /// The path does not support the method.
     WrongMethod,
 }
 
-/// Tells what a request is for. `target` is the path and, if there is one, the query.
+/// Returns the route of a request. `target` is the path, optionally followed by a query string.
 pub fn route(method: &str, target: &str) -> Route {
     let path = target.split('?').next().unwrap_or(target);
     let Some((route, allowed_method)) = route_of_path(path) else {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The route of a path, and the only method that it is served with.
+/// The route of a path, and the only method that the path supports.
 fn route_of_path(path: &str) -> Option<(Route, &'static str)> {
     match path {
         HEALTH_PATH => Some((Route::Health, "GET")),
@@ -62,12 +62,12 @@
     }
 }
 
-/// Where the status of a job is asked for.
+/// The path at which the status of a job is polled.
 pub fn poll_path(id: &str) -> String {
     format!("{JOBS_PATH}/{id}")
 }
 
-/// Where a job is cancelled.
+/// The path at which a job is cancelled.
 pub fn cancel_path(id: &str) -> String {
     format!("{JOBS_PATH}/{id}/{CANCEL_SEGMENT}")
 }
--- a/crates/wire/src/user/status.rs
+++ b/crates/wire/src/user/status.rs
@@ -1,45 +1,45 @@
-//! What a user is told: a job's status, or why a request was refused.
+//! Responses to users: the status of a job, or an error.
 
 use serde::{Deserialize, Serialize};
 
 /// The state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted, and none of its tasks is running.
+    /// The job was accepted, and none of its tasks is running.
     #[serde(rename = "pending")]
     Queued,
-    /// At least one of its tasks is running.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
-    /// All its tasks have completed.
+    /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user.
+    /// The job was cancelled by a user.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// The answer to a submission, a poll or a cancellation.
+/// The response to a submission, a poll or a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job's id.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "condition")]
     pub state: JobState,
-    /// How many of its tasks are done, if the node knows.
+    /// Number of tasks that are done, if known to the controller.
     #[serde(rename = "done", skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// How many of its tasks are running, if the node knows.
+    /// Number of tasks that are running, if known to the controller.
     #[serde(rename = "running", skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
 
-/// The body of every refusal, also of the store and the cloud.
+/// The body of every error response, including those of the store and the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorReply {
-    /// Why the request was refused.
+    /// The reason why the request was rejected.
     #[serde(rename = "error")]
     pub error: String,
 }
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -1,4 +1,4 @@
-//! Reading and validating the submission of a job.
+//! Decoding and validation of job submissions.
 
 use super::job::{JobKind, JobSpec, Priority};
 use crate::{BodyError, decode};
@@ -9,35 +9,35 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The most tasks a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// The bound of every text in a job, in bytes, so that its record fits the store.
+/// Maximum size of a string in a job, in bytes, so that the job's record fits in the store.
 const MAX_TEXT_BYTES: usize = 128;
-/// The most machine types that a job may name.
+/// Maximum number of machine types in a job.
 const MAX_MACHINE_TYPES: usize = 32;
-/// The bound of every amount in a job: seconds, gigabytes and numbers of CPUs.
+/// Maximum of every amount in a job: seconds, gigabytes, and numbers of CPUs and GPUs.
 const MAX_AMOUNT: f64 = 1e9;
-/// What every job id begins with; digits follow.
+/// The prefix of every job id, which is followed by digits.
 const JOB_ID_PREFIX: &str = "req-";
-/// The most digits of a job id.
+/// Maximum number of digits in a job id.
 const MAX_JOB_ID_DIGITS: usize = 32;
 
-/// A submission: its id as far as it can be read, and the job or what is wrong with it.
+/// A decoded submission: the id, if it can be decoded, and the job or an error.
 ///
-/// The id is read apart from the rest because a known job is answered as known whatever
-/// else a repeated submission holds.
+/// The id is decoded separately, because a repeated submission of an existing job is answered
+/// with the job's status even if the rest of the submission is invalid.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Submission {
     /// The job's id, if the body has a valid one.
     pub id: Option<String>,
-    /// The job, or why it is refused.
+    /// The job, or the reason why it is rejected.
     pub spec: Result<Box<JobSpec>, SpecError>,
 }
 
-/// Why a submission is refused. Its user reads the text.
+/// The reason why a submission is rejected. The text is sent to the user.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
-    /// The body cannot be read.
+    /// The body cannot be decoded.
     #[error(transparent)]
     Body(#[from] BodyError),
     /// A required field is absent or null.
@@ -46,13 +46,13 @@
     /// An amount is negative, too large or not a number.
     #[error("{0} is out of range")]
     OutOfRange(SpecField),
-    /// A text is empty or over its bound.
+    /// A string is empty or too long.
     #[error("{0} is empty or too long")]
     EmptyOrTooLong(SpecField),
     /// A list has too many elements, or one of them is too long.
     #[error("{0} is too long")]
     TooLong(SpecField),
-    /// The id is not `req-` and digits.
+    /// The id is not `req-` followed by digits.
     #[error("{} is not in its form", SpecField::Id)]
     InvalidId,
     /// The kind of job is unknown.
@@ -61,31 +61,31 @@
     /// The priority is unknown.
     #[error("{} is unknown", SpecField::Priority)]
     UnknownPriority,
-    /// There is no task, or there are more than [`MAX_TASKS`].
+    /// The number of tasks is 0 or exceeds [`MAX_TASKS`].
     #[error("{} must be from 1 to {MAX_TASKS}", SpecField::Tasks)]
     InvalidTaskCount,
-    /// The zone cannot be the name of one.
+    /// The zone name is empty or too long.
     #[error("{} is not a zone name", SpecField::Zone)]
     InvalidZone,
-    /// The dependencies are not a list of texts.
+    /// The dependencies are not a list of strings.
     #[error("{} must be a list of refs", SpecField::DependsOn)]
     InvalidDependencies,
 }
 
-/// A field of a submission that a [`SpecError`] names. Displayed as users spell it.
+/// A field of a submission, for use in a [`SpecError`]. It is displayed by its name on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpecField {
-    /// The job's id.
+    /// The id of the job.
     Id,
-    /// Its class.
+    /// The class of the job.
     Class,
-    /// Its team.
+    /// The team of the job.
     Team,
-    /// Its kind.
+    /// The kind of the job.
     Kind,
-    /// Its priority.
+    /// The priority of the job.
     Priority,
-    /// The number of its tasks.
+    /// The number of tasks.
     Tasks,
     /// CPUs of each task.
     Cpus,
@@ -93,34 +93,34 @@
     Gpus,
     /// Memory of each task.
     Memory,
-    /// Its image.
+    /// The image name.
     Image,
-    /// The image's size.
+    /// The image size.
     ImageSize,
-    /// The machine types that it may run on.
+    /// The allowed machine types.
     MachineTypes,
-    /// The zone that it must run in.
+    /// The required zone.
     Zone,
-    /// Whether it must run in one zone.
+    /// Whether all tasks must run in the same zone.
     SingleZone,
-    /// Whether its tasks are to be spread over zones.
+    /// Whether the tasks must be spread over zones.
     Spread,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     Spot,
     /// The estimated run time of a task.
     Estimate,
     /// The interval between checkpoints.
     Checkpoint,
-    /// How long a task takes to save its state.
+    /// The time that a task needs to save a checkpoint.
     Save,
-    /// Its deadline.
+    /// The deadline.
     Deadline,
-    /// The jobs that it depends on.
+    /// The jobs on which the job depends.
     DependsOn,
 }
 
 impl SpecField {
-    /// The field's name in the protocol.
+    /// The field's name on the wire.
     const fn wire_name(self) -> &'static str {
         match self {
             SpecField::Id => "ref",
@@ -154,14 +154,14 @@
     }
 }
 
-/// The id alone, of a submission that may be wrong otherwise.
+/// Decodes only the id of a submission, the rest of which may be invalid.
 #[derive(Deserialize)]
 struct RawId {
     #[serde(rename = "ref")]
     id: Option<String>,
 }
 
-/// A submission as it arrives, in which anything may be missing.
+/// A submission before validation, in which any field may be missing.
 #[derive(Deserialize)]
 struct RawSpec {
     #[serde(rename = "ref")]
@@ -208,7 +208,7 @@
     depends_on: Option<Value>,
 }
 
-/// Whether `id` has the form of a job id: `req-` and digits.
+/// Whether `id` is a valid job id: `req-` followed by digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
         (1..=MAX_JOB_ID_DIGITS).contains(&digits.len())
@@ -216,7 +216,7 @@
     })
 }
 
-/// Reads a submission's body.
+/// Decodes and validates the body of a submission.
 pub fn parse_submission(body: &[u8]) -> Submission {
     let id = decode::<RawId>(body)
         .ok()
@@ -230,17 +230,16 @@
 }
 
 impl RawSpec {
-    /// The job, if everything required is there and in range. Of several mistakes the
-    /// first in the order of these checks is named.
+    /// Returns the job, or the first error in the order of these checks.
     fn validate(self) -> Result<JobSpec, SpecError> {
         let id = required(self.id, SpecField::Id)?;
         if !is_job_id(&id) {
             return Err(SpecError::InvalidId);
         }
         let kind = required(self.kind, SpecField::Kind)?;
-        let kind: JobKind = by_wire_name(&kind).ok_or(SpecError::UnknownKind)?;
+        let kind: JobKind = from_wire_name(&kind).ok_or(SpecError::UnknownKind)?;
         let priority = required(self.priority, SpecField::Priority)?;
-        let priority: Priority = by_wire_name(&priority).ok_or(SpecError::UnknownPriority)?;
+        let priority: Priority = from_wire_name(&priority).ok_or(SpecError::UnknownPriority)?;
         let tasks = task_count(required(self.tasks, SpecField::Tasks)?)?;
         validate_machine_types(self.types.as_deref())?;
         validate_zone(self.zone.as_deref())?;
@@ -291,16 +290,15 @@
 
 fn amount(value: Option<f64>, field: SpecField) -> Result<f64, SpecError> {
     let amount = required(value, field)?;
-    // Not a number is in no range.
+    // NaN is in no range.
     if !(0.0..=MAX_AMOUNT).contains(&amount) {
         return Err(SpecError::OutOfRange(field));
     }
     Ok(amount)
 }
 
-/// The variant that has this name in the protocol: serde's names are the only place that
-/// spells them.
-fn by_wire_name<'de, T: Deserialize<'de>>(name: &'de str) -> Option<T> {
+/// The variant with this name on the wire, as defined by its serde name.
+fn from_wire_name<'de, T: Deserialize<'de>>(name: &'de str) -> Option<T> {
     let deserializer: StrDeserializer<'de, NameError> = name.into_deserializer();
     T::deserialize(deserializer).ok()
 }
@@ -327,7 +325,7 @@
     }
 }
 
-/// The jobs that a job depends on, each once, in the order given.
+/// The ids of the jobs on which a job depends, in order and without duplicates.
 fn dependencies(list: Option<Value>) -> Result<Vec<String>, SpecError> {
     let list = match list {
         None => return Ok(Vec::new()),
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,60 +1,60 @@
-//! The workers' protocol: heartbeats, and the commands that workers take.
+//! The worker protocol: heartbeats from workers and commands to workers.
 
 use crate::TaskName;
 use serde::{Deserialize, Serialize};
 
-/// Where controllers take heartbeats.
+/// The path at which controllers receive heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Where workers take commands.
+/// The path at which workers receive commands.
 pub const COMMANDS_PATH: &str = "/orders";
 
 /// The state of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The image is being downloaded.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It is running.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// It was told to stop and saves its state.
+    /// The task was stopped and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has ended, and the machine remembers it until it is reaped.
+    /// The task has exited. The worker keeps its status until it is reaped.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version does not know; the task counts as present.
+    /// A state that this version does not support. The task is treated as present.
     #[serde(rename = "Other", other)]
     Other,
 }
 
-/// Why an attempt of a task has ended, or was not launched.
+/// The reason why an attempt of a task has ended or was not launched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// It has run to completion.
+    /// The task ran to completion.
     #[serde(rename = "done")]
     Done,
-    /// It was told to stop.
+    /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// It was not launched: the machine has too little left for it.
+    /// The attempt was not launched because the machine has insufficient free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// It was not launched: another attempt of the task is on the machine.
+    /// The attempt was not launched because another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     Busy,
-    /// It was not launched: the machine knows no such task.
+    /// The attempt was not launched because the worker does not know the task.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A reason that this version does not know.
+    /// A reason that this version does not support.
     #[serde(rename = "Other", other)]
     Other,
 }
 
-/// What a heartbeat says of one attempt of a task.
+/// The status of one attempt of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
@@ -63,24 +63,24 @@
     /// The number of the attempt.
     #[serde(rename = "printing")]
     pub attempt: u64,
-    /// Its state.
+    /// The state of the attempt.
     #[serde(rename = "condition")]
     pub state: TaskState,
-    /// Why it has ended, if it has.
+    /// The reason why the attempt has ended, if it has.
     #[serde(rename = "colophon", default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<ExitReason>,
-    /// Whether it saved its state when it was stopped.
+    /// Whether the attempt saved a checkpoint when it was stopped.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub checkpoint_saved: Option<bool>,
 }
 
-/// What a worker tells a controller at regular intervals: itself, and all its tasks.
+/// A periodic message from a worker to a controller with the status of all its tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "shelf")]
     pub machine: String,
-    /// Where the worker takes commands, `IP:PORT`.
+    /// The address at which the worker receives commands, `IP:PORT`.
     #[serde(rename = "addr")]
     pub addr: String,
     /// The name of the machine's type.
@@ -92,28 +92,28 @@
     /// Whether it is a spot machine.
     #[serde(rename = "remainders")]
     pub spot: bool,
-    /// The worker's incarnation: a restarted worker has a new one and no tasks of before.
+    /// The worker's incarnation. A restarted worker has a new one and none of its former tasks.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// The number of the heartbeat within the incarnation.
+    /// The sequence number of the heartbeat within the incarnation.
     #[serde(rename = "folio")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// The highest fencing token that the worker has received.
     #[serde(rename = "seal")]
     pub fencing_token: u64,
-    /// In how many seconds the spot machine will be taken back, if that was announced.
+    /// The time until the cloud reclaims the spot machine, in seconds; None if not announced.
     #[serde(rename = "recall_s", default)]
     pub interruption_notice_s: Option<f64>,
-    /// All attempts of tasks that the worker has.
+    /// The status of all attempts on the worker.
     #[serde(rename = "leaves")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a worker is to do with an attempt of a task.
+/// A command to a worker about one attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "slip_kind")]
 pub enum Command {
-    /// Launches the attempt.
+    /// Launch the attempt.
     #[serde(rename = "launch")]
     Launch {
         /// The task.
@@ -123,7 +123,7 @@
         #[serde(rename = "printing")]
         attempt: u64,
     },
-    /// Stops the attempt.
+    /// Stop the attempt.
     #[serde(rename = "stop")]
     Stop {
         /// The task.
@@ -132,11 +132,11 @@
         /// The number of the attempt.
         #[serde(rename = "printing")]
         attempt: u64,
-        /// How long it may take to save its state before it is killed, in seconds.
+        /// The time to save a checkpoint before the attempt is killed, in seconds.
         #[serde(rename = "closing_s")]
         grace_s: u32,
     },
-    /// Forgets an attempt that has ended.
+    /// Discard the status of an attempt that has ended.
     #[serde(rename = "reap")]
     Reap {
         /// The task.
@@ -148,36 +148,36 @@
     },
 }
 
-/// The leader's answer to a heartbeat.
+/// The leader's response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The leader's fencing token. The worker ignores the answer if it has seen a higher one,
-    /// and remembers this one otherwise.
+    /// The leader's fencing token. The worker ignores the response if it has received a higher
+    /// token, and stores this token otherwise.
     #[serde(rename = "seal")]
     pub fencing_token: u64,
-    /// What the worker is to do.
+    /// The commands to carry out.
     #[serde(rename = "slips")]
     pub commands: Vec<Command>,
 }
 
-/// The answer of a controller that does not lead: sends the worker to the leader.
+/// The response to a heartbeat from a controller that is not the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRedirect {
-    /// The leader's member name, if it is known.
+    /// The member name of the leader, if it is known.
     #[serde(rename = "clerk", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
 }
 
-/// Commands that the leader sends to a worker outside the answers to heartbeats.
+/// Commands that the leader sends to a worker independently of heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The leader's fencing token. The worker refuses the batch if it has seen a higher one.
+    /// The leader's fencing token. The worker rejects the batch if it has received a higher one.
     #[serde(rename = "seal")]
     pub fencing_token: u64,
-    /// The worker's incarnation that the commands are for; another one refuses them.
+    /// The incarnation for which the commands are intended. Another incarnation rejects them.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// What the worker is to do.
+    /// The commands to carry out.
     #[serde(rename = "slips")]
     pub commands: Vec<Command>,
 }
