--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Submissions as users may send them: what is refused, and what is not.
+//! Decoding of valid and invalid input, mainly of submissions.
 
 use dillcleat_wire::store::json_size;
 use dillcleat_wire::user::{Route, Submission, is_job_id, parse_submission, route};
@@ -38,35 +38,35 @@
     parse_submission(&bytes)
 }
 
-fn with(name: &str, value: Value) -> Submission {
+fn submit_with(name: &str, value: Value) -> Submission {
     let mut fields = valid_fields();
     fields.retain(|(k, _)| k.as_str() != Some(name));
     fields.push((name.into(), value));
     submit(fields)
 }
 
-fn without(name: &str) -> Submission {
+fn submit_without(name: &str) -> Submission {
     let mut fields = valid_fields();
     fields.retain(|(k, _)| k.as_str() != Some(name));
     submit(fields)
 }
 
 #[test]
-fn a_valid_job_is_read_whole() {
-    let spec = submit(valid_fields()).spec.expect("good");
+fn valid_submission_is_decoded() {
+    let spec = submit(valid_fields()).spec.expect("valid");
     assert_eq!((spec.tasks, spec.cpus, spec.gpus), (16, 8.0, 0.0));
     assert_eq!(spec.types, Some(vec!["g8".to_string()]));
     assert_eq!((spec.zone, spec.deadline_s), (None, Some(900.0)));
-    // Unknown fields are ignored; what may be null may be absent.
-    assert!(with("novel", Value::from(7)).spec.is_ok());
+    // Unknown fields are ignored. Optional fields may be null or absent.
+    assert!(submit_with("novel", Value::from(7)).spec.is_ok());
     for optional in ["formats", "room", "due_s"] {
-        assert!(without(optional).spec.is_ok(), "{optional}");
-        assert!(with(optional, Value::Nil).spec.is_ok(), "{optional}");
+        assert!(submit_without(optional).spec.is_ok(), "{optional}");
+        assert!(submit_with(optional, Value::Nil).spec.is_ok(), "{optional}");
     }
 }
 
 #[test]
-fn bad_fields_are_refused_and_the_id_is_still_known() {
+fn invalid_fields_are_rejected_but_id_is_decoded() {
     let bad = [
         ("leaves", Value::from(0)),
         ("leaves", Value::from(-1)),
@@ -79,7 +79,7 @@
         ("reckon_s", Value::from(f64::NEG_INFINITY)),
         ("due_s", Value::from(-5.0)),
         ("binding", Value::from("array")),
-        // Gangs are not in this protocol.
+        // The protocol has no kind for gang scheduling.
         ("binding", Value::from("group")),
         ("urgency", Value::from("urgent")),
         ("edition", Value::from("")),
@@ -89,7 +89,7 @@
         ("desk", Value::Nil),
     ];
     for (name, value) in bad {
-        let submission = with(name, value.clone());
+        let submission = submit_with(name, value.clone());
         assert!(submission.spec.is_err(), "{name} = {value}");
         assert_eq!(
             submission.id.as_deref(),
@@ -101,7 +101,7 @@
         let name = name.as_str().expect("text").to_string();
         let optional = ["formats", "room", "due_s", "ref"].contains(&name.as_str());
         if !optional {
-            assert!(without(&name).spec.is_err(), "{name}");
+            assert!(submit_without(&name).spec.is_err(), "{name}");
         }
     }
     for id in [
@@ -113,7 +113,7 @@
         "req-..",
         &"req-1".repeat(9),
     ] {
-        let submission = with("ref", Value::from(id));
+        let submission = submit_with("ref", Value::from(id));
         assert!(
             submission.spec.is_err() && submission.id.is_none() && !is_job_id(id),
             "{id}"
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn bodies_that_are_no_maps_are_refused() {
+fn bodies_that_are_not_maps_are_rejected() {
     let bodies: [&[u8]; 6] = [
         b"",
         b"\xc1",
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn no_bytes_make_the_parser_panic() {
-    // A fixed pseudo-random walk over mutations of a valid body.
+fn parsers_do_not_panic_on_corrupted_bodies() {
+    // Corrupts and truncates a valid body, with a fixed pseudo-random sequence.
     let mut bytes = Vec::new();
     rmpv::encode::write_value(&mut bytes, &Value::Map(valid_fields())).expect("memory");
     let mut random = 12345u64;
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn paths_have_their_routes() {
+fn paths_and_methods_select_routes() {
     assert_eq!(route("POST", "/v2/runs"), Route::Submit);
     assert_eq!(route("GET", "/v2/runs/req-1"), Route::Poll("req-1".into()));
     assert_eq!(
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn sizes_are_never_underestimated() {
+fn json_size_is_never_underestimated() {
     let value = Value::Map(vec![
         ("a\"b".into(), Value::from(-12.5)),
         (
@@ -194,15 +194,15 @@
 }
 
 #[test]
-fn dependencies_are_a_list_of_texts_each_once() {
+fn dependencies_are_decoded_without_duplicates() {
     let list = |names: &[&str]| Value::Array(names.iter().map(|n| Value::from(*n)).collect());
-    let awaits = |v| with("awaits", v).spec.map(|s| s.depends_on);
+    let awaits = |v| submit_with("awaits", v).spec.map(|s| s.depends_on);
     for none in [Value::Nil, list(&[])] {
         assert_eq!(awaits(none), Ok(Vec::new()));
     }
     let twice = awaits(list(&["req-2", "req-1", "req-2"]));
     assert_eq!(twice, Ok(vec!["req-2".to_string(), "req-1".to_string()]));
-    // Any text is read; whether there is such a job is checked at admission.
+    // Any string is accepted. Admission checks whether the job exists.
     assert!(awaits(list(&["no ref"])).is_ok());
     let mixed = Value::Array(vec![Value::from("req-1"), Value::from(7)]);
     for bad in [
@@ -211,13 +211,13 @@
         Value::Map(vec![]),
         mixed,
     ] {
-        let error = awaits(bad).expect_err("not a list of texts").to_string();
+        let error = awaits(bad).expect_err("not a list of strings").to_string();
         assert!(error.contains("awaits"), "{error}");
     }
 }
 
 #[test]
-fn a_task_name_is_a_job_and_a_number() {
+fn task_names_are_parsed_and_invalid_ones_rejected() {
     let name: TaskName = "req-1/2".parse().expect("a task name");
     assert_eq!((name.job.as_str(), name.index), ("req-1", 2));
     assert_eq!(name.to_string(), "req-1/2");
@@ -231,8 +231,9 @@
     ] {
         assert_eq!(text.parse::<TaskName>(), Err(TaskNameError), "{text}");
     }
-    // In a body, in the words of version 910d512.
-    let error = dillcleat_wire::decode::<TaskStatus>(b"\x81\xa4leaf\xa1x").expect_err("no name");
+    // The message of a decoding error contains that of the task name.
+    let error =
+        dillcleat_wire::decode::<TaskStatus>(b"\x81\xa4leaf\xa1x").expect_err("invalid name");
     let form = "the body is not valid MessagePack of the expected form";
     assert_eq!(
         error.to_string(),
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -1,5 +1,4 @@
-//! The requests to the cloud and the bytes of its responses, as version 84a8104 reads and
-//! writes them.
+//! The HTTP requests to the cloud and the bytes of its responses, which must not change.
 
 mod golden;
 
@@ -7,7 +6,7 @@
     CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_DELETE, MAX_PAGE_ROWS,
     MAX_SCALE_OUT, MachineList, MachineNames, MachineType, MachineTypes, ScaleOut,
 };
-use golden::{assert_keeps, assert_read};
+use golden::{assert_decodes, assert_matches_golden};
 
 fn machine_type() -> MachineType {
     MachineType {
@@ -40,16 +39,16 @@
 }
 
 #[test]
-fn limits_stay_as_they_are() {
+fn limits_are_unchanged() {
     assert_eq!((MAX_SCALE_OUT, MAX_DELETE, MAX_PAGE_ROWS), (50, 100, 500));
 }
 
 #[test]
-fn machine_types_keep_their_bytes() {
+fn machine_types_match_golden_bytes() {
     let types = MachineTypes {
         types: vec![machine_type(), plain_machine_type()],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x81\xa7formats\x92\x8a\xa4name\xa2g8\xa5vcpus\xcb\x40\x20\x00\x00\x00\x00\x00\x00\
         \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
@@ -71,8 +70,8 @@
 }
 
 #[test]
-fn a_machine_type_may_leave_out_what_has_a_default() {
-    assert_read(
+fn optional_fields_of_machine_type_have_defaults() {
+    assert_decodes(
         b"\
             \x85\xa4name\xa2c2\xa5vcpus\xcb\x40\x00\x00\x00\x00\x00\x00\x00\
             \xa6ram_gb\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -94,27 +93,27 @@
 }
 
 #[test]
-fn every_state_of_a_machine_keeps_its_bytes() {
-    assert_keeps(
+fn every_machine_state_matches_golden_bytes() {
+    assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa8starting\
         \xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
         &listed(InstanceState::Booting),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7running\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
         &listed(InstanceState::Running),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa6failed\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
         &listed(InstanceState::Failed),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa5Other\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
@@ -123,8 +122,8 @@
 }
 
 #[test]
-fn an_unknown_machine_state_is_read_as_other() {
-    assert_read(
+fn unknown_machine_state_decodes_as_other() {
+    assert_decodes(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7melting\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
@@ -145,12 +144,12 @@
 }
 
 #[test]
-fn a_list_of_machines_keeps_its_bytes() {
+fn machine_list_matches_golden_bytes() {
     let list = MachineList {
         machines: vec![bare_machine()],
         more: true,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x82\xa7shelves\x91\x87\xa3ref\xa6host-2\xa4addr\xc0\xa6format\xa2c2\xa4room\xa1b\
             \xaaremainders\xc2\xa9condition\xa8starting\
@@ -161,7 +160,7 @@
         machines: vec![bare_machine()],
         more: false,
     };
-    assert_read(
+    assert_decodes(
         b"\
         \x81\xa7shelves\x91\x85\xa3ref\xa6host-2\xa6format\xa2c2\xa4room\xa1b\xaaremainders\xc2\
         \xa9condition\xa8starting",
@@ -180,28 +179,28 @@
 }
 
 #[test]
-fn bodies_of_requests_are_read_as_they_are_written() {
-    assert_keeps(
+fn request_bodies_match_golden_bytes() {
+    assert_matches_golden(
         b"\x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\xa5count\x32",
         &scale_out(),
     );
     let names = MachineNames {
         machines: vec!["host-1".into(), "host-2".into()],
     };
-    assert_keeps(b"\x81\xa7shelves\x92\xa6host-1\xa6host-2", &names);
+    assert_matches_golden(b"\x81\xa7shelves\x92\xa6host-1\xa6host-2", &names);
 }
 
 #[test]
-fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |request: CloudRequest, method: &str, target: &str, body: &[u8]| {
+fn every_request_matches_golden_http_request() {
+    let assert_sends = |request: CloudRequest, method: &str, target: &str, body: &[u8]| {
         let http = request.to_http();
         assert_eq!(
             (http.method, http.target.as_str(), &http.body[..]),
             (method, target, body)
         );
     };
-    sends(CloudRequest::Types, "GET", "/flavors", b"");
-    sends(
+    assert_sends(CloudRequest::Types, "GET", "/flavors", b"");
+    assert_sends(
         CloudRequest::ScaleOut(scale_out()),
         "POST",
         "/hosts",
@@ -209,19 +208,19 @@
             \x85\xa9hire_note\xa5n0-17\xa6format\xa2g8\xa4room\xa1a\xaaremainders\xc3\
             \xa5count\x32",
     );
-    sends(
+    assert_sends(
         CloudRequest::Delete(vec!["host-1".into(), "host-2".into()]),
         "POST",
         "/hosts/delete",
         b"\x81\xa7shelves\x92\xa6host-1\xa6host-2",
     );
-    sends(
+    assert_sends(
         CloudRequest::List { after: None },
         "GET",
         "/hosts?most=500",
         b"",
     );
-    sends(
+    assert_sends(
         CloudRequest::List {
             after: Some("host-1".into()),
         },
@@ -232,8 +231,8 @@
 }
 
 #[test]
-fn every_response_is_read_as_before() {
-    let reads = |request: &CloudRequest, status, body: &[u8], response: CloudResponse| {
+fn every_response_decodes_as_expected() {
+    let assert_response = |request: &CloudRequest, status, body: &[u8], response: CloudResponse| {
         assert_eq!(
             request.parse_response(status, body),
             Ok(response),
@@ -245,7 +244,7 @@
     let delete = CloudRequest::Delete(vec!["host-1".into()]);
     let list = CloudRequest::List { after: None };
 
-    reads(
+    assert_response(
         &types,
         200,
         b"\
@@ -259,14 +258,14 @@
             \xa6boot_s\xcb\x40\x44\x00\x00\x00\x00\x00\x00\xa5rooms\x92\xa1a\xa1b",
         CloudResponse::Types(vec![machine_type()]),
     );
-    reads(
+    assert_response(
         &scale_out,
         200,
         b"\x81\xa7shelves\x91\xa6host-1",
         CloudResponse::ScaledOut(vec!["host-1".into()]),
     );
-    reads(&delete, 200, b"", CloudResponse::Deleted);
-    reads(
+    assert_response(&delete, 200, b"", CloudResponse::Deleted);
+    assert_response(
         &list,
         200,
         b"\
@@ -277,21 +276,26 @@
             more: true,
         }),
     );
-    let full = b"\x81\xa5error\xabno\x20capacity";
-    reads(&scale_out, 503, full, CloudResponse::NoCapacity);
-    reads(&list, 503, full, CloudResponse::Refused { status: 503 });
+    let no_capacity = b"\x81\xa5error\xabno\x20capacity";
+    assert_response(&scale_out, 503, no_capacity, CloudResponse::NoCapacity);
+    assert_response(
+        &list,
+        503,
+        no_capacity,
+        CloudResponse::Refused { status: 503 },
+    );
     let other = b"\x81\xa5error\xa4down";
-    reads(
+    assert_response(
         &scale_out,
         503,
         other,
         CloudResponse::Refused { status: 503 },
     );
     for request in [&types, &scale_out, &delete, &list] {
-        reads(request, 429, b"", CloudResponse::Refused { status: 429 });
-        reads(request, 503, b"", CloudResponse::Refused { status: 503 });
-        reads(request, 400, b"", CloudResponse::Malformed);
-        reads(request, 404, b"", CloudResponse::Malformed);
+        assert_response(request, 429, b"", CloudResponse::Refused { status: 429 });
+        assert_response(request, 503, b"", CloudResponse::Refused { status: 503 });
+        assert_response(request, 400, b"", CloudResponse::Malformed);
+        assert_response(request, 404, b"", CloudResponse::Malformed);
         assert!(request.parse_response(500, b"").is_err(), "{request:?}");
     }
 }
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -1,10 +1,11 @@
-//! The platform's settings file with every key, as version 84a8104 reads it.
+//! The keys, defaults and error messages of the settings file, which must not change.
 
 use dillcleat_wire::settings::{
     CloudLimits, Cluster, Endpoints, Objective, Peer, PlatformSettings, Quota, StoreLimits, Team,
     UpcomingLimits, WorkerTimings,
 };
 
+/// A settings file with all keys.
 const FULL: &str = r#"
 member = "n0"
 site = "a"
@@ -66,8 +67,8 @@
 max_connections = 500
 "#;
 
-/// The same without anything that may be missing, and with a key that is not known.
-const SHORT: &str = r#"
+/// A settings file with only the required keys, and an unknown key.
+const MINIMAL: &str = r#"
 colour = "red"
 member = "n0"
 site = "a"
@@ -85,7 +86,7 @@
 quota = { cpu_share = 0.5, mem_mb = 72.0, max_connections = 500 }
 "#;
 
-fn full() -> PlatformSettings {
+fn full_settings() -> PlatformSettings {
     PlatformSettings {
         member: "n0".into(),
         zone: "a".into(),
@@ -148,35 +149,36 @@
     }
 }
 
-fn short() -> PlatformSettings {
-    let mut short = full();
-    short.peers = Vec::new();
-    short.cluster.teams = Vec::new();
-    short.cluster.objectives = Vec::new();
-    short.cluster.state.next = UpcomingLimits {
+fn minimal_settings() -> PlatformSettings {
+    let mut settings = full_settings();
+    settings.peers = Vec::new();
+    settings.cluster.teams = Vec::new();
+    settings.cluster.objectives = Vec::new();
+    settings.cluster.state.next = UpcomingLimits {
         rps: None,
         write_rps: None,
         value_kb: None,
         txn_ops: None,
     };
-    short
+    settings
 }
 
 #[test]
-fn every_key_is_read() {
-    assert_eq!(PlatformSettings::parse(FULL), Ok(full()));
+fn full_settings_file_is_parsed() {
+    assert_eq!(PlatformSettings::parse(FULL), Ok(full_settings()));
 }
 
 #[test]
-fn what_may_be_missing_has_its_default() {
-    assert_eq!(PlatformSettings::parse(SHORT), Ok(short()));
+fn missing_optional_keys_have_defaults() {
+    assert_eq!(PlatformSettings::parse(MINIMAL), Ok(minimal_settings()));
 }
 
 #[test]
-fn a_team_and_an_objective_may_be_bare() {
-    let text =
-        format!("{SHORT}\n[[cluster.teams]]\nname = \"t\"\n[[cluster.objectives]]\nkind = \"k\"\n");
-    let mut expected = short();
+fn optional_keys_of_team_and_objective_have_defaults() {
+    let text = format!(
+        "{MINIMAL}\n[[cluster.teams]]\nname = \"t\"\n[[cluster.objectives]]\nkind = \"k\"\n"
+    );
+    let mut expected = minimal_settings();
     expected.cluster.teams = vec![Team {
         name: "t".into(),
         cpus: 0.0,
@@ -194,9 +196,8 @@
     assert_eq!(PlatformSettings::parse(&text), Ok(expected));
 }
 
-/// A key that may not be missing is called by its name in the file.
 #[test]
-fn a_missing_key_is_named() {
+fn missing_required_key_is_named_in_error() {
     for key in [
         "member",
         "site",
@@ -227,81 +228,81 @@
     }
 }
 
-/// What is out of range is named by its key, in the words of version 910d512.
+/// Operators read these messages. They begin with the invalid key.
 #[test]
-fn what_is_wrong_with_a_file_is_said_in_the_same_words() {
-    let refused = |from: &str, to: &str, message: &str| {
+fn settings_error_messages_are_unchanged() {
+    let assert_rejected = |from: &str, to: &str, message: &str| {
         let text = FULL.replacen(from, to, 1);
         assert_ne!(text, FULL, "{from}");
         let error = PlatformSettings::parse(&text).map_err(|e| e.to_string());
         assert_eq!(error, Err(message.to_string()));
     };
-    refused(
+    assert_rejected(
         "report_s = 2.0",
         "report_s = 0.0",
         "cluster.workers.report_s: must be from 0.01 to 3600, is 0",
     );
-    refused(
+    assert_rejected(
         "lease_s = 14.0",
         "lease_s = nan",
         "cluster.workers.lease_s: must be from 0.1 to 86400, is NaN",
     );
-    refused(
+    assert_rejected(
         "clock_error_ms = 250.0",
         "clock_error_ms = -1.5",
         "cluster.clock_error_ms: must be from 0 to 3600000, is -1.5",
     );
-    refused(
+    assert_rejected(
         "mem_mb = 72.0",
         "mem_mb = inf",
         "cluster.quota.mem_mb: must be from 8 to 1000000000, is inf",
     );
-    refused(
+    assert_rejected(
         "rps = 100.0",
         "rps = 0.5",
         "cluster.state.next.rps: must be from 1 to 1000000000, is 0.5",
     );
-    refused(
+    assert_rejected(
         "value_kb = 8.0",
         "value_kb = nan",
         "cluster.state.next.value_kb: must be from 1 to 1000000000, is NaN",
     );
-    refused(
+    assert_rejected(
         "txn_ops = 48",
         "txn_ops = 7",
         "cluster.state.txn_ops: must be at least 8, is 7",
     );
-    refused(
+    assert_rejected(
         "txn_ops = 24",
         "txn_ops = 7",
         "cluster.state.next.txn_ops: must be at least 8, is 7",
     );
-    refused(
+    assert_rejected(
         "max_connections = 500",
         "max_connections = 31",
         "cluster.quota.max_connections: must be at least 32, is 31",
     );
-    refused(
+    assert_rejected(
         "cancel_s = 44.0",
         "cancel_s = 14.0",
         "cluster.workers.cancel_s: must be above lease_s",
     );
-    refused(
+    assert_rejected(
         "gpus_max = 4.0",
         "gpus_max = -4.0",
         "cluster.teams.books.gpus_max: must not be negative, is -4",
     );
-    refused(
+    assert_rejected(
         "mesh_addr = \"127.0.0.1:8090\"",
         "mesh_addr = \"here\"",
         "mesh_addr: must be IP:PORT, is \"here\"",
     );
-    refused(
+    assert_rejected(
         "peer_addr = \"127.0.0.1:8091\"",
         "peer_addr = \"127.0.0.1\"",
         "siblings.peer_addr: must be IP:PORT, is \"127.0.0.1\"",
     );
-    refused(
+    assert_rejected(
         "size = 3",
         "size = -3",
         "TOML parse error at line 17, column 8 | 17 | size = -3 | ^^ invalid value: integer \
@@ -309,10 +310,10 @@
     );
 }
 
-/// Of several mistakes the same one is named as before: numbers in the order of the file's
-/// parts, then counts, then teams, then addresses.
+/// The order of the checks is: numbers in the order of the file's sections, counts, teams,
+/// addresses.
 #[test]
-fn the_first_of_several_mistakes_is_named() {
+fn first_of_several_errors_is_reported() {
     let mut text = FULL.to_string();
     for (right, wrong, key) in [
         (
--- a/crates/wire/tests/golden_store.rs
+++ b/crates/wire/tests/golden_store.rs
@@ -1,5 +1,4 @@
-//! The requests to the store and the bytes of its responses, as version 84a8104
-//! reads and writes them.
+//! The HTTP requests to the store and the bytes of its responses, which must not change.
 
 mod golden;
 
@@ -7,7 +6,7 @@
     KeyValue, LeaseId, MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
     StoreRequest, StoreResponse, Transaction, Value, WatchBatch, WatchEvent,
 };
-use golden::{assert_keeps, assert_read};
+use golden::{assert_decodes, assert_matches_golden};
 
 fn number(n: u64) -> Value {
     Value::Map(vec![(Value::from("n"), Value::from(n))])
@@ -23,39 +22,39 @@
 }
 
 #[test]
-fn limits_stay_as_they_are() {
+fn limits_are_unchanged() {
     assert_eq!((MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES), (1000, 65_536));
 }
 
 #[test]
-fn a_row_keeps_its_bytes() {
-    assert_keeps(
+fn key_value_matches_golden_bytes() {
+    assert_matches_golden(
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
         &row(Some(LeaseId(31))),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\xc0",
         &row(None),
     );
-    assert_read(
+    assert_decodes(
         b"\x83\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c",
         &row(None),
     );
 }
 
 #[test]
-fn every_kind_of_value_keeps_its_bytes() {
+fn every_value_type_matches_golden_bytes() {
     let holds = |value| KeyValue {
         key: "x".into(),
         value,
         version: 1,
         lease: None,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x84\xa1k\xa1x\xa1v\xc0\xa8entry_no\x01\xa4loan\xc0",
         &holds(Value::Nil),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x84\xa1k\xa1x\xa1v\x95\xc3\xfd\xce\x00\x01\x11\x70\
             \xcb\x3f\xf8\x00\x00\x00\x00\x00\x00\xa1a\xa8entry_no\x01\xa4loan\xc0",
@@ -70,13 +69,13 @@
 }
 
 #[test]
-fn a_page_keeps_its_bytes() {
+fn range_page_matches_golden_bytes() {
     let page = RangePage {
         rows: vec![row(Some(LeaseId(31)))],
         more: true,
         revision: 900,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x83\xa4rows\x91\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f\
         \xa4more\xc3\xa9ledger_no\xcd\x03\x84",
@@ -87,11 +86,11 @@
         more: false,
         revision: 900,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x83\xa4rows\x90\xa4more\xc2\xa9ledger_no\xcd\x03\x84",
         &last,
     );
-    assert_read(b"\x82\xa4rows\x90\xa9ledger_no\xcd\x03\x84", &last);
+    assert_decodes(b"\x82\xa4rows\x90\xa9ledger_no\xcd\x03\x84", &last);
 }
 
 fn transaction() -> Transaction {
@@ -119,8 +118,8 @@
 }
 
 #[test]
-fn every_mutation_of_a_transaction_keeps_its_bytes() {
-    assert_keeps(
+fn transaction_with_every_mutation_matches_golden_bytes() {
+    assert_matches_golden(
         b"\
             \x82\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x0c\xa4then\x93\x82\xa3set\xa6s/term\
             \xa1v\x81\xa1n\x08\x83\xa3set\xa6s/lead\xa1v\x81\xa1n\x07\xa4loan\x1f\x81\
@@ -130,7 +129,7 @@
 }
 
 #[test]
-fn a_transaction_without_mutations_keeps_its_bytes() {
+fn transaction_without_mutations_matches_golden_bytes() {
     let transaction = Transaction {
         compare: vec![Precondition {
             key: "s/lead".into(),
@@ -138,7 +137,7 @@
         }],
         then: Vec::new(),
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x81\xa4when\x91\x82\xa1k\xa6s/lead\xa8entry_no\x00",
         &transaction,
     );
@@ -146,11 +145,11 @@
         compare: Vec::new(),
         then: Vec::new(),
     };
-    assert_keeps(b"\x81\xa4when\x90", &empty);
+    assert_matches_golden(b"\x81\xa4when\x90", &empty);
 }
 
 #[test]
-fn every_event_of_a_watch_keeps_its_bytes() {
+fn watch_batch_with_every_event_matches_golden_bytes() {
     let changes = WatchBatch {
         revision: 901,
         events: vec![
@@ -165,23 +164,23 @@
             },
         ],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x82\xa9ledger_no\xcd\x03\x85\xa6events\x92\x83\xa3set\xa5q/o/1\xa1v\x81\xa1n\x07\
             \xa8entry_no\xcd\x03\x84\x82\xa4drop\xa5q/c/1\xa8entry_no\xcd\x03\x85",
         &changes,
     );
-    let quiet = WatchBatch {
+    let empty = WatchBatch {
         revision: 901,
         events: Vec::new(),
     };
-    assert_keeps(b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90", &quiet);
-    assert_read(b"\x81\xa9ledger_no\xcd\x03\x85", &quiet);
+    assert_matches_golden(b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90", &empty);
+    assert_decodes(b"\x81\xa9ledger_no\xcd\x03\x85", &empty);
 }
 
 #[test]
-fn every_request_keeps_its_method_target_and_bytes() {
-    let sends = |request: StoreRequest, method: &str, target: &str, body: &[u8]| {
+fn every_request_matches_golden_http_request() {
+    let assert_sends = |request: StoreRequest, method: &str, target: &str, body: &[u8]| {
         let http = request.to_http();
         assert_eq!(
             (http.method, http.target.as_str(), &http.body[..]),
@@ -191,18 +190,18 @@
     let get = StoreRequest::Get {
         key: "s/lead".into(),
     };
-    sends(get, "GET", "/kv/s/lead", b"");
+    assert_sends(get, "GET", "/kv/s/lead", b"");
     let list = StoreRequest::List {
         prefix: "q/o/".into(),
         after: None,
     };
-    sends(list, "GET", "/kv?under=q/o/&most=1000", b"");
+    assert_sends(list, "GET", "/kv?under=q/o/&most=1000", b"");
     let next = StoreRequest::List {
         prefix: "q/o/".into(),
         after: Some("q/o/req-1".into()),
     };
-    sends(next, "GET", "/kv?under=q/o/&from=q/o/req-1&most=1000", b"");
-    sends(
+    assert_sends(next, "GET", "/kv?under=q/o/&from=q/o/req-1&most=1000", b"");
+    assert_sends(
         StoreRequest::Transaction(transaction()),
         "POST",
         "/txn",
@@ -211,22 +210,22 @@
             \xa1v\x81\xa1n\x08\x83\xa3set\xa6s/lead\xa1v\x81\xa1n\x07\xa4loan\x1f\x81\
             \xa4drop\xa5q/c/1",
     );
-    sends(
+    assert_sends(
         StoreRequest::GrantLease { ttl_ms: 1250 },
         "POST",
         "/holds",
         b"\x81\xa6ttl_ms\xcd\x04\xe2",
     );
     let renew = StoreRequest::RenewLease { lease: LeaseId(31) };
-    sends(renew, "POST", "/holds/31/extend", b"");
+    assert_sends(renew, "POST", "/holds/31/extend", b"");
     let revoke = StoreRequest::RevokeLease { lease: LeaseId(31) };
-    sends(revoke, "DELETE", "/holds/31", b"");
+    assert_sends(revoke, "DELETE", "/holds/31", b"");
     let watch = StoreRequest::Watch {
         prefix: "q/".into(),
         after: 900,
         hold_ms: 2000,
     };
-    sends(watch, "GET", "/changes?under=q/&from=900&hold_ms=2000", b"");
+    assert_sends(watch, "GET", "/changes?under=q/&from=900&hold_ms=2000", b"");
 }
 
 fn every_request() -> [StoreRequest; 7] {
@@ -249,8 +248,8 @@
 }
 
 #[test]
-fn every_response_is_read_as_before() {
-    let reads = |request: &StoreRequest, status, body: &[u8], response: StoreResponse| {
+fn every_response_decodes_as_expected() {
+    let assert_response = |request: &StoreRequest, status, body: &[u8], response: StoreResponse| {
         assert_eq!(
             request.parse_response(status, body),
             Ok(response),
@@ -259,29 +258,29 @@
     };
     let [get, list, transaction, grant, renew, revoke, watch] = &every_request();
 
-    reads(
+    assert_response(
         get,
         200,
         b"\x84\xa1k\xa6s/lead\xa1v\x81\xa1n\x07\xa8entry_no\x0c\xa4loan\x1f",
         StoreResponse::Found(row(Some(LeaseId(31)))),
     );
     let absent = StoreResponse::NotFound { revision: 900 };
-    reads(get, 404, b"\x81\xa9ledger_no\xcd\x03\x84", absent);
+    assert_response(get, 404, b"\x81\xa9ledger_no\xcd\x03\x84", absent);
     let absent = StoreResponse::NotFound { revision: 0 };
-    reads(get, 404, b"\x81\xa5error\xabno\x20such\x20key", absent);
+    assert_response(get, 404, b"\x81\xa5error\xabno\x20such\x20key", absent);
     let page = RangePage {
         rows: Vec::new(),
         more: true,
         revision: 900,
     };
-    reads(
+    assert_response(
         list,
         200,
         b"\x83\xa4rows\x90\xa4more\xc3\xa9ledger_no\xcd\x03\x84",
         StoreResponse::RangePage(page),
     );
     let committed = StoreResponse::Committed { revision: 901 };
-    reads(
+    assert_response(
         transaction,
         200,
         b"\x81\xa9ledger_no\xcd\x03\x85",
@@ -291,47 +290,47 @@
         failed: vec!["s/lead".into()],
         revision,
     };
-    reads(
+    assert_response(
         transaction,
         409,
         b"\x82\xa6failed\x91\xa6s/lead\xa9ledger_no\xcd\x03\x85",
         conflict(901),
     );
-    reads(
+    assert_response(
         transaction,
         409,
         b"\x81\xa6failed\x91\xa6s/lead",
         conflict(0),
     );
     let no_lease = b"\x81\xa5error\xadno\x20such\x20lease";
-    reads(transaction, 400, no_lease, StoreResponse::LeaseExpired);
-    reads(
+    assert_response(transaction, 400, no_lease, StoreResponse::LeaseExpired);
+    assert_response(
         transaction,
         400,
         b"\x81\xa5error\xa9too\x20large",
         StoreResponse::Malformed,
     );
     let lease = StoreResponse::Lease { lease: LeaseId(31) };
-    reads(grant, 200, b"\x81\xa4loan\x1f", lease);
+    assert_response(grant, 200, b"\x81\xa4loan\x1f", lease);
     for request in [renew, revoke] {
-        reads(request, 200, b"", StoreResponse::LeaseRenewed);
-        reads(request, 404, b"", StoreResponse::LeaseExpired);
+        assert_response(request, 200, b"", StoreResponse::LeaseRenewed);
+        assert_response(request, 404, b"", StoreResponse::LeaseExpired);
     }
     let changes = WatchBatch {
         revision: 901,
         events: Vec::new(),
     };
-    reads(
+    assert_response(
         watch,
         200,
         b"\x82\xa9ledger_no\xcd\x03\x85\xa6events\x90",
         StoreResponse::WatchBatch(changes),
     );
-    reads(watch, 410, b"", StoreResponse::Compacted);
+    assert_response(watch, 410, b"", StoreResponse::Compacted);
 }
 
 #[test]
-fn refusals_of_any_request_are_read_as_before() {
+fn error_statuses_of_every_request_decode_as_expected() {
     for request in every_request() {
         assert_eq!(
             request.parse_response(429, b""),
@@ -352,9 +351,9 @@
     }
 }
 
-/// An unexpected response is logged in the words of version 910d512.
+/// These messages are written to the log.
 #[test]
-fn an_unexpected_response_is_described_in_the_same_words() {
+fn unexpected_response_error_messages_are_unchanged() {
     let [get, ..] = &every_request();
     let error = |status, body: &[u8]| get.parse_response(status, body).map_err(|e| e.to_string());
     let form = "the body is not valid MessagePack of the expected form";
--- a/crates/wire/tests/golden_user.rs
+++ b/crates/wire/tests/golden_user.rs
@@ -1,4 +1,4 @@
-//! The paths and bytes of the users' protocol, as version 84a8104 reads and writes them.
+//! The paths, bytes and error messages of the user protocol, which must not change.
 
 mod golden;
 
@@ -6,9 +6,9 @@
     ErrorReply, HEALTH_PATH, JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, MAX_TASKS, Priority,
     ResourceClaim, Route, Submission, cancel_path, parse_submission, poll_path, route,
 };
-use golden::{assert_keeps, assert_read};
+use golden::{assert_decodes, assert_matches_golden};
 
-/// A job that has everything a job may have.
+/// A job with all optional fields.
 fn full_job() -> JobSpec {
     JobSpec {
         id: "req-412".into(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// The same without anything that may be missing.
+/// The same job without optional fields.
 fn plain_job() -> JobSpec {
     JobSpec {
         types: None,
@@ -46,7 +46,7 @@
     }
 }
 
-fn assert_submits(bytes: &[u8], job: JobSpec) {
+fn assert_decodes_submission(bytes: &[u8], job: JobSpec) {
     let submission = Submission {
         id: Some("req-412".into()),
         spec: Ok(Box::new(job)),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_job_keeps_its_bytes() {
+fn job_spec_matches_golden_bytes() {
     let full = b"\
         \xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -67,8 +67,8 @@
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\
         \xa5due_s\xcb\x40\x8c\x20\x00\x00\x00\x00\x00\xa6awaits\x92\xa5req-7\xa5req-8";
-    assert_keeps(full, &full_job());
-    assert_submits(full, full_job());
+    assert_matches_golden(full, &full_job());
+    assert_decodes_submission(full, full_job());
     let plain = b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -79,12 +79,12 @@
         \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0";
-    assert_keeps(plain, &plain_job());
-    assert_submits(plain, plain_job());
+    assert_matches_golden(plain, &plain_job());
+    assert_decodes_submission(plain, plain_job());
 }
 
 #[test]
-fn a_job_may_leave_out_what_is_optional() {
+fn job_spec_without_optional_fields_is_decoded() {
     let bare = b"\
         \xde\x00\x11\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -94,12 +94,12 @@
         \xaaremainders\xc3\xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00";
-    assert_read(bare, &plain_job());
-    assert_submits(bare, plain_job());
+    assert_decodes(bare, &plain_job());
+    assert_decodes_submission(bare, plain_job());
 }
 
 #[test]
-fn every_kind_of_job_keeps_its_bytes() {
+fn every_job_kind_matches_golden_bytes() {
     let job = |kind| JobSpec {
         kind,
         ..plain_job()
@@ -114,8 +114,8 @@
         \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0";
-    assert_keeps(batch, &job(JobKind::Batch));
-    assert_submits(batch, job(JobKind::Batch));
+    assert_matches_golden(batch, &job(JobKind::Batch));
+    assert_decodes_submission(batch, job(JobKind::Batch));
     let service = b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa8standing\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -126,21 +126,21 @@
         \xa8reckon_s\xcb\x40\x3e\x00\x00\x00\x00\x00\x00\
         \xaabookmark_s\xcb\x40\x4e\x00\x00\x00\x00\x00\x00\
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0";
-    assert_keeps(service, &job(JobKind::Service));
-    assert_submits(service, job(JobKind::Service));
+    assert_matches_golden(service, &job(JobKind::Service));
+    assert_decodes_submission(service, job(JobKind::Service));
 }
 
 #[test]
-fn every_priority_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], priority| {
+fn every_priority_matches_golden_bytes() {
+    let assert_case = |bytes: &[u8], priority| {
         let job = JobSpec {
             priority,
             ..plain_job()
         };
-        assert_keeps(bytes, &job);
-        assert_submits(bytes, job);
+        assert_matches_golden(bytes, &job);
+        assert_decodes_submission(bytes, job);
     };
-    keeps(
+    assert_case(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xabbest_effort\xa6leaves\xcc\xc8\
@@ -154,7 +154,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         Priority::BestEffort,
     );
-    keeps(
+    assert_case(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -167,7 +167,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         Priority::Normal,
     );
-    keeps(
+    assert_case(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa4high\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -180,7 +180,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         Priority::High,
     );
-    keeps(
+    assert_case(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xaaproduction\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -196,13 +196,13 @@
 }
 
 #[test]
-fn a_jobs_claim_on_its_teams_limit_is_read_from_its_bytes() {
+fn resource_claim_is_decoded_from_job_spec_bytes() {
     let claim = ResourceClaim {
         team: "books".into(),
         cpus: 4.0,
         gpus: 1.0,
     };
-    assert_read(
+    assert_decodes(
         b"\
         \xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -216,7 +216,7 @@
         \xa5due_s\xcb\x40\x8c\x20\x00\x00\x00\x00\x00\xa6awaits\x92\xa5req-7\xa5req-8",
         &claim,
     );
-    assert_read(
+    assert_decodes(
         b"\
         \x83\xa4desk\xa5books\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
         \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00",
@@ -225,31 +225,31 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_submission_is_said_in_the_same_words() {
-    let refused = |body: &[u8], error: &str| {
-        let error_now = parse_submission(body).spec.map_err(|e| e.to_string());
-        assert_eq!(error_now, Err(error.to_string()));
+fn submission_error_messages_are_unchanged() {
+    let assert_rejected = |body: &[u8], error: &str| {
+        let result = parse_submission(body).spec.map_err(|e| e.to_string());
+        assert_eq!(result, Err(error.to_string()));
     };
-    refused(b"\x80", "ref is missing");
-    refused(b"\x81\xa3ref\xa3412", "ref is not in its form");
-    refused(b"\x81\xa3ref\xa7req-412", "binding is missing");
-    refused(
+    assert_rejected(b"\x80", "ref is missing");
+    assert_rejected(b"\x81\xa3ref\xa3412", "ref is not in its form");
+    assert_rejected(b"\x81\xa3ref\xa7req-412", "binding is missing");
+    assert_rejected(
         b"\x82\xa3ref\xa7req-412\xa7binding\xa1x",
         "binding must be batch or standing",
     );
-    refused(
+    assert_rejected(
         b"\x82\xa3ref\xa7req-412\xa7binding\xa5batch",
         "urgency is missing",
     );
-    refused(
+    assert_rejected(
         b"\x83\xa3ref\xa7req-412\xa7binding\xa5batch\xa7urgency\xa1x",
         "urgency is unknown",
     );
-    refused(
+    assert_rejected(
         b"\x83\xa3ref\xa7req-412\xa7binding\xa5batch\xa7urgency\xa4high",
         "leaves is missing",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\x00\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -262,7 +262,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "leaves must be from 1 to 100000",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -275,7 +275,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "room is not a zone name",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\xbf\xf0\x00\x00\x00\x00\x00\x00\
@@ -288,7 +288,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "vcpus is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -301,7 +301,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "accelerators is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -314,7 +314,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "ram_gb is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -328,7 +328,7 @@
         \xa5due_s\xcb\xbf\xf0\x00\x00\x00\x00\x00\x00",
         "due_s is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa0\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -341,7 +341,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "lot is empty or too long",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa0\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -354,7 +354,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "desk is empty or too long",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -367,7 +367,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "edition is empty or too long",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -380,7 +380,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "pull_gb is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -393,7 +393,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "same_place is missing",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -406,7 +406,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "spread is missing",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -419,7 +419,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "remainders is missing",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -432,7 +432,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "reckon_s is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -445,7 +445,7 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "bookmark_s is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -458,7 +458,7 @@
         \xa8shelve_s\xcb\xbf\xf0\x00\x00\x00\x00\x00\x00\xa5due_s\xc0",
         "shelve_s is out of range",
     );
-    refused(
+    assert_rejected(
         b"\
         \xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\xa7binding\xa5batch\
         \xa7urgency\xa6normal\xa6leaves\xcc\xc8\xa5vcpus\xcb\x40\x10\x00\x00\x00\x00\x00\x00\
@@ -471,59 +471,59 @@
         \xa8shelve_s\xcb\x40\x14\x00\x00\x00\x00\x00\x00\xa5due_s\xc0\xa6awaits\xa5req-7",
         "awaits must be a list of refs",
     );
-    refused(b"\x90", "the body is not a map");
+    assert_rejected(b"\x90", "the body is not a map");
 }
 
 #[test]
-fn every_state_of_a_job_keeps_its_bytes() {
+fn every_job_state_matches_golden_bytes() {
     let status = |state| JobStatus {
         id: "req-412".into(),
         state,
         done: None,
         running: None,
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x82\xa3ref\xa7req-412\xa9condition\xa7pending",
         &status(JobState::Queued),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x82\xa3ref\xa7req-412\xa9condition\xa7running",
         &status(JobState::Running),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x82\xa3ref\xa7req-412\xa9condition\xa4done",
         &status(JobState::Done),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\x82\xa3ref\xa7req-412\xa9condition\xa7aborted",
         &status(JobState::Cancelled),
     );
 }
 
 #[test]
-fn the_progress_of_a_job_keeps_its_bytes() {
+fn job_status_with_progress_matches_golden_bytes() {
     let status = JobStatus {
         id: "req-412".into(),
         state: JobState::Running,
         done: Some(150),
         running: Some(50),
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\x84\xa3ref\xa7req-412\xa9condition\xa7running\xa4done\xcc\x96\xa7running\x32",
         &status,
     );
 }
 
 #[test]
-fn a_refusal_keeps_its_bytes() {
-    let refusal = ErrorReply {
+fn error_reply_matches_golden_bytes() {
+    let reply = ErrorReply {
         error: "no such run".into(),
     };
-    assert_keeps(b"\x81\xa5error\xabno\x20such\x20run", &refusal);
+    assert_matches_golden(b"\x81\xa5error\xabno\x20such\x20run", &reply);
 }
 
 #[test]
-fn paths_stay_as_they_are() {
+fn paths_and_limits_are_unchanged() {
     assert_eq!(JOBS_PATH, "/v2/runs");
     assert_eq!(HEALTH_PATH, "/up");
     assert_eq!(poll_path("req-412"), "/v2/runs/req-412");
@@ -532,24 +532,25 @@
 }
 
 #[test]
-fn every_request_is_told_by_its_path_and_method() {
-    let is = |method, target, expected| assert_eq!(route(method, target), expected, "{target}");
-    is("POST", "/v2/runs", Route::Submit);
-    is("GET", "/v2/runs/req-412", Route::Poll("req-412".into()));
-    is(
+fn paths_and_methods_select_routes() {
+    let assert_route =
+        |method, target, expected| assert_eq!(route(method, target), expected, "{target}");
+    assert_route("POST", "/v2/runs", Route::Submit);
+    assert_route("GET", "/v2/runs/req-412", Route::Poll("req-412".into()));
+    assert_route(
         "POST",
         "/v2/runs/req-412/abort",
         Route::Cancel("req-412".into()),
     );
-    is("GET", "/up", Route::Health);
-    is("GET", "/up?deep=1", Route::Health);
-    is("POST", "/checkin", Route::Heartbeat);
-    is("GET", "/v2/runs", Route::WrongMethod);
-    is("POST", "/v2/runs/req-412", Route::WrongMethod);
-    is("GET", "/v2/runs/req-412/abort", Route::WrongMethod);
-    is("POST", "/up", Route::WrongMethod);
-    is("GET", "/checkin", Route::WrongMethod);
-    is("GET", "/v2/runs/", Route::NotFound);
-    is("POST", "/v2/runs/req-412/stop", Route::NotFound);
-    is("POST", "/v1/runs", Route::NotFound);
+    assert_route("GET", "/up", Route::Health);
+    assert_route("GET", "/up?deep=1", Route::Health);
+    assert_route("POST", "/checkin", Route::Heartbeat);
+    assert_route("GET", "/v2/runs", Route::WrongMethod);
+    assert_route("POST", "/v2/runs/req-412", Route::WrongMethod);
+    assert_route("GET", "/v2/runs/req-412/abort", Route::WrongMethod);
+    assert_route("POST", "/up", Route::WrongMethod);
+    assert_route("GET", "/checkin", Route::WrongMethod);
+    assert_route("GET", "/v2/runs/", Route::NotFound);
+    assert_route("POST", "/v2/runs/req-412/stop", Route::NotFound);
+    assert_route("POST", "/v1/runs", Route::NotFound);
 }
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -1,4 +1,4 @@
-//! The bytes of the workers' protocol, as version 84a8104 reads and writes them.
+//! The paths and bytes of the worker protocol, which must not change.
 
 mod golden;
 
@@ -7,7 +7,7 @@
     COMMANDS_PATH, Command, CommandBatch, ExitReason, HEARTBEAT_PATH, Heartbeat, HeartbeatReply,
     LeaderRedirect, TaskState, TaskStatus,
 };
-use golden::{assert_keeps, assert_read};
+use golden::{assert_decodes, assert_matches_golden};
 
 fn task(index: u32) -> TaskName {
     TaskName {
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn paths_stay_as_they_are() {
+fn paths_are_unchanged() {
     assert_eq!(HEARTBEAT_PATH, "/checkin");
     assert_eq!(COMMANDS_PATH, "/orders");
 }
 
 #[test]
-fn every_command_keeps_its_bytes() {
+fn every_command_matches_golden_bytes() {
     let launch = HeartbeatReply {
         fencing_token: 9,
         commands: vec![Command::Launch {
@@ -31,7 +31,7 @@
             attempt: 1,
         }],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x82\xa4seal\x09\xa5slips\x91\x83\xa9slip_kind\xa6launch\xa4leaf\xa7req-1/0\
             \xa8printing\x01",
@@ -45,7 +45,7 @@
             grace_s: 30,
         }],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x82\xa4seal\xcd\x01\x2c\xa5slips\x91\x84\xa9slip_kind\xa4stop\xa4leaf\xa8req-1/12\
             \xa8printing\xce\x00\x01\x11\x70\xa9closing_s\x1e",
@@ -58,7 +58,7 @@
             attempt: 2,
         }],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x82\xa4seal\x00\xa5slips\x91\x83\xa9slip_kind\xa4reap\xa4leaf\xabreq-1/99999\
             \xa8printing\x02",
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn an_answer_without_commands_keeps_its_bytes() {
+fn heartbeat_reply_without_commands_matches_golden_bytes() {
     let answer = HeartbeatReply {
         fencing_token: 9,
         commands: Vec::new(),
     };
-    assert_keeps(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
+    assert_matches_golden(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
 }
 
 #[test]
-fn commands_sent_to_a_worker_keep_their_bytes() {
+fn command_batch_matches_golden_bytes() {
     let batch = CommandBatch {
         fencing_token: 9,
         incarnation: 4,
@@ -92,7 +92,7 @@
             },
         ],
     };
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x83\xa4seal\x09\xa6tenure\x04\xa5slips\x92\x83\xa9slip_kind\xa6launch\
             \xa4leaf\xa7req-1/0\xa8printing\x01\x84\xa9slip_kind\xa4stop\xa4leaf\xa7req-1/1\
@@ -102,13 +102,13 @@
 }
 
 #[test]
-fn a_redirect_to_the_leader_keeps_its_bytes() {
+fn leader_redirect_matches_golden_bytes() {
     let known = LeaderRedirect {
         leader: Some("n1".into()),
     };
-    assert_keeps(b"\x81\xa5clerk\xa2n1", &known);
+    assert_matches_golden(b"\x81\xa5clerk\xa2n1", &known);
     let unknown = LeaderRedirect { leader: None };
-    assert_keeps(b"\x80", &unknown);
+    assert_matches_golden(b"\x80", &unknown);
 }
 
 fn task_status(state: TaskState, reason: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
@@ -122,92 +122,93 @@
 }
 
 #[test]
-fn every_task_state_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], state| assert_keeps(bytes, &task_status(state, None, None));
-    keeps(
+fn every_task_state_matches_golden_bytes() {
+    let assert_case =
+        |bytes: &[u8], state| assert_matches_golden(bytes, &task_status(state, None, None));
+    assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7pulling",
         TaskState::Fetching,
     );
-    keeps(
+    assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7running",
         TaskState::Running,
     );
-    keeps(
+    assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8flushing",
         TaskState::Saving,
     );
-    keeps(
+    assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended",
         TaskState::Exited,
     );
-    keeps(
+    assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5Other",
         TaskState::Other,
     );
 }
 
 #[test]
-fn an_unknown_task_state_is_read_as_other() {
-    assert_read(
+fn unknown_task_state_decodes_as_other() {
+    assert_decodes(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8painting",
         &task_status(TaskState::Other, None, None),
     );
 }
 
 #[test]
-fn every_exit_reason_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], reason| {
-        assert_keeps(bytes, &task_status(TaskState::Exited, Some(reason), None));
+fn every_exit_reason_matches_golden_bytes() {
+    let assert_case = |bytes: &[u8], reason| {
+        assert_matches_golden(bytes, &task_status(TaskState::Exited, Some(reason), None));
     };
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa4done",
         ExitReason::Done,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted",
         ExitReason::Stopped,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5error",
         ExitReason::Error,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_room",
         ExitReason::NoRoom,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6in_use",
         ExitReason::Busy,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_such",
         ExitReason::Unknown,
     );
-    keeps(
+    assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5Other",
         ExitReason::Other,
     );
 }
 
 #[test]
-fn an_unknown_exit_reason_is_read_as_other() {
+fn unknown_exit_reason_decodes_as_other() {
     let status = task_status(TaskState::Exited, Some(ExitReason::Other), None);
-    assert_read(
+    assert_decodes(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5burnt",
         &status,
     );
 }
 
 #[test]
-fn whether_a_checkpoint_was_saved_keeps_its_bytes() {
+fn checkpoint_flag_matches_golden_bytes() {
     let saved = |saved| task_status(TaskState::Exited, Some(ExitReason::Stopped), Some(saved));
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
         \xa4kept\xc3",
         &saved(true),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
         \x85\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6halted\
         \xa4kept\xc2",
@@ -231,15 +232,15 @@
 }
 
 #[test]
-fn a_heartbeat_keeps_its_bytes() {
-    assert_keeps(
+fn heartbeat_matches_golden_bytes() {
+    assert_matches_golden(
         b"\
             \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa8recall_s\xc0\
             \xa6leaves\x90",
         &heartbeat(None, Vec::new()),
     );
-    assert_keeps(
+    assert_matches_golden(
         b"\
             \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\
@@ -253,14 +254,14 @@
 }
 
 #[test]
-fn a_heartbeat_may_leave_out_the_notice_and_hold_unknown_keys() {
-    assert_read(
+fn heartbeat_with_missing_notice_or_unknown_key_is_decoded() {
+    assert_decodes(
         b"\
             \x89\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6leaves\x90",
         &heartbeat(None, Vec::new()),
     );
-    assert_read(
+    assert_decodes(
         b"\
             \x8a\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
             \xaaremainders\xc3\xa6tenure\x04\xa5folio\xcd\x03\xe8\xa4seal\x09\xa6colour\xa3red\
