--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether the offering may be requested; `now_us` is in microseconds of the monotonic clock.
-    pub fn is_open(&self, offering: &InstanceOffering, now_us: u64) -> bool {
+    pub fn is_available(&self, offering: &InstanceOffering, now_us: u64) -> bool {
         let refused_until_us = self.0.get(offering);
         refused_until_us.is_none_or(|until_us| now_us >= *until_us)
     }
@@ -115,7 +115,7 @@
             zone: zone.to_owned(),
             spot,
         };
-        if !inputs.refusals.is_open(&offering, inputs.now_us) {
+        if !inputs.refusals.is_available(&offering, inputs.now_us) {
             return None;
         }
         let machine = new_machine(machine_type, zone, spot);
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -63,7 +63,8 @@
     )
 }
 
-/// Without this, a job would wait forever beside free headroom if no spot machine is available.
+/// Without this, a job would wait forever if no spot machine is available, although headroom is
+/// free.
 /// A job that is not starving neither uses the headroom nor blocks the other jobs.
 #[test]
 fn starving_job_places_one_task_in_service_headroom() {
