--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/waiting.rs
@@ -63,9 +63,8 @@
     )
 }
 
-/// Without this, a job would wait forever if no spot machine is available, although headroom is
-/// free.
-/// A job that is not starving neither uses the headroom nor blocks the other jobs.
+/// Otherwise a job would wait forever while headroom is free but no spot machine is available. A
+/// job that is not starving neither uses the headroom nor blocks the other jobs.
 #[test]
 fn starving_job_places_one_task_in_service_headroom() {
     let jobs = [job("a", false), job("b", true), job("c", true)];
