--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -3,7 +3,7 @@
 
 use crate::leadership_guard::{CloudAction, CloudPermit, DeletionReason};
 use crate::{Micros, SECOND, seconds};
-use dillcleat_wire::cloud::{CloudRequest, MAX_DELETE, ScaleOut};
+use dillcleat_wire::cloud::{CloudRequest, MAX_MACHINES_PER_DELETION, ScaleOut};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -298,14 +298,14 @@
         is_permitted: impl Fn(DeletionReason) -> bool,
     ) -> Vec<Rc<str>> {
         use DeletionReason::{Cancelled, Failed, Returned, Silent};
-        let limit = limit.clamp(MIN_DELETION_LIMIT, MAX_DELETE);
+        let limit = limit.clamp(MIN_DELETION_LIMIT, MAX_MACHINES_PER_DELETION);
         let mut names = Vec::new();
         for reason in [Cancelled, Failed, Silent, Returned] {
             if !is_permitted(reason) {
                 continue;
             }
             let remaining = match reason {
-                Failed => MAX_DELETE - names.len(),
+                Failed => MAX_MACHINES_PER_DELETION - names.len(),
                 _ => limit.saturating_sub(names.len()),
             };
             let matching = self.deletions.iter().filter(|(_, d)| d.reason == reason);
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -84,7 +84,7 @@
     /// The configuration from the platform's and the operator's settings.
     pub fn new(platform: &PlatformSettings, tuning: Tuning) -> Config {
         let cluster = &platform.cluster;
-        let now = &cluster.state;
+        let now = &cluster.store;
         let announced = &now.next;
         let value_bytes = kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(now.value_kb));
         let write_rps = announced.write_rps.unwrap_or(f64::MAX).min(now.write_rps);
@@ -209,7 +209,7 @@
             continue;
         };
         let share = objective.share.unwrap_or(1.0);
-        let max_multiple = objective.times.unwrap_or(1.0);
+        let max_multiple = objective.max_multiple.unwrap_or(1.0);
         match combined.iter_mut().find(|known| known.class == *class) {
             Some(known) => {
                 known.share = share.max(known.share);
--- a/crates/controller/src/election/replies.rs
+++ b/crates/controller/src/election/replies.rs
@@ -60,7 +60,7 @@
 
     fn handle_own_lease_revoked(&mut self, ctx: &Context, reply: Result<StoreResponse, CallError>) {
         match reply {
-            Ok(StoreResponse::LeaseRenewed | StoreResponse::LeaseExpired) => {
+            Ok(StoreResponse::LeaseRenewedOrRevoked | StoreResponse::LeaseExpired) => {
                 self.schedule_read(ctx, 0);
             }
             _ => self.retry_read(ctx),
@@ -127,7 +127,7 @@
         }
         match reply {
             Ok(StoreResponse::LeaseExpired) => self.step_down(ctx, "the lease has ended", 0),
-            Ok(StoreResponse::LeaseRenewed) => {
+            Ok(StoreResponse::LeaseRenewedOrRevoked) => {
                 self.proved_at = self.proved_at.max(sent_at);
                 None
             }
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -296,7 +296,7 @@
     pub fn progress(&mut self) -> Vec<JobProgress> {
         let unreported = self.derived.unreported_jobs.iter();
         let indexes: Vec<SlabIndex> = unreported
-            .take(dillcleat_peer_protocol::MAX_PROGRESS)
+            .take(dillcleat_peer_protocol::MAX_PROGRESS_JOBS)
             .collect();
         let mut changed = Vec::new();
         for index in indexes {
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -7,7 +7,7 @@
 use crate::inherited_estimates::InheritedEstimates;
 use crate::sched::SlabIndex;
 use dillcleat_peer_protocol::{
-    ClassRunTime, Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_SAMPLES,
+    ClassRunTime, Estimates, JobEstimate, MAX_CLASSES, MAX_JOB_ESTIMATES, MAX_RUN_TIME_SAMPLES,
 };
 use dillcleat_wire::user::JobKind;
 use std::collections::{BTreeSet, HashMap};
@@ -166,7 +166,7 @@
         if job.spec.kind != JobKind::Batch || job.cancelled.is_some() || job.ending {
             return None;
         }
-        let samples = job.samples.iter().take(MAX_SAMPLES);
+        let samples = job.samples.iter().take(MAX_RUN_TIME_SAMPLES);
         Some(JobEstimate {
             job: id.to_string(),
             initial_size: job.initial_size,
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -193,7 +193,7 @@
             return;
         };
         match reason {
-            ExitReason::NoRoom => m.health.block_until(now + NO_RESOURCES_PAUSE),
+            ExitReason::InsufficientResources => m.health.block_until(now + NO_RESOURCES_PAUSE),
             ExitReason::Error => {
                 m.health.record_failed_job(id);
                 let name = m.name.clone();
@@ -209,7 +209,7 @@
                 }
             }
             ExitReason::Stopped | ExitReason::Done => {}
-            ExitReason::Busy | ExitReason::Unknown | ExitReason::Other => {
+            ExitReason::OtherAttemptPresent | ExitReason::UnknownTask | ExitReason::Other => {
                 job.blocked_until = now + OTHER_EXIT_PAUSE;
             }
         }
@@ -222,9 +222,9 @@
         ExitReason::Done => "done",
         ExitReason::Stopped => "stopped",
         ExitReason::Error => "error",
-        ExitReason::NoRoom => "no_resources",
-        ExitReason::Busy => "busy",
-        ExitReason::Unknown => "unknown",
+        ExitReason::InsufficientResources => "no_resources",
+        ExitReason::OtherAttemptPresent => "busy",
+        ExitReason::UnknownTask => "unknown",
         ExitReason::Other => "other",
     }
 }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -4,7 +4,7 @@
 use super::scheduling::CPU_ROUNDING_ERROR;
 use crate::machines::Machine;
 use crate::{Config, MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::SilentZone;
+use dillcleat_peer_protocol::UnresponsiveZone;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -185,7 +185,7 @@
     }
 
     /// Zones that have fallen silent, and for how long, for the next leader.
-    pub fn silent_zones(&self, now: Micros) -> Vec<SilentZone> {
+    pub fn silent_zones(&self, now: Micros) -> Vec<UnresponsiveZone> {
         let mut last_heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
         for machine in partitioned
@@ -195,13 +195,13 @@
             let latest = last_heard.entry(&machine.zone).or_default();
             *latest = machine.reachability.last_heard_at().max(*latest);
         }
-        let silent_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
+        let unresponsive_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
         last_heard
             .into_iter()
-            .take(dillcleat_peer_protocol::MAX_ZONES)
-            .map(|(zone, since)| SilentZone {
+            .take(dillcleat_peer_protocol::MAX_UNRESPONSIVE_ZONES)
+            .map(|(zone, since)| UnresponsiveZone {
                 zone: zone.to_string(),
-                silent_ms: u32::try_from(silent_ms(since)).unwrap_or(u32::MAX),
+                unresponsive_ms: u32::try_from(unresponsive_ms(since)).unwrap_or(u32::MAX),
             })
             .collect()
     }
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -7,7 +7,7 @@
 use crate::calls::Context;
 use crate::peers::PeerStatus;
 use crate::{MILLISECOND, Micros, Output, Timestamp};
-use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS, Message};
+use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS_JOBS, Message};
 
 /// Time between two broadcasts.
 const HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
@@ -38,12 +38,12 @@
         };
         let silent_zones = leader.silent_zones(now);
         if !silent_zones.is_empty() {
-            messages.push(Message::SilentZones(silent_zones));
+            messages.push(Message::UnresponsiveZones(silent_zones));
         }
         messages.extend(leader.next_estimates().map(Message::Estimates));
         let changed = leader.progress();
         self.admission.progress.set_own(&changed);
-        let all_changes_sent = changed.len() < MAX_PROGRESS;
+        let all_changes_sent = changed.len() < MAX_PROGRESS_JOBS;
         let pages: Vec<Vec<JobProgress>> =
             self.admission.progress.next_messages(all_changes_sent, now);
         let changed = Some(changed).filter(|changed| !changed.is_empty());
@@ -100,7 +100,7 @@
                 };
                 self.handle_peer_heartbeat(now, out, from, status);
             }
-            Message::SilentZones(zones) => self.silent_zones.record(zones, now.monotonic),
+            Message::UnresponsiveZones(zones) => self.silent_zones.record(zones, now.monotonic),
             Message::Estimates(estimates) => {
                 self.heard_estimates
                     .receive(&self.config, estimates, now.monotonic);
--- a/crates/controller/src/node/silent_zones.rs
+++ b/crates/controller/src/node/silent_zones.rs
@@ -1,7 +1,7 @@
 //! The leader's broadcast of zones without heartbeats, kept for a successor.
 
 use crate::{MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::SilentZone;
+use dillcleat_peer_protocol::UnresponsiveZone;
 use std::collections::HashMap;
 
 /// How long a broadcast counts. It is repeated with each heartbeat among peers.
@@ -19,11 +19,12 @@
 
 impl SilentZoneHint {
     /// Replaces the hint by a newly received one.
-    pub fn record(&mut self, zones: Vec<SilentZone>, now: Micros) {
-        let last_heard = |silent_ms: u32| now.saturating_sub(u64::from(silent_ms) * MILLISECOND);
+    pub fn record(&mut self, zones: Vec<UnresponsiveZone>, now: Micros) {
+        let last_heard =
+            |unresponsive_ms: u32| now.saturating_sub(u64::from(unresponsive_ms) * MILLISECOND);
         self.last_heard = zones
             .into_iter()
-            .map(|zone| (zone.zone, last_heard(zone.silent_ms)))
+            .map(|zone| (zone.zone, last_heard(zone.unresponsive_ms)))
             .collect();
         self.received_at = now;
     }
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -6,7 +6,7 @@
 //! new leader has had the time to hear from its machines.
 
 use crate::{Micros, SECOND};
-use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS};
+use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS_JOBS};
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
@@ -119,7 +119,7 @@
     }
 
     /// What the leader of this process has to send besides its changes, as messages of at
-    /// most [`MAX_PROGRESS`] jobs. `all_changes_sent` says that it has no more changes than
+    /// most [`MAX_PROGRESS_JOBS`] jobs. `all_changes_sent` says that it has no more changes than
     /// it sends now.
     pub fn next_messages(&mut self, all_changes_sent: bool, now: Micros) -> Vec<Vec<JobProgress>> {
         if all_changes_sent && self.machines_heard_at.is_some_and(|at| now >= at) {
@@ -132,17 +132,20 @@
         if let Some(after) = self.repeat_after.take() {
             self.repeat_page(&after, &mut progress);
         }
-        progress.chunks(MAX_PROGRESS).map(<[_]>::to_vec).collect()
+        progress
+            .chunks(MAX_PROGRESS_JOBS)
+            .map(<[_]>::to_vec)
+            .collect()
     }
 
     /// Adds the progress of the jobs after one, as many as one message holds.
     fn repeat_page(&mut self, after: &str, progress: &mut Vec<JobProgress>) {
         let rest = self.jobs.range::<str, _>((Excluded(after), Unbounded));
         let page: Vec<(String, Entry)> = rest
-            .take(MAX_PROGRESS)
+            .take(MAX_PROGRESS_JOBS)
             .map(|(job, entry)| (job.clone(), *entry))
             .collect();
-        if page.len() == MAX_PROGRESS {
+        if page.len() == MAX_PROGRESS_JOBS {
             self.repeat_after = page.last().map(|(job, _)| job.clone());
         }
         for (job, entry) in page {
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -652,9 +652,9 @@
                 for key in keys {
                     self.store.change(Mutation::Delete { key });
                 }
-                StoreResponse::LeaseRenewed
+                StoreResponse::LeaseRenewedOrRevoked
             }
-            StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+            StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewedOrRevoked,
             StoreRequest::Watch { .. } => return None,
         };
         Some(Input::Store {
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -312,10 +312,10 @@
                             around.refused += 1;
                             StoreResponse::Unavailable
                         }
-                        StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+                        StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewedOrRevoked,
                         StoreRequest::RevokeLease { lease } => {
                             around.let_go.push(lease);
-                            StoreResponse::LeaseRenewed
+                            StoreResponse::LeaseRenewedOrRevoked
                         }
                         _ => continue,
                     };
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -129,7 +129,7 @@
                         }
                     }
                     StoreRequest::Transaction(_) => Ok(StoreResponse::Committed { revision: 2 }),
-                    _ => Ok(StoreResponse::LeaseRenewed),
+                    _ => Ok(StoreResponse::LeaseRenewedOrRevoked),
                 };
                 inputs.push(Input::Store { id, reply });
             }
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -62,7 +62,7 @@
                     call: StoreRequest::RenewLease { .. },
                     ..
                 } => {
-                    let reply = Ok(StoreResponse::LeaseRenewed);
+                    let reply = Ok(StoreResponse::LeaseRenewedOrRevoked);
                     step_with(node, *at, Input::Store { id, reply }, &[], around);
                 }
                 _ => {}
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -4,7 +4,7 @@
 
 use common::{recorded, report, step_and_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::{Message, SilentZone};
+use dillcleat_peer_protocol::{Message, UnresponsiveZone};
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::store::KeyValue;
 
@@ -15,7 +15,7 @@
 }
 
 /// When the machines of a zone are deleted that was cut off before the leader
-/// began, which had `silent_ms` from the leader before. In the cut zone machine 0
+/// began, which had `unresponsive_ms` from the leader before. In the cut zone machine 0
 /// alone reports, if `one_reports`.
 fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
     let rows: Vec<KeyValue> = (0..9)
@@ -23,9 +23,9 @@
         .collect();
     let mut node = common::node();
     if let Some(quiet_ms) = quiet_ms {
-        let message = Message::SilentZones(vec![SilentZone {
+        let message = Message::UnresponsiveZones(vec![UnresponsiveZone {
             zone: "cut".into(),
-            silent_ms: quiet_ms,
+            unresponsive_ms: quiet_ms,
         }]);
         let from = "n1".into();
         step_and_calls(&mut node, START, Input::Peer { from, message }, &rows);
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -2,7 +2,7 @@
 //! kept open. Parsing of heads is `httparse`'s.
 
 use dillcleat_controller::{Answer, CallError};
-use dillcleat_wire::BODY_LIMIT;
+use dillcleat_wire::MAX_BODY_BYTES;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, FutureExt};
 use smol::Timer;
 use smol::net::TcpStream;
@@ -220,7 +220,7 @@
         if head.len > HEAD_LIMIT {
             return Err(RequestError::Malformed);
         }
-        if head.body > BODY_LIMIT {
+        if head.body > MAX_BODY_BYTES {
             return Err(RequestError::TooLarge);
         }
         while self.buffer.len() < head.len + head.body {
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -2,7 +2,9 @@
 
 use crate::encoder::Encoder;
 use crate::error::FrameError;
-use crate::message::{Estimates, JobProgress, MAX_PROGRESS, MAX_ZONES, Message, SilentZone};
+use crate::message::{
+    Estimates, JobProgress, MAX_PROGRESS_JOBS, MAX_UNRESPONSIVE_ZONES, Message, UnresponsiveZone,
+};
 use crate::reader::Reader;
 
 /// The protocol version of encoded frames. Frames of an unsupported version are rejected.
@@ -19,7 +21,7 @@
 const KIND_HELLO: u8 = 1;
 const KIND_HEARTBEAT: u8 = 2;
 const KIND_JOB_PROGRESS: u8 = 3;
-const KIND_SILENT_ZONES: u8 = 4;
+const KIND_UNRESPONSIVE_ZONES: u8 = 4;
 const KIND_ESTIMATES: u8 = 5;
 
 /// Decodes the length field of a frame: the number of bytes that follow the field.
@@ -61,11 +63,11 @@
             }
             Message::JobProgress(jobs) => {
                 out.u8(KIND_JOB_PROGRESS);
-                out.list(jobs, MAX_PROGRESS, |out, job| job.encode(out));
+                out.list(jobs, MAX_PROGRESS_JOBS, |out, job| job.encode(out));
             }
-            Message::SilentZones(zones) => {
-                out.u8(KIND_SILENT_ZONES);
-                out.list(zones, MAX_ZONES, |out, zone| zone.encode(out));
+            Message::UnresponsiveZones(zones) => {
+                out.u8(KIND_UNRESPONSIVE_ZONES);
+                out.list(zones, MAX_UNRESPONSIVE_ZONES, |out, zone| zone.encode(out));
             }
             Message::Estimates(estimates) => {
                 out.u8(KIND_ESTIMATES);
@@ -99,9 +101,11 @@
                 requests_per_s: reader.u32()?,
             },
             KIND_JOB_PROGRESS => {
-                Message::JobProgress(reader.list(MAX_PROGRESS, JobProgress::decode)?)
+                Message::JobProgress(reader.list(MAX_PROGRESS_JOBS, JobProgress::decode)?)
             }
-            KIND_SILENT_ZONES => Message::SilentZones(reader.list(MAX_ZONES, SilentZone::decode)?),
+            KIND_UNRESPONSIVE_ZONES => Message::UnresponsiveZones(
+                reader.list(MAX_UNRESPONSIVE_ZONES, UnresponsiveZone::decode)?,
+            ),
             KIND_ESTIMATES => Message::Estimates(Estimates::decode(&mut reader)?),
             kind => return Err(FrameError::UnknownKind(kind)),
         };
--- a/crates/peer-protocol/src/lib.rs
+++ b/crates/peer-protocol/src/lib.rs
@@ -31,5 +31,5 @@
 pub use frame::{MAX_FRAME_BYTES, PROTOCOL_VERSION, frame_length};
 pub use message::{
     ClassRunTime, Estimates, JobEstimate, JobProgress, MAX_CLASSES, MAX_JOB_ESTIMATES,
-    MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, SilentZone,
+    MAX_PROGRESS_JOBS, MAX_RUN_TIME_SAMPLES, MAX_UNRESPONSIVE_ZONES, Message, UnresponsiveZone,
 };
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -5,15 +5,15 @@
 use crate::reader::Reader;
 
 /// Maximum number of jobs in one [`Message::JobProgress`].
-pub const MAX_PROGRESS: usize = 500;
-/// Maximum number of zones in one [`Message::SilentZones`].
-pub const MAX_ZONES: usize = 100;
+pub const MAX_PROGRESS_JOBS: usize = 500;
+/// Maximum number of zones in one [`Message::UnresponsiveZones`].
+pub const MAX_UNRESPONSIVE_ZONES: usize = 100;
 /// Maximum number of jobs in one [`Estimates`].
 pub const MAX_JOB_ESTIMATES: usize = 100;
 /// Maximum number of classes in one [`Estimates`].
 pub const MAX_CLASSES: usize = 64;
 /// Maximum number of run-time samples in one [`JobEstimate`].
-pub const MAX_SAMPLES: usize = 16;
+pub const MAX_RUN_TIME_SAMPLES: usize = 16;
 
 /// A message from one controller to the others.
 ///
@@ -41,7 +41,7 @@
     /// The progress of some jobs, sent by the leader.
     JobProgress(Vec<JobProgress>),
     /// The zones from which the leader receives no heartbeats, sent by the leader.
-    SilentZones(Vec<SilentZone>),
+    UnresponsiveZones(Vec<UnresponsiveZone>),
     /// Estimates of run times, sent by the leader.
     Estimates(Estimates),
 }
@@ -59,11 +59,11 @@
 
 /// A zone from which the leader receives no heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SilentZone {
+pub struct UnresponsiveZone {
     /// The zone's name.
     pub zone: String,
     /// Time since the last heartbeat from any machine of the zone, in milliseconds.
-    pub silent_ms: u32,
+    pub unresponsive_ms: u32,
 }
 
 /// The leader's run-time estimates, from which its successor continues after a failover. Each
@@ -128,16 +128,16 @@
     }
 }
 
-impl SilentZone {
+impl UnresponsiveZone {
     pub(crate) fn encode(&self, out: &mut Encoder) {
         out.string(&self.zone);
-        out.u32(self.silent_ms);
+        out.u32(self.unresponsive_ms);
     }
 
-    pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<SilentZone, FrameError> {
-        Ok(SilentZone {
+    pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<UnresponsiveZone, FrameError> {
+        Ok(UnresponsiveZone {
             zone: reader.string()?,
-            silent_ms: reader.u32()?,
+            unresponsive_ms: reader.u32()?,
         })
     }
 }
@@ -182,7 +182,9 @@
         out.f64(self.credit);
         out.flag(self.is_ageing);
         out.flag(self.trained);
-        out.list(&self.samples, MAX_SAMPLES, |out, sample| out.f64(*sample));
+        out.list(&self.samples, MAX_RUN_TIME_SAMPLES, |out, sample| {
+            out.f64(*sample);
+        });
     }
 
     fn decode(reader: &mut Reader<'_>) -> Result<JobEstimate, FrameError> {
@@ -193,7 +195,7 @@
             credit: reader.f64()?,
             is_ageing: reader.flag()?,
             trained: reader.flag()?,
-            samples: reader.list(MAX_SAMPLES, Reader::f64)?,
+            samples: reader.list(MAX_RUN_TIME_SAMPLES, Reader::f64)?,
         })
     }
 }
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Round trips of all messages, and rejection of invalid frames.
 
 use dillcleat_peer_protocol::{
-    ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, Message, SilentZone,
+    ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, Message, UnresponsiveZone,
     frame_length,
 };
 
@@ -23,9 +23,9 @@
             done: 3,
             running: 4,
         }]),
-        Message::SilentZones(vec![SilentZone {
+        Message::UnresponsiveZones(vec![UnresponsiveZone {
             zone: "a".into(),
-            silent_ms: 9_000,
+            unresponsive_ms: 9_000,
         }]),
         Message::Estimates(Estimates {
             term: 7,
--- a/crates/peer-protocol/tests/golden_frames.rs
+++ b/crates/peer-protocol/tests/golden_frames.rs
@@ -2,8 +2,8 @@
 
 use dillcleat_peer_protocol::{
     ClassRunTime, Estimates, FrameError, JobEstimate, JobProgress, MAX_CLASSES, MAX_FRAME_BYTES,
-    MAX_JOB_ESTIMATES, MAX_PROGRESS, MAX_SAMPLES, MAX_ZONES, Message, PROTOCOL_VERSION, SilentZone,
-    frame_length,
+    MAX_JOB_ESTIMATES, MAX_PROGRESS_JOBS, MAX_RUN_TIME_SAMPLES, MAX_UNRESPONSIVE_ZONES, Message,
+    PROTOCOL_VERSION, UnresponsiveZone, frame_length,
 };
 
 /// Asserts that `message` is encoded as `frame`, and that `frame` is decoded as `message`, also
@@ -25,10 +25,10 @@
 fn protocol_version_and_limits_are_unchanged() {
     assert_eq!((PROTOCOL_VERSION, MAX_FRAME_BYTES), (4, 65_536));
     assert_eq!(
-        (MAX_PROGRESS, MAX_ZONES, MAX_JOB_ESTIMATES),
+        (MAX_PROGRESS_JOBS, MAX_UNRESPONSIVE_ZONES, MAX_JOB_ESTIMATES),
         (500, 100, 100)
     );
-    assert_eq!((MAX_CLASSES, MAX_SAMPLES), (64, 16));
+    assert_eq!((MAX_CLASSES, MAX_RUN_TIME_SAMPLES), (64, 16));
 }
 
 #[test]
@@ -90,18 +90,18 @@
 }
 
 #[test]
-fn silent_zones_match_golden_frames() {
-    let silent = Message::SilentZones(vec![SilentZone {
+fn unresponsive_zones_match_golden_frames() {
+    let unresponsive = Message::UnresponsiveZones(vec![UnresponsiveZone {
         zone: "a".into(),
-        silent_ms: 9_000,
+        unresponsive_ms: 9_000,
     }]);
     assert_matches_golden(
         b"\x00\x00\x00\x0b\x04\x04\x00\x01\x00\x01a\x00\x00\x23\x28",
-        &silent,
+        &unresponsive,
     );
     assert_matches_golden(
         b"\x00\x00\x00\x04\x04\x04\x00\x00",
-        &Message::SilentZones(Vec::new()),
+        &Message::UnresponsiveZones(Vec::new()),
     );
 }
 
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -12,7 +12,7 @@
 use crate::placement_policy::PlacementPolicy;
 use crate::resources::{OrderedFloat, ROUNDING_TOLERANCE, Resources};
 use crate::views::{Images, JobView, MachineView, ResourceRequest, TeamAllowance};
-use dillcleat_wire::cloud::{MAX_SCALE_OUT, MachineType};
+use dillcleat_wire::cloud::{MAX_MACHINES_PER_SCALE_OUT, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -35,7 +35,7 @@
 pub struct PlannedScaleOut {
     /// The offering from which the machines are requested.
     pub offering: InstanceOffering,
-    /// Number of machines, at most [`MAX_SCALE_OUT`].
+    /// Number of machines, at most [`MAX_MACHINES_PER_SCALE_OUT`].
     pub count: u32,
 }
 
@@ -331,7 +331,7 @@
             let Some(price_per_task) = offer.price_per_task(job) else {
                 continue;
             };
-            if offer.planned_machines >= MAX_SCALE_OUT {
+            if offer.planned_machines >= MAX_MACHINES_PER_SCALE_OUT {
                 // The next plan can request more machines of this offer, so the job waits for
                 // that instead of using a more expensive offer now.
                 lowest_capped_price = price_per_task.min(lowest_capped_price);
@@ -436,7 +436,7 @@
             // A cast from a float saturates.
             let machines = offer.machines_for_cpus(missing_cpus) as u32;
             let planned = offer.planned_machines.saturating_add(machines);
-            offer.planned_machines = planned.min(MAX_SCALE_OUT);
+            offer.planned_machines = planned.min(MAX_MACHINES_PER_SCALE_OUT);
         }
     }
 
@@ -457,7 +457,7 @@
 }
 
 /// Plans which machines to provision for tasks that do not fit on existing ones, the most urgent
-/// first and at most [`MAX_SCALE_OUT`] of each offering (see the [module](self)).
+/// first and at most [`MAX_MACHINES_PER_SCALE_OUT`] of each offering (see the [module](self)).
 ///
 /// `jobs` must be in the order in which they compete, each with its request. `capacity` must
 /// contain the machines with the resources that will be free by the time a new machine could
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -349,7 +349,7 @@
         }
         StoreResponse::Lease { lease } => (200, encode(&Loan { loan: lease })),
         StoreResponse::LeaseExpired => (404, Vec::new()),
-        StoreResponse::LeaseRenewed => (200, Vec::new()),
+        StoreResponse::LeaseRenewedOrRevoked => (200, Vec::new()),
         StoreResponse::WatchBatch(changes) => (200, encode(&changes)),
         StoreResponse::Compacted => (410, Vec::new()),
         StoreResponse::RateLimited => (429, Vec::new()),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -239,13 +239,13 @@
             StoreRequest::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
-                    StoreResponse::LeaseRenewed
+                    StoreResponse::LeaseRenewedOrRevoked
                 }
                 None => StoreResponse::LeaseExpired,
             },
             StoreRequest::RevokeLease { lease } => {
                 if self.end_lease(*lease) {
-                    StoreResponse::LeaseRenewed
+                    StoreResponse::LeaseRenewedOrRevoked
                 } else {
                     StoreResponse::LeaseExpired
                 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -334,11 +334,11 @@
         let play = jobs.get(&task.job);
         let (cpus, gpus) = play.map_or((0.0, 0.0), |p| (p.spec.cpus, p.spec.gpus));
         let refused = if play.is_none() {
-            Some(ExitReason::Unknown)
+            Some(ExitReason::UnknownTask)
         } else if busy {
-            Some(ExitReason::Busy)
+            Some(ExitReason::OtherAttemptPresent)
         } else if cpus > free_cpus + 1e-6 || gpus > free_gpus + 1e-6 {
-            Some(ExitReason::NoRoom)
+            Some(ExitReason::InsufficientResources)
         } else {
             None
         };
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 
 /// Maximum size of request bodies, and of responses to workers and users, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// The reason why a body could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of machines that one scale-out may request.
-pub const MAX_SCALE_OUT: u32 = 50;
+pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Maximum number of machines in one deletion.
-pub const MAX_DELETE: usize = 100;
+pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Maximum number of machines in one page of the machine list.
 pub const MAX_PAGE_ROWS: u32 = 500;
 /// The cloud's error text for a scale-out for which it has no capacity.
@@ -71,7 +71,7 @@
     /// Whether to create spot machines.
     #[serde(rename = "remainders")]
     pub spot: bool,
-    /// Number of machines, at most [`MAX_SCALE_OUT`].
+    /// Number of machines, at most [`MAX_MACHINES_PER_SCALE_OUT`].
     #[serde(rename = "count")]
     pub count: u32,
 }
@@ -145,7 +145,7 @@
     Types,
     /// Creates machines.
     ScaleOut(ScaleOut),
-    /// Deletes machines by name, at most [`MAX_DELETE`].
+    /// Deletes machines by name, at most [`MAX_MACHINES_PER_DELETION`].
     Delete(Vec<String>),
     /// Reads one page of the list of machines.
     List {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -26,6 +26,6 @@
 pub mod user;
 pub mod worker;
 
-pub use body::{BODY_LIMIT, BodyError, decode, encode};
+pub use body::{BodyError, MAX_BODY_BYTES, decode, encode};
 pub use http::HttpRequest;
 pub use task_name::{TaskName, TaskNameError};
--- a/crates/wire/src/settings/mod.rs
+++ b/crates/wire/src/settings/mod.rs
@@ -81,7 +81,7 @@
     pub workers: WorkerTimings,
     /// Limits of the store.
     #[serde(rename = "state")]
-    pub state: StoreLimits,
+    pub store: StoreLimits,
     /// Limits of the cloud's API.
     #[serde(rename = "cloud")]
     pub cloud: CloudLimits,
@@ -128,7 +128,7 @@
     pub share: Option<f64>,
     /// For kind `deadline`: the multiple of the deadline by which a job must end.
     #[serde(rename = "times")]
-    pub times: Option<f64>,
+    pub max_multiple: Option<f64>,
 }
 
 impl Objective {
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -35,9 +35,9 @@
 impl Cluster {
     fn validate(&self) -> Result<(), SettingsError> {
         self.validate_amounts()?;
-        self.state.next.validate()?;
-        validate_txn_ops("cluster.state.txn_ops", Some(self.state.txn_ops))?;
-        validate_txn_ops("cluster.state.next.txn_ops", self.state.next.txn_ops)?;
+        self.store.next.validate()?;
+        validate_txn_ops("cluster.state.txn_ops", Some(self.store.txn_ops))?;
+        validate_txn_ops("cluster.state.next.txn_ops", self.store.next.txn_ops)?;
         validate_minimum(
             "cluster.quota.max_connections",
             self.quota.max_connections,
@@ -52,7 +52,7 @@
     fn validate_amounts(&self) -> Result<(), SettingsError> {
         let Cluster {
             workers,
-            state,
+            store,
             cloud,
             quota,
             ..
@@ -62,9 +62,9 @@
             ("cluster.workers.lease_s", workers.lease_s, 0.1, DAY_S),
             ("cluster.workers.cancel_s", workers.cancel_s, 0.1, DAY_S),
             ("cluster.clock_error_ms", self.clock_error_ms, 0.0, HOUR_MS),
-            ("cluster.state.rps", state.rps, 1.0, MAX_NUMBER),
-            ("cluster.state.write_rps", state.write_rps, 1.0, MAX_NUMBER),
-            ("cluster.state.value_kb", state.value_kb, 1.0, MAX_VALUE_KB),
+            ("cluster.state.rps", store.rps, 1.0, MAX_NUMBER),
+            ("cluster.state.write_rps", store.write_rps, 1.0, MAX_NUMBER),
+            ("cluster.state.value_kb", store.value_kb, 1.0, MAX_VALUE_KB),
             ("cluster.cloud.rps", cloud.rps, 0.01, MAX_NUMBER),
             ("cluster.cloud.list_lag_s", cloud.list_lag_s, 0.0, DAY_S),
             ("cluster.quota.mem_mb", quota.mem_mb, 8.0, MAX_NUMBER),
--- a/crates/wire/src/store/response.rs
+++ b/crates/wire/src/store/response.rs
@@ -57,7 +57,7 @@
     /// The lease has expired or never existed.
     LeaseExpired,
     /// The lease was renewed or, on a revoke request, revoked.
-    LeaseRenewed,
+    LeaseRenewedOrRevoked,
     /// The changes reported by a watch.
     WatchBatch(WatchBatch),
     /// The changes since the start revision of the watch are no longer available.
@@ -125,7 +125,7 @@
                 lease: decode::<LeaseBody>(body)?.lease,
             }),
             (200, StoreRequest::RenewLease { .. } | StoreRequest::RevokeLease { .. }) => {
-                Ok(StoreResponse::LeaseRenewed)
+                Ok(StoreResponse::LeaseRenewedOrRevoked)
             }
             (404, StoreRequest::RenewLease { .. } | StoreRequest::RevokeLease { .. }) => {
                 Ok(StoreResponse::LeaseExpired)
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -42,13 +42,13 @@
     Error,
     /// The attempt was not launched because the machine has insufficient free resources.
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     /// The attempt was not launched because another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
-    Busy,
+    OtherAttemptPresent,
     /// The attempt was not launched because the worker does not know the task.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// A reason that this version does not support.
     #[serde(rename = "Other", other)]
     Other,
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -3,8 +3,9 @@
 mod golden;
 
 use dillcleat_wire::cloud::{
-    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_DELETE, MAX_PAGE_ROWS,
-    MAX_SCALE_OUT, MachineList, MachineNames, MachineType, MachineTypes, ScaleOut,
+    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_MACHINES_PER_DELETION,
+    MAX_MACHINES_PER_SCALE_OUT, MAX_PAGE_ROWS, MachineList, MachineNames, MachineType,
+    MachineTypes, ScaleOut,
 };
 use golden::{assert_decodes, assert_matches_golden};
 
@@ -40,7 +41,14 @@
 
 #[test]
 fn limits_are_unchanged() {
-    assert_eq!((MAX_SCALE_OUT, MAX_DELETE, MAX_PAGE_ROWS), (50, 100, 500));
+    assert_eq!(
+        (
+            MAX_MACHINES_PER_SCALE_OUT,
+            MAX_MACHINES_PER_DELETION,
+            MAX_PAGE_ROWS
+        ),
+        (50, 100, 500)
+    );
 }
 
 #[test]
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -117,14 +117,14 @@
                 class: Some("merge".into()),
                 within_s: Some(30.0),
                 share: Some(0.95),
-                times: Some(1.5),
+                max_multiple: Some(1.5),
             }],
             workers: WorkerTimings {
                 report_s: 2.0,
                 lease_s: 14.0,
                 cancel_s: 44.0,
             },
-            state: StoreLimits {
+            store: StoreLimits {
                 rps: 200.0,
                 write_rps: 80.0,
                 value_kb: 16.0,
@@ -154,7 +154,7 @@
     settings.peers = Vec::new();
     settings.cluster.teams = Vec::new();
     settings.cluster.objectives = Vec::new();
-    settings.cluster.state.next = UpcomingLimits {
+    settings.cluster.store.next = UpcomingLimits {
         rps: None,
         write_rps: None,
         value_kb: None,
@@ -191,7 +191,7 @@
         class: None,
         within_s: None,
         share: None,
-        times: None,
+        max_multiple: None,
     }];
     assert_eq!(PlatformSettings::parse(&text), Ok(expected));
 }
--- a/crates/wire/tests/golden_store.rs
+++ b/crates/wire/tests/golden_store.rs
@@ -313,7 +313,7 @@
     let lease = StoreResponse::Lease { lease: LeaseId(31) };
     assert_response(grant, 200, b"\x81\xa4loan\x1f", lease);
     for request in [renew, revoke] {
-        assert_response(request, 200, b"", StoreResponse::LeaseRenewed);
+        assert_response(request, 200, b"", StoreResponse::LeaseRenewedOrRevoked);
         assert_response(request, 404, b"", StoreResponse::LeaseExpired);
     }
     let changes = WatchBatch {
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -174,15 +174,15 @@
     );
     assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_room",
-        ExitReason::NoRoom,
+        ExitReason::InsufficientResources,
     );
     assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa6in_use",
-        ExitReason::Busy,
+        ExitReason::OtherAttemptPresent,
     );
     assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa7no_such",
-        ExitReason::Unknown,
+        ExitReason::UnknownTask,
     );
     assert_case(
         b"\x84\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended\xa8colophon\xa5Other",
