--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -42,7 +42,7 @@
     pub service: Reverse<bool>,
     /// Higher priorities come first.
     pub priority: Reverse<Priority>,
-    /// Tiny jobs come before others.
+    /// Tiny jobs, which have too few tasks to need training, come before others.
     pub tiny: Reverse<bool>,
     /// The virtual size in CPU seconds or, for an ageing job, the virtual time at which it
     /// reaches zero (see [`AgeingState`]).
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/order.rs
@@ -218,6 +218,7 @@
             .any(|(held, _)| **held == *job.spec.image);
         let spot = machine.spot == job.spec.spot;
         let service = job.spec.kind == JobKind::Service;
+        // Worst fit for replicas that have to download the image, best fit otherwise.
         let sign = if service && !holds_image { 1.0 } else { -1.0 };
         let service_images = if service || machine.spot {
             0
