--- a/crates/controller/src/node/silent_zones.rs
+++ b/crates/controller/src/node/silent_zones.rs
@@ -1,7 +1,7 @@
 //! The zones that the leader last reported as silent, kept in case this node succeeds it.
 
 use crate::{MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::SilentZone;
+use dillcleat_peer_protocol::UnresponsiveZone;
 use std::collections::HashMap;
 
 /// How long a received report is valid. It is repeated with each heartbeat among peers.
@@ -19,11 +19,12 @@
 
 impl SilentZoneHint {
     /// Replaces the hint by a newly received report.
-    pub fn record(&mut self, zones: Vec<SilentZone>, now: Micros) {
-        let silent_since = |silent_ms: u32| now.saturating_sub(u64::from(silent_ms) * MILLISECOND);
+    pub fn record(&mut self, zones: Vec<UnresponsiveZone>, now: Micros) {
+        let silent_since =
+            |unresponsive_ms: u32| now.saturating_sub(u64::from(unresponsive_ms) * MILLISECOND);
         self.last_heartbeat_at = zones
             .into_iter()
-            .map(|zone| (zone.zone, silent_since(zone.silent_ms)))
+            .map(|zone| (zone.zone, silent_since(zone.unresponsive_ms)))
             .collect();
         self.received_at = now;
     }
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -6,7 +6,7 @@
 //! done nor running tasks, and peers may hold outdated counts for such a job.
 
 use crate::{Micros, SECOND};
-use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS};
+use dillcleat_peer_protocol::{JobProgress, MAX_PROGRESS_JOBS};
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
@@ -118,7 +118,7 @@
     }
 
     /// The messages that the leader in this process sends in addition to its changes, each
-    /// with at most [`MAX_PROGRESS`] jobs. `all_changes_sent` says whether no changes remain
+    /// with at most [`MAX_PROGRESS_JOBS`] jobs. `all_changes_sent` says whether no changes remain
     /// after those that the leader sends now.
     pub fn next_messages(&mut self, all_changes_sent: bool, now: Micros) -> Vec<Vec<JobProgress>> {
         if all_changes_sent && self.machines_reported_at.is_some_and(|at| now >= at) {
@@ -131,17 +131,20 @@
         if let Some(after) = self.repeat_after.take() {
             self.repeat_page(&after, &mut progress);
         }
-        progress.chunks(MAX_PROGRESS).map(<[_]>::to_vec).collect()
+        progress
+            .chunks(MAX_PROGRESS_JOBS)
+            .map(<[_]>::to_vec)
+            .collect()
     }
 
     /// Adds one page of the repeated table to `progress`: the jobs after the job `after`.
     fn repeat_page(&mut self, after: &str, progress: &mut Vec<JobProgress>) {
         let rest = self.jobs.range::<str, _>((Excluded(after), Unbounded));
         let page: Vec<(String, Entry)> = rest
-            .take(MAX_PROGRESS)
+            .take(MAX_PROGRESS_JOBS)
             .map(|(job, entry)| (job.clone(), *entry))
             .collect();
-        if page.len() == MAX_PROGRESS {
+        if page.len() == MAX_PROGRESS_JOBS {
             self.repeat_after = page.last().map(|(job, _)| job.clone());
         }
         for (job, entry) in page {
