--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -175,7 +175,7 @@
         deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
 
-    /// Withdraws the deletion of a machine that was silent and has sent a heartbeat again,
+    /// Withdraws the deletion of an unresponsive machine that has sent a heartbeat again,
     /// unless a request that deletes it may still be executed. Returns whether the deletion
     /// was withdrawn.
     pub fn withdraw(&mut self, name: &str) -> bool {
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -32,7 +32,7 @@
     /// leads.
     pub proved_at: Micros,
     /// Whether there are controllers in other zones and none of them is reachable. If other
-    /// zones are silent, it is then more likely that this node's zone is partitioned.
+    /// zones are unresponsive, it is then more likely that this node's zone is partitioned.
     pub isolated: bool,
 }
 
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -294,9 +294,9 @@
     }
 
     /// Records a newer periodic heartbeat. Returns whether the machine may have become
-    /// reachable by it. A heartbeat counts as missed after a silence of `missed_after`.
-    /// `lease_proof_after` is the time after which the worker's lease must have expired
-    /// unless replies reach the worker.
+    /// reachable by it. `missed_after` is the time without a heartbeat after which one counts
+    /// as missed. `lease_proof_after` is the time after which the worker's lease must have
+    /// expired unless replies reach the worker.
     ///
     /// There are two proofs that replies reach the worker. A worker that receives no reply
     /// to a heartbeat waits for a timeout before it sends the next one, so an earlier next
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -29,7 +29,7 @@
 }
 
 impl Reachability {
-    /// The state of a machine that counts as heard from at `now`.
+    /// The initial state of a machine: it counts as heard from at `now`.
     pub(super) fn new(now: Micros) -> Reachability {
         Reachability {
             last_contact_at: now,
@@ -54,7 +54,7 @@
         self.unresponsive_since
     }
 
-    /// Whether a heartbeat is overdue: the machine was silent for `missed_after`.
+    /// Whether a heartbeat is overdue: no heartbeat arrived for `missed_after`.
     pub fn has_missed_heartbeat(&self, now: Micros, missed_after: Micros) -> bool {
         now >= self.last_contact_at + missed_after
     }
@@ -81,18 +81,18 @@
         self.last_contact_at = now;
     }
 
-    /// Treats the machine as silent since `at`.
+    /// Treats the machine as unresponsive since `at`.
     pub(super) fn assume_silent_since(&mut self, at: Micros) {
         self.last_contact_at = at;
         self.last_heartbeat_at = at;
     }
 
-    /// Treats the machine as silent since `at` or earlier, since it is still booting.
+    /// Treats the machine as unresponsive since `at` or earlier, since it is still booting.
     pub(super) fn limit_last_contact(&mut self, at: Micros) {
         self.last_contact_at = self.last_contact_at.min(at);
     }
 
-    /// Excludes a pause of this process from the machine's silence.
+    /// Excludes a pause of this process from the time without heartbeats.
     pub fn exclude_pause(&mut self, duration: Micros, now: Micros) {
         self.last_contact_at = (self.last_contact_at + duration).min(now);
         self.last_heartbeat_at = (self.last_heartbeat_at + duration).min(now);
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -9,10 +9,10 @@
 mod leadership;
 mod peer_messages;
 mod reachability;
-mod silent_zones;
+mod unresponsive_zones;
 
 use self::reachability::Reachability;
-use self::silent_zones::SilentZoneHint;
+use self::unresponsive_zones::UnresponsiveZoneHint;
 use crate::admission::{Admission, Unschedulable, check_schedulable};
 use crate::calls::{Context, PendingCalls};
 use crate::continuations::{Continuation, LeaderStep};
@@ -42,7 +42,7 @@
     leader: Option<Leader>,
     peers: Peers,
     reachability: Reachability,
-    silent_zones: SilentZoneHint,
+    unresponsive_zones: UnresponsiveZoneHint,
     /// The estimates that leaders have broadcast, used if this node is elected.
     received_estimates: ReceivedEstimates,
     next_peer_heartbeat_at: Micros,
@@ -60,7 +60,7 @@
             leader: None,
             peers: Peers::default(),
             reachability: Reachability::default(),
-            silent_zones: SilentZoneHint::default(),
+            unresponsive_zones: UnresponsiveZoneHint::default(),
             received_estimates: ReceivedEstimates::default(),
             next_peer_heartbeat_at: 0,
             last_input_at: 0,
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -15,7 +15,7 @@
 
 impl Node {
     /// Deposes the leader if the process was paused for longer than the leader's lease. A
-    /// leader that resumed with its outdated state would find every worker silent and
+    /// leader that resumed with its outdated state would find every worker unresponsive and
     /// could delete machines that already belong to its successor.
     pub(super) fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let pause = now.monotonic.saturating_sub(self.last_input_at);
@@ -64,7 +64,7 @@
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
         let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
         leader.leadership_proof.proved_at = self.election.proved_at();
-        if let Some(last_heartbeat_at) = self.silent_zones.take_recent(now.monotonic) {
+        if let Some(last_heartbeat_at) = self.unresponsive_zones.take_recent(now.monotonic) {
             leader.set_zones_silent_before_term(last_heartbeat_at);
         }
         self.leader = Some(leader);
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -29,16 +29,16 @@
         out.extend(messages.into_iter().map(|message| Output::Peer { message }));
     }
 
-    /// The messages that a leader broadcasts in addition to its status: silent zones,
+    /// The messages that a leader broadcasts in addition to its status: unresponsive zones,
     /// estimates and job progress. Empty if this node does not lead.
     fn leader_messages(&mut self, now: Micros) -> Vec<Message> {
         let mut messages = Vec::new();
         let Some(leader) = &mut self.leader else {
             return messages;
         };
-        let silent_zones = leader.silent_zones(now);
-        if !silent_zones.is_empty() {
-            messages.push(Message::UnresponsiveZones(silent_zones));
+        let unresponsive_zones = leader.silent_zones(now);
+        if !unresponsive_zones.is_empty() {
+            messages.push(Message::UnresponsiveZones(unresponsive_zones));
         }
         messages.extend(leader.next_estimates().map(Message::Estimates));
         let changed = leader.progress();
@@ -101,7 +101,9 @@
                 };
                 self.handle_peer_heartbeat(now, out, from, status);
             }
-            Message::UnresponsiveZones(zones) => self.silent_zones.record(zones, now.monotonic),
+            Message::UnresponsiveZones(zones) => {
+                self.unresponsive_zones.record(zones, now.monotonic)
+            }
             Message::Estimates(estimates) => {
                 self.received_estimates
                     .receive(&self.config, estimates, now.monotonic);
--- a/crates/controller/src/node/silent_zones.rs
+++ b/crates/controller/src/node/unresponsive_zones.rs
@@ -1,4 +1,4 @@
-//! The zones that the leader last reported as silent, kept in case this node succeeds it.
+//! The zones that the leader last reported as unresponsive, kept in case this node succeeds it.
 
 use crate::{MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::UnresponsiveZone;
@@ -7,24 +7,24 @@
 /// How long a received report is valid. It is repeated with each heartbeat among peers.
 const HINT_VALIDITY: Micros = 10 * SECOND;
 
-/// The silent zones of the latest report. A new leader uses them to not mistake a network
+/// The unresponsive zones of the latest report. A new leader uses them to not mistake a network
 /// partition of a zone for a failure of its machines.
 #[derive(Debug, Default)]
-pub(super) struct SilentZoneHint {
-    /// Arrival of the latest heartbeat from each silent zone, converted to this node's
+pub(super) struct UnresponsiveZoneHint {
+    /// Arrival of the latest heartbeat from each unresponsive zone, converted to this node's
     /// monotonic clock.
     last_heartbeat_at: HashMap<String, Micros>,
     received_at: Micros,
 }
 
-impl SilentZoneHint {
+impl UnresponsiveZoneHint {
     /// Replaces the hint by a newly received report.
     pub fn record(&mut self, zones: Vec<UnresponsiveZone>, now: Micros) {
-        let silent_since =
+        let last_heartbeat_at =
             |unresponsive_ms: u32| now.saturating_sub(u64::from(unresponsive_ms) * MILLISECOND);
         self.last_heartbeat_at = zones
             .into_iter()
-            .map(|zone| (zone.zone, silent_since(zone.unresponsive_ms)))
+            .map(|zone| (zone.zone, last_heartbeat_at(zone.unresponsive_ms)))
             .collect();
         self.received_at = now;
     }
