--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -101,8 +101,8 @@
 
 fn read_dependency(ctx: &mut Context, submission: u64, dependency: String, record: JobRecordKind) {
     let key = match record {
-        JobRecordKind::State => records::job_key(&dependency),
-        JobRecordKind::Open => records::open_key(&dependency),
+        JobRecordKind::State => records::job_state_key(&dependency),
+        JobRecordKind::Open => records::open_job_key(&dependency),
     };
     let step = Step::ReadDependency {
         submission,
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -121,8 +121,8 @@
     /// Creates the state of a node with an empty cache.
     pub fn new(config: &Config) -> Self {
         Admission {
-            calls: RequestBudget::new(config.state_rps, config),
-            writes: RequestBudget::new(config.state_write_rps, config),
+            calls: RequestBudget::new(config.store_rps, config),
+            writes: RequestBudget::new(config.store_write_rps, config),
             cache: JobCache::new(config),
             verifications: Verifications::default(),
             in_flight: 0,
@@ -242,7 +242,7 @@
         }
         self.in_flight += 1;
         let call = StoreRequest::Get {
-            key: records::open_key(&id),
+            key: records::open_job_key(&id),
         };
         let step = Step::ReadOpenRecord { id, pending };
         ctx.store_request(call, Continuation::Admission(step));
@@ -254,7 +254,7 @@
         self.in_flight += 1;
         self.calls.charge(1.0, ctx.now.monotonic);
         let call = StoreRequest::Get {
-            key: records::job_key(&id),
+            key: records::job_state_key(&id),
         };
         let step = Step::ReadStateRecord { id, pending };
         ctx.store_request(call, Continuation::Admission(step));
@@ -333,9 +333,9 @@
         cancelled_at_us: ctx.now.wall,
     };
     let txn = Transaction::default()
-        .compare(records::job_key(id), known.version)
-        .put(records::job_key(id), &record)
-        .put(records::cancelled_key(id), &cancelled);
+        .compare(records::job_state_key(id), known.version)
+        .put(records::job_state_key(id), &record)
+        .put(records::cancelled_job_key(id), &cancelled);
     let step = Step::Cancel {
         id: id.to_string(),
         request,
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -176,7 +176,7 @@
         // The job had an open record and no state record, so it was open when the transaction
         // was executed. If this node does not know of an end since then, no further read is
         // needed.
-        if failed == [records::open_key(&id)] && self.cache.get_ended(&id).is_none() {
+        if failed == [records::open_job_key(&id)] && self.cache.get_ended(&id).is_none() {
             let record = JobStateRecord {
                 state: RecordedState::Open,
                 task_count: job.spec.tasks,
--- a/crates/controller/src/admission/submission.rs
+++ b/crates/controller/src/admission/submission.rs
@@ -61,9 +61,9 @@
         // Only one key is written, since the store's write limit bounds the rate of
         // submissions.
         let txn = Transaction::default()
-            .compare(records::job_key(id), 0)
-            .compare(records::open_key(id), 0)
-            .put(records::open_key(id), &*job);
+            .compare(records::job_state_key(id), 0)
+            .compare(records::open_job_key(id), 0)
+            .put(records::open_job_key(id), &*job);
         let step = Step::Create {
             request,
             job,
@@ -86,12 +86,12 @@
     let job = OpenJob {
         spec: *spec,
         submitted_at_us: ctx.now.wall,
-        chunk: ctx.config.chunk_tasks,
-        unmarked: true,
+        tasks_per_chunk: ctx.config.tasks_per_chunk,
+        without_state_record: true,
         parallelism_limit: None,
     };
     let bytes = store::json_size(&store::encode_value(&job));
-    let max_bytes = ctx.config.value_bytes;
+    let max_bytes = ctx.config.max_value_bytes;
     if bytes > max_bytes {
         let cause = format!("the job's description takes {bytes} bytes, at most {max_bytes} fit");
         return Err(Answer::refusal(400, cause));
--- a/crates/controller/src/admission/verification.rs
+++ b/crates/controller/src/admission/verification.rs
@@ -74,7 +74,7 @@
     fn collect_comparisons(&mut self, ctx: &mut Context) -> (Transaction, Vec<String>) {
         let mut jobs: Vec<String> = Vec::new();
         let mut txn = Transaction::default();
-        let max_jobs = ctx.config.txn_ops * COMPARISONS_PER_OP;
+        let max_jobs = ctx.config.max_txn_ops * COMPARISONS_PER_OP;
         let mut still_queued = Vec::new();
         for (id, pending) in std::mem::take(&mut self.verifications.queued) {
             let Some(known) = self.cache.get(&id) else {
@@ -94,7 +94,7 @@
                 continue;
             }
             if !in_this_transaction {
-                txn = txn.compare(records::job_key(&id), known.version);
+                txn = txn.compare(records::job_state_key(&id), known.version);
                 jobs.push(id.clone());
             }
             self.verifications
@@ -124,7 +124,7 @@
                 // A conflict lists the changed keys. The other jobs of the transaction were
                 // unchanged.
                 Ok(StoreResponse::Conflict { failed, .. }) => {
-                    let changed = failed.contains(&records::job_key(&id));
+                    let changed = failed.contains(&records::job_state_key(&id));
                     self.conclude_verified(ctx, &id, requests, changed);
                 }
                 _ => {
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -25,7 +25,7 @@
 const HEDGED_REQUEST_FRACTION: f64 = 0.05;
 
 /// The timeout of a request to the store.
-pub fn state_timeout(call: &StoreRequest) -> Micros {
+pub fn store_timeout(call: &StoreRequest) -> Micros {
     match call {
         StoreRequest::Watch { hold_ms, .. } => hold_ms * MILLISECOND + STORE_TIMEOUT,
         _ => STORE_TIMEOUT,
@@ -106,7 +106,7 @@
     /// Opens the second request for each pending request whose response is slow, as far as
     /// the hedge budget allows. A candidate that exceeds the budget is not hedged later.
     fn open_hedged(&mut self, config: &Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
-        let per_s = config.state_rps * HEDGED_REQUEST_FRACTION;
+        let per_s = config.store_rps * HEDGED_REQUEST_FRACTION;
         self.hedge_budget.refill(now, per_s, per_s.max(1.0));
         let mut opened = Vec::new();
         while let Some(candidate) = self.hedge_candidates.pop_front_if(|c| now >= c.due_at) {
@@ -158,7 +158,7 @@
     }
 
     fn push_store_request(&mut self, id: CallId, call: StoreRequest) {
-        let timeout = state_timeout(&call);
+        let timeout = store_timeout(&call);
         self.out.push(Output::Store { id, call, timeout });
     }
 
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -178,11 +178,11 @@
     /// Withdraws the deletion of an unresponsive machine that has sent a heartbeat again,
     /// unless a request that deletes it may still be executed. Returns whether the deletion
     /// was withdrawn.
-    pub fn withdraw(&mut self, name: &str) -> bool {
+    pub fn withdraw_deletion(&mut self, name: &str) -> bool {
         let Some(deletion) = self.deletions.get(name) else {
             return false;
         };
-        let withdrawn = deletion.reason == DeletionReason::Silent
+        let withdrawn = deletion.reason == DeletionReason::Unresponsive
             && !deletion.uncertain
             && !self.deletions_in_flight.iter().any(|n| **n == *name);
         if withdrawn {
@@ -302,10 +302,10 @@
         limit: usize,
         is_permitted: impl Fn(DeletionReason) -> bool,
     ) -> Vec<Rc<str>> {
-        use DeletionReason::{Cancelled, Failed, Returned, Silent};
+        use DeletionReason::{Cancelled, Failed, Unneeded, Unresponsive};
         let limit = limit.clamp(MIN_DELETION_LIMIT, MAX_MACHINES_PER_DELETION);
         let mut names = Vec::new();
-        for reason in [Cancelled, Failed, Silent, Returned] {
+        for reason in [Cancelled, Failed, Unresponsive, Unneeded] {
             if !is_permitted(reason) {
                 continue;
             }
@@ -327,14 +327,14 @@
         permit: impl Fn(CloudAction) -> Option<CloudPermit>,
     ) -> Option<PermittedCloudCall> {
         let (kind, request, permit) = if now >= self.next_types_at {
-            let permit = permit(CloudAction::Look)?;
+            let permit = permit(CloudAction::Read)?;
             (CloudRequestKind::Types, CloudRequest::Types, permit)
         } else if let Some((pending, permit)) = self.scale_outs.front().zip(scale_out_permit) {
             let request = CloudRequest::ScaleOut(pending.request.clone());
             (CloudRequestKind::ScaleOut, request, permit)
         } else if now >= self.next_listing_at {
             let after = self.list_after.clone();
-            let permit = permit(CloudAction::Look)?;
+            let permit = permit(CloudAction::Read)?;
             (CloudRequestKind::List, CloudRequest::List { after }, permit)
         } else {
             return None;
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -53,20 +53,20 @@
     /// The store's limit of requests per second from all controllers. The store may announce
     /// new limits. This field and the next three contain the smaller of the current and the
     /// announced limit, so that new records comply with both.
-    pub state_rps: f64,
+    pub store_rps: f64,
     /// The store's limit of writes per second from all controllers.
-    pub state_write_rps: f64,
+    pub store_write_rps: f64,
     /// The maximum size of a value in the store.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// The maximum number of operations in a transaction.
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
     /// The store's current limit of writes per second, until the announced limit applies.
-    pub state_write_rps_before: f64,
+    pub current_store_write_rps: f64,
     /// The current maximum size of a value, until the announced limit applies. Stored task
     /// records may have this size.
-    pub value_bytes_before: usize,
+    pub current_max_value_bytes: usize,
     /// The number of tasks per chunk of newly submitted jobs.
-    pub chunk_tasks: u32,
+    pub tasks_per_chunk: u32,
     /// The cloud's limit of requests per second.
     pub cloud_rps: f64,
     /// The maximum delay until a change appears in the cloud's list of machines.
@@ -89,7 +89,8 @@
         let cluster = &platform.cluster;
         let current = &cluster.store;
         let announced = &current.next;
-        let value_bytes = kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(current.value_kb));
+        let max_value_bytes =
+            kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(current.value_kb));
         let write_rps = announced
             .write_rps
             .unwrap_or(f64::MAX)
@@ -104,13 +105,13 @@
             worker_lease: micros(cluster.workers.lease_s),
             cancel_deadline: micros(cluster.workers.cancel_s),
             clock_error: micros(cluster.clock_error_ms / 1e3),
-            state_rps: announced.rps.unwrap_or(f64::MAX).min(current.rps),
-            state_write_rps: write_rps,
-            value_bytes,
-            txn_ops: announced.txn_ops.unwrap_or(u32::MAX).min(current.txn_ops) as usize,
-            state_write_rps_before: current.write_rps,
-            value_bytes_before: kilobytes(current.value_kb),
-            chunk_tasks: tasks_per_chunk(value_bytes),
+            store_rps: announced.rps.unwrap_or(f64::MAX).min(current.rps),
+            store_write_rps: write_rps,
+            max_value_bytes,
+            max_txn_ops: announced.txn_ops.unwrap_or(u32::MAX).min(current.txn_ops) as usize,
+            current_store_write_rps: current.write_rps,
+            current_max_value_bytes: kilobytes(current.value_kb),
+            tasks_per_chunk: tasks_per_chunk(max_value_bytes),
             cloud_rps: cluster.cloud.rps,
             cloud_list_lag: micros(cluster.cloud.list_lag_s),
             memory_mb: cluster.quota.mem_mb,
@@ -140,7 +141,7 @@
     /// cancellation to the machines that run tasks of the cancelled job. The tasks of a
     /// cancelled job must end within `cancel_deadline`, and a worker that gets no answers
     /// ends them after `worker_lease`, so answers must stop early enough.
-    pub fn blind_limit(&self) -> Micros {
+    pub fn heartbeat_answer_limit(&self) -> Micros {
         self.time_before_lease_must_expire()
             .max(MIN_HEARTBEAT_ANSWER_LIMIT)
     }
@@ -156,7 +157,7 @@
     /// By how much a cancelled task may exceed `cancel_deadline` while the store is
     /// unreachable, because the deadline is too short compared to the lease. None if it
     /// cannot.
-    pub fn cancel_shortfall(&self) -> Option<Micros> {
+    pub fn cancel_deadline_shortfall(&self) -> Option<Micros> {
         let shortfall =
             MIN_HEARTBEAT_ANSWER_LIMIT.saturating_sub(self.time_before_lease_must_expire());
         (shortfall > 0).then_some(shortfall)
@@ -164,12 +165,12 @@
 
     /// The number of tasks in each part of a chunk that is too large to be written as a
     /// whole.
-    pub fn part_tasks(&self) -> u32 {
-        (tasks_per_chunk(self.value_bytes) / 2).max(1)
+    pub fn tasks_per_part(&self) -> u32 {
+        (tasks_per_chunk(self.max_value_bytes) / 2).max(1)
     }
 }
 
-/// The minimum of [`Config::blind_limit`]. The latest read may be as old as the hold time of
+/// The minimum of [`Config::heartbeat_answer_limit`]. The latest read may be as old as the hold time of
 /// a watch plus the latency of its response, so with a lower limit a leader could not always
 /// answer heartbeats even while the store is available.
 const MIN_HEARTBEAT_ANSWER_LIMIT: Micros = 4 * SECOND;
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -157,19 +157,19 @@
         key: String,
     },
     /// Reads the version of the record of the machine types.
-    TypesVersion,
+    ReadTypesVersion,
     /// Reads the state record of a job that may have ended.
-    Ended {
+    ReadEndedJob {
         /// The id of the job.
         id: Rc<str>,
     },
     /// Reads the state record of a job that others depend on.
-    Dependency {
+    ReadDependency {
         /// The id of the job.
         id: Rc<str>,
     },
     /// Sends commands to a worker.
-    CommandsInFlight {
+    SendCommands {
         /// The name of the machine.
         machine: String,
     },
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -216,7 +216,7 @@
     fn read_shared_keys(&mut self, ctx: &mut Context) {
         self.phase = Phase::AwaitingReply;
         let call = StoreRequest::List {
-            prefix: records::SHARED.into(),
+            prefix: records::SHARED_PREFIX.into(),
             after: None,
         };
         ctx.store_request(call, Continuation::Election(Step::Read));
@@ -225,7 +225,7 @@
     fn watch_shared_keys(&mut self, ctx: &mut Context) {
         self.watching = true;
         let call = StoreRequest::Watch {
-            prefix: records::SHARED.into(),
+            prefix: records::SHARED_PREFIX.into(),
             after: self.shared.revision,
             hold_ms: WATCH_HOLD_MS,
         };
@@ -281,10 +281,10 @@
             term,
         };
         let txn = Transaction::default()
-            .compare(records::LEAD, 0)
-            .compare(records::TERM, self.shared.term_version)
-            .put(records::TERM, &TermRecord { term })
-            .put_leased(records::LEAD, &leader, lease);
+            .compare(records::LEADER_KEY, 0)
+            .compare(records::TERM_KEY, self.shared.term_version)
+            .put(records::TERM_KEY, &TermRecord { term })
+            .put_leased(records::LEADER_KEY, &leader, lease);
         self.candidate_lease = Some(lease);
         let step = Step::Claim {
             lease,
--- a/crates/controller/src/election/shared_keys.rs
+++ b/crates/controller/src/election/shared_keys.rs
@@ -5,7 +5,7 @@
 use dillcleat_wire::store::{RangePage, Value, WatchBatch, WatchEvent, decode_value};
 use std::rc::Rc;
 
-/// The keys with the prefix [`records::SHARED`], as last read or watched.
+/// The keys with the prefix [`records::SHARED_PREFIX`], as last read or watched.
 #[derive(Debug, Default)]
 pub(super) struct SharedKeys {
     /// The store revision that this copy reflects.
@@ -25,13 +25,13 @@
         self.leader = None;
         for row in &page.rows {
             match row.key.as_str() {
-                records::LEAD => self.leader = row.decode_value(),
-                records::TERM => {
+                records::LEADER_KEY => self.leader = row.decode_value(),
+                records::TERM_KEY => {
                     if let Some(record) = row.decode_value::<TermRecord>() {
                         (self.term, self.term_version) = (record.term, row.version);
                     }
                 }
-                records::TYPES => {
+                records::MACHINE_TYPES_KEY => {
                     self.machine_types = row
                         .decode_value::<MachineTypesRecord>()
                         .map(|record| Rc::new(record.types));
@@ -56,7 +56,7 @@
                     version,
                 } if version > known_revision => self.apply_put(&key, &value, version),
                 WatchEvent::Delete { key, version } if version > known_revision => {
-                    if key == records::LEAD {
+                    if key == records::LEADER_KEY {
                         self.leader = None;
                     }
                 }
@@ -67,15 +67,15 @@
 
     fn apply_put(&mut self, key: &str, value: &Value, version: u64) {
         match key {
-            records::LEAD => self.leader = decode_value(value),
-            records::TERM => {
+            records::LEADER_KEY => self.leader = decode_value(value),
+            records::TERM_KEY => {
                 if let Some(record) = decode_value::<TermRecord>(value)
                     && version > self.term_version
                 {
                     (self.term, self.term_version) = (record.term, version);
                 }
             }
-            records::TYPES => {
+            records::MACHINE_TYPES_KEY => {
                 if let Some(record) = decode_value::<MachineTypesRecord>(value) {
                     self.machine_types = Some(Rc::new(record.types));
                 }
--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether a task of the job is known to have run.
-    pub fn is_proven(&self) -> bool {
+    pub fn has_run(&self) -> bool {
         self.has_run
     }
 
@@ -84,16 +84,16 @@
 /// The failures that are attributed to one machine: the ids of the jobs that failed on it
 /// and run on other machines.
 #[derive(Debug, Default)]
-pub struct MachineStrikes(BTreeSet<Rc<str>>);
+pub struct AttributedFailures(BTreeSet<Rc<str>>);
 
-impl MachineStrikes {
+impl AttributedFailures {
     /// Adds a job that failed on the machine and runs on other machines.
     pub fn add(&mut self, job: &Rc<str>) {
         self.0.insert(job.clone());
     }
 
     /// Whether any failure is attributed to the machine.
-    pub fn any(&self) -> bool {
+    pub fn has_failures(&self) -> bool {
         !self.0.is_empty()
     }
 
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -86,7 +86,7 @@
         let now = ctx.now.monotonic;
         let partitioned = self.partitioned_machines();
         self.delete_silent_machines(ctx, &partitioned);
-        if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Returned)) {
+        if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Unneeded)) {
             self.scale_in(ctx);
         }
         let memory = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_MEMORY;
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -79,8 +79,8 @@
 
     /// For how long nothing was heard of the machine.
     fn silence(&self, machine: &Machine) -> Micros {
-        let last_heard_at = machine.reachability.last_heard_at();
-        self.now.saturating_sub(last_heard_at)
+        let last_contact_at = machine.reachability.last_contact_at();
+        self.now.saturating_sub(last_contact_at)
     }
 
     /// Whether the machine is to be asked if it is there. One heartbeat that got lost costs a
@@ -184,7 +184,7 @@
         partitioned: &BTreeSet<Rc<str>>,
     ) {
         let may_delete = self.may_answer_heartbeats(ctx)
-            && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Silent));
+            && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Unresponsive));
         let SilentMachines {
             to_probe,
             to_delete,
@@ -202,7 +202,7 @@
         for SilentMachine { name, silence } in to_delete {
             let silent_s = seconds(silence);
             log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
-            self.delete_machine(&name, DeletionReason::Silent);
+            self.delete_machine(&name, DeletionReason::Unresponsive);
         }
     }
 
@@ -290,7 +290,7 @@
         }
         for name in to_delete {
             log::info!("deleting machine machine={name} reason=idle");
-            self.delete_machine(&name, DeletionReason::Returned);
+            self.delete_machine(&name, DeletionReason::Unneeded);
         }
     }
 
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -197,7 +197,7 @@
         } else {
             Vec::new()
         };
-        let waiter = self.continuation(LeaderStep::CommandsInFlight {
+        let waiter = self.continuation(LeaderStep::SendCommands {
             machine: name.to_string(),
         });
         // Nothing is derived from what sending a batch changes.
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -218,7 +218,7 @@
         self.cancel_dependents(id);
         self.forget_job(ctx, id);
         self.writer
-            .enqueue(PendingWrite::DeleteKey(records::open_key(id)));
+            .enqueue(PendingWrite::DeleteKey(records::open_job_key(id)));
     }
 }
 
@@ -227,11 +227,11 @@
     /// Reads state records of dependencies that are not open here.
     pub(super) fn request_dependency_states(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        let per_s = ctx.config.state_rps * STATE_READ_SHARE;
+        let per_s = ctx.config.store_rps * STATE_READ_SHARE;
         while let Some(id) = self.dependencies.state_reads.next(now, per_s) {
             if self.dependencies.has_dependents(&id) || self.is_unknown_job(&id) {
-                let key = records::job_key(&id);
-                let continuation = self.continuation(LeaderStep::Dependency { id });
+                let key = records::job_state_key(&id);
+                let continuation = self.continuation(LeaderStep::ReadDependency { id });
                 ctx.store_request(StoreRequest::Get { key }, continuation);
             } else {
                 self.dependencies.state_read_ended();
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -319,7 +319,7 @@
 fn next_change(machine: &Machine, now: Micros, missed_after: Micros) -> Option<Micros> {
     let reachability = &machine.reachability;
     [
-        reachability.last_heard_at() + missed_after,
+        reachability.last_contact_at() + missed_after,
         reachability.last_heartbeat_at() + missed_after,
         machine.health.blocked_until(),
     ]
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -48,7 +48,7 @@
     /// read was confirmed after its last read; without answers the leases then end what
     /// it cancels in time, whatever else is out of reach.
     pub(super) fn may_answer_heartbeats(&self, ctx: &Context) -> bool {
-        self.last_read_within(ctx, ctx.config.blind_limit())
+        self.last_read_within(ctx, ctx.config.heartbeat_answer_limit())
     }
 
     /// Whether the last consistent read of the job queue was sent less than `duration` ago.
@@ -67,7 +67,7 @@
         let since = since
             .chain(self.unknown_jobs.oldest_cancellation_on(machine))
             .min();
-        since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
+        since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.heartbeat_answer_limit())
     }
 
     /// Takes a periodic heartbeat and answers it.
@@ -261,8 +261,8 @@
             return false;
         };
         let kept = machine.being_deleted
-            && machine.reachability.last_heard_at() == now
-            && self.autoscaler.cloud_queue.withdraw(&machine.name);
+            && machine.reachability.last_contact_at() == now
+            && self.autoscaler.cloud_queue.withdraw_deletion(&machine.name);
         if kept {
             let name = &machine.name;
             log::info!("machine heard again, deletion withdrawn machine={name}");
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -131,7 +131,7 @@
             priority: open.spec.priority,
             due: None,
             parallelism_limit: open.parallelism_limit,
-            task_ranges: TaskRanges::new(task_count, open.chunk, part_tasks),
+            task_ranges: TaskRanges::new(task_count, open.tasks_per_chunk, part_tasks),
             tasks: vec![never_placed; task_count as usize],
             waiting: (0..task_count).collect(),
             done: 0,
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -197,10 +197,10 @@
             LeaderStep::Watch => self.queue_watch_reply(ctx, sent, reply),
             LeaderStep::WriteQueue => self.write_reply(ctx, reply),
             LeaderStep::Reread { key } => self.reread_reply(ctx, key, reply),
-            LeaderStep::TypesVersion => self.machine_types_reply(ctx, reply),
-            LeaderStep::Ended { id } => self.job_state_reply(ctx, id, reply),
-            LeaderStep::Dependency { id } => self.dependency_state_reply(ctx, id, reply),
-            LeaderStep::CommandsInFlight { .. } | LeaderStep::Cloud(_) => {}
+            LeaderStep::ReadTypesVersion => self.machine_types_reply(ctx, reply),
+            LeaderStep::ReadEndedJob { id } => self.job_state_reply(ctx, id, reply),
+            LeaderStep::ReadDependency { id } => self.dependency_state_reply(ctx, id, reply),
+            LeaderStep::SendCommands { .. } | LeaderStep::Cloud(_) => {}
         }
     }
 }
--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -19,9 +19,9 @@
         value: &Value,
         version: u64,
     ) {
-        if let Some(id) = key.strip_prefix(records::OPEN) {
+        if let Some(id) = key.strip_prefix(records::OPEN_JOBS_PREFIX) {
             self.apply_description(ctx, id, value, version);
-        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELLED_JOBS_PREFIX) {
             self.apply_cancellation(ctx, id, value);
         }
     }
@@ -45,7 +45,7 @@
             .estimates
             .class_run_time_s(ctx.config, &open.spec.class);
         let is_service = open.spec.kind == JobKind::Service;
-        let part_tasks = ctx.config.part_tasks();
+        let part_tasks = ctx.config.tasks_per_part();
         let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
         self.estimates.apply_inherited(id, &mut job);
         let id: Rc<str> = Rc::from(id);
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -77,7 +77,7 @@
     fn next_request(&mut self, now: Micros) -> Option<StoreRequest> {
         self.next_watch_at.take_if(|at| now >= *at)?;
         Some(StoreRequest::Watch {
-            prefix: records::QUEUE.into(),
+            prefix: records::QUEUE_PREFIX.into(),
             after: self.revision.unwrap_or(0),
             hold_ms: WATCH_MS,
         })
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -128,9 +128,11 @@
     /// Requests a page of the store.
     pub(super) fn request_page(&mut self, ctx: &mut Context, page: RecoveryPage) {
         let (prefix, after, step) = match &page {
-            RecoveryPage::Machines(after) => (records::MACHINES, after, LeaderStep::LoadMachines),
-            RecoveryPage::Queue(after) => (records::QUEUE, after, LeaderStep::LoadQueue),
-            RecoveryPage::Tasks(after) => (records::TASKS, after, LeaderStep::LoadTasks),
+            RecoveryPage::Machines(after) => {
+                (records::MACHINES_PREFIX, after, LeaderStep::LoadMachines)
+            }
+            RecoveryPage::Queue(after) => (records::QUEUE_PREFIX, after, LeaderStep::LoadQueue),
+            RecoveryPage::Tasks(after) => (records::TASKS_PREFIX, after, LeaderStep::LoadTasks),
         };
         let request = StoreRequest::List {
             prefix: prefix.into(),
@@ -197,13 +199,14 @@
             // Cancellations come before descriptions in the order of keys, but a
             // cancellation means nothing before its job is known: applied in that order,
             // a new leader would let cancelled tasks run on.
-            if row.key.starts_with(records::OPEN) {
+            if row.key.starts_with(records::OPEN_JOBS_PREFIX) {
                 self.apply_queue_record(ctx, &row.key, &row.value, row.version);
             } else {
                 self.recovery.cancellations.push(row);
             }
         }
-        let all_cancellations_read = next_key.is_none_or(|key| key.starts_with(records::OPEN));
+        let all_cancellations_read =
+            next_key.is_none_or(|key| key.starts_with(records::OPEN_JOBS_PREFIX));
         if all_cancellations_read && !self.queue_watch.has_consistent_read() {
             // Every cancellation is known that was confirmed before the first page was
             // requested. Which machines hold its tasks is not: until that is read, all
@@ -227,7 +230,7 @@
 
     fn apply_machine_records(&mut self, ctx: &Context, rows: &[KeyValue]) {
         for row in rows {
-            let Some(name) = row.key.strip_prefix(records::MACHINES) else {
+            let Some(name) = row.key.strip_prefix(records::MACHINES_PREFIX) else {
                 continue;
             };
             let Some(record) = row.decode_value::<MachineRecord>() else {
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -123,7 +123,7 @@
             let Some(job) = self.jobs.get(&key.0) else {
                 continue;
             };
-            if slot.is_stored_and_seen() {
+            if slot.is_stored_and_reported() {
                 inputs.tasks.push(PreemptibleTask {
                     machine: machine.name.clone(),
                     key: key.clone(),
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -61,7 +61,7 @@
 /// Whether the task runs there, is of an array, and is not being stopped already.
 fn may_evict(job: &Job, slot: &TaskSlot) -> bool {
     job.spec.kind == JobKind::Batch
-        && slot.is_stored_and_seen()
+        && slot.is_stored_and_reported()
         && !slot.cancelled
         && !slot.preempted
 }
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -46,9 +46,9 @@
     pub fn new(config: &Config) -> StateWriter {
         StateWriter {
             queue: WriteQueue::default(),
-            rate: WriteRate::new(config.state_write_rps_before),
+            rate: WriteRate::new(config.current_store_write_rps),
             delayed_reads: VecDeque::new(),
-            max_value_bytes: config.value_bytes_before,
+            max_value_bytes: config.current_max_value_bytes,
         }
     }
 
@@ -80,7 +80,7 @@
 
     /// The announced lower limit of a value's size is in force.
     pub fn use_lower_value_limit(&mut self, config: &Config) {
-        self.max_value_bytes = config.value_bytes;
+        self.max_value_bytes = config.max_value_bytes;
     }
 
     /// The largest value that the store takes, as far as is known, in bytes.
@@ -165,14 +165,14 @@
     fn next_batch(&mut self, ctx: &Context) -> Option<WriteBatch> {
         let now = ctx.now.monotonic;
         self.writer.queue.requeue_refused(now);
-        let deferrable_per_s = ctx.config.state_write_rps * DEFERRABLE_WRITE_SHARE;
+        let deferrable_per_s = ctx.config.store_write_rps * DEFERRABLE_WRITE_SHARE;
         self.writer
             .queue
             .refill_deferrable_budget(now, deferrable_per_s);
         if self.writer.queue.is_idle() {
             return None;
         }
-        let max_changes = self.writer.rate.available(now).min(ctx.config.txn_ops);
+        let max_changes = self.writer.rate.available(now).min(ctx.config.max_txn_ops);
         let max_writes = self.writer.queue.max_batch_writes();
         let mut batch = WriteBatch::new(self.term_version);
         let (mut bytes, mut cancellations) = (0, 0);
@@ -233,8 +233,8 @@
             PendingWrite::JobDone(id) => self.add_job_done(id, batch),
             PendingWrite::JobCancelled(id) => self.add_job_cancelled(id, batch),
             PendingWrite::ClearJob(id) => {
-                batch.delete(records::open_key(id));
-                batch.delete(records::cancelled_key(id));
+                batch.delete(records::open_job_key(id));
+                batch.delete(records::cancelled_job_key(id));
                 true
             }
             PendingWrite::Machine(name) => self.add_machine(name, batch),
@@ -273,8 +273,11 @@
             return false;
         };
         batch.compare_job_state(id, job.state_version());
-        batch.put(records::job_key(id), &job.state_record(RecordedState::Done));
-        batch.delete(records::open_key(id));
+        batch.put(
+            records::job_state_key(id),
+            &job.state_record(RecordedState::Done),
+        );
+        batch.delete(records::open_job_key(id));
         true
     }
 
@@ -286,7 +289,7 @@
         batch.compare_job_state(id, job.state_version());
         // One change only: its description is deleted later.
         batch.put(
-            records::job_key(id),
+            records::job_state_key(id),
             &job.state_record(RecordedState::Cancelled),
         );
         true
@@ -317,8 +320,11 @@
             types: types.clone(),
         };
         // An earlier try that is carried out late would set it back.
-        batch.compare(records::TYPES, self.machine_types.record_version());
-        batch.put(records::TYPES, &record);
+        batch.compare(
+            records::MACHINE_TYPES_KEY,
+            self.machine_types.record_version(),
+        );
+        batch.put(records::MACHINE_TYPES_KEY, &record);
         true
     }
 
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -137,11 +137,7 @@
     /// A task of the job is known to have run, so its errors elsewhere were those
     /// machines' own.
     fn job_has_run(&mut self, id: &Rc<str>) {
-        let Some(job) = self
-            .jobs
-            .get_mut(id)
-            .filter(|job| !job.failures.is_proven())
-        else {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.failures.has_run()) else {
             return;
         };
         for machine in job.failures.record_success() {
@@ -155,7 +151,7 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        if m.health.add_strike(id) {
+        if m.health.attribute_failure(id) {
             log::info!(
                 "machine cordoned, to be returned machine={machine} reason=\"fails several jobs\""
             );
@@ -197,9 +193,9 @@
             ExitReason::Error => {
                 m.health.record_failed_job(id);
                 let name = m.name.clone();
-                if job.failures.is_proven() {
+                if job.failures.has_run() {
                     self.add_strike(&name, id);
-                } else if !m.health.has_strikes()
+                } else if !m.health.has_attributed_failures()
                     && let Some(pause) = job.failures.record_failure(&name, now)
                 {
                     log::info!(
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -37,7 +37,7 @@
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
                     // Perhaps by the lower limit, whose start is not announced.
-                    self.writer.limit_rate(ctx.config.state_write_rps);
+                    self.writer.limit_rate(ctx.config.store_write_rps);
                 }
                 batch.uncertain |= other.is_err();
                 self.writer.resend_later(ctx.now.monotonic, batch);
@@ -47,18 +47,23 @@
 
     /// A condition of the batch did not hold.
     fn handle_conflict(&mut self, ctx: &mut Context, batch: WriteBatch, failed: &[String]) {
-        if failed.iter().any(|key| key == records::TERM) {
+        if failed.iter().any(|key| key == records::TERM_KEY) {
             self.events.push(LeaderEvent::TermEnded);
             return;
         }
-        let own_key = failed.iter().find(|key| key.starts_with(records::TASKS));
+        let own_key = failed
+            .iter()
+            .find(|key| key.starts_with(records::TASKS_PREFIX));
         let Some(key) = own_key.filter(|_| batch.uncertain) else {
             return self.batch_rejected(ctx, batch, failed);
         };
         // Only this leader writes chunks: the earlier try was applied. Every key of it
         // has the same version; read one. A user's cancellation may have come after it,
         // and be reported later than what was placed would be launched.
-        for id in failed.iter().filter_map(|key| records::parse_job_key(key)) {
+        for id in failed
+            .iter()
+            .filter_map(|key| records::parse_job_state_key(key))
+        {
             self.job_state_changed(ctx, &Rc::from(id));
         }
         self.read_outcome(ctx, batch, key.clone());
@@ -79,7 +84,7 @@
             "store refused a batch, reducing the batch size writes={}",
             batch.writes.len()
         );
-        match batch.own_key().filter(|_| batch.uncertain) {
+        match batch.leader_owned_key().filter(|_| batch.uncertain) {
             // No copy of it can be applied from now on, so one read settles it.
             Some(key) => self.read_outcome(ctx, batch, key),
             None => self.retry_smaller(ctx, batch),
@@ -116,10 +121,13 @@
 
     /// Nothing of the batch was applied, for its size.
     fn retry_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
-        if self.writer.max_value_bytes() > ctx.config.value_bytes {
+        if self.writer.max_value_bytes() > ctx.config.max_value_bytes {
             // The limits that were announced are in force: larger values are written
             // in parts.
-            log::info!("value limit lowered value_bytes={}", ctx.config.value_bytes);
+            log::info!(
+                "value limit lowered value_bytes={}",
+                ctx.config.max_value_bytes
+            );
             self.writer.use_lower_value_limit(ctx.config);
         } else if batch.writes.len() > 1 {
             self.writer.shrink_batches(batch.writes.len());
@@ -164,15 +172,15 @@
     /// Nothing of the batch was applied, and it never can be.
     fn batch_rejected(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
-            if let Some(id) = records::parse_job_key(key) {
+            if let Some(id) = records::parse_job_state_key(key) {
                 self.job_state_changed(ctx, &Rc::from(id));
-            } else if key == records::TYPES {
+            } else if key == records::MACHINE_TYPES_KEY {
                 // Written by an earlier try, or by the leader before, later than this one
                 // has read.
                 batch
                     .writes
                     .retain(|write| *write != PendingWrite::MachineTypes);
-                let continuation = self.continuation(LeaderStep::TypesVersion);
+                let continuation = self.continuation(LeaderStep::ReadTypesVersion);
                 ctx.store_request(StoreRequest::Get { key: key.clone() }, continuation);
             } else {
                 log::error!("key written by another leader key={key} term={}", self.term);
@@ -196,9 +204,9 @@
                 self.writer.enqueue(PendingWrite::MachineTypes);
             }
             _ => {
-                let key = records::TYPES.to_string();
+                let key = records::MACHINE_TYPES_KEY.to_string();
                 self.writer
-                    .delay_read(ctx.now.monotonic, key, LeaderStep::TypesVersion);
+                    .delay_read(ctx.now.monotonic, key, LeaderStep::ReadTypesVersion);
             }
         }
     }
@@ -215,8 +223,8 @@
             job.ending = false;
             self.mark_tasks_cancelled(id);
         }
-        let continuation = self.continuation(LeaderStep::Ended { id: id.clone() });
-        let key = records::job_key(id);
+        let continuation = self.continuation(LeaderStep::ReadEndedJob { id: id.clone() });
+        let key = records::job_state_key(id);
         ctx.store_request(StoreRequest::Get { key }, continuation);
     }
 
@@ -229,8 +237,8 @@
         reply: Result<StoreResponse, CallError>,
     ) {
         let Ok(StoreResponse::Found(row)) = reply else {
-            let key = records::job_key(&id);
-            let step = LeaderStep::Ended { id };
+            let key = records::job_state_key(&id);
+            let step = LeaderStep::ReadEndedJob { id };
             return self.writer.delay_read(ctx.now.monotonic, key, step);
         };
         let record = row.decode_value::<JobStateRecord>();
@@ -263,7 +271,7 @@
 
     /// A batch is in the store: does what waited for it.
     fn batch_committed(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
-        self.writer.grow_batches(ctx.config.txn_ops);
+        self.writer.grow_batches(ctx.config.max_txn_ops);
         for write in &batch.writes {
             self.write_committed(ctx, write, revision);
         }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -193,7 +193,7 @@
             .filter_map(|name| self.machines.get(name))
         {
             let latest = last_heard.entry(&machine.zone).or_default();
-            *latest = machine.reachability.last_heard_at().max(*latest);
+            *latest = machine.reachability.last_contact_at().max(*latest);
         }
         let unresponsive_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
         last_heard
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -21,7 +21,7 @@
 /// How long a proof is valid after the request was sent whose response is the proof. This
 /// is four fifths of the shortest lease; the rest is a margin for clock drift and for the
 /// time that it takes to write a permitted request.
-pub fn proof_time(config: &Config) -> Micros {
+pub fn proof_validity(config: &Config) -> Micros {
     (micros(config.tuning.lead_ttl_s) / 5 * 4).min(MAX_PROOF_VALIDITY)
 }
 
@@ -44,16 +44,16 @@
     /// The cloud lists the machine as failed, so that the deletion only removes the entry.
     Failed,
     /// The machine's heartbeats were missing for too long, or it never came up.
-    Silent,
+    Unresponsive,
     /// The machine is not needed (scale-in), or it is cordoned.
-    Returned,
+    Unneeded,
 }
 
 /// The kind of access to the cloud that a permit is requested for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudAction {
     /// Reads without changing anything.
-    Look,
+    Read,
     /// Starts machines.
     ScaleOut,
     /// Deletes machines.
@@ -70,7 +70,7 @@
 impl LeadershipProof {
     /// Whether the proof is recent enough for irreversible actions.
     pub fn is_recent(&self, config: &Config, now: Micros) -> bool {
-        now < self.proved_at + proof_time(config)
+        now < self.proved_at + proof_validity(config)
     }
 
     /// Issues a permit for the action; None if the action is a change and the proof is not
@@ -82,13 +82,13 @@
     /// heartbeats are not answered and its lease expires (`Leader::heartbeat`).
     pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         match action {
-            CloudAction::Look => Some(CloudPermit {
+            CloudAction::Read => Some(CloudPermit {
                 valid_until: Micros::MAX,
                 allows_changes: false,
             }),
             CloudAction::ScaleOut | CloudAction::Delete(_) => {
                 self.is_recent(config, now).then(|| CloudPermit {
-                    valid_until: self.proved_at + proof_time(config),
+                    valid_until: self.proved_at + proof_validity(config),
                     allows_changes: true,
                 })
             }
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -1,7 +1,7 @@
 //! The task failures on a machine, and their consequences for it.
 
 use crate::Micros;
-use crate::failure_attribution::MachineStrikes;
+use crate::failure_attribution::AttributedFailures;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
     /// The jobs that failed on this machine. Their tasks are placed on other machines.
     failed_jobs: BTreeSet<Rc<str>>,
     /// The failures that are attributed to the machine.
-    attributed_failures: MachineStrikes,
+    attributed_failures: AttributedFailures,
 }
 
 impl MachineHealth {
@@ -46,13 +46,13 @@
 
     /// Whether any failure is attributed to the machine. Further failures on it are then no
     /// evidence against a job.
-    pub fn has_strikes(&self) -> bool {
-        self.attributed_failures.any()
+    pub fn has_attributed_failures(&self) -> bool {
+        self.attributed_failures.has_failures()
     }
 
     /// Attributes a failure of the job to the machine, since the job runs on other machines.
     /// Returns whether this causes the machine to be cordoned.
-    pub fn add_strike(&mut self, job: &Rc<str>) -> bool {
+    pub fn attribute_failure(&mut self, job: &Rc<str>) -> bool {
         self.attributed_failures.add(job);
         let newly_cordoned = self.attributed_failures.warrant_cordon() && !self.cordoned;
         self.cordoned |= newly_cordoned;
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -133,8 +133,8 @@
     /// Records the listed state of a placed attempt.
     fn update_seen(&mut self, key: &TaskKey, state: TaskState, now: Micros) -> Option<TaskEvent> {
         let slot = self.slots.get_mut(key)?;
-        let starts = state == TaskState::Running && slot.seen != Some(TaskState::Running);
-        slot.seen = Some(state);
+        let starts = state == TaskState::Running && slot.reported_state != Some(TaskState::Running);
+        slot.reported_state = Some(state);
         if !starts {
             return None;
         }
@@ -161,7 +161,7 @@
         let is_gone = |key: &TaskKey, slot: &TaskSlot| {
             !present.contains(key)
                 && slot.stored
-                && (slot.cancelled || slot.seen.is_some())
+                && (slot.cancelled || slot.reported_state.is_some())
                 && !commands.may_still_launch(&slot.task_attempt(key))
                 && slot.launch_replied_to.is_none_or(reply_is_settled)
         };
--- a/crates/controller/src/machines/needed_commands.rs
+++ b/crates/controller/src/machines/needed_commands.rs
@@ -51,7 +51,7 @@
             .filter(|(_, slot)| {
                 slot.cancelled
                     && slot.incarnation == self.incarnation()
-                    && slot.is_stored_and_seen()
+                    && slot.is_stored_and_reported()
             })
             .map(|(key, slot)| slot.task_attempt(key).stop_command())
     }
@@ -62,10 +62,10 @@
         });
         current.filter_map(move |(key, slot)| {
             if slot.preempted {
-                let stop = slot.seen.is_some() && may_preempt;
+                let stop = slot.reported_state.is_some() && may_preempt;
                 return stop.then(|| slot.task_attempt(key).stop_command());
             }
-            if slot.seen.is_some() {
+            if slot.reported_state.is_some() {
                 return None;
             }
             let launch = slot.task_attempt(key);
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -16,7 +16,7 @@
     last_heartbeat_at: Micros,
     /// When commands first had no reply, if nothing has shown since then that messages
     /// reach the machine.
-    unresponsive_since: Option<Micros>,
+    commands_unanswered_since: Option<Micros>,
 }
 
 /// How a periodic heartbeat changed what is known of the connection to its machine.
@@ -34,12 +34,12 @@
         Reachability {
             last_contact_at: now,
             last_heartbeat_at: now,
-            unresponsive_since: None,
+            commands_unanswered_since: None,
         }
     }
 
     /// Arrival of the latest heartbeat, periodic or in reply to commands.
-    pub fn last_heard_at(&self) -> Micros {
+    pub fn last_contact_at(&self) -> Micros {
         self.last_contact_at
     }
 
@@ -50,8 +50,8 @@
 
     /// When commands first had no reply, if nothing has shown since then that messages
     /// reach the machine.
-    pub fn unresponsive_since(&self) -> Option<Micros> {
-        self.unresponsive_since
+    pub fn commands_unanswered_since(&self) -> Option<Micros> {
+        self.commands_unanswered_since
     }
 
     /// Whether a heartbeat is overdue: no heartbeat arrived for `missed_after`.
@@ -61,18 +61,18 @@
 
     /// Whether heartbeats arrive and, as far as is known, messages reach the machine.
     pub fn is_reachable(&self, now: Micros, missed_after: Micros) -> bool {
-        !self.has_missed_heartbeat(now, missed_after) && self.unresponsive_since.is_none()
+        !self.has_missed_heartbeat(now, missed_after) && self.commands_unanswered_since.is_none()
     }
 
     /// Like [`is_reachable`](Self::is_reachable), but only periodic heartbeats count, so
     /// that a task placed now can be launched and its lease is renewed.
     pub fn is_reachable_both_ways(&self, now: Micros, missed_after: Micros) -> bool {
-        now < self.last_heartbeat_at + missed_after && self.unresponsive_since.is_none()
+        now < self.last_heartbeat_at + missed_after && self.commands_unanswered_since.is_none()
     }
 
     /// Whether either direction has failed for `duration` or longer.
     pub fn is_unreachable_for(&self, now: Micros, duration: Micros) -> bool {
-        let since = self.unresponsive_since.unwrap_or(Micros::MAX);
+        let since = self.commands_unanswered_since.unwrap_or(Micros::MAX);
         now >= self.last_heartbeat_at.min(since).saturating_add(duration)
     }
 
@@ -100,12 +100,12 @@
 
     /// Records that the machine replied to commands.
     pub fn record_command_reply(&mut self) {
-        self.unresponsive_since = None;
+        self.commands_unanswered_since = None;
     }
 
     /// Records that the machine did not reply to commands, or not intelligibly.
     pub fn record_command_failure(&mut self, now: Micros) {
-        self.unresponsive_since.get_or_insert(now);
+        self.commands_unanswered_since.get_or_insert(now);
     }
 
     /// Records a newer periodic heartbeat; see [`super::Machine::heartbeat_received`].
@@ -119,10 +119,10 @@
         let previous = std::mem::replace(&mut self.last_heartbeat_at, now);
         let was_late = now >= previous + missed_after;
         let reply_arrived = |since| previous >= since && now < previous + WORKER_FAILOVER_TIMEOUT;
-        match self.unresponsive_since {
-            Some(_) if new_incarnation => self.unresponsive_since = Some(now),
+        match self.commands_unanswered_since {
+            Some(_) if new_incarnation => self.commands_unanswered_since = Some(now),
             Some(since) if reply_arrived(since) || now >= since + lease_proof_after => {
-                self.unresponsive_since = None;
+                self.commands_unanswered_since = None;
             }
             unresponsive => {
                 return ContactUpdate {
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -53,7 +53,7 @@
     /// Whether the task is preempted: it is to be stopped, and run elsewhere.
     pub preempted: bool,
     /// The state in the latest heartbeat that listed the attempt.
-    pub seen: Option<TaskState>,
+    pub reported_state: Option<TaskState>,
     /// Arrival of the first heartbeat that listed the attempt as running.
     pub running_since: Option<Micros>,
     /// Whether this leader has observed the whole run, so that its run time may be used
@@ -83,7 +83,7 @@
             stored,
             cancelled: false,
             preempted: false,
-            seen: None,
+            reported_state: None,
             running_since: None,
             watched: !stored,
             launch_replied_to: None,
@@ -91,8 +91,8 @@
     }
 
     /// Whether the placement is stored and a heartbeat has listed the attempt.
-    pub fn is_stored_and_seen(&self) -> bool {
-        self.stored && self.seen.is_some()
+    pub fn is_stored_and_reported(&self) -> bool {
+        self.stored && self.reported_state.is_some()
     }
 
     /// The time for which the task has been running; 0 if it has not been seen running.
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether this node leads and has the job among its open jobs.
-    pub fn holds(&self, job: &str) -> bool {
+    pub fn has_open_job(&self, job: &str) -> bool {
         self.leader.as_ref().is_some_and(|l| l.holds(job))
     }
 
@@ -108,8 +108,8 @@
     ) -> OpenJob {
         OpenJob {
             submitted_at_us: now.wall,
-            chunk: self.config.chunk_tasks,
-            unmarked: true,
+            tasks_per_chunk: self.config.tasks_per_chunk,
+            without_state_record: true,
             parallelism_limit: parallelism_limit.filter(|limit| *limit < spec.tasks),
             spec,
         }
@@ -154,7 +154,7 @@
     }
 
     /// The work that this node's scheduler has done in the current term.
-    pub fn counts(&self) -> SchedulerCounters {
+    pub fn scheduler_counters(&self) -> SchedulerCounters {
         self.leader
             .as_ref()
             .map_or(SchedulerCounters::default(), Leader::counts)
@@ -364,7 +364,7 @@
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
         if let Some((Continuation::Leader { term, step }, _)) = closed
             && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
-            && let LeaderStep::CommandsInFlight { machine } = step
+            && let LeaderStep::SendCommands { machine } = step
         {
             leader.commands_reply(&mut ctx, id, &machine, reply);
             leader.send_pending(&mut ctx);
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -27,45 +27,45 @@
 use serde::{Deserialize, Serialize, Serializer};
 
 /// Prefix of the keys that all controllers watch for the election.
-pub const SHARED: &str = "s/";
+pub const SHARED_PREFIX: &str = "s/";
 /// Key of the [`LeaderRecord`].
-pub const LEAD: &str = "s/lead";
+pub const LEADER_KEY: &str = "s/lead";
 /// Key of the [`TermRecord`]; every write of a leader compares its version.
-pub const TERM: &str = "s/term";
+pub const TERM_KEY: &str = "s/term";
 /// Key of the [`MachineTypesRecord`].
-pub const TYPES: &str = "s/types";
+pub const MACHINE_TYPES_KEY: &str = "s/types";
 /// Prefix of the records of open and cancelled jobs, which the leader watches.
-pub const QUEUE: &str = "q/";
+pub const QUEUE_PREFIX: &str = "q/";
 /// Prefix of the open records of jobs.
-pub const OPEN: &str = "q/o/";
+pub const OPEN_JOBS_PREFIX: &str = "q/o/";
 /// Prefix of the cancellation records of jobs.
-pub const CANCELLED: &str = "q/c/";
+pub const CANCELLED_JOBS_PREFIX: &str = "q/c/";
 /// Prefix of the task records.
-pub const TASKS: &str = "t/";
+pub const TASKS_PREFIX: &str = "t/";
 /// Prefix of the machine records.
-pub const MACHINES: &str = "m/";
+pub const MACHINES_PREFIX: &str = "m/";
 
 /// Prefix of the state records of jobs.
 const JOB_STATES: &str = "j/";
 
 /// The key of a job's state record.
-pub fn job_key(id: &str) -> String {
+pub fn job_state_key(id: &str) -> String {
     format!("{JOB_STATES}{id}")
 }
 
 /// The id of the job whose state record has this key; None if this is not such a key.
-pub fn parse_job_key(key: &str) -> Option<&str> {
+pub fn parse_job_state_key(key: &str) -> Option<&str> {
     key.strip_prefix(JOB_STATES)
 }
 
 /// The key of a job's open record.
-pub fn open_key(id: &str) -> String {
-    format!("{OPEN}{id}")
+pub fn open_job_key(id: &str) -> String {
+    format!("{OPEN_JOBS_PREFIX}{id}")
 }
 
 /// The key of a job's cancellation record.
-pub fn cancelled_key(id: &str) -> String {
-    format!("{CANCELLED}{id}")
+pub fn cancelled_job_key(id: &str) -> String {
+    format!("{CANCELLED_JOBS_PREFIX}{id}")
 }
 
 /// The tasks of a job that one task record covers.
@@ -87,19 +87,21 @@
 /// The key of a task record.
 pub fn tasks_key(id: &str, range: TaskRange) -> String {
     match range {
-        TaskRange::Chunk(chunk) => format!("{TASKS}{id}/{chunk:05}"),
-        TaskRange::Part { chunk, from, to } => format!("{TASKS}{id}/{chunk:05}/{from:06}-{to:06}"),
+        TaskRange::Chunk(chunk) => format!("{TASKS_PREFIX}{id}/{chunk:05}"),
+        TaskRange::Part { chunk, from, to } => {
+            format!("{TASKS_PREFIX}{id}/{chunk:05}/{from:06}-{to:06}")
+        }
     }
 }
 
 /// The key of a machine's record.
 pub fn machine_key(name: &str) -> String {
-    format!("{MACHINES}{name}")
+    format!("{MACHINES_PREFIX}{name}")
 }
 
 /// The job id and the tasks of a task record's key; None if this is not such a key.
 pub fn parse_tasks_key(key: &str) -> Option<(&str, TaskRange)> {
-    let (id, rest) = key.strip_prefix(TASKS)?.split_once('/')?;
+    let (id, rest) = key.strip_prefix(TASKS_PREFIX)?.split_once('/')?;
     let range = match rest.split_once('/') {
         None => TaskRange::Chunk(rest.parse().ok()?),
         Some((chunk, part)) => {
@@ -184,11 +186,11 @@
     /// The number of tasks per chunk. It is stored with the job so that a change of the
     /// settings does not move tasks between chunks.
     #[serde(rename = "chunk")]
-    pub chunk: u32,
+    pub tasks_per_chunk: u32,
     /// Whether the job has no state record while it is open. False in records that an
     /// earlier version wrote.
     #[serde(rename = "unmarked", default)]
-    pub unmarked: bool,
+    pub without_state_record: bool,
     /// The maximum number of the job's tasks that may be placed at once; None if there is
     /// no limit.
     #[serde(rename = "at_most", default, skip_serializing_if = "Option::is_none")]
@@ -199,7 +201,11 @@
     /// The version of the job's state record while the job is open, given the version of
     /// this open record.
     pub fn state_version(&self, version: u64) -> u64 {
-        if self.unmarked { 0 } else { version }
+        if self.without_state_record {
+            0
+        } else {
+            version
+        }
     }
 }
 
--- a/crates/controller/src/write_queue/batch.rs
+++ b/crates/controller/src/write_queue/batch.rs
@@ -51,7 +51,7 @@
     /// Creates an empty batch that is fenced by the version of the term's record.
     pub fn new(term_version: u64) -> WriteBatch {
         WriteBatch {
-            transaction: Transaction::default().compare(records::TERM, term_version),
+            transaction: Transaction::default().compare(records::TERM_KEY, term_version),
             writes: Vec::new(),
             placements: Vec::new(),
             uncertain: false,
@@ -76,7 +76,7 @@
     /// Adds the precondition that a job's state record has this version, unless the batch
     /// already has one for the job.
     pub fn compare_job_state(&mut self, job: &str, version: u64) {
-        let key = records::job_key(job);
+        let key = records::job_state_key(job);
         if !self.transaction.compare.iter().any(|c| c.key == key) {
             self.compare(key, version);
         }
@@ -127,9 +127,10 @@
     }
 
     /// The first compared key that only the leader writes (a task record), if there is one.
-    pub fn own_key(&self) -> Option<String> {
+    pub fn leader_owned_key(&self) -> Option<String> {
         let mut keys = self.transaction.compare.iter().map(|c| &c.key);
-        keys.find(|key| key.starts_with(records::TASKS)).cloned()
+        keys.find(|key| key.starts_with(records::TASKS_PREFIX))
+            .cloned()
     }
 
     /// The version that the batch compares for a key; 0 if it compares none.
--- a/crates/controller/tests/answers.rs
+++ b/crates/controller/tests/answers.rs
@@ -142,7 +142,7 @@
     node.settle(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
     let conflict = StoreResponse::Conflict {
-        failed: vec![records::job_key(JOB)],
+        failed: vec![records::job_state_key(JOB)],
         revision: 2,
     };
     node.reply(late, Ok(conflict));
@@ -264,7 +264,7 @@
 #[test]
 fn a_job_that_was_forgotten_while_it_was_compared_is_read_again() {
     let mut config = common::config_with_team();
-    (config.state_rps, config.state_write_rps) = (1e6, 1e6);
+    (config.store_rps, config.store_write_rps) = (1e6, 1e6);
     let mut other = Driven::ready(config.clone(), START);
     // Room for five jobs of 200 bytes in an eighth of it.
     config.memory_mb = 0.008;
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -219,7 +219,7 @@
         let record = records::MachineTypesRecord {
             types: types.clone(),
         };
-        store.carry_out(&Transaction::default().put(records::TYPES, &record));
+        store.carry_out(&Transaction::default().put(records::MACHINE_TYPES_KEY, &record));
         Fleet {
             node: Node::new(config.clone()),
             config,
@@ -286,12 +286,12 @@
     pub fn submit(&mut self, spec: JobSpec) {
         let open = OpenJob {
             submitted_at_us: self.at,
-            chunk: 25,
-            unmarked: true,
+            tasks_per_chunk: 25,
+            without_state_record: true,
             parallelism_limit: None,
             spec,
         };
-        let key = records::open_key(&open.spec.id);
+        let key = records::open_job_key(&open.spec.id);
         self.store
             .carry_out(&Transaction::default().put(key, &open));
     }
--- a/crates/controller/tests/common/gap.rs
+++ b/crates/controller/tests/common/gap.rs
@@ -22,7 +22,7 @@
 /// When its user was told that the job is cancelled.
 pub fn cancelled(at: Micros) -> KeyValue {
     row(
-        records::cancelled_key(JOB),
+        records::cancelled_job_key(JOB),
         &CancelledJob {
             cancelled_at_us: at,
         },
@@ -60,8 +60,8 @@
         let open = OpenJob {
             spec,
             submitted_at_us: START,
-            chunk: 25,
-            unmarked: true,
+            tasks_per_chunk: 25,
+            without_state_record: true,
             parallelism_limit: None,
         };
         let chunk = TaskChunk {
@@ -73,7 +73,7 @@
             node: Node::new(config.clone()),
             config,
             around: Around {
-                queue: vec![row(records::open_key(JOB), &open)],
+                queue: vec![row(records::open_job_key(JOB), &open)],
                 tasks: vec![row(tasks, &chunk)],
                 ..Around::default()
             },
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -91,7 +91,7 @@
 pub fn types(cpus: f64) -> KeyValue {
     let types = vec![machine_type(cpus)];
     KeyValue {
-        key: records::TYPES.into(),
+        key: records::MACHINE_TYPES_KEY.into(),
         value: encode_value(&MachineTypesRecord { types }),
         version: 1,
         lease: None,
@@ -224,7 +224,7 @@
                     call: StoreRequest::Watch { prefix, after, .. },
                     ..
                 } => {
-                    if prefix == records::QUEUE {
+                    if prefix == records::QUEUE_PREFIX {
                         around.queue_after = Some(after);
                     }
                     around.watches.push(id);
@@ -266,10 +266,10 @@
                     let reply = match call {
                         StoreRequest::List { prefix, .. } => StoreResponse::RangePage(RangePage {
                             rows: match prefix.as_str() {
-                                records::MACHINES => machines.to_vec(),
-                                records::QUEUE => around.queue.clone(),
-                                records::TASKS => around.tasks.clone(),
-                                records::SHARED => around.shared.clone(),
+                                records::MACHINES_PREFIX => machines.to_vec(),
+                                records::QUEUE_PREFIX => around.queue.clone(),
+                                records::TASKS_PREFIX => around.tasks.clone(),
+                                records::SHARED_PREFIX => around.shared.clone(),
                                 _ => vec![],
                             },
                             more: false,
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -68,7 +68,7 @@
 
     /// A job's mark, if it has one.
     pub fn mark(&self, id: &str) -> Option<RecordedState> {
-        let row = self.row(&records::job_key(id))?;
+        let row = self.row(&records::job_state_key(id))?;
         row.decode_value::<JobStateRecord>().map(|mark| mark.state)
     }
 
@@ -79,17 +79,17 @@
             task_count: 2,
         };
         let txn = Transaction::default()
-            .compare(records::job_key(id), 0)
-            .put(records::job_key(id), &mark)
-            .delete(records::open_key(id));
+            .compare(records::job_state_key(id), 0)
+            .put(records::job_state_key(id), &mark)
+            .delete(records::open_job_key(id));
         self.carry_out(&StoreRequest::Transaction(txn))
     }
 
     /// What a leader writes once the tasks of a cancelled job are gone.
     pub fn clear(&mut self, id: &str) {
         let txn = Transaction::default()
-            .delete(records::open_key(id))
-            .delete(records::cancelled_key(id));
+            .delete(records::open_job_key(id))
+            .delete(records::cancelled_job_key(id));
         self.carry_out(&StoreRequest::Transaction(txn));
     }
 }
@@ -236,7 +236,7 @@
 }
 
 fn about_a_job(call: &StoreRequest) -> bool {
-    let is = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN);
+    let is = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN_JOBS_PREFIX);
     match call {
         StoreRequest::Get { key } => is(key),
         StoreRequest::Transaction(txn) => txn.compare.iter().any(|c| is(&c.key)),
--- a/crates/controller/tests/failure_attribution.rs
+++ b/crates/controller/tests/failure_attribution.rs
@@ -1,7 +1,7 @@
 //! Whether an error is put down to the job or to the machine.
 
 use dillcleat_controller::SECOND;
-use dillcleat_controller::failure_attribution::{FailureRecord, MachineStrikes};
+use dillcleat_controller::failure_attribution::{AttributedFailures, FailureRecord};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -41,11 +41,11 @@
     assert_eq!(job.record_success(), BTreeSet::from([m(0), m(1)]));
     assert_eq!(job.record_failure(&m(2), 0), None);
     assert!(job.may_start(50, false, 0));
-    let mut machine = MachineStrikes::default();
+    let mut machine = AttributedFailures::default();
     machine.add(&Rc::from("job"));
     machine.add(&Rc::from("job"));
     assert!(
-        machine.any() && !machine.warrant_cordon(),
+        machine.has_failures() && !machine.warrant_cordon(),
         "one job may be unlucky"
     );
     machine.add(&Rc::from("other"));
--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/gap.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_new_leader_answers_nobody_before_it_has_read_the_cancellations() {
     let mut gap = Gap::new();
-    gap.around.held = Some(records::QUEUE);
+    gap.around.held = Some(records::QUEUE_PREFIX);
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), Some(1));
     assert!(gap.reports(SECOND).is_none(), "nothing is read");
@@ -67,7 +67,7 @@
     assert!(gap.reports(2 * SECOND).is_none());
     gap.step(3 * SECOND, Input::Tick);
     let listing = gap.around.listings.pop().expect("once more");
-    gap.around.held = Some(records::TASKS);
+    gap.around.held = Some(records::TASKS_PREFIX);
     let reply = page(&gap.around.queue);
     gap.step(4 * SECOND, Input::Store { id: listing, reply });
     assert!(gap.reports(4 * SECOND).is_some(), "no cancellation there");
@@ -80,7 +80,7 @@
 #[test]
 fn a_load_counts_from_the_sending_of_its_first_page() {
     let mut gap = Gap::new();
-    gap.around.held = Some(records::TASKS);
+    gap.around.held = Some(records::TASKS_PREFIX);
     for s in 0..10 {
         gap.step(s * SECOND, Input::Tick);
     }
@@ -95,13 +95,13 @@
 /// While the placements are yet to be read any machine may hold what is cancelled.
 #[test]
 fn a_leader_that_reads_yet_answers_no_longer_than_the_oldest_cancellation_lets_it() {
-    let limit = config_with_team().blind_limit();
+    let limit = config_with_team().heartbeat_answer_limit();
     for (ago, answers) in [(SECOND, true), (limit + SECOND, false)] {
         let mut gap = Gap::new();
         let mut queue = vec![cancelled(START - ago)];
         queue.append(&mut gap.around.queue);
         gap.around.queue = queue;
-        gap.around.held = Some(records::TASKS);
+        gap.around.held = Some(records::TASKS_PREFIX);
         gap.step(0, Input::Tick);
         assert_eq!(gap.reports(SECOND).is_some(), answers, "{ago}");
         let last = gap.answered_until(2 * SECOND);
@@ -115,7 +115,7 @@
 fn what_was_read_in_a_term_before_does_not_count() {
     let mut gap = Gap::leading();
     assert!(gap.reports(SECOND).is_some());
-    gap.around.held = Some(records::QUEUE);
+    gap.around.held = Some(records::QUEUE_PREFIX);
     let message = Message::Heartbeat {
         term: 7,
         is_leader: false,
@@ -240,7 +240,7 @@
 fn a_later_term_in_the_store_ends_an_earlier_one() {
     let mut gap = Gap::leading();
     gap.step(SECOND / 10, Input::Tick);
-    let term = row(records::TERM.into(), &records::TermRecord { term: 9 });
+    let term = row(records::TERM_KEY.into(), &records::TermRecord { term: 9 });
     gap.watched(SECOND / 2, vec![Gap::event(term)]);
     assert_eq!(gap.node.leading(), None);
 }
@@ -249,7 +249,7 @@
 #[test]
 fn whoever_is_not_elected_lets_its_lease_go() {
     let mut gap = Gap::new();
-    gap.around.conflict = Some(records::LEAD.into());
+    gap.around.conflict = Some(records::LEADER_KEY.into());
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), None);
     assert_eq!(gap.around.let_go, [LeaseId(1)]);
@@ -276,11 +276,11 @@
         body: encode(&spec),
     };
     assert_eq!(gap.step(3 * SECOND, input), [201]);
-    let open = records::open_key(id);
+    let open = records::open_job_key(id);
     let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == open);
     let submission = gap.around.writes.iter().find(|t| t.then.iter().any(puts));
     let compared = &submission.expect("it is stored").compare;
-    for key in [records::job_key(id), open.clone()] {
+    for key in [records::job_state_key(id), open.clone()] {
         assert!(compared.iter().any(|c| c.key == key && c.version == 0));
     }
 }
@@ -299,12 +299,12 @@
         body: Vec::new(),
     };
     assert_eq!(gap.step(SECOND, input), [200]);
-    let cancelled = records::cancelled_key(JOB);
+    let cancelled = records::cancelled_job_key(JOB);
     let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == cancelled);
     let mut writes = gap.around.writes.iter();
     let cancellation = writes.find(|t| t.then.iter().any(puts));
     let compared = &cancellation.expect("it is stored").compare;
-    let mark = records::job_key(JOB);
+    let mark = records::job_state_key(JOB);
     assert!(compared.iter().any(|c| c.key == mark && c.version == 0));
 }
 
@@ -323,7 +323,7 @@
     let writes = &gap.around.writes;
     assert!(writes.len() > 1, "an end and a placement");
     for txn in writes {
-        let term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM;
+        let term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM_KEY;
         assert!(txn.compare.iter().any(term), "{txn:?}");
     }
 }
@@ -409,7 +409,7 @@
 #[test]
 fn a_cancellation_is_obeyed_though_its_mark_can_not_be_read() {
     let mut gap = Gap::of(2);
-    gap.around.conflict = Some(records::job_key(JOB));
+    gap.around.conflict = Some(records::job_state_key(JOB));
     gap.around.types = vec![common::machine_type(8.0)];
     gap.step(0, Input::Tick);
     assert!(gap.reports(SECOND / 2).is_some());
@@ -428,7 +428,7 @@
 #[test]
 fn a_refused_read_is_made_again_after_a_pause() {
     let mut gap = Gap::leading();
-    gap.around.conflict = Some(records::job_key(JOB));
+    gap.around.conflict = Some(records::job_state_key(JOB));
     gap.completed = true;
     gap.reports(SECOND / 10);
     for t in 2..22 {
@@ -446,13 +446,13 @@
 #[test]
 fn settings_that_leave_no_time_are_said_and_served() {
     let mut config = config_with_team();
-    assert_eq!(config.cancel_shortfall(), None);
+    assert_eq!(config.cancel_deadline_shortfall(), None);
     config.worker_lease = config.cancel_deadline - SECOND;
-    let short = config.cancel_shortfall().expect("no time is left");
-    assert_eq!(config.blind_limit(), short);
+    let short = config.cancel_deadline_shortfall().expect("no time is left");
+    assert_eq!(config.heartbeat_answer_limit(), short);
     // With the margin, no end comes later than this.
-    let latest = config.blind_limit() + config.worker_lease;
+    let latest = config.heartbeat_answer_limit() + config.worker_lease;
     assert!(latest <= config.cancel_deadline + short);
     config.worker_lease = config.cancel_deadline / 2;
-    assert_eq!(config.cancel_shortfall(), None);
+    assert_eq!(config.cancel_deadline_shortfall(), None);
 }
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,10 +1,11 @@
 //! The keys and records in the state service, as version 84a8104 reads and writes them.
 
 use dillcleat_controller::records::{
-    CANCELLED, CancelledJob, DoneTasks, JobStateRecord, LEAD, LeaderRecord, MACHINES,
-    MachineRecord, MachineTypesRecord, OPEN, OpenClaim, OpenJob, PlacedTask, QUEUE, RecordedState,
-    SHARED, TASKS, TERM, TYPES, TaskChunk, TaskRange, TermRecord, WaitingTask, cancelled_key,
-    job_key, machine_key, open_key, parse_tasks_key, tasks_key,
+    CANCELLED_JOBS_PREFIX, CancelledJob, DoneTasks, JobStateRecord, LEADER_KEY, LeaderRecord,
+    MACHINE_TYPES_KEY, MACHINES_PREFIX, MachineRecord, MachineTypesRecord, OPEN_JOBS_PREFIX,
+    OpenClaim, OpenJob, PlacedTask, QUEUE_PREFIX, RecordedState, SHARED_PREFIX, TASKS_PREFIX,
+    TERM_KEY, TaskChunk, TaskRange, TermRecord, WaitingTask, cancelled_job_key, job_state_key,
+    machine_key, open_job_key, parse_tasks_key, tasks_key,
 };
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{LeaseId, Value, decode_value, encode_value};
@@ -34,14 +35,22 @@
 #[test]
 fn every_key_stays_as_it_is() {
     assert_eq!(
-        (SHARED, QUEUE, OPEN, CANCELLED),
+        (
+            SHARED_PREFIX,
+            QUEUE_PREFIX,
+            OPEN_JOBS_PREFIX,
+            CANCELLED_JOBS_PREFIX
+        ),
         ("s/", "q/", "q/o/", "q/c/")
     );
-    assert_eq!((TASKS, MACHINES), ("t/", "m/"));
-    assert_eq!((LEAD, TERM, TYPES), ("s/lead", "s/term", "s/types"));
-    assert_eq!(job_key("req-1"), "j/req-1");
-    assert_eq!(open_key("req-1"), "q/o/req-1");
-    assert_eq!(cancelled_key("req-1"), "q/c/req-1");
+    assert_eq!((TASKS_PREFIX, MACHINES_PREFIX), ("t/", "m/"));
+    assert_eq!(
+        (LEADER_KEY, TERM_KEY, MACHINE_TYPES_KEY),
+        ("s/lead", "s/term", "s/types")
+    );
+    assert_eq!(job_state_key("req-1"), "j/req-1");
+    assert_eq!(open_job_key("req-1"), "q/o/req-1");
+    assert_eq!(cancelled_job_key("req-1"), "q/c/req-1");
     assert_eq!(machine_key("host-1"), "m/host-1");
 }
 
@@ -179,8 +188,8 @@
     let open = OpenJob {
         spec: full_job(),
         submitted_at_us: 1_700_000_000_000_000,
-        chunk: 128,
-        unmarked: true,
+        tasks_per_chunk: 128,
+        without_state_record: true,
         parallelism_limit: Some(12),
     };
     assert_keeps(
@@ -207,8 +216,8 @@
     let open = OpenJob {
         spec: plain_service(),
         submitted_at_us: 1_700_000_000_000_000,
-        chunk: 8,
-        unmarked: false,
+        tasks_per_chunk: 8,
+        without_state_record: false,
         parallelism_limit: None,
     };
     assert_keeps(
--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/handover.rs
@@ -56,10 +56,10 @@
 /// that is read comes before its job. While there are more, nobody is answered.
 #[test]
 fn cancellations_are_known_whatever_page_they_land_on() {
-    let other = row(records::cancelled_key("req-000009"), &row_of(START));
+    let other = row(records::cancelled_job_key("req-000009"), &row_of(START));
     for read_first in [false, true] {
         let mut gap = Gap::new();
-        gap.around.held = Some(records::QUEUE);
+        gap.around.held = Some(records::QUEUE_PREFIX);
         gap.step(0, Input::Tick);
         let mut first = vec![other.clone()];
         if read_first {
@@ -140,7 +140,7 @@
         }
         let again = [PlacedTask::from((0, 2, "m".to_string(), 2))];
         assert_eq!(placed(&gap) == again, !is_cancelled);
-        assert_eq!(drops(&gap, &records::cancelled_key(JOB)), is_cancelled);
+        assert_eq!(drops(&gap, &records::cancelled_job_key(JOB)), is_cancelled);
     }
 }
 
@@ -186,7 +186,7 @@
     (gap.session, gap.has_task) = (2, false);
     assert_eq!(gap.reports(SECOND), Some(vec![]));
     gap.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&gap, &records::cancelled_key(JOB)));
+    assert!(!drops(&gap, &records::cancelled_job_key(JOB)));
     (gap.session, gap.has_task) = (3, true);
     assert!(stops(gap.reports(2 * SECOND)));
 }
@@ -203,7 +203,7 @@
         (gap.seq, gap.token, gap.has_task) = (3, token, false);
         assert_eq!(gap.reports(2 * SECOND), Some(vec![]));
         gap.step(2 * SECOND, Input::Tick);
-        assert!(!drops(&gap, &records::cancelled_key(JOB)));
+        assert!(!drops(&gap, &records::cancelled_job_key(JOB)));
     }
 }
 
@@ -212,7 +212,7 @@
 #[test]
 fn an_election_without_an_answer_is_never_led() {
     let mut gap = Gap::new();
-    gap.around.lost = Some(records::LEAD);
+    gap.around.lost = Some(records::LEADER_KEY);
     gap.step(0, Input::Tick);
     assert_eq!(gap.node.leading(), None);
     gap.around.lost = None;
@@ -221,9 +221,9 @@
         lease: LeaseId(1),
         term: 1,
     };
-    let mut term = row(records::TERM.into(), &TermRecord { term: 1 });
+    let mut term = row(records::TERM_KEY.into(), &TermRecord { term: 1 });
     term.version = 5;
-    gap.around.shared = vec![row(records::LEAD.into(), &lead), term];
+    gap.around.shared = vec![row(records::LEADER_KEY.into(), &lead), term];
     gap.around.let_go.clear();
     gap.step(SECOND / 2, Input::Tick);
     assert_eq!(gap.around.let_go, [LeaseId(1)], "it may be its own");
@@ -236,12 +236,12 @@
     assert!(
         compared
             .iter()
-            .any(|c| c.key == records::TERM && c.version == 5)
+            .any(|c| c.key == records::TERM_KEY && c.version == 5)
     );
     assert!(
         compared
             .iter()
-            .any(|c| c.key == records::LEAD && c.version == 0)
+            .any(|c| c.key == records::LEADER_KEY && c.version == 0)
     );
 }
 
@@ -273,7 +273,7 @@
         let stored = placed(&gap);
         assert_eq!(stored.len(), 2, "the second task");
         gap.around.conflict = Some(tasks());
-        gap.around.fails_too = is_cancelled.then(|| records::job_key(JOB));
+        gap.around.fails_too = is_cancelled.then(|| records::job_state_key(JOB));
         let chunk = TaskChunk {
             placed: stored,
             ..TaskChunk::default()
@@ -296,7 +296,7 @@
 fn what_runs_of_a_job_whose_mark_has_changed_is_stopped_at_once() {
     let mut gap = Gap::of(2);
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(records::job_key(JOB));
+    gap.around.conflict = Some(records::job_state_key(JOB));
     gap.step(0, Input::Tick);
     gap.reports(SECOND / 2);
     gap.step(SECOND, Input::Tick);
@@ -309,7 +309,7 @@
 fn a_cancellation_counts_from_its_own_time_whatever_was_seen_of_it_before() {
     let mut gap = Gap::of(2);
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(records::job_key(JOB));
+    gap.around.conflict = Some(records::job_state_key(JOB));
     let (told, met) = (4 * SECOND, 95 * SECOND / 10);
     gap.step(0, Input::Tick);
     for t in 1..95 {
@@ -370,7 +370,7 @@
         gap.step(t * 100 * MILLISECOND, Input::Tick);
         gap.reports(t * 100 * MILLISECOND);
     }
-    assert_eq!(gap.node.counts().placed, 0);
+    assert_eq!(gap.node.scheduler_counters().placed, 0);
 }
 
 /// Dependents are cancelled with it once the mark is read, though nothing of it is left by
@@ -384,9 +384,9 @@
     (waits.spec.id, waits.spec.depends_on) = ("req-000002".into(), vec![JOB.into()]);
     gap.around
         .queue
-        .push(row(records::open_key("req-000002"), &waits));
+        .push(row(records::open_job_key("req-000002"), &waits));
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(records::job_key(JOB));
+    gap.around.conflict = Some(records::job_state_key(JOB));
     gap.step(0, Input::Tick);
     gap.reports(SECOND / 2);
     gap.step(SECOND, Input::Tick);
@@ -394,16 +394,16 @@
     gap.has_task = false;
     gap.reports(3 * SECOND / 2);
     gap.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&gap, &records::open_key(JOB)));
+    assert!(!drops(&gap, &records::open_job_key(JOB)));
     let mark = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: 2,
     };
-    gap.around.found = Some(row(records::job_key(JOB), &mark));
+    gap.around.found = Some(row(records::job_state_key(JOB), &mark));
     gap.step(5 * SECOND / 2, Input::Tick);
     gap.step(3 * SECOND, Input::Tick);
-    assert!(drops(&gap, &records::open_key(JOB)));
-    assert!(drops(&gap, &records::open_key("req-000002")));
+    assert!(drops(&gap, &records::open_job_key(JOB)));
+    assert!(drops(&gap, &records::open_job_key("req-000002")));
 }
 
 /// A try without an answer may be carried out after a later change of the types.
@@ -414,7 +414,7 @@
     stored.version = 4;
     gap.around.shared = vec![stored.clone()];
     gap.around.types = vec![machine_type(8.0)];
-    gap.around.conflict = Some(records::TYPES.into());
+    gap.around.conflict = Some(records::MACHINE_TYPES_KEY.into());
     gap.step(0, Input::Tick);
     gap.step(SECOND / 10, Input::Tick);
     // It was written by the leader before, after this one had looked.
@@ -429,7 +429,7 @@
     }
     assert_eq!(gap.node.leading(), Some(1));
     let compared = gap.around.writes.iter().flat_map(|t| &t.compare);
-    let types = compared.filter(|c| c.key == records::TYPES);
+    let types = compared.filter(|c| c.key == records::MACHINE_TYPES_KEY);
     let versions: Vec<u64> = types.map(|c| c.version).collect();
     assert_eq!(versions[..2], [4, 9], "not tried again before it is read");
     assert_eq!(versions.last(), Some(&9));
@@ -460,8 +460,8 @@
         term: 1,
     };
     let event = WatchEvent::Put {
-        key: records::LEAD.into(),
-        value: row(records::LEAD.into(), &lead).value,
+        key: records::LEADER_KEY.into(),
+        value: row(records::LEADER_KEY.into(), &lead).value,
         // All keys were read as of this revision.
         version: 1,
     };
@@ -507,7 +507,7 @@
 #[test]
 fn a_lease_is_longer_while_the_state_service_is_slow() {
     let mut gap = Gap::new();
-    gap.around.held = Some(records::SHARED);
+    gap.around.held = Some(records::SHARED_PREFIX);
     gap.step(0, Input::Tick);
     for t in 1..12 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
@@ -541,7 +541,7 @@
     deposed(&mut gap, 60 * SECOND);
     assert_eq!(gap.around.leases, [3600, 3600, 1250]);
     let mut gap = Gap::new();
-    gap.around.held = Some(records::SHARED);
+    gap.around.held = Some(records::SHARED_PREFIX);
     gap.step(0, Input::Tick);
     for t in 1..12 {
         gap.step(t * 100 * MILLISECOND, Input::Tick);
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -29,9 +29,9 @@
         types: Vec::<MachineType>::new(),
     };
     let rows = vec![
-        row(records::LEAD, encode_value(&lead)),
-        row(records::TERM, encode_value(&TermRecord { term: 1 })),
-        row(records::TYPES, encode_value(&types)),
+        row(records::LEADER_KEY, encode_value(&lead)),
+        row(records::TERM_KEY, encode_value(&TermRecord { term: 1 })),
+        row(records::MACHINE_TYPES_KEY, encode_value(&types)),
     ];
     let mut node = common::node();
     let start = 1000 * SECOND;
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Around, step_with};
-use dillcleat_controller::records::{OpenJob, open_key};
+use dillcleat_controller::records::{OpenJob, open_job_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
 use dillcleat_wire::store::{KeyValue, encode_value};
@@ -42,13 +42,13 @@
     let open = OpenJob {
         spec,
         submitted_at_us: 0,
-        chunk: 64,
-        unmarked: true,
+        tasks_per_chunk: 64,
+        without_state_record: true,
         parallelism_limit: None,
     };
     let mut around = Around::default();
     around.queue.push(KeyValue {
-        key: open_key("req-1"),
+        key: open_job_key("req-1"),
         value: encode_value(&open),
         version: 3,
         lease: None,
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -13,11 +13,11 @@
 const START: Micros = 1000 * SECOND;
 
 fn open(spec: JobSpec) -> KeyValue {
-    let key = records::open_key(&spec.id);
+    let key = records::open_job_key(&spec.id);
     let job = OpenJob {
         submitted_at_us: START,
-        chunk: 16,
-        unmarked: true,
+        tasks_per_chunk: 16,
+        without_state_record: true,
         parallelism_limit: None,
         spec,
     };
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -35,7 +35,7 @@
 impl Led {
     fn new(answers: Vec<Result<StoreResponse, CallError>>, chunk: StoreResponse) -> Led {
         let mut config = common::config_with_team();
-        (config.value_bytes, config.txn_ops) = (LOW, 16);
+        (config.max_value_bytes, config.max_txn_ops) = (LOW, 16);
         let mut led = Led {
             node: Node::new(config),
             at: 1000 * SECOND,
@@ -71,14 +71,14 @@
                 ..JobSpec::plain("req-1", JobKind::Batch, TASKS, 0.25)
             },
             submitted_at_us: 1,
-            chunk: 204,
-            unmarked: true,
+            tasks_per_chunk: 204,
+            without_state_record: true,
             parallelism_limit: None,
         };
         match prefix {
-            records::SHARED => vec![common::types(64.0)],
-            records::MACHINES => vec![common::recorded("m", "a")],
-            records::QUEUE => vec![row(records::open_key("req-1"), &job)],
+            records::SHARED_PREFIX => vec![common::types(64.0)],
+            records::MACHINES_PREFIX => vec![common::recorded("m", "a")],
+            records::QUEUE_PREFIX => vec![row(records::open_job_key("req-1"), &job)],
             _ => Vec::new(),
         }
     }
@@ -138,7 +138,7 @@
 }
 
 fn is_tasks(change: &Mutation) -> bool {
-    matches!(change, Mutation::Put { key, .. } if key.starts_with(records::TASKS))
+    matches!(change, Mutation::Put { key, .. } if key.starts_with(records::TASKS_PREFIX))
 }
 
 fn refused() -> Result<StoreResponse, CallError> {
--- a/crates/controller/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_answers.rs
@@ -170,7 +170,7 @@
 #[test]
 fn nothing_lost_stays_under_way() {
     let mut config = common::config_with_team();
-    (config.state_rps, config.state_write_rps) = (1e6, 1e6);
+    (config.store_rps, config.store_write_rps) = (1e6, 1e6);
     let asking: [fn(&mut Driven, &str) -> u64; 5] = [
         |n, id| n.submit(&spec(id)),
         |n, id| n.poll(id),
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -69,12 +69,12 @@
     panic!("no answer");
 }
 
-fn description(unmarked: bool) -> Value {
+fn description(without_state_record: bool) -> Value {
     encode_value(&OpenJob {
         spec: JobSpec::plain("req-1", JobKind::Batch, 2, 1.0),
         submitted_at_us: 1,
-        chunk: 8,
-        unmarked,
+        tasks_per_chunk: 8,
+        without_state_record,
         parallelism_limit: None,
     })
 }
@@ -83,14 +83,14 @@
 /// an earlier version stored have an open mark.
 #[test]
 fn a_job_is_open_while_it_is_described_and_has_no_mark_of_its_end() {
-    let open = records::open_key("req-1");
+    let open = records::open_job_key("req-1");
     let mark = |s| {
         encode_value(&JobStateRecord {
             state: s,
             task_count: 2,
         })
     };
-    let key = records::job_key("req-1");
+    let key = records::job_state_key("req-1");
     let found = |rows: Vec<(&String, u64, Value)>| {
         let rows = rows.into_iter().map(|(k, n, v)| (k.clone(), (n, v)));
         poll(&rows.collect())
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -110,7 +110,7 @@
         fleet.pass(2 * SECOND);
         assert_eq!(fleet.running("req-000001"), Vec::<String>::new());
         assert_eq!(
-            fleet.record(&records::open_key("req-000001")),
+            fleet.record(&records::open_job_key("req-000001")),
             None,
             "cleared"
         );
@@ -219,7 +219,10 @@
     );
     m.heartbeat_received(14 * SECOND, true, heard_by, missing);
     m.heartbeat_received(19 * SECOND, false, heard_by, missing);
-    assert_eq!(m.reachability.unresponsive_since(), Some(14 * SECOND));
+    assert_eq!(
+        m.reachability.commands_unanswered_since(),
+        Some(14 * SECOND)
+    );
     assert!(!m.reachability.is_reachable_both_ways(19 * SECOND, missing));
     assert!(m.heartbeat_received(31 * SECOND, false, heard_by, missing));
     assert!(m.reachability.is_reachable_both_ways(31 * SECOND, missing));
@@ -227,12 +230,12 @@
     m.heartbeat_received(41 * SECOND, false, heard_by, missing);
     m.heartbeat_received(46 * SECOND, false, heard_by, missing);
     assert!(
-        m.reachability.unresponsive_since().is_some(),
+        m.reachability.commands_unanswered_since().is_some(),
         "it may have waited for an answer"
     );
     m.heartbeat_received(50 * SECOND, false, heard_by, missing);
     assert_eq!(
-        m.reachability.unresponsive_since(),
+        m.reachability.commands_unanswered_since(),
         None,
         "too soon for one that did"
     );
--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -171,7 +171,7 @@
 fn an_empty_list_of_types_decides_nothing() {
     let mut node = Driven::new(config(), START);
     node.types = common::row(
-        records::TYPES.into(),
+        records::MACHINE_TYPES_KEY.into(),
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -28,11 +28,11 @@
     let open = OpenJob {
         spec,
         submitted_at_us: START,
-        chunk: 25,
-        unmarked: true,
+        tasks_per_chunk: 25,
+        without_state_record: true,
         parallelism_limit: None,
     };
-    row(records::open_key(id), &open)
+    row(records::open_job_key(id), &open)
 }
 
 /// The same in a form of a version to come: it is known what each task takes of which
@@ -201,7 +201,11 @@
         assert_eq!(day.reports(2 * SECOND, "m", running), Some(vec![]), "{of}");
         day.pass(2 * SECOND, 8 * SECOND);
         assert_eq!(day.placed(JOB), 0, "{of}");
-        assert_eq!(day.node.counts().passes, 0, "nothing is in line");
+        assert_eq!(
+            day.node.scheduler_counters().passes,
+            0,
+            "nothing is in line"
+        );
         assert_eq!(day.reports(8 * SECOND, "m", running), Some(vec![]), "{of}");
         assert_eq!(day.dropped(), [""; 0], "{of}");
         let exited = Some(TaskState::Exited);
@@ -225,7 +229,7 @@
         let mut day = Day::new(config_with_team(), Vec::new(), 1);
         day.around.found = mark.map(|s| {
             row(
-                records::job_key(JOB),
+                records::job_state_key(JOB),
                 &JobStateRecord {
                     state: s,
                     task_count: 1,
@@ -254,9 +258,9 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    day.around.found = Some(row(records::job_key(JOB), &mark));
+    day.around.found = Some(row(records::job_state_key(JOB), &mark));
     day.pass(0, 5 * SECOND);
-    let key = records::open_key("req-000002");
+    let key = records::open_job_key("req-000002");
     assert_eq!(day.dropped(), [key], "it is cancelled with the other");
 }
 
@@ -264,7 +268,7 @@
 /// and, if that doesn't arrive, by the lease.
 #[test]
 fn a_cancelled_job_that_can_not_be_read_is_stopped() {
-    let limit = config_with_team().blind_limit();
+    let limit = config_with_team().heartbeat_answer_limit();
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB)], 1);
     day.around.cloud = false;
     day.pass(0, SECOND);
@@ -272,7 +276,7 @@
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
     let cancelled = row(
-        records::cancelled_key(JOB),
+        records::cancelled_job_key(JOB),
         &CancelledJob {
             cancelled_at_us: at,
         },
@@ -305,10 +309,10 @@
 /// It may hold the task, as long as it has not shown that it doesn't.
 #[test]
 fn a_machine_that_has_yet_to_show_the_token_may_hold_a_cancelled_job() {
-    let limit = config_with_team().blind_limit();
+    let limit = config_with_team().heartbeat_answer_limit();
     let at = START - limit;
     let cancelled = row(
-        records::cancelled_key(JOB),
+        records::cancelled_job_key(JOB),
         &CancelledJob {
             cancelled_at_us: at,
         },
--- a/crates/controller/tests/own_cancellations.rs
+++ b/crates/controller/tests/own_cancellations.rs
@@ -43,7 +43,7 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    gap.around.found = Some(common::row(records::job_key(JOB), &mark));
+    gap.around.found = Some(common::row(records::job_state_key(JOB), &mark));
     let statuses = ask(&mut gap, 2 * SECOND, "GET", poll_path(JOB));
     assert_eq!(statuses, [200]);
     assert!(stops(&mut gap, 2 * SECOND));
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/permit.rs
@@ -1,7 +1,7 @@
 //! What may be sent to the cloud, and until when.
 
 use dillcleat_controller::leadership_guard::{
-    CloudAction, DeletionReason, LeadershipProof, proof_time,
+    CloudAction, DeletionReason, LeadershipProof, proof_validity,
 };
 use dillcleat_controller::store_latency::lease_time;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
@@ -21,8 +21,8 @@
 const DELETIONS: [CloudAction; 4] = [
     CloudAction::Delete(DeletionReason::Cancelled),
     CloudAction::Delete(DeletionReason::Failed),
-    CloudAction::Delete(DeletionReason::Silent),
-    CloudAction::Delete(DeletionReason::Returned),
+    CloudAction::Delete(DeletionReason::Unresponsive),
+    CloudAction::Delete(DeletionReason::Unneeded),
 ];
 
 /// Permit ends before the loan does, whatever the loan's time.
@@ -40,7 +40,7 @@
             let permit = proof.permit(&config, sent + 100_000, action);
             let permit = permit.expect("proved a moment ago");
             let last = sent + 100_000 + permit.within(sent + 100_000);
-            assert_eq!(last, sent + proof_time(&config));
+            assert_eq!(last, sent + proof_validity(&config));
             // By a clock that runs 0.05% slow.
             assert!(
                 (last - sent) * 10_005 / 10_000 < micros(ttl),
@@ -48,7 +48,7 @@
             );
             assert!(given(last - 1) && !given(last), "{ttl} {action:?}");
         }
-        let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
+        let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Read);
         assert!(look.is_some_and(|l| !l.covers(&CloudRequest::Delete(Vec::new()))));
     }
 }
@@ -63,7 +63,7 @@
         for answers in [0, 20, 400, 1500, 60_000].map(|ms| ms * MILLISECOND) {
             let lease = lease_time(&config, answers);
             assert!(
-                proof_time(&config) * 10_005 / 10_000 < lease,
+                proof_validity(&config) * 10_005 / 10_000 < lease,
                 "{ttl} {answers}"
             );
             assert!(lease >= micros(ttl) && lease >= before);
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -78,8 +78,8 @@
     let open = OpenJob {
         spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
         submitted_at_us: START,
-        chunk: 25,
-        unmarked: true,
+        tasks_per_chunk: 25,
+        without_state_record: true,
         parallelism_limit: None,
     };
     let chunk = TaskChunk {
@@ -88,7 +88,7 @@
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
     let mut around = Around {
-        queue: vec![row(records::open_key(JOB), &open)],
+        queue: vec![row(records::open_job_key(JOB), &open)],
         tasks: vec![row(tasks, &chunk)],
         ..Around::default()
     };
--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/proof.rs
@@ -56,7 +56,7 @@
         []
     );
     let mut slot = TaskSlot::new(1, 1, 0, &spec(), true);
-    slot.seen = Some(TaskState::Running);
+    slot.reported_state = Some(TaskState::Running);
     m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
     m
 }
--- a/crates/controller/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -88,7 +88,7 @@
 
 fn config(room: Option<u8>) -> Config {
     let mut config = common::config_with_team();
-    (config.state_rps, config.state_write_rps) = (1e6, 1e6);
+    (config.store_rps, config.store_write_rps) = (1e6, 1e6);
     if let Some(jobs) = room {
         // A job takes 200 bytes of an eighth of it.
         config.memory_mb = 0.0016 * f64::from(jobs);
@@ -250,7 +250,7 @@
     /// What a leader does with a job.
     fn lead(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
-        let described = self.store.rows.contains_key(&records::open_key(job));
+        let described = self.store.rows.contains_key(&records::open_job_key(job));
         match self.store.mark(job) {
             None if described => {
                 self.store.done(job);
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -83,7 +83,7 @@
     let done = Ok(StoreResponse::Committed { revision: 2 });
     assert_eq!(reply(&mut node, later, *second, done), [201]);
     let conflict = Ok(StoreResponse::Conflict {
-        failed: vec![records::open_key("req-1")],
+        failed: vec![records::open_job_key("req-1")],
         revision: 2,
     });
     assert_eq!(reply(&mut node, later, first, conflict), [0; 0]);
@@ -102,7 +102,7 @@
             revision: 2,
         })
     };
-    let open = records::open_key("req-1");
+    let open = records::open_job_key("req-1");
     assert_eq!(
         reply(
             &mut node,
@@ -123,7 +123,7 @@
     );
     // With a mark it may have ended: that is read.
     let (mut node, first) = submitted();
-    let ended = [records::job_key("req-1"), open];
+    let ended = [records::job_state_key("req-1"), open];
     assert_eq!(reply(&mut node, at, first, conflict(&ended)), [0; 0]);
 }
 
--- a/crates/controller/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -48,23 +48,27 @@
     }
     fleet.pass(60 * SECOND);
     for n in 0..JOBS {
-        let mark = fleet.record(&records::job_key(&id(n))).expect("a mark");
+        let mark = fleet
+            .record(&records::job_state_key(&id(n)))
+            .expect("a mark");
         let mark: JobStateRecord = dillcleat_wire::store::decode_value(&mark).expect("a mark");
         assert_ne!(mark.state, RecordedState::Open, "{}", id(n));
     }
     assert_eq!(fleet.keys("j/"), JOBS as usize);
-    assert_eq!(fleet.keys(records::QUEUE), 0);
-    assert_eq!(fleet.keys(records::TASKS), 0);
+    assert_eq!(fleet.keys(records::QUEUE_PREFIX), 0);
+    assert_eq!(fleet.keys(records::TASKS_PREFIX), 0);
     // Nothing else is kept of them, by whatever name: machines and the shared records.
-    let rest = fleet.keys(records::MACHINES) + fleet.keys(records::SHARED);
+    let rest = fleet.keys(records::MACHINES_PREFIX) + fleet.keys(records::SHARED_PREFIX);
     assert_eq!(fleet.keys(""), JOBS as usize + rest);
     // Description, placement, mark, and both dropped. What is cancelled before it is placed
     // has a row of that instead, and what is cancelled later is made up for by ends that are
     // written together.
-    let own = fleet.changes("j/") + fleet.changes(records::QUEUE) + fleet.changes(records::TASKS);
+    let own = fleet.changes("j/")
+        + fleet.changes(records::QUEUE_PREFIX)
+        + fleet.changes(records::TASKS_PREFIX);
     let most = 5 * JOBS;
     assert!(own <= most as usize, "{own} changes, at most {most}");
     // What was told is known, here and by the transactions themselves.
     assert!(fleet.reads <= 4, "{} reads", fleet.reads);
-    assert!((0..JOBS).all(|n| !fleet.node.holds(&id(n))));
+    assert!((0..JOBS).all(|n| !fleet.node.has_open_job(&id(n))));
 }
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -18,7 +18,7 @@
 use crate::watch_cache::Cache;
 use crate::watches::{Filter, Sent, Watches};
 use crate::{ApiRequest, ApiResponse, ControllerOutput, patch, reconciler, table, translate, view};
-use dillcleat_controller::calls::state_timeout;
+use dillcleat_controller::calls::store_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
 use dillcleat_controller::request_budget::{RequestPriority, StoreCost};
 use dillcleat_controller::{
@@ -209,7 +209,7 @@
     fn call(&mut self, ctx: &mut Ctx, call: StoreRequest, waiting: Waiting) {
         self.next += 1;
         let id = CallId(OWN | self.next);
-        let timeout = state_timeout(&call);
+        let timeout = store_timeout(&call);
         self.calls.insert(id, waiting);
         ctx.out
             .push(ControllerOutput::Core(Output::Store { id, call, timeout }));
@@ -446,7 +446,7 @@
             return;
         };
         let times = (ctx.now.monotonic, ctx.now.wall);
-        let holds = |job: &str| ctx.node.holds(job);
+        let holds = |job: &str| ctx.node.has_open_job(job);
         for wish in self.keeper.turn(fence, &self.cache, holds, times) {
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
             if !ctx.node.take_budget(
@@ -467,7 +467,7 @@
     }
 
     fn look_at_job(&mut self, ctx: &mut Ctx, job: String) {
-        let key = records::job_key(&job);
+        let key = records::job_state_key(&job);
         self.call(ctx, StoreRequest::Get { key }, Waiting::KeepLook(job));
     }
 
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -136,7 +136,7 @@
         record: &Record,
         job: Option<&OpenJob>,
     ) -> Result<(), StatusError> {
-        let most = ctx.node.config().value_bytes;
+        let most = ctx.node.config().max_value_bytes;
         let job = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
         let size = record.size().max(job);
         if size <= most {
@@ -720,9 +720,9 @@
 /// Adds a job's submission to a transaction.
 fn submit(txn: Transaction, job: &OpenJob) -> Transaction {
     let id = &job.spec.id;
-    txn.compare(records::job_key(id), 0)
-        .compare(records::open_key(id), 0)
-        .put(records::open_key(id), job)
+    txn.compare(records::job_state_key(id), 0)
+        .compare(records::open_job_key(id), 0)
+        .put(records::open_job_key(id), job)
 }
 
 fn options(request: &Request) -> Result<DeleteOptions, StatusError> {
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -100,10 +100,10 @@
         state: RecordedState::Cancelled,
         task_count: completions(object),
     };
-    txn.compare(records::job_key(job), 0)
-        .put(records::job_key(job), &mark)
+    txn.compare(records::job_state_key(job), 0)
+        .put(records::job_state_key(job), &mark)
         .put(
-            records::cancelled_key(job),
+            records::cancelled_job_key(job),
             &CancelledJob {
                 cancelled_at_us: wall,
             },
@@ -126,7 +126,7 @@
     fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
         let key = object.name.key();
         let mut txn = Transaction::default()
-            .compare(records::TERM, fence)
+            .compare(records::TERM_KEY, fence)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -78,7 +78,7 @@
                 ControllerOutput::Core(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
-                            records::SHARED => vec![types()],
+                            records::SHARED_PREFIX => vec![types()],
                             _ => Vec::new(),
                         };
                         let reply = StoreResponse::RangePage(RangePage {
@@ -136,7 +136,7 @@
         zones: vec!["a".into()],
     }];
     row(
-        records::TYPES.into(),
+        records::MACHINE_TYPES_KEY.into(),
         encode_value(&MachineTypesRecord { types }),
         1,
     )
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -15,7 +15,8 @@
         while at < scenario.busy {
             let mut first = at;
             for _ in 0..rng.usize(2..4) {
-                // Near a node's lease, a worker's, the blind limit, and a cancellation's.
+                // Near a node's lease, a worker's, the limit for answering heartbeats, and a
+                // cancellation's.
                 let near = [2, 10, 14, 26, 30, 44, 60];
                 let time = near[rng.usize(..near.len())] * SECOND + rng.u64(..3 * SECOND);
                 let node = match rng.u8(..4) {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -254,13 +254,13 @@
         worker_lease: LEASE,
         cancel_deadline: CANCEL,
         clock_error: SECOND / 4,
-        state_rps: setting.state_rps,
-        state_write_rps: setting.state_write_rps,
-        value_bytes: 16 * 1024,
-        value_bytes_before: 16 * 1024,
-        state_write_rps_before: setting.state_write_rps,
-        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
-        txn_ops: 48,
+        store_rps: setting.state_rps,
+        store_write_rps: setting.state_write_rps,
+        max_value_bytes: 16 * 1024,
+        current_max_value_bytes: 16 * 1024,
+        current_store_write_rps: setting.state_write_rps,
+        tasks_per_chunk: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
+        max_txn_ops: 48,
         cloud_rps: 4.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 188.0,
@@ -282,7 +282,7 @@
         let mut state = SimulatedStore::new(16 * 1024, 48).paged(PageLimit::FULL);
         let types = vec![machine_type()];
         state.put(
-            records::TYPES.into(),
+            records::MACHINE_TYPES_KEY.into(),
             &MachineTypesRecord {
                 types: types.clone(),
             },
@@ -380,7 +380,7 @@
             self.workers[i as usize].report_at = first;
             self.plan(i);
         }
-        self.open_jobs = self.state.keys(records::OPEN).len();
+        self.open_jobs = self.state.keys(records::OPEN_JOBS_PREFIX).len();
         self.at(self.now, Ev::Tick);
         self.at(self.now + SECOND, Ev::Note);
     }
@@ -423,11 +423,11 @@
         let job = OpenJob {
             spec: spec.clone(),
             submitted_at_us: WALL - self.rng.u64(..600 * SECOND),
-            chunk: config(&self.setting).chunk_tasks,
-            unmarked: true,
+            tasks_per_chunk: config(&self.setting).tasks_per_chunk,
+            without_state_record: true,
             parallelism_limit: None,
         };
-        self.state.put(records::open_key(&spec.id), &job);
+        self.state.put(records::open_job_key(&spec.id), &job);
     }
 
     /// Fills these machines with jobs' tasks, as stored placements.
@@ -490,7 +490,7 @@
         self.result.counts = self
             .node
             .as_ref()
-            .map_or(SchedulerCounters::default(), Node::counts);
+            .map_or(SchedulerCounters::default(), Node::scheduler_counters);
     }
 
     pub fn into_measured(self) -> FleetMeasurements {
@@ -553,7 +553,7 @@
         if matches!(input, Input::Commands { .. }) {
             self.orders_open -= 1;
         }
-        let placed = node.counts().placed;
+        let placed = node.scheduler_counters().placed;
         let begun = Instant::now();
         let outputs = node.handle(now, input);
         // A run does not last for centuries.
@@ -565,7 +565,7 @@
         if leads && self.elected.is_none() {
             self.elected = Some(self.now);
         }
-        let placed = node.counts().placed.saturating_sub(placed);
+        let placed = node.scheduler_counters().placed.saturating_sub(placed);
         let inputs = if self.measuring() {
             &mut self.result.inputs
         } else {
@@ -864,7 +864,7 @@
     fn refill(&mut self) {
         let missing = self
             .open_jobs
-            .saturating_sub(self.state.keys(records::OPEN).len() + self.submitting);
+            .saturating_sub(self.state.keys(records::OPEN_JOBS_PREFIX).len() + self.submitting);
         for _ in 0..missing {
             let spec = self.spec(JobKind::Batch);
             self.next += 1;
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -38,7 +38,7 @@
         };
         for change in &txn.then {
             if let Mutation::Put { key, value, .. } = change
-                && key.starts_with(dillcleat_controller::records::OPEN)
+                && key.starts_with(dillcleat_controller::records::OPEN_JOBS_PREFIX)
                 && let Some(open) = dillcleat_wire::store::decode_value::<OpenJob>(value)
             {
                 let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -252,7 +252,7 @@
                 continue;
             };
             let job = record.state.job.clone().unwrap_or_default();
-            let mark = dillcleat_controller::records::job_key(&job);
+            let mark = dillcleat_controller::records::job_state_key(&job);
             let ended = !self.state.keys(&mark).is_empty();
             if ended && record.state.end.is_none() {
                 let what = format!("{key}: the end of {job} is not told");
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -471,13 +471,13 @@
         team.cpus_max = 160.0 * f64::from(scale);
     }
     Config {
-        state_rps: 500.0,
-        state_write_rps: 200.0,
-        state_write_rps_before: 200.0,
-        value_bytes,
-        value_bytes_before: value_bytes,
-        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(value_bytes),
-        txn_ops: 48,
+        store_rps: 500.0,
+        store_write_rps: 200.0,
+        current_store_write_rps: 200.0,
+        max_value_bytes: value_bytes,
+        current_max_value_bytes: value_bytes,
+        tasks_per_chunk: dillcleat_controller::config::tasks_per_chunk(value_bytes),
+        max_txn_ops: 48,
         cloud_rps: 4.0,
         memory_mb: 188.0,
         max_commands_in_flight: 686,
@@ -509,14 +509,14 @@
         worker_lease: 14 * SECOND,
         cancel_deadline: 44 * SECOND,
         clock_error: SECOND / 4,
-        state_rps: 200.0,
-        state_write_rps: 80.0,
-        value_bytes: 2048,
-        value_bytes_before: 2048,
-        state_write_rps_before: 80.0,
+        store_rps: 200.0,
+        store_write_rps: 80.0,
+        max_value_bytes: 2048,
+        current_max_value_bytes: 2048,
+        current_store_write_rps: 80.0,
         // Few, so that most arrays have several.
-        chunk_tasks: 25,
-        txn_ops: 12,
+        tasks_per_chunk: 25,
+        max_txn_ops: 12,
         cloud_rps: 2.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 72.0,
@@ -565,7 +565,7 @@
                 })
                 .collect(),
             state: match scenario.upgrade {
-                None => SimulatedStore::new(config.value_bytes, config.txn_ops),
+                None => SimulatedStore::new(config.max_value_bytes, config.max_txn_ops),
                 Some(_) => SimulatedStore::new(WIDE.0, WIDE.1),
             },
             cloud: Cloud::new(
@@ -952,13 +952,13 @@
                 host.cancelled.clear();
                 let mut config = settings(&self.scenario, node);
                 if self.scenario.upgrade.is_some() {
-                    config.value_bytes_before = WIDE.0;
-                    (config.value_bytes, config.txn_ops) = LOW;
-                    config.chunk_tasks = dillcleat_controller::config::tasks_per_chunk(LOW.0);
+                    config.current_max_value_bytes = WIDE.0;
+                    (config.max_value_bytes, config.max_txn_ops) = LOW;
+                    config.tasks_per_chunk = dillcleat_controller::config::tasks_per_chunk(LOW.0);
                 }
                 if host.old {
-                    (config.value_bytes, config.txn_ops) = WIDE;
-                    config.chunk_tasks = OLD_CHUNK;
+                    (config.max_value_bytes, config.max_txn_ops) = WIDE;
+                    config.tasks_per_chunk = OLD_CHUNK;
                 }
                 if matches!(
                     self.scenario.form,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -7,7 +7,7 @@
 
 /// Whether a call hands in a job: as with the users' protocol.
 fn submits(call: &StoreRequest) -> bool {
-    let open = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
+    let open = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN_JOBS_PREFIX));
     matches!(call, StoreRequest::Transaction(txn) if txn.then.iter().any(open))
 }
 
@@ -73,7 +73,7 @@
     pub(super) fn leads(&self, node: usize) -> ObservedLeader {
         match self
             .state
-            .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
+            .read::<LeaderRecord>(dillcleat_controller::records::LEADER_KEY)
         {
             Some((lead, _)) if lead.member == format!("node-{node}") => ObservedLeader::Itself,
             Some(_) => ObservedLeader::Another,
--- a/crates/simulator/src/simulation/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -9,7 +9,10 @@
 
 /// The jobs that an answer of the state service shows to be cancelled.
 pub(super) fn cancelled(reply: &StoreResponse) -> Vec<String> {
-    let of = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
+    let of = |key: &str| {
+        key.strip_prefix(records::CANCELLED_JOBS_PREFIX)
+            .map(str::to_string)
+    };
     match reply {
         StoreResponse::Found(row) => of(&row.key).into_iter().collect(),
         StoreResponse::RangePage(page) => page.rows.iter().filter_map(|r| of(&r.key)).collect(),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -369,7 +369,7 @@
 
     /// The latest term of the controllers.
     pub fn term(&self) -> u64 {
-        let row = self.keys.get(records::TERM);
+        let row = self.keys.get(records::TERM_KEY);
         row.and_then(|e| dillcleat_wire::store::decode_value::<records::TermRecord>(&e.value))
             .map_or(0, |t| t.term)
     }
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -14,13 +14,19 @@
         peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(one.value_bytes, one.txn_ops);
+    let mut state = SimulatedStore::new(one.max_value_bytes, one.max_txn_ops);
     let ended = |s| JobStateRecord {
         state: s,
         task_count: 1,
     };
-    state.put(records::job_key("req-71"), &ended(RecordedState::Done));
-    state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
+    state.put(
+        records::job_state_key("req-71"),
+        &ended(RecordedState::Done),
+    );
+    state.put(
+        records::job_state_key("req-72"),
+        &ended(RecordedState::Cancelled),
+    );
     let mut alone = SingleNode::new(one, rules_for(10, 1), state);
     alone.until(10 * SECOND);
     alone
@@ -53,7 +59,7 @@
     }
     let stored = alone
         .state
-        .read::<records::OpenJob>(&records::open_key(&spec.id));
+        .read::<records::OpenJob>(&records::open_job_key(&spec.id));
     (
         reply.status,
         why,
@@ -75,7 +81,9 @@
         submit(&mut a, &batch("req-10", &["req-1", "req-72"])).0,
         201
     );
-    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-10"));
+    let mark = a
+        .state
+        .read::<JobStateRecord>(&records::job_state_key("req-10"));
     assert_eq!(
         mark.map(|(mark, _)| mark.state),
         Some(RecordedState::Cancelled)
@@ -110,11 +118,11 @@
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Service, &[]),
         submitted_at_us: 1,
-        chunk: 8,
-        unmarked: true,
+        tasks_per_chunk: 8,
+        without_state_record: true,
         parallelism_limit: None,
     };
-    a.state.put(records::open_key("req-8"), &open);
+    a.state.put(records::open_job_key("req-8"), &open);
     let (status, why, _) = submit(&mut a, &spec("req-9", JobKind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
@@ -148,14 +156,14 @@
     );
     a.until(a.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
-        let mark = a.state.read::<JobStateRecord>(&records::job_key(id));
+        let mark = a.state.read::<JobStateRecord>(&records::job_state_key(id));
         assert_eq!(
             mark.map(|(mark, _)| mark.state),
             Some(RecordedState::Cancelled),
             "{id}"
         );
     }
-    assert_eq!(a.state.keys(records::QUEUE), [""; 0]);
+    assert_eq!(a.state.keys(records::QUEUE_PREFIX), [""; 0]);
 }
 
 /// A dependency that is neither open nor marked, as a leader sees one whose description
@@ -167,29 +175,31 @@
         peers_in_other_zones: Vec::new(),
         ..config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(one.value_bytes, one.txn_ops);
+    let mut state = SimulatedStore::new(one.max_value_bytes, one.max_txn_ops);
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Batch, &["req-77"]),
         submitted_at_us: 1,
-        chunk: 8,
-        unmarked: true,
+        tasks_per_chunk: 8,
+        without_state_record: true,
         parallelism_limit: None,
     };
-    state.put(records::open_key("req-8"), &open);
+    state.put(records::open_job_key("req-8"), &open);
     let mut a = SingleNode::new(one, rules_for(10, 1), state);
     a.until(10 * SECOND);
     assert!(
         a.state
-            .read::<JobStateRecord>(&records::job_key("req-8"))
+            .read::<JobStateRecord>(&records::job_state_key("req-8"))
             .is_none()
     );
     let mark = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    a.state.put(records::job_key("req-77"), &mark);
+    a.state.put(records::job_state_key("req-77"), &mark);
     a.until(15 * SECOND);
-    let mark = a.state.read::<JobStateRecord>(&records::job_key("req-8"));
+    let mark = a
+        .state
+        .read::<JobStateRecord>(&records::job_state_key("req-8"));
     assert_eq!(
         mark.map(|(mark, _)| mark.state),
         Some(RecordedState::Cancelled)
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -11,7 +11,7 @@
 const JOBS: &str = "/apis/batch/v1/namespaces/free/jobs";
 
 fn alone(config: Config, objects: usize, watches: usize) -> SingleNode {
-    let state = SimulatedStore::new(config.value_bytes, config.txn_ops);
+    let state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let mut alone = SingleNode::new(config, rules_for(objects, watches), state);
     alone.until(10 * SECOND);
     alone
@@ -255,8 +255,8 @@
 #[test]
 fn what_is_turned_away_first() {
     let limits = Config {
-        state_rps: 40.0,
-        state_write_rps: 10.0,
+        store_rps: 40.0,
+        store_write_rps: 10.0,
         ..one()
     };
     let mut door = alone(limits, 1_000, 1);
