--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -170,9 +170,9 @@
     }
 }
 
-/// The minimum of [`Config::heartbeat_answer_limit`]. The latest read may be as old as the hold time of
-/// a watch plus the latency of its response, so with a lower limit a leader could not always
-/// answer heartbeats even while the store is available.
+/// The minimum of [`Config::heartbeat_answer_limit`]. The latest read may be as old as the
+/// hold time of a watch plus the latency of its response, so with a lower limit a leader
+/// could not always answer heartbeats even while the store is available.
 const MIN_HEARTBEAT_ANSWER_LIMIT: Micros = 4 * SECOND;
 
 /// The JSON size of a placed task in a task record, for machine names of up to 24 bytes. A
--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -14,7 +14,7 @@
 /// The number of jobs that must have failed on a machine, while running on other machines,
 /// for the machine to be cordoned.
 const CORDON_JOBS: usize = 2;
-/// The backoff after the first failed retry of a suspect job. It doubles with each retry.
+/// The backoff after the first failure of a suspect job. It doubles with each further one.
 const INITIAL_BACKOFF: Micros = SECOND;
 /// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -27,7 +27,7 @@
     /// The machines on which the job failed before a task of it was known to have run.
     failed_on: BTreeSet<Rc<str>>,
     /// The number of failures since the job became a suspect.
-    failed_tries: u32,
+    suspect_failures: u32,
     retry_at: Micros,
 }
 
@@ -67,8 +67,8 @@
         if !self.is_suspect() || now < self.retry_at {
             return None;
         }
-        let backoff = INITIAL_BACKOFF << self.failed_tries.min(MAX_BACKOFF_DOUBLINGS);
-        self.failed_tries += 1;
+        let backoff = INITIAL_BACKOFF << self.suspect_failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.suspect_failures += 1;
         self.retry_at = now + backoff;
         Some(backoff)
     }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -292,7 +292,7 @@
             match self.partitions.last_heard_before_term(&machine.zone) {
                 // It had sent a heartbeat to the leader before, or it had no record.
                 Some(heard) if machine.recorded => {
-                    machine.assume_silent_since(now.min(heard));
+                    machine.assume_unresponsive_since(now.min(heard));
                     // Those that answer have their turn first.
                     self.command_dispatch
                         .enqueue_background_at(now + SECOND, machine.name.clone());
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -206,7 +206,7 @@
     /// Resets all times at the start of a term, and requests a command batch, which carries
     /// the new fencing token to the machine.
     pub fn begin_term(&mut self, now: Micros) {
-        self.reachability.assume_silent_since(now);
+        self.reachability.assume_unresponsive_since(now);
         self.known_since = now;
         self.empty_since = now;
         self.command_state.request();
@@ -214,9 +214,9 @@
 
     /// Records, as reported by the previous leader, that the machine was up and that its
     /// last heartbeat arrived at `at`.
-    pub fn assume_silent_since(&mut self, at: Micros) {
+    pub fn assume_unresponsive_since(&mut self, at: Micros) {
         self.up = true;
-        self.reachability.assume_silent_since(at);
+        self.reachability.assume_unresponsive_since(at);
     }
 
     /// Records that the machine had begun to boot by the time `at`.
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -82,7 +82,7 @@
     }
 
     /// Treats the machine as unresponsive since `at`.
-    pub(super) fn assume_silent_since(&mut self, at: Micros) {
+    pub(super) fn assume_unresponsive_since(&mut self, at: Micros) {
         self.last_contact_at = at;
         self.last_heartbeat_at = at;
     }
@@ -103,7 +103,7 @@
         self.commands_unanswered_since = None;
     }
 
-    /// Records that the machine did not reply to commands, or not intelligibly.
+    /// Records that the machine did not reply to commands, or that the reply was malformed.
     pub fn record_command_failure(&mut self, now: Micros) {
         self.commands_unanswered_since.get_or_insert(now);
     }
--- a/crates/controller/src/node/reachability.rs
+++ b/crates/controller/src/node/reachability.rs
@@ -79,8 +79,8 @@
     fn are_heartbeats_overdue(&mut self, expected_since: Micros, term: u64, now: Micros) -> bool {
         let last_heartbeat_at = self.reachability.worker_heartbeat_at;
         let received_in_term = last_heartbeat_at >= expected_since;
-        // A peer has been redirecting workers to this node for long enough, and none of
-        // them has arrived.
+        // Peers have been redirecting workers to this node for long enough that a heartbeat
+        // should have arrived, and none has.
         let redirects_failed = self.peers.redirected_long_enough(term, now) && !received_in_term;
         let mut timeout = self.config.heartbeat_interval * 5 / 4 + 3 * SECOND / 2;
         if !received_in_term {
@@ -96,9 +96,9 @@
         let mut peers = self.peers.reachable(now).peekable();
         let no_peer_reachable = peers.peek().is_none();
         // The only peer that receives heartbeats may not be able to reach this node, so the
-        // leader steps down well before the workers' leases expire. A leader that received
-        // no heartbeat in its term does not: if all machines are dead, leaders would
-        // otherwise keep stepping down, and none would lead long enough to replace them.
+        // leader yields well before the workers' leases expire. This does not apply to a
+        // leader that received no heartbeat in its term: if all machines are dead, leaders
+        // would keep stepping down, and none would lead long enough to replace the machines.
         let received_in_term = last_heartbeat_at >= expected_since;
         let leases_near_expiry =
             received_in_term && now >= last_heartbeat_at + self.config.worker_lease * 3 / 5;
--- a/crates/controller/tests/versions.rs
+++ b/crates/controller/tests/versions.rs
@@ -108,7 +108,7 @@
     at: u64,
     chunk: u32,
     #[serde(default)]
-    without_state_record: bool,
+    unmarked: bool,
     #[serde(default)]
     at_most: Option<u32>,
 }
@@ -129,7 +129,7 @@
     let old: OldJob = decode_value(&record).expect("unknown fields are passed over");
     assert_eq!((old.spec.id.as_str(), old.spec.tasks), ("req-1", 200));
     assert_eq!((old.spec.deadline_s, old.at_most), (Some(60.0), None));
-    assert_eq!((old.chunk, old.without_state_record), (204, true));
+    assert_eq!((old.chunk, old.unmarked), (204, true));
     assert!(old.at > 0);
 }
 
