--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -136,18 +136,21 @@
             .find(|objective| objective.class == class)
     }
 
-    /// How long a leader may continue to answer heartbeats, each answer renewing a worker's
-    /// lease: after it sent its last successful read of the cancellations, and after a
-    /// cancellation to the machines that run tasks of the cancelled job. The tasks of a
-    /// cancelled job must end within `cancel_deadline`, and a worker that gets no answers
-    /// ends them after `worker_lease`, so answers must stop early enough.
+    /// The limit for answering heartbeats when a cancellation may not have taken effect. Each
+    /// answer renews a worker's lease. A worker that gets no answers ends its tasks after
+    /// `worker_lease`, so answers must stop early enough for the tasks of a cancelled job to
+    /// end within `cancel_deadline`.
+    ///
+    /// The limit applies to all machines, counted from the sending of the leader's last
+    /// successful read of the cancellations, and to a machine that runs tasks of a cancelled
+    /// job, counted from the cancellation.
     pub fn heartbeat_answer_limit(&self) -> Micros {
         self.time_before_lease_must_expire()
             .max(MIN_HEARTBEAT_ANSWER_LIMIT)
     }
 
-    /// The part of `cancel_deadline` that remains besides the lease and a margin for clock
-    /// drift and requests in flight.
+    /// The part of `cancel_deadline` that remains after subtracting the lease and a margin for
+    /// clock drift and requests in flight.
     fn time_before_lease_must_expire(&self) -> Micros {
         let margin = (self.cancel_deadline / 10).max(SECOND);
         self.cancel_deadline
