--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -103,9 +103,11 @@
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
                 LeaderEvent::TermEnded => {
-                    let deposed =
-                        self.election
-                            .step_down(&mut ctx, "fenced write rejected by the store", 0);
+                    let deposed = self.election.step_down(
+                        &mut ctx,
+                        "leader state does not match the store",
+                        0,
+                    );
                     change = deposed.or(change);
                 }
                 LeaderEvent::HigherTerm(term) => {
