--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -122,7 +122,7 @@
     /// How long a leader that stepped down for lack of worker heartbeats does not stand
     /// for election again. This is long enough for a peer to be elected; if none is, a
     /// leader without heartbeats is better than none.
-    pub const ABSTAIN: Micros = 3 * SECOND;
+    pub const ABSTENTION_TIME: Micros = 3 * SECOND;
 
     /// Creates the state of a node that has just started. It reads the shared keys at its
     /// first tick.
--- a/crates/controller/src/node/reachability.rs
+++ b/crates/controller/src/node/reachability.rs
@@ -71,8 +71,11 @@
             return None;
         }
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
-        self.election
-            .step_down(&mut ctx, "no worker heartbeats received", Election::ABSTAIN)
+        self.election.step_down(
+            &mut ctx,
+            "no worker heartbeats received",
+            Election::ABSTENTION_TIME,
+        )
     }
 
     /// Whether worker heartbeats, expected since `expected_since`, are overdue.
