--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -19,7 +19,7 @@
 const SCALE_OUT_DELAY: Micros = 2 * SECOND;
 /// How long the name of a machine that is gone is remembered, beyond the time by which the
 /// cloud's list may be late.
-const REMOVED_MACHINE_MEMORY: Micros = 120 * SECOND;
+const REMOVED_MACHINE_RETENTION: Micros = 120 * SECOND;
 
 /// What was asked of the cloud, and what is known of its answers.
 #[derive(Debug)]
@@ -63,8 +63,8 @@
 
     /// Sets how many jobs the next plan looks at. Jobs that come after many for which
     /// nothing is scaled out have a turn as well.
-    fn update_plan_depth(&mut self, jobs_seen: usize, wants_machines: bool) {
-        self.plan_depth = if !wants_machines && jobs_seen == self.plan_depth {
+    fn update_plan_depth(&mut self, jobs_seen: usize, scales_out: bool) {
+        self.plan_depth = if !scales_out && jobs_seen == self.plan_depth {
             self.plan_depth * 2
         } else {
             INITIAL_PLAN_DEPTH
@@ -89,7 +89,7 @@
         if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.scale_in(ctx);
         }
-        let memory = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_MEMORY;
+        let memory = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_RETENTION;
         self.autoscaler
             .forget_removed_before(now.saturating_sub(memory));
         let Some(types) = self.machine_types.shared() else {
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -4,7 +4,9 @@
 use crate::leader::Leader;
 use crate::leader::boot_estimator::{BootEstimator, boot_time};
 use crate::leader::scheduling::CPU_ROUNDING_ERROR;
-use crate::leader::zone_partition::{PARTITION_LEASES, SpareCapacity, heartbeat_missed_after};
+use crate::leader::zone_partition::{
+    PARTITION_GRACE_LEASES, SpareCapacity, heartbeat_missed_after,
+};
 use crate::leadership_guard::{CloudAction, DeletionReason};
 use crate::machines::{Machine, MachineEnd};
 use crate::sched::SlabIndex;
@@ -16,7 +18,7 @@
 
 /// A machine is paid for by the minute, so it may as well be kept for one; the rest is for
 /// the deletion.
-const PAID_TIME: Micros = 55 * SECOND;
+const MIN_MACHINE_LIFETIME: Micros = 55 * SECOND;
 
 /// What one check for silent machines goes by.
 struct SilenceCheck<'a> {
@@ -48,7 +50,7 @@
 
 impl SilenceCheck<'_> {
     /// The silence after which a machine that was up is deleted.
-    fn ordinary_limit(&self) -> Micros {
+    fn base_max_silence(&self) -> Micros {
         (self.config.worker_lease * 4 / 10).max(2 * self.config.heartbeat_interval + SECOND)
     }
 
@@ -58,7 +60,7 @@
     /// leases expire; after that what was on them is gone in any case. Replicas behind a
     /// partition serve until their lease ends. To delete them sooner once cost a third of
     /// all replicas the time that others took to boot (rough, brunnmatt-books-grown).
-    fn limit(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
+    fn max_silence(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
             if machine.expected {
@@ -66,14 +68,14 @@
             } else {
                 // Known by a record or a listing only: it should send a heartbeat right
                 // away.
-                self.ordinary_limit() + boot
+                self.base_max_silence() + boot
             }
         } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
             self.config.worker_lease
         } else if self.many_silent {
             self.config.worker_lease + self.config.heartbeat_interval
         } else {
-            self.ordinary_limit()
+            self.base_max_silence()
         }
     }
 
@@ -97,30 +99,30 @@
     /// To delete 512 machines whose work could not run elsewhere cost a third of all portals
     /// the rest of a partition and a minute besides (zone, rosterwise-nz-fleet). What the
     /// work of this machine could have elsewhere is taken from `spare`.
-    fn is_given_up(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
-        let is_kept_for_its_work = self.partitioned.contains(&machine.name)
+    fn should_delete(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
+        let is_kept_for_its_tasks = self.partitioned.contains(&machine.name)
             && self.may_heal(silence)
             && !spare.take_for(machine);
-        let is_doubted = self.isolated && self.may_heal(silence);
-        self.had_its_chance(machine) && !is_kept_for_its_work && !is_doubted
+        let may_be_reachable = self.isolated && self.may_heal(silence);
+        self.had_time_to_report(machine) && !is_kept_for_its_tasks && !may_be_reachable
     }
 
     /// Whether the silence is so short that a partition may still heal.
     fn may_heal(&self, silence: Micros) -> bool {
-        silence < self.config.worker_lease * PARTITION_LEASES
+        silence < self.config.worker_lease * PARTITION_GRACE_LEASES
     }
 
     /// Whether the machine had time to send this leader a heartbeat. One that only the
     /// leader before found silent gets that first.
-    fn had_its_chance(&self, machine: &Machine) -> bool {
+    fn had_time_to_report(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
         !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
 
     /// Whether the cloud has taken the machine back by its own notice.
-    fn is_taken_back(&self, machine: &Machine, silence: Micros) -> bool {
-        let gone_at = machine.interrupted_at().map(|at| at + SECOND);
-        gone_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
+    fn is_reclaimed(&self, machine: &Machine, silence: Micros) -> bool {
+        let reclaim_at = machine.interrupted_at().map(|at| at + SECOND);
+        reclaim_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
     }
 }
 
@@ -137,9 +139,9 @@
     /// before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let patience = ctx.config.cancel_deadline * 3 / 10;
+        let removal_timeout = ctx.config.cancel_deadline * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
-        if now < self.recovery.ready_since() + patience / 4 || !permitted {
+        if now < self.recovery.ready_since() + removal_timeout / 4 || !permitted {
             return;
         }
         let mut overdue: BTreeSet<Rc<str>> = BTreeSet::new();
@@ -147,7 +149,7 @@
             let Some((id, job)) = self.jobs.at(index) else {
                 continue;
             };
-            if job.cancelled.is_none_or(|at| now < at + patience) {
+            if job.cancelled_at.is_none_or(|at| now < at + removal_timeout) {
                 continue;
             }
             for (task, machine) in job.on_machines() {
@@ -234,9 +236,10 @@
             if check.needs_probe(machine, silence) {
                 found.to_probe.push(index);
             }
-            let limit = check.limit(machine, &self.autoscaler.boot_estimator);
-            let is_silent = silence >= limit && check.is_given_up(machine, silence, &mut spare);
-            if is_silent || check.is_taken_back(machine, silence) {
+            let max_silence = check.max_silence(machine, &self.autoscaler.boot_estimator);
+            let is_silent =
+                silence >= max_silence && check.should_delete(machine, silence, &mut spare);
+            if is_silent || check.is_reclaimed(machine, silence) {
                 let name = machine.name.clone();
                 found.to_delete.push(SilentMachine { name, silence });
             }
@@ -255,7 +258,7 @@
     pub(super) fn scale_in(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let max_idle = micros(ctx.config.tuning.idle_s);
-        let headroom_cpus = self.headroom_ahead_cpus(ctx.config);
+        let headroom_cpus = self.proactive_headroom_cpus(ctx.config);
         let mut free_cpus: BTreeMap<Rc<str>, f64> = BTreeMap::new();
         let mut to_delete = Vec::new();
         for name in self.empty_machines_in_deletion_order() {
@@ -271,7 +274,7 @@
             }
             let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
             let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
-                && now >= machine.known_since() + PAID_TIME;
+                && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
             // What the headroom needs is kept: it would be asked for again at once.
             if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
                 let total = self.type_resources(&machine.machine_type);
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -32,17 +32,17 @@
     ) {
         let now = ctx.now.monotonic;
         let lost = self.lost_replicas(partitioned);
-        let ahead_cpus = self.headroom_ahead_cpus(ctx.config);
-        if self.derived.job_queue.is_empty() && lost.is_empty() && ahead_cpus <= 0.0 {
+        let proactive_cpus = self.proactive_headroom_cpus(ctx.config);
+        if self.derived.job_queue.is_empty() && lost.is_empty() && proactive_cpus <= 0.0 {
             return;
         }
         let mut teams = self.allowances_without(ctx, &lost);
-        let BootingCapacity { coming, late } = self.booting_capacity(types, now);
-        let machines_by_zone = self.machines_by_zone(&coming);
+        let BootingCapacity { usable, late } = self.booting_capacity(types, now);
+        let machines_by_zone = self.machines_by_zone(&usable);
         let machines_seen: u32 = machines_by_zone.values().sum();
         let mut capacity = CapacityIndex::without_images();
         let soon_free = self.machines_soon_free(ctx, partitioned);
-        for view in coming.into_iter().chain(soon_free) {
+        for view in usable.into_iter().chain(soon_free) {
             capacity.add(view);
         }
         let headroom_cpus = self.service_headroom_cpus(ctx.config);
@@ -57,7 +57,7 @@
             machines_by_zone,
             lent_headroom_cpus: self.derived.sums().lent_cpus(),
             service_headroom_cpus: headroom_cpus,
-            proactive_headroom_cpus: ahead_cpus,
+            proactive_headroom_cpus: proactive_cpus,
             now_us: now,
         };
         let mut jobs_seen = 0;
@@ -215,7 +215,7 @@
     /// number for each job instead of a look-up for each of its tasks.
     fn run_times_by_job(&self, ctx: &Context) -> Vec<f64> {
         let run_time_s = |job: Option<&Job>| {
-            let job = job.filter(|job| job.placed() > 0);
+            let job = job.filter(|job| job.placed_count() > 0);
             job.map_or(0.0, |job| self.mean_run_time_s(ctx.config, job))
         };
         self.jobs.values_by_index().map(run_time_s).collect()
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -50,7 +50,7 @@
 
 impl Boot {
     /// Whether it began no sooner than that of the machine, give or take a second.
-    fn began_with_or_after(&self, machine: &Machine) -> bool {
+    fn started_no_earlier_than(&self, machine: &Machine) -> bool {
         self.started_at + SECOND >= machine.known_since()
     }
 }
@@ -68,7 +68,7 @@
 
 /// Machines that are not up but may be counted on.
 pub(super) struct BootingCapacity {
-    pub coming: Vec<MachineView>,
+    pub usable: Vec<MachineView>,
     /// The types and zones of which those started last are late.
     pub late: BTreeSet<ZonalType>,
 }
@@ -100,7 +100,7 @@
     /// zone if there is one, anywhere else if not.
     fn later_boot(&self, machine: &Machine) -> Option<Boot> {
         let in_its_zone = self.latest_boots.get(&ZonalType::of(machine)).copied();
-        let is_later = |boot: &Boot| boot.began_with_or_after(machine);
+        let is_later = |boot: &Boot| boot.started_no_earlier_than(machine);
         in_its_zone.filter(is_later).or_else(|| {
             self.latest_boots
                 .iter()
@@ -137,7 +137,7 @@
     /// Whether no machine of its type and zone is up that was started as late as this one.
     fn is_newest(&self, machine: &Machine) -> bool {
         let latest = self.latest_boots.get(&ZonalType::of(machine));
-        latest.is_none_or(|boot| !boot.began_with_or_after(machine))
+        latest.is_none_or(|boot| !boot.started_no_earlier_than(machine))
     }
 }
 
@@ -150,13 +150,13 @@
             estimator.progress(machine, usual, now)
         };
         let booting = self.booting_machines();
-        let mut coming = Vec::new();
+        let mut usable = Vec::new();
         let mut late = BTreeSet::new();
         let mut slow_by_type: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
         for machine in &booting {
             let progress = progress(machine);
             match progress {
-                BootProgress::OnTime => coming.extend(self.machine_view(machine)),
+                BootProgress::OnTime => usable.extend(self.machine_view(machine)),
                 BootProgress::AllSlow => slow_by_type
                     .entry(machine.machine_type.clone())
                     .or_default()
@@ -170,7 +170,7 @@
         for slow in slow_by_type.into_values() {
             let canaries = slow.len().div_ceil(CANARY_INTERVAL);
             let counted_on = slow.iter().skip(canaries);
-            coming.extend(counted_on.filter_map(|machine| self.machine_view(machine)));
+            usable.extend(counted_on.filter_map(|machine| self.machine_view(machine)));
         }
         // A zone in which others are up is not late for a few that are.
         late.retain(|key| {
@@ -179,7 +179,7 @@
                 progress(machine) != BootProgress::OnTime && estimator.is_newest(machine)
             })
         });
-        BootingCapacity { coming, late }
+        BootingCapacity { usable, late }
     }
 
     /// Machines that have yet to send a heartbeat in this term, and are known by more than
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -29,7 +29,7 @@
 
 impl DeadlineRisk {
     pub fn new(sums: &Sums) -> DeadlineRisk {
-        let array_cpus = sums.fleet_cpus() + sums.coming_cpus() - sums.replica_cpus();
+        let array_cpus = sums.fleet_cpus() + sums.booting_cpus() - sums.replica_cpus();
         let array_cpus = array_cpus.max(0.0);
         DeadlineRisk {
             array_cpus,
@@ -72,55 +72,64 @@
     /// Seconds from the submission of the job.
     pub deadline_s: f64,
     /// What users expect of the class.
-    pub aim: &'a DeadlineObjective,
+    pub objective: &'a DeadlineObjective,
 }
 
 /// A job's deadline and what users expect of its class, where money is spent on it.
 pub(super) fn strict_deadline<'a>(config: &'a Config, job: &Job) -> Option<StrictDeadline<'a>> {
     let deadline_s = job.spec.deadline_s?;
-    let aim = config.deadline_objective(&job.spec.class)?;
+    let objective = config.deadline_objective(&job.spec.class)?;
     // Where users put up with a few misses, the money is worth more to them: paying for
     // each cost rosterwise-nz a fifth more (0.803 to 0.765).
-    (aim.share >= config.tuning.late_share).then_some(StrictDeadline { deadline_s, aim })
+    (objective.share >= config.tuning.late_share).then_some(StrictDeadline {
+        deadline_s,
+        objective,
+    })
 }
 
 impl Leader {
     /// The time within which the job's tasks must start, in seconds; `None` if no money is
-    /// spent on it, be it that it has no deadline, that its class has no strict aim for it,
+    /// spent on it, be it that it has no deadline, that its class has no strict objective for it,
     /// or that a machine started now would come too late. A job that cannot meet its
     /// deadline any more is counted against the last time at which its end is of use.
     fn start_slack_s(&self, ctx: &Context, job: &Job, run_time_s: f64) -> Option<f64> {
         let tuning = &ctx.config.tuning;
-        let takes_s = run_time_s + tuning.fetch_s;
-        let ends_in_s = match job.due {
+        let duration_s = run_time_s + tuning.fetch_s;
+        let time_limits_s = match job.due {
             // What waits for it sets when it has to end.
             Some(at) => [seconds(at.saturating_sub(ctx.now.wall)); 2],
-            None => self.own_ends_in_s(ctx, job)?,
+            None => self.own_time_limits_s(ctx, job)?,
         };
         let boot_s = self.soonest_boot_s();
-        let left_s = ends_in_s
+        let left_s = time_limits_s
             .into_iter()
-            .find(|left_s| *left_s >= boot_s + takes_s)?;
-        Some(left_s - takes_s * tuning.late_factor)
+            .find(|left_s| *left_s >= boot_s + duration_s)?;
+        Some(left_s - duration_s * tuning.late_factor)
     }
 
     /// How long it is until the job's deadline, and until the last time at which its end is
     /// of use, in seconds; `None` if no money is spent on it.
-    fn own_ends_in_s(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
-        let StrictDeadline { deadline_s, aim } = strict_deadline(ctx.config, job)?;
-        let age_s = seconds(ctx.now.wall.saturating_sub(job.submitted));
-        Some([deadline_s - age_s, deadline_s * aim.max_multiple - age_s])
+    fn own_time_limits_s(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
+        let StrictDeadline {
+            deadline_s,
+            objective,
+        } = strict_deadline(ctx.config, job)?;
+        let age_s = seconds(ctx.now.wall.saturating_sub(job.submitted_at));
+        Some([
+            deadline_s - age_s,
+            deadline_s * objective.max_multiple - age_s,
+        ])
     }
 
     /// What a task of the job takes, in seconds. Before its class has run at all, its
     /// owner's estimate is worth more than the first guess.
     pub(super) fn expected_run_time_s(&self, config: &Config, job: &Job) -> f64 {
-        let owners_estimate_s = job.spec.estimate_s;
-        let is_known = !job.samples.is_empty() || self.estimates.knows_class(&job.spec.class);
-        if is_known || owners_estimate_s <= 0.0 {
+        let submitted_estimate_s = job.spec.estimate_s;
+        let is_known = !job.samples.is_empty() || self.estimates.has_class(&job.spec.class);
+        if is_known || submitted_estimate_s <= 0.0 {
             return self.mean_run_time_s(config, job);
         }
-        owners_estimate_s
+        submitted_estimate_s
     }
 
     /// What a task of the job has taken on average, in seconds; the estimate of its class
@@ -133,14 +142,14 @@
     }
 
     /// The last time of day at which the end of the job is still of use.
-    pub(super) fn of_use_until(config: &Config, job: &Job) -> Option<Micros> {
-        let aim = config.deadline_objective(&job.spec.class)?;
-        let of_use = micros(job.spec.deadline_s? * aim.max_multiple);
-        Some(job.submitted.saturating_add(of_use))
+    pub(super) fn latest_useful_end(config: &Config, job: &Job) -> Option<Micros> {
+        let objective = config.deadline_objective(&job.spec.class)?;
+        let of_use = micros(job.spec.deadline_s? * objective.max_multiple);
+        Some(job.submitted_at.saturating_add(of_use))
     }
 
     /// Whether the end of the job is of no more use.
-    pub(super) fn is_past_use(ctx: &Context, job: &Job) -> bool {
-        Self::of_use_until(ctx.config, job).is_some_and(|end| ctx.now.wall >= end)
+    pub(super) fn is_past_useful_end(ctx: &Context, job: &Job) -> bool {
+        Self::latest_useful_end(ctx.config, job).is_some_and(|end| ctx.now.wall >= end)
     }
 }
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 struct StateReads {
     /// The jobs to be read, each not before some time.
-    wanted: BTreeMap<Rc<str>, Micros>,
+    pending: BTreeMap<Rc<str>, Micros>,
     in_flight: usize,
     /// Reads that may be made now.
     budget: TokenBucket,
@@ -39,16 +39,16 @@
 impl StateReads {
     /// The next job to be read, which counts as in flight from now on.
     fn next(&mut self, now: Micros, per_s: f64) -> Option<Rc<str>> {
-        if self.wanted.is_empty() || self.in_flight >= MAX_CONCURRENT_STATE_READS {
+        if self.pending.is_empty() || self.in_flight >= MAX_CONCURRENT_STATE_READS {
             return None;
         }
         let capacity = per_s.max(MIN_STATE_READ_BURST);
         if self.budget.refill(now, per_s, capacity) < 1.0 {
             return None;
         }
-        let due = self.wanted.iter().find(|(_, at)| now >= **at);
+        let due = self.pending.iter().find(|(_, at)| now >= **at);
         let id = due.map(|(id, _)| id.clone())?;
-        self.wanted.remove(&id);
+        self.pending.remove(&id);
         self.budget.take(1.0);
         self.in_flight += 1;
         Some(id)
@@ -82,22 +82,22 @@
     }
 
     /// The state record of a job is to be read.
-    pub fn want_state(&mut self, job: Rc<str>) {
-        self.state_reads.wanted.insert(job, 0);
+    pub fn request_state_read(&mut self, job: Rc<str>) {
+        self.state_reads.pending.insert(job, 0);
     }
 
     /// The same, from some time on.
-    fn want_state_at(&mut self, job: Rc<str>, at: Micros) {
-        self.state_reads.wanted.insert(job, at);
+    fn request_state_read_at(&mut self, job: Rc<str>, at: Micros) {
+        self.state_reads.pending.insert(job, at);
     }
 
     /// That a job is open was seen: its state record need not be read.
-    fn seen_open(&mut self, job: &str) {
-        self.state_reads.wanted.remove(job);
+    fn drop_state_read(&mut self, job: &str) {
+        self.state_reads.pending.remove(job);
     }
 
     /// A read of a state record has ended, or was not needed.
-    fn state_read_ended(&mut self) {
+    fn state_read_finished(&mut self) {
         self.state_reads.in_flight -= 1;
     }
 
@@ -116,7 +116,7 @@
 impl Leader {
     /// A job was added: it may depend on others, and others on it.
     pub(super) fn track_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
-        self.dependencies.seen_open(id);
+        self.dependencies.drop_state_read(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -147,14 +147,17 @@
         let mut cancelled = false;
         let dependency = match open {
             Some(open) => {
-                cancelled = self.jobs.get(&open).is_some_and(|job| job.stopped);
+                cancelled = self
+                    .jobs
+                    .get(&open)
+                    .is_some_and(|job| job.cancellation_confirmed);
                 open
             }
             // Not being open proves nothing: the pages that a new leader reads are of
             // different revisions, and a watch reports a job after one that names it.
             None => {
                 let dependency: Rc<str> = Rc::from(dependency);
-                self.dependencies.want_state(dependency.clone());
+                self.dependencies.request_state_read(dependency.clone());
                 dependency
             }
         };
@@ -167,7 +170,10 @@
         let dependencies = self.dependencies.dependencies(id);
         self.dependencies.graph.remove_dependencies(id);
         for dependency in dependencies {
-            let open = self.jobs.get(&dependency).is_some_and(|job| !job.stopped);
+            let open = self
+                .jobs
+                .get(&dependency)
+                .is_some_and(|job| !job.cancellation_confirmed);
             if open && self.update_urgency(ctx, &dependency) {
                 self.propagate_urgency(ctx, &dependency);
             }
@@ -182,7 +188,7 @@
             };
             log::info!("job ready, all its dependencies are done job={ready}");
             job.blocked_on_dependencies = false;
-            job.ready_at = ctx.now.wall.max(job.submitted);
+            job.ready_at = ctx.now.wall.max(job.submitted_at);
             let is_service = job.spec.kind == JobKind::Service;
             self.scheduling
                 .record_ready_job(is_service, ctx.now.monotonic);
@@ -202,10 +208,10 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.cancelled.get_or_insert(ctx.now.monotonic);
-        job.stopped = true;
+        job.cancelled_at.get_or_insert(ctx.now.monotonic);
+        job.cancellation_confirmed = true;
         let record = job.state_record(RecordedState::Cancelled);
-        let placed = job.placed();
+        let placed = job.placed_count();
         self.events
             .push(LeaderEvent::JobEnded(id.to_string(), record));
         if placed > 0 {
@@ -234,7 +240,7 @@
                 let continuation = self.continuation(LeaderStep::Dependency { id });
                 ctx.store_request(StoreRequest::Get { key }, continuation);
             } else {
-                self.dependencies.state_read_ended();
+                self.dependencies.state_read_finished();
             }
         }
     }
@@ -246,7 +252,7 @@
         id: Rc<str>,
         reply: Result<StoreResponse, CallError>,
     ) {
-        self.dependencies.state_read_ended();
+        self.dependencies.state_read_finished();
         let state = match &reply {
             Ok(StoreResponse::Found(row)) => row
                 .decode_value::<JobStateRecord>()
@@ -283,9 +289,9 @@
         let now = ctx.now.monotonic;
         if self.is_unknown_job(&id) {
             let pause = pause.max(unknown_jobs::STATE_RECHECK_INTERVAL);
-            self.dependencies.want_state_at(id, now + pause);
+            self.dependencies.request_state_read_at(id, now + pause);
         } else if self.dependencies.has_dependents(&id) && !self.jobs.contains_key(&id) {
-            self.dependencies.want_state_at(id, now + pause);
+            self.dependencies.request_state_read_at(id, now + pause);
         }
     }
 }
@@ -297,7 +303,7 @@
     pub(super) fn dependencies_are_consistent(&self) -> bool {
         let is_recovering = !self.recovery.is_ready();
         self.edges_match_jobs()
-            && self.every_dependency_is_watched()
+            && self.every_dependency_end_is_awaited()
             && (is_recovering || self.priorities_are_inherited())
             && self.dependencies.graph.is_consistent()
     }
@@ -308,27 +314,32 @@
         self.jobs.iter().all(|(id, job)| {
             let is_blocked = self.dependencies.is_blocked(id);
             let is_named = |d: &Rc<str>| job.spec.depends_on.iter().any(|name| **name == **d);
-            (job.stopped || job.blocked_on_dependencies == is_blocked)
+            (job.cancellation_confirmed || job.blocked_on_dependencies == is_blocked)
                 && self.dependencies.graph.dependencies(id).all(is_named)
         })
     }
 
     /// Whether the end of every dependency will be seen, or its dependents are being
     /// cancelled.
-    fn every_dependency_is_watched(&self) -> bool {
+    fn every_dependency_end_is_awaited(&self) -> bool {
         let DependencyTracker { graph, state_reads } = &self.dependencies;
         graph.jobs_with_dependents().all(|id| {
             self.jobs.contains_key(id)
-                || state_reads.wanted.contains_key(id)
+                || state_reads.pending.contains_key(id)
                 || state_reads.in_flight > 0
-                || graph.dependents(id).all(|d| self.cancellation_pending(d))
+                || graph
+                    .dependents(id)
+                    .all(|d| self.has_pending_cancellation(d))
         })
     }
 
     /// Whether a job's cancellation is to be written, or its state record to be read.
-    fn cancellation_pending(&self, id: &Rc<str>) -> bool {
+    fn has_pending_cancellation(&self, id: &Rc<str>) -> bool {
         self.writer.has_cancellation(id)
-            || self.jobs.get(id).is_some_and(|job| job.cancelled.is_some())
+            || self
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.cancelled_at.is_some())
     }
 
     /// Whether every job has the highest priority of its own and of its dependents.
@@ -339,12 +350,12 @@
                 ids.filter_map(|dependent| self.jobs.get(dependent))
             };
             // That one is cancelled may be seen before it is worked out anew.
-            let open = dependents().filter(|dependent| dependent.cancelled.is_none());
+            let open = dependents().filter(|dependent| dependent.cancelled_at.is_none());
             let highest = open.map(|dependent| dependent.priority).max();
             let inherited = dependents().any(|dependent| dependent.priority == job.priority);
             let has_source = job.priority == job.spec.priority || inherited;
             let is_high_enough = highest.is_none_or(|highest| job.priority >= highest);
-            job.stopped || (has_source && is_high_enough)
+            job.cancellation_confirmed || (has_source && is_high_enough)
         })
     }
 }
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -50,7 +50,7 @@
         let rank = |first: bool, size: f64, remaining: f64| QueueRank {
             service: Reverse(first && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
-            tiny: Reverse(first && job.tiny(ctx.config)),
+            tiny: Reverse(first && job.is_tiny(ctx.config)),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
             ready_at_us: job.ready_at,
@@ -61,7 +61,8 @@
             request: job.resource_request.clone(),
             ageing,
             rank: rank(true, size, remaining),
-            training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
+            training: (job.training_tasks_left(ctx.config) > 0)
+                .then(|| rank(false, job.initial_size, 0.0)),
         })
     }
 
@@ -71,7 +72,7 @@
         if virtual_size > 0.0 || job.spec.kind == JobKind::Service {
             return 0.0;
         }
-        if Self::is_past_use(ctx, job) {
+        if Self::is_past_useful_end(ctx, job) {
             return f64::INFINITY;
         }
         let tasks_left = f64::from(job.spec.tasks) - f64::from(job.task_counts().done);
@@ -82,12 +83,12 @@
     fn next_job_change(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let now = ctx.now.monotonic;
         // From the time of day to the monotonic clock.
-        let past_use_at = Self::of_use_until(ctx.config, job)
+        let useful_until = Self::latest_useful_end(ctx.config, job)
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
             Some(job.blocked_until),
             job.failures.retry_at(),
-            past_use_at.filter(|_| job.waiting_count() > 0),
+            useful_until.filter(|_| job.waiting_count() > 0),
             job.starves_at(ctx.config),
         ]
         .into_iter()
@@ -100,14 +101,14 @@
 /// Whether the job has tasks that may be placed now.
 fn may_be_placed(ctx: &Context, job: &Job) -> bool {
     let now = ctx.now.monotonic;
-    job.cancelled.is_none()
+    job.cancelled_at.is_none()
         && !job.blocked_on_dependencies
         && job.team < ctx.config.teams.len()
-        && job.placeable() > 0
+        && job.placeable_count() > 0
         && now >= job.blocked_until
         && job
             .failures
-            .may_start(job.placed(), job.resource_request.starving(), now)
+            .may_start(job.placed_count(), job.resource_request.starving(), now)
 }
 
 /// Whether the place of a job in the queue follows from the estimate of its class.
@@ -124,7 +125,7 @@
     /// Starts or stops the job's ageing at this virtual time.
     fn update_ageing(&mut self, virtual_time: f64) {
         let ages = self.spec.kind == JobKind::Batch
-            && self.cancelled.is_none()
+            && self.cancelled_at.is_none()
             && !self.blocked_on_dependencies
             && !self.ending
             && !self.failures.is_suspect();
@@ -141,10 +142,11 @@
     /// Records since when the job waits, and whether it is starving. A pause after an
     /// error is a part of its wait.
     fn update_starvation(&mut self, ctx: &Context) {
-        let waits =
-            self.cancelled.is_none() && !self.blocked_on_dependencies && self.placeable() > 0;
+        let waits = self.cancelled_at.is_none()
+            && !self.blocked_on_dependencies
+            && self.placeable_count() > 0;
         let now = ctx.now.monotonic;
-        self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
+        self.waiting_since = waits.then(|| self.waiting_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
         if self.resource_request.starving() != starving {
@@ -154,7 +156,7 @@
 
     /// When it will be starving, if it gets no resources until then.
     fn starves_at(&self, config: &Config) -> Option<Micros> {
-        Some(self.waits_since? + micros(config.tuning.starve_s))
+        Some(self.waiting_since? + micros(config.tuning.starve_s))
     }
 
     /// The virtual time at which an ageing job's virtual size is zero.
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReplicaReserve {
     /// The index of the expected wait of its class in the settings.
-    wait: usize,
+    objective_index: usize,
     /// In millionths.
     cpus: i64,
 }
@@ -62,16 +62,16 @@
     /// estimate of its class.
     pub(super) fn of(job: &Job, config: &Config, estimated: bool) -> JobContribution {
         let service = job.spec.kind == JobKind::Service;
-        let placed = job.placed() as i64;
+        let placed = job.placed_count() as i64;
         let task_cpus = to_millionths(job.spec.cpus);
-        let is_serving = service && job.cancelled.is_none() && !job.blocked_on_dependencies;
+        let is_serving = service && job.cancelled_at.is_none() && !job.blocked_on_dependencies;
         JobContribution {
             team: job.team,
             usage: TeamUsage {
                 cpus: placed.saturating_mul(task_cpus),
                 gpus: placed.saturating_mul(to_millionths(job.spec.gpus)),
             },
-            training_cpus: if job.trained || job.tiny(config) {
+            training_cpus: if job.trained || job.is_tiny(config) {
                 0
             } else {
                 placed.min(i64::from(config.tuning.training_tasks)) * task_cpus
@@ -85,7 +85,7 @@
             },
             image: is_serving.then(|| job.image.clone()),
             reserve: ReplicaReserve::of(job, config),
-            cancelled: job.cancelled.is_some(),
+            cancelled: job.cancelled_at.is_some(),
             estimated,
             unreported: job.task_counts() != job.replicated_counts,
         }
@@ -98,12 +98,15 @@
             return None;
         }
         let mut waits = config.start_objectives.iter();
-        let wait = waits.position(|objective| objective.class == job.spec.class)?;
+        let objective_index = waits.position(|objective| objective.class == job.spec.class)?;
         // A zone takes up to half of a spread service.
         let share = job.spec.tasks.div_ceil(2);
         let replicas = config.tuning.reserve_replicas.max(share);
         let cpus = i64::from(replicas).saturating_mul(to_millionths(job.spec.cpus));
-        Some(ReplicaReserve { wait, cpus })
+        Some(ReplicaReserve {
+            objective_index,
+            cpus,
+        })
     }
 }
 
@@ -128,7 +131,7 @@
     /// CPUs, if it has sent a heartbeat in this term.
     ready_cpus: i64,
     /// CPUs, if it is certainly booting.
-    coming_cpus: i64,
+    booting_cpus: i64,
     /// CPUs of tasks that use what is reserved for services.
     lent_cpus: i64,
 }
@@ -160,7 +163,7 @@
             runs_arrays: machine.has_array_tasks(),
             recorded: machine.recorded && is_kept,
             ready_cpus: if machine.is_ready() { cpus } else { 0 },
-            coming_cpus: if booting && machine.expected { cpus } else { 0 },
+            booting_cpus: if booting && machine.expected { cpus } else { 0 },
             lent_cpus: borrowers
                 .map(|slot| to_millionths(slot.resources.cpus))
                 .sum(),
@@ -207,7 +210,7 @@
     /// How many services reserve how many CPUs, by the wait that users expect.
     reserves: Vec<BTreeMap<i64, usize>>,
     ready_cpus: i64,
-    coming_cpus: i64,
+    booting_cpus: i64,
     /// CPUs by zone that are reserved for services and used by others.
     lent_cpus: BTreeMap<Rc<str>, i64>,
     recorded_machines: usize,
@@ -226,7 +229,7 @@
             services_by_image: HashMap::new(),
             reserves: vec![BTreeMap::new(); config.start_objectives.len()],
             ready_cpus: 0,
-            coming_cpus: 0,
+            booting_cpus: 0,
             lent_cpus: BTreeMap::new(),
             recorded_machines: 0,
             machines_up_by_zone: BTreeMap::new(),
@@ -239,8 +242,8 @@
     }
 
     /// CPUs of the machines that are certainly booting.
-    pub fn coming_cpus(&self) -> f64 {
-        from_millionths(self.coming_cpus)
+    pub fn booting_cpus(&self) -> f64 {
+        from_millionths(self.booting_cpus)
     }
 
     /// CPUs by zone that are reserved for services and used by others.
@@ -267,8 +270,8 @@
 
     /// The most CPUs that are reserved for one service of the expected wait, which is
     /// given by its index in the settings.
-    pub fn largest_reserve_cpus(&self, wait: usize) -> f64 {
-        let reserves = self.reserves.get(wait);
+    pub fn largest_reserve_cpus(&self, objective_index: usize) -> f64 {
+        let reserves = self.reserves.get(objective_index);
         let largest = reserves.and_then(|reserves| reserves.last_key_value());
         largest.map_or(0.0, |(cpus, _)| from_millionths(*cpus))
     }
@@ -368,7 +371,7 @@
             }
         }
         if let Some(reserve) = job.reserve
-            && let Some(reserves) = self.reserves.get_mut(reserve.wait)
+            && let Some(reserves) = self.reserves.get_mut(reserve.objective_index)
         {
             step_count(reserves, reserve.cpus, direction);
         }
@@ -377,7 +380,7 @@
     fn count_machine(&mut self, machine: &MachineContribution, direction: Direction) {
         let sign = direction.sign();
         self.ready_cpus += sign * machine.ready_cpus;
-        self.coming_cpus += sign * machine.coming_cpus;
+        self.booting_cpus += sign * machine.booting_cpus;
         if machine.lent_cpus != 0 {
             let lent = self.lent_cpus.entry(machine.zone.clone()).or_default();
             *lent += sign * machine.lent_cpus;
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether a task of the class is known to have run.
-    pub fn knows_class(&self, class: &str) -> bool {
+    pub fn has_class(&self, class: &str) -> bool {
         self.class_run_times_s.contains_key(class)
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// The estimates of the job at this slab index have changed.
-    pub fn changed(&mut self, index: SlabIndex) {
+    pub fn mark_changed(&mut self, index: SlabIndex) {
         self.changed.insert(index);
     }
 
@@ -163,7 +163,7 @@
     /// The estimate of the job at a slab index; None for those that have none.
     fn job_estimate(&self, index: SlabIndex) -> Option<JobEstimate> {
         let (id, job) = self.jobs.at(index)?;
-        if job.spec.kind != JobKind::Batch || job.cancelled.is_some() || job.ending {
+        if job.spec.kind != JobKind::Batch || job.cancelled_at.is_some() || job.ending {
             return None;
         }
         let samples = job.samples.iter().take(MAX_SAMPLES);
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -63,7 +63,7 @@
         let slots = machine.slots.iter();
         let cancelled = slots.filter(|(_, slot)| slot.cancelled && slot.stored);
         let jobs = cancelled.filter_map(|((job, _), _)| self.jobs.get(job));
-        let since = jobs.filter_map(|job| job.cancelled);
+        let since = jobs.filter_map(|job| job.cancelled_at);
         let since = since
             .chain(self.unknown_jobs.oldest_cancellation_on(machine))
             .min();
@@ -91,13 +91,13 @@
             let latest = self.machines.get(name).filter(|machine| machine.is_up());
             // A copy of the latest heartbeat has been answered: nobody waits for this
             // answer, and what it launched would wait for the next heartbeat.
-            let is_copy = latest.is_some_and(|machine| machine.position() == position);
+            let is_duplicate = latest.is_some_and(|machine| machine.position() == position);
             self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::Periodic);
             if let Some(machine) = self.machines.get(name) {
                 if self.lease_must_expire(ctx, machine) {
                     return Answer::retry_later("a cancelled task is not seen gone");
                 }
-                if machine.is_ready() && machine.position() == position && !is_copy {
+                if machine.is_ready() && machine.position() == position && !is_duplicate {
                     reply.commands = self.permitted_commands(ctx, machine);
                 }
             }
@@ -136,7 +136,7 @@
             return;
         };
         let before = self.machine_summary(index);
-        self.record_sign_of_life(index, heartbeat, now);
+        self.record_contact(index, heartbeat, now);
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
         };
@@ -165,7 +165,7 @@
             self.apply_task_event(ctx, &heartbeat.machine, event);
         }
         if heartbeat.interruption_notice_s.is_some() {
-            self.evict_hopeless_tasks(ctx, &heartbeat.machine);
+            self.preempt_unfinishable_tasks(ctx, &heartbeat.machine);
         }
     }
 
@@ -184,13 +184,13 @@
 
     /// Records what any heartbeat shows, be it an old one: where the machine is, and that
     /// it is up.
-    fn record_sign_of_life(&mut self, index: SlabIndex, heartbeat: &Heartbeat, now: Micros) {
+    fn record_contact(&mut self, index: SlabIndex, heartbeat: &Heartbeat, now: Micros) {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
         };
         machine.update_description(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
         let (name, zone) = (&machine.name, &machine.zone);
-        if self.partitions.record_heard(zone) {
+        if self.partitions.record_reachable(zone) {
             log::info!("zone reachable again zone={zone}");
         }
         if !machine.is_up() {
@@ -287,7 +287,7 @@
         if matches!(state.state, TaskPlacement::Placed { .. }) && state.attempt == attempt {
             return false;
         }
-        if job.cancelled.is_some() {
+        if job.cancelled_at.is_some() {
             return true;
         }
         !job.ending
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -53,7 +53,7 @@
     /// The version of its state record as long as it is open; 0 if it has none.
     state_version: u64,
     /// Time of day of the submission, in microseconds.
-    pub submitted: Micros,
+    pub submitted_at: Micros,
     /// Time of day since which it waits for resources, in microseconds: its submission,
     /// or when the last job that it depends on was seen to be done.
     pub ready_at: Micros,
@@ -75,9 +75,9 @@
     running: BTreeSet<u32>,
     /// When it was cancelled, if it was. Set without `stopped`, its state record is known
     /// to have changed and has yet to be read.
-    pub cancelled: Option<Micros>,
+    pub cancelled_at: Option<Micros>,
     /// Its cancellation was read from the store.
-    pub stopped: bool,
+    pub cancellation_confirmed: bool,
     /// The record of its end is queued or being written.
     pub ending: bool,
     /// Run times of its training tasks, in seconds.
@@ -93,7 +93,7 @@
     pub ageing_since: Option<f64>,
     /// Since when it could have had resources for a task and got none, as far as this
     /// leader knows.
-    pub waits_since: Option<Micros>,
+    pub waiting_since: Option<Micros>,
     pub resource_request: Rc<ResourceRequest>,
     /// Whether its size is known from training tasks. Services need none.
     pub trained: bool,
@@ -107,14 +107,14 @@
 
 impl Job {
     /// A job as its description states it, with no task placed yet. `task_run_time_s` is
-    /// the expected run time of a task of its class, `part_tasks` the number of tasks in a
+    /// the expected run time of a task of its class, `tasks_per_part` the number of tasks in a
     /// part of a chunk that no longer fits one value.
     pub(super) fn new(
         open: OpenJob,
         state_version: u64,
         team: usize,
         task_run_time_s: f64,
-        part_tasks: u32,
+        tasks_per_part: u32,
     ) -> Job {
         let task_count = open.spec.tasks;
         let size = f64::from(task_count) * open.spec.cpus * task_run_time_s;
@@ -125,26 +125,26 @@
         Job {
             team,
             state_version,
-            submitted: open.submitted_at_us,
+            submitted_at: open.submitted_at_us,
             ready_at: open.submitted_at_us,
             blocked_on_dependencies: false,
             priority: open.spec.priority,
             due: None,
             parallelism_limit: open.parallelism_limit,
-            task_ranges: TaskRanges::new(task_count, open.chunk, part_tasks),
+            task_ranges: TaskRanges::new(task_count, open.chunk, tasks_per_part),
             tasks: vec![never_placed; task_count as usize],
             waiting: (0..task_count).collect(),
             done: 0,
             running: BTreeSet::new(),
-            cancelled: None,
-            stopped: false,
+            cancelled_at: None,
+            cancellation_confirmed: false,
             ending: false,
             samples: Vec::new(),
             initial_size: size,
             size,
             credit: 0.0,
             ageing_since: None,
-            waits_since: None,
+            waiting_since: None,
             resource_request: Rc::new(ResourceRequest::of(&open.spec)),
             trained: open.spec.kind == JobKind::Service,
             failures: FailureRecord::default(),
@@ -169,7 +169,7 @@
     }
 
     /// Whether it has so few tasks that it needs no training.
-    pub(super) fn tiny(&self, config: &Config) -> bool {
+    pub(super) fn is_tiny(&self, config: &Config) -> bool {
         self.spec.tasks <= config.tuning.training_tasks
     }
 
@@ -206,16 +206,18 @@
     }
 
     /// How many of its tasks are placed.
-    pub(super) fn placed(&self) -> usize {
+    pub(super) fn placed_count(&self) -> usize {
         self.tasks.len() - self.waiting.len() - self.done as usize
     }
 
     /// How many of its waiting tasks may be placed now.
-    pub(super) fn placeable(&self) -> usize {
+    pub(super) fn placeable_count(&self) -> usize {
         let limit = self
             .parallelism_limit
             .map_or(usize::MAX, |limit| limit as usize);
-        self.waiting.len().min(limit.saturating_sub(self.placed()))
+        self.waiting
+            .len()
+            .min(limit.saturating_sub(self.placed_count()))
     }
 
     /// Its tasks that are or may be on machines, and on which.
@@ -228,21 +230,21 @@
     }
 
     /// How many more tasks have to be started to train its size.
-    pub(super) fn training(&self, config: &Config) -> u32 {
-        if self.trained || self.tiny(config) {
+    pub(super) fn training_tasks_left(&self, config: &Config) -> u32 {
+        if self.trained || self.is_tiny(config) {
             return 0;
         }
         config
             .tuning
             .training_tasks
-            .saturating_sub(self.samples.len() as u32 + self.placed() as u32)
+            .saturating_sub(self.samples.len() as u32 + self.placed_count() as u32)
     }
 
     /// Whether the record of these tasks is to be written now. A chunk that was split is
     /// never written again.
     pub(super) fn may_write(&self, range: TaskRange) -> bool {
         let is_split = matches!(range, TaskRange::Chunk(chunk) if self.task_ranges.is_split(chunk));
-        !self.ending && self.cancelled.is_none() && !is_split
+        !self.ending && self.cancelled_at.is_none() && !is_split
     }
 
     /// How urgent it is, by itself and by the jobs that depend on it.
@@ -262,7 +264,7 @@
     /// The stored record of some of its tasks.
     pub(super) fn task_chunk(&self, range: TaskRange) -> TaskChunk {
         let mut chunk = TaskChunk::default();
-        for index in self.task_ranges.range(range) {
+        for index in self.task_ranges.indexes(range) {
             let task = &self.tasks[index as usize];
             let attempt = task.attempt;
             match &task.state {
@@ -294,7 +296,7 @@
 
     /// Placements of some of its tasks that are not stored: task index and attempt.
     pub(super) fn unstored_placements(&self, range: TaskRange) -> impl Iterator<Item = (u32, u64)> {
-        self.task_ranges.range(range).filter_map(|index| {
+        self.task_ranges.indexes(range).filter_map(|index| {
             let task = &self.tasks[index as usize];
             let unstored = matches!(task.state, TaskPlacement::Placed { stored: false, .. });
             unstored.then_some((index, task.attempt))
@@ -353,7 +355,7 @@
 
     /// A placement is in the store. Returns the machine, if it is the current one of its
     /// task.
-    pub(super) fn placement_stored(&mut self, index: u32, attempt: u64) -> Option<Rc<str>> {
+    pub(super) fn confirm_placement(&mut self, index: u32, attempt: u64) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
         match &mut task.state {
             TaskPlacement::Placed {
@@ -379,7 +381,7 @@
     }
 
     /// A machine has reported a task as running.
-    pub(super) fn task_running(&mut self, index: u32) {
+    pub(super) fn record_running(&mut self, index: u32) {
         self.running.insert(index);
     }
 
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -15,7 +15,7 @@
         // completion: then that is not written, and the job is to be cleared.
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = false;
-            job.stopped = true;
+            job.cancellation_confirmed = true;
         }
         self.untrack_dependencies(ctx, id);
         self.cancel_dependents(id);
@@ -52,10 +52,14 @@
             let Some(id) = self.jobs.name(id).cloned() else {
                 continue;
             };
-            let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.stopped) else {
+            let Some(job) = self
+                .jobs
+                .get_mut(&id)
+                .filter(|job| !job.cancellation_confirmed)
+            else {
                 continue;
             };
-            job.cancelled.get_or_insert(ctx.now.monotonic);
+            job.cancelled_at.get_or_insert(ctx.now.monotonic);
             // A leader that still reads the store stops its cancelled jobs when it is
             // ready.
             if self.recovery.is_ready() {
@@ -106,9 +110,9 @@
     /// record is read.
     pub(super) fn clear_if_empty(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
-            && job.stopped
+            && job.cancellation_confirmed
             && !job.ending
-            && job.placed() == 0
+            && job.placed_count() == 0
         {
             job.ending = true;
             self.writer.enqueue(PendingWrite::ClearJob(id.clone()));
@@ -118,7 +122,7 @@
     /// Writes the end of a job once all its tasks are done.
     pub(super) fn end_if_done(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
-            && job.cancelled.is_none()
+            && job.cancelled_at.is_none()
             && !job.ending
             && job.all_done()
         {
@@ -131,7 +135,7 @@
     pub(super) fn forget_job(&mut self, ctx: &Context, id: &Rc<str>) {
         self.untrack_dependencies(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
-            for range in job.task_ranges.stored() {
+            for range in job.task_ranges.stored_ranges() {
                 self.writer
                     .enqueue(PendingWrite::DeleteKey(records::tasks_key(id, range)));
             }
--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -45,12 +45,12 @@
             .estimates
             .class_run_time_s(ctx.config, &open.spec.class);
         let is_service = open.spec.kind == JobKind::Service;
-        let part_tasks = ctx.config.part_tasks();
-        let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
+        let tasks_per_part = ctx.config.part_tasks();
+        let mut job = Job::new(open, state_version, team, run_time_s, tasks_per_part);
         self.estimates.apply_inherited(id, &mut job);
         let id: Rc<str> = Rc::from(id);
         let index = self.jobs.insert(id.clone(), job);
-        self.estimates.changed(index);
+        self.estimates.mark_changed(index);
         self.scheduling
             .record_ready_job(is_service, ctx.now.monotonic);
         self.track_dependencies(ctx, &id);
@@ -64,9 +64,9 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             // A write may have found its state record changed before, which doesn't say
             // since when. That record may not be read for long: this one is proof enough.
-            let known_at = job.cancelled.unwrap_or(confirmed_at);
-            job.cancelled = Some(known_at.min(confirmed_at));
-            if !job.stopped && self.recovery.is_ready() {
+            let known_at = job.cancelled_at.unwrap_or(confirmed_at);
+            job.cancelled_at = Some(known_at.min(confirmed_at));
+            if !job.cancellation_confirmed && self.recovery.is_ready() {
                 self.cancel_job(ctx, &id);
             }
         }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    fn all_read(&mut self, now: Micros) {
+    fn finish(&mut self, now: Micros) {
         self.requested = None;
         self.stage = RecoveryStage::Ready;
         self.ready_since = now;
@@ -250,11 +250,11 @@
     /// Everything is read: the leader begins to act.
     fn finish_recovery(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        self.recovery.all_read(now);
+        self.recovery.finish(now);
         self.queue_watch
             .set_consistent_read(self.recovery.queue_requested_at);
         self.queue_watch.watch_from(now);
-        let cancelled = self.job_ids(|job| job.cancelled.is_some());
+        let cancelled = self.job_ids(|job| job.cancelled_at.is_some());
         let done = self.job_ids(Job::all_done);
         self.propagate_all_urgencies(ctx);
         for id in cancelled {
@@ -286,7 +286,7 @@
     fn start_contacting_machines(&mut self, now: Micros) {
         for machine in self.machines.values_mut() {
             machine.begin_term(now);
-            match self.partitions.last_heard_before_term(&machine.zone) {
+            match self.partitions.last_contact_before_term(&machine.zone) {
                 // It had sent a heartbeat to the leader before, or it had no record.
                 Some(heard) if machine.recorded => {
                     machine.assume_silent_since(now.min(heard));
@@ -374,7 +374,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for index in job.task_ranges.range(range) {
+        for index in job.task_ranges.indexes(range) {
             if let Some(machine) = job.reset_task(index)
                 && let Some(machine) = self.machines.get_mut(&machine)
             {
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -108,7 +108,7 @@
             }
             return;
         }
-        self.exclude_unanswered_time(ctx);
+        self.exclude_outage_from_silence(ctx);
         let max_gap = micros(ctx.config.tuning.pass_s);
         if self.is_cycle_due(ctx) || now >= self.scheduling.last_cycle_at + max_gap {
             self.run_scheduling_cycle(ctx);
@@ -128,7 +128,7 @@
     /// Machines that were refused an answer were not silent. After an outage of a minute
     /// every machine once looked as if it were, and all were deleted before they could
     /// send another heartbeat.
-    fn exclude_unanswered_time(&mut self, ctx: &Context) {
+    fn exclude_outage_from_silence(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.may_answer_heartbeats(ctx) {
             self.queue_watch.begin_outage(now);
@@ -256,7 +256,7 @@
             placed.push(key);
         }
         // A job that gets resources does not starve.
-        job.waits_since = None;
+        job.waiting_since = None;
         self.scheduling.counts.placed += placed.len() as u64;
         for key in placed {
             self.enqueue_task_record(&key);
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -46,9 +46,9 @@
             spec: &job.spec,
             image: &job.image,
             team: job.team,
-            waiting_tasks: job.placeable().min(max_tasks) as u32,
+            waiting_tasks: job.placeable_count().min(max_tasks) as u32,
             tasks_by_zone: self.tasks_by_zone(job, &BTreeSet::new()),
-            training_tasks: job.training(ctx.config),
+            training_tasks: job.training_tasks_left(ctx.config),
             at_risk_tasks: 0,
             starving: job.resource_request.starving(),
         })
@@ -57,7 +57,7 @@
     /// Whether the job is a service that is not cancelled.
     pub(in crate::leader) fn is_active_service(&self, id: &Rc<str>) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| job.spec.kind == JobKind::Service && job.cancelled.is_none())
+        job.is_some_and(|job| job.spec.kind == JobKind::Service && job.cancelled_at.is_none())
     }
 
     /// How many of the job's tasks are or may be in each zone, not counting those on the
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -176,7 +176,7 @@
     /// The part of the headroom for which machines are started before anything needs it: a
     /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a fifth more
     /// (rosterwise-nz).
-    pub(super) fn headroom_ahead_cpus(&self, config: &Config) -> f64 {
+    pub(super) fn proactive_headroom_cpus(&self, config: &Config) -> f64 {
         let types = self.machine_types.iter();
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
         let share_cpus = config.tuning.spare_share * self.derived.sums().fleet_cpus();
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -268,7 +268,7 @@
     }
 
     fn add_job_done(&self, id: &str, batch: &mut WriteBatch) -> bool {
-        let job = self.jobs.get(id).filter(|job| job.cancelled.is_none());
+        let job = self.jobs.get(id).filter(|job| job.cancelled_at.is_none());
         let Some(job) = job else {
             return false;
         };
@@ -279,7 +279,7 @@
     }
 
     fn add_job_cancelled(&self, id: &str, batch: &mut WriteBatch) -> bool {
-        let job = self.jobs.get(id).filter(|job| job.cancelled.is_none());
+        let job = self.jobs.get(id).filter(|job| job.cancelled_at.is_none());
         let Some(job) = job.filter(|_| self.dependencies.is_blocked(id)) else {
             return false;
         };
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// A replica that has run for so long is taken to serve.
-const SERVING_AFTER: Micros = 10 * SECOND;
+const MIN_SERVING_TIME: Micros = 10 * SECOND;
 /// How long a machine that had not the resources for a task gets no other.
 const NO_RESOURCES_PAUSE: Micros = 3 * SECOND;
 /// How long a job is not placed after an end that is nobody's fault.
@@ -37,7 +37,7 @@
             TaskEvent::Running((id, index)) => {
                 log::debug!("task running job={id} task={index} machine={machine}");
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.task_running(index);
+                    job.record_running(index);
                 }
             }
             TaskEvent::Lost {
@@ -96,7 +96,7 @@
         let (id, index) = key;
         if let Some(job) = self.jobs.get_mut(id) {
             job.return_to_waiting(*index, attempt);
-            if job.cancelled.is_none() {
+            if job.cancelled_at.is_none() {
                 self.enqueue_task_record(key);
             }
         }
@@ -116,14 +116,14 @@
             let run_time_s = seconds(ran);
             if !job.trained {
                 if let Some(job_index) = job_index {
-                    self.estimates.changed(job_index);
+                    self.estimates.mark_changed(job_index);
                 }
                 job.add_sample(ctx.config, run_time_s);
             }
             self.estimates
                 .add_run_time(ctx.config, &job.spec.class, run_time_s);
         }
-        if job.cancelled.is_some() {
+        if job.cancelled_at.is_some() {
             return self.clear_if_empty(id);
         }
         self.job_has_run(id);
@@ -169,7 +169,7 @@
             let machine = self.machines.get(machine);
             let slot = machine.and_then(|machine| machine.slots.get(&(id.clone(), index)));
             let since = slot.and_then(|slot| slot.running_since);
-            since.is_some_and(|since| now >= since + SERVING_AFTER)
+            since.is_some_and(|since| now >= since + MIN_SERVING_TIME)
         })
     }
 
--- a/crates/controller/src/leader/task_ranges.rs
+++ b/crates/controller/src/leader/task_ranges.rs
@@ -24,8 +24,8 @@
 #[derive(Debug)]
 pub(super) struct TaskRanges {
     task_count: u32,
-    chunk_tasks: u32,
-    part_tasks: u32,
+    tasks_per_chunk: u32,
+    tasks_per_part: u32,
     /// The version of each chunk, 0 if it is not stored.
     chunk_versions: Vec<u64>,
     /// Chunks that are not written any more.
@@ -36,29 +36,33 @@
 
 impl TaskRanges {
     /// No record is stored yet. Chunks and parts hold at most so many tasks.
-    pub fn new(task_count: u32, chunk_tasks: u32, part_tasks: u32) -> TaskRanges {
-        let chunk_tasks = chunk_tasks.max(1);
+    pub fn new(task_count: u32, tasks_per_chunk: u32, tasks_per_part: u32) -> TaskRanges {
+        let tasks_per_chunk = tasks_per_chunk.max(1);
         TaskRanges {
             task_count,
-            chunk_tasks,
-            part_tasks: part_tasks.max(1),
-            chunk_versions: vec![0; task_count.div_ceil(chunk_tasks) as usize],
+            tasks_per_chunk,
+            tasks_per_part: tasks_per_part.max(1),
+            chunk_versions: vec![0; task_count.div_ceil(tasks_per_chunk) as usize],
             split_chunks: BTreeSet::new(),
             parts: BTreeMap::new(),
         }
     }
 
     /// The tasks of a chunk.
-    fn chunk(&self, chunk: u32) -> Range<u32> {
-        let first = chunk.saturating_mul(self.chunk_tasks).min(self.task_count);
-        let end = first.saturating_add(self.chunk_tasks).min(self.task_count);
+    fn chunk_indexes(&self, chunk: u32) -> Range<u32> {
+        let first = chunk
+            .saturating_mul(self.tasks_per_chunk)
+            .min(self.task_count);
+        let end = first
+            .saturating_add(self.tasks_per_chunk)
+            .min(self.task_count);
         first..end
     }
 
     /// The tasks of a range.
-    pub fn range(&self, range: TaskRange) -> Range<u32> {
+    pub fn indexes(&self, range: TaskRange) -> Range<u32> {
         match range {
-            TaskRange::Chunk(chunk) => self.chunk(chunk),
+            TaskRange::Chunk(chunk) => self.chunk_indexes(chunk),
             TaskRange::Part { from, to, .. } => {
                 from.min(self.task_count)..to.saturating_add(1).min(self.task_count)
             }
@@ -67,7 +71,7 @@
 
     /// The range to whose record a change of the task is written.
     pub fn range_of(&self, task: u32) -> TaskRange {
-        let chunk = task / self.chunk_tasks;
+        let chunk = task / self.tasks_per_chunk;
         if !self.split_chunks.contains(&chunk) {
             return TaskRange::Chunk(chunk);
         }
@@ -86,9 +90,9 @@
     /// the part before it. It ends where the neighbouring parts begin: they may be of
     /// another size, stored under other settings.
     fn new_part(&self, chunk: u32, task: u32, last_before: Option<u32>) -> TaskRange {
-        let all = self.chunk(chunk);
-        let mut from = all.start + (task - all.start) / self.part_tasks * self.part_tasks;
-        let mut to = (from + self.part_tasks).min(all.end) - 1;
+        let all = self.chunk_indexes(chunk);
+        let mut from = all.start + (task - all.start) / self.tasks_per_part * self.tasks_per_part;
+        let mut to = (from + self.tasks_per_part).min(all.end) - 1;
         if let Some(last) = last_before {
             from = from.max(last + 1);
         }
@@ -101,12 +105,12 @@
     /// From now on the chunk is written in parts. Returns those that cover it.
     pub fn split(&mut self, chunk: u32) -> Vec<TaskRange> {
         self.split_chunks.insert(chunk);
-        let all = self.chunk(chunk);
+        let all = self.chunk_indexes(chunk);
         let mut parts = Vec::new();
         let mut next = all.start;
         while next < all.end {
             let part = self.range_of(next);
-            next = self.range(part).end.max(next + 1);
+            next = self.indexes(part).end.max(next + 1);
             parts.push(part);
         }
         parts
@@ -144,13 +148,13 @@
     }
 
     /// Every range that has a record.
-    pub fn stored(&self) -> Vec<TaskRange> {
+    pub fn stored_ranges(&self) -> Vec<TaskRange> {
         let versions = self.chunk_versions.iter().enumerate();
         let chunks = versions
             .filter(|(_, version)| **version > 0)
             .map(|(chunk, _)| TaskRange::Chunk(chunk as u32));
         let parts = self.parts.iter().map(|(from, part)| TaskRange::Part {
-            chunk: from / self.chunk_tasks,
+            chunk: from / self.tasks_per_chunk,
             from: *from,
             to: part.last,
         });
--- a/crates/controller/src/leader/task_ranges/tests.rs
+++ b/crates/controller/src/leader/task_ranges/tests.rs
@@ -10,10 +10,10 @@
     for _ in 0..300 {
         let tasks = rng.u32(1..300);
         let mut ranges = TaskRanges::new(tasks, rng.u32(1..120), rng.u32(1..40));
-        let chunk = rng.u32(..tasks) / ranges.chunk_tasks;
+        let chunk = rng.u32(..tasks) / ranges.tasks_per_chunk;
         // Parts that a leader with other settings has left.
         let other = rng.u32(1..40);
-        let all = ranges.chunk(chunk);
+        let all = ranges.chunk_indexes(chunk);
         for from in all.clone().step_by(other as usize) {
             if rng.u8(..3) == 0 {
                 let to = (from + other).min(all.end) - 1;
@@ -21,16 +21,16 @@
             }
         }
         // What has a part is written in parts by whoever loads it.
-        let stored = !ranges.stored().is_empty();
+        let stored = !ranges.stored_ranges().is_empty();
         assert_eq!(ranges.is_split(chunk), stored);
         assert!(!stored || ranges.range_of(all.start) != TaskRange::Chunk(chunk));
         let parts = ranges.split(chunk);
-        let covered: Vec<u32> = parts.iter().flat_map(|p| ranges.range(*p)).collect();
+        let covered: Vec<u32> = parts.iter().flat_map(|p| ranges.indexes(*p)).collect();
         assert_eq!(covered, all.clone().collect::<Vec<u32>>());
         for part in &parts {
             assert!(
                 ranges
-                    .range(*part)
+                    .indexes(*part)
                     .all(|task| ranges.range_of(task) == *part)
             );
             ranges.set_version(*part, 2);
@@ -40,10 +40,8 @@
             all.clone()
                 .all(|task| parts.contains(&ranges.range_of(task)))
         );
-        assert_eq!(ranges.stored(), parts);
-        assert!(
-            (0..tasks).all(|t| all.contains(&t)
-                || ranges.range_of(t) == TaskRange::Chunk(t / ranges.chunk_tasks))
-        );
+        assert_eq!(ranges.stored_ranges(), parts);
+        assert!((0..tasks).all(|t| all.contains(&t)
+            || ranges.range_of(t) == TaskRange::Chunk(t / ranges.tasks_per_chunk)));
     }
 }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -40,7 +40,7 @@
     /// task records can't be.
     described: bool,
     /// When its cancellation was confirmed at the earliest, if it was cancelled.
-    cancelled: Option<Micros>,
+    cancelled_at: Option<Micros>,
     /// The keys of its task records.
     record_keys: Vec<String>,
     /// The machines that hold or may hold its tasks, as far as its records can be read.
@@ -81,14 +81,14 @@
     }
 
     fn is_cancelled(&self, id: &str) -> bool {
-        self.0.get(id).is_some_and(|job| job.cancelled.is_some())
+        self.0.get(id).is_some_and(|job| job.cancelled_at.is_some())
     }
 
     /// Whether the task is of an unknown job that was not cancelled: it must not be
     /// stopped or reaped.
     pub fn protects_task(&self, task: &TaskName) -> bool {
         let job = self.0.get(task.job.as_str());
-        job.is_some_and(|job| job.cancelled.is_none())
+        job.is_some_and(|job| job.cancelled_at.is_none())
     }
 
     /// The stops of the machine's tasks that are of unknown and cancelled jobs.
@@ -103,7 +103,7 @@
     /// hold.
     pub fn oldest_cancellation_on(&self, machine: &Machine) -> Option<Micros> {
         let jobs = self.0.iter().filter(|(id, job)| job.may_be_on(id, machine));
-        jobs.filter_map(|(_, job)| job.cancelled).min()
+        jobs.filter_map(|(_, job)| job.cancelled_at).min()
     }
 
     /// What unknown jobs count against the quotas of teams: millionths of CPUs and of GPUs
@@ -143,7 +143,7 @@
     /// An unknown job is cancelled: its tasks are stopped wherever they are seen.
     pub(super) fn cancel_unknown_job(&mut self, id: &str, confirmed_at: Micros) {
         if let Some(job) = self.unknown_jobs.0.get_mut(id) {
-            job.cancelled.get_or_insert(confirmed_at);
+            job.cancelled_at.get_or_insert(confirmed_at);
             self.send_stops(id);
         }
     }
@@ -166,7 +166,7 @@
         job.record_keys.push(row.key.clone());
         if !job.described {
             // Most likely it has ended, and only the clearing was not finished.
-            self.dependencies.want_state(Rc::from(id));
+            self.dependencies.request_state_read(Rc::from(id));
         }
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
             log::error!("unreadable task record key={}", row.key);
@@ -194,7 +194,7 @@
         let unknown = self.unknown_jobs.entry(id);
         unknown.described = true;
         unknown.may_be_anywhere = true;
-        unknown.cancelled = job.cancelled;
+        unknown.cancelled_at = job.cancelled_at;
         let team_is_known = job.team < ctx.config.teams.len();
         unknown.task_claim = team_is_known.then(|| TaskClaim {
             team: job.team,
@@ -202,7 +202,7 @@
             gpu_millionths: to_millionths(job.spec.gpus),
         });
         // How many of the record's tasks are placed is not known.
-        unknown.placed = job.placed() as i64 + job.task_ranges.range(range).len() as i64;
+        unknown.placed = job.placed_count() as i64 + job.task_ranges.indexes(range).len() as i64;
         unknown.record_keys.push(key.to_string());
         for (index, machine) in job.on_machines() {
             if let Some(machine) = self.machines.get_mut(machine) {
@@ -211,7 +211,7 @@
             unknown.machines.insert(machine.clone());
         }
         if self.dependencies.has_dependents(id) {
-            self.dependencies.want_state(id.clone());
+            self.dependencies.request_state_read(id.clone());
         }
     }
 
--- a/crates/controller/src/leader/urgency.rs
+++ b/crates/controller/src/leader/urgency.rs
@@ -50,13 +50,14 @@
 
     /// The urgency of a job once one more depends on it.
     fn urgency_with_dependent(&self, ctx: &Context, urgency: Urgency, dependent: &Job) -> Urgency {
-        if dependent.cancelled.is_some() {
+        if dependent.cancelled_at.is_some() {
             return urgency;
         }
         // Its work has to be done after this one, and so on along the longest path.
-        let takes_s = self.expected_run_time_s(ctx.config, dependent) + ctx.config.tuning.fetch_s;
+        let duration_s =
+            self.expected_run_time_s(ctx.config, dependent) + ctx.config.tuning.fetch_s;
         let end = dependent.due.or_else(|| self.deadline_by(ctx, dependent));
-        let due_for_dependent = end.map(|end| end.saturating_sub(micros(takes_s)));
+        let due_for_dependent = end.map(|end| end.saturating_sub(micros(duration_s)));
         Urgency {
             priority: urgency.priority.max(dependent.priority),
             due: urgency.due.into_iter().chain(due_for_dependent).min(),
@@ -66,7 +67,7 @@
     /// Time of day by which a job has to end by its own deadline, if it has a strict one.
     fn deadline_by(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let due_s = strict_deadline(ctx.config, job)?.deadline_s;
-        Some(job.submitted.saturating_add(micros(due_s)))
+        Some(job.submitted_at.saturating_add(micros(due_s)))
     }
 
     /// Works out a job's urgency anew. Returns whether it has changed.
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -148,9 +148,17 @@
     fn requeue_batch(&mut self, batch: WriteBatch) {
         for placement in &batch.placements {
             let id = &placement.task.0;
-            if self.jobs.get(id).is_some_and(|job| job.cancelled.is_some()) {
+            if self
+                .jobs
+                .get(id)
+                .is_some_and(|job| job.cancelled_at.is_some())
+            {
                 self.revert_unstored_placement(&placement.task);
-                if self.jobs.get(id).is_some_and(|job| job.stopped) {
+                if self
+                    .jobs
+                    .get(id)
+                    .is_some_and(|job| job.cancellation_confirmed)
+                {
                     self.clear_if_empty(id);
                 }
             }
@@ -211,7 +219,7 @@
             // No placement of it is written from now on. When it was confirmed is not
             // known. Until its row is read answers end with the last read, which is
             // older, and then the row says when.
-            job.cancelled.get_or_insert(ctx.now.monotonic);
+            job.cancelled_at.get_or_insert(ctx.now.monotonic);
             job.ending = false;
             self.mark_tasks_cancelled(id);
         }
@@ -237,7 +245,11 @@
         match record.map(|record| (record.state, record)) {
             Some((RecordedState::Done, record)) => self.job_done(ctx, &id, record),
             Some((RecordedState::Cancelled, _)) => {
-                if self.jobs.get(&id).is_some_and(|job| !job.stopped) {
+                if self
+                    .jobs
+                    .get(&id)
+                    .is_some_and(|job| !job.cancellation_confirmed)
+                {
                     self.cancel_job(ctx, &id);
                 }
             }
@@ -302,7 +314,7 @@
         let NewPlacement { task: key, attempt } = placement;
         let (id, index) = key;
         let job = self.jobs.get_mut(id);
-        let machine = job.and_then(|job| job.placement_stored(*index, *attempt));
+        let machine = job.and_then(|job| job.confirm_placement(*index, *attempt));
         let Some(machine) = machine else {
             return;
         };
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -10,9 +10,9 @@
 
 /// After so many leases a machine is deleted though what was on it can't run elsewhere: its
 /// zone may be gone for good.
-pub(super) const PARTITION_LEASES: Micros = 4;
+pub(super) const PARTITION_GRACE_LEASES: Micros = 4;
 /// How long nothing is started in a zone that fell silent, unless it is heard.
-const PARTITIONED_ZONE_PAUSE: Micros = 60 * SECOND;
+const PARTITIONED_ZONE_SCALE_OUT_PAUSE: Micros = 60 * SECOND;
 /// A zone is partitioned only if so many of its machines are silent.
 const MIN_SILENT_MACHINES: usize = 3;
 
@@ -72,7 +72,7 @@
     /// for and never heard of.
     partitioned_since: BTreeMap<Rc<str>, Micros>,
     /// Zones that the leader before found silent, and when they were heard last.
-    last_heard_before_term: HashMap<String, Micros>,
+    last_contact_before_term: HashMap<String, Micros>,
 }
 
 impl ZonePartitions {
@@ -87,19 +87,19 @@
     }
 
     /// A machine of the zone is heard. Returns whether the zone was silent before.
-    pub fn record_heard(&mut self, zone: &str) -> bool {
+    pub fn record_reachable(&mut self, zone: &str) -> bool {
         self.partitioned_since.remove(zone).is_some()
     }
 
     /// Forgets zones that have not been found silent for a while.
     pub fn forget_expired(&mut self, now: Micros) {
         self.partitioned_since
-            .retain(|_, since| now < *since + PARTITIONED_ZONE_PAUSE);
+            .retain(|_, since| now < *since + PARTITIONED_ZONE_SCALE_OUT_PAUSE);
     }
 
     /// When a zone was heard last, if the leader before found it silent.
-    pub fn last_heard_before_term(&self, zone: &str) -> Option<Micros> {
-        self.last_heard_before_term.get(zone).copied()
+    pub fn last_contact_before_term(&self, zone: &str) -> Option<Micros> {
+        self.last_contact_before_term.get(zone).copied()
     }
 }
 
@@ -165,16 +165,16 @@
         }
         let is_other_zone = |zone: &str| *zone != *config.zone;
         let up_by_zone = self.derived.sums().machines_up_by_zone().iter();
-        let mut heard_by_zone: BTreeMap<&Rc<str>, usize> = up_by_zone
+        let mut reachable_by_zone: BTreeMap<&Rc<str>, usize> = up_by_zone
             .filter(|(zone, _)| is_other_zone(zone))
             .map(|(zone, up)| (zone, *up))
             .collect();
         for (_, machine) in self.silent_machines() {
-            if let Some(heard) = heard_by_zone.get_mut(&machine.zone) {
+            if let Some(heard) = reachable_by_zone.get_mut(&machine.zone) {
                 *heard = heard.saturating_sub(1);
             }
         }
-        if heard_by_zone.values().any(|heard| *heard > 0) {
+        if reachable_by_zone.values().any(|heard| *heard > 0) {
             return false;
         }
         let missed = self.derived.silent_machines() | self.derived.booting_machines();
@@ -211,7 +211,7 @@
     /// begins with this term: a leader that ended in the middle of a partition once left
     /// them down for 15 s more (zone, brunnmatt-books-fleet).
     pub fn set_zones_silent_before_term(&mut self, last_heard: HashMap<String, Micros>) {
-        self.partitions.last_heard_before_term = last_heard;
+        self.partitions.last_contact_before_term = last_heard;
     }
 }
 
