--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -1,4 +1,4 @@
-//! The leader's view of one open job and of its tasks.
+//! The leader's state of an open job and its tasks.
 
 use super::task_ranges::TaskRanges;
 use super::urgency::Urgency;
@@ -14,27 +14,28 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Where a task is in its life.
+/// The placement state of a task.
 #[derive(Debug, Clone)]
 pub(super) enum TaskPlacement {
-    /// It is on no machine and is to be placed.
+    /// The task is not on any machine and has to be placed.
     Waiting,
-    /// It is, or may be, on a machine. Only a proof of its end leaves this state.
+    /// The task is, or may be, on a machine. It leaves this state only when the attempt is
+    /// proved to have ended or not to have been launched.
     Placed {
         machine: Rc<str>,
-        /// The incarnation of the machine's agent that it was placed on.
+        /// The incarnation of the machine's agent at the time of the placement.
         incarnation: u64,
-        /// Whether the store holds this placement. Nothing is launched before it does.
+        /// Whether the placement is stored. The task is not launched before it is.
         stored: bool,
     },
-    /// It has completed.
+    /// The task has completed.
     Done,
 }
 
 /// One task of a job.
 #[derive(Debug, Clone)]
 pub(super) struct Task {
-    /// The latest attempt; 0 before the first.
+    /// The number of the latest attempt; 0 before the first.
     pub attempt: u64,
     pub state: TaskPlacement,
 }
@@ -46,69 +47,71 @@
 #[derive(Debug)]
 pub(super) struct Job {
     pub spec: JobSpec,
-    /// The container image, shared with the indexes that name it.
+    /// The container image, shared with the indexes that refer to it.
     pub image: Rc<str>,
-    /// Index of its team in the settings; one past the last if the team is not there.
+    /// The index of the job's team in the settings, or the number of teams if the settings
+    /// don't contain it.
     pub team: usize,
-    /// The version of its state record as long as it is open; 0 if it has none.
+    /// The version of the job's state record while the job is open; 0 if there is none.
     state_version: u64,
-    /// Time of day of the submission, in microseconds.
+    /// Wall-clock time of the submission, in microseconds.
     pub submitted_at: Micros,
-    /// Time of day since which it waits for resources, in microseconds: its submission,
-    /// or when the last job that it depends on was seen to be done.
+    /// Wall-clock time since which the job has been ready to run, in microseconds: the time
+    /// of the submission, or the time at which its last dependency was known to be done.
     pub ready_at: Micros,
-    /// It depends on jobs that are not done, and takes no part in scheduling.
+    /// Whether the job depends on jobs that are not done. Such a job is not scheduled.
     pub blocked_on_dependencies: bool,
-    /// The highest priority among its own and those of the jobs that depend on it.
+    /// The maximum of the job's own priority and those of its dependents.
     pub priority: Priority,
-    /// Time of day, in microseconds, by which it has to end for the jobs that depend on
-    /// it.
+    /// Wall-clock time, in microseconds, by which the job has to end so that its dependents
+    /// can meet their deadlines.
     pub due: Option<Micros>,
-    /// The most tasks that may be placed at once; None for all.
+    /// The maximum number of tasks placed at the same time; `None` if unlimited.
     parallelism_limit: Option<u32>,
-    /// Which stored record holds which tasks.
+    /// The assignment of tasks to stored records.
     pub task_ranges: TaskRanges,
     tasks: Vec<Task>,
     waiting: BTreeSet<u32>,
     done: u32,
     /// Tasks that a machine has reported as running.
     running: BTreeSet<u32>,
-    /// When it was cancelled, if it was. Set without `stopped`, its state record is known
-    /// to have changed and has yet to be read.
+    /// The time of the cancellation, if the job is cancelled. If this is set and
+    /// `cancellation_confirmed` is not, the job's state record is known to have changed but
+    /// has not been read yet.
     pub cancelled_at: Option<Micros>,
-    /// Its cancellation was read from the store.
+    /// Whether the cancellation was read from the store.
     pub cancellation_confirmed: bool,
-    /// The record of its end is queued or being written.
+    /// Whether the record of the job's end is queued or being written.
     pub ending: bool,
-    /// Run times of its training tasks, in seconds.
+    /// Run times of completed training tasks, in seconds.
     pub samples: Vec<f64>,
-    /// The estimate of its size (CPU seconds) with which it was submitted.
+    /// The estimated size at submission, in CPU-seconds.
     pub initial_size: f64,
-    /// The initial size, and the final one once it is trained.
+    /// The estimated size in CPU-seconds: the initial size until the job is trained.
     pub size: f64,
-    /// What ageing has taken off until `ageing_since`. The virtual size is the size less
-    /// all of it, and not below zero.
+    /// The reduction of the virtual size by ageing before `ageing_since`. The virtual size
+    /// is the size less the total reduction, and at least zero.
     pub credit: f64,
-    /// The leader's virtual time since which the job ages.
+    /// The leader's virtual time at which the current period of ageing began.
     pub ageing_since: Option<f64>,
-    /// Since when it could have had resources for a task and got none, as far as this
-    /// leader knows.
+    /// The time since which the job has had a placeable task without getting resources, as
+    /// far as this leader has observed.
     pub waiting_since: Option<Micros>,
     pub resource_request: Rc<ResourceRequest>,
-    /// Whether its size is known from training tasks. Services need none.
+    /// Whether the size was derived from training tasks. Services don't need training.
     pub trained: bool,
-    /// Its failures, to attribute them to the job or to machines.
+    /// The failures of the job, used to attribute them to the job or to machines.
     pub failures: FailureRecord,
     /// No task is placed before this time.
     pub blocked_until: Micros,
-    /// The counts of its tasks that were sent to peers last.
+    /// The task counts that were last sent to peers.
     pub replicated_counts: TaskCounts,
 }
 
 impl Job {
-    /// A job as its description states it, with no task placed yet. `task_run_time_s` is
-    /// the expected run time of a task of its class, `tasks_per_part` the number of tasks in a
-    /// part of a chunk that no longer fits one value.
+    /// Creates a job from its description, with no task placed. `task_run_time_s` is the
+    /// expected run time of a task of the job's class. `tasks_per_part` is the number of
+    /// tasks in each part of a chunk that exceeds the store's value limit.
     pub(super) fn new(
         open: OpenJob,
         state_version: u64,
@@ -155,12 +158,13 @@
         }
     }
 
-    /// The version of its state record that a write of a placement or of its end compares.
+    /// The version of the state record, which writes of placements and of the job's end
+    /// compare.
     pub(super) fn state_version(&self) -> u64 {
         self.state_version
     }
 
-    /// The state record that says so of the job.
+    /// Returns the job's state record for the given state.
     pub(super) fn state_record(&self, state: RecordedState) -> JobStateRecord {
         JobStateRecord {
             state,
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Whether it has so few tasks that it needs no training.
+    /// Whether the job has so few tasks that it needs no training.
     pub(super) fn is_tiny(&self, config: &Config) -> bool {
         self.spec.tasks <= config.tuning.training_tasks
     }
@@ -178,17 +182,15 @@
         self.done as usize == self.tasks.len()
     }
 
-    /// One of its tasks.
     pub(super) fn task(&self, index: u32) -> Option<&Task> {
         self.tasks.get(index as usize)
     }
 
-    /// How many of its tasks wait.
     pub(super) fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The tasks that are reported as running, and the machines of their placements.
+    /// Iterates over the tasks that were reported as running, with their machines.
     pub(super) fn running_on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
         let running = self.running.iter();
         running.filter_map(|index| match &self.tasks[*index as usize].state {
@@ -197,7 +199,7 @@
         })
     }
 
-    /// How many of its tasks are done, and how many run.
+    /// The counts of done and of running tasks.
     pub(super) fn task_counts(&self) -> TaskCounts {
         TaskCounts {
             done: self.done,
@@ -205,12 +207,11 @@
         }
     }
 
-    /// How many of its tasks are placed.
     pub(super) fn placed_count(&self) -> usize {
         self.tasks.len() - self.waiting.len() - self.done as usize
     }
 
-    /// How many of its waiting tasks may be placed now.
+    /// The number of waiting tasks that the parallelism limit allows to place now.
     pub(super) fn placeable_count(&self) -> usize {
         let limit = self
             .parallelism_limit
@@ -220,7 +221,7 @@
             .min(limit.saturating_sub(self.placed_count()))
     }
 
-    /// Its tasks that are or may be on machines, and on which.
+    /// Iterates over the placed tasks, with their machines.
     pub(super) fn on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| match &task.state {
@@ -229,7 +230,7 @@
         })
     }
 
-    /// How many more tasks have to be started to train its size.
+    /// The number of tasks that still have to be started to learn the job's size.
     pub(super) fn training_tasks_left(&self, config: &Config) -> u32 {
         if self.trained || self.is_tiny(config) {
             return 0;
@@ -240,14 +241,14 @@
             .saturating_sub(self.samples.len() as u32 + self.placed_count() as u32)
     }
 
-    /// Whether the record of these tasks is to be written now. A chunk that was split is
-    /// never written again.
+    /// Whether the record of these tasks may be written. A chunk that was split is never
+    /// written again.
     pub(super) fn may_write(&self, range: TaskRange) -> bool {
         let is_split = matches!(range, TaskRange::Chunk(chunk) if self.task_ranges.is_split(chunk));
         !self.ending && self.cancelled_at.is_none() && !is_split
     }
 
-    /// How urgent it is, by itself and by the jobs that depend on it.
+    /// The urgency of the job, including what it inherits from its dependents.
     pub(super) fn urgency(&self) -> Urgency {
         Urgency {
             priority: self.priority,
@@ -255,13 +256,12 @@
         }
     }
 
-    /// Sets how urgent it is.
     pub(super) fn set_urgency(&mut self, urgency: Urgency) {
         self.priority = urgency.priority;
         self.due = urgency.due;
     }
 
-    /// The stored record of some of its tasks.
+    /// Builds the record of a range of tasks.
     pub(super) fn task_chunk(&self, range: TaskRange) -> TaskChunk {
         let mut chunk = TaskChunk::default();
         for index in self.task_ranges.indexes(range) {
@@ -294,7 +294,8 @@
         chunk
     }
 
-    /// Placements of some of its tasks that are not stored: task index and attempt.
+    /// Iterates over the placements in a range that are not stored, as pairs of task index
+    /// and attempt.
     pub(super) fn unstored_placements(&self, range: TaskRange) -> impl Iterator<Item = (u32, u64)> {
         self.task_ranges.indexes(range).filter_map(|index| {
             let task = &self.tasks[index as usize];
@@ -303,8 +304,8 @@
         })
     }
 
-    /// Reads the stored record of some of its tasks, but for its placements: those need
-    /// the machines as well.
+    /// Applies the waiting and done tasks of a stored record. Its placements are applied
+    /// separately because they also change machines.
     pub(super) fn apply_chunk(&mut self, chunk: &TaskChunk) {
         let task_count = self.tasks.len() as u32;
         for waiting in &chunk.waiting {
@@ -324,8 +325,8 @@
         }
     }
 
-    /// Starts a new attempt of its first waiting task on a machine, which is not stored
-    /// yet. Returns the index of the task, and the attempt.
+    /// Places a new attempt of the first waiting task on a machine; the placement is not
+    /// stored yet. Returns the index of the task and the attempt.
     pub(super) fn place_next(&mut self, machine: &Rc<str>, incarnation: u64) -> Option<(u32, u64)> {
         let index = self.waiting.pop_first()?;
         let task = &mut self.tasks[index as usize];
@@ -338,7 +339,7 @@
         Some((index, task.attempt))
     }
 
-    /// Reads a stored placement of a task. Returns false if the job has no such task.
+    /// Applies a stored placement of a task. Returns false if the job has no such task.
     pub(super) fn apply_placement(&mut self, placed: &PlacedTask, machine: &Rc<str>) -> bool {
         let Some(task) = self.tasks.get_mut(placed.index as usize) else {
             return false;
@@ -353,8 +354,7 @@
         true
     }
 
-    /// A placement is in the store. Returns the machine, if it is the current one of its
-    /// task.
+    /// Marks a placement as stored. Returns its machine if the placement is still current.
     pub(super) fn confirm_placement(&mut self, index: u32, attempt: u64) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
         match &mut task.state {
@@ -368,7 +368,8 @@
         }
     }
 
-    /// Reverts the placement of a task, if it has one: the task waits. Returns the machine.
+    /// Returns a placed task to waiting. Returns its machine, or `None` if the task was not
+    /// placed.
     pub(super) fn revert_placement(&mut self, index: u32) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
         let TaskPlacement::Placed { machine, .. } = &task.state else {
@@ -380,12 +381,12 @@
         Some(machine)
     }
 
-    /// A machine has reported a task as running.
+    /// Records that a machine has reported a task as running.
     pub(super) fn record_running(&mut self, index: u32) {
         self.running.insert(index);
     }
 
-    /// Resets a task to one that was never placed. Returns the machine that it was on.
+    /// Resets a task as if it had never been placed. Returns the machine it was placed on.
     pub(super) fn reset_task(&mut self, index: u32) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
         let before = std::mem::replace(&mut task.state, TaskPlacement::Waiting);
@@ -399,7 +400,7 @@
         None
     }
 
-    /// A task whose attempt is known to have ended without completing waits again.
+    /// Returns a task to waiting after its attempt ended without completing.
     pub(super) fn return_to_waiting(&mut self, index: u32, attempt: u64) {
         self.running.remove(&index);
         let task = &mut self.tasks[index as usize];
@@ -409,8 +410,8 @@
         }
     }
 
-    /// An attempt of a task has completed. Returns false if that is not its current
-    /// placement.
+    /// Marks a task as done after an attempt completed. Returns false if the attempt is not
+    /// the current one.
     pub(super) fn complete_task(&mut self, index: u32, attempt: u64) -> bool {
         self.running.remove(&index);
         let task = &mut self.tasks[index as usize];
@@ -422,8 +423,8 @@
         true
     }
 
-    /// Adds the run time of a completed training task, in seconds, and fixes the job's
-    /// size once there are enough of them.
+    /// Adds the run time of a completed training task, in seconds. Sets the job's size once
+    /// there are enough samples.
     pub(super) fn add_sample(&mut self, config: &Config, run_time_s: f64) {
         let training_tasks = config.tuning.training_tasks.max(1) as usize;
         self.samples.push(run_time_s);
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The ends of jobs: cancellation and completion, and what is left of them in the store.
+//! Cancellation and completion of jobs, and the removal of their records.
 
 use super::{Leader, LeaderEvent};
 use crate::calls::Context;
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// A job is cancelled: nothing of it starts, and what runs is stopped.
+    /// Cancels a job: none of its tasks is started any more, and running tasks are stopped.
     pub(super) fn cancel_job(&mut self, ctx: &Context, id: &Rc<str>) {
         log::info!("job cancelled, stopping its tasks job={id}");
-        // The cancellation may have overtaken the record of its last
-        // completion: then that is not written, and the job is to be cleared.
+        // If the record of the job's completion is queued, it is dropped because the
+        // cancellation was stored first, and the job is cleared instead.
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = false;
             job.cancellation_confirmed = true;
@@ -30,9 +30,8 @@
         self.clear_if_empty(id);
     }
 
-    /// Whether the current placement of a task is in the batch in flight. An earlier
-    /// attempt in the batch says nothing of this one: taken for it, the placement once
-    /// stayed for ever (seed 4717).
+    /// Whether the current placement of a task is in the batch in flight. An earlier attempt
+    /// in the batch does not count.
     fn is_being_stored(&self, task: &TaskKey) -> bool {
         let (id, index) = task;
         let current = self.jobs.get(id).and_then(|job| job.task(*index));
@@ -44,9 +43,11 @@
         })
     }
 
-    /// This process has seen in the store that these jobs are cancelled: each stops as if
-    /// the queue watch had reported it. When that was confirmed is not known here, and
-    /// until the row says so answers end with the last read, which is older.
+    /// Cancels jobs that another part of this process has found to be cancelled in the
+    /// store, as if the queue watch had reported them. The time of the confirmation is
+    /// unknown here; the current time is used until the cancellation record is read. This is
+    /// safe because heartbeats are answered only for a limited time after the last
+    /// consistent read, which was sent before the confirmation.
     pub fn observe_cancellations(&mut self, ctx: &mut Context, ids: &[String]) {
         for id in ids {
             let Some(id) = self.jobs.name(id).cloned() else {
@@ -60,17 +61,15 @@
                 continue;
             };
             job.cancelled_at.get_or_insert(ctx.now.monotonic);
-            // A leader that still reads the store stops its cancelled jobs when it is
-            // ready.
+            // During recovery, cancelled jobs are processed when it finishes.
             if self.recovery.is_ready() {
                 self.cancel_job(ctx, &id);
             }
         }
     }
 
-    /// Marks the placed tasks of a job as cancelled on their machines, which are sent
-    /// their stops. Returns the tasks whose placement is not stored: those were never
-    /// launched.
+    /// Marks the placed tasks of a job as cancelled and queues stop commands for their
+    /// machines. Returns the tasks whose placement is not stored, which were never launched.
     pub(super) fn mark_tasks_cancelled(&mut self, id: &Rc<str>) -> Vec<u32> {
         let mut unstored = Vec::new();
         let Some(job) = self.jobs.get(id) else {
@@ -94,7 +93,7 @@
         unstored
     }
 
-    /// Reverts a placement that was never stored, so that nothing was sent.
+    /// Reverts a placement that was never stored. No command was sent for it.
     pub(super) fn revert_unstored_placement(&mut self, key: &TaskKey) {
         let (id, index) = key;
         if let Some(job) = self.jobs.get_mut(id)
@@ -105,9 +104,9 @@
         }
     }
 
-    /// Clears a job that was seen to be cancelled once none of its tasks is left. That its
-    /// state record has changed is not enough: its dependents are cancelled once the
-    /// record is read.
+    /// Queues the removal of a cancelled job's records once none of its tasks is placed. The
+    /// cancellation must have been read from the store, because its dependents are
+    /// cancelled at that point.
     pub(super) fn clear_if_empty(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.cancellation_confirmed
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Writes the end of a job once all its tasks are done.
+    /// Queues the record of a job's end once all its tasks are done.
     pub(super) fn end_if_done(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.cancelled_at.is_none()
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Removes a job whose end is stored, and the records of its tasks.
+    /// Removes a job whose end is stored, and queues the deletion of its task records.
     pub(super) fn forget_job(&mut self, ctx: &Context, id: &Rc<str>) {
         self.untrack_dependencies(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Queues the record of a task that has changed.
+    /// Queues a write of the record that holds the task.
     pub(super) fn enqueue_task_record(&mut self, key: &TaskKey) {
         let (id, index) = key;
         if let Some(job) = self.jobs.get(id) {
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! The leader of a term: it schedules the open jobs, commands the machines, scales the
-//! fleet and keeps all of it in the store.
+//! The leader of a term. It schedules the open jobs, sends commands to the machines,
+//! scales the fleet and persists its decisions in the store.
 //!
-//! [`Leader`] only wires the concerns together. Each concern has a module of its own, with
-//! a type that holds its state.
+//! [`Leader`] combines the concerns of the submodules. Each submodule has a type that
+//! holds its state.
 
 mod autoscaling;
 mod boot_estimator;
@@ -58,80 +58,80 @@
 use dillcleat_wire::store::StoreResponse;
 use std::rc::Rc;
 
-/// After how long a call that failed, or was not answered, is made again.
+/// Delay before a call that failed or was not answered is retried.
 const RETRY_INTERVAL: Micros = 100 * MILLISECOND;
 
-/// What a leader reports to its node.
+/// An event that a leader reports to its node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaderEvent {
-    /// The end of this job is in the store.
+    /// The end of the job with this id is stored.
     JobEnded(String, JobStateRecord),
-    /// This job was seen to be cancelled.
+    /// The leader has learned that the job with this id is cancelled.
     JobCancelled(String),
-    /// An attempt of a job's task ended with an error.
+    /// An attempt of a task ended with an error.
     TaskFailed {
         /// The id of the job.
         job: String,
         /// The index of the task within the job.
         task: u32,
-        /// The attempt of the task.
+        /// The number of the attempt.
         attempt: u64,
     },
     /// The cloud offers these machine types.
     MachineTypes(Rc<Vec<MachineType>>),
-    /// The term is over.
+    /// The term has ended.
     TermEnded,
-    /// A machine has shown this higher term.
+    /// A machine reported this higher term.
     HigherTerm(u64),
 }
 
 /// The leader of one term: it recovers its state from the store, schedules tasks, sends
 /// commands to machines and scales the fleet.
 ///
-/// Each field holds the state of one concern; the module of that concern says what it
-/// guarantees.
+/// Most fields hold the state of one concern; its module documents the guarantees.
 #[derive(Debug)]
 pub struct Leader {
     /// The term, which is also the fencing token of every command.
     pub term: u64,
-    /// The version of the stored term; every write compares it.
+    /// The version of the stored term record, which every write compares.
     term_version: u64,
-    /// The proof of its leadership, as its node saw it last.
+    /// The latest proof of leadership that the node has obtained.
     pub leadership_proof: LeadershipProof,
-    /// Reading the store at the beginning of the term.
+    /// The progress of reading the store at the beginning of the term.
     recovery: Recovery,
-    /// The watch of the stored job queue, and how recent its last read is.
+    /// The watch of the stored job queue, and the time of its last consistent read.
     queue_watch: QueueWatch,
     /// Open jobs.
     jobs: Slab<Job>,
     /// Known machines.
     machines: Slab<Machine>,
-    /// Jobs that have records in the store and no readable description.
+    /// Jobs that have records in the store but can't be read by this version.
     unknown_jobs: UnknownJobs,
     /// Dependencies among open jobs.
     dependencies: DependencyTracker,
     /// Sums and indexes derived from jobs and machines.
     derived: DerivedState,
-    /// When the scheduling cycle runs, and what it has done.
+    /// The timing and the counters of the scheduling cycle.
     scheduling: SchedulingState,
-    /// Which machines are sent commands, and when.
+    /// The queue of machines that are to be sent commands.
     command_dispatch: CommandDispatch,
     /// Writes to the store.
     writer: StateWriter,
-    /// The fleet's size, and calls to the cloud.
+    /// Scaling of the fleet, and calls to the cloud.
     autoscaler: Autoscaler,
     /// Machine types that the cloud offers.
     machine_types: MachineTypeCatalog,
-    /// Zones that a network partition cuts off.
+    /// Zones that are unreachable because of a network partition.
     partitions: ZonePartitions,
-    /// Run times and sizes learned from finished tasks.
+    /// Run times and job sizes learned from finished tasks.
     estimates: LearnedEstimates,
-    /// Events that its node has yet to take.
+    /// Events that the node has not yet taken.
     events: Vec<LeaderEvent>,
 }
 
 impl Leader {
-    /// A leader that has begun to read the store. It schedules once it has read all.
+    /// Creates a leader and requests the first page of the store. The leader schedules
+    /// nothing before it has recovered its state.
     pub fn new(
         ctx: &mut Context,
         term: u64,
@@ -164,17 +164,17 @@
         leader
     }
 
-    /// What its scheduling cycles and scale-out plans have done in its term.
+    /// Counters of the scheduling cycles and scale-out plans of this term.
     pub fn counts(&self) -> SchedulerCounters {
         self.scheduling.counts()
     }
 
-    /// The events since they were last taken.
+    /// Takes the events that have accumulated since the last call.
     pub fn take_events(&mut self) -> Vec<LeaderEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The continuation of a call that only the leader of this term may resume.
+    /// Returns a continuation that only the leader of this term may resume.
     fn continuation(&self, step: LeaderStep) -> Continuation {
         Continuation::Leader {
             term: self.term,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Handles the reply to a call to the store that was sent at `sent`.
+    /// Handles the reply to a store request that was sent at `sent`.
     pub fn reply(
         &mut self,
         ctx: &mut Context,
--- a/crates/controller/src/leader/task_ranges.rs
+++ b/crates/controller/src/leader/task_ranges.rs
@@ -1,4 +1,4 @@
-//! Which record of the store holds which tasks of a job.
+//! The division of a job's tasks among stored records.
 
 use crate::records::TaskRange;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,32 +10,32 @@
 /// A stored part of a chunk.
 #[derive(Debug, Clone, Copy)]
 struct StoredPart {
-    /// The last task in it.
+    /// The index of the last task in it.
     last: u32,
     version: u64,
 }
 
-/// A job's tasks in chunks, as they were divided when it was submitted.
+/// The tasks of a job, divided into chunks of the size chosen at submission.
 ///
-/// A chunk that has become too large for the store is never written again: what changes in
-/// it goes to smaller parts, each of which overrides the chunk for its tasks. Every task so
-/// has exactly one record that holds it, and no two records need to change at once,
-/// whenever the leader ends between two writes.
+/// A chunk that has become too large for the store is split and never written again.
+/// Changes are written to smaller parts, each of which overrides the chunk for its tasks. So
+/// each task has exactly one authoritative record, and a leader that ends between two
+/// writes leaves a consistent state.
 #[derive(Debug)]
 pub(super) struct TaskRanges {
     task_count: u32,
     tasks_per_chunk: u32,
     tasks_per_part: u32,
-    /// The version of each chunk, 0 if it is not stored.
+    /// The version of each chunk; 0 if it is not stored.
     chunk_versions: Vec<u64>,
-    /// Chunks that are not written any more.
+    /// Chunks that were split and are no longer written.
     split_chunks: BTreeSet<u32>,
-    /// Stored parts, by their first task. They do not overlap.
+    /// Stored parts, by the index of their first task. They do not overlap.
     parts: BTreeMap<u32, StoredPart>,
 }
 
 impl TaskRanges {
-    /// No record is stored yet. Chunks and parts hold at most so many tasks.
+    /// Creates the division of a job of which no task record is stored.
     pub fn new(task_count: u32, tasks_per_chunk: u32, tasks_per_part: u32) -> TaskRanges {
         let tasks_per_chunk = tasks_per_chunk.max(1);
         TaskRanges {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The tasks of a chunk.
+    /// The indexes of the tasks in a chunk.
     fn chunk_indexes(&self, chunk: u32) -> Range<u32> {
         let first = chunk
             .saturating_mul(self.tasks_per_chunk)
@@ -59,7 +59,7 @@
         first..end
     }
 
-    /// The tasks of a range.
+    /// The indexes of the tasks in a range.
     pub fn indexes(&self, range: TaskRange) -> Range<u32> {
         match range {
             TaskRange::Chunk(chunk) => self.chunk_indexes(chunk),
@@ -86,9 +86,9 @@
         }
     }
 
-    /// A part for a task that is in no stored part, `last_before` being the last task of
-    /// the part before it. It ends where the neighbouring parts begin: they may be of
-    /// another size, stored under other settings.
+    /// Returns a new part for a task that is in no stored part. `last_before` is the last
+    /// task of the preceding part. The new part is bounded by the neighbouring parts, which
+    /// may have been written with another part size.
     fn new_part(&self, chunk: u32, task: u32, last_before: Option<u32>) -> TaskRange {
         let all = self.chunk_indexes(chunk);
         let mut from = all.start + (task - all.start) / self.tasks_per_part * self.tasks_per_part;
@@ -102,7 +102,8 @@
         TaskRange::Part { chunk, from, to }
     }
 
-    /// From now on the chunk is written in parts. Returns those that cover it.
+    /// Splits a chunk, which is written in parts from now on. Returns the parts that cover
+    /// it.
     pub fn split(&mut self, chunk: u32) -> Vec<TaskRange> {
         self.split_chunks.insert(chunk);
         let all = self.chunk_indexes(chunk);
@@ -116,12 +117,12 @@
         parts
     }
 
-    /// Whether the chunk is written in parts.
+    /// Whether the chunk was split.
     pub fn is_split(&self, chunk: u32) -> bool {
         self.split_chunks.contains(&chunk)
     }
 
-    /// The version of a range's record, 0 if it is not stored.
+    /// The version of a range's record; 0 if it is not stored.
     pub fn version(&self, range: TaskRange) -> u64 {
         match range {
             TaskRange::Chunk(chunk) => {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The range's record is in the store, with this version.
+    /// Records that the range's record is stored with this version.
     pub fn set_version(&mut self, range: TaskRange, version: u64) {
         match range {
             TaskRange::Chunk(chunk) => {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Every range that has a record.
+    /// All ranges that have a stored record.
     pub fn stored_ranges(&self) -> Vec<TaskRange> {
         let versions = self.chunk_versions.iter().enumerate();
         let chunks = versions
--- a/crates/controller/src/leader/task_ranges/tests.rs
+++ b/crates/controller/src/leader/task_ranges/tests.rs
@@ -1,17 +1,17 @@
-//! How the tasks of a job are divided among records.
+//! Tests of the division of tasks among records.
 
 use super::*;
 
-/// Whatever is stored, and by whom: each task has one record to be written to, and
-/// those of a chunk cover it without overlap.
+/// For random divisions and stored parts: each task is written to exactly one record, and
+/// the parts of a chunk cover it without overlap.
 #[test]
-fn each_task_has_one_record() {
+fn parts_cover_a_chunk_without_overlap() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..300 {
         let tasks = rng.u32(1..300);
         let mut ranges = TaskRanges::new(tasks, rng.u32(1..120), rng.u32(1..40));
         let chunk = rng.u32(..tasks) / ranges.tasks_per_chunk;
-        // Parts that a leader with other settings has left.
+        // Parts that were written with another part size.
         let other = rng.u32(1..40);
         let all = ranges.chunk_indexes(chunk);
         for from in all.clone().step_by(other as usize) {
@@ -20,7 +20,7 @@
                 ranges.set_version(TaskRange::Part { chunk, from, to }, 1);
             }
         }
-        // What has a part is written in parts by whoever loads it.
+        // A chunk with a stored part counts as split.
         let stored = !ranges.stored_ranges().is_empty();
         assert_eq!(ranges.is_split(chunk), stored);
         assert!(!stored || ranges.range_of(all.start) != TaskRange::Chunk(chunk));
@@ -35,7 +35,7 @@
             );
             ranges.set_version(*part, 2);
         }
-        // They stay what they are once they are stored.
+        // Storing the parts does not change them.
         assert!(
             all.clone()
                 .all(|task| parts.contains(&ranges.range_of(task)))
