--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -1,4 +1,4 @@
-//! The size of the fleet: scaling out and in, and the checks of the fleet that lead to it.
+//! Autoscaling: periodic fleet checks that scale the fleet out and in.
 
 mod cloud_replies;
 mod deletion;
@@ -13,24 +13,25 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Waiting jobs that a scale-out plan looks at, unless those before scale nothing out.
+/// The initial number of waiting jobs that a scale-out plan examines.
 const INITIAL_PLAN_DEPTH: usize = 1000;
-/// Right after the start of a term, the machines are still becoming known.
+/// Delay of the first scale-out after recovery, while machines still send their first
+/// heartbeats.
 const SCALE_OUT_DELAY: Micros = 2 * SECOND;
-/// How long the name of a machine that is gone is remembered, beyond the time by which the
-/// cloud's list may be late.
+/// How long the name of a removed machine is retained, in addition to the possible lag of
+/// the cloud's machine list.
 const REMOVED_MACHINE_RETENTION: Micros = 120 * SECOND;
 
-/// What was asked of the cloud, and what is known of its answers.
+/// The state of autoscaling: requests to the cloud and what is known from its replies.
 #[derive(Debug)]
 pub(super) struct Autoscaler {
     pub cloud_queue: CloudQueue,
     pub boot_estimator: BootEstimator,
     refusals: RefusedOfferings,
-    /// Waiting jobs that the next scale-out plan looks at.
+    /// The number of waiting jobs that the next scale-out plan examines.
     plan_depth: usize,
     next_fleet_check_at: Micros,
-    /// Machines that are proved to be gone, and since when.
+    /// Machines that are proved to be gone, with the time of their removal.
     removed_machines: HashMap<String, Micros>,
 }
 
@@ -46,13 +47,13 @@
         }
     }
 
-    /// Whether the machine is proved to be gone. What still arrives of it was held up on
-    /// its way.
+    /// Whether the machine is proved to be gone. Messages from it that still arrive were
+    /// delayed in the network.
     pub fn is_removed(&self, machine: &str) -> bool {
         self.removed_machines.contains_key(machine)
     }
 
-    /// Whether a check of the fleet is due; if it is, the next is due after `interval`.
+    /// Whether a fleet check is due. If so, schedules the next one after `interval`.
     pub fn take_due_fleet_check(&mut self, now: Micros, interval: Micros) -> bool {
         let due = now >= self.next_fleet_check_at;
         if due {
@@ -61,10 +62,10 @@
         due
     }
 
-    /// Sets how many jobs the next plan looks at. Jobs that come after many for which
-    /// nothing is scaled out have a turn as well.
-    fn update_plan_depth(&mut self, jobs_seen: usize, scales_out: bool) {
-        self.plan_depth = if !scales_out && jobs_seen == self.plan_depth {
+    /// Sets the depth of the next plan. The depth grows while plans request no machines, so
+    /// that jobs behind many that need none are considered as well.
+    fn update_plan_depth(&mut self, jobs_examined: usize, scales_out: bool) {
+        self.plan_depth = if !scales_out && jobs_examined == self.plan_depth {
             self.plan_depth * 2
         } else {
             INITIAL_PLAN_DEPTH
@@ -81,7 +82,7 @@
 }
 
 impl Leader {
-    /// Deletes machines that are silent or idle, and scales out for what waits.
+    /// Deletes machines that are silent or idle, and scales out for waiting work.
     pub(super) fn check_fleet(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let partitioned = self.partitioned_machines();
@@ -89,9 +90,9 @@
         if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.scale_in(ctx);
         }
-        let memory = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_RETENTION;
+        let retention = 4 * ctx.config.cloud_list_lag + REMOVED_MACHINE_RETENTION;
         self.autoscaler
-            .forget_removed_before(now.saturating_sub(memory));
+            .forget_removed_before(now.saturating_sub(retention));
         let Some(types) = self.machine_types.shared() else {
             return;
         };
@@ -102,7 +103,7 @@
             return;
         }
         self.record_partitioned_zones(&partitioned, now);
-        // What is asked for is answered first: refusals change the plan.
+        // Pending requests are completed first, because a refusal changes the plan.
         if !self.autoscaler.cloud_queue.has_scale_outs() {
             self.scale_out(ctx, &types, &partitioned);
         }
@@ -113,13 +114,13 @@
             if let Some(machine) = self.machines.get(name)
                 && self.partitions.record_partitioned(&machine.zone, now)
             {
-                log::info!("zone has fallen silent zone={}", machine.zone);
+                log::info!("zone is partitioned zone={}", machine.zone);
             }
         }
         self.partitions.forget_expired(now);
     }
 
-    /// Whether the node may ask this of the cloud now.
+    /// Whether the node may request this action from the cloud now.
     pub(super) fn is_permitted(&self, ctx: &Context, action: CloudAction) -> bool {
         let now = ctx.now.monotonic;
         let permit = self.leadership_proof.permit(ctx.config, now, action);
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, and what follows from its replies.
+//! Calls to the cloud and the handling of its replies.
 
 use crate::CallError;
 use crate::calls::Context;
@@ -16,21 +16,21 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Time between two requests for the machine types.
+/// Interval between two requests for the machine types.
 const TYPES_INTERVAL: Micros = 60 * SECOND;
-/// Time until the next request for the machine types after one that failed.
-const TYPES_RETRY: Micros = 2 * SECOND;
-/// Time between two listings of the machines.
+/// Delay before a failed request for the machine types is retried.
+const TYPES_RETRY_INTERVAL: Micros = 2 * SECOND;
+/// Interval between two complete listings of the machines.
 const LISTING_INTERVAL: Micros = 10 * SECOND;
 
 type CloudReply = Result<CloudResponse, CallError>;
 
-/// Whether a call without success may have been carried out, or may still be.
+/// Whether the cloud may have carried out a failed call, or may still do so.
 fn is_uncertain(reply: &CloudReply) -> bool {
     matches!(reply, Err(CallError::NoAnswer))
 }
 
-/// Why a call had no success, for log lines.
+/// The reason why a call failed, for log lines.
 struct FailureReason<'a>(&'a CloudReply);
 
 impl fmt::Display for FailureReason<'_> {
@@ -47,7 +47,7 @@
 }
 
 impl Leader {
-    /// Sends the next call to the cloud, if there is one that may be sent.
+    /// Sends the next queued call to the cloud, if one is permitted.
     pub(in crate::leader) fn send_cloud_request(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         let fleet = self.derived.sums().machines_up();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The call in flight to the cloud has ended.
+    /// Handles the reply to the cloud call in flight.
     pub fn cloud_reply(&mut self, ctx: &mut Context, kind: CloudRequestKind, reply: CloudReply) {
         let now = ctx.now.monotonic;
         self.autoscaler.cloud_queue.call_finished();
@@ -104,7 +104,7 @@
                 return;
             }
             CloudRequestKind::Types => {
-                cloud_queue.schedule_types(now + TYPES_RETRY);
+                cloud_queue.schedule_types(now + TYPES_RETRY_INTERVAL);
                 return;
             }
             CloudRequestKind::Delete => cloud_queue.deletion_failed(is_uncertain(reply)),
@@ -114,11 +114,11 @@
         log::info!("cloud request failed kind={} reason={reason}", kind.label());
     }
 
-    /// Takes over the machine types that the cloud offers.
+    /// Updates the machine types that the cloud offers.
     fn update_machine_types(&mut self, types: Vec<MachineType>) {
         let types = Rc::new(types);
         let must_store = self.machine_types.update(types.clone());
-        // The resources of machines may be other than they were.
+        // The resources of machines may have changed with their types.
         self.machines.mark_all_changed();
         if must_store {
             self.writer.enqueue(PendingWrite::MachineTypes);
@@ -126,7 +126,7 @@
         self.events.push(LeaderEvent::MachineTypes(types));
     }
 
-    /// The cloud has started machines, perhaps fewer than were asked for.
+    /// Adds the machines that the cloud has started, which may be fewer than requested.
     fn apply_scale_out(&mut self, ctx: &Context, request: &ScaleOut, names: &[String]) {
         let now = ctx.now.monotonic;
         log::info!(
@@ -154,7 +154,8 @@
         }
     }
 
-    /// The cloud has no more machines of what was asked for; `started` of them it had.
+    /// Records that the cloud has no more capacity of the requested kind; it started
+    /// `started` machines.
     fn record_refusal(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
         let now = ctx.now.monotonic;
         log::info!(
@@ -171,7 +172,7 @@
         };
         let until = now + micros(ctx.config.tuning.refused_pause_s);
         self.autoscaler.refusals.refuse(offering, until);
-        // Plan with another offering at once.
+        // Plan again at once with other offerings.
         self.autoscaler.next_fleet_check_at = now;
     }
 
@@ -203,7 +204,7 @@
     fn apply_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
         let is_booting = listed.state == InstanceState::Booting;
         if !self.machines.contains_key(&listed.name) {
-            log::info!("unknown machine is listed machine={}", listed.name);
+            log::info!("cloud lists an unknown machine machine={}", listed.name);
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
             let mut machine = Machine::new(&listed.name, machine_type, zone, listed.spot, now);
             machine.expected = is_booting;
@@ -216,8 +217,8 @@
             machine.update_description(&listed.machine_type, &listed.zone, listed.spot);
         }
         if !machine.is_up() && is_booting {
-            // Leaders change; how long it has been booting does not. A machine that never
-            // comes up is paid for until it is deleted.
+            // The boot time counts across leaders: otherwise a machine that never comes up
+            // would be kept for longer after each failover.
             let age = micros(listed.age_s).min(now);
             machine.assume_booting_since(now - age);
         }
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -1,4 +1,4 @@
-//! Deletion of machines: silent ones, idle ones, and those that hold cancelled tasks.
+//! Deletion of machines that are silent, idle or hold cancelled tasks.
 
 use crate::calls::Context;
 use crate::leader::Leader;
@@ -16,58 +16,58 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A machine is paid for by the minute, so it may as well be kept for one; the rest is for
-/// the deletion.
+/// The minimum age at which an idle machine is deleted. Machines are billed by the minute;
+/// the difference to a minute allows for the time that the deletion takes.
 const MIN_MACHINE_LIFETIME: Micros = 55 * SECOND;
 
-/// What one check for silent machines goes by.
+/// The inputs of a check for silent machines.
 struct SilenceCheck<'a> {
     now: Micros,
     config: &'a Config,
     types: &'a [MachineType],
     partitioned: &'a BTreeSet<Rc<str>>,
-    /// Many machines are silent at once.
+    /// Whether many machines are silent at once.
     many_silent: bool,
-    /// It is rather this node that is isolated.
+    /// Whether this node is probably the one that is isolated.
     isolated: bool,
-    /// When this term's leader had read the store.
+    /// When this leader had recovered its state.
     ready_since: Micros,
 }
 
-/// A machine that has been silent for too long, and for how long.
+/// A machine that is to be deleted because of its silence.
 struct SilentMachine {
     name: Rc<str>,
     silence: Micros,
 }
 
-/// What a check for silent machines has found.
+/// The result of a check for silent machines.
 #[derive(Default)]
 struct SilentMachines {
-    /// The indexes of machines that are to be asked if they are there.
+    /// The indexes of machines that are to be probed.
     to_probe: Vec<SlabIndex>,
     to_delete: Vec<SilentMachine>,
 }
 
 impl SilenceCheck<'_> {
-    /// The silence after which a machine that was up is deleted.
+    /// The maximum silence of a machine that is up, if few machines are silent.
     fn base_max_silence(&self) -> Micros {
         (self.config.worker_lease * 4 / 10).max(2 * self.config.heartbeat_interval + SECOND)
     }
 
-    /// For how long this machine may be silent.
+    /// The silence after which the machine may be deleted.
     ///
-    /// Many that are silent at once look like a partition or a stall that may heal before
-    /// leases expire; after that what was on them is gone in any case. Replicas behind a
-    /// partition serve until their lease ends. To delete them sooner once cost a third of
-    /// all replicas the time that others took to boot (rough, brunnmatt-books-grown).
+    /// If many machines are silent at once, the cause is probably a partition or a stall
+    /// that may end before their leases expire; after that their tasks have ended anyway.
+    /// Replicas in a partitioned zone may serve until their lease expires, so their machines
+    /// are kept until then.
     fn max_silence(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
             if machine.expected {
                 boot_estimator.max_wait(machine, boot)
             } else {
-                // Known by a record or a listing only: it should send a heartbeat right
-                // away.
+                // The machine is known only from a record or a listing. If it is running,
+                // it sends heartbeats already.
                 self.base_max_silence() + boot
             }
         } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
@@ -79,26 +79,25 @@
         }
     }
 
-    /// For how long nothing was heard of the machine.
+    /// The time since the last message from the machine.
     fn silence(&self, machine: &Machine) -> Micros {
         let last_heard_at = machine.reachability.last_heard_at();
         self.now.saturating_sub(last_heard_at)
     }
 
-    /// Whether the machine is to be asked if it is there. One heartbeat that got lost costs a
-    /// worker up to 5 s; whether the machine is there shows sooner when it is asked.
+    /// Whether the machine is to be probed. After a lost heartbeat, the reply to a probe
+    /// shows sooner than the next heartbeat whether the machine is up.
     fn needs_probe(&self, machine: &Machine, silence: Micros) -> bool {
         machine.is_ready()
             && silence > heartbeat_missed_after(self.config)
             && !machine.command_state.is_requested()
     }
 
-    /// Whether a machine that has been silent for too long is to be deleted now.
+    /// Whether a machine that exceeds its maximum silence is to be deleted now.
     ///
-    /// Machines in a partitioned zone may come back any time, and their capacity with them.
-    /// To delete 512 machines whose work could not run elsewhere cost a third of all portals
-    /// the rest of a partition and a minute besides (zone, rosterwise-nz-fleet). What the
-    /// work of this machine could have elsewhere is taken from `spare`.
+    /// Machines in a partitioned zone may become reachable again at any time, so they are
+    /// kept while their tasks could not run elsewhere. The capacity for the tasks of a
+    /// machine that is deleted is taken from `spare`.
     fn should_delete(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
         let is_kept_for_its_tasks = self.partitioned.contains(&machine.name)
             && self.may_heal(silence)
@@ -107,19 +106,19 @@
         self.had_time_to_report(machine) && !is_kept_for_its_tasks && !may_be_reachable
     }
 
-    /// Whether the silence is so short that a partition may still heal.
+    /// Whether the silence is short enough for a partition to be considered temporary.
     fn may_heal(&self, silence: Micros) -> bool {
         silence < self.config.worker_lease * PARTITION_GRACE_LEASES
     }
 
-    /// Whether the machine had time to send this leader a heartbeat. One that only the
-    /// leader before found silent gets that first.
+    /// Whether the machine had time to send a heartbeat to this leader. This protects
+    /// machines that only the previous leader found silent.
     fn had_time_to_report(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
         !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
 
-    /// Whether the cloud has taken the machine back by its own notice.
+    /// Whether the cloud has reclaimed the machine according to its interruption notice.
     fn is_reclaimed(&self, machine: &Machine, silence: Micros) -> bool {
         let reclaim_at = machine.interrupted_at().map(|at| at + SECOND);
         reclaim_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
@@ -127,7 +126,7 @@
 }
 
 impl Leader {
-    /// Has a machine deleted.
+    /// Queues the deletion of a machine.
     pub(in crate::leader) fn delete_machine(&mut self, name: &Rc<str>, reason: DeletionReason) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.being_deleted = true;
@@ -135,8 +134,8 @@
         }
     }
 
-    /// Deletes machines that hold a cancelled job's tasks and do not show their end, well
-    /// before the time by which cancelled tasks must have ended.
+    /// Deletes machines that hold tasks of a cancelled job and have not reported their end,
+    /// well before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let removal_timeout = ctx.config.cancel_deadline * 3 / 10;
@@ -164,8 +163,8 @@
         }
     }
 
-    /// Whether a cancelled task may be on the machine, which is not yet to be deleted for
-    /// such a reason.
+    /// Whether the cancelled task may be on the machine, and the machine's deletion is not
+    /// already queued with this urgency.
     fn may_hold_cancelled_task(&self, machine: &str, job: &Rc<str>, task: u32) -> bool {
         let Some(machine) = self.machines.get(machine) else {
             return false;
@@ -178,8 +177,8 @@
         slot.is_some_and(|slot| slot.cancelled && slot.stored)
     }
 
-    /// Deletes machines that fell silent: the cloud's answer is the proof that what was on
-    /// them is gone. Those of `partitioned` zones have rules of their own.
+    /// Deletes machines that have become silent. The cloud's confirmation proves that their
+    /// tasks have ended. Machines in `partitioned` are subject to additional rules.
     pub(super) fn delete_silent_machines(
         &mut self,
         ctx: &Context,
@@ -247,14 +246,14 @@
         found
     }
 
-    /// Whether many machines are silent at once. They are counted as soon as they miss a
-    /// heartbeat: one by one they would be deleted before they are many.
+    /// Whether many machines are silent at once. Machines count as soon as they miss a
+    /// heartbeat: counted later, most of them would be deleted before there are many.
     fn are_many_silent(&self) -> bool {
         let up = self.derived.sums().machines_up() as u64;
         self.derived.silent_machines().len() > 2.max(up * 3 / 10)
     }
 
-    /// Deletes machines that are idle, or that are not to be used any more and are empty.
+    /// Deletes empty machines that are idle, cordoned or about to be reclaimed.
     pub(super) fn scale_in(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let max_idle = micros(ctx.config.tuning.idle_s);
@@ -275,7 +274,8 @@
             let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
             let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
                 && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
-            // What the headroom needs is kept: it would be asked for again at once.
+            // Machines that the headroom needs are kept: they would be requested again at
+            // once.
             if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
                 let total = self.type_resources(&machine.machine_type);
                 let machine_cpus = total.map_or(0.0, |total| total.cpus);
@@ -297,7 +297,8 @@
         }
     }
 
-    /// Machines with nothing on them; those that hold the fewest images of services first.
+    /// The empty machines in the order of deletion: those with the fewest service images
+    /// in their cache first.
     fn empty_machines_in_deletion_order(&self) -> Vec<Rc<str>> {
         let empty = self.derived.empty_machines().iter();
         let mut machines: Vec<(u32, Rc<str>)> = empty
@@ -308,7 +309,7 @@
         machines.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Forgets a machine that is certainly gone, and frees what was on it.
+    /// Removes a machine that is proved to be gone, and returns its tasks to waiting.
     pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
         self.autoscaler.record_removed(name, ctx.now.monotonic);
         let Some(mut machine) = self.machines.remove(name) else {
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -1,7 +1,6 @@
-//! Scaling out: which machines are asked for, and for which jobs.
+//! Scale-out: which machines are requested, and for which jobs.
 
 use crate::calls::Context;
-use crate::leader::boot_estimator::BootingCapacity;
 use crate::leader::deadline_risk::DeadlineRisk;
 use crate::leader::scheduling::{CPU_ROUNDING_ERROR, machine_view};
 use crate::leader::{Job, Leader};
@@ -15,15 +14,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A task that has run for longer than expected may run on for this part of its run time.
+/// The minimum remaining run time assumed for a task, as a share of its elapsed run time.
 const OVERRUN_SHARE: f64 = 0.2;
 
-/// Replicas on machines in partitioned zones, by the index of their job.
+/// The number of replicas on machines in partitioned zones, by job index.
 type LostReplicas = BTreeMap<SlabIndex, u32>;
 
 impl Leader {
-    /// Asks for the machines that are wanted for waiting tasks, for replicas behind a
-    /// partition, and for headroom.
+    /// Requests machines for waiting tasks, for replicas in partitioned zones and for
+    /// service headroom.
     pub(super) fn scale_out(
         &mut self,
         ctx: &Context,
@@ -37,12 +36,12 @@
             return;
         }
         let mut teams = self.allowances_without(ctx, &lost);
-        let BootingCapacity { usable, late } = self.booting_capacity(types, now);
-        let machines_by_zone = self.machines_by_zone(&usable);
-        let machines_seen: u32 = machines_by_zone.values().sum();
+        let booting = self.booting_capacity(types, now);
+        let machines_by_zone = self.machines_by_zone(&booting.usable);
+        let machine_count: u32 = machines_by_zone.values().sum();
         let mut capacity = CapacityIndex::without_images();
         let soon_free = self.machines_soon_free(ctx, partitioned);
-        for view in usable.into_iter().chain(soon_free) {
+        for view in booting.usable.into_iter().chain(soon_free) {
             capacity.add(view);
         }
         let headroom_cpus = self.service_headroom_cpus(ctx.config);
@@ -50,7 +49,8 @@
             types,
             refusals: &self.autoscaler.refusals,
             unreachable_zones: self.partitions.partitioned_zones().cloned().collect(),
-            late_offerings: late
+            late_offerings: booting
+                .late_types
                 .into_iter()
                 .map(|offering| (offering.machine_type, offering.zone))
                 .collect(),
@@ -60,17 +60,17 @@
             proactive_headroom_cpus: proactive_cpus,
             now_us: now,
         };
-        let mut jobs_seen = 0;
+        let mut jobs_examined = 0;
         let jobs = self
             .scale_out_candidates(ctx, partitioned, &lost)
             .take(self.autoscaler.plan_depth)
-            .inspect(|_| jobs_seen += 1);
-        let wanted = plan_scale_out(jobs, &mut capacity, &mut teams, &inputs);
+            .inspect(|_| jobs_examined += 1);
+        let planned = plan_scale_out(jobs, &mut capacity, &mut teams, &inputs);
         self.scheduling
-            .record_plan(u64::from(machines_seen), jobs_seen as u64);
+            .record_plan(u64::from(machine_count), jobs_examined as u64);
         self.autoscaler
-            .update_plan_depth(jobs_seen, !wanted.is_empty());
-        for PlannedScaleOut { offering, count } in wanted {
+            .update_plan_depth(jobs_examined, !planned.is_empty());
+        for PlannedScaleOut { offering, count } in planned {
             self.request_scale_out(offering, count, now);
         }
     }
@@ -96,7 +96,8 @@
         cloud_queue.scale_out(scale_out, now);
     }
 
-    /// Replicas in partitioned zones: others are prepared for while they serve on.
+    /// The replicas in partitioned zones. Capacity to replace them is prepared while they
+    /// may still be serving.
     fn lost_replicas(&self, partitioned: &BTreeSet<Rc<str>>) -> LostReplicas {
         let mut lost = BTreeMap::new();
         for machine in partitioned
@@ -114,7 +115,7 @@
         lost
     }
 
-    /// What each team may still use, as if the lost replicas used nothing.
+    /// The remaining quota of each team, not counting the usage of the lost replicas.
     fn allowances_without(&self, ctx: &Context, lost: &LostReplicas) -> Vec<TeamAllowance> {
         let mut teams = self.derived.sums().team_allowances(ctx.config);
         for (index, replicas) in lost {
@@ -126,21 +127,21 @@
         teams
     }
 
-    /// The machines that are up and those that are coming, by zone.
-    fn machines_by_zone(&self, coming: &[MachineView]) -> BTreeMap<Rc<str>, u32> {
+    /// The number of machines that are up or in `booting`, by zone.
+    fn machines_by_zone(&self, booting: &[MachineView]) -> BTreeMap<Rc<str>, u32> {
         let up = self.derived.sums().machines_up_by_zone().iter();
         let mut machines: BTreeMap<Rc<str>, u32> = up
             .map(|(zone, count)| (zone.clone(), *count as u32))
             .collect();
-        for view in coming {
+        for view in booting {
             *machines.entry(view.zone.clone()).or_default() += 1;
         }
         machines
     }
 
-    /// Jobs that machines may be started for, in the order in which they compete: those
-    /// that wait, and those that have lost replicas. Nothing is started for a suspect job,
-    /// which fails wherever it runs.
+    /// The jobs for which machines may be started, in the order of service: jobs with lost
+    /// replicas, then waiting jobs. Suspect jobs are left out, because they are likely to
+    /// fail on any machine.
     fn scale_out_candidates<'a>(
         &'a self,
         ctx: &'a Context,
@@ -148,7 +149,7 @@
         lost: &'a LostReplicas,
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut risk = DeadlineRisk::new(self.derived.sums());
-        // Those that have lost replicas are services and so come first.
+        // Jobs with lost replicas are services, which come first in the queue order.
         let waiting = self
             .derived
             .job_queue
@@ -170,8 +171,8 @@
         })
     }
 
-    /// Machines with the resources that will be free by the time that a new one could be
-    /// up: to start one for what fits there would gain nothing.
+    /// Machines with the resources that are expected to be free by the time a new machine
+    /// could be up. Starting a machine for tasks that fit there would gain nothing.
     fn machines_soon_free(
         &self,
         ctx: &Context,
@@ -184,11 +185,12 @@
         let is_soon_free = |slot: &&TaskSlot| {
             let run_time_s = run_times_s.get(slot.job as usize).copied().unwrap_or(0.0);
             let elapsed_s = seconds(slot.running_for(now));
-            let left_s = (run_time_s - elapsed_s).max(elapsed_s * OVERRUN_SHARE);
-            left_s <= horizon_s
+            let remaining_s = (run_time_s - elapsed_s).max(elapsed_s * OVERRUN_SHARE);
+            remaining_s <= horizon_s
         };
-        // What is free on a machine whose heartbeat got lost is about to be there again.
-        let is_there = |machine: &&Machine| {
+        // Machines that missed a heartbeat only recently are included: most are reachable
+        // again before a new machine would be up.
+        let is_usable = |machine: &&Machine| {
             machine.accepts_tasks(now)
                 && !machine
                     .reachability
@@ -196,7 +198,7 @@
                 && !partitioned.contains(&machine.name)
         };
         let mut views = Vec::new();
-        for machine in self.machines.values().filter(is_there) {
+        for machine in self.machines.values().filter(is_usable) {
             let Some(total) = self.type_resources(&machine.machine_type) else {
                 continue;
             };
@@ -211,8 +213,8 @@
         views
     }
 
-    /// The expected run time of a task of each job, in seconds, by the job's index: one
-    /// number for each job instead of a look-up for each of its tasks.
+    /// The expected run time of a task of each job in seconds, by job index, computed once
+    /// instead of for each task.
     fn run_times_by_job(&self, ctx: &Context) -> Vec<f64> {
         let run_time_s = |job: Option<&Job>| {
             let job = job.filter(|job| job.placed_count() > 0);
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -1,11 +1,9 @@
-//! How long machines take to boot, as seen lately.
+//! Estimates of boot times from recent boots.
 //!
-//! Usually they are up within 1.5 times their type's boot time. Some take several times as
-//! long, a few never come up, and there are times in which all that are started are slow.
-//! One machine that is late is replaced. But to replace all of a slow time pays for each
-//! twice over, and to give each up after the same time again and again once left a fleet
-//! without a single new machine for two and a half minutes, since none was waited for as
-//! long as it took.
+//! Most machines are up within 1.5 times the boot time of their type, some take several
+//! times as long, and a few never come up. At times all new machines are slow. A single
+//! late machine is replaced. If all are slow, the leader waits longer instead: replacements
+//! would be just as slow, and each machine would be paid for twice.
 
 use super::Leader;
 use crate::machines::Machine;
@@ -15,10 +13,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// While all machines are slow, one in so many is replaced, to see whether new ones come
-/// sooner by now.
+/// While all machines of a type are slow, one in this many is replaced, to detect whether
+/// new machines boot faster again.
 const CANARY_INTERVAL: usize = 8;
-/// The boot time that is assumed of a type that is not known.
+/// The boot time assumed for an unknown machine type.
 const DEFAULT_BOOT_TIME: Micros = 30 * SECOND;
 
 /// A machine type in a zone.
@@ -41,7 +39,7 @@
     }
 }
 
-/// The boot of one machine that is up.
+/// A completed boot of a machine.
 #[derive(Debug, Clone, Copy)]
 struct Boot {
     started_at: Micros,
@@ -49,38 +47,42 @@
 }
 
 impl Boot {
-    /// Whether it began no sooner than that of the machine, give or take a second.
+    /// Whether this boot started no earlier than that of the machine, with a tolerance of
+    /// one second.
     fn started_no_earlier_than(&self, machine: &Machine) -> bool {
         self.started_at + SECOND >= machine.known_since()
     }
 }
 
-/// What is known of a machine that is not up.
+/// The boot progress of a machine that is not up yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BootProgress {
-    /// It has time yet.
+    /// The machine is within its expected boot time.
     OnTime,
-    /// It should be up, but none that was started since is up either: perhaps all are slow.
+    /// The machine is overdue, but no machine that was started later is up either. Perhaps
+    /// all machines are slow.
     AllSlow,
-    /// It should be up, as others are.
+    /// The machine is overdue, and a machine that was started later is up.
     Late,
 }
 
-/// Machines that are not up but may be counted on.
+/// The capacity of machines that are booting.
 pub(super) struct BootingCapacity {
+    /// Machines that are expected to come up.
     pub usable: Vec<MachineView>,
-    /// The types and zones of which those started last are late.
-    pub late: BTreeSet<ZonalType>,
+    /// Types and zones whose most recently started machines are late.
+    pub late_types: BTreeSet<ZonalType>,
 }
 
-/// The machine started last, of those that are up, by type and zone.
+/// Estimates boot times from the most recently started machine that is up, by type and
+/// zone.
 #[derive(Debug, Default)]
 pub(super) struct BootEstimator {
     latest_boots: BTreeMap<ZonalType, Boot>,
 }
 
 impl BootEstimator {
-    /// The machine is up.
+    /// Records that the machine has come up.
     pub fn record_boot(&mut self, machine: &Machine, now: Micros) {
         let boot = Boot {
             started_at: machine.known_since(),
@@ -90,14 +92,14 @@
             .latest_boots
             .entry(ZonalType::of(machine))
             .or_insert(boot);
-        // Of those started together the slowest says most.
+        // Among machines that were started at the same time, the slowest one counts.
         if latest.started_at <= boot.started_at {
             *latest = boot;
         }
     }
 
-    /// The latest boot of the type that began no sooner than that of the machine: in its
-    /// zone if there is one, anywhere else if not.
+    /// The latest completed boot of the same type that started no earlier than the machine:
+    /// in its zone if there is one, in any other zone otherwise.
     fn later_boot(&self, machine: &Machine) -> Option<Boot> {
         let in_its_zone = self.latest_boots.get(&ZonalType::of(machine)).copied();
         let is_later = |boot: &Boot| boot.started_no_earlier_than(machine);
@@ -111,7 +113,7 @@
         })
     }
 
-    /// How the boot of a machine goes; `usual` is the usual boot time of its type.
+    /// The boot progress of a machine; `usual` is the usual boot time of its type.
     pub fn progress(&self, machine: &Machine, usual: Micros, now: Micros) -> BootProgress {
         let age = now.saturating_sub(machine.known_since());
         let later_boot = self.later_boot(machine);
@@ -125,8 +127,8 @@
         }
     }
 
-    /// How long to wait for a machine before it is deleted. While all are slow, a new one
-    /// would come no sooner than the one that is paid for already.
+    /// The time after which a machine that has not come up is deleted. While all machines
+    /// are slow, a replacement would not be up any sooner.
     pub fn max_wait(&self, machine: &Machine, usual: Micros) -> Micros {
         match self.later_boot(machine) {
             Some(boot) => (usual * 4).max(boot.duration * 5 / 2) + 10 * SECOND,
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Whether no machine of its type and zone is up that was started as late as this one.
+    /// Whether no machine of this type and zone that was started at the same time or later
+    /// is up.
     fn is_newest(&self, machine: &Machine) -> bool {
         let latest = self.latest_boots.get(&ZonalType::of(machine));
         latest.is_none_or(|boot| !boot.started_no_earlier_than(machine))
@@ -142,7 +145,8 @@
 }
 
 impl Leader {
-    /// Machines that are not up but may be counted on.
+    /// The machines that are booting and are expected to come up, and the types that are
+    /// late.
     pub(super) fn booting_capacity(&self, types: &[MachineType], now: Micros) -> BootingCapacity {
         let estimator = &self.autoscaler.boot_estimator;
         let progress = |machine: &Machine| {
@@ -151,7 +155,7 @@
         };
         let booting = self.booting_machines();
         let mut usable = Vec::new();
-        let mut late = BTreeSet::new();
+        let mut late_types = BTreeSet::new();
         let mut slow_by_type: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
         for machine in &booting {
             let progress = progress(machine);
@@ -164,26 +168,26 @@
                 BootProgress::Late => {}
             }
             if progress != BootProgress::OnTime && machine.expected {
-                late.insert(ZonalType::of(machine));
+                late_types.insert(ZonalType::of(machine));
             }
         }
         for slow in slow_by_type.into_values() {
             let canaries = slow.len().div_ceil(CANARY_INTERVAL);
-            let counted_on = slow.iter().skip(canaries);
-            usable.extend(counted_on.filter_map(|machine| self.machine_view(machine)));
+            let waited_for = slow.iter().skip(canaries);
+            usable.extend(waited_for.filter_map(|machine| self.machine_view(machine)));
         }
-        // A zone in which others are up is not late for a few that are.
-        late.retain(|key| {
+        // A few late machines don't make a type late in a zone where newer ones are up.
+        late_types.retain(|key| {
             let mut machines = booting.iter().filter(|machine| key.matches(machine));
             machines.any(|machine| {
                 progress(machine) != BootProgress::OnTime && estimator.is_newest(machine)
             })
         });
-        BootingCapacity { usable, late }
+        BootingCapacity { usable, late_types }
     }
 
-    /// Machines that have yet to send a heartbeat in this term, and are known by more than
-    /// a stored placement.
+    /// Machines that have not sent a heartbeat in this term, except those known only from a
+    /// stored placement.
     fn booting_machines(&self) -> Vec<&Machine> {
         let booting = self.derived.booting_machines().iter();
         booting
@@ -193,14 +197,14 @@
             .collect()
     }
 
-    /// The boot time of the type that is up soonest, in seconds.
+    /// The shortest boot time of all machine types, in seconds.
     pub(super) fn soonest_boot_s(&self) -> f64 {
         let types = self.machine_types.iter();
         types.map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 }
 
-/// The usual boot time of a type; an assumption while the types are not known.
+/// The usual boot time of a type, or a default if the type is not known.
 pub(super) fn boot_time(types: &[MachineType], machine_type: &str) -> Micros {
     let found = types.iter().find(|t| t.name == machine_type);
     found.map_or(DEFAULT_BOOT_TIME, |t| micros(t.boot_s))
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -1,4 +1,4 @@
-//! Spot machines that the cloud is about to take back.
+//! Handling of spot machines with an interruption notice.
 
 use super::{Job, Leader};
 use crate::calls::Context;
@@ -6,17 +6,13 @@
 use crate::seconds;
 use dillcleat_wire::user::JobKind;
 
-/// A task whose expected rest takes more than so many times as long as its machine has left
-/// is preempted.
+/// A task is preempted if its expected remaining run time exceeds the time until the
+/// interruption by more than this factor.
 const UNFINISHABLE_RATIO: f64 = 1.5;
 
 impl Leader {
-    /// Preempts tasks of arrays that will not end before the machine goes: they run on
-    /// elsewhere from now, instead of from when the loss is noticed.
-    ///
-    /// Of 20 jobs that missed their deadlines 17 had every task placed in time and lost one
-    /// to a spot machine, which was placed again only after the notice had run out and the
-    /// silence was seen (operations of both ops).
+    /// Preempts array tasks that are not expected to end before the machine is reclaimed,
+    /// so that they are placed elsewhere now instead of after the loss is detected.
     pub(super) fn preempt_unfinishable_tasks(&mut self, ctx: &Context, machine_name: &str) {
         let now = ctx.now.monotonic;
         let Some(machine) = self.machines.get(machine_name) else {
@@ -31,8 +27,8 @@
                 return false;
             };
             let ran_s = seconds(slot.running_for(now));
-            let left_s = self.expected_run_time_s(ctx.config, job) - ran_s;
-            is_preemptible(job, slot) && left_s > notice_s * UNFINISHABLE_RATIO
+            let remaining_s = self.expected_run_time_s(ctx.config, job) - ran_s;
+            is_preemptible(job, slot) && remaining_s > notice_s * UNFINISHABLE_RATIO
         };
         let slots = machine.slots.iter();
         let unfinishable = slots.filter(|(key, slot)| is_unfinishable(key, slot));
@@ -58,7 +54,7 @@
     }
 }
 
-/// Whether the task runs there, is of an array, and is not being stopped already.
+/// Whether the task is a launched array task that is not being stopped already.
 fn is_preemptible(job: &Job, slot: &TaskSlot) -> bool {
     job.spec.kind == JobKind::Batch
         && slot.is_stored_and_seen()
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,4 +1,4 @@
-//! Zones that are cut off by a network partition.
+//! Detection of zones that are unreachable because of a network partition.
 
 use super::Leader;
 use super::scheduling::CPU_ROUNDING_ERROR;
@@ -8,31 +8,33 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// After so many leases a machine is deleted though what was on it can't run elsewhere: its
-/// zone may be gone for good.
+/// After a silence of this many leases, a machine is deleted even if its tasks can't run
+/// elsewhere, because its zone may be lost permanently.
 pub(super) const PARTITION_GRACE_LEASES: Micros = 4;
-/// How long nothing is started in a zone that fell silent, unless it is heard.
+/// How long no machine is started in a partitioned zone, unless a machine in it is reachable
+/// again earlier.
 const PARTITIONED_ZONE_SCALE_OUT_PAUSE: Micros = 60 * SECOND;
-/// A zone is partitioned only if so many of its machines are silent.
+/// The minimum number of silent machines in a partitioned zone.
 const MIN_SILENT_MACHINES: usize = 3;
 
-/// The silence by which a machine has missed a heartbeat, in microseconds.
+/// The silence after which a machine has missed a heartbeat.
 pub(super) fn heartbeat_missed_after(config: &Config) -> Micros {
     config.heartbeat_interval * 3 / 2
 }
 
-/// CPUs that what is on machines in partitioned zones could have elsewhere.
+/// CPUs outside the partitioned zones that could run the tasks of machines inside them.
 #[derive(Debug)]
 pub(super) struct SpareCapacity {
-    /// What replicas could have: free CPUs on ordinary machines, and those of arrays
-    /// there, which are preempted for them first.
+    /// CPUs for replicas: those that are free on ordinary machines, and those that array
+    /// tasks use there, which can be preempted.
     replica_cpus: f64,
-    /// Free CPUs of any kind.
+    /// CPUs for array tasks: those that are free on any machine.
     array_cpus: f64,
 }
 
 impl SpareCapacity {
-    /// What is spare for the most important work on the machine, and what that needs.
+    /// The spare CPUs for the most important kind of task on the machine, and the CPUs that
+    /// those tasks need.
     fn spare_and_needed(&mut self, machine: &Machine) -> (&mut f64, f64) {
         let placed_cpus = |service: bool| -> f64 {
             let slots = machine.slots.values();
@@ -47,14 +49,14 @@
         }
     }
 
-    /// Takes the capacity for what is on a machine that is being deleted already.
+    /// Takes the capacity for the tasks of a machine that is already being deleted.
     fn reserve_for(&mut self, machine: &Machine) {
         let (spare, needed) = self.spare_and_needed(machine);
         *spare -= needed;
     }
 
-    /// Takes the capacity for the most important work on the machine. Returns whether
-    /// there is enough of it; if not, none is taken.
+    /// Takes the capacity for the most important tasks on the machine. Returns false, and
+    /// takes none, if there is not enough.
     pub fn take_for(&mut self, machine: &Machine) -> bool {
         let (spare, needed) = self.spare_and_needed(machine);
         let is_enough = needed <= 0.0 || *spare + CPU_ROUNDING_ERROR >= needed;
@@ -65,46 +67,47 @@
     }
 }
 
-/// Zones that are partitioned, or were when the term began.
+/// The zones that are partitioned, and those that were when the term began.
 #[derive(Debug, Default)]
 pub(super) struct ZonePartitions {
-    /// Zones that fell silent as a whole, and when: what is started there would be paid
-    /// for and never heard of.
+    /// Partitioned zones, with the time at which they were last found to be partitioned.
     partitioned_since: BTreeMap<Rc<str>, Micros>,
-    /// Zones that the leader before found silent, and when they were heard last.
+    /// Zones that the previous leader found to be silent, with the time of the last message
+    /// from each.
     last_contact_before_term: HashMap<String, Micros>,
 }
 
 impl ZonePartitions {
-    /// Zones in which nothing is started.
+    /// The partitioned zones, in which no machine is started.
     pub fn partitioned_zones(&self) -> impl Iterator<Item = &Rc<str>> {
         self.partitioned_since.keys()
     }
 
-    /// The zone is silent as a whole. Returns whether it was not before.
+    /// Records that the zone is partitioned. Returns whether this is new.
     pub fn record_partitioned(&mut self, zone: &Rc<str>, now: Micros) -> bool {
         self.partitioned_since.insert(zone.clone(), now).is_none()
     }
 
-    /// A machine of the zone is heard. Returns whether the zone was silent before.
+    /// Records that a machine in the zone is reachable. Returns whether the zone was
+    /// partitioned.
     pub fn record_reachable(&mut self, zone: &str) -> bool {
         self.partitioned_since.remove(zone).is_some()
     }
 
-    /// Forgets zones that have not been found silent for a while.
+    /// Removes zones that have not been found to be partitioned recently.
     pub fn forget_expired(&mut self, now: Micros) {
         self.partitioned_since
             .retain(|_, since| now < *since + PARTITIONED_ZONE_SCALE_OUT_PAUSE);
     }
 
-    /// When a zone was heard last, if the leader before found it silent.
+    /// The time of the last message from a zone that the previous leader found to be silent.
     pub fn last_contact_before_term(&self, zone: &str) -> Option<Micros> {
         self.last_contact_before_term.get(zone).copied()
     }
 }
 
 impl Leader {
-    /// What could run elsewhere of what is on the machines in partitioned zones.
+    /// The capacity that tasks on machines in partitioned zones could use elsewhere.
     pub(super) fn spare_capacity(&self, partitioned: &BTreeSet<Rc<str>>) -> SpareCapacity {
         let capacity = &self.derived.capacity;
         let (ordinary_cpus, spot_cpus) = (capacity.free_cpus(false), capacity.free_cpus(true));
@@ -120,8 +123,8 @@
             replica_cpus: ordinary_cpus + preemptible_cpus,
             array_cpus: ordinary_cpus + spot_cpus,
         };
-        // While the cloud is out deletions pile up, and what is on those machines needs
-        // its capacity first.
+        // Deletions may be queued while the cloud is unavailable. The tasks of those machines
+        // need capacity first.
         for name in self.autoscaler.cloud_queue.deletions() {
             if let Some(machine) = self.machines.get(name) {
                 spare.reserve_for(machine);
@@ -130,9 +133,9 @@
         spare
     }
 
-    /// Machines of zones that have fallen silent as a whole. What runs there runs on for
-    /// the rest of its lease, but is as good as lost. If most of the fleet is silent, it is
-    /// rather this node that is isolated.
+    /// The silent machines of partitioned zones: zones in which most machines are silent.
+    /// Their tasks keep running until their leases expire, but count as lost. If most of the
+    /// fleet is silent, this node is more likely to be isolated, and the result is empty.
     pub(super) fn partitioned_machines(&self) -> BTreeSet<Rc<str>> {
         let mut silent_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
         for (name, machine) in self.silent_machines() {
@@ -154,11 +157,11 @@
         partitioned
     }
 
-    /// Whether it is rather this node that is isolated: it hears neither a controller nor a
-    /// machine outside its own zone, where there are both.
+    /// Whether this node is probably isolated: it receives messages neither from controllers
+    /// nor from machines in other zones, although there are both.
     ///
-    /// Such a leader may reach the store all the same, and so prove that it leads. To
-    /// believe what it does not hear would be the end of every other zone.
+    /// An isolated leader may still reach the store and prove its leadership. If it trusted
+    /// the silence, it would delete the machines of all other zones.
     pub(super) fn is_probably_isolated(&self, config: &Config) -> bool {
         if !self.leadership_proof.isolated {
             return false;
@@ -170,11 +173,11 @@
             .map(|(zone, up)| (zone, *up))
             .collect();
         for (_, machine) in self.silent_machines() {
-            if let Some(heard) = reachable_by_zone.get_mut(&machine.zone) {
-                *heard = heard.saturating_sub(1);
+            if let Some(reachable) = reachable_by_zone.get_mut(&machine.zone) {
+                *reachable = reachable.saturating_sub(1);
             }
         }
-        if reachable_by_zone.values().any(|heard| *heard > 0) {
+        if reachable_by_zone.values().any(|reachable| *reachable > 0) {
             return false;
         }
         let missed = self.derived.silent_machines() | self.derived.booting_machines();
@@ -184,19 +187,19 @@
         missed.any(|(_, machine)| machine.recorded && is_other_zone(&machine.zone))
     }
 
-    /// Zones that have fallen silent, and for how long, for the next leader.
+    /// The partitioned zones and the durations of their silence, for the next leader.
     pub fn silent_zones(&self, now: Micros) -> Vec<SilentZone> {
-        let mut last_heard: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
+        let mut last_contact: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
         for machine in partitioned
             .iter()
             .filter_map(|name| self.machines.get(name))
         {
-            let latest = last_heard.entry(&machine.zone).or_default();
+            let latest = last_contact.entry(&machine.zone).or_default();
             *latest = machine.reachability.last_heard_at().max(*latest);
         }
         let silent_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
-        last_heard
+        last_contact
             .into_iter()
             .take(dillcleat_peer_protocol::MAX_ZONES)
             .map(|(zone, since)| SilentZone {
@@ -206,12 +209,11 @@
             .collect()
     }
 
-    /// Takes over the zones that the leader before found silent, with the time at which
-    /// each was heard last. Their replicas serve until that lease ends, not until one that
-    /// begins with this term: a leader that ended in the middle of a partition once left
-    /// them down for 15 s more (zone, brunnmatt-books-fleet).
-    pub fn set_zones_silent_before_term(&mut self, last_heard: HashMap<String, Micros>) {
-        self.partitions.last_contact_before_term = last_heard;
+    /// Sets the zones that the previous leader found to be silent, with the time of the last
+    /// message from each. The silence of their machines is counted from that time, not from
+    /// the beginning of this term, so that their replicas are replaced without extra delay.
+    pub fn set_zones_silent_before_term(&mut self, last_contact: HashMap<String, Micros>) {
+        self.partitions.last_contact_before_term = last_contact;
     }
 }
 
--- a/crates/controller/src/leader/zone_partition/tests.rs
+++ b/crates/controller/src/leader/zone_partition/tests.rs
@@ -1,4 +1,4 @@
-//! Which machines of a partitioned zone may be deleted.
+//! Tests of the deletion of machines in partitioned zones.
 
 use super::*;
 use crate::machines::TaskSlot;
@@ -15,10 +15,10 @@
     machine
 }
 
-/// Machines behind a partition were once deleted with nowhere for their replicas to go,
-/// and came back as none (zone, rosterwise-nz-fleet).
+/// Guards against the deletion of partitioned machines whose replicas could not run
+/// elsewhere.
 #[test]
-fn machines_are_given_up_only_as_far_as_their_work_can_run_elsewhere() {
+fn spare_capacity_is_taken_only_for_tasks_that_fit() {
     let mut spare = SpareCapacity {
         replica_cpus: 5.0,
         array_cpus: 4.0,
@@ -27,10 +27,13 @@
     let array = machine(JobKind::Batch, 1, 3.0);
     let empty = machine(JobKind::Batch, 0, 0.0);
     assert!(spare.take_for(&replicas));
-    assert!(!spare.take_for(&replicas), "one CPU is left for replicas");
+    assert!(
+        !spare.take_for(&replicas),
+        "only one CPU is left for replicas"
+    );
     assert!(spare.take_for(&array));
     assert!(!spare.take_for(&array));
-    assert!(spare.take_for(&empty), "nothing on it needs capacity");
+    assert!(spare.take_for(&empty), "an empty machine needs no capacity");
     spare.reserve_for(&array);
     assert!(!spare.take_for(&machine(JobKind::Batch, 1, 0.5)));
     assert!(spare.take_for(&empty));
