--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -1,13 +1,11 @@
-//! Sums, sets and orders that follow from jobs and machines, kept up to date by what has
-//! changed.
+//! Sums, sets and indexes that are derived from jobs and machines and updated
+//! incrementally.
 //!
-//! Everything of the kind that a scheduling cycle, a scale-out plan or a tick asks for is
-//! kept here. A job or machine that was touched is marked by its slab; what changes by
-//! time alone (a pause that ends, a heartbeat that is missed, a job's end that is of no
-//! more use) is marked when it is due. [`Leader::refresh_derived_state`] looks at the
-//! marked ones and at nothing else: before, every cycle walked all jobs and all machines,
-//! and with ten thousand of them a leader on a quarter of a processor had 2,487 leases
-//! expire unanswered.
+//! Scheduling cycles, scale-out plans and ticks read this state instead of iterating over
+//! all jobs and machines, which would delay the answers to heartbeats in large fleets. The
+//! slabs mark the jobs and machines that were changed. Those that change with time alone
+//! (when a pause ends, a heartbeat is missed or a job's end is no longer useful) are marked
+//! when the change is due. [`Leader::refresh_derived_state`] processes only marked entries.
 
 mod audit;
 mod due_times;
@@ -27,31 +25,31 @@
 use roaring::RoaringBitmap;
 use std::rc::Rc;
 
-/// What is derived from the jobs and machines of a leader.
+/// The state that is derived from the jobs and machines of a leader.
 #[derive(Debug)]
 pub(super) struct DerivedState {
-    /// Jobs with tasks that may be placed, in the order in which they are served.
+    /// Jobs with placeable tasks, in the order of service.
     pub job_queue: JobQueue,
     /// Free resources of the machines that may get tasks.
     pub capacity: CapacityIndex,
     sums: Sums,
-    /// What each job and machine has added to the sums, by its index.
+    /// The contribution of each job and machine to the sums, by slab index.
     job_contributions: Vec<Option<JobContribution>>,
     machine_contributions: Vec<Option<MachineContribution>>,
     cancelled_jobs: RoaringBitmap,
-    /// Jobs that are ordered by the estimate of their class.
+    /// Jobs whose queue position depends on the estimate of their class.
     estimated_jobs: RoaringBitmap,
-    /// Jobs whose counts are not those that peers were sent last.
+    /// Jobs whose task counts have changed since they were last sent to peers.
     unreported_jobs: RoaringBitmap,
     /// Machines that are up and have missed a heartbeat.
     silent_machines: RoaringBitmap,
-    /// Machines that have yet to send a heartbeat in this term.
+    /// Machines that have not sent a heartbeat in this term and are not being deleted.
     booting_machines: RoaringBitmap,
-    /// Machines that the cloud is about to take back.
+    /// Spot machines with an interruption notice.
     interrupted_machines: RoaringBitmap,
-    /// Machines with nothing placed on them.
+    /// Machines with no placed tasks.
     empty_machines: RoaringBitmap,
-    /// Ordinary machines, and spot machines, that run tasks of arrays.
+    /// Ordinary machines, and spot machines, that run array tasks.
     ordinary_machines_with_arrays: RoaringBitmap,
     spot_machines_with_arrays: RoaringBitmap,
     due_times: DueTimes,
@@ -78,7 +76,6 @@
         }
     }
 
-    /// Sums over all jobs and machines.
     pub fn sums(&self) -> &Sums {
         &self.sums
     }
@@ -98,33 +95,33 @@
         &self.silent_machines
     }
 
-    /// Machines that have yet to send a heartbeat in this term, and may.
+    /// Machines that have not sent a heartbeat in this term and are not being deleted.
     pub fn booting_machines(&self) -> &RoaringBitmap {
         &self.booting_machines
     }
 
-    /// Machines that the cloud is about to take back.
+    /// Spot machines with an interruption notice.
     pub fn interrupted_machines(&self) -> &RoaringBitmap {
         &self.interrupted_machines
     }
 
-    /// Machines with nothing placed on them.
+    /// Machines with no placed tasks.
     pub fn empty_machines(&self) -> &RoaringBitmap {
         &self.empty_machines
     }
 
-    /// Ordinary machines that run tasks of arrays.
+    /// Ordinary machines that run array tasks.
     pub fn ordinary_machines_with_arrays(&self) -> &RoaringBitmap {
         &self.ordinary_machines_with_arrays
     }
 
-    /// Spot machines that run tasks of arrays.
+    /// Spot machines that run array tasks.
     pub fn spot_machines_with_arrays(&self) -> &RoaringBitmap {
         &self.spot_machines_with_arrays
     }
 
-    /// Replaces what a job contributes. Returns the images that services began or ceased
-    /// to use by it.
+    /// Replaces the contribution of a job. Returns the images that services have begun or
+    /// ceased to use with this change.
     fn set_job(&mut self, index: SlabIndex, new: Option<JobContribution>) -> Vec<Rc<str>> {
         let current = entry_at(&mut self.job_contributions, index, None);
         if *current == new {
@@ -146,14 +143,13 @@
         if image_before == image_after {
             return Vec::new();
         }
-        // An index that passes from one service to another between two looks may bring one
-        // image of each kind (seed 8 of the combined faults).
+        // Both may apply: an index may be reused for another service between two refreshes.
         let newly_used = image_after.filter(|image| self.sums.services_using(image) == 1);
         let no_longer_used = image_before.filter(|image| self.sums.services_using(image) == 0);
         newly_used.into_iter().chain(no_longer_used).collect()
     }
 
-    /// Replaces what a machine contributes.
+    /// Replaces the contribution of a machine.
     fn set_machine(&mut self, index: SlabIndex, new: Option<MachineContribution>) {
         let current = entry_at(&mut self.machine_contributions, index, None);
         if *current == new {
@@ -178,7 +174,7 @@
     }
 }
 
-/// Puts an index into a set or takes it out.
+/// Adds an index to a set or removes it.
 fn set_member(set: &mut RoaringBitmap, index: SlabIndex, is_member: bool) {
     if is_member {
         set.insert(index);
@@ -187,7 +183,7 @@
     }
 }
 
-/// The entry of an index in a list that grows as needed.
+/// Returns the entry at an index, growing the list as needed.
 fn entry_at<T: Clone>(list: &mut Vec<T>, index: SlabIndex, vacant: T) -> &mut T {
     let position = index as usize;
     if position >= list.len() {
@@ -197,7 +193,7 @@
 }
 
 impl Leader {
-    /// Brings the derived state up to date with what was touched and what is due.
+    /// Updates the derived state for jobs and machines that were marked or are due.
     pub(super) fn refresh_derived_state(&mut self, ctx: &Context) {
         while let Some(due) = self.derived.due_times.pop_due(ctx.now.monotonic) {
             match due {
@@ -220,9 +216,9 @@
         self.derived.sums.set_unknown_job_usage(claims.collect());
     }
 
-    /// Has the waiting jobs that are ordered by the estimate of their class looked at
-    /// again, once a second: at every task's end it would be a walk over all of them each
-    /// time.
+    /// Marks the jobs whose queue position depends on the estimate of their class, if any
+    /// estimate has changed. Called with each fleet check, since doing this at the end of
+    /// each task would be expensive.
     pub(super) fn mark_estimated_jobs(&mut self) {
         if self.estimates.take_run_times_changed() {
             for index in &self.derived.estimated_jobs {
@@ -250,11 +246,12 @@
         }
     }
 
-    /// The machine as the scheduling cycle sees it, if it may get a task.
+    /// The view of a machine for the scheduling cycle, if it may get tasks.
     ///
-    /// A launch to a machine that is gone, in a partitioned zone, or that receives nothing
-    /// would hold its task until there is proof that it did not arrive. On a machine that
-    /// is heard in replies to commands only, the task may end with the lease.
+    /// A task that is launched on an unreachable machine can't be placed elsewhere before
+    /// the launch is proved not to have arrived, so such machines get no tasks. A machine
+    /// whose replies to commands arrive but whose heartbeats don't is marked as
+    /// `outbound_unreachable`: its tasks may end when their lease expires.
     fn placement_view(
         &self,
         machine: &Machine,
@@ -276,7 +273,7 @@
         Some(view)
     }
 
-    /// How many images of services the machine holds.
+    /// The number of service images in the machine's cache.
     pub(super) fn service_images_on(&self, machine: &Machine) -> u32 {
         let images = machine.images().iter();
         let sums = &self.derived.sums;
@@ -285,14 +282,14 @@
             .count() as u32
     }
 
-    /// Machines that are up and have missed a heartbeat.
+    /// Iterates over the machines that are up and have missed a heartbeat.
     pub(super) fn silent_machines(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
         let silent = self.derived.silent_machines.iter();
         silent.filter_map(|index| self.machines.at(index))
     }
 
-    /// Counts of jobs that have changed since peers were last sent them. They count as
-    /// sent from now on.
+    /// Takes the task counts that have changed since they were last sent to peers. They
+    /// count as sent from now on.
     pub fn progress(&mut self) -> Vec<JobProgress> {
         let unreported = self.derived.unreported_jobs.iter();
         let indexes: Vec<SlabIndex> = unreported
@@ -314,8 +311,8 @@
     }
 }
 
-/// When the state of a machine changes next by time alone: a heartbeat is missed, or it
-/// may get tasks again.
+/// The next time at which the derived state of a machine changes without an event: when it
+/// misses a heartbeat or may get tasks again.
 fn next_change(machine: &Machine, now: Micros, missed_after: Micros) -> Option<Micros> {
     let reachability = &machine.reachability;
     [
--- a/crates/controller/src/leader/derived/audit.rs
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -1,4 +1,4 @@
-//! A check of the derived state, for the simulator.
+//! A consistency check of the derived state, for the simulator.
 
 use super::DerivedState;
 use crate::calls::Context;
@@ -6,8 +6,8 @@
 use crate::sched::{MachineView, SlabIndex};
 
 impl Leader {
-    /// Computes the derived state anew and returns what was not as it should have been. It
-    /// costs as much as there are jobs and machines.
+    /// Recomputes the derived state and returns the names of the parts that differ from the
+    /// incrementally updated state. Takes time linear in the number of jobs and machines.
     pub fn audit(&mut self, ctx: &Context) -> Vec<&'static str> {
         self.mark_estimated_jobs();
         self.refresh_derived_state(ctx);
@@ -26,7 +26,7 @@
             let virtual_time = self.scheduling.virtual_time();
             state.job_queue.iter_in_order(virtual_time).collect()
         };
-        // Nobody asks which images are held by machines without free CPUs.
+        // The images of machines without free CPUs are not used and need not be up to date.
         let service_images = |machine: &MachineView| match machine.free.cpus > 0.0 {
             true => machine.service_images,
             false => 0,
@@ -81,7 +81,7 @@
     }
 }
 
-/// The names of what is not the same.
+/// The names of the checks that failed.
 fn differences<const N: usize>(checks: [(&'static str, bool); N]) -> Vec<&'static str> {
     let different = checks.into_iter().filter(|(_, same)| !same);
     different.map(|(name, _)| name).collect()
--- a/crates/controller/src/leader/derived/due_times.rs
+++ b/crates/controller/src/leader/derived/due_times.rs
@@ -1,4 +1,4 @@
-//! When jobs and machines change by time alone.
+//! The times at which the derived state of jobs and machines changes without an event.
 
 use super::entry_at;
 use crate::Micros;
@@ -6,29 +6,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Something that changes by time alone.
+/// A job or machine whose derived state has to be refreshed at some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DueSubject {
     Job(SlabIndex),
     Machine(SlabIndex),
 }
 
-/// The order of the fields is the order in which entries are taken.
+/// An entry of the queue. The order of the fields determines the order of the entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueEntry {
     at: Micros,
     subject: DueSubject,
 }
 
-/// A queue of times at which jobs and machines are to be looked at again.
+/// A queue of the times at which jobs and machines have to be refreshed.
 ///
-/// It holds at least one entry for each subject that is due, none later than it is: an
-/// entry that comes too early is made anew.
+/// For each subject with a due time it holds an entry at or before that time. An early
+/// entry causes a refresh, which adds a new entry.
 #[derive(Debug, Default)]
 pub(super) struct DueTimes {
     entries: BinaryHeap<Reverse<DueEntry>>,
-    /// The earliest entry of each job and of each machine, by its index; the end of time
-    /// if it has none.
+    /// The earliest entry of each job and of each machine, by slab index; `Micros::MAX` if
+    /// there is none.
     earliest_by_job: Vec<Micros>,
     earliest_by_machine: Vec<Micros>,
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Has the subject looked at when `at` has come.
+    /// Schedules a refresh of the subject at `at`.
     pub(super) fn add(&mut self, at: Micros, subject: DueSubject) {
         let earliest = self.earliest_mut(subject);
         if at < *earliest {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes the next subject that is due by now.
+    /// Takes the next subject that is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<DueSubject> {
         let Reverse(DueEntry { at, subject }) = *self.entries.peek()?;
         if at > now {
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -1,4 +1,4 @@
-//! The place of each job in the queue: ageing, starvation and rank.
+//! The queue entry of each job: ageing, starvation and rank.
 
 use super::due_times::DueSubject;
 use super::sums::JobContribution;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Brings everything that is derived from a job up to date.
+    /// Updates all state that is derived from a job.
     pub(super) fn refresh_job(&mut self, ctx: &Context, index: SlabIndex) {
         if let Some(job) = self.jobs.get_mut_unmarked(index) {
             job.update_ageing(self.scheduling.virtual_time());
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The entry of a job in the queue, if it has tasks that may be placed now.
+    /// The queue entry of a job, if it has tasks that may be placed now.
     fn queue_entry(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
         if !may_be_placed(ctx, job) {
             return None;
@@ -66,8 +66,9 @@
         })
     }
 
-    /// The expected CPU-seconds of the job's tasks that are not done, by which jobs of no
-    /// virtual size are ordered. A job whose end is of no more use comes last.
+    /// The expected CPU-seconds of the job's tasks that are not done, by which jobs with a
+    /// virtual size of zero are ordered. Infinite for jobs whose end is no longer useful, so
+    /// that they come last.
     fn remaining_cpu_seconds(&self, ctx: &Context, job: &Job, virtual_size: f64) -> f64 {
         if virtual_size > 0.0 || job.spec.kind == JobKind::Service {
             return 0.0;
@@ -79,10 +80,10 @@
         tasks_left * job.spec.cpus * self.mean_run_time_s(ctx.config, job)
     }
 
-    /// When a job's place in the queue changes next by time alone.
+    /// The next time at which the job's queue entry changes without an event.
     fn next_job_change(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let now = ctx.now.monotonic;
-        // From the time of day to the monotonic clock.
+        // Converted from wall-clock to monotonic time.
         let useful_until = Self::latest_useful_end(ctx.config, job)
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
@@ -111,10 +112,9 @@
             .may_start(job.placed_count(), job.resource_request.starving(), now)
 }
 
-/// Whether the place of a job in the queue follows from the estimate of its class.
+/// Whether the queue position of a job depends on the estimate of its class.
 ///
-/// A job that does not age while it fails may have come to a size of zero as well; left
-/// out, it once kept its place by an old estimate (seed 2291 as Jobs).
+/// This includes suspect jobs, which don't age but may have reached a virtual size of zero.
 fn is_ordered_by_estimate(job: &Job, entry: Option<&QueueEntry>) -> bool {
     entry.is_some_and(|entry| entry.ageing != AgeingState::Ageing)
         && job.samples.is_empty()
@@ -122,7 +122,7 @@
 }
 
 impl Job {
-    /// Starts or stops the job's ageing at this virtual time.
+    /// Starts or stops the ageing of the job at this virtual time.
     fn update_ageing(&mut self, virtual_time: f64) {
         let ages = self.spec.kind == JobKind::Batch
             && self.cancelled_at.is_none()
@@ -139,14 +139,14 @@
         }
     }
 
-    /// Records since when the job waits, and whether it is starving. A pause after an
-    /// error is a part of its wait.
+    /// Updates the time since which the job has been waiting and whether it is starving.
+    /// Pauses after errors count as waiting.
     fn update_starvation(&mut self, ctx: &Context) {
-        let waits = self.cancelled_at.is_none()
+        let is_waiting = self.cancelled_at.is_none()
             && !self.blocked_on_dependencies
             && self.placeable_count() > 0;
         let now = ctx.now.monotonic;
-        self.waiting_since = waits.then(|| self.waiting_since.unwrap_or(now));
+        self.waiting_since = is_waiting.then(|| self.waiting_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
         if self.resource_request.starving() != starving {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// When it will be starving, if it gets no resources until then.
+    /// The time at which the job will be starving if it gets no resources.
     fn starves_at(&self, config: &Config) -> Option<Micros> {
         Some(self.waiting_since? + micros(config.tuning.starve_s))
     }
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -1,7 +1,7 @@
 //! Sums over all jobs and all machines.
 //!
-//! Amounts are whole millionths, so that what a job or machine adds can be taken off again
-//! without rounding.
+//! Amounts are integers in millionths, so that contributions can be added and removed
+//! without rounding errors.
 
 use crate::leader::Job;
 use crate::machines::Machine;
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// CPUs and GPUs that a team uses, in millionths.
+/// The CPUs and GPUs that a team uses, in millionths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(in crate::leader) struct TeamUsage {
     cpus: i64,
@@ -26,40 +26,40 @@
     }
 }
 
-/// CPUs that are reserved for the replicas of a service.
+/// The CPUs that are reserved for the replicas of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReplicaReserve {
-    /// The index of the expected wait of its class in the settings.
+    /// The index of the start objective of the service's class in the settings.
     objective_index: usize,
     /// In millionths.
     cpus: i64,
 }
 
-/// What one job adds to the sums. Amounts are in millionths.
+/// The contribution of a job to the sums. Amounts are in millionths.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct JobContribution {
     team: usize,
-    /// What its placed tasks take.
+    /// The resources of its placed tasks.
     usage: TeamUsage,
-    /// CPUs of its placed tasks that are training.
+    /// The CPUs of its placed training tasks.
     training_cpus: i64,
     ages: bool,
     service: bool,
-    /// CPUs of all of a service's replicas that are to run.
+    /// The CPUs of all placed and waiting replicas of a service.
     replica_cpus: i64,
-    /// The image of a service.
+    /// The image, if the job is a service.
     pub(super) image: Option<Rc<str>>,
     reserve: Option<ReplicaReserve>,
     pub(super) cancelled: bool,
-    /// Whether it is ordered by the estimate of its class.
+    /// Whether its queue position depends on the estimate of its class.
     pub(super) estimated: bool,
-    /// Whether its counts are not those that peers were sent last.
+    /// Whether its task counts have changed since they were last sent to peers.
     pub(super) unreported: bool,
 }
 
 impl JobContribution {
-    /// What the job adds. `estimated` says whether its place in the queue follows from the
-    /// estimate of its class.
+    /// Computes the contribution of a job. `estimated` says whether its queue position
+    /// depends on the estimate of its class.
     pub(super) fn of(job: &Job, config: &Config, estimated: bool) -> JobContribution {
         let service = job.spec.kind == JobKind::Service;
         let placed = job.placed_count() as i64;
@@ -97,9 +97,9 @@
         if job.spec.kind != JobKind::Service || job.blocked_on_dependencies {
             return None;
         }
-        let mut waits = config.start_objectives.iter();
-        let objective_index = waits.position(|objective| objective.class == job.spec.class)?;
-        // A zone takes up to half of a spread service.
+        let mut objectives = config.start_objectives.iter();
+        let objective_index = objectives.position(|objective| objective.class == job.spec.class)?;
+        // A zone holds up to half of the replicas of a spread service.
         let share = job.spec.tasks.div_ceil(2);
         let replicas = config.tuning.reserve_replicas.max(share);
         let cpus = i64::from(replicas).saturating_mul(to_millionths(job.spec.cpus));
@@ -110,34 +110,36 @@
     }
 }
 
-/// What one machine adds to the sums. Amounts are in millionths.
+/// The contribution of a machine to the sums. Amounts are in millionths.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct MachineContribution {
     zone: Rc<str>,
     pub(super) spot: bool,
-    /// It has sent a heartbeat and is not being deleted.
+    /// Whether it has sent a heartbeat and is not being deleted.
     up: bool,
-    /// It is up and has missed a heartbeat.
+    /// Whether it is up and has missed a heartbeat.
     pub(super) silent: bool,
-    /// It has yet to send a heartbeat in this term, and may.
+    /// Whether it has not sent a heartbeat in this term and is not being deleted.
     pub(super) booting: bool,
-    /// The cloud has said when it takes it back.
+    /// Whether it has an interruption notice and is not being deleted.
     pub(super) interrupted: bool,
-    /// Nothing is placed on it.
+    /// Whether it is ready, has no placed tasks and is not being deleted.
     pub(super) empty: bool,
-    /// It runs tasks of arrays.
+    /// Whether it runs array tasks.
     pub(super) runs_arrays: bool,
+    /// Whether it has a stored record and is not being deleted.
     recorded: bool,
-    /// CPUs, if it has sent a heartbeat in this term.
+    /// Its CPUs if it has sent a heartbeat in this term, otherwise 0.
     ready_cpus: i64,
-    /// CPUs, if it is certainly booting.
+    /// Its CPUs if the cloud has confirmed that it is booting, otherwise 0.
     booting_cpus: i64,
-    /// CPUs of tasks that use what is reserved for services.
+    /// The CPUs of tasks that use the headroom reserved for services.
     lent_cpus: i64,
 }
 
 impl MachineContribution {
-    /// What the machine adds; `total` are the resources of its type, if that is known.
+    /// Computes the contribution of a machine. `total` is the resources of its type, if the
+    /// type is known.
     pub(super) fn of(
         machine: &Machine,
         total: Option<Resources>,
@@ -145,9 +147,9 @@
         missed_after: Micros,
     ) -> MachineContribution {
         let cpus = total.map_or(0, |total| to_millionths(total.cpus));
-        let is_kept = !machine.being_deleted;
-        let up = machine.is_up() && is_kept;
-        let booting = !machine.is_ready() && is_kept;
+        let is_retained = !machine.being_deleted;
+        let up = machine.is_up() && is_retained;
+        let booting = !machine.is_ready() && is_retained;
         let borrowers = machine
             .slots
             .values()
@@ -158,10 +160,10 @@
             up,
             silent: up && machine.reachability.has_missed_heartbeat(now, missed_after),
             booting,
-            interrupted: machine.interrupted_at().is_some() && is_kept,
-            empty: machine.slots.is_empty() && machine.is_ready() && is_kept,
+            interrupted: machine.interrupted_at().is_some() && is_retained,
+            empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
             runs_arrays: machine.has_array_tasks(),
-            recorded: machine.recorded && is_kept,
+            recorded: machine.recorded && is_retained,
             ready_cpus: if machine.is_ready() { cpus } else { 0 },
             booting_cpus: if booting && machine.expected { cpus } else { 0 },
             lent_cpus: borrowers
@@ -171,7 +173,7 @@
     }
 }
 
-/// Whether a contribution is added to the sums or taken off.
+/// Whether a contribution is added to the sums or removed.
 #[derive(Debug, Clone, Copy)]
 enum Direction {
     Add,
@@ -186,32 +188,34 @@
         }
     }
 
-    /// One more or one less.
+    /// Increments or decrements a count.
     fn step(self, count: usize) -> usize {
         count.saturating_add_signed(self.sign() as isize)
     }
 }
 
-/// Sums over all jobs and all machines, in millionths where they are amounts.
+/// Sums over all jobs and all machines. Amounts are in millionths.
 #[derive(Debug, PartialEq)]
 pub(in crate::leader) struct Sums {
-    /// What placed tasks take, by team. Those of teams that are not in the settings stand
-    /// last.
+    /// The usage of placed tasks by team. The last entry is for all teams that are not in
+    /// the settings.
     usage_by_team: Vec<TeamUsage>,
-    /// The same of jobs whose description can't be read.
+    /// The usage by team of jobs that can't be read.
     unknown_job_usage: Vec<TeamUsage>,
     ageing_jobs: usize,
     training_cpus: i64,
-    /// CPUs of the placed tasks of arrays, and of all replicas that are to run.
+    /// The CPUs of placed array tasks.
     array_cpus: i64,
+    /// The CPUs of all placed and waiting replicas.
     replica_cpus: i64,
-    /// Services by image.
+    /// The number of services by image.
     services_by_image: HashMap<Rc<str>, usize>,
-    /// How many services reserve how many CPUs, by the wait that users expect.
+    /// The reserves of services, by the index of their start objective: each map holds the
+    /// number of services by reserved CPUs.
     reserves: Vec<BTreeMap<i64, usize>>,
     ready_cpus: i64,
     booting_cpus: i64,
-    /// CPUs by zone that are reserved for services and used by others.
+    /// CPUs of the service headroom that other tasks use, by zone.
     lent_cpus: BTreeMap<Rc<str>, i64>,
     recorded_machines: usize,
     machines_up_by_zone: BTreeMap<Rc<str>, usize>,
@@ -236,52 +240,52 @@
         }
     }
 
-    /// CPUs of the machines that have sent a heartbeat in this term.
+    /// The CPUs of the machines that have sent a heartbeat in this term.
     pub fn fleet_cpus(&self) -> f64 {
         from_millionths(self.ready_cpus)
     }
 
-    /// CPUs of the machines that are certainly booting.
+    /// The CPUs of the machines that the cloud has confirmed to be booting.
     pub fn booting_cpus(&self) -> f64 {
         from_millionths(self.booting_cpus)
     }
 
-    /// CPUs by zone that are reserved for services and used by others.
+    /// The CPUs of the service headroom that other tasks use, by zone.
     pub fn lent_cpus(&self) -> BTreeMap<Rc<str>, f64> {
         let lent = self.lent_cpus.iter();
         lent.map(|(zone, cpus)| (zone.clone(), from_millionths(*cpus)))
             .collect()
     }
 
-    /// CPUs of placed tasks that are training.
+    /// The CPUs of placed training tasks.
     pub fn training_cpus(&self) -> f64 {
         from_millionths(self.training_cpus)
     }
 
-    /// CPUs of the placed tasks of arrays.
+    /// The CPUs of placed array tasks.
     pub fn array_cpus(&self) -> f64 {
         from_millionths(self.array_cpus)
     }
 
-    /// CPUs of all replicas that are to run.
+    /// The CPUs of all placed and waiting replicas.
     pub fn replica_cpus(&self) -> f64 {
         from_millionths(self.replica_cpus)
     }
 
-    /// The most CPUs that are reserved for one service of the expected wait, which is
-    /// given by its index in the settings.
+    /// The largest reserve of a single service whose class has the start objective with this
+    /// index in the settings.
     pub fn largest_reserve_cpus(&self, objective_index: usize) -> f64 {
         let reserves = self.reserves.get(objective_index);
         let largest = reserves.and_then(|reserves| reserves.last_key_value());
         largest.map_or(0.0, |(cpus, _)| from_millionths(*cpus))
     }
 
-    /// How many services use the image.
+    /// The number of services that use the image.
     pub fn services_using(&self, image: &Rc<str>) -> usize {
         self.services_by_image.get(image).copied().unwrap_or(0)
     }
 
-    /// The number of active jobs: those that age.
+    /// The number of jobs that are ageing.
     pub fn ageing_jobs(&self) -> usize {
         self.ageing_jobs
     }
@@ -296,13 +300,13 @@
         self.machines_up_by_zone.values().sum()
     }
 
-    /// The machines that are up, by zone.
+    /// The number of machines that are up, by zone.
     pub fn machines_up_by_zone(&self) -> &BTreeMap<Rc<str>, usize> {
         &self.machines_up_by_zone
     }
 
-    /// What each team of the settings may still use, and after them all other teams, which
-    /// get nothing.
+    /// The remaining quota of each team in the settings, followed by an entry without any
+    /// quota for all other teams.
     pub fn team_allowances(&self, config: &Config) -> Vec<TeamAllowance> {
         let left = |limit: f64, used: i64| {
             if limit > 0.0 {
@@ -327,7 +331,7 @@
         known.chain([not_in_settings]).collect()
     }
 
-    /// Sets what the jobs whose description can't be read use, by team.
+    /// Sets the usage by team of jobs that can't be read.
     pub(super) fn set_unknown_job_usage(&mut self, usage: Vec<TeamUsage>) {
         self.unknown_job_usage = usage;
     }
@@ -398,7 +402,7 @@
     }
 }
 
-/// Counts one more or one less; a count of zero is removed.
+/// Increments or decrements a count; an entry that reaches zero is removed.
 fn step_count<K: Ord>(counts: &mut BTreeMap<K, usize>, key: K, direction: Direction) {
     let count = counts.get(&key).copied().unwrap_or(0);
     match direction.step(count) {
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -1,4 +1,4 @@
-//! What the leader does as time passes, and the scheduling cycle.
+//! The periodic work of the leader and the scheduling cycle.
 
 mod views;
 
@@ -8,21 +8,21 @@
 use crate::machines::{TaskKey, TaskSlot};
 use crate::{Micros, SECOND, SchedulerCounters, micros, sched, seconds};
 
-/// Time between two checks of the fleet.
+/// Interval between two fleet checks.
 const FLEET_CHECK_INTERVAL: Micros = SECOND;
 
-/// When the scheduling cycle runs, and what it has done.
+/// The timing and the counters of the scheduling cycle.
 #[derive(Debug)]
 pub(super) struct SchedulingState {
-    /// What ageing has taken off the size of any job that was active all the time, in
-    /// CPU-seconds.
+    /// The reduction of virtual size by ageing, in CPU-seconds, for a job that has aged since
+    /// the beginning of the term.
     virtual_time: f64,
-    /// When tasks may be preempted for replicas again.
+    /// The earliest time of the next preemption for replicas.
     next_preemption_at: Micros,
-    /// Whether a service was submitted since the last cycle: its users do not wait for a
-    /// tick.
-    service_submitted: bool,
-    /// From when on a change wants a cycle; the end of time if nothing has changed.
+    /// Whether a service has become ready since the last cycle. The next cycle then runs
+    /// without waiting for a tick.
+    service_ready: bool,
+    /// When a cycle was requested; `Micros::MAX` if none is.
     cycle_requested_at: Micros,
     last_cycle_at: Micros,
     counts: SchedulerCounters,
@@ -33,31 +33,31 @@
         SchedulingState {
             virtual_time: 0.0,
             next_preemption_at: now,
-            service_submitted: false,
+            service_ready: false,
             cycle_requested_at: now,
             last_cycle_at: now,
             counts: SchedulerCounters::default(),
         }
     }
 
-    /// What ageing has taken off, in CPU-seconds.
+    /// The virtual time by which jobs age, in CPU-seconds.
     pub fn virtual_time(&self) -> f64 {
         self.virtual_time
     }
 
-    /// What the cycles and scale-out plans have done.
+    /// Counters of the cycles and scale-out plans.
     pub fn counts(&self) -> SchedulerCounters {
         self.counts
     }
 
-    /// Something has changed that may let tasks be placed.
+    /// Requests a cycle after a change that may allow tasks to be placed.
     pub fn request_cycle(&mut self, now: Micros) {
         self.cycle_requested_at = now;
     }
 
-    /// A job has become ready to be placed.
+    /// Records that a job has become ready to be placed.
     pub fn record_ready_job(&mut self, is_service: bool, now: Micros) {
-        self.service_submitted |= is_service;
+        self.service_ready |= is_service;
         self.request_cycle(now);
     }
 
@@ -66,29 +66,29 @@
         now >= self.next_preemption_at
     }
 
-    /// Preempts nothing before `at`.
+    /// Disallows preemption before `at`.
     pub fn defer_preemption(&mut self, at: Micros) {
         self.next_preemption_at = at;
     }
 
-    /// A scale-out plan has looked at so many machines and jobs.
+    /// Counts the machines and jobs that a scale-out plan has examined.
     pub fn record_plan(&mut self, machines: u64, jobs: u64) {
         self.counts.machines += machines;
         self.counts.planned += jobs;
     }
 
-    /// Whether a change wants a cycle and the last one is at least `min_gap` ago.
+    /// Whether a cycle is requested and the last one is at least `min_gap` ago.
     fn is_cycle_due(&self, now: Micros, min_gap: Micros) -> bool {
         now >= self.cycle_requested_at && now >= self.last_cycle_at + min_gap
     }
 
     fn begin_cycle(&mut self, now: Micros) {
         self.cycle_requested_at = Micros::MAX;
-        self.service_submitted = false;
+        self.service_ready = false;
         self.last_cycle_at = now;
     }
 
-    /// Takes from every active job's virtual size its fair share of the CPU time since the
+    /// Advances the virtual time by each ageing job's fair share of the CPU time since the
     /// last cycle.
     fn advance_virtual_time(&mut self, now: Micros, fleet_cpus: f64, ageing_jobs: usize) {
         if ageing_jobs > 0 {
@@ -99,7 +99,7 @@
 }
 
 impl Leader {
-    /// Does what is due by time alone.
+    /// Does the work that is due at this time.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.recovery.is_reading() {
@@ -125,9 +125,9 @@
         self.send_pending(ctx);
     }
 
-    /// Machines that were refused an answer were not silent. After an outage of a minute
-    /// every machine once looked as if it were, and all were deleted before they could
-    /// send another heartbeat.
+    /// Excludes the time during which heartbeats were not answered from the silence of
+    /// machines. Otherwise, after an outage of the store, all machines would count as silent
+    /// and be deleted.
     fn exclude_outage_from_silence(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.may_answer_heartbeats(ctx) {
@@ -142,14 +142,14 @@
         self.scheduling.is_cycle_due(ctx.now.monotonic, min_gap)
     }
 
-    /// Sends what is ready to be sent. Scheduling cycles wait for the tick, except for one
-    /// that the submission of a service wants: a heartbeat is answered, and with it a lease
-    /// renewed, without a cycle in between.
+    /// Sends all requests that are ready. Cycles run in [`Self::tick`], so that they don't
+    /// delay the answers to heartbeats, which renew leases; only a cycle for a service that
+    /// has become ready runs here.
     pub fn send_pending(&mut self, ctx: &mut Context) {
         if !self.recovery.is_ready() {
             return;
         }
-        if self.scheduling.service_submitted && self.is_cycle_due(ctx) {
+        if self.scheduling.service_ready && self.is_cycle_due(ctx) {
             self.run_scheduling_cycle(ctx);
         }
         self.send_queue_watch(ctx);
@@ -160,22 +160,22 @@
         self.send_cloud_request(ctx);
     }
 
-    /// This process was not running for a while, or could not hear anybody: that nothing
-    /// was heard then says nothing about the machines.
+    /// Excludes a time during which this process was paused or could not receive messages
+    /// from the silence of machines.
     pub fn exclude_pause(&mut self, duration: Micros, now: Micros) {
         for machine in self.machines.values_mut() {
             machine.reachability.exclude_pause(duration, now);
         }
     }
 
-    /// Since when heartbeats of several machines should have come in.
+    /// The time since which heartbeats of several machines are expected, if any are.
     pub fn expects_heartbeats_since(&self) -> Option<Micros> {
         let recorded_machines = self.derived.sums().recorded_machines();
         (self.recovery.is_ready() && recorded_machines >= 2).then_some(self.recovery.ready_since())
     }
 
-    /// One scheduling cycle: lets jobs age, places waiting tasks, then preempts tasks for
-    /// replicas that still wait.
+    /// Runs a scheduling cycle: ages jobs, places waiting tasks, and preempts tasks for
+    /// replicas that are still waiting.
     pub(super) fn run_scheduling_cycle(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         self.refresh_derived_state(ctx);
@@ -202,8 +202,9 @@
             training_cpus: max_training_cpus - sums.training_cpus(),
             service_headroom_cpus: self.service_headroom_cpus(ctx.config),
         };
-        // Taken out while the jobs are looked at. Machines that get a task are marked, and
-        // with that the index agrees with the machines again.
+        // The index is moved out because the cycle changes it while it reads the jobs.
+        // Machines that get a task are marked as changed, so that the index is refreshed from
+        // them.
         let mut capacity = std::mem::take(&mut self.derived.capacity);
         let view = |job| self.job_view(ctx, job);
         let result = sched::run_cycle(
@@ -221,8 +222,8 @@
         }
     }
 
-    /// Places waiting tasks of a job on a machine. Nothing is sent to the machine before
-    /// the placement is stored.
+    /// Places waiting tasks of a job on a machine. Their launch commands are sent only after
+    /// the placements are stored.
     fn apply_assignment(&mut self, assignment: &sched::Assignment) {
         let types = self.machine_types.shared();
         let job = self.jobs.at(assignment.job);
@@ -255,7 +256,7 @@
             machine.add_task(key.clone(), slot, image, cache_gb);
             placed.push(key);
         }
-        // A job that gets resources does not starve.
+        // A job that gets resources is not starving.
         job.waiting_since = None;
         self.scheduling.counts.placed += placed.len() as u64;
         for key in placed {
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -1,4 +1,4 @@
-//! Jobs and machines as the scheduling cycle and the scale-out plan see them.
+//! Views of jobs and machines for the scheduling cycle and the scale-out plan.
 
 use crate::calls::Context;
 use crate::leader::{Job, Leader};
@@ -9,14 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The most waiting tasks of one job that a cycle or a plan looks at.
+/// The maximum number of waiting tasks of a job that a cycle or a plan examines.
 const MAX_TASKS_PER_JOB: usize = 200;
-/// CPUs below this are rounding errors.
+/// Amounts of CPUs below this are rounding errors.
 pub(in crate::leader) const CPU_ROUNDING_ERROR: f64 = 1e-6;
-/// The part of a type's image cache that may be counted on.
+/// The share of a machine's image cache that is assumed to be usable.
 const USABLE_CACHE_SHARE: f64 = 0.9;
 
-/// What may be counted on of a type's cache for images, in GB.
+/// The usable size of a machine type's image cache, in GB.
 pub(in crate::leader) fn usable_cache_gb(
     types: Option<&Vec<MachineType>>,
     machine_type: &str,
@@ -27,8 +27,8 @@
 }
 
 impl Leader {
-    /// A job as a scheduling cycle or a scale-out plan sees it, with those of its waiting
-    /// tasks that it may look at. Of a suspect job that is one.
+    /// The view of a job for a scheduling cycle or a scale-out plan. The number of waiting
+    /// tasks in it is bounded; for a suspect job it is at most one.
     pub(in crate::leader) fn job_view(
         &self,
         ctx: &Context,
@@ -60,9 +60,8 @@
         job.is_some_and(|job| job.spec.kind == JobKind::Service && job.cancelled_at.is_none())
     }
 
-    /// How many of the job's tasks are or may be in each zone, not counting those on the
-    /// `excluded` machines. Only the rules of a spread and of a single zone need it, so it
-    /// is empty for other jobs.
+    /// The number of the job's placed tasks in each zone, not counting those on `excluded`
+    /// machines. Empty for jobs without a constraint on zones, which don't need it.
     pub(in crate::leader) fn tasks_by_zone(
         &self,
         job: &Job,
@@ -89,14 +88,14 @@
             .map(Resources::of_type)
     }
 
-    /// The machine with what is free on it, if its type is known.
+    /// The view of a machine with its free resources, if its type is known.
     pub(in crate::leader) fn machine_view(&self, machine: &Machine) -> Option<MachineView> {
         let total = self.type_resources(&machine.machine_type)?;
         Some(machine_view(machine, machine.free_resources(total)))
     }
 }
 
-/// The machine as if `free` were free on it.
+/// The view of a machine with the given free resources.
 pub(in crate::leader) fn machine_view(machine: &Machine, free: Resources) -> MachineView {
     MachineView {
         machine_type: machine.machine_type.clone(),
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -1,5 +1,5 @@
-//! Capacity for services that must start sooner than any machine boots: CPUs that are
-//! reserved for them, and preemption of tasks of arrays.
+//! Capacity for services that must start before any new machine could boot: reserved CPUs,
+//! and preemption of array tasks.
 
 use super::Leader;
 use super::zone_partition::heartbeat_missed_after;
@@ -12,33 +12,32 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Shortest time between two preemptions: each looks at all machines that run arrays
-/// beside services.
+/// Minimum time between two preemptions. Each examines all machines that run array tasks,
+/// which is expensive.
 const PREEMPTION_INTERVAL: Micros = 200 * MILLISECOND;
 
-/// A task that may be preempted, and where it runs.
+/// A task that may be preempted, with its machine.
 #[derive(Debug, Clone)]
 struct PreemptibleTask {
     machine: Rc<str>,
     key: TaskKey,
 }
 
-/// The machines on which waiting replicas may run, and the tasks that may be preempted
-/// there.
+/// The machines on which waiting replicas may run, and the preemptible tasks on them.
 #[derive(Default)]
 struct PreemptionInputs {
     machines: Vec<MachineView>,
-    /// One entry for each of `tasks`, in the same order.
+    /// One entry for each element of `tasks`, in the same order.
     candidates: Vec<PreemptionCandidate>,
     tasks: Vec<PreemptibleTask>,
 }
 
 impl Leader {
-    /// Preempts tasks of arrays on machines where waiting replicas may run.
+    /// Preempts array tasks on machines where waiting replicas may run.
     ///
-    /// Running work is not stopped otherwise. But ordinary machines are started for late
-    /// arrays as well, and when the cloud had no more ordinary machines, replicas waited
-    /// behind them (rough, brunnmatt-books-grown).
+    /// Ordinary machines are also started for array tasks with a deadline. Without
+    /// preemption, replicas would have to wait for these tasks when the cloud has no more
+    /// ordinary machines.
     pub(super) fn preempt_for_replicas(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.scheduling.may_preempt(now) {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Services with waiting replicas that must start sooner than any machine boots.
+    /// Services with waiting replicas that must start before any new machine could boot.
     fn waiting_urgent_services(&self, ctx: &Context) -> Vec<JobView<'_>> {
         let virtual_time = self.scheduling.virtual_time();
         let mut waiting = self
@@ -71,7 +70,7 @@
             .job_queue
             .cursor(QueueSection::Urgent, virtual_time);
         let mut jobs = Vec::new();
-        // Services stand before tiny jobs.
+        // Services come before tiny jobs in this section.
         while let Some(queued) = waiting.next_job() {
             waiting.advance(queued.sub_queue);
             match self.job_view(ctx, queued.index) {
@@ -106,8 +105,8 @@
         inputs
     }
 
-    /// Adds a machine and its tasks that may be preempted. What is being preempted already
-    /// counts as free.
+    /// Adds a machine and its preemptible tasks. The resources of tasks that are already
+    /// being preempted count as free.
     fn add_preemptible_tasks(
         &self,
         inputs: &mut PreemptionInputs,
@@ -156,26 +155,26 @@
         }
     }
 
-    /// Whether replicas of the class are expected to start sooner than any machine boots.
+    /// Whether replicas of the class are expected to start before any new machine could
+    /// boot.
     fn must_start_before_boot(&self, config: &Config, class: &str) -> bool {
         let boot_s = self.soonest_boot_s();
-        let mut waits = config.start_objectives.iter();
-        waits.any(|wait| wait.class == class && seconds(wait.within) < boot_s)
+        let mut objectives = config.start_objectives.iter();
+        objectives.any(|objective| objective.class == class && seconds(objective.within) < boot_s)
     }
 
-    /// CPUs that are reserved in each zone for some replicas of each class of services that
-    /// is expected to start sooner than any machine boots.
+    /// The CPUs that are reserved in each zone for services that are expected to start
+    /// before any new machine could boot: for each class, the largest reserve of one service.
     pub(super) fn service_headroom_cpus(&self, config: &Config) -> f64 {
-        let waits = config.start_objectives.iter().enumerate();
-        waits
-            .filter(|(_, wait)| self.must_start_before_boot(config, &wait.class))
-            .map(|(wait, _)| self.derived.sums().largest_reserve_cpus(wait))
+        let objectives = config.start_objectives.iter().enumerate();
+        objectives
+            .filter(|(_, objective)| self.must_start_before_boot(config, &objective.class))
+            .map(|(index, _)| self.derived.sums().largest_reserve_cpus(index))
             .sum()
     }
 
-    /// The part of the headroom for which machines are started before anything needs it: a
-    /// small share of the fleet. Unbounded it once cost a fleet of 48 machines a fifth more
-    /// (rosterwise-nz).
+    /// The part of the headroom in each zone for which machines are started in advance. It
+    /// is limited to a share of the fleet, to bound its cost.
     pub(super) fn proactive_headroom_cpus(&self, config: &Config) -> f64 {
         let types = self.machine_types.iter();
         let zones: BTreeSet<&String> = types.flat_map(|t| &t.zones).collect();
