--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -1,9 +1,9 @@
-//! Which machines are sent commands, and when.
+//! Dispatch of command batches to machines.
 //!
-//! Batches that carry commands go first, then those that only raise the fencing token or
-//! ask whether a machine is there. The number in flight at once is bounded: a new leader
-//! of ten thousand machines once sent ten thousand requests in one turn, more than it has
-//! sockets, and their replies were queued before the heartbeats on which leases depend.
+//! Batches with commands take precedence over those that only announce the fencing token
+//! or probe a machine. The number of batches in flight is bounded: otherwise a new leader
+//! of a large fleet could exhaust its sockets, and the replies would delay the heartbeats
+//! that renew leases.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL};
 use crate::CallError;
@@ -15,17 +15,17 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// How urgent it is that a machine is sent a batch of commands.
+/// The priority of sending a command batch to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum DispatchPriority {
-    /// The machine is to see the fencing token, or to show that it is there.
+    /// The batch only announces the fencing token or probes the machine.
     Background,
-    /// Commands wait for the machine.
+    /// The batch contains commands.
     Urgent,
 }
 
-/// A machine that is sent commands at a later time. The order of the fields is the order
-/// of dispatch.
+/// A machine to which a batch is sent at a later time. The order of the fields determines
+/// the order of dispatch.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDispatch {
     at: Micros,
@@ -33,10 +33,10 @@
     priority: DispatchPriority,
 }
 
-/// The machines that wait to be sent commands, and how many batches are in flight.
+/// The machines to which batches are to be sent, and the number of batches in flight.
 ///
-/// A machine is in one of the two sets of those that wait, and may be among the delayed
-/// ones as well; an entry that is not needed any more is skipped when its turn comes.
+/// A machine is in at most one of `urgent` and `background`, and may also be in `delayed`.
+/// Entries that have become unnecessary are skipped when they are taken.
 #[derive(Debug)]
 pub(super) struct CommandDispatch {
     urgent: BTreeSet<Rc<str>>,
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Commands wait for the machine: it is sent them as soon as may be.
+    /// Queues a batch with commands for the machine.
     pub fn enqueue_urgent(&mut self, machine: Rc<str>) {
         self.enqueue(machine, DispatchPriority::Urgent);
     }
 
-    /// The machine is to see the fencing token, or to show that it is there.
+    /// Queues a batch that announces the fencing token to the machine or probes it.
     pub fn enqueue_background(&mut self, machine: Rc<str>) {
         self.enqueue(machine, DispatchPriority::Background);
     }
 
-    /// The machine is to see the fencing token, but not before `at`.
+    /// Queues a batch that announces the fencing token, to be sent at `at` or later.
     pub fn enqueue_background_at(&mut self, at: Micros, machine: Rc<str>) {
         self.enqueue_at(at, machine, DispatchPriority::Background);
     }
 
-    /// Has the machine sent commands. A higher priority stands.
+    /// Queues a batch for the machine. A higher priority takes precedence over a lower one.
     fn enqueue(&mut self, machine: Rc<str>, priority: DispatchPriority) {
         match priority {
             DispatchPriority::Urgent => {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Has the machine sent commands, but not before `at`.
+    /// Queues a batch for the machine, to be sent at `at` or later.
     fn enqueue_at(&mut self, at: Micros, machine: Rc<str>, priority: DispatchPriority) {
         self.delayed.insert(DelayedDispatch {
             at,
@@ -96,8 +96,8 @@
         });
     }
 
-    /// The next machine to send commands to. Half of what may be in flight is left to
-    /// urgent ones.
+    /// Takes the next machine to which a batch is sent. Half of the batches in flight are
+    /// reserved for urgent ones.
     fn next(&mut self, now: Micros) -> Option<Rc<str>> {
         while self
             .delayed
@@ -128,12 +128,12 @@
     }
 }
 
-/// What became of a batch of commands.
+/// The outcome of a command batch.
 struct CommandOutcome {
     /// The heartbeat in the machine's reply.
     heartbeat: Option<Heartbeat>,
-    /// Whether its launches may be carried out at a later time.
-    unanswered: bool,
+    /// Whether the launches in the batch may still be carried out.
+    may_still_launch: bool,
 }
 
 impl CommandOutcome {
@@ -142,16 +142,16 @@
             Ok((200 | 409, body)) => decode_heartbeat(machine, body),
             _ => None,
         };
-        // Nothing arrives of what was not sent, and nothing was done on a refusal. All
-        // else may be carried out at any time.
-        let unanswered = match reply {
+        // A batch that was not sent or was refused has no effect. Any other batch without a
+        // valid reply may be carried out at any time.
+        let may_still_launch = match reply {
             Err(CallError::NotSent) | Ok((409 | 400, _)) => false,
             Ok((200, _)) => heartbeat.is_none(),
             _ => true,
         };
         CommandOutcome {
             heartbeat,
-            unanswered,
+            may_still_launch,
         }
     }
 }
@@ -167,7 +167,7 @@
 }
 
 impl Leader {
-    /// Sends commands to the machines whose turn it is.
+    /// Sends batches to the queued machines, as far as the limit on batches in flight allows.
     pub(super) fn send_commands(&mut self, ctx: &mut Context) {
         if !self.may_answer_heartbeats(ctx) {
             return;
@@ -182,7 +182,8 @@
             return;
         };
         let state = &machine.command_state;
-        // One batch at a time: when the one in flight ends, the machine is looked at again.
+        // Only one batch is in flight to a machine at a time. When it ends, the machine is
+        // queued again if commands are requested.
         if !state.is_requested() || state.is_in_flight() || machine.addr.is_none() {
             return;
         }
@@ -200,7 +201,7 @@
         let waiter = self.continuation(LeaderStep::CommandsInFlight {
             machine: name.to_string(),
         });
-        // Nothing is derived from what sending a batch changes.
+        // Sending a batch changes nothing that the derived state depends on.
         let index = self.machines.index_of(&name);
         let Some(machine) = index.and_then(|index| self.machines.get_mut_unmarked(index)) else {
             return;
@@ -221,7 +222,7 @@
         self.command_dispatch.record_sent();
     }
 
-    /// The call that carried a batch of commands has ended.
+    /// Handles the end of the call that sent a command batch.
     pub fn commands_reply(
         &mut self,
         ctx: &mut Context,
@@ -237,8 +238,8 @@
         };
         machine
             .command_state
-            .record_finished(call, outcome.unanswered);
-        // A machine that does not answer does not take the turns of those that do.
+            .record_finished(call, outcome.may_still_launch);
+        // Retries to machines that don't answer must not delay urgent batches to others.
         let priority = if outcome.heartbeat.is_some() {
             machine.reachability.record_command_reply();
             DispatchPriority::Urgent
@@ -250,7 +251,7 @@
             Some(heartbeat) => self.apply_command_reply(ctx, name, &heartbeat),
             None => machine.command_state.request_at(now + SECOND),
         }
-        // Also what was requested while this batch was in flight.
+        // This includes requests made while the batch was in flight.
         if let Some(machine) = self.machines.get(name)
             && machine.command_state.is_requested()
         {
@@ -276,7 +277,7 @@
             && !machine.is_ready()
             && !was_ready
         {
-            // The incarnation was another than thought: again with the right one.
+            // The batch named an outdated incarnation. Send it again with the current one.
             machine
                 .command_state
                 .request_at(ctx.now.monotonic + RETRY_INTERVAL);
--- a/crates/controller/src/leader/command_dispatch/tests.rs
+++ b/crates/controller/src/leader/command_dispatch/tests.rs
@@ -1,12 +1,12 @@
-//! Which machines are sent commands first.
+//! Tests of the order in which command batches are dispatched.
 
 use super::*;
 use crate::SECOND;
 
-/// While every machine is to see the fencing token of a new leader, launches and stops do
-/// not wait behind that, and a machine that does not answer is tried again later.
+/// Guards against commands being delayed while a new leader announces its fencing token to
+/// all machines.
 #[test]
-fn commands_go_first_and_half_of_the_turns_are_theirs() {
+fn urgent_batches_are_sent_first_and_have_half_of_the_limit_reserved() {
     let mut dispatch = CommandDispatch::new(4);
     for i in 0..9 {
         dispatch.enqueue(Rc::from(format!("p{i}")), DispatchPriority::Background);
@@ -25,12 +25,16 @@
     for name in ["u0", "u1", "u2"] {
         dispatch.enqueue(name.into(), DispatchPriority::Urgent);
     }
-    assert_eq!(send(&mut dispatch, 0), ["u0", "u1"], "four are under way");
+    assert_eq!(
+        send(&mut dispatch, 0),
+        ["u0", "u1"],
+        "four batches are in flight"
+    );
     dispatch.record_finished();
     assert_eq!(
         send(&mut dispatch, SECOND),
         ["late"],
-        "by name, once it is time"
+        "delayed batches are sent in the order of names once they are due"
     );
     dispatch.record_finished();
     assert_eq!(send(&mut dispatch, SECOND), ["u2"]);
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers: applied to the machines, and answered with commands.
+//! Handling of worker heartbeats: updates of the machines, and replies with commands.
 
 use super::job::TaskPlacement;
 use super::queue_watch::MAX_READ_AGE;
@@ -13,8 +13,8 @@
 use dillcleat_wire::worker::{Command, Heartbeat, HeartbeatReply};
 use std::rc::Rc;
 
-/// What of a machine, apart from its tasks, a heartbeat may change and other state is
-/// derived from.
+/// The properties of a machine, apart from its tasks, that a heartbeat may change and from
+/// which other state is derived.
 #[derive(PartialEq, Eq)]
 struct MachineSummary {
     machine_type: Rc<str>,
@@ -43,10 +43,13 @@
 }
 
 impl Leader {
-    /// Whether heartbeats may still be answered. An answer keeps a worker's tasks for a
-    /// lease from the sending of its heartbeat. A cancellation that this leader has not
-    /// read was confirmed after its last read; without answers the leases then end what
-    /// it cancels in time, whatever else is out of reach.
+    /// Whether heartbeats may still be answered.
+    ///
+    /// An answer extends the worker's lease, counted from the sending of its heartbeat. Any
+    /// cancellation that this leader has not read was confirmed after its last consistent
+    /// read. If heartbeats are no longer answered some time after that read, the leases of
+    /// the cancelled tasks expire in time even if the store, the cloud and the workers are
+    /// unreachable.
     pub(super) fn may_answer_heartbeats(&self, ctx: &Context) -> bool {
         self.last_read_within(ctx, ctx.config.blind_limit())
     }
@@ -56,9 +59,9 @@
         self.queue_watch.read_within(ctx.now.monotonic, duration)
     }
 
-    /// Whether a cancelled task may have been on the machine for so long that its lease
-    /// has to expire. Its stop may not arrive, its launch may be held up on the way, its
-    /// deletion may lack a leadership proof or find the cloud out: time alone ends it.
+    /// Whether a cancelled task may have been on the machine for so long that the worker's
+    /// lease has to expire. This ends the task even if the stop command or the deletion of
+    /// the machine fails, or if the launch command is still delayed in the network.
     fn lease_must_expire(&self, ctx: &Context, machine: &Machine) -> bool {
         let slots = machine.slots.iter();
         let cancelled = slots.filter(|(_, slot)| slot.cancelled && slot.stored);
@@ -70,7 +73,7 @@
         since.is_some_and(|at| ctx.now.monotonic >= at + ctx.config.blind_limit())
     }
 
-    /// Takes a periodic heartbeat and answers it.
+    /// Applies a periodic heartbeat and answers it.
     pub fn heartbeat(&mut self, ctx: &mut Context, heartbeat: &Heartbeat) -> Answer {
         if heartbeat.fencing_token > self.term {
             self.events
@@ -84,13 +87,14 @@
             fencing_token: self.term,
             commands: Vec::new(),
         };
-        // A heartbeat of a machine that is gone was held up on its way.
+        // A heartbeat from a removed machine was delayed in the network.
         if self.recovery.is_ready() && !self.autoscaler.is_removed(&heartbeat.machine) {
             let name = heartbeat.machine.as_str();
             let position = HeartbeatPosition::of(heartbeat);
             let latest = self.machines.get(name).filter(|machine| machine.is_up());
-            // A copy of the latest heartbeat has been answered: nobody waits for this
-            // answer, and what it launched would wait for the next heartbeat.
+            // A duplicate of the latest heartbeat, which was answered before. The worker does
+            // not receive this answer, and launches in it would be repeated only after the
+            // next heartbeat.
             let is_duplicate = latest.is_some_and(|machine| machine.position() == position);
             self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::Periodic);
             if let Some(machine) = self.machines.get(name) {
@@ -106,7 +110,7 @@
         Answer::body(200, &reply)
     }
 
-    /// The commands go out in the reply to the machine's latest heartbeat.
+    /// Records the commands that are sent in the reply to the machine's latest heartbeat.
     fn record_reply(&mut self, name: &str, commands: &[Command]) {
         let index = self.machines.index_of(name);
         if let Some(machine) = index.and_then(|index| self.machines.get_mut_unmarked(index)) {
@@ -117,13 +121,12 @@
         }
     }
 
-    /// Whether the last consistent read of the job queue is recent enough to start tasks
-    /// by it.
+    /// Whether the last consistent read of the job queue is recent enough to start tasks.
     pub(super) fn has_recent_read(&self, ctx: &Context) -> bool {
         self.last_read_within(ctx, MAX_READ_AGE)
     }
 
-    /// Applies a heartbeat to its machine and to what is derived from it.
+    /// Applies a heartbeat to its machine and to the jobs of the tasks that it reports.
     pub(super) fn apply_heartbeat(
         &mut self,
         ctx: &Context,
@@ -152,7 +155,7 @@
             self.request_first_commands(index, now);
         }
         let kept = self.withdraw_deletion(index, now);
-        // Most heartbeats of a large fleet say that nothing has changed.
+        // Most heartbeats report no changes. The derived state is refreshed only if needed.
         if kept
             || may_have_recovered
             || before != self.machine_summary(index)
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Records what any heartbeat shows, be it an old one: where the machine is, and that
-    /// it is up.
+    /// Records what even an outdated heartbeat proves: the machine's description, and that
+    /// the machine is up and its zone reachable.
     fn record_contact(&mut self, index: SlabIndex, heartbeat: &Heartbeat, now: Micros) {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
@@ -209,8 +212,8 @@
         }
     }
 
-    /// A newer periodic heartbeat came. Returns whether the machine may have become
-    /// reachable by it.
+    /// Updates the reachability of a machine after a newer periodic heartbeat. Returns
+    /// whether the machine may have become reachable.
     fn update_reachability(
         &mut self,
         ctx: &Context,
@@ -232,7 +235,7 @@
         may_have_recovered
     }
 
-    /// Has the machine's record written once.
+    /// Queues the machine's record, unless it was queued before.
     fn write_machine_record(&mut self, index: SlabIndex) {
         if let Some(machine) = self.machines.get_mut_unmarked(index)
             && !machine.recorded
@@ -243,7 +246,8 @@
         }
     }
 
-    /// The machine is new, or it has yet to see this term's fencing token.
+    /// Requests the first commands to a machine, which is new or has not received this
+    /// term's fencing token.
     fn request_first_commands(&mut self, index: SlabIndex, now: Micros) {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
@@ -254,8 +258,8 @@
         self.scheduling.request_cycle(now);
     }
 
-    /// Withdraws the deletion of a machine that was heard before the call went out.
-    /// Returns whether the machine is kept by it.
+    /// Withdraws the deletion of a machine that sent a heartbeat before the call to the cloud
+    /// was sent. Returns whether a deletion was withdrawn.
     fn withdraw_deletion(&mut self, index: SlabIndex, now: Micros) -> bool {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
@@ -265,20 +269,20 @@
             && self.autoscaler.cloud_queue.withdraw(&machine.name);
         if kept {
             let name = &machine.name;
-            log::info!("machine heard again, deletion withdrawn machine={name}");
+            log::info!("machine is reachable again, deletion withdrawn machine={name}");
             machine.being_deleted = false;
         }
         kept
     }
 
-    /// Whether the end of an exited attempt is in the store, so that it may be reaped.
+    /// Whether the end of an exited attempt is stored, so that the attempt may be reaped.
     pub(super) fn is_end_stored(&self, task: &TaskName, attempt: u64) -> bool {
         let known = self
             .jobs
             .index_of(&task.job)
             .and_then(|index| self.jobs.at(index));
         let Some((id, job)) = known else {
-            // Its end is stored, or it never was a job.
+            // The job's end is stored, or the job never existed.
             return !self.unknown_jobs.protects_task(task);
         };
         let Some(state) = job.task(task.index) else {
@@ -302,10 +306,10 @@
 
     /// The commands that the machine needs and that may be sent now.
     ///
-    /// Work that is to run elsewhere is stopped only by a node that can prove that it
-    /// leads, and without a recent read nothing is launched or reaped. Cancelled tasks may
-    /// be stopped without either: no cancellation is taken back, and a reply renews the
-    /// lease of what it does not stop.
+    /// Tasks are preempted only with a recent proof of leadership, and launched and reaped
+    /// only after a recent consistent read. Cancelled tasks are stopped without either,
+    /// because cancellations are final, and a reply renews the lease of all tasks that it
+    /// does not stop.
     pub(super) fn permitted_commands(&self, ctx: &Context, machine: &Machine) -> Vec<Command> {
         if !self.has_recent_read(ctx) {
             let stops = machine.cancelled_task_stops();
@@ -322,7 +326,7 @@
     }
 }
 
-/// Whether other tasks may use what the event's task has held. A start frees nothing.
+/// Whether the event may free resources. Only the start of a task never does.
 fn frees_resources(event: &TaskEvent) -> bool {
     !matches!(event, TaskEvent::Running(_))
 }
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -1,5 +1,5 @@
-//! What a machine's heartbeat reports of its tasks: starts, ends and losses, and to whom
-//! failures are attributed.
+//! Handling of task events from heartbeats (starts, exits and losses) and the attribution
+//! of failures to jobs or machines.
 
 use super::job::Job;
 use super::{Leader, LeaderEvent};
@@ -10,26 +10,27 @@
 use dillcleat_wire::worker::ExitReason;
 use std::rc::Rc;
 
-/// A replica that has run for so long is taken to serve.
+/// The run time after which a replica is assumed to be serving.
 const MIN_SERVING_TIME: Micros = 10 * SECOND;
-/// How long a machine that had not the resources for a task gets no other.
+/// How long no task is placed on a machine that lacked the resources to start one.
 const NO_RESOURCES_PAUSE: Micros = 3 * SECOND;
-/// How long a job is not placed after an end that is nobody's fault.
+/// How long no task of a job is placed after an exit that is attributed neither to the job
+/// nor to the machine.
 const OTHER_EXIT_PAUSE: Micros = 2 * SECOND;
 
-/// An attempt of a task that has ended with a result.
+/// An attempt of a task that has exited.
 struct ExitedTask {
     task: TaskKey,
     attempt: u64,
     reason: ExitReason,
-    /// How long it ran, if that is known.
+    /// How long the attempt ran, if known.
     ran: Option<Micros>,
 }
 
 impl Leader {
-    /// Applies what a machine has reported of a task.
+    /// Applies an event that a machine has reported for a task.
     pub(super) fn apply_task_event(&mut self, ctx: &Context, machine: &str, event: TaskEvent) {
-        // A start frees no resources; everything else may.
+        // All events except the start of a task may free resources.
         if !matches!(event, TaskEvent::Running(_)) {
             self.scheduling.request_cycle(ctx.now.monotonic);
         }
@@ -47,7 +48,7 @@
             } => {
                 let (id, index) = &task;
                 log::info!(
-                    "task lost: job={id} task={index} attempt={attempt} machine={machine} \
+                    "task lost job={id} task={index} attempt={attempt} machine={machine} \
                      reason=\"{reason}\""
                 );
                 self.return_to_waiting(&task, attempt);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// An attempt of a task is known to have ended without completing: it waits again.
+    /// Returns a task to waiting after its attempt ended without completing.
     pub(super) fn return_to_waiting(&mut self, key: &TaskKey, attempt: u64) {
         let (id, index) = key;
         if let Some(job) = self.jobs.get_mut(id) {
@@ -128,14 +129,14 @@
         }
         self.job_has_run(id);
         self.end_if_done(id);
-        // The record of a job's end covers its last task as well.
+        // If the job has ended, the record of its end includes the completion of this task.
         if self.jobs.get(id).is_some_and(|job| !job.ending) {
             self.enqueue_task_record(&exited.task);
         }
     }
 
-    /// A task of the job is known to have run, so its errors elsewhere were those
-    /// machines' own.
+    /// Records that a task of the job has run successfully. Its earlier errors are then
+    /// attributed to the machines on which they occurred.
     fn job_has_run(&mut self, id: &Rc<str>) {
         let Some(job) = self
             .jobs
@@ -149,21 +150,21 @@
         }
     }
 
-    /// An error of the job is attributed to the machine, which is cordoned once it has
-    /// failed several jobs.
+    /// Attributes an error of the job to the machine. A machine with errors of several jobs
+    /// is cordoned.
     fn add_strike(&mut self, machine: &Rc<str>, id: &Rc<str>) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         if m.health.add_strike(id) {
             log::info!(
-                "machine cordoned, to be returned machine={machine} reason=\"fails several jobs\""
+                "machine cordoned, to be deleted machine={machine} reason=\"several jobs failed on it\""
             );
         }
     }
 
-    /// Whether a replica of the service has run for longer than one that fails would:
-    /// replicas never end by themselves, so nothing else proves a service.
+    /// Whether a replica of the service has run for long enough to be assumed to work.
+    /// Replicas don't complete, so this is the only evidence that a service works.
     fn is_serving(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
         job.running_on_machines().any(|(index, machine)| {
             let machine = self.machines.get(machine);
@@ -173,7 +174,7 @@
         })
     }
 
-    /// Attributes the end of a task that did not complete to its job or its machine.
+    /// Attributes the exit of a task that did not complete to its job or its machine.
     fn attribute_failure(
         &mut self,
         ctx: &Context,
@@ -203,7 +204,7 @@
                     && let Some(pause) = job.failures.record_failure(&name, now)
                 {
                     log::info!(
-                        "job fails on every machine, pausing it job={id} pause_s={}",
+                        "job fails on several machines, pausing it job={id} pause_s={}",
                         seconds(pause)
                     );
                 }
@@ -216,7 +217,7 @@
     }
 }
 
-/// The name of an exit reason in log lines.
+/// The name of an exit reason for log lines.
 fn exit_reason_name(reason: ExitReason) -> &'static str {
     match reason {
         ExitReason::Done => "done",
