--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -1,4 +1,5 @@
-//! The records of the stored job queue: descriptions of open jobs, and cancellations.
+//! Application of the records of the stored job queue: descriptions of open jobs, and
+//! cancellations.
 
 use super::Leader;
 use super::job::Job;
@@ -10,8 +11,8 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Applies a record of the queue: a description or a cancellation. To apply one again
-    /// has no effect.
+    /// Applies a record of the queue: a description or a cancellation. Applying a record
+    /// again has no effect.
     pub(super) fn apply_queue_record(
         &mut self,
         ctx: &Context,
@@ -34,8 +35,8 @@
             log::error!("unreadable job description job={id}");
             return self.add_undescribed_job(ctx, id, value);
         };
-        // A team that has gone from the settings, perhaps from this node's only, keeps
-        // its jobs waiting (`standing`). What of them is on machines goes on.
+        // If the team was removed from the settings, perhaps only from those of this node,
+        // its waiting tasks stay waiting and its running tasks keep running.
         let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
             log::error!("unknown team job={id} team={}", open.spec.team);
             ctx.config.teams.len()
@@ -62,8 +63,8 @@
             return self.cancel_unknown_job(id, confirmed_at);
         };
         if let Some(job) = self.jobs.get_mut(&id) {
-            // A write may have found its state record changed before, which doesn't say
-            // since when. That record may not be read for long: this one is proof enough.
+            // The cancellation may be known already from a conflicting write, without its
+            // time. This record proves it, so the state record need not be read first.
             let known_at = job.cancelled_at.unwrap_or(confirmed_at);
             job.cancelled_at = Some(known_at.min(confirmed_at));
             if !job.cancellation_confirmed && self.recovery.is_ready() {
@@ -73,10 +74,11 @@
     }
 }
 
-/// When a cancellation was confirmed to its user at the earliest, by its record.
+/// The earliest time at which a cancellation may have been confirmed to its user, according
+/// to its record.
 pub(super) fn earliest_confirmation(ctx: &Context, value: &Value) -> Micros {
     let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.cancelled_at_us);
-    // Other clocks may be off, so the older of the two readings counts.
+    // Both clocks may be off by `clock_error`, so the earliest possible time is used.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
     ctx.now
         .monotonic
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the stored job queue: submissions and cancellations as they come.
+//! The watch of the stored job queue, which delivers submissions and cancellations.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL};
 use crate::CallError;
@@ -8,51 +8,51 @@
 use crate::{MILLISECOND, Micros, SECOND};
 use dillcleat_wire::store::{StoreRequest, StoreResponse, WatchEvent};
 
-/// How long the store holds a watch without a change, in milliseconds.
+/// How long the store holds a watch request open without a change, in milliseconds.
 const WATCH_MS: u64 = 2_000;
-/// A read of the cancellations that was sent longer ago is too old to launch, reap or
-/// place by.
+/// The maximum age of the last consistent read for placing, launching and reaping tasks.
+/// The age is counted from the sending of the request.
 pub(super) const MAX_READ_AGE: Micros = 6 * SECOND;
-// In a quiet deployment nothing is seen before the watch has run out, and the read is
-// as old as two of them by the time that the next one is answered. Held for 4 s, it was
-// too old to place or launch by for half of the time.
+// Without changes in the queue, each watch is held for its full time. When the next one is
+// answered, the last consistent read was sent two such times ago.
 const _: () = assert!(2 * WATCH_MS * MILLISECOND + SECOND <= MAX_READ_AGE);
 
-/// How far the queue has been followed, and how recent that is.
+/// The progress of the queue watch and the time of the last consistent read.
 ///
-/// `last_consistent_read` is moved only by an answered read of the cancellations, to the
-/// time at which it was sent: a lease renewed, a peer's heartbeat or a write says nothing
-/// of what others have confirmed.
+/// `last_consistent_read` is advanced only by an answered read of the cancellations, to the
+/// time at which that was sent. A lease renewal, a message from a peer or a write does not
+/// prove that no other controller has confirmed a cancellation since.
 #[derive(Debug, Default)]
 pub(super) struct QueueWatch {
     /// The revision after which the next watch begins.
     revision: Option<u64>,
-    /// When the next watch is sent; None while one is under way.
+    /// When the next watch is sent; `None` while one is in flight.
     next_watch_at: Option<Micros>,
-    /// When the last answered read of the cancellations was sent; None before a new
-    /// leader has read any.
+    /// When the last answered read of the cancellations was sent; `None` if this leader has
+    /// not read them yet.
     last_consistent_read: Option<Micros>,
-    /// Since when heartbeats are not answered, for want of a recent consistent read.
+    /// The time since which heartbeats have not been answered for lack of a recent
+    /// consistent read.
     no_consistent_read_since: Option<Micros>,
 }
 
 impl QueueWatch {
-    /// Watches follow this revision, unless an earlier one was named before.
+    /// Sets the revision after which the first watch begins, unless it is set already.
     pub fn start_after(&mut self, revision: u64) {
         self.revision.get_or_insert(revision);
     }
 
-    /// The first watch is to be sent at this time.
+    /// Schedules the next watch.
     pub fn watch_from(&mut self, at: Micros) {
         self.next_watch_at = Some(at);
     }
 
-    /// Whether the cancellations have been read at all.
+    /// Whether this leader has read the cancellations.
     pub fn has_consistent_read(&self) -> bool {
         self.last_consistent_read.is_some()
     }
 
-    /// The cancellations were read by a request that was sent at this time.
+    /// Records that the cancellations were read by a request sent at this time.
     pub fn set_consistent_read(&mut self, sent: Micros) {
         self.last_consistent_read = Some(sent);
     }
@@ -62,18 +62,19 @@
         self.last_consistent_read.is_some_and(|at| now < at + age)
     }
 
-    /// There is no consistent read that is recent enough to answer heartbeats.
+    /// Records that there is no consistent read recent enough to answer heartbeats.
     pub fn begin_outage(&mut self, now: Micros) {
         self.no_consistent_read_since.get_or_insert(now);
     }
 
-    /// Heartbeats are answered again. Returns for how long they were not, if so.
+    /// Records that heartbeats are answered again. Returns for how long they were not, if
+    /// there was an outage.
     pub fn end_outage(&mut self, now: Micros) -> Option<Micros> {
         let since = self.no_consistent_read_since.take()?;
         Some(now - since)
     }
 
-    /// The request for the next watch, if one is due.
+    /// Takes the request for the next watch, if it is due.
     fn next_request(&mut self, now: Micros) -> Option<StoreRequest> {
         self.next_watch_at.take_if(|at| now >= *at)?;
         Some(StoreRequest::Watch {
@@ -83,7 +84,7 @@
         })
     }
 
-    /// A watch that was sent at `sent` has reported everything up to a revision.
+    /// Records that a watch sent at `sent` has reported all changes up to a revision.
     fn watched_to(&mut self, revision: u64, sent: Micros) {
         self.last_consistent_read = self.last_consistent_read.max(Some(sent));
         self.revision = Some(revision);
@@ -91,7 +92,7 @@
 }
 
 impl Leader {
-    /// Sends the next watch of the queue once it is due.
+    /// Sends the next watch of the queue, if it is due.
     pub(super) fn send_queue_watch(&mut self, ctx: &mut Context) {
         if let Some(request) = self.queue_watch.next_request(ctx.now.monotonic) {
             let continuation = self.continuation(LeaderStep::Watch);
@@ -123,7 +124,10 @@
                 self.queue_watch.watch_from(now);
             }
             Ok(StoreResponse::Compacted) => {
-                log::error!("queue watch expired, reloading term={}", self.term);
+                log::error!(
+                    "queue watch revision was compacted, ending the term term={}",
+                    self.term
+                );
                 self.events.push(LeaderEvent::TermEnded);
             }
             _ => self.queue_watch.watch_from(now + RETRY_INTERVAL),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,7 +1,7 @@
-//! State recovery: what a new leader reads of the store before it acts.
+//! Recovery of the state by a new leader.
 //!
-//! It reads, page by page, the queue (descriptions and cancellations), the machines and
-//! the tasks, in this order, and is ready once it has read all.
+//! The leader reads the queue (descriptions and cancellations), the machines and the tasks
+//! in this order, page by page. It is ready once it has read all of them.
 
 use super::job::Job;
 use super::queue_records::earliest_confirmation;
@@ -18,14 +18,14 @@
 use dillcleat_wire::store::{KeyValue, RangePage, StoreRequest, StoreResponse};
 use std::rc::Rc;
 
-/// How far a new leader is in recovering its state.
+/// The stage of the recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RecoveryStage {
     Loading,
     Ready,
 }
 
-/// A page of the store that a new leader reads, by the key after which it begins.
+/// A page of records, identified by the key after which it begins; `None` for the first.
 #[derive(Debug, Clone)]
 pub(super) enum RecoveryPage {
     Machines(Option<String>),
@@ -33,26 +33,26 @@
     Tasks(Option<String>),
 }
 
-/// A page that was requested and not yet read.
+/// A page that was requested but not yet received.
 #[derive(Debug, Clone)]
 struct RequestedPage {
     page: RecoveryPage,
-    /// When it is requested again: never while the request is under way.
+    /// When the page is requested again; `Micros::MAX` while a request is in flight.
     retry_at: Micros,
 }
 
-/// How far a new leader has read the store.
+/// The progress of a new leader in reading the store.
 ///
-/// A page is being read (`requested` is set) exactly until the stage is `Ready`.
+/// After the first request, `requested` is set until the stage is `Ready`.
 #[derive(Debug)]
 pub(super) struct Recovery {
     stage: RecoveryStage,
     requested: Option<RequestedPage>,
-    /// Cancellations that were read before the jobs that they are of.
+    /// Cancellations that were read before the descriptions of their jobs.
     cancellations: Vec<KeyValue>,
     /// When the first page of the queue was requested.
     queue_requested_at: Micros,
-    /// When everything had been read.
+    /// When the recovery was complete.
     ready_since: Micros,
 }
 
@@ -67,22 +67,22 @@
         }
     }
 
-    /// Whether everything has been read.
+    /// Whether the recovery is complete.
     pub fn is_ready(&self) -> bool {
         self.stage == RecoveryStage::Ready
     }
 
-    /// When everything had been read. Meaningless before.
+    /// When the recovery was complete. Meaningless before that.
     pub fn ready_since(&self) -> Micros {
         self.ready_since
     }
 
-    /// Whether a page is still to be read.
+    /// Whether a page has yet to be received.
     pub fn is_reading(&self) -> bool {
         self.requested.is_some()
     }
 
-    /// The page whose request failed and is to be made again now.
+    /// The page whose failed request is to be retried now.
     pub fn page_to_retry(&self, now: Micros) -> Option<RecoveryPage> {
         let requested = self.requested.as_ref()?;
         (now >= requested.retry_at).then(|| requested.page.clone())
@@ -90,7 +90,7 @@
 
     fn page_requested(&mut self, page: RecoveryPage, now: Micros) {
         if matches!(page, RecoveryPage::Queue(None)) {
-            // Cancellations up to here are in what is read now.
+            // The pages contain all cancellations that were confirmed before this time.
             self.queue_requested_at = now;
         }
         self.requested = Some(RequestedPage {
@@ -113,19 +113,19 @@
 }
 
 impl Leader {
-    /// Its term and the version of the term's record, once it has recovered its state.
+    /// The term and the version of the term record, once the recovery is complete.
     pub fn fence(&self) -> Option<(u64, u64)> {
         self.recovery
             .is_ready()
             .then_some((self.term, self.term_version))
     }
 
-    /// Whether the job is open and its description was read.
+    /// Whether the job is open and its description could be read.
     pub fn holds(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Requests a page of the store.
+    /// Requests a page of records from the store.
     pub(super) fn request_page(&mut self, ctx: &mut Context, page: RecoveryPage) {
         let (prefix, after, step) = match &page {
             RecoveryPage::Machines(after) => (records::MACHINES, after, LeaderStep::LoadMachines),
@@ -141,7 +141,7 @@
         ctx.store_request(request, continuation);
     }
 
-    /// Handles the reply to the request of a page. `step` says of which records.
+    /// Handles the reply to the request of a page. `step` identifies the kind of records.
     pub(super) fn page_reply(
         &mut self,
         ctx: &mut Context,
@@ -172,8 +172,8 @@
                 }
             }
             _ => {
-                // Page by page: all of a large fleet's at once took a quarter of
-                // a second, in which nothing else was answered.
+                // The records are applied page by page: applying all of a large fleet's at
+                // once would delay the answers to other requests.
                 for row in &page.rows {
                     self.apply_task_record(ctx, row);
                 }
@@ -187,16 +187,16 @@
     }
 
     /// Applies the descriptions of a page of the queue, and keeps its cancellations until
-    /// all descriptions are read. `next_key` is where the next page begins, if there is
-    /// one.
+    /// all descriptions are read. `next_key` is the key after which the next page begins, if
+    /// there is one.
     fn apply_queue_page(&mut self, ctx: &Context, page: RangePage, next_key: Option<&str>) {
-        // Later pages may be of later revisions, but the watch starts here: a change that
-        // it reports again has no effect.
+        // The watch starts at the revision of the first page. Changes that later pages
+        // contain already are reported again, which has no effect.
         self.queue_watch.start_after(page.revision);
         for row in page.rows {
-            // Cancellations come before descriptions in the order of keys, but a
-            // cancellation means nothing before its job is known: applied in that order,
-            // a new leader would let cancelled tasks run on.
+            // Cancellations precede descriptions in the order of keys, but a cancellation
+            // has no effect before its job is known. Applied in this order, they would be
+            // ignored and the tasks would keep running.
             if row.key.starts_with(records::OPEN) {
                 self.apply_queue_record(ctx, &row.key, &row.value, row.version);
             } else {
@@ -205,9 +205,9 @@
         }
         let all_cancellations_read = next_key.is_none_or(|key| key.starts_with(records::OPEN));
         if all_cancellations_read && !self.queue_watch.has_consistent_read() {
-            // Every cancellation is known that was confirmed before the first page was
-            // requested. Which machines hold its tasks is not: until that is read, all
-            // answers end as early as those to the machine that holds the oldest.
+            // All cancellations that were confirmed before the first page was requested are
+            // known, but not the machines that hold their tasks. Until those are read, the
+            // oldest cancellation limits the time during which any heartbeat is answered.
             let cancellations = self.recovery.cancellations.iter();
             let oldest = cancellations
                 .map(|row| earliest_confirmation(ctx, &row.value))
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Everything is read: the leader begins to act.
+    /// Completes the recovery after the last page. The leader begins to act.
     fn finish_recovery(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         self.recovery.finish(now);
@@ -275,22 +275,22 @@
         self.estimates.drop_inherited();
     }
 
-    /// The ids of the jobs that satisfy a condition.
+    /// The ids of the jobs that satisfy the condition.
     fn job_ids(&self, condition: fn(&Job) -> bool) -> Vec<Rc<str>> {
         let jobs = self.jobs.iter().filter(|(_, job)| condition(job));
         jobs.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Sends every machine its first commands. A machine counts as heard from now on,
-    /// unless its zone was silent already.
+    /// Queues the first batch of commands to every machine. The silence of a machine is
+    /// counted from now on, unless its zone was silent before.
     fn start_contacting_machines(&mut self, now: Micros) {
         for machine in self.machines.values_mut() {
             machine.begin_term(now);
             match self.partitions.last_contact_before_term(&machine.zone) {
-                // It had sent a heartbeat to the leader before, or it had no record.
-                Some(heard) if machine.recorded => {
-                    machine.assume_silent_since(now.min(heard));
-                    // Those that answer have their turn first.
+                // A recorded machine has sent a heartbeat to a previous leader.
+                Some(last_contact) if machine.recorded => {
+                    machine.assume_silent_since(now.min(last_contact));
+                    // Machines in other zones, which are likely to answer, come first.
                     self.command_dispatch
                         .enqueue_background_at(now + SECOND, machine.name.clone());
                 }
@@ -313,8 +313,8 @@
             return self.demote_to_unknown(ctx, &id, range, &row.key);
         };
         if matches!(range, TaskRange::Part { .. }) {
-            // Parts are written once the lower limits are in force, and override their
-            // chunk, which came before.
+            // Parts are written only after the lower limits have taken effect. They override
+            // their chunk, which precedes them in the order of keys.
             self.writer.use_lower_value_limit(ctx.config);
             self.discard_chunk_state(&id, range);
         }
@@ -331,8 +331,8 @@
         }
     }
 
-    /// Applies a stored placement of a task to its job, which is already marked as
-    /// changed, and to its machine.
+    /// Applies a stored placement of a task to its machine and to its job. The job must
+    /// already be marked as changed.
     fn apply_placement(
         &mut self,
         ctx: &Context,
@@ -347,8 +347,8 @@
         if !job.apply_placement(&placed, &name) {
             return;
         }
-        // A machine without a record may be running all the same: what it is shows when
-        // it sends a heartbeat or the cloud lists it.
+        // A machine without a record may be running nevertheless. Its description is
+        // completed when it sends a heartbeat or the cloud lists it.
         if !self.machines.contains_key(&name) {
             let machine = Machine::new(&name, "", "", false, ctx.now.monotonic);
             self.machines.insert(name.clone(), machine);
@@ -369,7 +369,7 @@
         machine.add_task((id.clone(), placed.index), task_slot, image, cache);
     }
 
-    /// Discards what the record of a chunk said of some of its tasks.
+    /// Discards the state of some tasks that was read from the record of their chunk.
     fn discard_chunk_state(&mut self, id: &Rc<str>, range: TaskRange) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -1,5 +1,4 @@
-//! The leader's writes to the store, in batches that are fenced by its term, and what
-//! follows from their replies.
+//! The leader's writes to the store, sent in batches that are fenced by its term.
 
 use super::{Leader, RETRY_INTERVAL};
 use crate::calls::Context;
@@ -11,16 +10,17 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// After how long a write that the store refused by itself is tried again.
+/// Delay before a write that the store rejected in a batch of its own is retried.
 const REFUSED_WRITE_RETRY_INTERVAL: Micros = 30 * SECOND;
-/// Share of the store's writes that deferrable writes may take.
+/// The share of the store's write rate for deferrable writes.
 const DEFERRABLE_WRITE_SHARE: f64 = 0.3;
-/// Bound of a transaction's size; the rest of the store's limit is for its frame.
+/// The size above which no further write is added to a batch. The rest of the store's limit
+/// is for the last write and the encoding of the transaction.
 const MAX_BATCH_BYTES: usize = store::MAX_TRANSACTION_BYTES * 3 / 4;
-/// Changes that have to be left in a batch for one more write to be added.
+/// The number of changes that have to be left in a batch for another write to be added.
 const CHANGES_PER_WRITE: usize = 3;
 
-/// A read that was not answered and is to be made again.
+/// A read that was not answered and is to be retried.
 #[derive(Debug)]
 struct DelayedRead {
     at: Micros,
@@ -28,17 +28,17 @@
     step: LeaderStep,
 }
 
-/// The leader's writes to the store: what is queued, at which rate it may be written, and
-/// the reads that settle what became of a write.
+/// The leader's writes to the store: the queue, the rate limit, and delayed reads that find
+/// out whether a write was applied.
 ///
-/// `delayed_reads` is ordered by time, since every read is delayed for the same time.
+/// `delayed_reads` is ordered by time, since all reads are delayed by the same interval.
 #[derive(Debug)]
 pub(super) struct StateWriter {
     queue: WriteQueue,
     rate: WriteRate,
     delayed_reads: VecDeque<DelayedRead>,
-    /// The largest value that the store takes, as far as is known, in bytes: less once it
-    /// has refused one.
+    /// The maximum size of a value in the store, in bytes, as far as it is known. It is
+    /// lowered once the announced lower limit is found to be in effect.
     max_value_bytes: usize,
 }
 
@@ -52,81 +52,81 @@
         }
     }
 
-    /// Queues a write, unless it is queued already.
+    /// Queues a write, unless it is already queued.
     pub fn enqueue(&mut self, write: PendingWrite) {
         self.queue.push(write);
     }
 
-    /// Queues a write before the others of its kind, unless it is queued already.
+    /// Queues a write before the others of its kind, unless it is already queued.
     pub fn enqueue_first(&mut self, write: PendingWrite) {
         self.queue.push_front(write);
     }
 
-    /// Whether the latest change of these tasks is in the store.
+    /// Whether the latest state of these tasks is stored.
     pub fn is_stored(&self, job: &Rc<str>, range: TaskRange) -> bool {
         self.queue.is_stored(job, range)
     }
 
-    /// Whether a cancellation of the job that follows from another has yet to be stored.
+    /// Whether the cancellation of the job with its dependency has yet to be stored.
     pub fn has_cancellation(&self, job: &Rc<str>) -> bool {
         self.queue.has_cancellation(job)
     }
 
-    /// Whether the batch in flight stores this placement.
+    /// Whether the batch in flight contains this placement.
     pub fn is_storing(&self, placement: &NewPlacement) -> bool {
         let in_flight = self.queue.in_flight();
         in_flight.is_some_and(|batch| batch.placements.contains(placement))
     }
 
-    /// The announced lower limit of a value's size is in force.
+    /// Sets the maximum value size to the announced lower limit.
     pub fn use_lower_value_limit(&mut self, config: &Config) {
         self.max_value_bytes = config.value_bytes;
     }
 
-    /// The largest value that the store takes, as far as is known, in bytes.
+    /// The maximum size of a value in the store, in bytes, as far as it is known.
     pub fn max_value_bytes(&self) -> usize {
         self.max_value_bytes
     }
 
-    /// The store takes at most `store_rps` changes a second from now on.
+    /// Limits writes to `store_rps` changes per second.
     pub fn limit_rate(&mut self, store_rps: f64) {
         self.rate.limit(store_rps);
     }
 
-    /// A batch of so many writes was too large for the store.
+    /// Reduces the batch size after a batch of `refused_writes` writes was too large.
     pub fn shrink_batches(&mut self, refused_writes: usize) {
         self.queue.shrink_batches(refused_writes);
     }
 
-    /// A batch was committed: the next ones may be larger, up to a limit that needs no
-    /// bound on the number of writes.
+    /// Increases the batch size after a batch was committed. From `limit` on, the number of
+    /// writes is no longer bounded.
     pub fn grow_batches(&mut self, limit: usize) {
         self.queue.grow_batches(limit);
     }
 
-    /// Removes the batch that is in flight, to handle a reply to it.
+    /// Takes the batch in flight, to handle a reply to it.
     pub fn take_in_flight(&mut self) -> Option<WriteBatch> {
         self.queue.take_in_flight()
     }
 
-    /// A batch is in flight, or what became of it is being read.
+    /// Sets the batch that is in flight or whose outcome is being read.
     pub fn set_in_flight(&mut self, batch: WriteBatch) {
         self.queue.set_in_flight(batch);
     }
 
-    /// A batch was not answered, and is sent again after a pause.
+    /// Schedules the resending of a batch that was not answered.
     pub fn resend_later(&mut self, now: Micros, batch: WriteBatch) {
         self.queue.resend_in_flight_at(batch, now + RETRY_INTERVAL);
     }
 
-    /// Makes a write that the store refused by itself again, much later.
+    /// Schedules the retry of a write that the store rejected in a batch of its own.
     pub fn retry_refused(&mut self, now: Micros, write: PendingWrite) {
         self.queue
             .retry_refused_at(now + REFUSED_WRITE_RETRY_INTERVAL, write);
     }
 
-    /// Makes a read that was not answered again after a pause: made at once, it was
-    /// refused hundreds of times a second in an outage.
+    /// Schedules the retry of a read that was not answered. The delay limits the number of
+    /// requests during an outage.
     pub fn delay_read(&mut self, now: Micros, key: String, step: LeaderStep) {
         let at = now + RETRY_INTERVAL;
         self.delayed_reads.push_back(DelayedRead { at, key, step });
@@ -138,7 +138,7 @@
 }
 
 impl Leader {
-    /// Sends the next batch, or the unanswered one again, if it may be sent now.
+    /// Sends the next batch, or resends the unanswered one, if it is due.
     pub(super) fn send_writes(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.writer.queue.in_flight().is_some() {
@@ -160,7 +160,7 @@
         ctx.store_request(StoreRequest::Transaction(transaction), continuation);
     }
 
-    /// Takes queued writes into a batch, as many as the limits allow; None if there are
+    /// Builds a batch from as many queued writes as the limits allow; `None` if there are
     /// none.
     fn next_batch(&mut self, ctx: &Context) -> Option<WriteBatch> {
         let now = ctx.now.monotonic;
@@ -204,8 +204,8 @@
         Some(batch)
     }
 
-    /// A record no longer fits a value of the store: a chunk is written in parts from now
-    /// on; anything else is tried again much later.
+    /// Handles a record that exceeds the store's value limit. A chunk is split into parts;
+    /// any other write is retried later.
     pub(super) fn handle_oversized_record(&mut self, ctx: &Context, write: PendingWrite) {
         if let PendingWrite::Tasks {
             job: id,
@@ -221,12 +221,12 @@
             }
             return;
         }
-        log::error!("record too large for the store: {write}");
+        log::error!("record too large for the store {write}");
         self.writer.retry_refused(ctx.now.monotonic, write);
     }
 
-    /// Adds the changes and conditions of a write to a batch. Returns false if there is
-    /// nothing to be written any more.
+    /// Adds the changes and conditions of a write to a batch. Returns false if the write has
+    /// become unnecessary.
     fn add_to_batch(&self, write: &PendingWrite, batch: &mut WriteBatch) -> bool {
         match write {
             PendingWrite::Tasks { job, range } => self.add_tasks(job, *range, batch),
@@ -284,7 +284,7 @@
             return false;
         };
         batch.compare_job_state(id, job.state_version());
-        // One change only: its description is deleted later.
+        // The description is deleted by a later write.
         batch.put(
             records::job_key(id),
             &job.state_record(RecordedState::Cancelled),
@@ -316,13 +316,13 @@
         let record = MachineTypesRecord {
             types: types.clone(),
         };
-        // An earlier try that is carried out late would set it back.
+        // Without the condition, a delayed earlier attempt could overwrite a newer record.
         batch.compare(records::TYPES, self.machine_types.record_version());
         batch.put(records::TYPES, &record);
         true
     }
 
-    /// Makes the delayed reads that are due.
+    /// Sends the delayed reads that are due.
     pub(super) fn send_due_rereads(&mut self, ctx: &mut Context) {
         while let Some(read) = self.writer.pop_due_read(ctx.now.monotonic) {
             let continuation = self.continuation(read.step);
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -1,11 +1,10 @@
-//! Stored placements of jobs that this node can't read.
+//! Jobs that have stored records but can't be read by this node.
 //!
-//! That a job is unknown here says nothing of whether it has ended: its description may
-//! be in a format that only a newer version reads. Its records were once deleted, its tasks
-//! stopped and their results reaped, and whoever led next and could read it would have
-//! started them anew beside those whose stop hadn't arrived. So its records stay, and what
-//! it has on machines stays there and takes up the machine, until its state record says
-//! that it has ended, or a leader comes that can read it.
+//! Such a job has not necessarily ended: its description may be in a format that only a
+//! newer version can read. Its records are kept and its tasks keep running and occupying
+//! their machines, until its state record shows that it has ended or a leader that can read
+//! it takes over. If its records were deleted and its tasks stopped, such a leader could
+//! start tasks again that are still running.
 
 use super::Leader;
 use crate::calls::Context;
@@ -21,41 +20,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// After how long the state record of an unknown job is read again, if there was none.
+/// Interval at which the state record of an unknown job is read again if there was none.
 pub(super) const STATE_RECHECK_INTERVAL: Micros = 30 * SECOND;
 
-/// What one task counts against the quota of a team.
+/// The usage of a task that counts against the quota of its team.
 #[derive(Debug, Clone, Copy)]
 struct TaskClaim {
-    /// Index of the team in the settings.
+    /// The index of the team in the settings.
     team: usize,
     cpu_millionths: i64,
     gpu_millionths: i64,
 }
 
-/// A job that has stored records and can't be read here.
+/// A job that has stored records but can't be read by this node.
 #[derive(Debug, Default)]
 struct UnknownJob {
-    /// It is known to be open: it has a description, which can't be read here, or whose
-    /// task records can't be.
+    /// Whether the job has a description and so is known to be open. The description or a
+    /// task record is unreadable.
     described: bool,
-    /// When its cancellation was confirmed at the earliest, if it was cancelled.
+    /// The earliest time at which its cancellation may have been confirmed, if it is
+    /// cancelled.
     cancelled_at: Option<Micros>,
     /// The keys of its task records.
     record_keys: Vec<String>,
-    /// The machines that hold or may hold its tasks, as far as its records can be read.
+    /// The machines that may hold its tasks according to its readable records.
     machines: BTreeSet<Rc<str>>,
-    /// Some of its records can't be read: any machine may hold its tasks.
+    /// Whether any machine may hold its tasks, because a task record is unreadable.
     may_be_anywhere: bool,
-    /// None if its team is not in the settings or its description can't be read at all.
+    /// `None` if its team is not in the settings or its resource claim is unreadable.
     task_claim: Option<TaskClaim>,
-    /// How many of its tasks may be on machines.
+    /// The number of its tasks that may be on machines.
     placed: i64,
 }
 
 impl UnknownJob {
-    /// Whether a machine may hold a task of the job. What it shows under this term's
-    /// fencing token is all that it holds: nobody launches any more of it.
+    /// Whether a machine may hold a task of the job. Once the machine has accepted this
+    /// term's fencing token, the tasks that it reports are all that it holds, since no
+    /// other leader can launch tasks on it.
     fn may_be_on(&self, id: &str, machine: &Machine) -> bool {
         if machine.is_ready() {
             let unexpected = machine.unexpected_tasks();
@@ -66,7 +67,7 @@
     }
 }
 
-/// The jobs that have stored records and can't be read here, by id.
+/// The jobs that have stored records but can't be read by this node, by id.
 #[derive(Debug, Default)]
 pub(super) struct UnknownJobs(BTreeMap<Rc<str>, UnknownJob>);
 
@@ -75,7 +76,7 @@
         self.0.entry(Rc::from(id)).or_default()
     }
 
-    /// Whether the job is unknown, and not known to be open either.
+    /// Whether the job is unknown and not known to be open.
     fn may_have_ended(&self, id: &str) -> bool {
         self.0.get(id).is_some_and(|job| !job.described)
     }
@@ -84,14 +85,14 @@
         self.0.get(id).is_some_and(|job| job.cancelled_at.is_some())
     }
 
-    /// Whether the task is of an unknown job that was not cancelled: it must not be
-    /// stopped or reaped.
+    /// Whether the task belongs to an unknown job that is not cancelled. Such a task must
+    /// not be stopped or reaped.
     pub fn protects_task(&self, task: &TaskName) -> bool {
         let job = self.0.get(task.job.as_str());
         job.is_some_and(|job| job.cancelled_at.is_none())
     }
 
-    /// The stops of the machine's tasks that are of unknown and cancelled jobs.
+    /// The stop commands for the machine's tasks that belong to cancelled unknown jobs.
     pub fn stops<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Command> + 'a {
         let unexpected = machine.unexpected_tasks().iter();
         unexpected
@@ -99,15 +100,15 @@
             .map(TaskAttempt::stop_command)
     }
 
-    /// When the oldest cancellation was confirmed of an unknown job that the machine may
-    /// hold.
+    /// The time of the oldest cancellation of an unknown job of which the machine may hold
+    /// tasks.
     pub fn oldest_cancellation_on(&self, machine: &Machine) -> Option<Micros> {
         let jobs = self.0.iter().filter(|(id, job)| job.may_be_on(id, machine));
         jobs.filter_map(|(_, job)| job.cancelled_at).min()
     }
 
-    /// What unknown jobs count against the quotas of teams: millionths of CPUs and of GPUs
-    /// by team. Empty if there are no such jobs.
+    /// The usage of unknown jobs that counts against the quota of each team, as millionths
+    /// of CPUs and GPUs. Empty if there are no unknown jobs.
     pub fn claims(&self, config: &Config) -> Vec<(i64, i64)> {
         if self.0.is_empty() {
             return Vec::new();
@@ -125,7 +126,7 @@
 }
 
 impl Leader {
-    /// A description can't be read: the job takes part in nothing.
+    /// Adds a job with an unreadable description. It is not scheduled.
     pub(super) fn add_undescribed_job(&mut self, ctx: &Context, id: &str, value: &Value) {
         let task_claim = store::decode_value::<OpenClaim>(value).and_then(|open| {
             let ResourceClaim { team, cpus, gpus } = open.spec;
@@ -140,7 +141,7 @@
         job.task_claim = task_claim;
     }
 
-    /// An unknown job is cancelled: its tasks are stopped wherever they are seen.
+    /// Cancels an unknown job: its tasks are stopped on all machines that report them.
     pub(super) fn cancel_unknown_job(&mut self, id: &str, confirmed_at: Micros) {
         if let Some(job) = self.unknown_jobs.0.get_mut(id) {
             job.cancelled_at.get_or_insert(confirmed_at);
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Adds a task record of a job that is unknown: it is neither deleted nor forgotten.
+    /// Adds a task record of an unknown job, so that the record is kept.
     pub(super) fn add_unknown_job_record(&mut self, id: &str, row: &KeyValue) {
         let job = self.unknown_jobs.entry(id);
         job.record_keys.push(row.key.clone());
         if !job.described {
-            // Most likely it has ended, and only the clearing was not finished.
+            // The job has probably ended, and its records were not completely deleted.
             self.dependencies.request_state_read(Rc::from(id));
         }
         let Some(chunk) = row.decode_value::<TaskChunk>() else {
@@ -178,8 +179,8 @@
         job.machines.extend(machines.map(Rc::from));
     }
 
-    /// A record of a job's tasks can't be read: the job takes part in nothing, as if its
-    /// description could not be read. To write that record would lose what is in it.
+    /// Treats a job with an unreadable task record as unknown, as if its description were
+    /// unreadable. Otherwise a write of that record would lose its contents.
     pub(super) fn demote_to_unknown(
         &mut self,
         ctx: &Context,
@@ -201,7 +202,7 @@
             cpu_millionths: to_millionths(job.spec.cpus),
             gpu_millionths: to_millionths(job.spec.gpus),
         });
-        // How many of the record's tasks are placed is not known.
+        // The number of placed tasks in the record is unknown, so all of them are counted.
         unknown.placed = job.placed_count() as i64 + job.task_ranges.indexes(range).len() as i64;
         unknown.record_keys.push(key.to_string());
         for (index, machine) in job.on_machines() {
@@ -215,14 +216,14 @@
         }
     }
 
-    /// Whether a job is unknown, and its state record is needed to tell if it has ended.
+    /// Whether a job is unknown and its state record is needed to find out if it has ended.
     pub(super) fn is_unknown_job(&self, id: &str) -> bool {
         self.unknown_jobs.may_have_ended(id)
     }
 
-    /// The state record says that the job has ended: nothing needs its task records any
-    /// more, unless its description is left. Then it is cancelled, and its tasks have yet
-    /// to be seen gone.
+    /// Deletes the task records of an unknown job whose state record shows that it has ended.
+    /// They are kept if the job's description is still stored: the job was cancelled, and its
+    /// tasks may not have ended yet.
     pub(super) fn unknown_job_ended(&mut self, id: &str) {
         if !self.is_unknown_job(id) {
             return;
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -1,4 +1,4 @@
-//! Replies to the leader's writes, and what follows from them.
+//! Handling of the replies to the leader's writes.
 
 use super::{Leader, LeaderEvent};
 use crate::CallError;
@@ -29,14 +29,14 @@
             Ok(StoreResponse::Malformed) => self.handle_oversized_batch(ctx, batch),
             Ok(StoreResponse::LeaseExpired) => {
                 log::error!(
-                    "store reports an expired lease that no batch has term={}",
+                    "store reports an expired lease for a batch without a lease term={}",
                     self.term
                 );
                 self.events.push(LeaderEvent::TermEnded);
             }
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
-                    // Perhaps by the lower limit, whose start is not announced.
+                    // The store may have switched to its lower limit without notice.
                     self.writer.limit_rate(ctx.config.state_write_rps);
                 }
                 batch.uncertain |= other.is_err();
@@ -45,49 +45,50 @@
         }
     }
 
-    /// A condition of the batch did not hold.
+    /// Handles a batch that was rejected because some of its conditions did not hold.
     fn handle_conflict(&mut self, ctx: &mut Context, batch: WriteBatch, failed: &[String]) {
         if failed.iter().any(|key| key == records::TERM) {
             self.events.push(LeaderEvent::TermEnded);
             return;
         }
-        let own_key = failed.iter().find(|key| key.starts_with(records::TASKS));
-        let Some(key) = own_key.filter(|_| batch.uncertain) else {
+        let task_key = failed.iter().find(|key| key.starts_with(records::TASKS));
+        let Some(key) = task_key.filter(|_| batch.uncertain) else {
             return self.batch_rejected(ctx, batch, failed);
         };
-        // Only this leader writes chunks: the earlier try was applied. Every key of it
-        // has the same version; read one. A user's cancellation may have come after it,
-        // and be reported later than what was placed would be launched.
+        // Only this leader writes task records, so an earlier attempt of the batch was
+        // applied. All keys in it have the same version, so reading one is enough. A job may
+        // have been cancelled since; the tasks of such a job must not be launched.
         for id in failed.iter().filter_map(|key| records::parse_job_key(key)) {
             self.job_state_changed(ctx, &Rc::from(id));
         }
         self.read_outcome(ctx, batch, key.clone());
     }
 
-    /// Reads a key that only this leader writes, to see whether a batch was applied.
+    /// Reads a key that only this leader writes, to find out whether a batch was applied.
     fn read_outcome(&mut self, ctx: &mut Context, batch: WriteBatch, key: String) {
         self.writer.set_in_flight(batch);
         let continuation = self.continuation(LeaderStep::Reread { key: key.clone() });
         ctx.store_request(StoreRequest::Get { key }, continuation);
     }
 
-    /// A batch broke a limit, which may have been lowered a moment ago. It was not
-    /// applied; an earlier try of it, which had no answer, may have been. To end the term
-    /// for it would only let the next leader meet the same.
+    /// Handles a batch that exceeds a limit of the store, which may have been lowered. The
+    /// batch was not applied, but an earlier attempt without a reply may have been.
+    ///
+    /// Ending the term would not help: the next leader would have the same problem.
     fn handle_oversized_batch(&mut self, ctx: &mut Context, batch: WriteBatch) {
         log::info!(
-            "store refused a batch, reducing the batch size writes={}",
+            "store rejected an oversized batch, reducing the batch size writes={}",
             batch.writes.len()
         );
         match batch.own_key().filter(|_| batch.uncertain) {
-            // No copy of it can be applied from now on, so one read settles it.
+            // No attempt of the batch can be applied from now on, so one read is conclusive.
             Some(key) => self.read_outcome(ctx, batch, key),
             None => self.retry_smaller(ctx, batch),
         }
     }
 
-    /// Handles the reply to [`Self::read_outcome`]: if the key has the version that the
-    /// batch compared, no try of the batch was applied.
+    /// Handles the reply to [`Self::read_outcome`]. If the key still has the version that the
+    /// batch compared, no attempt of the batch was applied.
     pub(super) fn reread_reply(
         &mut self,
         ctx: &mut Context,
@@ -114,17 +115,19 @@
         }
     }
 
-    /// Nothing of the batch was applied, for its size.
+    /// Reduces the size of a batch that was not applied because it was too large, and queues
+    /// its writes again.
     fn retry_smaller(&mut self, ctx: &mut Context, batch: WriteBatch) {
         if self.writer.max_value_bytes() > ctx.config.value_bytes {
-            // The limits that were announced are in force: larger values are written
-            // in parts.
+            // The announced lower limits are in effect: larger values are written in parts
+            // from now on.
             log::info!("value limit lowered value_bytes={}", ctx.config.value_bytes);
             self.writer.use_lower_value_limit(ctx.config);
         } else if batch.writes.len() > 1 {
             self.writer.shrink_batches(batch.writes.len());
         } else if let Some(write) = batch.writes.first() {
-            // By itself it is refused: the same bytes again would be as well.
+            // A batch with only this write was rejected. The same record would be rejected
+            // again.
             let is_chunk = matches!(
                 write,
                 PendingWrite::Tasks {
@@ -135,7 +138,7 @@
             if is_chunk {
                 self.handle_oversized_record(ctx, write.clone());
             } else {
-                log::error!("store refused a write: {write}");
+                log::error!("store rejected a write {write}");
                 self.writer.retry_refused(ctx.now.monotonic, write.clone());
             }
             return self.send_writes(ctx);
@@ -144,7 +147,8 @@
         self.send_writes(ctx);
     }
 
-    /// Queues the writes of a batch that was not applied again.
+    /// Requeues the writes of a batch that was not applied. Placements of cancelled jobs in
+    /// it are reverted.
     fn requeue_batch(&mut self, batch: WriteBatch) {
         for placement in &batch.placements {
             let id = &placement.task.0;
@@ -168,15 +172,15 @@
         }
     }
 
-    /// Some job's state record has changed: it was cancelled, or its end is stored.
-    /// Nothing of the batch was applied, and it never can be.
+    /// Handles a batch that can never be applied because records it depends on have changed:
+    /// the state record of a job, or the record of the machine types.
     fn batch_rejected(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
             if let Some(id) = records::parse_job_key(key) {
                 self.job_state_changed(ctx, &Rc::from(id));
             } else if key == records::TYPES {
-                // Written by an earlier try, or by the leader before, later than this one
-                // has read.
+                // The record was written by an earlier attempt, or by the previous leader
+                // after this one had read it.
                 batch
                     .writes
                     .retain(|write| *write != PendingWrite::MachineTypes);
@@ -191,8 +195,8 @@
         self.send_writes(ctx);
     }
 
-    /// Handles the version of the machine types' record, with which they are written
-    /// again.
+    /// Handles the reply with the current version of the machine types' record, and writes
+    /// the record again.
     pub(super) fn machine_types_reply(
         &mut self,
         ctx: &Context,
@@ -211,14 +215,15 @@
         }
     }
 
-    /// A job's state record has changed, be it by its cancellation or by an earlier try of
-    /// this leader's: nothing of the job is to run, whichever it was.
+    /// Handles a change of a job's state record, by a cancellation or by an earlier attempt
+    /// of a write. In both cases the job's tasks must not run any more.
     fn job_state_changed(&mut self, ctx: &mut Context, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id) {
             log::info!("job state record changed, reading it job={id}");
-            // No placement of it is written from now on. When it was confirmed is not
-            // known. Until its row is read answers end with the last read, which is
-            // older, and then the row says when.
+            // No placement of the job is written from now on. The time at which a
+            // cancellation was confirmed is unknown until its record is read. Until then
+            // heartbeats are answered only for a limited time after the last consistent
+            // read, which is older than the confirmation.
             job.cancelled_at.get_or_insert(ctx.now.monotonic);
             job.ending = false;
             self.mark_tasks_cancelled(id);
@@ -228,8 +233,8 @@
         ctx.store_request(StoreRequest::Get { key }, continuation);
     }
 
-    /// Handles the state record of a job whose end came from elsewhere, or from an earlier
-    /// try of the batch that ended it.
+    /// Handles the reply with the state record of a job that was ended by another writer or
+    /// by an earlier attempt of a batch.
     pub(super) fn job_state_reply(
         &mut self,
         ctx: &mut Context,
@@ -264,7 +269,7 @@
         }
     }
 
-    /// That a job is done is in the store.
+    /// Removes a job whose completion is stored.
     fn job_done(&mut self, ctx: &Context, id: &Rc<str>, record: JobStateRecord) {
         log::info!("job done job={id}");
         self.forget_job(ctx, id);
@@ -273,7 +278,7 @@
             .push(LeaderEvent::JobEnded(id.to_string(), record));
     }
 
-    /// A batch is in the store: does what waited for it.
+    /// Applies the effects of a batch that was committed.
     fn batch_committed(&mut self, ctx: &mut Context, batch: WriteBatch, revision: u64) {
         self.writer.grow_batches(ctx.config.txn_ops);
         for write in &batch.writes {
@@ -308,8 +313,8 @@
         }
     }
 
-    /// A placement is in the store: the task may be launched, unless it was cancelled
-    /// meanwhile.
+    /// Requests the launch of a task whose placement is stored, unless it was cancelled in
+    /// the meantime.
     fn placement_committed(&mut self, placement: &NewPlacement) {
         let NewPlacement { task: key, attempt } = placement;
         let (id, index) = key;
@@ -327,7 +332,7 @@
         slot.stored = true;
         machine.command_state.request();
         self.command_dispatch.enqueue_urgent(machine.name.clone());
-        // Of a cancelled job nothing was launched: it is not there.
+        // The task was cancelled before it could be launched, so it is not on the machine.
         if slot.cancelled {
             machine.slots.remove(key);
             self.return_to_waiting(key, *attempt);
