--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -1,4 +1,4 @@
-//! Run times of jobs, and which waiting tasks will start too late for their deadlines.
+//! Expected run times of jobs, and the prediction of missed deadlines.
 
 use super::derived::Sums;
 use super::{Job, Leader};
@@ -7,23 +7,22 @@
 use crate::{Config, Micros, micros, seconds};
 use dillcleat_wire::user::JobKind;
 
-/// CPU-seconds below this are rounding errors.
+/// Lower bound of a task's CPU-seconds, to avoid a division by zero.
 const MIN_TASK_CPU_SECONDS: f64 = 1e-6;
 
-/// What is known of the work that is served before a job, as a plan goes over the jobs in
-/// the order in which they will be served.
+/// Predicts how many tasks of a job will start too late, as a plan iterates over the jobs in
+/// the order of service.
 ///
-/// Whether a deadline was near was once all that counted. At the start of a day that
-/// started every ordinary machine there was for a backlog that spot machines, just
-/// booting, worked off within the minute (rosterwise-nz-grown).
+/// The prediction includes the capacity of booting machines, so that no ordinary machines
+/// are started for a backlog that the fleet will process in time.
 #[derive(Debug)]
 pub(super) struct DeadlineRisk {
-    /// The CPUs that arrays can have: the fleet's and those of machines that are booting,
-    /// less what services hold or wait for.
+    /// The CPUs available to array tasks: those of the fleet and of booting machines, less
+    /// those of placed and waiting replicas.
     array_cpus: f64,
-    /// Those of them that take a task at once.
+    /// The part of `array_cpus` that is idle.
     idle_cpus: f64,
-    /// CPU-seconds of the waiting work that is served before.
+    /// The CPU-seconds of waiting tasks of earlier jobs.
     cpu_seconds_ahead: f64,
 }
 
@@ -38,8 +37,8 @@
         }
     }
 
-    /// How many of the job's waiting tasks the fleet as it is cannot start in time. The job
-    /// counts as served before the next.
+    /// The number of the job's waiting tasks that the current fleet can't start in time.
+    /// Adds the job to the work that is served before the next one.
     pub fn tasks_at_risk(
         &mut self,
         leader: &Leader,
@@ -54,11 +53,11 @@
         let task_cpu_seconds = run_time_s * job.spec.cpus;
         let slack_s = leader.start_slack_s(ctx, job, run_time_s);
         let at_risk = slack_s.map_or(0, |slack_s| {
-            // Idle CPUs take a task at once, all take more as time goes on.
+            // Idle CPUs can start tasks at once, and all CPUs process work until the slack ends.
             let in_time = (slack_s * self.array_cpus + self.idle_cpus * run_time_s
                 - self.cpu_seconds_ahead)
                 / task_cpu_seconds.max(MIN_TASK_CPU_SECONDS);
-            // A float's cast to an integer saturates.
+            // The cast saturates.
             waiting.saturating_sub(in_time as u32)
         });
         self.cpu_seconds_ahead += f64::from(waiting) * task_cpu_seconds;
@@ -66,21 +65,20 @@
     }
 }
 
-/// A deadline on which money is spent.
+/// A deadline for which machines are started.
 #[derive(Debug)]
 pub(super) struct StrictDeadline<'a> {
     /// Seconds from the submission of the job.
     pub deadline_s: f64,
-    /// What users expect of the class.
+    /// The deadline objective of the job's class.
     pub objective: &'a DeadlineObjective,
 }
 
-/// A job's deadline and what users expect of its class, where money is spent on it.
+/// The deadline of a job and the objective of its class, if the deadline is strict.
 pub(super) fn strict_deadline<'a>(config: &'a Config, job: &Job) -> Option<StrictDeadline<'a>> {
     let deadline_s = job.spec.deadline_s?;
     let objective = config.deadline_objective(&job.spec.class)?;
-    // Where users put up with a few misses, the money is worth more to them: paying for
-    // each cost rosterwise-nz a fifth more (0.803 to 0.765).
+    // If the objective tolerates many misses, cost is more important than the deadline.
     (objective.share >= config.tuning.late_share).then_some(StrictDeadline {
         deadline_s,
         objective,
@@ -88,27 +86,27 @@
 }
 
 impl Leader {
-    /// The time within which the job's tasks must start, in seconds; `None` if no money is
-    /// spent on it, be it that it has no deadline, that its class has no strict objective for it,
-    /// or that a machine started now would come too late. A job that cannot meet its
-    /// deadline any more is counted against the last time at which its end is of use.
+    /// The time within which the job's tasks must start, in seconds. `None` if no machines
+    /// are started for the job: it has no strict deadline, or a machine started now would be
+    /// up too late. For a job that can't meet its deadline any more, the latest useful end is
+    /// used instead.
     fn start_slack_s(&self, ctx: &Context, job: &Job, run_time_s: f64) -> Option<f64> {
         let tuning = &ctx.config.tuning;
         let duration_s = run_time_s + tuning.fetch_s;
         let time_limits_s = match job.due {
-            // What waits for it sets when it has to end.
+            // The deadlines of dependents determine when it has to end.
             Some(at) => [seconds(at.saturating_sub(ctx.now.wall)); 2],
             None => self.own_time_limits_s(ctx, job)?,
         };
         let boot_s = self.soonest_boot_s();
-        let left_s = time_limits_s
+        let limit_s = time_limits_s
             .into_iter()
-            .find(|left_s| *left_s >= boot_s + duration_s)?;
-        Some(left_s - duration_s * tuning.late_factor)
+            .find(|limit_s| *limit_s >= boot_s + duration_s)?;
+        Some(limit_s - duration_s * tuning.late_factor)
     }
 
-    /// How long it is until the job's deadline, and until the last time at which its end is
-    /// of use, in seconds; `None` if no money is spent on it.
+    /// The time until the job's deadline and until its latest useful end, in seconds; `None`
+    /// if it has no strict deadline.
     fn own_time_limits_s(&self, ctx: &Context, job: &Job) -> Option<[f64; 2]> {
         let StrictDeadline {
             deadline_s,
@@ -121,8 +119,8 @@
         ])
     }
 
-    /// What a task of the job takes, in seconds. Before its class has run at all, its
-    /// owner's estimate is worth more than the first guess.
+    /// The expected run time of a task of the job, in seconds. If no run time of its class
+    /// has been observed, the estimate in its description takes precedence over the default.
     pub(super) fn expected_run_time_s(&self, config: &Config, job: &Job) -> f64 {
         let submitted_estimate_s = job.spec.estimate_s;
         let is_known = !job.samples.is_empty() || self.estimates.has_class(&job.spec.class);
@@ -132,8 +130,8 @@
         submitted_estimate_s
     }
 
-    /// What a task of the job has taken on average, in seconds; the estimate of its class
-    /// if none has run.
+    /// The mean run time of the job's training tasks, in seconds; the estimate of its class
+    /// if there are no samples.
     pub(super) fn mean_run_time_s(&self, config: &Config, job: &Job) -> f64 {
         match job.samples.len() {
             0 => self.estimates.class_run_time_s(config, &job.spec.class),
@@ -141,14 +139,14 @@
         }
     }
 
-    /// The last time of day at which the end of the job is still of use.
+    /// The latest wall-clock time at which the end of the job is still useful.
     pub(super) fn latest_useful_end(config: &Config, job: &Job) -> Option<Micros> {
         let objective = config.deadline_objective(&job.spec.class)?;
-        let of_use = micros(job.spec.deadline_s? * objective.max_multiple);
-        Some(job.submitted_at.saturating_add(of_use))
+        let useful_time = micros(job.spec.deadline_s? * objective.max_multiple);
+        Some(job.submitted_at.saturating_add(useful_time))
     }
 
-    /// Whether the end of the job is of no more use.
+    /// Whether the end of the job is no longer useful.
     pub(super) fn is_past_useful_end(ctx: &Context, job: &Job) -> bool {
         Self::latest_useful_end(ctx.config, job).is_some_and(|end| ctx.now.wall >= end)
     }
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -1,5 +1,5 @@
-//! Dependencies of jobs on other jobs: which are ready, which are cancelled with one that
-//! they depend on, and what urgency a job inherits from its dependents.
+//! Dependencies between jobs: when jobs become ready, and the cancellation of jobs whose
+//! dependencies are cancelled.
 
 use super::{Leader, LeaderEvent, RETRY_INTERVAL, unknown_jobs};
 use crate::CallError;
@@ -15,29 +15,30 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// State records of dependencies that may be read at once, and the share of the store's
-/// requests that this may take: a new leader with many blocked jobs reads them beside its
-/// other work.
+/// The maximum number of concurrent reads of dependencies' state records.
 const MAX_CONCURRENT_STATE_READS: usize = 8;
+/// The share of the store's request rate for reads of state records, so that a new leader
+/// with many blocked jobs can do its other work.
 const STATE_READ_SHARE: f64 = 0.15;
-/// The least number of reads that can be saved up.
+/// The minimum burst of reads.
 const MIN_STATE_READ_BURST: f64 = 2.0;
-/// After how long the state record of a dependency is read again that is neither open here
-/// nor has one. It is about to be seen open, or its team has gone from the settings.
+/// Interval at which the state record of a dependency is read again if there was none and
+/// the job is not open here. The leader may be about to learn of the job.
 const STATE_RECHECK_INTERVAL: Micros = SECOND;
 
-/// Reads of the state records of jobs that are not open here, which prove how they ended.
+/// Reads of the state records of jobs that are not open here, which show how they ended.
 #[derive(Debug, Default)]
 struct StateReads {
-    /// The jobs to be read, each not before some time.
+    /// The jobs whose state record has to be read, with the earliest time of the read.
     pending: BTreeMap<Rc<str>, Micros>,
     in_flight: usize,
-    /// Reads that may be made now.
+    /// The rate limit of reads.
     budget: TokenBucket,
 }
 
 impl StateReads {
-    /// The next job to be read, which counts as in flight from now on.
+    /// Takes the next job whose state record may be read now, and counts the read as in
+    /// flight.
     fn next(&mut self, now: Micros, per_s: f64) -> Option<Rc<str>> {
         if self.pending.is_empty() || self.in_flight >= MAX_CONCURRENT_STATE_READS {
             return None;
@@ -55,10 +56,11 @@
     }
 }
 
-/// The dependencies of open jobs, and how the ends of jobs that are not open are proved.
+/// The dependencies of open jobs, and reads of the state records of dependencies that are
+/// not open.
 ///
-/// Each job that others depend on is open, or its state record is wanted or being read, or
-/// its dependents are being cancelled.
+/// For each job that others depend on, one of these holds: the job is open, a read of its
+/// state record is pending or in flight, or its dependents are being cancelled.
 #[derive(Debug, Default)]
 pub(super) struct DependencyTracker {
     graph: DependencyGraph,
@@ -66,12 +68,12 @@
 }
 
 impl DependencyTracker {
-    /// Whether the job depends on any job that is not known to be done.
+    /// Whether the job depends on a job that is not known to be done.
     pub fn is_blocked(&self, job: &str) -> bool {
         self.graph.is_blocked(job)
     }
 
-    /// How many jobs are blocked.
+    /// The number of blocked jobs.
     pub fn blocked_jobs(&self) -> usize {
         self.graph.blocked_count()
     }
@@ -81,40 +83,39 @@
         self.graph.has_dependents(job)
     }
 
-    /// The state record of a job is to be read.
+    /// Requests a read of a job's state record.
     pub fn request_state_read(&mut self, job: Rc<str>) {
         self.state_reads.pending.insert(job, 0);
     }
 
-    /// The same, from some time on.
+    /// Requests a read of a job's state record at `at` or later.
     fn request_state_read_at(&mut self, job: Rc<str>, at: Micros) {
         self.state_reads.pending.insert(job, at);
     }
 
-    /// That a job is open was seen: its state record need not be read.
+    /// Drops the pending read for a job that is known to be open.
     fn drop_state_read(&mut self, job: &str) {
         self.state_reads.pending.remove(job);
     }
 
-    /// A read of a state record has ended, or was not needed.
+    /// Records that a read has ended or was not needed.
     fn state_read_finished(&mut self) {
         self.state_reads.in_flight -= 1;
     }
 
-    /// The graph of the dependencies.
     pub fn graph(&self) -> &DependencyGraph {
         &self.graph
     }
 
-    /// What the job depends on.
+    /// The jobs that this job depends on.
     pub fn dependencies(&self, job: &str) -> Vec<Rc<str>> {
         self.graph.dependencies(job).cloned().collect()
     }
 }
 
-/// Dependencies as jobs come and go.
+/// Updates of the dependencies when jobs are added and end.
 impl Leader {
-    /// A job was added: it may depend on others, and others on it.
+    /// Tracks the dependencies of a job that was added.
     pub(super) fn track_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
         self.dependencies.drop_state_read(id);
         let Some(job) = self.jobs.get(id) else {
@@ -132,16 +133,15 @@
         if cancelled {
             self.writer.enqueue(PendingWrite::JobCancelled(id.clone()));
         }
-        // For all jobs at once when all are read: one by one, each of a thousand that
-        // depend on one job goes over the others again.
+        // During recovery the urgencies of all jobs are computed once at the end. Updating
+        // them for each job would take quadratic time for jobs with many dependents.
         if self.recovery.is_ready() {
             self.update_urgency(ctx, id);
             self.propagate_urgency(ctx, id);
         }
     }
 
-    /// Adds a dependency of a job. Returns whether it is known to be cancelled, in
-    /// whichever order the cancellation and the dependent came.
+    /// Adds a dependency of a job. Returns whether the dependency is known to be cancelled.
     fn add_dependency(&mut self, id: &Rc<str>, dependency: String) -> bool {
         let open = self.jobs.name(&dependency).cloned();
         let mut cancelled = false;
@@ -153,8 +153,9 @@
                     .is_some_and(|job| job.cancellation_confirmed);
                 open
             }
-            // Not being open proves nothing: the pages that a new leader reads are of
-            // different revisions, and a watch reports a job after one that names it.
+            // A job that is not known to be open has not necessarily ended. During recovery,
+            // pages are read at different revisions, and a watch may report a job after its
+            // dependents.
             None => {
                 let dependency: Rc<str> = Rc::from(dependency);
                 self.dependencies.request_state_read(dependency.clone());
@@ -165,7 +166,7 @@
         cancelled
     }
 
-    /// A job has ended, and depends on nothing any more.
+    /// Removes the dependencies of a job that has ended.
     pub(super) fn untrack_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
         let dependencies = self.dependencies.dependencies(id);
         self.dependencies.graph.remove_dependencies(id);
@@ -180,7 +181,8 @@
         }
     }
 
-    /// A job's end is proved: the jobs that depended on nothing else become ready.
+    /// Handles the completion of a dependency: jobs without any other dependency become
+    /// ready.
     pub(super) fn dependency_done(&mut self, ctx: &Context, id: &Rc<str>) {
         for ready in self.dependencies.graph.job_done(id) {
             let Some(job) = self.jobs.get_mut(&ready) else {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// A job is cancelled, and with it all that depend on it. None of them has started.
+    /// Cancels all jobs that depend on a cancelled job. None of them has started.
     pub(super) fn cancel_dependents(&mut self, id: &Rc<str>) {
         for dependent in self.dependencies.graph.transitive_dependents(id) {
             log::info!("job cancelled with its dependency job={dependent} dependency={id}");
@@ -203,7 +205,7 @@
         }
     }
 
-    /// The cancellation of a job that was blocked is in the store.
+    /// Handles the stored cancellation of a job that was cancelled with its dependency.
     pub(super) fn dependent_cancelled(&mut self, ctx: &Context, id: &Rc<str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -215,12 +217,11 @@
         self.events
             .push(LeaderEvent::JobEnded(id.to_string(), record));
         if placed > 0 {
-            // It is blocked, and yet some of its tasks were started: by a version that
-            // has no dependencies.
+            // Tasks of a blocked job were started by an older version that does not support
+            // dependencies.
             return self.cancel_job(ctx, id);
         }
-        // Jobs that depend on this one may have come while its state record was written
-        // (seed 282 of the days of pipelines).
+        // New dependents of this job may have been added while its state record was written.
         self.cancel_dependents(id);
         self.forget_job(ctx, id);
         self.writer
@@ -230,7 +231,7 @@
 
 /// Reads of state records.
 impl Leader {
-    /// Reads state records of dependencies that are not open here.
+    /// Sends the pending reads of state records that the limits allow.
     pub(super) fn request_dependency_states(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         let per_s = ctx.config.state_rps * STATE_READ_SHARE;
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Handles the state record of a dependency, or that it has none.
+    /// Handles the reply to a read of a dependency's state record.
     pub(super) fn dependency_state_reply(
         &mut self,
         ctx: &Context,
@@ -278,8 +279,7 @@
         }
     }
 
-    /// A job is not known to have ended: its state record is read again later, if it is
-    /// still needed.
+    /// Schedules another read of a job's state record, if it is still needed.
     fn recheck_dependency(&mut self, ctx: &Context, id: Rc<str>, answered: bool) {
         let pause = if answered {
             STATE_RECHECK_INTERVAL
@@ -296,10 +296,9 @@
     }
 }
 
-/// Checks for simulations.
+/// Consistency checks for simulations.
 impl Leader {
-    /// Whether the dependencies are as they would be if they were derived from the jobs
-    /// alone.
+    /// Whether the dependency state agrees with the jobs.
     pub(super) fn dependencies_are_consistent(&self) -> bool {
         let is_recovering = !self.recovery.is_ready();
         self.edges_match_jobs()
@@ -308,8 +307,8 @@
             && self.dependencies.graph.is_consistent()
     }
 
-    /// Whether every edge is one that its job names, and just the jobs with edges are
-    /// blocked.
+    /// Whether every edge is in the description of its job, and exactly the jobs with edges
+    /// are blocked.
     fn edges_match_jobs(&self) -> bool {
         self.jobs.iter().all(|(id, job)| {
             let is_blocked = self.dependencies.is_blocked(id);
@@ -319,8 +318,8 @@
         })
     }
 
-    /// Whether the end of every dependency will be seen, or its dependents are being
-    /// cancelled.
+    /// Whether the leader will learn of the end of every dependency, or its dependents are
+    /// being cancelled.
     fn every_dependency_end_is_awaited(&self) -> bool {
         let DependencyTracker { graph, state_reads } = &self.dependencies;
         graph.jobs_with_dependents().all(|id| {
@@ -333,7 +332,7 @@
         })
     }
 
-    /// Whether a job's cancellation is to be written, or its state record to be read.
+    /// Whether a job's cancellation is queued or known.
     fn has_pending_cancellation(&self, id: &Rc<str>) -> bool {
         self.writer.has_cancellation(id)
             || self
@@ -342,14 +341,15 @@
                 .is_some_and(|job| job.cancelled_at.is_some())
     }
 
-    /// Whether every job has the highest priority of its own and of its dependents.
+    /// Whether every job has the maximum of its own priority and those of its dependents.
     fn priorities_are_inherited(&self) -> bool {
         self.jobs.iter().all(|(id, job)| {
             let dependents = || {
                 let ids = self.dependencies.graph.dependents(id);
                 ids.filter_map(|dependent| self.jobs.get(dependent))
             };
-            // That one is cancelled may be seen before it is worked out anew.
+            // A cancelled dependent may still contribute to the priority until the next
+            // update.
             let open = dependents().filter(|dependent| dependent.cancelled_at.is_none());
             let highest = open.map(|dependent| dependent.priority).max();
             let inherited = dependents().any(|dependent| dependent.priority == job.priority);
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -1,5 +1,5 @@
-//! The estimates that a leader has learned of run times and sizes, and their replication
-//! to peers, one of which may lead next.
+//! Learned estimates of run times and job sizes, and their replication to peers, one of
+//! which may become the next leader.
 
 use super::Leader;
 use super::job::Job;
@@ -12,33 +12,33 @@
 use dillcleat_wire::user::JobKind;
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs whose unchanged estimates one message repeats, and slab indexes that are examined
-/// for them, those of services and of ended jobs included. With a hundred a message a
-/// leader of forty arrays sent ten times as much to its peers, for nothing.
+/// The maximum number of jobs in a message whose estimates are repeated unchanged.
 const MAX_REPEATED_JOBS: usize = 16;
+/// The maximum number of slab indexes examined for jobs to repeat. Some of them are vacant
+/// or belong to jobs without estimates.
 const MAX_EXAMINED_INDEXES: SlabIndex = 128;
-/// The weight of the latest run time in the mean of its class.
+/// The weight of a new run time in the moving average of its class.
 const RUN_TIME_WEIGHT: f64 = 0.05;
 
-/// What was learned of run times and sizes, and how far it was replicated.
+/// Learned run times and job sizes, and the progress of their replication.
 #[derive(Debug)]
 pub(super) struct LearnedEstimates {
-    /// Mean run time per class, learned from finished tasks, in seconds.
+    /// Moving averages of the run times of finished tasks by class, in seconds.
     class_run_times_s: HashMap<String, f64>,
-    /// One of them has changed since waiting jobs were last ordered by them.
+    /// Whether an average has changed since the job queue was last updated.
     run_times_changed: bool,
-    /// What the leader before has learned, for jobs that are recovered.
+    /// Estimates of the previous leader, for jobs that have not been recovered yet.
     inherited: InheritedEstimates,
-    /// Jobs that were recovered with the estimates of the leader before.
+    /// The number of jobs that were recovered with estimates of the previous leader.
     inherited_jobs: usize,
     /// Slab indexes of jobs whose estimates have changed since they were last replicated.
     changed: BTreeSet<SlabIndex>,
-    /// The slab index that was examined last for a repetition.
+    /// The slab index that was last examined for repetition.
     last_examined: SlabIndex,
 }
 
 impl LearnedEstimates {
-    /// Begins with what the leader before has learned.
+    /// Creates the state with the estimates of the previous leader.
     pub fn new(inherited: InheritedEstimates) -> LearnedEstimates {
         LearnedEstimates {
             class_run_times_s: inherited.classes().clone(),
@@ -56,12 +56,12 @@
         learned.copied().unwrap_or(config.tuning.first_guess_s)
     }
 
-    /// Whether a task of the class is known to have run.
+    /// Whether a run time of the class has been observed.
     pub fn has_class(&self, class: &str) -> bool {
         self.class_run_times_s.contains_key(class)
     }
 
-    /// A task of the class has run for so long.
+    /// Adds the run time of a finished task of the class.
     pub fn add_run_time(&mut self, config: &Config, class: &str, run_time_s: f64) {
         let mean_s = self
             .class_run_times_s
@@ -71,17 +71,17 @@
         self.run_times_changed = true;
     }
 
-    /// Whether the run time of any class has changed since this was last asked.
+    /// Whether the average of any class has changed since the last call.
     pub fn take_run_times_changed(&mut self) -> bool {
         std::mem::take(&mut self.run_times_changed)
     }
 
-    /// The estimates of the job at this slab index have changed.
+    /// Marks the estimates of the job at this slab index as changed.
     pub fn mark_changed(&mut self, index: SlabIndex) {
         self.changed.insert(index);
     }
 
-    /// Gives a job that is recovered the estimates of the leader before.
+    /// Sets the estimates of a recovered job to those of the previous leader.
     pub fn apply_inherited(&mut self, id: &str, job: &mut Job) {
         let Some(estimate) = self.inherited.take(id) else {
             return;
@@ -97,21 +97,22 @@
         job.samples = estimate.samples;
     }
 
-    /// How many jobs were recovered with the estimates of the leader before.
+    /// The number of jobs that were recovered with estimates of the previous leader.
     pub fn inherited_jobs(&self) -> usize {
         self.inherited_jobs
     }
 
-    /// Everything is recovered: what is left of the leader before is not needed.
+    /// Drops the remaining estimates of the previous leader after recovery.
     pub fn drop_inherited(&mut self) {
         self.inherited = InheritedEstimates::default();
     }
 }
 
 impl Leader {
-    /// The estimates to be replicated now: those of jobs whose estimates have changed, and
-    /// then some others in turn, so that a peer that missed a message gets them a little
-    /// later. The effect of ageing is not replicated: it follows from the virtual time.
+    /// The estimates to be replicated now: those that have changed, and some of the others
+    /// in turn, so that peers eventually receive estimates from messages that were lost. The
+    /// effect of ageing is not replicated for each job, since it follows from the virtual
+    /// time.
     pub fn next_estimates(&mut self) -> Option<Estimates> {
         if !self.recovery.is_ready() {
             return None;
@@ -136,7 +137,7 @@
         Some(self.estimates_message(jobs))
     }
 
-    /// All estimates, for this node itself when it ceases to lead.
+    /// All estimates, which the node keeps when it ceases to lead.
     pub fn all_estimates(&self) -> Option<Estimates> {
         if !self.recovery.is_ready() {
             return None;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The estimate of the job at a slab index; None for those that have none.
+    /// The estimate of the job at a slab index, if it has one.
     fn job_estimate(&self, index: SlabIndex) -> Option<JobEstimate> {
         let (id, job) = self.jobs.at(index)?;
         if job.spec.kind != JobKind::Batch || job.cancelled_at.is_some() || job.ending {
--- a/crates/controller/src/leader/urgency.rs
+++ b/crates/controller/src/leader/urgency.rs
@@ -1,5 +1,4 @@
-//! The urgency that jobs inherit from those that depend on them: a job is at least as
-//! urgent as each of its dependents.
+//! Inheritance of urgency: a job is at least as urgent as each of its dependents.
 
 use super::Leader;
 use super::deadline_risk::strict_deadline;
@@ -9,17 +8,17 @@
 use dillcleat_wire::user::Priority;
 use std::rc::Rc;
 
-/// How urgent a job is.
+/// The urgency of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Urgency {
     pub priority: Priority,
-    /// Time of day, in microseconds, by which it has to end for the jobs that depend on
-    /// it.
+    /// Wall-clock time, in microseconds, by which the job has to end so that its dependents
+    /// can meet their deadlines.
     pub due: Option<Micros>,
 }
 
 impl Leader {
-    /// Lets all jobs inherit from those that depend on them.
+    /// Computes the inherited urgency of all jobs.
     pub(super) fn propagate_all_urgencies(&mut self, ctx: &Context) {
         let jobs: Vec<Rc<str>> = self
             .dependencies
@@ -34,7 +33,7 @@
         }
     }
 
-    /// The urgency of a job by itself and by those that depend on it.
+    /// The urgency of a job, including what it inherits from its dependents.
     fn inherited_urgency(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Urgency {
         let mut urgency = Urgency {
             priority: job.spec.priority,
@@ -48,15 +47,16 @@
         urgency
     }
 
-    /// The urgency of a job once one more depends on it.
+    /// Combines the urgency of a job with that of one of its dependents.
     fn urgency_with_dependent(&self, ctx: &Context, urgency: Urgency, dependent: &Job) -> Urgency {
         if dependent.cancelled_at.is_some() {
             return urgency;
         }
-        // Its work has to be done after this one, and so on along the longest path.
+        // The dependent runs after this job, so its run time has to be subtracted. Applied to
+        // each dependent in turn, this follows the longest path.
         let duration_s =
             self.expected_run_time_s(ctx.config, dependent) + ctx.config.tuning.fetch_s;
-        let end = dependent.due.or_else(|| self.deadline_by(ctx, dependent));
+        let end = dependent.due.or_else(|| self.own_deadline(ctx, dependent));
         let due_for_dependent = end.map(|end| end.saturating_sub(micros(duration_s)));
         Urgency {
             priority: urgency.priority.max(dependent.priority),
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Time of day by which a job has to end by its own deadline, if it has a strict one.
-    fn deadline_by(&self, ctx: &Context, job: &Job) -> Option<Micros> {
-        let due_s = strict_deadline(ctx.config, job)?.deadline_s;
-        Some(job.submitted_at.saturating_add(micros(due_s)))
+    /// The wall-clock time of a job's own strict deadline, if it has one.
+    fn own_deadline(&self, ctx: &Context, job: &Job) -> Option<Micros> {
+        let deadline_s = strict_deadline(ctx.config, job)?.deadline_s;
+        Some(job.submitted_at.saturating_add(micros(deadline_s)))
     }
 
-    /// Works out a job's urgency anew. Returns whether it has changed.
+    /// Recomputes the urgency of a job. Returns whether it has changed.
     pub(super) fn update_urgency(&mut self, ctx: &Context, id: &Rc<str>) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -85,17 +85,16 @@
         true
     }
 
-    /// Updates the jobs that a job depends on, and those that they depend on, for as far
-    /// as their urgency changes. When it falls, a job is worked out as often as there are
-    /// paths to it.
+    /// Updates the transitive dependencies of a job, as far as their urgency changes. If the
+    /// urgency decreases, a job may be updated once for each path to it.
     pub(super) fn propagate_urgency(&mut self, ctx: &Context, id: &Rc<str>) {
         let mut next = self.dependencies.dependencies(id);
-        // Only a stored cycle, which no submission can make, takes so many steps.
+        // This many steps are exceeded only by a cycle, which submissions can't create.
         let mut steps_left = 16 * (self.jobs.len() + 1);
         while let Some(dependency) = next.pop() {
             steps_left -= 1;
             if steps_left == 0 {
-                return log::error!("dependency cycle job={id}");
+                return log::error!("stopped propagating urgency, dependency cycle job={id}");
             }
             if self.update_urgency(ctx, &dependency) {
                 let further = self.dependencies.graph().dependencies(&dependency);
