--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -82,11 +82,11 @@
 }
 
 impl Leader {
-    /// Deletes machines that are silent or idle, and scales out for waiting work.
+    /// Deletes machines that are unresponsive or idle, and scales out for waiting work.
     pub(super) fn check_fleet(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let partitioned = self.partitioned_machines();
-        self.delete_silent_machines(ctx, &partitioned);
+        self.delete_unresponsive_machines(ctx, &partitioned);
         if self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Returned)) {
             self.scale_in(ctx);
         }
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -1,4 +1,4 @@
-//! Deletion of machines that are silent, idle or hold cancelled tasks.
+//! Deletion of machines that are unresponsive, idle or hold cancelled tasks.
 
 use crate::calls::Context;
 use crate::leader::Leader;
@@ -20,47 +20,48 @@
 /// the difference to a minute allows for the time that the deletion takes.
 const MIN_MACHINE_LIFETIME: Micros = 55 * SECOND;
 
-/// The inputs of a check for silent machines.
-struct SilenceCheck<'a> {
+/// The inputs of a check for unresponsive machines.
+struct LivenessCheck<'a> {
     now: Micros,
     config: &'a Config,
     types: &'a [MachineType],
     partitioned: &'a BTreeSet<Rc<str>>,
-    /// Whether many machines are silent at once.
-    many_silent: bool,
+    /// Whether many machines are unresponsive at once.
+    many_unresponsive: bool,
     /// Whether this node is probably the one that is isolated.
     isolated: bool,
     /// When this leader had recovered its state.
     ready_since: Micros,
 }
 
-/// A machine that is to be deleted because of its silence.
-struct SilentMachine {
+/// A machine that is to be deleted because it is unresponsive.
+struct UnresponsiveMachine {
     name: Rc<str>,
-    silence: Micros,
+    unresponsive_for: Micros,
 }
 
-/// The result of a check for silent machines.
+/// The result of a check for unresponsive machines.
 #[derive(Default)]
-struct SilentMachines {
+struct UnresponsiveMachines {
     /// The indexes of machines that are to be probed.
     to_probe: Vec<SlabIndex>,
-    to_delete: Vec<SilentMachine>,
+    to_delete: Vec<UnresponsiveMachine>,
 }
 
-impl SilenceCheck<'_> {
-    /// The maximum silence of a machine that is up, if few machines are silent.
-    fn base_max_silence(&self) -> Micros {
+impl LivenessCheck<'_> {
+    /// The maximum unresponsive time of a machine that is up, if few machines are
+    /// unresponsive.
+    fn base_max_unresponsive_time(&self) -> Micros {
         (self.config.worker_lease * 4 / 10).max(2 * self.config.heartbeat_interval + SECOND)
     }
 
-    /// The silence after which the machine may be deleted.
+    /// The unresponsive time after which the machine may be deleted.
     ///
-    /// If many machines are silent at once, the cause is probably a partition or a stall
-    /// that may end before their leases expire; after that their tasks have ended anyway.
-    /// Replicas in a partitioned zone may serve until their lease expires, so their machines
-    /// are kept until then.
-    fn max_silence(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
+    /// If many machines are unresponsive at once, the cause is probably a partition or a
+    /// stall that may end before their leases expire; after that their tasks have ended
+    /// anyway. Replicas in a partitioned zone may serve until their lease expires, so their
+    /// machines are kept until then.
+    fn max_unresponsive_time(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
             if machine.expected {
@@ -68,60 +69,66 @@
             } else {
                 // The machine is known only from a record or a listing. If it is running,
                 // it sends heartbeats already.
-                self.base_max_silence() + boot
+                self.base_max_unresponsive_time() + boot
             }
         } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
             self.config.worker_lease
-        } else if self.many_silent {
+        } else if self.many_unresponsive {
             self.config.worker_lease + self.config.heartbeat_interval
         } else {
-            self.base_max_silence()
+            self.base_max_unresponsive_time()
         }
     }
 
     /// The time since the last message from the machine.
-    fn silence(&self, machine: &Machine) -> Micros {
+    fn unresponsive_for(&self, machine: &Machine) -> Micros {
         let last_heard_at = machine.reachability.last_heard_at();
         self.now.saturating_sub(last_heard_at)
     }
 
     /// Whether the machine is to be probed. After a lost heartbeat, the reply to a probe
     /// shows sooner than the next heartbeat whether the machine is up.
-    fn needs_probe(&self, machine: &Machine, silence: Micros) -> bool {
+    fn needs_probe(&self, machine: &Machine, unresponsive_for: Micros) -> bool {
         machine.is_ready()
-            && silence > heartbeat_missed_after(self.config)
+            && unresponsive_for > heartbeat_missed_after(self.config)
             && !machine.command_state.is_requested()
     }
 
-    /// Whether a machine that exceeds its maximum silence is to be deleted now.
+    /// Whether a machine that exceeds its maximum unresponsive time is to be deleted now.
     ///
     /// Machines in a partitioned zone may become reachable again at any time, so they are
     /// kept while their tasks could not run elsewhere. The capacity for the tasks of a
     /// machine that is deleted is taken from `spare`.
-    fn should_delete(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
+    fn should_delete(
+        &self,
+        machine: &Machine,
+        unresponsive_for: Micros,
+        spare: &mut SpareCapacity,
+    ) -> bool {
         let is_kept_for_its_tasks = self.partitioned.contains(&machine.name)
-            && self.may_heal(silence)
+            && self.may_heal(unresponsive_for)
             && !spare.take_for(machine);
-        let may_be_reachable = self.isolated && self.may_heal(silence);
+        let may_be_reachable = self.isolated && self.may_heal(unresponsive_for);
         self.had_time_to_report(machine) && !is_kept_for_its_tasks && !may_be_reachable
     }
 
-    /// Whether the silence is short enough for a partition to be considered temporary.
-    fn may_heal(&self, silence: Micros) -> bool {
-        silence < self.config.worker_lease * PARTITION_GRACE_LEASES
+    /// Whether the unresponsive time is short enough for a partition to count as temporary.
+    fn may_heal(&self, unresponsive_for: Micros) -> bool {
+        unresponsive_for < self.config.worker_lease * PARTITION_GRACE_LEASES
     }
 
     /// Whether the machine had time to send a heartbeat to this leader. This protects
-    /// machines that only the previous leader found silent.
+    /// machines that only the previous leader found unresponsive.
     fn had_time_to_report(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
         !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
 
     /// Whether the cloud has reclaimed the machine according to its interruption notice.
-    fn is_reclaimed(&self, machine: &Machine, silence: Micros) -> bool {
+    fn is_reclaimed(&self, machine: &Machine, unresponsive_for: Micros) -> bool {
         let reclaim_at = machine.interrupted_at().map(|at| at + SECOND);
-        reclaim_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
+        reclaim_at.is_some_and(|at| self.now >= at)
+            && unresponsive_for > self.config.heartbeat_interval
     }
 }
 
@@ -177,19 +184,19 @@
         slot.is_some_and(|slot| slot.cancelled && slot.stored)
     }
 
-    /// Deletes machines that have become silent. The cloud's confirmation proves that their
-    /// tasks have ended. Machines in `partitioned` are subject to additional rules.
-    pub(super) fn delete_silent_machines(
+    /// Deletes machines that have become unresponsive. The cloud's confirmation proves that
+    /// their tasks have ended. Machines in `partitioned` are subject to additional rules.
+    pub(super) fn delete_unresponsive_machines(
         &mut self,
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
     ) {
         let may_delete = self.may_answer_heartbeats(ctx)
             && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Silent));
-        let SilentMachines {
+        let UnresponsiveMachines {
             to_probe,
             to_delete,
-        } = self.find_silent_machines(ctx, partitioned);
+        } = self.find_unresponsive_machines(ctx, partitioned);
         for index in to_probe {
             if let Some(machine) = self.machines.get_mut_unmarked(index) {
                 machine.command_state.request_probe();
@@ -200,57 +207,67 @@
         if !may_delete {
             return;
         }
-        for SilentMachine { name, silence } in to_delete {
-            let silent_s = seconds(silence);
-            log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
+        for UnresponsiveMachine {
+            name,
+            unresponsive_for,
+        } in to_delete
+        {
+            let unresponsive_s = seconds(unresponsive_for);
+            log::info!(
+                "deleting machine machine={name} reason=unresponsive unresponsive_s={unresponsive_s}"
+            );
             self.delete_machine(&name, DeletionReason::Silent);
         }
     }
 
-    fn find_silent_machines(
+    fn find_unresponsive_machines(
         &self,
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
-    ) -> SilentMachines {
+    ) -> UnresponsiveMachines {
         let types = self.machine_types.shared();
-        let check = SilenceCheck {
+        let check = LivenessCheck {
             now: ctx.now.monotonic,
             config: ctx.config,
             types: types.as_deref().map_or(&[][..], Vec::as_slice),
             partitioned,
-            many_silent: self.are_many_silent(),
+            many_unresponsive: self.are_many_unresponsive(),
             isolated: self.is_probably_isolated(ctx.config),
             ready_since: self.recovery.ready_since(),
         };
         let mut spare = self.spare_capacity(partitioned);
-        let mut found = SilentMachines::default();
+        let mut found = UnresponsiveMachines::default();
         let derived = &self.derived;
-        let suspects = &(derived.silent_machines() | derived.booting_machines())
+        let suspects = &(derived.unresponsive_machines() | derived.booting_machines())
             | derived.interrupted_machines();
         for index in suspects {
             let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
-            let silence = check.silence(machine);
-            if check.needs_probe(machine, silence) {
+            let unresponsive_for = check.unresponsive_for(machine);
+            if check.needs_probe(machine, unresponsive_for) {
                 found.to_probe.push(index);
             }
-            let max_silence = check.max_silence(machine, &self.autoscaler.boot_estimator);
-            let is_silent =
-                silence >= max_silence && check.should_delete(machine, silence, &mut spare);
-            if is_silent || check.is_reclaimed(machine, silence) {
+            let max_unresponsive_time =
+                check.max_unresponsive_time(machine, &self.autoscaler.boot_estimator);
+            let is_unresponsive = unresponsive_for >= max_unresponsive_time
+                && check.should_delete(machine, unresponsive_for, &mut spare);
+            if is_unresponsive || check.is_reclaimed(machine, unresponsive_for) {
                 let name = machine.name.clone();
-                found.to_delete.push(SilentMachine { name, silence });
+                found.to_delete.push(UnresponsiveMachine {
+                    name,
+                    unresponsive_for,
+                });
             }
         }
         found
     }
 
-    /// Whether many machines are silent at once. Machines count as soon as they miss a
-    /// heartbeat: counted later, most of them would be deleted before there are many.
-    fn are_many_silent(&self) -> bool {
+    /// Whether many machines are unresponsive at once. Machines count as soon as they miss a
+    /// heartbeat. Otherwise, each could be deleted before there are many.
+    fn are_many_unresponsive(&self) -> bool {
         let up = self.derived.sums().machines_up() as u64;
-        self.derived.silent_machines().len() > 2.max(up * 3 / 10)
+        self.derived.unresponsive_machines().len() > 2.max(up * 3 / 10)
     }
 
     /// Deletes empty machines that are idle, cordoned or about to be reclaimed.
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -191,7 +191,7 @@
     fn booting_machines(&self) -> Vec<&Machine> {
         let booting = self.derived.booting_machines().iter();
         booting
-            .filter(|index| !self.derived.is_silent(*index))
+            .filter(|index| !self.derived.is_unresponsive(*index))
             .filter_map(|index| Some(self.machines.at(index)?.1))
             .filter(|machine| machine.expected || machine.recorded)
             .collect()
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -42,7 +42,7 @@
     /// Jobs whose task counts have changed since they were last sent to peers.
     unreported_jobs: RoaringBitmap,
     /// Machines that are up and have missed a heartbeat.
-    silent_machines: RoaringBitmap,
+    unresponsive_machines: RoaringBitmap,
     /// Machines that have not sent a heartbeat in this term and are not being deleted.
     booting_machines: RoaringBitmap,
     /// Spot machines with an interruption notice.
@@ -66,7 +66,7 @@
             cancelled_jobs: RoaringBitmap::new(),
             estimated_jobs: RoaringBitmap::new(),
             unreported_jobs: RoaringBitmap::new(),
-            silent_machines: RoaringBitmap::new(),
+            unresponsive_machines: RoaringBitmap::new(),
             booting_machines: RoaringBitmap::new(),
             interrupted_machines: RoaringBitmap::new(),
             empty_machines: RoaringBitmap::new(),
@@ -86,13 +86,13 @@
     }
 
     /// Whether the machine is up and has missed a heartbeat.
-    pub fn is_silent(&self, machine: SlabIndex) -> bool {
-        self.silent_machines.contains(machine)
+    pub fn is_unresponsive(&self, machine: SlabIndex) -> bool {
+        self.unresponsive_machines.contains(machine)
     }
 
     /// Machines that are up and have missed a heartbeat.
-    pub fn silent_machines(&self) -> &RoaringBitmap {
-        &self.silent_machines
+    pub fn unresponsive_machines(&self) -> &RoaringBitmap {
+        &self.unresponsive_machines
     }
 
     /// Machines that have not sent a heartbeat in this term and are not being deleted.
@@ -157,7 +157,11 @@
         }
         let old = std::mem::replace(current, new.clone());
         let is = |holds: fn(&MachineContribution) -> bool| new.as_ref().is_some_and(holds);
-        set_member(&mut self.silent_machines, index, is(|m| m.silent));
+        set_member(
+            &mut self.unresponsive_machines,
+            index,
+            is(|m| m.unresponsive),
+        );
         set_member(&mut self.booting_machines, index, is(|m| m.booting));
         set_member(&mut self.interrupted_machines, index, is(|m| m.interrupted));
         set_member(&mut self.empty_machines, index, is(|m| m.empty));
@@ -283,9 +287,9 @@
     }
 
     /// Iterates over the machines that are up and have missed a heartbeat.
-    pub(super) fn silent_machines(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
-        let silent = self.derived.silent_machines.iter();
-        silent.filter_map(|index| self.machines.at(index))
+    pub(super) fn unresponsive_machines(&self) -> impl Iterator<Item = (&Rc<str>, &Machine)> {
+        let unresponsive = self.derived.unresponsive_machines.iter();
+        unresponsive.filter_map(|index| self.machines.at(index))
     }
 
     /// Takes the task counts that have changed since they were last sent to peers. They
--- a/crates/controller/src/leader/derived/audit.rs
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -65,7 +65,7 @@
             ),
             (
                 "silent machines",
-                self.silent_machines == new.silent_machines,
+                self.unresponsive_machines == new.unresponsive_machines,
             ),
             (
                 "booting machines",
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -118,7 +118,7 @@
     /// Whether it has sent a heartbeat and is not being deleted.
     up: bool,
     /// Whether it is up and has missed a heartbeat.
-    pub(super) silent: bool,
+    pub(super) unresponsive: bool,
     /// Whether it has not sent a heartbeat in this term and is not being deleted.
     pub(super) booting: bool,
     /// Whether it has an interruption notice and is not being deleted.
@@ -158,7 +158,7 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             up,
-            silent: up && machine.reachability.has_missed_heartbeat(now, missed_after),
+            unresponsive: up && machine.reachability.has_missed_heartbeat(now, missed_after),
             booting,
             interrupted: machine.interrupted_at().is_some() && is_retained,
             empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -160,7 +160,7 @@
             || may_have_recovered
             || before != self.machine_summary(index)
             || events.iter().any(frees_resources)
-            || self.derived.is_silent(index)
+            || self.derived.is_unresponsive(index)
         {
             self.machines.mark_changed(index);
         }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -281,8 +281,8 @@
         jobs.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Queues the first batch of commands to every machine. The silence of a machine is
-    /// counted from now on, unless its zone was silent before.
+    /// Queues the first batch of commands to every machine. The unresponsive time of a
+    /// machine is counted from now on, unless its zone was unresponsive before.
     fn start_contacting_machines(&mut self, now: Micros) {
         for machine in self.machines.values_mut() {
             machine.begin_term(now);
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -108,7 +108,7 @@
             }
             return;
         }
-        self.exclude_outage_from_silence(ctx);
+        self.exclude_outage_from_unresponsive_time(ctx);
         let max_gap = micros(ctx.config.tuning.pass_s);
         if self.is_cycle_due(ctx) || now >= self.scheduling.last_cycle_at + max_gap {
             self.run_scheduling_cycle(ctx);
@@ -125,10 +125,10 @@
         self.send_pending(ctx);
     }
 
-    /// Excludes the time during which heartbeats were not answered from the silence of
-    /// machines. Otherwise, after an outage of the store, all machines would count as silent
-    /// and be deleted.
-    fn exclude_outage_from_silence(&mut self, ctx: &Context) {
+    /// Excludes the time during which heartbeats were not answered from the unresponsive
+    /// time of machines. Otherwise, after an outage of the store, all machines would count as
+    /// unresponsive and be deleted.
+    fn exclude_outage_from_unresponsive_time(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.may_answer_heartbeats(ctx) {
             self.queue_watch.begin_outage(now);
@@ -161,7 +161,7 @@
     }
 
     /// Excludes a time during which this process was paused or could not receive messages
-    /// from the silence of machines.
+    /// from the unresponsive time of machines.
     pub fn exclude_pause(&mut self, duration: Micros, now: Micros) {
         for machine in self.machines.values_mut() {
             machine.reachability.exclude_pause(duration, now);
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -8,16 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// After a silence of this many leases, a machine is deleted even if its tasks can't run
-/// elsewhere, because its zone may be lost permanently.
+/// After being unresponsive for this many leases, a machine is deleted even if its tasks
+/// can't run elsewhere, because its zone may be lost permanently.
 pub(super) const PARTITION_GRACE_LEASES: Micros = 4;
 /// How long no machine is started in a partitioned zone, unless a machine in it is reachable
 /// again earlier.
 const PARTITIONED_ZONE_SCALE_OUT_PAUSE: Micros = 60 * SECOND;
-/// The minimum number of silent machines in a partitioned zone.
-const MIN_SILENT_MACHINES: usize = 3;
+/// The minimum number of unresponsive machines in a partitioned zone.
+const MIN_UNRESPONSIVE_MACHINES: usize = 3;
 
-/// The silence after which a machine has missed a heartbeat.
+/// The time without a heartbeat after which a machine has missed one.
 pub(super) fn heartbeat_missed_after(config: &Config) -> Micros {
     config.heartbeat_interval * 3 / 2
 }
@@ -72,8 +72,8 @@
 pub(super) struct ZonePartitions {
     /// Partitioned zones, with the time at which they were last found to be partitioned.
     partitioned_since: BTreeMap<Rc<str>, Micros>,
-    /// Zones that the previous leader found to be silent, with the time of the last message
-    /// from each.
+    /// Zones that the previous leader found to be unresponsive, with the time of the last
+    /// message from each.
     last_contact_before_term: HashMap<String, Micros>,
 }
 
@@ -100,7 +100,8 @@
             .retain(|_, since| now < *since + PARTITIONED_ZONE_SCALE_OUT_PAUSE);
     }
 
-    /// The time of the last message from a zone that the previous leader found to be silent.
+    /// The time of the last message from a zone that the previous leader found to be
+    /// unresponsive.
     pub fn last_contact_before_term(&self, zone: &str) -> Option<Micros> {
         self.last_contact_before_term.get(zone).copied()
     }
@@ -133,23 +134,27 @@
         spare
     }
 
-    /// The silent machines of partitioned zones: zones in which most machines are silent.
-    /// Their tasks keep running until their leases expire, but count as lost. If most of the
-    /// fleet is silent, this node is more likely to be isolated, and the result is empty.
+    /// The unresponsive machines of partitioned zones: zones in which most machines are
+    /// unresponsive. Their tasks keep running until their leases expire, but count as lost.
+    /// If most of the fleet is unresponsive, this node is more likely to be isolated, and the
+    /// result is empty.
     pub(super) fn partitioned_machines(&self) -> BTreeSet<Rc<str>> {
-        let mut silent_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
-        for (name, machine) in self.silent_machines() {
-            silent_by_zone.entry(&machine.zone).or_default().push(name);
+        let mut unresponsive_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
+        for (name, machine) in self.unresponsive_machines() {
+            unresponsive_by_zone
+                .entry(&machine.zone)
+                .or_default()
+                .push(name);
         }
         let up_by_zone = self.derived.sums().machines_up_by_zone();
-        let is_partitioned = |zone: &Rc<str>, silent: usize| {
+        let is_partitioned = |zone: &Rc<str>, unresponsive: usize| {
             let up = up_by_zone.get(zone).copied().unwrap_or(0);
-            silent >= MIN_SILENT_MACHINES && silent * 2 > up
+            unresponsive >= MIN_UNRESPONSIVE_MACHINES && unresponsive * 2 > up
         };
-        let partitioned: BTreeSet<Rc<str>> = silent_by_zone
+        let partitioned: BTreeSet<Rc<str>> = unresponsive_by_zone
             .into_iter()
-            .filter(|(zone, silent)| is_partitioned(zone, silent.len()))
-            .flat_map(|(_, silent)| silent.into_iter().cloned())
+            .filter(|(zone, unresponsive)| is_partitioned(zone, unresponsive.len()))
+            .flat_map(|(_, unresponsive)| unresponsive.into_iter().cloned())
             .collect();
         if partitioned.len() * 2 > self.derived.sums().machines_up() {
             return BTreeSet::new();
@@ -160,8 +165,8 @@
     /// Whether this node is probably isolated: it receives messages neither from controllers
     /// nor from machines in other zones, although there are both.
     ///
-    /// An isolated leader may still reach the store and prove its leadership. If it trusted
-    /// the silence, it would delete the machines of all other zones.
+    /// An isolated leader may still reach the store and prove its leadership. Without this
+    /// check it would delete the machines of all other zones.
     pub(super) fn is_probably_isolated(&self, config: &Config) -> bool {
         if !self.leadership_proof.isolated {
             return false;
@@ -172,7 +177,7 @@
             .filter(|(zone, _)| is_other_zone(zone))
             .map(|(zone, up)| (zone, *up))
             .collect();
-        for (_, machine) in self.silent_machines() {
+        for (_, machine) in self.unresponsive_machines() {
             if let Some(reachable) = reachable_by_zone.get_mut(&machine.zone) {
                 *reachable = reachable.saturating_sub(1);
             }
@@ -180,14 +185,15 @@
         if reachable_by_zone.values().any(|reachable| *reachable > 0) {
             return false;
         }
-        let missed = self.derived.silent_machines() | self.derived.booting_machines();
+        let missed = self.derived.unresponsive_machines() | self.derived.booting_machines();
         let mut missed = missed
             .into_iter()
             .filter_map(|index| self.machines.at(index));
         missed.any(|(_, machine)| machine.recorded && is_other_zone(&machine.zone))
     }
 
-    /// The partitioned zones and the durations of their silence, for the next leader.
+    /// The partitioned zones, and for how long each has been unresponsive, for the next
+    /// leader.
     pub fn silent_zones(&self, now: Micros) -> Vec<SilentZone> {
         let mut last_contact: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
@@ -198,20 +204,21 @@
             let latest = last_contact.entry(&machine.zone).or_default();
             *latest = machine.reachability.last_heard_at().max(*latest);
         }
-        let silent_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
+        let unresponsive_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
         last_contact
             .into_iter()
             .take(dillcleat_peer_protocol::MAX_ZONES)
             .map(|(zone, since)| SilentZone {
                 zone: zone.to_string(),
-                silent_ms: u32::try_from(silent_ms(since)).unwrap_or(u32::MAX),
+                silent_ms: u32::try_from(unresponsive_ms(since)).unwrap_or(u32::MAX),
             })
             .collect()
     }
 
-    /// Sets the zones that the previous leader found to be silent, with the time of the last
-    /// message from each. The silence of their machines is counted from that time, not from
-    /// the beginning of this term, so that their replicas are replaced without extra delay.
+    /// Sets the zones that the previous leader found to be unresponsive, with the time of the
+    /// last message from each. The unresponsive time of their machines is counted from that
+    /// time, not from the beginning of this term, so that their replicas are replaced without
+    /// extra delay.
     pub fn set_zones_silent_before_term(&mut self, last_contact: HashMap<String, Micros>) {
         self.partitions.last_contact_before_term = last_contact;
     }
