--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -294,7 +294,7 @@
 
     /// Takes the task counts that have changed since they were last sent to peers. They
     /// count as sent from now on.
-    pub fn progress(&mut self) -> Vec<JobProgress> {
+    pub fn take_changed_progress(&mut self) -> Vec<JobProgress> {
         let unreported = self.derived.unreported_jobs.iter();
         let indexes: Vec<SlabIndex> = unreported
             .take(dillcleat_peer_protocol::MAX_PROGRESS)
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -48,7 +48,7 @@
     /// unknown here; the current time is used until the cancellation record is read. This is
     /// safe because heartbeats are answered only for a limited time after the last
     /// consistent read, which was sent before the confirmation.
-    pub fn observe_cancellations(&mut self, ctx: &mut Context, ids: &[String]) {
+    pub fn apply_observed_cancellations(&mut self, ctx: &mut Context, ids: &[String]) {
         for id in ids {
             let Some(id) = self.jobs.name(id).cloned() else {
                 continue;
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether the job is open and its description could be read.
-    pub fn holds(&self, job: &str) -> bool {
+    pub fn has_open_job(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -194,7 +194,7 @@
 
     /// The partitioned zones, and for how long each has been unresponsive, for the next
     /// leader.
-    pub fn silent_zones(&self, now: Micros) -> Vec<SilentZone> {
+    pub fn unresponsive_zones(&self, now: Micros) -> Vec<SilentZone> {
         let mut last_contact: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
         for machine in partitioned
@@ -219,7 +219,7 @@
     /// last message from each. The unresponsive time of their machines is counted from that
     /// time, not from the beginning of this term, so that their replicas are replaced without
     /// extra delay.
-    pub fn set_zones_silent_before_term(&mut self, last_contact: HashMap<String, Micros>) {
+    pub fn set_zones_unresponsive_before_term(&mut self, last_contact: HashMap<String, Micros>) {
         self.partitions.last_contact_before_term = last_contact;
     }
 }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -82,7 +82,7 @@
 
     /// Whether this node leads and knows the job as open.
     pub fn holds(&self, job: &str) -> bool {
-        self.leader.as_ref().is_some_and(|l| l.holds(job))
+        self.leader.as_ref().is_some_and(|l| l.has_open_job(job))
     }
 
     /// How many tasks of a job are done and how many run, as last broadcast by a leader.
@@ -306,7 +306,7 @@
                 {
                     // The leader's own watch says so a moment later. In that moment it once
                     // launched what its user had been told is cancelled.
-                    leader.observe_cancellations(&mut ctx, &cancelled);
+                    leader.apply_observed_cancellations(&mut ctx, &cancelled);
                     leader.send_pending(&mut ctx);
                 }
                 None
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -65,7 +65,7 @@
         let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
         leader.leadership_proof.proved_at = self.election.proved_at();
         if let Some(last_heard) = self.silent_zones.take_recent(now.monotonic) {
-            leader.set_zones_silent_before_term(last_heard);
+            leader.set_zones_unresponsive_before_term(last_heard);
         }
         self.leader = Some(leader);
         self.admission.progress.elected(now.monotonic);
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -36,12 +36,12 @@
         let Some(leader) = &mut self.leader else {
             return messages;
         };
-        let silent_zones = leader.silent_zones(now);
+        let silent_zones = leader.unresponsive_zones(now);
         if !silent_zones.is_empty() {
             messages.push(Message::SilentZones(silent_zones));
         }
         messages.extend(leader.next_estimates().map(Message::Estimates));
-        let changed = leader.progress();
+        let changed = leader.take_changed_progress();
         self.admission.progress.set_own(&changed);
         let all_changes_sent = changed.len() < MAX_PROGRESS;
         let pages: Vec<Vec<JobProgress>> =
