--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -297,7 +297,7 @@
     pub fn take_changed_progress(&mut self) -> Vec<JobProgress> {
         let unreported = self.derived.unreported_jobs.iter();
         let indexes: Vec<SlabIndex> = unreported
-            .take(dillcleat_peer_protocol::MAX_PROGRESS)
+            .take(dillcleat_peer_protocol::MAX_PROGRESS_JOBS)
             .collect();
         let mut changed = Vec::new();
         for index in indexes {
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -4,7 +4,7 @@
 use super::scheduling::CPU_ROUNDING_ERROR;
 use crate::machines::Machine;
 use crate::{Config, MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::SilentZone;
+use dillcleat_peer_protocol::UnresponsiveZone;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -194,7 +194,7 @@
 
     /// The partitioned zones, and for how long each has been unresponsive, for the next
     /// leader.
-    pub fn unresponsive_zones(&self, now: Micros) -> Vec<SilentZone> {
+    pub fn unresponsive_zones(&self, now: Micros) -> Vec<UnresponsiveZone> {
         let mut last_contact: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
         for machine in partitioned
@@ -207,10 +207,10 @@
         let unresponsive_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
         last_contact
             .into_iter()
-            .take(dillcleat_peer_protocol::MAX_ZONES)
-            .map(|(zone, since)| SilentZone {
+            .take(dillcleat_peer_protocol::MAX_UNRESPONSIVE_ZONES)
+            .map(|(zone, since)| UnresponsiveZone {
                 zone: zone.to_string(),
-                silent_ms: u32::try_from(unresponsive_ms(since)).unwrap_or(u32::MAX),
+                unresponsive_ms: u32::try_from(unresponsive_ms(since)).unwrap_or(u32::MAX),
             })
             .collect()
     }
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -1,111 +1,112 @@
-//! The messages among controllers: their fields, and their encoding field by field.
+//! The messages between controllers and their encoding.
 
 use crate::encoder::Encoder;
 use crate::error::FrameError;
 use crate::reader::Reader;
 
-/// The most jobs in one [`Message::JobProgress`].
-pub const MAX_PROGRESS: usize = 500;
-/// The most zones in one [`Message::SilentZones`].
-pub const MAX_ZONES: usize = 100;
-/// The most jobs in one [`Estimates`].
+/// Maximum number of jobs in one [`Message::JobProgress`].
+pub const MAX_PROGRESS_JOBS: usize = 500;
+/// Maximum number of zones in one [`Message::UnresponsiveZones`].
+pub const MAX_UNRESPONSIVE_ZONES: usize = 100;
+/// Maximum number of jobs in one [`Estimates`].
 pub const MAX_JOB_ESTIMATES: usize = 100;
-/// The most classes in one [`Estimates`].
+/// Maximum number of classes in one [`Estimates`].
 pub const MAX_CLASSES: usize = 64;
-/// The most run-time samples in one [`JobEstimate`].
-pub const MAX_SAMPLES: usize = 16;
+/// Maximum number of run-time samples in one [`JobEstimate`].
+pub const MAX_RUN_TIME_SAMPLES: usize = 16;
 
-/// What one controller tells the others.
+/// A message from one controller to the others.
 ///
-/// A list longer than its bound is cut to the bound when it is encoded.
+/// A list that exceeds its limit is truncated when it is encoded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// The first frame of a connection: which member has connected.
+    /// The first message of a connection, which identifies the sender.
     Hello {
-        /// The sender's name in the settings.
+        /// The sender's member name from the settings.
         member: String,
     },
-    /// Sent about twice a second: the sender's view of the cluster.
+    /// The sender's view of the cluster, sent periodically.
     Heartbeat {
-        /// The highest term that the sender has seen.
+        /// The highest term known to the sender.
         term: u64,
         /// Whether the sender is the leader of that term.
         is_leader: bool,
-        /// Whether the store answers the sender.
+        /// Whether the sender receives responses from the store.
         store_reachable: bool,
-        /// Whether workers' heartbeats reach the sender.
+        /// Whether the sender receives heartbeats from workers.
         workers_reachable: bool,
-        /// How many requests a second users send to it.
+        /// The rate of user requests that the sender receives, per second.
         requests_per_s: u32,
     },
-    /// From the leader: the progress of some jobs.
+    /// The progress of some jobs, sent by the leader.
     JobProgress(Vec<JobProgress>),
-    /// From the leader: the zones of which no machine is heard.
-    SilentZones(Vec<SilentZone>),
-    /// From the leader: what it has learned about run times.
+    /// The zones from which the leader receives no heartbeats, sent by the leader.
+    UnresponsiveZones(Vec<UnresponsiveZone>),
+    /// Estimates of run times, sent by the leader.
     Estimates(Estimates),
 }
 
-/// How far a job has come. Only shown to users; nothing is decided by it.
+/// The progress of a job. It is displayed to users but does not affect scheduling.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobProgress {
     /// The job's id.
     pub job: String,
-    /// How many of its tasks are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// How many of its tasks are running.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
-/// A zone of which no machine is heard.
+/// A zone from which the leader receives no heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SilentZone {
+pub struct UnresponsiveZone {
     /// The zone's name.
     pub zone: String,
-    /// Milliseconds since the last heartbeat of any of its machines.
-    pub silent_ms: u32,
+    /// Time since the last heartbeat from any machine of the zone, in milliseconds.
+    pub unresponsive_ms: u32,
 }
 
-/// What a leader has learned about run times, so that its successor starts from there.
-/// Each message has some of the jobs.
+/// The leader's run-time estimates, from which its successor continues after a failover. Each
+/// message contains some of the jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Estimates {
     /// The leader's term.
     pub term: u64,
-    /// The leader's virtual time in CPU-seconds: the credit of a job array that was
-    /// ageing all the time.
+    /// The leader's virtual time in CPU-seconds: the amount by which a job that was never paused
+    /// has aged.
     pub virtual_time: f64,
     /// Mean run times by class.
     pub classes: Vec<ClassRunTime>,
-    /// Estimates of single job arrays.
+    /// Estimates of individual batch jobs.
     pub jobs: Vec<JobEstimate>,
 }
 
-/// The mean run time of a class's tasks.
+/// The mean run time of the tasks of a class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRunTime {
     /// The class's name.
     pub class: String,
-    /// In seconds.
+    /// The mean run time in seconds.
     pub mean_s: f64,
 }
 
-/// What a leader has learned about one job array.
+/// The leader's size estimate of one batch job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobEstimate {
     /// The job's id.
     pub job: String,
-    /// The job's size by the first estimate, in CPU-seconds.
+    /// The first estimate of the job's size, in CPU-seconds.
     pub initial_size: f64,
-    /// The same, or the final size once the job is trained, in CPU-seconds.
+    /// The current estimate of the job's size, in CPU-seconds. It equals the initial size until
+    /// the job's training tasks have completed.
     pub size: f64,
-    /// How much of the size ageing has taken off, in CPU-seconds. For a job that is
-    /// ageing the leader's virtual time is subtracted: so the number stays the same
-    /// while the job ages, and need not be sent again.
+    /// The amount by which ageing has reduced the virtual size, in CPU-seconds. For an ageing job
+    /// the leader's virtual time is subtracted. The difference is constant while the job ages, so
+    /// that it does not have to be sent again.
     pub credit: f64,
     /// Whether the job is ageing.
     pub is_ageing: bool,
-    /// Whether its training tasks have given the final size.
+    /// Whether the training tasks have completed and the size is final.
     pub trained: bool,
     /// Run times of its training tasks, in seconds.
     pub samples: Vec<f64>,
@@ -113,30 +114,30 @@
 
 impl JobProgress {
     pub(crate) fn encode(&self, out: &mut Encoder) {
-        out.text(&self.job);
+        out.string(&self.job);
         out.u32(self.done);
         out.u32(self.running);
     }
 
     pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<JobProgress, FrameError> {
         Ok(JobProgress {
-            job: reader.text()?,
+            job: reader.string()?,
             done: reader.u32()?,
             running: reader.u32()?,
         })
     }
 }
 
-impl SilentZone {
+impl UnresponsiveZone {
     pub(crate) fn encode(&self, out: &mut Encoder) {
-        out.text(&self.zone);
-        out.u32(self.silent_ms);
+        out.string(&self.zone);
+        out.u32(self.unresponsive_ms);
     }
 
-    pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<SilentZone, FrameError> {
-        Ok(SilentZone {
-            zone: reader.text()?,
-            silent_ms: reader.u32()?,
+    pub(crate) fn decode(reader: &mut Reader<'_>) -> Result<UnresponsiveZone, FrameError> {
+        Ok(UnresponsiveZone {
+            zone: reader.string()?,
+            unresponsive_ms: reader.u32()?,
         })
     }
 }
@@ -161,13 +162,13 @@
 
 impl ClassRunTime {
     fn encode(&self, out: &mut Encoder) {
-        out.text(&self.class);
+        out.string(&self.class);
         out.f64(self.mean_s);
     }
 
     fn decode(reader: &mut Reader<'_>) -> Result<ClassRunTime, FrameError> {
         Ok(ClassRunTime {
-            class: reader.text()?,
+            class: reader.string()?,
             mean_s: reader.f64()?,
         })
     }
@@ -175,24 +176,26 @@
 
 impl JobEstimate {
     fn encode(&self, out: &mut Encoder) {
-        out.text(&self.job);
+        out.string(&self.job);
         out.f64(self.initial_size);
         out.f64(self.size);
         out.f64(self.credit);
         out.flag(self.is_ageing);
         out.flag(self.trained);
-        out.list(&self.samples, MAX_SAMPLES, |out, sample| out.f64(*sample));
+        out.list(&self.samples, MAX_RUN_TIME_SAMPLES, |out, sample| {
+            out.f64(*sample);
+        });
     }
 
     fn decode(reader: &mut Reader<'_>) -> Result<JobEstimate, FrameError> {
         Ok(JobEstimate {
-            job: reader.text()?,
+            job: reader.string()?,
             initial_size: reader.f64()?,
             size: reader.f64()?,
             credit: reader.f64()?,
             is_ageing: reader.flag()?,
             trained: reader.flag()?,
-            samples: reader.list(MAX_SAMPLES, Reader::f64)?,
+            samples: reader.list(MAX_RUN_TIME_SAMPLES, Reader::f64)?,
         })
     }
 }
