--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -13,7 +13,7 @@
 /// Predicts how many tasks of a job will start too late, as a plan iterates over the jobs in
 /// the order of service.
 ///
-/// The prediction includes the capacity of booting machines, so that no ordinary machines
+/// The prediction includes the capacity of booting machines, so that no on-demand machines
 /// are started for a backlog that the fleet will process in time.
 #[derive(Debug)]
 pub(super) struct DeadlineRisk {
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -49,8 +49,8 @@
     interrupted_machines: RoaringBitmap,
     /// Machines with no placed tasks.
     empty_machines: RoaringBitmap,
-    /// Ordinary machines, and spot machines, that run array tasks.
-    ordinary_machines_with_arrays: RoaringBitmap,
+    /// On-demand machines, and spot machines, that run array tasks.
+    on_demand_machines_with_arrays: RoaringBitmap,
     spot_machines_with_arrays: RoaringBitmap,
     due_times: DueTimes,
 }
@@ -70,7 +70,7 @@
             booting_machines: RoaringBitmap::new(),
             interrupted_machines: RoaringBitmap::new(),
             empty_machines: RoaringBitmap::new(),
-            ordinary_machines_with_arrays: RoaringBitmap::new(),
+            on_demand_machines_with_arrays: RoaringBitmap::new(),
             spot_machines_with_arrays: RoaringBitmap::new(),
             due_times: DueTimes::default(),
         }
@@ -110,9 +110,9 @@
         &self.empty_machines
     }
 
-    /// Ordinary machines that run array tasks.
-    pub fn ordinary_machines_with_arrays(&self) -> &RoaringBitmap {
-        &self.ordinary_machines_with_arrays
+    /// On-demand machines that run array tasks.
+    pub fn on_demand_machines_with_arrays(&self) -> &RoaringBitmap {
+        &self.on_demand_machines_with_arrays
     }
 
     /// Spot machines that run array tasks.
@@ -165,8 +165,8 @@
         set_member(&mut self.booting_machines, index, is(|m| m.booting));
         set_member(&mut self.interrupted_machines, index, is(|m| m.interrupted));
         set_member(&mut self.empty_machines, index, is(|m| m.empty));
-        let ordinary = &mut self.ordinary_machines_with_arrays;
-        set_member(ordinary, index, is(|m| m.runs_arrays && !m.spot));
+        let on_demand = &mut self.on_demand_machines_with_arrays;
+        set_member(on_demand, index, is(|m| m.runs_arrays && !m.spot));
         let spot = &mut self.spot_machines_with_arrays;
         set_member(spot, index, is(|m| m.runs_arrays && m.spot));
         if let Some(machine) = old {
--- a/crates/controller/src/leader/derived/audit.rs
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -52,7 +52,7 @@
     fn differing_sets(&self, new: &DerivedState) -> Vec<&'static str> {
         let arrays = |state: &DerivedState| {
             (
-                state.ordinary_machines_with_arrays.clone(),
+                state.on_demand_machines_with_arrays.clone(),
                 state.spot_machines_with_arrays.clone(),
             )
         };
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -35,9 +35,9 @@
 impl Leader {
     /// Preempts array tasks on machines where waiting replicas may run.
     ///
-    /// Ordinary machines are also started for array tasks with a deadline. Without
+    /// On-demand machines are also started for array tasks with a deadline. Without
     /// preemption, replicas would have to wait for these tasks when the cloud has no more
-    /// ordinary machines.
+    /// on-demand machines.
     pub(super) fn preempt_for_replicas(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         if !self.scheduling.may_preempt(now) {
@@ -87,10 +87,10 @@
     fn preemption_inputs(&self, ctx: &Context, include_spot: bool) -> PreemptionInputs {
         let now = ctx.now.monotonic;
         let missed_after = heartbeat_missed_after(ctx.config);
-        let ordinary = self.derived.ordinary_machines_with_arrays().iter();
+        let on_demand = self.derived.on_demand_machines_with_arrays().iter();
         let spot = self.derived.spot_machines_with_arrays().iter();
         let mut inputs = PreemptionInputs::default();
-        for index in ordinary.chain(spot.filter(|_| include_spot)) {
+        for index in on_demand.chain(spot.filter(|_| include_spot)) {
             let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -25,10 +25,10 @@
 /// CPUs outside the partitioned zones that could run the tasks of machines inside them.
 #[derive(Debug)]
 pub(super) struct SpareCapacity {
-    /// CPUs for replicas: those that are free on ordinary machines, and those that array
-    /// tasks use there, which can be preempted.
+    /// CPUs for replicas: free CPUs of on-demand machines, and the CPUs of array tasks there,
+    /// which can be preempted.
     replica_cpus: f64,
-    /// CPUs for array tasks: those that are free on any machine.
+    /// CPUs for array tasks: free CPUs of all machines.
     array_cpus: f64,
 }
 
@@ -111,8 +111,8 @@
     /// The capacity that tasks on machines in partitioned zones could use elsewhere.
     pub(super) fn spare_capacity(&self, partitioned: &BTreeSet<Rc<str>>) -> SpareCapacity {
         let capacity = &self.derived.capacity;
-        let (ordinary_cpus, spot_cpus) = (capacity.free_cpus(false), capacity.free_cpus(true));
-        let preemptible = self.derived.ordinary_machines_with_arrays().iter();
+        let (on_demand_cpus, spot_cpus) = (capacity.free_cpus(false), capacity.free_cpus(true));
+        let preemptible = self.derived.on_demand_machines_with_arrays().iter();
         let preemptible_cpus: f64 = preemptible
             .filter(|_| !partitioned.is_empty())
             .filter_map(|index| self.machines.at(index))
@@ -121,8 +121,8 @@
             .map(|slot| slot.resources.cpus)
             .sum();
         let mut spare = SpareCapacity {
-            replica_cpus: ordinary_cpus + preemptible_cpus,
-            array_cpus: ordinary_cpus + spot_cpus,
+            replica_cpus: on_demand_cpus + preemptible_cpus,
+            array_cpus: on_demand_cpus + spot_cpus,
         };
         // Deletions may be queued while the cloud is unavailable. The tasks of those machines
         // need capacity first.
