--- a/crates/controller/tests/answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -1,5 +1,8 @@
-//! Users ask, submit again and cancel while a job begins and ends: each answer rests on
-//! what was read after its request came in.
+//! Polls, submissions and cancellations while a job starts and ends. An answer must not
+//! rest on a read that was sent before its request arrived.
+//!
+//! A comparison is a transaction without writes: it checks that the state records of cached
+//! jobs have not changed.
 
 mod common;
 
@@ -10,19 +13,19 @@
 
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
-/// What a request was answered.
-type Told = Option<(u16, Option<JobState>)>;
+/// The status of an answer and the job state in it; None without an answer.
+type Answered = Option<(u16, Option<JobState>)>;
 
-const QUEUED: Told = Some((200, Some(JobState::Queued)));
-const DONE: Told = Some((200, Some(JobState::Done)));
-const CANCELLED: Told = Some((200, Some(JobState::Cancelled)));
+const QUEUED: Answered = Some((200, Some(JobState::Queued)));
+const DONE: Answered = Some((200, Some(JobState::Done)));
+const CANCELLED: Answered = Some((200, Some(JobState::Cancelled)));
 
 fn node() -> Driven {
     Driven::ready(common::config_with_team(), START)
 }
 
-/// A store that has accepted the job.
-fn accepted() -> Store {
+/// A store with the job accepted.
+fn store_with_job() -> Store {
     let mut store = Store::default();
     let mut other = node();
     let request = other.submit(&spec(JOB));
@@ -31,7 +34,7 @@
     store
 }
 
-fn bad_submission(node: &mut Driven) -> u64 {
+fn malformed_submission(node: &mut Driven) -> u64 {
     node.request(
         "POST",
         JOBS_PATH.into(),
@@ -39,104 +42,105 @@
     )
 }
 
-type Asking = fn(&mut Driven) -> u64;
+type SendRequest = fn(&mut Driven) -> u64;
 
-/// Every request that is answered by looking a job up, and the answer if it is open.
-const ASKING: [(Asking, Told); 3] = [
+/// Every kind of request that looks a job up, with the answer for an open job.
+const LOOKUPS: [(SendRequest, Answered); 3] = [
     (|n| n.poll(JOB), QUEUED),
-    (bad_submission, QUEUED),
+    (malformed_submission, QUEUED),
     (|n| n.cancel(JOB), CANCELLED),
 ];
 
-/// The first read was carried out before the job was accepted and is answered last.
+/// The first read is executed before the job is accepted, and its reply arrives last.
 #[test]
-fn a_read_answers_only_the_request_that_sent_it() {
-    for (ask, open) in ASKING {
+fn early_read_does_not_answer_a_later_request() {
+    for (send, open) in LOOKUPS {
         let mut node = node();
         let first = node.poll(JOB);
-        let (early, call) = node.take();
+        let (early_id, call) = node.take();
         let absent = Store::default().carry_out(&call);
-        let mut store = accepted();
-        let second = ask(&mut node);
+        let mut store = store_with_job();
+        let second = send(&mut node);
         node.serve(&mut store);
-        node.reply(early, Ok(absent));
+        node.reply(early_id, Ok(absent));
         node.settle(&mut store);
         assert_eq!(node.answer(second), open);
-        // Nothing wrong about the first either, which was asked before.
+        // Either state is correct for the first request, which was sent before the job was
+        // accepted.
         assert_ne!(node.answer(first), None);
     }
 }
 
-/// The same with two reads of the mark, the first of them sent before the job was there.
+/// Like the test above, for reads of the state record.
 #[test]
-fn a_read_of_the_mark_answers_only_the_request_that_sent_it() {
-    for (ask, _) in ASKING {
+fn early_read_of_the_state_record_does_not_answer_a_later_request() {
+    for (send, _) in LOOKUPS {
         let mut node = node();
         let mut store = Store::default();
         let first = node.poll(JOB);
         node.serve(&mut store);
-        let (early, call) = node.take();
+        let (early_id, call) = node.take();
         let absent = store.carry_out(&call);
-        store = accepted();
+        store = store_with_job();
         store.done(JOB);
-        let second = ask(&mut node);
+        let second = send(&mut node);
         node.serve(&mut store);
         node.serve(&mut store);
-        node.reply(early, Ok(absent));
+        node.reply(early_id, Ok(absent));
         assert_eq!(node.answer(second), DONE);
         assert_ne!(node.answer(first), None);
     }
 }
 
-/// A node that has told of a job does not call it unknown afterwards, even to somebody
-/// who asked before: both may be the same user.
+/// This includes a request that was sent before the acceptance: both may come from the same
+/// user.
 #[test]
-fn what_a_node_has_told_it_does_not_deny_in_a_late_answer() {
-    for (ask, open) in ASKING {
+fn accepted_job_is_not_reported_unknown_after_a_late_read() {
+    for (send, open) in LOOKUPS {
         let mut node = node();
         let mut store = Store::default();
-        let first = ask(&mut node);
+        let first = send(&mut node);
         node.serve(&mut store);
-        let (early, call) = node.take();
+        let (early_id, call) = node.take();
         let absent = store.carry_out(&call);
         let second = node.submit(&spec(JOB));
         node.settle(&mut store);
         assert_eq!(node.answer(second), Some((201, Some(JobState::Queued))));
-        node.reply(early, Ok(absent));
+        node.reply(early_id, Ok(absent));
         node.settle(&mut store);
         assert_eq!(node.answer(first), open);
     }
 }
 
-/// A submission that is answered after its job has ended here: it was stored, or an
-/// earlier one was.
+/// The store replies to a submission after the job was cancelled at the same node. The
+/// transaction has stored the job, or has found an earlier submission of it.
 #[test]
-fn a_late_answer_to_a_submission_takes_no_end_back() {
-    for mut store in [Store::default(), accepted()] {
+fn late_reply_to_a_submission_does_not_reopen_a_cancelled_job() {
+    for mut store in [Store::default(), store_with_job()] {
         let mut node = node();
         let submission = node.submit(&spec(JOB));
-        let (late, call) = node.take();
+        let (late_id, call) = node.take();
         let reply = store.carry_out(&call);
         let cancellation = node.cancel(JOB);
         node.settle(&mut store);
         assert_eq!(node.answer(cancellation), CANCELLED);
-        node.reply(late, Ok(reply));
+        node.reply(late_id, Ok(reply));
         assert_eq!(node.answer(submission), CANCELLED);
         let poll = node.poll(JOB);
         assert_eq!(node.answer(poll), CANCELLED);
     }
 }
 
-/// Two comparisons of which the later one shows the end, and is answered first. What has
-/// ended stays known: the next poll needs no read.
+/// Of two comparisons the later one finds that the job has ended, and is answered first.
+/// The end stays in the cache: the next poll needs no read.
 #[test]
-fn a_late_comparison_makes_nobody_forget_an_end() {
+fn late_comparison_does_not_evict_an_ended_job() {
     let mut node = node();
-    let mut store = accepted();
+    let mut store = store_with_job();
     node.poll(JOB);
     node.settle(&mut store);
     let poll = node.poll(JOB);
-    let (late, _) = node.take();
+    let (late_id, _) = node.take();
     store.done(JOB);
     let cancellation = node.cancel(JOB);
     node.settle(&mut store);
@@ -145,40 +149,38 @@
         failed: vec![records::job_key(JOB)],
         revision: 2,
     };
-    node.reply(late, Ok(conflict));
+    node.reply(late_id, Ok(conflict));
     assert_eq!(node.answer(poll), DONE);
     let poll = node.poll(JOB);
     assert_eq!(node.answer(poll), DONE);
 }
 
-/// One comparison serves those who asked before it was sent, and nobody else.
 #[test]
-fn a_comparison_answers_nobody_who_came_after_it() {
+fn comparison_does_not_answer_requests_that_arrive_after_it_was_sent() {
     let mut node = node();
-    let mut store = accepted();
+    let mut store = store_with_job();
     node.poll(JOB);
     node.settle(&mut store);
     let first = node.poll(JOB);
-    let (early, call) = node.take();
+    let (early_id, call) = node.take();
     let equal = store.carry_out(&call);
     store.done(JOB);
-    for ask in [|n: &mut Driven| n.poll(JOB), bad_submission] {
-        let later = ask(&mut node);
+    for send in [|n: &mut Driven| n.poll(JOB), malformed_submission] {
+        let later = send(&mut node);
         assert_eq!((node.answer(later), node.sent.len()), (None, 0));
     }
     let later = node.poll(JOB);
-    node.reply(early, Ok(equal));
+    node.reply(early_id, Ok(equal));
     assert_eq!((node.answer(first), node.answer(later)), (QUEUED, None));
     node.settle(&mut store);
     assert_eq!(node.answer(later), DONE);
 }
 
-/// Its job was once without an answer for 90 s, while one transaction after the other was
-/// lost (seed 3909 of meetings).
+/// The node must not wait for the comparison's timeout.
 #[test]
-fn a_comparison_without_an_answer_is_made_a_second_time() {
+fn comparison_without_a_reply_is_sent_again() {
     let mut node = node();
-    let mut store = accepted();
+    let mut store = store_with_job();
     node.poll(JOB);
     node.settle(&mut store);
     let poll = node.poll(JOB);
@@ -189,13 +191,13 @@
     assert_eq!(node.answer(poll), QUEUED);
 }
 
-/// A leader stores the end of a job's last task while its user cancels: whichever comes
-/// first stands, and every node tells that one, whatever it knew before.
+/// Whichever of the two transactions commits first decides, and all nodes report its state.
 #[test]
-fn a_cancellation_meets_the_end_of_the_last_task() {
-    for (done_first, told) in [(true, DONE), (false, CANCELLED)] {
-        let mut store = accepted();
-        // One knows the job, one is about to read of it, one has read and compares.
+fn all_nodes_agree_when_a_cancellation_races_with_the_last_tasks_end() {
+    for (done_first, expected) in [(true, DONE), (false, CANCELLED)] {
+        let mut store = store_with_job();
+        // The first has the job in its cache, the second compares its version, and the third
+        // is reading the state record.
         let mut nodes = [node(), node(), node()];
         for node in &mut nodes[..2] {
             node.poll(JOB);
@@ -210,63 +212,63 @@
         let reply = store.carry_out(&call);
         let end = end.unwrap_or_else(|| store.done(JOB));
         assert_eq!(matches!(end, StoreResponse::Committed { .. }), done_first);
-        // The others are asked before the one that cancels hears of its transaction.
-        let asking: [Asking; 4] = [
+        // The other nodes answer before the transaction's reply reaches the first.
+        let requests: [SendRequest; 4] = [
             |n| n.poll(JOB),
             |n| n.submit(&spec(JOB)),
             |n| n.cancel(JOB),
-            bad_submission,
+            malformed_submission,
         ];
-        for ask in asking {
+        for send in requests {
             for node in &mut nodes[1..] {
-                let request = ask(node);
+                let request = send(node);
                 for _ in 0..3 {
                     node.settle(&mut store);
                     node.tick();
                 }
-                assert_eq!(node.answer(request), told);
+                assert_eq!(node.answer(request), expected);
             }
         }
         nodes[0].reply(id, Ok(reply));
         nodes[0].settle(&mut store);
-        assert_eq!(nodes[0].answer(cancellation), told);
+        assert_eq!(nodes[0].answer(cancellation), expected);
         let poll = nodes[0].poll(JOB);
-        assert_eq!(nodes[0].answer(poll), told);
+        assert_eq!(nodes[0].answer(poll), expected);
     }
 }
 
-/// The description of a job goes when it is done, or cancelled and its tasks are gone;
-/// its mark was there before. Whoever reads in between finds one of the two.
+/// A job's description is deleted no sooner than its state record is written, so that a
+/// reader finds at least one of them.
 #[test]
-fn a_job_whose_description_is_being_dropped_is_never_unknown() {
-    for (ask, _) in ASKING {
-        for (cancel, told) in [(false, DONE), (true, CANCELLED)] {
-            let mut store = accepted();
+fn job_is_not_reported_unknown_while_its_description_is_deleted() {
+    for (send, _) in LOOKUPS {
+        for (cancel, expected) in [(false, DONE), (true, CANCELLED)] {
+            let mut store = store_with_job();
             let (mut other, mut node) = (node(), node());
-            let request = ask(&mut node);
+            let request = send(&mut node);
             if cancel {
                 other.cancel(JOB);
                 other.settle(&mut store);
-                // It is read while it is there, and dropped before the comparison.
+                // The description is read, and deleted before the comparison.
                 node.serve(&mut store);
                 store.clear(JOB);
             } else {
                 store.done(JOB);
             }
             node.settle(&mut store);
-            assert_eq!(node.answer(request), told);
+            assert_eq!(node.answer(request), expected);
         }
     }
 }
 
-/// Of two jobs that are compared together one has ended, and the other was forgotten for
-/// want of room in the meantime: it is read again.
+/// One transaction compares two jobs: one has ended, and the other is evicted from the
+/// cache before the reply arrives.
 #[test]
-fn a_job_that_was_forgotten_while_it_was_compared_is_read_again() {
+fn job_evicted_during_a_comparison_is_read_again() {
     let mut config = common::config_with_team();
     (config.state_rps, config.state_write_rps) = (1e6, 1e6);
     let mut other = Driven::ready(config.clone(), START);
-    // Room for five jobs of 200 bytes in an eighth of it.
+    // The cache takes an eighth of the memory: five jobs of 200 bytes.
     config.memory_mb = 0.008;
     let mut node = Driven::ready(config, START);
     let mut store = Store::default();
@@ -278,14 +280,14 @@
             node.settle(&mut store);
         }
     }
-    // As many comparisons as may be under way at once: the next takes both others.
+    // Three comparisons, as many as may be under way at once; the next one is for two jobs.
     for id in ["req-3", "req-4", "req-5"] {
         node.poll(id);
     }
-    let (forgotten, ended) = (node.poll("req-1"), node.poll("req-2"));
+    let (evicted, ended) = (node.poll("req-1"), node.poll("req-2"));
     assert_eq!(node.sent.len(), 3);
     node.serve(&mut store);
-    let (both, call) = node.sent.pop().expect("a comparison");
+    let (id, call) = node.sent.pop().expect("a comparison");
     let StoreRequest::Transaction(txn) = &call else {
         panic!("{call:?}");
     };
@@ -293,7 +295,7 @@
     node.poll("req-6");
     node.settle(&mut store);
     store.done("req-2");
-    node.reply(both, Ok(store.carry_out(&call)));
+    node.reply(id, Ok(store.carry_out(&call)));
     node.settle(&mut store);
-    assert_eq!((node.answer(forgotten), node.answer(ended)), (QUEUED, DONE));
+    assert_eq!((node.answer(evicted), node.answer(ended)), (QUEUED, DONE));
 }
