--- a/crates/controller/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -1,5 +1,6 @@
-//! A transaction of a user's is carried out at once and only its answer is lost, while
-//! other nodes read what it wrote.
+//! The transaction of a user's request commits and its reply is lost, while other nodes
+//! read what it wrote. The retry must answer with the present state and write nothing
+//! again.
 
 mod common;
 
@@ -18,58 +19,58 @@
     Driven::ready(common::config_with_team(), START)
 }
 
-/// What another node is told that is asked now.
-fn elsewhere(store: &mut Store, ask: fn(&mut Driven) -> u64) -> (u16, Option<JobState>) {
+/// Sends a request to another node and returns its answer.
+fn ask_other_node(store: &mut Store, send: fn(&mut Driven) -> u64) -> (u16, Option<JobState>) {
     let mut other = node();
-    let request = ask(&mut other);
+    let request = send(&mut other);
     other.settle(store);
     other.answer(request).expect("an answer")
 }
 
-fn nothing(_: &mut Store) {}
+fn leave_open(_: &mut Store) {}
 
-fn done(store: &mut Store) {
+fn finish(store: &mut Store) {
     store.done(JOB);
 }
 
-fn cancelled(store: &mut Store) {
-    assert_eq!(elsewhere(store, |n| n.cancel(JOB)), CANCELLED);
+fn cancel(store: &mut Store) {
+    assert_eq!(ask_other_node(store, |n| n.cancel(JOB)), CANCELLED);
 }
 
-fn cleared(store: &mut Store) {
-    cancelled(store);
+fn cancel_and_delete(store: &mut Store) {
+    cancel(store);
     store.clear(JOB);
 }
 
 type Change = fn(&mut Store);
 
-/// What becomes of the job before the submission is tried again, and what is so.
-const SINCE: [(Change, (u16, Option<JobState>)); 4] = [
-    (nothing, QUEUED),
-    (done, DONE),
-    (cancelled, CANCELLED),
-    (cleared, CANCELLED),
+/// Changes to the job before its submission is retried, each with the expected answer.
+const CHANGES: [(Change, (u16, Option<JobState>)); 4] = [
+    (leave_open, QUEUED),
+    (finish, DONE),
+    (cancel, CANCELLED),
+    (cancel_and_delete, CANCELLED),
 ];
 
 #[test]
-fn a_submission_tried_again_tells_what_has_become_of_the_job() {
-    for (since, now) in SINCE {
+fn retried_submission_returns_the_jobs_present_state() {
+    for (change, expected) in CHANGES {
         let (mut node, mut store) = (node(), Store::default());
         let submission = node.submit(&spec(JOB));
         node.lose(&mut store);
-        assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), QUEUED);
-        since(&mut store);
+        assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
+        change(&mut store);
         let rows = store.rows.clone();
         node.settle(&mut store);
-        assert_eq!(node.answer(submission), Some(now));
+        assert_eq!(node.answer(submission), Some(expected));
         assert_eq!(store.rows, rows, "written twice");
     }
 }
 
-/// The first try says that the job is there, before it is done; the second one, sent
-/// because the first was slow, is answered after the end was told here.
+/// The first attempt is slow, so a second one is sent. Its reply, that the job exists and
+/// is open, arrives after a poll at this node has found the job done.
 #[test]
-fn the_later_answer_of_two_tries_takes_no_end_back() {
+fn late_reply_to_a_retry_does_not_reopen_a_done_job() {
     let (mut node, mut store) = (node(), Store::default());
     let submission = node.submit(&spec(JOB));
     let (first, call) = node.take();
@@ -77,36 +78,36 @@
     node.at += 100 * MILLISECOND;
     node.tick();
     let (second, call) = node.take();
-    let known = store.carry_out(&call);
+    let second_reply = store.carry_out(&call);
     store.done(JOB);
     let poll = node.poll(JOB);
     node.settle(&mut store);
     assert_eq!(node.answer(poll), Some(DONE));
     node.reply(first, Err(CallError::NoAnswer));
     assert_eq!(node.answer(submission), None);
-    node.reply(second, Ok(known));
+    node.reply(second, Ok(second_reply));
     assert_eq!(node.answer(submission), Some(DONE));
 }
 
-/// Whoever polls elsewhere is told the cancellation at once, and so is who asked for it.
+/// A poll at another node shows the cancellation before the retry does.
 #[test]
-fn a_cancellation_tried_again_finds_itself_or_the_end() {
-    for (clear, known) in [(false, false), (false, true), (true, false), (true, true)] {
+fn retried_cancellation_finds_the_job_cancelled_or_done() {
+    for (delete, cached) in [(false, false), (false, true), (true, false), (true, true)] {
         let (mut node, mut store) = (node(), Store::default());
-        elsewhere(&mut store, |n| n.submit(&spec(JOB)));
-        if known {
+        ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
+        if cached {
             node.poll(JOB);
             node.settle(&mut store);
         }
         let cancellation = node.cancel(JOB);
-        if !known {
+        if !cached {
             node.serve(&mut store);
         }
         node.lose(&mut store);
-        assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), CANCELLED);
-        // Done comes too late.
+        assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), CANCELLED);
+        // The job can no longer become done.
         assert!(matches!(store.done(JOB), StoreResponse::Conflict { .. }));
-        if clear {
+        if delete {
             store.clear(JOB);
         }
         let rows = store.rows.clone();
@@ -114,64 +115,61 @@
         assert_eq!(node.answer(cancellation), Some(CANCELLED));
         assert_eq!(store.rows, rows, "written twice");
     }
-    // Its last task ended before the lost try was carried out.
+    // The job's last task ends before the first attempt is executed.
     let (mut node, mut store) = (node(), Store::default());
-    elsewhere(&mut store, |n| n.submit(&spec(JOB)));
+    ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
     let cancellation = node.cancel(JOB);
     node.serve(&mut store);
     store.done(JOB);
     node.lose(&mut store);
-    assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), DONE);
+    assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), DONE);
     node.settle(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
 
-/// It says so of the request, whatever it is about: a repeated submission may hold what
-/// the first did not.
+/// A repeated submission may have another content than the accepted one.
 #[test]
-fn what_the_store_calls_malformed_is_refused_only_if_it_is_unknown() {
+fn submission_that_the_store_rejects_as_malformed_gets_400_only_if_the_job_is_unknown() {
     let (mut node, mut store) = (node(), Store::default());
-    let malformed = |node: &mut Driven| {
+    let submit_malformed = |node: &mut Driven| {
         let submission = node.submit(&spec(JOB));
         let (id, _) = node.take();
         node.reply(id, Ok(StoreResponse::Malformed));
         submission
     };
-    let submission = malformed(&mut node);
+    let submission = submit_malformed(&mut node);
     node.settle(&mut store);
     assert_eq!(node.answer(submission), Some((400, None)));
-    elsewhere(&mut store, |n| n.submit(&spec(JOB)));
-    let submission = malformed(&mut node);
+    ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
+    let submission = submit_malformed(&mut node);
     node.settle(&mut store);
     assert_eq!(node.answer(submission), Some(QUEUED));
 }
 
-/// A submission tried again is a call and a change like the first. Where no connection
-/// comes about at all, tries once followed one another without a pause for 4 s.
+/// Each retry counts against the budgets of calls and writes like the first attempt.
 #[test]
-fn a_store_out_of_reach_is_not_tried_without_end() {
+fn retries_of_a_submission_stay_within_the_write_budget() {
     let mut node = node();
     let submission = node.submit(&spec(JOB));
-    let mut tries = 0;
+    let mut attempts = 0;
     while node.answer(submission).is_none() {
-        tries += 1;
-        assert!(tries < 20, "no end of tries");
+        attempts += 1;
+        assert!(attempts < 20, "retried without limit");
         let (id, _) = node.take();
         node.reply(id, Err(CallError::NotSent));
     }
     assert_eq!(node.answer(submission), Some((503, None)));
-    // Of 18 changes a second.
-    assert_eq!(tries, 18);
+    // The node's budget is 18 writes a second.
+    assert_eq!(attempts, 18);
 }
 
-/// Every kind of request, of a known job and of an unknown one, with one of its calls
-/// lost or refused, or none, more often than requests may be under way at once: nothing of that
-/// stays taken, or is given back twice.
+/// More requests than may be under way at once, of every kind and for unknown, open and done
+/// jobs, each with at most one call lost or refused. A slot must be released exactly once.
 #[test]
-fn nothing_lost_stays_under_way() {
+fn failed_calls_release_their_request_slots() {
     let mut config = common::config_with_team();
     (config.state_rps, config.state_write_rps) = (1e6, 1e6);
-    let asking: [fn(&mut Driven, &str) -> u64; 5] = [
+    let requests: [fn(&mut Driven, &str) -> u64; 5] = [
         |n, id| n.submit(&spec(id)),
         |n, id| n.poll(id),
         |n, id| n.cancel(id),
@@ -183,64 +181,68 @@
         },
     ];
     let unknown = Store::default();
-    let mut accepted = Store::default();
-    elsewhere(&mut accepted, |n| n.submit(&spec(JOB)));
-    let mut over = Store::default();
-    elsewhere(&mut over, |n| n.submit(&spec(JOB)));
-    over.done(JOB);
-    let stores = [unknown, accepted, over];
+    let mut open = Store::default();
+    ask_other_node(&mut open, |n| n.submit(&spec(JOB)));
+    let mut done = Store::default();
+    ask_other_node(&mut done, |n| n.submit(&spec(JOB)));
+    done.done(JOB);
+    let stores = [unknown, open, done];
     let faults = [
         Err(CallError::NoAnswer),
         Ok(StoreResponse::Unavailable),
         Ok(StoreResponse::Malformed),
     ];
     for case in 0..180 {
-        let (ask, fault) = (asking[case % 5], &faults[case / 5 % 3]);
-        let (job, lost) = (case / 15 % 3, case / 45);
+        let (send, fault) = (requests[case % 5], &faults[case / 5 % 3]);
+        let (store_index, failing_call) = (case / 15 % 3, case / 45);
         let mut node = Driven::ready(config.clone(), START);
         for round in 0..260 {
             let id = format!("req-1{round}");
             let mut store = Store::default();
-            let rows = stores[job].rows.iter();
+            let rows = stores[store_index].rows.iter();
             store.rows = rows
                 .map(|(k, row)| (k.replace(JOB, &id), row.clone()))
                 .collect();
-            let request = ask(&mut node, &id);
-            let (mut call, until) = (0, node.at + 10 * SECOND);
+            let request = send(&mut node, &id);
+            let (mut calls, deadline) = (0, node.at + 10 * SECOND);
             while node.answer(request).is_none() {
-                assert!(node.at < until, "{case}: never answered");
+                assert!(node.at < deadline, "case {case}: never answered");
                 node.at += 20 * MILLISECOND;
                 if node.sent.is_empty() {
                     node.tick();
                     continue;
                 }
                 let (id, sent) = node.take();
-                let carried_out = store.carry_out(&sent);
-                let lost = call == lost;
-                call += 1;
-                node.reply(id, if lost { fault.clone() } else { Ok(carried_out) });
+                let reply = store.carry_out(&sent);
+                let fails = calls == failing_call;
+                calls += 1;
+                node.reply(id, if fails { fault.clone() } else { Ok(reply) });
             }
             let status = node.answer(request).map_or(0, |a| a.0);
-            // Of a job that is there nobody is told that it is not, and no poll is
-            // answered without what it wanted to read.
+            // A job that exists is never reported unknown, and a poll whose call fails gets
+            // 503.
             assert!(
-                job == 0 || matches!(status, 200 | 201 | 503),
-                "{case}: {status}"
+                store_index == 0 || matches!(status, 200 | 201 | 503),
+                "case {case}: {status}"
             );
-            let refused = case % 5 == 1 && call > lost;
-            assert!(!refused || status == 503, "{case}: {status}");
+            let poll_failed = case % 5 == 1 && calls > failing_call;
+            assert!(!poll_failed || status == 503, "case {case}: {status}");
             node.told.clear();
         }
-        // What else is there to do is done, all at once.
+        // The node still serves further requests.
         let mut store = Store::default();
         let ids = ["req-1", "req-3", "req-4"];
         let submissions = ids.map(|id| node.submit(&spec(id)));
         node.settle(&mut store);
         for submission in submissions {
-            assert_eq!(node.answer(submission).map(|a| a.0), Some(201), "{case}");
+            assert_eq!(
+                node.answer(submission).map(|a| a.0),
+                Some(201),
+                "case {case}"
+            );
         }
         let poll = node.poll(JOB);
         node.settle(&mut store);
-        assert_eq!(node.answer(poll), Some(QUEUED), "{case}");
+        assert_eq!(node.answer(poll), Some(QUEUED), "case {case}");
     }
 }
