--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -1,6 +1,6 @@
-//! Submissions that are malformed or can never run, and cancellations of what is over or
-//! never was: at nodes that know everything, that have just started, or that the store
-//! does not serve.
+//! Submissions that are malformed or can never run, and cancellations of jobs that have
+//! ended or never existed, at nodes with and without the machine types and with a store
+//! that fails.
 
 mod common;
 
@@ -13,7 +13,8 @@
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
 
-/// A team of 4 CPUs at once; machines have 8 CPUs, 64 GB and no GPU, all in zone a.
+/// A configuration with a quota of 4 CPUs for the team. Machines have 8 CPUs, 64 GB and no
+/// GPU, and are all in zone a.
 fn config() -> Config {
     let mut config = common::config_with_team();
     for team in &mut config.teams {
@@ -22,8 +23,8 @@
     config
 }
 
-/// Submissions that are not in their form, each wrong in one field.
-fn malformed() -> Vec<(String, Vec<u8>)> {
+/// Malformed submissions, each with one wrong field and a description of it.
+fn malformed_submissions() -> Vec<(String, Vec<u8>)> {
     let Value::Map(fields) = encode_value(&spec(JOB)) else {
         panic!("a submission is a map");
     };
@@ -33,14 +34,14 @@
         let shown: String = shown.chars().take(40).collect();
         all.push((format!("{name} = {shown}"), with(JOB, name, field)));
     };
-    for (name, good) in &fields {
+    for (name, valid) in &fields {
         let name = name.as_str().expect("text");
         let optional = ["formats", "room", "due_s"].contains(&name);
-        let wrong = match good {
+        let wrong = match valid {
             Value::String(_) => Value::from(7),
             _ => Value::from("x"),
         };
-        // A room is a text.
+        // The zone is a string, and nil here.
         let wrong = if name == "room" {
             Value::from(7)
         } else {
@@ -67,8 +68,8 @@
             add(name, Some(Value::from(number)));
         }
     }
-    for leaves in [0, -1, 100_001, i64::MAX] {
-        add("leaves", Some(Value::from(leaves)));
+    for task_count in [0, -1, 100_001, i64::MAX] {
+        add("leaves", Some(Value::from(task_count)));
     }
     add("leaves", Some(Value::from(u64::MAX)));
     add("leaves", Some(Value::from(2.5)));
@@ -76,45 +77,47 @@
     add("urgency", Some(Value::from("")));
     add("awaits", Some(Value::from("req-2")));
     add("formats", Some(Value::Array(vec![Value::from(7)])));
-    // In its form, and larger than what is stored of a job.
+    // Well-formed, but larger than a stored job may be.
     let many = (0..2000).map(|i| Value::from(format!("req-{i}"))).collect();
     add("awaits", Some(Value::Array(many)));
     add("lot", Some(Value::from("x".repeat(60_000))));
     all
 }
 
-/// Submissions that can never run.
-fn unfit() -> Vec<(String, Vec<u8>)> {
+/// Submissions of jobs that can never run, each with the reason.
+fn unschedulable_submissions() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
-    let mut add = |what: &str, change: fn(&mut JobSpec)| {
+    let mut add = |reason: &str, change: fn(&mut JobSpec)| {
         let mut spec = spec(JOB);
         change(&mut spec);
-        all.push((what.to_string(), dillcleat_wire::encode(&spec)));
+        all.push((reason.to_string(), dillcleat_wire::encode(&spec)));
     };
     add("unknown team", |s| s.team = "nobody".into());
     add("more CPUs than any machine", |s| s.cpus = 8.5);
     add("a GPU", |s| s.gpus = 1.0);
     add("more memory than any machine", |s| s.memory_gb = 64.5);
-    add("the most that is read", |s| s.memory_gb = 1e9);
+    add("the greatest amount of memory that is parsed", |s| {
+        s.memory_gb = 1e9
+    });
     add("unknown type", |s| s.types = Some(vec!["no".into()]));
     add("no type", |s| s.types = Some(vec![]));
     add("unknown zone", |s| s.zone = Some("z".into()));
-    add("a task beyond the team's limit", |s| s.cpus = 4.5);
-    add("a service beyond the team's limit", |s| {
+    add("a task beyond the team's quota", |s| s.cpus = 4.5);
+    add("a service beyond the team's quota", |s| {
         (s.kind, s.tasks, s.spot) = (JobKind::Service, 5, false);
     });
-    add("one zone and several", |s| {
+    add("a single zone and a spread over zones", |s| {
         (s.single_zone, s.spread) = (true, true)
     });
-    add("waits for nobody's job", |s| {
+    add("depends on an unknown job", |s| {
         s.depends_on = vec!["req-404".into()]
     });
-    add("waits for itself", |s| s.depends_on = vec![JOB.into()]);
+    add("depends on itself", |s| s.depends_on = vec![JOB.into()]);
     all
 }
 
-/// Submits, and answers every call as told; each answer takes a second. Returns what is
-/// answered.
+/// Sends a submission, answers every store call after a second with `reply`, and returns the
+/// status and job state of the answer.
 fn submit(
     node: &mut Driven,
     body: &[u8],
@@ -136,7 +139,7 @@
     panic!("no answer");
 }
 
-/// Nodes that have just started, and that know the machine types.
+/// A node that has just started, and one that has read the machine types, which is `ready`.
 fn nodes() -> [(bool, Driven); 2] {
     [
         (false, Driven::new(config(), START)),
@@ -145,70 +148,83 @@
 }
 
 #[test]
-fn every_node_refuses_what_is_malformed_and_what_can_never_run() {
-    let odd = [(400, malformed()), (422, unfit())];
-    for (refusal, (what, body)) in odd
+fn malformed_and_unschedulable_submissions_are_rejected() {
+    let rejected = [
+        (400, malformed_submissions()),
+        (422, unschedulable_submissions()),
+    ];
+    for (status_if_ready, (case, body)) in rejected
         .iter()
         .flat_map(|(r, all)| all.iter().map(move |b| (*r, b)))
     {
         for (ready, mut node) in nodes() {
             let mut store = Store::default();
             let (status, _) = submit(&mut node, body, |call| Ok(store.carry_out(call)));
-            // What fits is yet to be heard of.
-            let expected = if ready || refusal == 400 {
-                refusal
+            // Without the machine types a node cannot check whether a job is schedulable.
+            let expected = if ready || status_if_ready == 400 {
+                status_if_ready
             } else {
                 503
             };
-            assert_eq!(status, expected, "{what}, ready: {ready}");
-            assert!(store.rows.is_empty(), "{what}");
+            assert_eq!(status, expected, "{case}, ready: {ready}");
+            assert!(store.rows.is_empty(), "{case}");
         }
     }
 }
 
-/// A cloud in trouble that lists no type at all is no reason to refuse every job for good.
+/// A failing cloud may list no types at all, which must not make every job unschedulable.
 #[test]
-fn an_empty_list_of_types_decides_nothing() {
+fn submission_gets_503_while_the_list_of_machine_types_is_empty() {
     let mut node = Driven::new(config(), START);
     node.types = common::row(
         records::TYPES.into(),
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
-    let good = dillcleat_wire::encode(&spec(JOB));
+    let valid = dillcleat_wire::encode(&spec(JOB));
     let mut store = Store::default();
-    let (status, _) = submit(&mut node, &good, |call| Ok(store.carry_out(call)));
+    let (status, _) = submit(&mut node, &valid, |call| Ok(store.carry_out(call)));
     assert_eq!(status, 503);
 }
 
-/// Whether the job is known can't be told, and no refusal is right for a known one.
+/// The job may already exist, and a submission of an existing job must not be rejected.
 #[test]
-fn who_is_not_served_refuses_and_accepts_nothing() {
-    let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
-    let all = [malformed(), unfit(), vec![good]].concat();
+fn every_submission_gets_503_while_the_store_fails() {
+    let valid = ("valid".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let all = [
+        malformed_submissions(),
+        unschedulable_submissions(),
+        vec![valid],
+    ]
+    .concat();
     let replies = [
         Ok(StoreResponse::Unavailable),
         Ok(StoreResponse::RateLimited),
         Err(CallError::NotSent),
         Err(CallError::NoAnswer),
     ];
-    for (what, body) in &all {
+    for (case, body) in &all {
         for reply in &replies {
             for (ready, mut node) in nodes() {
                 let (status, _) = submit(&mut node, body, |_| reply.clone());
-                assert_eq!(status, 503, "{what}, {reply:?}, ready: {ready}");
+                assert_eq!(status, 503, "{case}, {reply:?}, ready: {ready}");
             }
         }
     }
 }
 
-/// Whatever its repetition holds, and at whichever node it arrives.
+/// Whatever the repetition contains, and also at a node that has just started.
 #[test]
-fn a_repeated_submission_of_a_known_job_tells_how_it_is() {
-    let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
-    let all = [malformed(), unfit(), vec![good]].concat();
+fn repeated_submission_of_an_existing_job_returns_its_state() {
+    let valid = ("valid".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let all = [
+        malformed_submissions(),
+        unschedulable_submissions(),
+        vec![valid],
+    ]
+    .concat();
     let states = [JobState::Queued, JobState::Done, JobState::Cancelled];
-    for (what, body) in &all {
+    for (case, body) in &all {
         for state in states {
             let mut store = Store::default();
             let mut other = Driven::ready(config(), START);
@@ -226,25 +242,25 @@
             }
             for (ready, mut node) in nodes() {
                 let answer = submit(&mut node, body, |call| Ok(store.carry_out(call)));
-                assert_eq!(answer, (200, Some(state)), "{what}, ready: {ready}");
+                assert_eq!(answer, (200, Some(state)), "{case}, ready: {ready}");
             }
         }
     }
 }
 
-/// That an end is known needs no store: such a node tells it all the same.
+/// Once a node has seen that a job has ended, it needs no store call to answer.
 #[test]
-fn a_cancellation_of_what_is_over_or_never_was() {
+fn cancellation_of_an_unknown_job_gets_404_and_of_a_done_job_its_state() {
     let mut store = Store::default();
     let mut node = Driven::ready(config(), START);
-    let mut ask = |store: &mut Store, id: &str| {
+    let mut cancel = |store: &mut Store, id: &str| {
         let request = node.cancel(id);
         node.settle(store);
         node.answer(request)
     };
-    assert_eq!(ask(&mut store, JOB), Some((404, None)));
-    for form in ["req-", "req-1x", "job-1", "req-1%2f2"] {
-        assert_eq!(ask(&mut store, form), Some((404, None)), "{form}");
+    assert_eq!(cancel(&mut store, JOB), Some((404, None)));
+    for id in ["req-", "req-1x", "job-1", "req-1%2f2"] {
+        assert_eq!(cancel(&mut store, id), Some((404, None)), "{id}");
     }
     assert!(store.rows.is_empty());
     let mut other = Driven::ready(config(), START);
@@ -252,7 +268,7 @@
     other.settle(&mut store);
     store.done(JOB);
     for _ in 0..2 {
-        assert_eq!(ask(&mut store, JOB), Some((200, Some(JobState::Done))));
+        assert_eq!(cancel(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
     assert_eq!(store.mark(JOB), Some(RecordedState::Done));
     let request = node.cancel(JOB);
