--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -1,5 +1,6 @@
-//! How many tasks of a job are done and run is told alike by every controller, soon after
-//! it began to serve, and after a change of leader.
+//! Replication of job progress: the leader broadcasts how many tasks of each job are done
+//! and how many run. Every controller must show the same counts, also one that has just
+//! started, and after a failover.
 
 mod common;
 
@@ -17,22 +18,22 @@
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
 
-fn told(job: &str, done: u32, running: u32) -> JobProgress {
+fn counts(job: &str, done: u32, running: u32) -> JobProgress {
     let job = job.into();
     JobProgress { job, done, running }
 }
 
-fn beat(term: u64, leads: bool) -> Message {
+fn peer_heartbeat(term: u64, is_leader: bool) -> Message {
     Message::Heartbeat {
         term,
-        is_leader: leads,
+        is_leader,
         store_reachable: true,
         workers_reachable: true,
         requests_per_s: 0,
     }
 }
 
-fn hear(node: &mut Node, at: Micros, from: &str, message: Message) {
+fn receive(node: &mut Node, at: Micros, from: &str, message: Message) {
     let (from, now) = (
         from.to_string(),
         Timestamp {
@@ -43,8 +44,9 @@
     node.handle(now, Input::Peer { from, message });
 }
 
-/// What the beats of half a second tell. The lead is kept, other calls go unanswered.
-fn tells(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<JobProgress> {
+/// Ticks for half a second and returns the progress that the node broadcasts. Renewals of
+/// the leader's lease succeed, and other calls are not answered.
+fn broadcasts(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -72,7 +74,7 @@
     all
 }
 
-/// A leader of a job with one task, which runs on a machine.
+/// A leader with a job of one task, which is placed on machine `m`.
 fn leader() -> (Node, Micros, Around) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
@@ -103,7 +105,8 @@
     (node, START, around)
 }
 
-fn reports(node: &mut Node, at: Micros, seq: u64, state: TaskState, around: &mut Around) {
+/// The machine sends a heartbeat with the task in the given state.
+fn heartbeat(node: &mut Node, at: Micros, sequence: u64, state: TaskState, around: &mut Around) {
     let task = TaskStatus {
         task: format!("{JOB}/0").parse().expect("a task's name"),
         attempt: 1,
@@ -111,130 +114,133 @@
         reason: (state == TaskState::Exited).then_some(ExitReason::Done),
         checkpoint_saved: None,
     };
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: "m".into(),
         addr: "127.0.0.1:7".into(),
         machine_type: "t".into(),
         zone: "a".into(),
         spot: false,
         incarnation: 1,
-        sequence: seq,
+        sequence,
         fencing_token: 1,
         interruption_notice_s: None,
         tasks: vec![task],
     };
     let input = Input::Request {
-        id: RequestId(seq),
+        id: RequestId(sequence),
         method: "POST".into(),
         target: HEARTBEAT_PATH.into(),
-        body: encode(&report),
+        body: encode(&heartbeat),
     };
     step_with(node, at, input, &[], around);
 }
 
-/// Nothing changes while a replica runs: who started later told its user for hours that
-/// none does.
+/// A controller that starts later has missed all changes, and the counts of a running
+/// service may not change again for hours.
 #[test]
-fn a_controller_that_is_heard_anew_is_told_everything() {
+fn leader_sends_all_progress_again_to_a_peer_that_becomes_reachable() {
     let (mut node, mut at, mut around) = leader();
-    reports(&mut node, at, 1, TaskState::Running, &mut around);
-    let running = [told(JOB, 0, 1)];
-    assert_eq!(tells(&mut node, &mut at, &mut around), running);
-    // It is told again until the next pass.
-    while !tells(&mut node, &mut at, &mut around).is_empty() {
+    heartbeat(&mut node, at, 1, TaskState::Running, &mut around);
+    let running = [counts(JOB, 0, 1)];
+    assert_eq!(broadcasts(&mut node, &mut at, &mut around), running);
+    // It is repeated until the next scheduling pass.
+    while !broadcasts(&mut node, &mut at, &mut around).is_empty() {
         assert!(at < START + 3 * SECOND);
     }
-    hear(&mut node, at, "n1", beat(1, false));
-    assert_eq!(tells(&mut node, &mut at, &mut around), running);
-    hear(&mut node, at, "n1", beat(1, false));
-    assert_eq!(tells(&mut node, &mut at, &mut around), []);
-    // Its end is told as well, or nobody else would ever forget it.
-    reports(&mut node, at, 2, TaskState::Exited, &mut around);
-    assert_eq!(tells(&mut node, &mut at, &mut around), [told(JOB, 0, 0)]);
+    receive(&mut node, at, "n1", peer_heartbeat(1, false));
+    assert_eq!(broadcasts(&mut node, &mut at, &mut around), running);
+    receive(&mut node, at, "n1", peer_heartbeat(1, false));
+    assert_eq!(broadcasts(&mut node, &mut at, &mut around), []);
+    // Zero counts are sent at the job's end, so that peers remove its entry.
+    heartbeat(&mut node, at, 2, TaskState::Exited, &mut around);
+    assert_eq!(
+        broadcasts(&mut node, &mut at, &mut around),
+        [counts(JOB, 0, 0)]
+    );
     assert_eq!(node.progress(JOB), None);
 }
 
-/// A new leader tells what changes, and of a job of which nothing runs nothing does: the
-/// word of the leader before it stood for ever.
+/// A new leader broadcasts only changes, and a job without running tasks has none: the
+/// counts of the previous leader must not stay for ever.
 #[test]
-fn a_new_leader_takes_back_what_is_so_no_more() {
+fn new_leader_resets_outdated_progress_of_the_previous_leader() {
     let mut node = Node::new(config_with_team());
-    let others = vec![told(JOB, 0, 3), told("req-2", 1, 1)];
-    hear(&mut node, START, "n1", Message::JobProgress(others));
+    let previous = vec![counts(JOB, 0, 3), counts("req-2", 1, 1)];
+    receive(&mut node, START, "n1", Message::JobProgress(previous));
     let (mut at, mut around) = (START, Around::default());
     step_with(&mut node, at, Input::Tick, &[], &mut around);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
-    // Whoever is heard anew is told nothing either that may be so no more.
-    hear(&mut node, at, "n1", beat(1, false));
+    // Possibly outdated counts are not sent to a peer that becomes reachable, either.
+    receive(&mut node, at, "n1", peer_heartbeat(1, false));
     while at < START + 9 * SECOND {
-        all.extend(tells(&mut node, &mut at, &mut around));
+        all.extend(broadcasts(&mut node, &mut at, &mut around));
     }
     assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
-        hear(&mut node, at, "n1", beat(1, false));
-        let more = tells(&mut node, &mut at, &mut around);
+        receive(&mut node, at, "n1", peer_heartbeat(1, false));
+        let more = broadcasts(&mut node, &mut at, &mut around);
         if !more.is_empty() {
-            assert_eq!(more, [told(JOB, 0, 0), told("req-2", 0, 0)]);
+            assert_eq!(more, [counts(JOB, 0, 0), counts("req-2", 0, 0)]);
             assert_eq!(node.progress(JOB), None);
             return;
         }
     }
-    panic!("not taken back");
+    panic!("the outdated counts stay");
 }
 
 #[test]
-fn the_word_of_a_leader_with_a_successor_does_not_count() {
+fn progress_from_a_deposed_leader_is_ignored() {
     let mut node = Node::new(config_with_team());
-    let one = |done, running| Message::JobProgress(vec![told(JOB, done, running)]);
-    hear(&mut node, START, "n1", beat(1, true));
-    hear(&mut node, START, "n1", one(0, 3));
+    let progress = |done, running| Message::JobProgress(vec![counts(JOB, done, running)]);
+    receive(&mut node, START, "n1", peer_heartbeat(1, true));
+    receive(&mut node, START, "n1", progress(0, 3));
     assert_eq!(node.progress(JOB), Some((0, 3)));
-    hear(&mut node, START, "n2", beat(2, true));
-    hear(&mut node, START, "n2", one(1, 2));
-    hear(&mut node, START, "n1", one(0, 3));
+    receive(&mut node, START, "n2", peer_heartbeat(2, true));
+    receive(&mut node, START, "n2", progress(1, 2));
+    receive(&mut node, START, "n1", progress(0, 3));
     assert_eq!(node.progress(JOB), Some((1, 2)));
-    // Nor does it for the successor itself.
+    // The new leader ignores it, too.
     let (mut node, at, mut around) = leader();
-    reports(&mut node, at, 1, TaskState::Running, &mut around);
-    tells(&mut node, &mut at.clone(), &mut around);
-    hear(&mut node, at, "n1", one(0, 0));
+    heartbeat(&mut node, at, 1, TaskState::Running, &mut around);
+    broadcasts(&mut node, &mut at.clone(), &mut around);
+    receive(&mut node, at, "n1", progress(0, 0));
     assert_eq!(node.progress(JOB), Some((0, 1)));
 }
 
-/// What is kept is bounded, and what runs is kept longest: all of it was once forgotten
-/// at a time, whatever ran.
+/// The number of entries is bounded.
 #[test]
-fn jobs_of_which_nothing_runs_are_forgotten_first() {
+fn jobs_without_running_tasks_are_evicted_first() {
+    const MAX_ENTRIES: usize = 64_000;
+    const ENDED_JOBS: usize = 3 * MAX_ENTRIES;
     let mut node = Node::new(config_with_team());
-    hear(
+    receive(
         &mut node,
         START,
         "n1",
-        Message::JobProgress(vec![told(JOB, 0, 3)]),
+        Message::JobProgress(vec![counts(JOB, 0, 3)]),
     );
-    let mut known = 0;
-    for i in 0..192_000 {
+    let mut kept = 0;
+    for i in 0..ENDED_JOBS {
         let job = format!("req-9{i}");
-        let progress = Message::JobProgress(vec![told(&job, 1, 0)]);
-        hear(&mut node, START, "n1", progress);
+        let progress = Message::JobProgress(vec![counts(&job, 1, 0)]);
+        receive(&mut node, START, "n1", progress);
     }
-    for i in 0..192_000 {
-        known += usize::from(node.progress(&format!("req-9{i}")).is_some());
+    for i in 0..ENDED_JOBS {
+        kept += usize::from(node.progress(&format!("req-9{i}")).is_some());
     }
     assert_eq!(node.progress(JOB), Some((0, 3)));
-    assert!(known < 64_000, "{known}");
+    assert!(kept < MAX_ENTRIES, "{kept}");
 }
 
-/// Past twenty thousand jobs that run, each further one made a node forget all others.
 #[test]
-fn the_counts_of_all_jobs_of_six_thousand_machines_are_kept() {
+fn progress_of_ten_running_jobs_on_each_of_6000_machines_is_kept() {
     const JOBS: usize = 6_000 * 10;
     let mut node = Node::new(config_with_team());
     for i in 0..JOBS {
-        let progress = Message::JobProgress(vec![told(&format!("req-9{i}"), 0, 1)]);
-        hear(&mut node, START, "n1", progress);
+        let progress = Message::JobProgress(vec![counts(&format!("req-9{i}"), 0, 1)]);
+        receive(&mut node, START, "n1", progress);
     }
-    let known = |i: &usize| node.progress(&format!("req-9{i}")) == Some((0, 1));
-    assert_eq!((0..JOBS).filter(known).count(), JOBS);
+    let is_kept = |i: &usize| node.progress(&format!("req-9{i}")) == Some((0, 1));
+    assert_eq!((0..JOBS).filter(is_kept).count(), JOBS);
 }
