--- a/crates/controller/tests/proof.rs
+++ b/crates/controller/tests/heartbeat_reconciliation.rs
@@ -1,4 +1,5 @@
-//! What counts as proof that a task is gone from a machine, and what does not.
+//! Reconciliation of a machine's tasks with its heartbeats: when a missing task counts as
+//! lost, and which commands are sent.
 
 mod common;
 
@@ -11,16 +12,21 @@
 const TERM: u64 = 5;
 const NOW: Micros = 1000 * SECOND;
 
-fn report(session: u64, seq: u64, token: u64, tasks: &[(u64, TaskState)]) -> Heartbeat {
+fn heartbeat(
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
+    tasks: &[(u64, TaskState)],
+) -> Heartbeat {
     Heartbeat {
         machine: "m".into(),
         addr: "a:1".into(),
         machine_type: "t".into(),
         zone: "z".into(),
         spot: false,
-        incarnation: session,
-        sequence: seq,
-        fencing_token: token,
+        incarnation,
+        sequence,
+        fencing_token,
         interruption_notice_s: None,
         tasks: tasks
             .iter()
@@ -39,16 +45,16 @@
     JobSpec::plain("req-1", JobKind::Batch, 1, 1.0)
 }
 
-fn key() -> TaskKey {
+fn task_key() -> TaskKey {
     (Rc::from("req-1"), 0)
 }
 
-/// A machine that is up in session 1, with attempt 1 of a task on it.
+/// A machine in incarnation 1 that runs attempt 1 of the task.
 fn machine() -> Machine {
     let mut m = Machine::new("m", "t", "z", false, NOW);
     assert_eq!(
         m.apply_heartbeat(
-            &report(1, 1, TERM, &[]),
+            &heartbeat(1, 1, TERM, &[]),
             HeartbeatSource::Periodic,
             TERM,
             NOW
@@ -57,76 +63,88 @@
     );
     let mut slot = TaskSlot::new(1, 1, 0, &spec(), true);
     slot.seen = Some(TaskState::Running);
-    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     m
 }
 
-fn take(m: &mut Machine, r: &Heartbeat, source: HeartbeatSource) -> Vec<TaskEvent> {
-    m.apply_heartbeat(r, source, TERM, NOW)
+fn apply(m: &mut Machine, heartbeat: &Heartbeat, source: HeartbeatSource) -> Vec<TaskEvent> {
+    m.apply_heartbeat(heartbeat, source, TERM, NOW)
 }
 
 #[test]
-fn absence_counts_only_under_the_current_seal_and_from_a_newer_report() {
+fn missing_task_is_lost_only_by_a_newer_heartbeat_with_the_current_fencing_token() {
     let mut m = machine();
-    // An earlier leader's launch may still be carried out under its seal.
+    // The worker still accepts a launch command of the previous leader.
     assert_eq!(
-        take(
+        apply(
             &mut m,
-            &report(1, 2, TERM - 1, &[]),
+            &heartbeat(1, 2, TERM - 1, &[]),
             HeartbeatSource::Periodic
         ),
         []
     );
-    // Held up on its way: as old as it says.
+    // A delayed heartbeat with an old sequence number.
     assert_eq!(
-        take(&mut m, &report(1, 1, TERM, &[]), HeartbeatSource::Periodic),
+        apply(
+            &mut m,
+            &heartbeat(1, 1, TERM, &[]),
+            HeartbeatSource::Periodic
+        ),
         []
     );
-    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Periodic);
+    let events = apply(
+        &mut m,
+        &heartbeat(1, 3, TERM, &[]),
+        HeartbeatSource::Periodic,
+    );
     assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
 
 #[test]
-fn a_later_session_is_proof_by_itself() {
+fn task_is_lost_when_the_agent_reports_a_later_incarnation() {
     let mut m = machine();
-    let events = take(
+    let events = apply(
         &mut m,
-        &report(2, 9, TERM - 1, &[]),
+        &heartbeat(2, 9, TERM - 1, &[]),
         HeartbeatSource::Periodic,
     );
     assert!(matches!(events[..], [TaskEvent::Lost { attempt: 1, .. }]));
 }
 
 #[test]
-fn an_unanswered_launch_is_neither_given_up_nor_reaped() {
+fn task_with_an_unacknowledged_launch_is_neither_lost_nor_reaped() {
     let mut m = machine();
     m.slots.clear();
     let slot = TaskSlot::new(1, 1, 0, &spec(), true);
-    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let launch = m.needed_commands(true, |_, _| true);
     assert!(matches!(launch[..], [Command::Launch { .. }]));
     m.command_state
         .record_sent(dillcleat_controller::CallId(1), &launch);
     m.command_state
         .record_finished(dillcleat_controller::CallId(1), true);
-    if let Some(slot) = m.slots.get_mut(&key()) {
+    if let Some(slot) = m.slots.get_mut(&task_key()) {
         slot.cancelled = true;
     }
-    // Absent, but it may start at any time.
+    // The task is missing, but the launch may still arrive.
     assert_eq!(
-        take(&mut m, &report(1, 2, TERM, &[]), HeartbeatSource::Periodic),
+        apply(
+            &mut m,
+            &heartbeat(1, 2, TERM, &[]),
+            HeartbeatSource::Periodic
+        ),
         []
     );
-    // It did, and failed: known to the worker, a late launch has no effect,
-    // and a reap would change that.
-    let exited = report(1, 3, TERM, &[(1, TaskState::Exited)]);
-    let events = take(&mut m, &exited, HeartbeatSource::Periodic);
+    // The task was launched and failed. While the worker lists the attempt, a late launch
+    // has no effect; after a reap it would.
+    let exited = heartbeat(1, 3, TERM, &[(1, TaskState::Exited)]);
+    let events = apply(&mut m, &exited, HeartbeatSource::Periodic);
     assert!(matches!(events[..], [TaskEvent::Exited { attempt: 1, .. }]));
     assert_eq!(m.needed_commands(true, |_, _| true), []);
-    // In a new session the old launch is refused.
-    take(
+    // A worker in a new incarnation rejects the old launch.
+    apply(
         &mut m,
-        &report(2, 4, TERM, &[(1, TaskState::Exited)]),
+        &heartbeat(2, 4, TERM, &[(1, TaskState::Exited)]),
         HeartbeatSource::Periodic,
     );
     assert!(matches!(
@@ -136,83 +154,89 @@
 }
 
 #[test]
-fn a_launch_in_an_answer_is_settled_by_the_next_checkin_only() {
+fn launch_in_a_heartbeat_reply_is_settled_only_by_the_next_periodic_heartbeat() {
     let mut m = machine();
     m.slots.clear();
     m.add_task(
-        key(),
+        task_key(),
         TaskSlot::new(1, 1, 0, &spec(), true),
         (&Rc::from("img"), 1.0),
         50.0,
     );
     let commands = m.needed_commands(true, |_, _| true);
     m.record_reply_launches(&commands);
-    if let Some(slot) = m.slots.get_mut(&key()) {
+    if let Some(slot) = m.slots.get_mut(&task_key()) {
         slot.cancelled = true;
     }
-    // The answer to other orders may have overtaken it.
+    // The reply to other commands may have been sent before the launch arrived.
     assert_eq!(
-        take(
+        apply(
             &mut m,
-            &report(1, 2, TERM, &[]),
+            &heartbeat(1, 2, TERM, &[]),
             HeartbeatSource::CommandReply
         ),
         []
     );
-    let events = take(&mut m, &report(1, 3, TERM, &[]), HeartbeatSource::Periodic);
+    let events = apply(
+        &mut m,
+        &heartbeat(1, 3, TERM, &[]),
+        HeartbeatSource::Periodic,
+    );
     assert!(matches!(events[..], [TaskEvent::Lost { .. }]));
 }
 
 #[test]
-fn nothing_is_launched_before_it_is_stored_and_nothing_reaped_before_it_is_settled() {
+fn launch_waits_for_the_stored_placement_and_reap_for_the_stored_end() {
     let mut m = machine();
     m.slots.clear();
     m.add_task(
-        key(),
+        task_key(),
         TaskSlot::new(1, 1, 0, &spec(), false),
         (&Rc::from("img"), 1.0),
         50.0,
     );
     assert_eq!(m.needed_commands(true, |_, _| true), []);
-    take(
+    apply(
         &mut m,
-        &report(1, 2, TERM, &[(7, TaskState::Exited)]),
+        &heartbeat(1, 2, TERM, &[(7, TaskState::Exited)]),
         HeartbeatSource::Periodic,
     );
     assert_eq!(m.needed_commands(true, |_, _| false), []);
 }
 
-/// The end of an attempt of before is none of the present one.
 #[test]
-fn an_earlier_attempt_is_not_the_placed_one() {
+fn end_of_an_earlier_attempt_does_not_end_the_placed_one() {
     let mut m = machine();
     m.slots.clear();
     let slot = TaskSlot::new(2, 1, 0, &spec(), true);
-    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
-    let ended = report(1, 2, TERM, &[(1, TaskState::Exited)]);
-    assert_eq!(take(&mut m, &ended, HeartbeatSource::Periodic), []);
+    m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    let ended = heartbeat(1, 2, TERM, &[(1, TaskState::Exited)]);
+    assert_eq!(apply(&mut m, &ended, HeartbeatSource::Periodic), []);
     let both = [(1, TaskState::Exited), (2, TaskState::Running)];
-    let events = take(
+    let events = apply(
         &mut m,
-        &report(1, 3, TERM, &both),
+        &heartbeat(1, 3, TERM, &both),
         HeartbeatSource::Periodic,
     );
-    assert_eq!(events, [TaskEvent::Running(key())]);
-    // One that still runs is a stray, and is stopped.
-    let stray = report(1, 4, TERM, &[(1, TaskState::Running)]);
-    take(&mut m, &stray, HeartbeatSource::Periodic);
+    assert_eq!(events, [TaskEvent::Running(task_key())]);
+    // An earlier attempt that still runs is stopped.
+    let unexpected = heartbeat(1, 4, TERM, &[(1, TaskState::Running)]);
+    apply(&mut m, &unexpected, HeartbeatSource::Periodic);
     let stops = m.needed_commands(true, |_, _| true);
     assert!(matches!(&stops[..], [Command::Stop { attempt: 1, .. }, ..]));
 }
 
-/// Two placements on one machine may be read of which the first is of a session that is
-/// over: its task is not started again in the next.
+/// A new leader may read a placement from an earlier incarnation of the agent.
 #[test]
-fn nothing_is_commanded_for_a_session_that_is_over() {
+fn placement_of_an_earlier_incarnation_gets_no_commands() {
     let mut m = machine();
     m.slots.clear();
-    take(&mut m, &report(2, 2, TERM, &[]), HeartbeatSource::Periodic);
+    apply(
+        &mut m,
+        &heartbeat(2, 2, TERM, &[]),
+        HeartbeatSource::Periodic,
+    );
     let slot = TaskSlot::new(1, 1, 0, &spec(), true);
-    m.add_task(key(), slot, (&Rc::from("img"), 1.0), 50.0);
+    m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     assert_eq!(m.needed_commands(true, |_, _| true), []);
 }
