--- a/crates/controller/tests/zones.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -1,4 +1,5 @@
-//! Arrays that are bound to one zone, as it loses machines, and more work than room.
+//! Jobs that are constrained to one zone while it loses machines, and the priority of jobs
+//! over slow links to the workers.
 
 mod common;
 
@@ -9,15 +10,15 @@
 
 const JOB: &str = "req-000001";
 
-fn job(tasks: u32) -> JobSpec {
+fn job_spec(tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
         ..JobSpec::plain(JOB, JobKind::Batch, tasks, 1.0)
     }
 }
 
-/// Two machines in each of two zones, with four CPUs each; the job fills zone a.
-fn in_zone_a(spec: JobSpec) -> Fleet {
+/// Two machines of four CPUs in each of two zones. The job uses all CPUs of zone a.
+fn fleet_with_job_in_zone_a(spec: JobSpec) -> Fleet {
     let mut t = machine_type(4.0);
     t.zones.push("b".into());
     let mut fleet = Fleet::new(config_with_team(), vec![t]);
@@ -32,31 +33,34 @@
     fleet
 }
 
-/// What was lost waits for room in the zone as long as the rest runs there, and moves as a
-/// whole when that is lost too.
+/// Lost tasks wait for capacity in their zone as long as other tasks of the array run there.
 #[test]
-fn an_array_of_one_zone_moves_as_a_whole() {
-    let mut fleet = in_zone_a(JobSpec {
+fn single_zone_array_moves_to_another_zone_only_as_a_whole() {
+    let mut fleet = fleet_with_job_in_zone_a(JobSpec {
         single_zone: true,
-        ..job(8)
+        ..job_spec(8)
     });
     fleet.workers.remove("a0");
     fleet.pass(20 * SECOND);
-    assert_eq!(fleet.running(JOB), ["a1"], "beside free room in zone b");
+    assert_eq!(
+        fleet.running(JOB),
+        ["a1"],
+        "despite free capacity in zone b"
+    );
     fleet.workers.remove("a1");
     fleet.pass(20 * SECOND);
     assert_eq!(fleet.running(JOB), ["b0", "b1"]);
     assert_eq!(fleet.cpus_of(&[JOB]), 8);
 }
 
-/// The last tasks in a zone that nobody can ask hold the others there, also with a leader
-/// that knows of them from the store alone.
+/// The array's last tasks in a zone run on a partitioned machine. A new leader knows of them
+/// only from the store.
 #[test]
-fn what_may_run_behind_a_cut_binds_the_rest() {
+fn single_zone_array_does_not_move_while_partitioned_tasks_may_still_run() {
     for new_leader in [false, true] {
-        let mut fleet = in_zone_a(JobSpec {
+        let mut fleet = fleet_with_job_in_zone_a(JobSpec {
             single_zone: true,
-            ..job(8)
+            ..job_spec(8)
         });
         fleet.workers.remove("a0");
         fleet.pass(10 * SECOND);
@@ -68,34 +72,36 @@
         while !fleet.deleted.iter().any(|(_, name)| name == "a1") {
             assert_eq!(fleet.running(JOB), ["a1"]);
             fleet.pass(SECOND / 10);
-            assert!(fleet.at < common::fleet::START + 60 * SECOND, "never freed");
+            assert!(
+                fleet.at < common::fleet::START + 60 * SECOND,
+                "the machine is never deleted"
+            );
         }
         fleet.pass(10 * SECOND);
         assert_eq!(fleet.running(JOB), ["b0", "b1"]);
     }
 }
 
-/// A job that may run in one zone only is at work again soon after that has machines.
 #[test]
-fn a_job_bound_to_a_zone_without_machines_gets_the_first_that_come() {
-    let mut fleet = in_zone_a(JobSpec {
+fn job_pinned_to_a_zone_without_machines_runs_once_the_cloud_has_capacity_there() {
+    let mut fleet = fleet_with_job_in_zone_a(JobSpec {
         zone: Some("a".into()),
-        ..job(8)
+        ..job_spec(8)
     });
     fleet.workers.remove("a0");
     fleet.workers.remove("a1");
     fleet.pass(60 * SECOND);
     assert_eq!(fleet.running(JOB), Vec::<String>::new());
     fleet.stock.insert(("a".into(), false), 2);
-    // An offer that was refused is asked for again after 15 s, and boots in 5 s.
+    // A scale-out that found no capacity is retried after 15 s, and machines boot in 5 s.
     fleet.pass(25 * SECOND);
     assert_eq!(fleet.cpus_of(&[JOB]), 8);
 }
 
-/// Over links so slow that no answer to orders comes in time: the urgent job has all room
-/// that comes free, nothing runs twice, and machines are used as well as others.
+/// Replies to commands always arrive too late. The high-priority job must get all capacity
+/// that becomes free, no task may run twice, and the machines must be used fully.
 #[test]
-fn urgent_work_goes_first_over_slow_links() {
+fn high_priority_job_starts_first_over_slow_worker_links() {
     let urgent = "req-000002";
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     for name in ["m0", "m1"] {
@@ -104,22 +110,28 @@
     for id in [JOB, urgent] {
         fleet.runs.insert(id.into(), 3 * SECOND);
     }
-    fleet.submit(job(60));
+    fleet.submit(job_spec(60));
     fleet.pass(15 * SECOND);
     let at = fleet.at;
     fleet.submit(JobSpec {
         id: urgent.into(),
         priority: Priority::High,
-        ..job(12)
+        ..job_spec(12)
     });
     fleet.pass(80 * SECOND);
-    let starts = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
-    let (first, rest) = (starts(urgent), starts(JOB));
-    assert_eq!((first.len(), rest.len()), (12, 60), "each once");
-    let last = first.iter().max().copied().unwrap_or(0);
+    let start_times = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
+    let (urgent_starts, other_starts) = (start_times(urgent), start_times(JOB));
+    assert_eq!(
+        (urgent_starts.len(), other_starts.len()),
+        (12, 60),
+        "each task starts once"
+    );
+    let last = urgent_starts.iter().max().copied().unwrap_or(0);
     assert!(last < at + 15 * SECOND, "{}", last - at);
-    // What had been placed before it came may still start.
-    let between = rest.iter().filter(|t| (at + 3 * SECOND..last).contains(t));
+    // Tasks that were placed before the submission may still start.
+    let between = other_starts
+        .iter()
+        .filter(|t| (at + 3 * SECOND..last).contains(t));
     assert_eq!(between.count(), 0);
-    assert_eq!(fleet.cpus_of(&[JOB, urgent]), 0, "all is done");
+    assert_eq!(fleet.cpus_of(&[JOB, urgent]), 0, "all tasks are done");
 }
