--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/job_state_records.rs
@@ -1,4 +1,5 @@
-//! What makes a job open, done or unknown: its description and its mark.
+//! Which state a poll returns for each combination of a job's description and its state
+//! record.
 
 mod common;
 
@@ -9,8 +10,8 @@
 use dillcleat_wire::user::{JobKind, JobSpec, JobState, JobStatus};
 use std::collections::BTreeMap;
 
-/// Polls a fresh node for the job with these records in the store, key to
-/// version and value. Returns the status and state it answers.
+/// Polls a node that has just started. The store holds a version and a value for each key.
+/// Returns the status and the job state of the answer.
 fn poll(store: &BTreeMap<String, (u64, Value)>) -> (u16, Option<JobState>) {
     let mut node = common::node();
     let now = Timestamp {
@@ -79,44 +80,47 @@
     })
 }
 
-/// A cancelled job's description stays until its tasks are gone, and jobs that
-/// an earlier version stored have an open mark.
+/// The description of a cancelled job stays until its tasks are gone. Earlier versions also
+/// stored a state record for an open job.
 #[test]
-fn a_job_is_open_while_it_is_described_and_has_no_mark_of_its_end() {
-    let open = records::open_key("req-1");
-    let mark = |s| {
+fn job_is_open_while_it_has_a_description_and_no_state_record_of_its_end() {
+    let open_key = records::open_key("req-1");
+    let state_record = |state| {
         encode_value(&JobStateRecord {
-            state: s,
+            state,
             task_count: 2,
         })
     };
-    let key = records::job_key("req-1");
-    let found = |rows: Vec<(&String, u64, Value)>| {
+    let state_key = records::job_key("req-1");
+    let poll_with = |rows: Vec<(&String, u64, Value)>| {
         let rows = rows.into_iter().map(|(k, n, v)| (k.clone(), (n, v)));
         poll(&rows.collect())
     };
-    assert_eq!(found(vec![]), (404, None));
+    assert_eq!(poll_with(vec![]), (404, None));
     let queued = (200, Some(JobState::Queued));
-    assert_eq!(found(vec![(&open, 3, description(true))]), queued);
+    assert_eq!(poll_with(vec![(&open_key, 3, description(true))]), queued);
     assert_eq!(
-        found(vec![(&key, 7, mark(RecordedState::Done))]),
+        poll_with(vec![(&state_key, 7, state_record(RecordedState::Done))]),
         (200, Some(JobState::Done))
     );
     assert_eq!(
-        found(vec![
-            (&open, 3, description(true)),
-            (&key, 7, mark(RecordedState::Cancelled))
+        poll_with(vec![
+            (&open_key, 3, description(true)),
+            (&state_key, 7, state_record(RecordedState::Cancelled))
         ]),
         (200, Some(JobState::Cancelled))
     );
-    let earlier = [
-        (&open, 3, description(false)),
-        (&key, 3, mark(RecordedState::Open)),
+    let open_by_earlier_version = [
+        (&open_key, 3, description(false)),
+        (&state_key, 3, state_record(RecordedState::Open)),
     ];
-    assert_eq!(found(earlier.to_vec()), queued);
-    let cancelled = [
-        (&open, 3, description(false)),
-        (&key, 8, mark(RecordedState::Cancelled)),
+    assert_eq!(poll_with(open_by_earlier_version.to_vec()), queued);
+    let cancelled_by_earlier_version = [
+        (&open_key, 3, description(false)),
+        (&state_key, 8, state_record(RecordedState::Cancelled)),
     ];
-    assert_eq!(found(cancelled.to_vec()), (200, Some(JobState::Cancelled)));
+    assert_eq!(
+        poll_with(cancelled_by_earlier_version.to_vec()),
+        (200, Some(JobState::Cancelled))
+    );
 }
