--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -1,4 +1,4 @@
-//! What a leader has learned outlives it, as far as it was told.
+//! Estimates of jobs that a leader replicates to its peers survive a failover.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 const START: Micros = 1000 * SECOND;
 
-fn learned(term: u64, credit: f64, size: f64) -> Estimates {
+fn estimates(term: u64, credit: f64, size: f64) -> Estimates {
     Estimates {
         term,
         virtual_time: 500.0,
@@ -31,9 +31,9 @@
     }
 }
 
-/// What a leader that is elected `after` it was told so tells of the job, with its
-/// clock at zero: its size, its credit and its samples.
-fn taken_up(told: Estimates, after: Micros) -> (f64, f64, usize) {
+/// Elects a node `delay` after it received the estimates. Returns the size, the credit and
+/// the number of samples that it replicates itself for the job, at virtual time zero.
+fn replicated_after_election(received: Estimates, delay: Micros) -> (f64, f64, usize) {
     let mut node: Node = common::node_of_three_zones();
     let spec = JobSpec {
         team: "books".into(),
@@ -54,7 +54,7 @@
         lease: None,
     });
     let from = "n1".to_string();
-    let message = Message::Estimates(told);
+    let message = Message::Estimates(received);
     step_with(
         &mut node,
         START,
@@ -62,7 +62,7 @@
         &[],
         &mut around,
     );
-    let at = START + after;
+    let at = START + delay;
     step_with(&mut node, at, Input::Tick, &[], &mut around);
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
@@ -73,49 +73,48 @@
     let mut jobs = Vec::new();
     for output in node.handle(now, Input::Tick) {
         if let Output::Peer {
-            message: Message::Estimates(l),
+            message: Message::Estimates(estimates),
         } = output
         {
-            jobs.extend(l.jobs);
+            jobs.extend(estimates.jobs);
         }
     }
     let job = jobs
         .iter()
         .find(|j| j.job == "req-1")
-        .expect("it is told of");
+        .expect("its estimate is replicated");
     (job.size, job.credit, job.samples.len())
 }
 
-/// Large jobs once waited anew at every change of leader: their ages and samples went
-/// with the leader before.
+/// Otherwise a large job's ageing would start again at every failover.
 #[test]
-fn a_new_leader_goes_on_from_what_was_learned() {
+fn new_leader_continues_with_replicated_estimates() {
     assert_eq!(
-        taken_up(learned(0, -200.0, 2100.0), SECOND),
+        replicated_after_election(estimates(0, -200.0, 2100.0), SECOND),
         (2100.0, 300.0, 2)
     );
 }
 
-/// What is of no term before, old, or no size costs what is lost without it: 50 tasks
-/// of 2 CPUs and a guess of 60 s, which is no one's but the setting's.
+/// The job then has its initial size: 50 tasks of 2 CPUs for 60 s, the configured first
+/// guess.
 #[test]
-fn what_may_not_be_used_is_not() {
-    let anew = (6000.0, 0.0, 0);
-    let (guessed, _, _) = taken_up(learned(0, -200.0, -1.0), SECOND);
-    assert!(guessed > 0.0);
+fn new_leader_ignores_invalid_and_outdated_estimates() {
+    let initial = (6000.0, 0.0, 0);
+    let (size, _, _) = replicated_after_election(estimates(0, -200.0, -1.0), SECOND);
+    assert!(size > 0.0);
     assert_eq!(
-        taken_up(learned(1, -200.0, 2100.0), SECOND),
-        anew,
-        "its own term"
+        replicated_after_election(estimates(1, -200.0, 2100.0), SECOND),
+        initial,
+        "the new leader's own term"
     );
     assert_eq!(
-        taken_up(learned(0, -200.0, 2100.0), 700 * SECOND).1,
+        replicated_after_election(estimates(0, -200.0, 2100.0), 700 * SECOND).1,
         0.0,
-        "old"
+        "outdated"
     );
     assert_eq!(
-        taken_up(learned(0, -900.0, 2100.0), SECOND).1,
+        replicated_after_election(estimates(0, -900.0, 2100.0), SECOND).1,
         0.0,
-        "no age"
+        "negative credit"
     );
 }
