--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -1,6 +1,6 @@
-//! A flood of requests: refused at once, and no more calls than the budget.
-//! Polls are turned away before cancellations, and the budget goes where the
-//! users are.
+//! The budget of store calls for users' requests: requests over it are rejected at once,
+//! polls before submissions and cancellations, and nodes with more requests get a larger
+//! share.
 
 mod common;
 
@@ -11,15 +11,17 @@
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::store::StoreResponse;
 
-/// How many of the requests lead to a call of the state service, and how many
-/// are refused.
-fn flood(node: &mut Node, at: Micros, method: &str, path: &str) -> (u32, u32) {
+const REQUESTS: u64 = 1000;
+
+/// Sends requests for different jobs. Returns how many of them lead to a store call, and how
+/// many are rejected.
+fn send_requests(node: &mut Node, at: Micros, method: &str, path: &str) -> (u32, u32) {
     let now = Timestamp {
         monotonic: at,
         wall: at,
     };
-    let (mut calls, mut refused) = (Vec::new(), 0);
-    for i in 0..1000 {
+    let (mut calls, mut rejected) = (Vec::new(), 0);
+    for i in 0..REQUESTS {
         let input = Input::Request {
             id: RequestId(i),
             method: method.into(),
@@ -31,7 +33,7 @@
                 Output::Store { id, .. } => calls.push(id),
                 Output::Answer { answer, .. } => {
                     assert_eq!((answer.status, answer.retry_after), (503, Some(1)));
-                    refused += 1;
+                    rejected += 1;
                 }
                 other => panic!("unexpected {other:?}"),
             }
@@ -42,29 +44,27 @@
         let reply = Ok(StoreResponse::Unavailable);
         node.handle(now, Input::Store { id, reply });
     }
-    (count, refused)
+    (count, rejected)
 }
 
-/// The leader shares the state service with the users' requests: without a
-/// budget a flood of them could take the lease's renewals away from it. And
-/// polls once left nothing for submissions and cancellations.
+/// Users' requests must leave store calls for the renewals of the leader's lease, and polls
+/// must leave some for submissions and cancellations.
 #[test]
-fn a_flood_is_refused_at_once_within_the_budget() {
+fn requests_over_the_budget_get_503_at_once() {
     let mut node = common::node();
     let at = 1000 * SECOND;
-    // Seven tenths of 200 calls a second, a third of it for this node, of which
-    // polls leave half.
-    assert_eq!(flood(&mut node, at, "GET", ""), (23, 977));
-    assert_eq!(flood(&mut node, at, "POST", "/abort"), (23, 977));
+    // Users get seven tenths of 200 calls a second, and this node a third of that. Polls
+    // leave half of it to other requests.
+    assert_eq!(send_requests(&mut node, at, "GET", ""), (23, 977));
+    assert_eq!(send_requests(&mut node, at, "POST", "/abort"), (23, 977));
 }
 
-/// The load balancer may send every user to one node. With a third of the
-/// budget it turned most away while its siblings' parts lay idle.
+/// The load balancer may send every user to one node.
 #[test]
-fn the_budget_goes_where_the_users_are() {
+fn node_gets_the_budget_of_peers_without_requests() {
     let mut node = common::node();
     let mut at = 1000 * SECOND;
-    let beat = |node: &mut Node, at, from: &str, asked| {
+    let peer_heartbeat = |node: &mut Node, at, from: &str, requests_per_s| {
         let now = Timestamp {
             monotonic: at,
             wall: at,
@@ -74,22 +74,22 @@
             is_leader: false,
             store_reachable: true,
             workers_reachable: false,
-            requests_per_s: asked,
+            requests_per_s,
         };
         let from = from.to_string();
         node.handle(now, Input::Peer { from, message });
         node.handle(now, Input::Tick);
     };
     for _ in 0..10 {
-        flood(&mut node, at, "POST", "/abort");
+        send_requests(&mut node, at, "POST", "/abort");
         at += 500 * MILLISECOND;
-        beat(&mut node, at, "n1", 0);
-        beat(&mut node, at, "n2", 0);
+        peer_heartbeat(&mut node, at, "n1", 0);
+        peer_heartbeat(&mut node, at, "n2", 0);
     }
     at += SECOND;
-    let (calls, _) = flood(&mut node, at, "POST", "/abort");
+    let (calls, _) = send_requests(&mut node, at, "POST", "/abort");
     assert!((135..=140).contains(&calls), "{calls}");
-    // Siblings that are not heard may be taking theirs.
+    // Unreachable peers may be using their shares.
     at += 10 * SECOND;
     node.handle(
         Timestamp {
@@ -99,23 +99,23 @@
         Input::Tick,
     );
     at += SECOND;
-    let (calls, _) = flood(&mut node, at, "POST", "/abort");
+    let (calls, _) = send_requests(&mut node, at, "POST", "/abort");
     assert!((45..=47).contains(&calls), "{calls}");
 }
 
-/// A submission that is turned away for want of changes takes no call from the polls.
+/// A submission that is rejected because the write budget is used up takes no call.
 #[test]
-fn a_flood_of_submissions_takes_only_what_it_uses() {
+fn rejected_submissions_leave_their_calls_to_polls() {
     let mut node = Driven::ready(common::config_with_team(), 1000 * SECOND);
-    for i in 0..1000 {
+    for i in 0..REQUESTS {
         node.submit(&spec(&format!("req-{i}")));
     }
-    // A third of seven tenths of 80 changes a second.
+    // A third of seven tenths of 80 writes a second.
     assert_eq!(node.sent.len(), 18);
     node.sent.clear();
-    for i in 0..1000 {
+    for i in 0..REQUESTS {
         node.poll(&format!("req-{i}"));
     }
-    // Of 46 calls polls leave half, and 18 are taken.
+    // Polls leave 23 of the 46 calls to other requests, and submissions have used 18.
     assert_eq!(node.sent.len(), 5);
 }
