--- /dev/null
+++ b/crates/controller/tests/ended_job_cleanup.rs
@@ -0,0 +1,78 @@
+//! Single-task jobs are submitted four a second for a minute, an eighth of them cancelled,
+//! with one failover. Ended jobs must leave only their state records in the store, and the
+//! number of writes and reads is bounded.
+
+mod common;
+
+use common::fleet::Fleet;
+use common::{config_with_team, machine_type};
+use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
+use dillcleat_controller::{MILLISECOND, SECOND};
+use dillcleat_wire::encode;
+use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, poll_path};
+
+const JOB_COUNT: u32 = 240;
+
+fn job_id(n: u32) -> String {
+    format!("req-{n:06}")
+}
+
+#[test]
+fn ended_jobs_leave_only_their_state_records() {
+    let mut fleet = Fleet::new(config_with_team(), vec![machine_type(8.0)]);
+    for name in ["m1", "m2", "m3"] {
+        fleet.machine(name, "a", false);
+    }
+    fleet.pass(8 * SECOND);
+    for n in 0..JOB_COUNT {
+        let spec = JobSpec {
+            team: "t".into(),
+            ..JobSpec::plain(&job_id(n), JobKind::Batch, 1, 1.0)
+        };
+        fleet.runs.insert(job_id(n), 3 * SECOND);
+        assert_eq!(fleet.ask("POST", JOBS_PATH.into(), encode(&spec)), 201);
+        // One job in eight is cancelled at once, and again a second later.
+        let cancelled = match n % 8 {
+            3 => Some(n),
+            7 => Some(n - 4),
+            _ => None,
+        };
+        if let Some(n) = cancelled {
+            assert_eq!(fleet.cancel(&job_id(n)), 200);
+        }
+        if n == JOB_COUNT / 2 {
+            fleet.new_leader();
+        }
+        fleet.pass(250 * MILLISECOND);
+        // Polls are answered during the failover, too.
+        assert_eq!(fleet.ask("GET", poll_path(&job_id(n)), Vec::new()), 200);
+    }
+    fleet.pass(60 * SECOND);
+    for n in 0..JOB_COUNT {
+        let value = fleet
+            .record(&records::job_key(&job_id(n)))
+            .expect("a state record");
+        let record: JobStateRecord =
+            dillcleat_wire::store::decode_value(&value).expect("a state record");
+        assert_ne!(record.state, RecordedState::Open, "{}", job_id(n));
+    }
+    assert_eq!(fleet.keys("j/"), JOB_COUNT as usize);
+    assert_eq!(fleet.keys(records::QUEUE), 0);
+    assert_eq!(fleet.keys(records::TASKS), 0);
+    // All other keys are of machines and of shared records.
+    let other_keys = fleet.keys(records::MACHINES) + fleet.keys(records::SHARED);
+    assert_eq!(fleet.keys(""), JOB_COUNT as usize + other_keys);
+    // Five changes per job: its description, placement and state record are written, and the
+    // first two are deleted. A job that is cancelled before it is placed has a cancellation
+    // record instead of a placement.
+    let job_changes =
+        fleet.changes("j/") + fleet.changes(records::QUEUE) + fleet.changes(records::TASKS);
+    let max_changes = 5 * JOB_COUNT;
+    assert!(
+        job_changes <= max_changes as usize,
+        "{job_changes} changes, at most {max_changes}"
+    );
+    // Polls are answered from the cache.
+    assert!(fleet.reads <= 4, "{} reads", fleet.reads);
+    assert!((0..JOB_COUNT).all(|n| !fleet.node.holds(&job_id(n))));
+}
