--- a/crates/controller/tests/graph.rs
+++ b/crates/controller/tests/dependency_graph.rs
@@ -1,4 +1,4 @@
-//! Which jobs wait for which.
+//! The graph of dependencies among open jobs.
 
 use dillcleat_controller::dependency_graph::DependencyGraph;
 use std::rc::Rc;
@@ -12,38 +12,38 @@
     graph
 }
 
-fn names(mut ids: Vec<Rc<str>>) -> String {
+fn sorted_ids(mut ids: Vec<Rc<str>>) -> String {
     ids.sort();
     ids.join(" ")
 }
 
 #[test]
-fn a_join_is_ready_when_the_last_is_done() {
+fn job_is_ready_when_its_last_dependency_is_done() {
     let mut g = graph(&[("b", "a"), ("c", "a"), ("d", "b"), ("d", "c"), ("d", "b")]);
-    assert_eq!(names(g.transitive_dependents("a")), "b c d");
-    assert_eq!(names(g.job_done("a")), "b c");
-    assert_eq!(names(g.job_done("b")), "");
+    assert_eq!(sorted_ids(g.transitive_dependents("a")), "b c d");
+    assert_eq!(sorted_ids(g.job_done("a")), "b c");
+    assert_eq!(sorted_ids(g.job_done("b")), "");
     assert!(g.is_blocked("d") && !g.is_blocked("b"));
-    assert_eq!(names(g.job_done("c")), "d");
+    assert_eq!(sorted_ids(g.job_done("c")), "d");
     assert!(
         !g.is_blocked("d") && g.blocked_count() == 0 && g.jobs_with_dependents().next().is_none()
     );
 }
 
 #[test]
-fn who_ends_itself_waits_no_more() {
+fn removed_dependent_is_not_released_by_its_dependencies() {
     let mut g = graph(&[("b", "a"), ("c", "a"), ("c", "b")]);
     g.remove_dependencies("c");
     assert!(g.is_consistent());
-    assert_eq!(names(g.transitive_dependents("a")), "b");
+    assert_eq!(sorted_ids(g.transitive_dependents("a")), "b");
     assert!(!g.has_dependents("b"));
-    assert_eq!(names(g.job_done("a")), "b");
+    assert_eq!(sorted_ids(g.job_done("a")), "b");
 }
 
-/// No submission makes one. What is stored must not hang a leader all the same.
+/// No submission can create a cycle, but a stored one must not hang a leader.
 #[test]
-fn a_stored_cycle_ends() {
+fn traversal_of_a_cycle_terminates() {
     let g = graph(&[("a", "c"), ("b", "a"), ("c", "b"), ("d", "d")]);
-    assert_eq!(names(g.transitive_dependents("a")), "a b c");
-    assert_eq!(names(g.transitive_dependents("d")), "d");
+    assert_eq!(sorted_ids(g.transitive_dependents("a")), "a b c");
+    assert_eq!(sorted_ids(g.transitive_dependents("d")), "d");
 }
