--- a/crates/controller/tests/failure_attribution.rs
+++ b/crates/controller/tests/failure_attribution.rs
@@ -1,53 +1,59 @@
-//! Whether an error is put down to the job or to the machine.
+//! Whether a task's failure is attributed to its job or to its machine.
 
 use dillcleat_controller::SECOND;
 use dillcleat_controller::failure_attribution::{FailureRecord, MachineStrikes};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-fn m(i: u32) -> Rc<str> {
+fn machine(i: u32) -> Rc<str> {
     Rc::from(format!("m{i}"))
 }
 
 #[test]
-fn a_broken_job_is_retried_with_one_task_at_growing_intervals() {
+fn job_that_fails_on_several_machines_is_retried_with_one_task_and_backoff() {
     let mut job = FailureRecord::default();
-    assert_eq!(job.record_failure(&m(0), 0), None);
-    assert_eq!(job.record_failure(&m(0), 0), None);
-    assert!(job.may_start(9, false, 0), "one machine may be to blame");
-    assert_eq!(job.record_failure(&m(1), 0), Some(SECOND));
-    // The rest of the array fails as well, which is no news.
-    assert_eq!(job.record_failure(&m(2), SECOND / 2), None);
+    assert_eq!(job.record_failure(&machine(0), 0), None);
+    assert_eq!(job.record_failure(&machine(0), 0), None);
+    assert!(
+        job.may_start(9, false, 0),
+        "the first machine may be faulty"
+    );
+    assert_eq!(job.record_failure(&machine(1), 0), Some(SECOND));
+    // Failures of other tasks during the pause do not prolong it.
+    assert_eq!(job.record_failure(&machine(2), SECOND / 2), None);
     assert!(!job.may_start(0, false, SECOND / 2));
     let mut now = SECOND;
-    let mut tries = 0;
+    let mut attempts = 0;
     while now < 600 * SECOND {
         if job.may_start(0, false, now) {
-            assert!(!job.may_start(1, false, now), "one at a time");
-            tries += 1;
-            job.record_failure(&m(3), now);
+            assert!(!job.may_start(1, false, now), "one task at a time");
+            attempts += 1;
+            job.record_failure(&machine(3), now);
         }
         now += SECOND;
     }
-    assert!((8..18).contains(&tries), "{tries}");
+    assert!((8..18).contains(&attempts), "{attempts}");
 }
 
 #[test]
-fn a_job_that_runs_somewhere_is_not_paused_and_counts_against_the_machine() {
+fn failures_of_a_job_that_has_succeeded_count_against_the_machine() {
     let mut job = FailureRecord::default();
-    job.record_failure(&m(0), 0);
-    job.record_failure(&m(1), 0);
+    job.record_failure(&machine(0), 0);
+    job.record_failure(&machine(1), 0);
     assert!(job.is_suspect());
-    assert_eq!(job.record_success(), BTreeSet::from([m(0), m(1)]));
-    assert_eq!(job.record_failure(&m(2), 0), None);
+    assert_eq!(
+        job.record_success(),
+        BTreeSet::from([machine(0), machine(1)])
+    );
+    assert_eq!(job.record_failure(&machine(2), 0), None);
     assert!(job.may_start(50, false, 0));
-    let mut machine = MachineStrikes::default();
-    machine.add(&Rc::from("job"));
-    machine.add(&Rc::from("job"));
+    let mut strikes = MachineStrikes::default();
+    strikes.add(&Rc::from("job"));
+    strikes.add(&Rc::from("job"));
     assert!(
-        machine.any() && !machine.warrant_cordon(),
-        "one job may be unlucky"
+        strikes.any() && !strikes.warrant_cordon(),
+        "a single job does not warrant a cordon"
     );
-    machine.add(&Rc::from("other"));
-    assert!(machine.warrant_cordon());
+    strikes.add(&Rc::from("other"));
+    assert!(strikes.warrant_cordon());
 }
