--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle_follower.rs
@@ -1,4 +1,4 @@
-//! A follower that nobody asks anything.
+//! Health of a follower without requests.
 
 mod common;
 
@@ -10,17 +10,17 @@
     KeyValue, LeaseId, RangePage, StoreRequest, StoreResponse, WatchBatch, encode_value,
 };
 
-/// Users go where `/up` says 200. A follower whose watch was held for longer
-/// than it takes to be called cut off was in and out of the load balancer.
+/// The load balancer sends requests to nodes whose `/up` returns 200. A watch that is held for
+/// a long time must not make an idle follower unhealthy.
 #[test]
-fn an_idle_follower_stays_healthy() {
+fn idle_follower_stays_healthy() {
     let row = |key: &str, value| KeyValue {
         key: key.into(),
         value,
         version: 1,
         lease: None,
     };
-    let lead = LeaderRecord {
+    let leader = LeaderRecord {
         member: "n1".into(),
         lease: LeaseId(7),
         term: 1,
@@ -29,7 +29,7 @@
         types: Vec::<MachineType>::new(),
     };
     let rows = vec![
-        row(records::LEAD, encode_value(&lead)),
+        row(records::LEAD, encode_value(&leader)),
         row(records::TERM, encode_value(&TermRecord { term: 1 })),
         row(records::TYPES, encode_value(&types)),
     ];
@@ -37,7 +37,7 @@
     let start = 1000 * SECOND;
     let mut watch: Option<(Micros, Input)> = None;
     for at in (start..start + 60 * SECOND).step_by(50 * MILLISECOND as usize) {
-        let beat = Input::Peer {
+        let peer_heartbeat = Input::Peer {
             from: "n1".into(),
             message: Message::Heartbeat {
                 term: 1,
@@ -47,15 +47,15 @@
                 requests_per_s: 0,
             },
         };
-        let health = Input::Request {
+        let health_check = Input::Request {
             id: RequestId(at),
             method: "GET".into(),
             target: "/up".into(),
             body: Vec::new(),
         };
-        let mut inputs = vec![Input::Tick, beat];
+        let mut inputs = vec![Input::Tick, peer_heartbeat];
         if at > start {
-            inputs.insert(0, health);
+            inputs.insert(0, health_check);
         }
         if watch.as_ref().is_some_and(|(due, _)| at >= *due) {
             inputs.extend(watch.take().map(|(_, input)| input));
@@ -77,7 +77,7 @@
                                 revision: 1,
                             })),
                         }),
-                        // Nothing changes: a watch is answered when its time is up.
+                        // Nothing changes, so a watch returns at the end of its hold time.
                         StoreRequest::Watch { hold_ms, .. } => {
                             let reply = Ok(StoreResponse::WatchBatch(WatchBatch {
                                 revision: 1,
@@ -86,7 +86,7 @@
                             let due = at + hold_ms * MILLISECOND;
                             watch = Some((due, Input::Store { id, reply }));
                         }
-                        other => panic!("a follower calls {other:?}"),
+                        other => panic!("unexpected call of a follower: {other:?}"),
                     },
                     _ => {}
                 }
