--- a/crates/controller/tests/golden_answers.rs
+++ b/crates/controller/tests/golden_answers.rs
@@ -1,21 +1,21 @@
-//! The answers to users and workers that are made in the core, as version 84a8104 makes
-//! them.
+//! Golden bytes of answers to users and workers: clients depend on them, so they must not
+//! change.
 
 use dillcleat_controller::Answer;
 use dillcleat_wire::worker::LeaderRedirect;
 
 #[test]
-fn a_refusal_keeps_its_bytes() {
-    let refused = Answer {
+fn error_answer_keeps_its_bytes() {
+    let rejected = Answer {
         status: 404,
         body: b"\x81\xa5error\xabno\x20such\x20job".to_vec(),
         retry_after: None,
     };
-    assert_eq!(Answer::refusal(404, "no such job"), refused);
+    assert_eq!(Answer::refusal(404, "no such job"), rejected);
 }
 
 #[test]
-fn a_refusal_for_now_says_when_to_come_back() {
+fn retry_later_answer_keeps_its_bytes_and_delay() {
     let later = Answer {
         status: 503,
         body: b"\x81\xa5error\xb1too\x20many\x20requests".to_vec(),
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_body_is_a_map_with_text_keys() {
-    let elsewhere = LeaderRedirect {
+fn redirect_to_the_leader_keeps_its_bytes() {
+    let redirect = LeaderRedirect {
         leader: Some("n1".into()),
     };
     let answer = Answer {
@@ -34,5 +34,5 @@
         body: b"\x81\xa5clerk\xa2n1".to_vec(),
         retry_after: None,
     };
-    assert_eq!(Answer::body(421, &elsewhere), answer);
+    assert_eq!(Answer::body(421, &redirect), answer);
 }
