--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -1,4 +1,5 @@
-//! The keys and records in the state service, as version 84a8104 reads and writes them.
+//! Golden bytes of the keys and records in the store. Stored data and other versions depend
+//! on them, so they must not change.
 
 use dillcleat_controller::records::{
     CANCELLED, CancelledJob, DoneTasks, JobStateRecord, LEAD, LeaderRecord, MACHINES,
@@ -13,15 +14,18 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// Asserts that `bytes` are read as `record`.
-fn assert_read<T: DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
+/// Asserts that `bytes` decode to `record`.
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
     let stored: Value = rmpv::decode::read_value(&mut &bytes[..]).expect("a value");
     assert_eq!(decode_value::<T>(&stored).as_ref(), Some(record));
 }
 
-/// Asserts that `bytes` are read as `record`, and that `record` is written as `bytes`.
-fn assert_keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(bytes: &[u8], record: &T) {
-    assert_read(bytes, record);
+/// Asserts that `bytes` decode to `record`, and that `record` encodes to `bytes`.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    bytes: &[u8],
+    record: &T,
+) {
+    assert_decodes(bytes, record);
     let mut written = Vec::new();
     rmpv::encode::write_value(&mut written, &encode_value(record)).expect("written to memory");
     assert_eq!(
@@ -32,7 +36,7 @@
 }
 
 #[test]
-fn every_key_stays_as_it_is() {
+fn keys_and_prefixes_are_unchanged() {
     assert_eq!(
         (SHARED, QUEUE, OPEN, CANCELLED),
         ("s/", "q/", "q/o/", "q/c/")
@@ -46,14 +50,14 @@
 }
 
 #[test]
-fn every_key_of_tasks_stays_as_it_is() {
-    let keeps = |key: &str, span| {
-        assert_eq!(tasks_key("req-1", span), key);
-        assert_eq!(parse_tasks_key(key), Some(("req-1", span)));
+fn task_keys_are_unchanged() {
+    let assert_key = |key: &str, range| {
+        assert_eq!(tasks_key("req-1", range), key);
+        assert_eq!(parse_tasks_key(key), Some(("req-1", range)));
     };
-    keeps("t/req-1/00000", TaskRange::Chunk(0));
-    keeps("t/req-1/00012", TaskRange::Chunk(12));
-    keeps(
+    assert_key("t/req-1/00000", TaskRange::Chunk(0));
+    assert_key("t/req-1/00012", TaskRange::Chunk(12));
+    assert_key(
         "t/req-1/00001/000102-000126",
         TaskRange::Part {
             chunk: 1,
@@ -68,25 +72,25 @@
 }
 
 #[test]
-fn the_leader_keeps_its_bytes() {
-    let lead = LeaderRecord {
+fn leader_record_keeps_its_bytes() {
+    let leader = LeaderRecord {
         member: "n1".into(),
         lease: LeaseId(31),
         term: 7,
     };
-    assert_keeps(b"\x83\xa6member\xa2n1\xa5lease\x1f\xa4term\x07", &lead);
+    assert_round_trip(b"\x83\xa6member\xa2n1\xa5lease\x1f\xa4term\x07", &leader);
 }
 
 #[test]
-fn the_term_keeps_its_bytes() {
-    assert_keeps(
+fn term_record_keeps_its_bytes() {
+    assert_round_trip(
         b"\x81\xa4term\xce\x00\x01\x11\x70",
         &TermRecord { term: 70_000 },
     );
 }
 
 #[test]
-fn machine_types_keep_their_bytes() {
+fn machine_types_record_keeps_its_bytes() {
     let types = MachineTypesRecord {
         types: vec![
             MachineType {
@@ -115,7 +119,7 @@
             },
         ],
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x81\xa5types\x92\x8a\xa4name\xa2g8\xa5vcpus\xcb\x40\x20\x00\x00\x00\x00\x00\x00\
             \xacaccelerators\xcb\x3f\xf0\x00\x00\x00\x00\x00\x00\
@@ -136,6 +140,7 @@
     );
 }
 
+/// A job with every optional field.
 fn full_job() -> JobSpec {
     JobSpec {
         id: "req-412".into(),
@@ -162,7 +167,8 @@
     }
 }
 
-fn plain_service() -> JobSpec {
+/// A service without optional fields.
+fn minimal_service() -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn an_open_job_with_every_field_keeps_its_bytes() {
+fn open_job_with_every_field_keeps_its_bytes() {
     let open = OpenJob {
         spec: full_job(),
         submitted_at_us: 1_700_000_000_000_000,
@@ -183,7 +189,7 @@
         unmarked: true,
         parallelism_limit: Some(12),
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x85\xa4spec\xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
             \xa7binding\xa5batch\xa7urgency\xa4high\xa6leaves\xcc\xc8\
@@ -203,15 +209,15 @@
 }
 
 #[test]
-fn an_open_job_without_optional_fields_keeps_its_bytes() {
+fn open_job_without_optional_fields_keeps_its_bytes() {
     let open = OpenJob {
-        spec: plain_service(),
+        spec: minimal_service(),
         submitted_at_us: 1_700_000_000_000_000,
         chunk: 8,
         unmarked: false,
         parallelism_limit: None,
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x84\xa4spec\xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
             \xa7binding\xa8standing\xa7urgency\xaaproduction\xa6leaves\xcc\xc8\
@@ -226,7 +232,7 @@
             \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\x08\xa8unmarked\xc2",
         &open,
     );
-    assert_read(
+    assert_decodes(
         b"\
             \x83\xa4spec\xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
             \xa7binding\xa8standing\xa7urgency\xaaproduction\xa6leaves\xcc\xc8\
@@ -244,7 +250,7 @@
 }
 
 #[test]
-fn what_an_open_job_claims_is_read_from_its_record() {
+fn open_claim_is_read_from_an_open_jobs_record() {
     let claim = OpenClaim {
         spec: ResourceClaim {
             team: "books".into(),
@@ -252,7 +258,7 @@
             gpus: 1.0,
         },
     };
-    assert_read(
+    assert_decodes(
         b"\
             \x84\xa4spec\xde\x00\x15\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
             \xa7binding\xa5batch\xa7urgency\xa4high\xa6leaves\xcc\xc8\
@@ -271,40 +277,46 @@
 }
 
 #[test]
-fn every_mark_of_a_job_keeps_its_bytes() {
-    let mark = |s| JobStateRecord {
-        state: s,
+fn job_state_records_keep_their_bytes() {
+    let state_record = |state| JobStateRecord {
+        state,
         task_count: 200,
     };
-    assert_keeps(b"\x82\xa1s\xa1o\xa1n\xcc\xc8", &mark(RecordedState::Open));
-    assert_keeps(b"\x82\xa1s\xa1d\xa1n\xcc\xc8", &mark(RecordedState::Done));
-    assert_keeps(
+    assert_round_trip(
+        b"\x82\xa1s\xa1o\xa1n\xcc\xc8",
+        &state_record(RecordedState::Open),
+    );
+    assert_round_trip(
+        b"\x82\xa1s\xa1d\xa1n\xcc\xc8",
+        &state_record(RecordedState::Done),
+    );
+    assert_round_trip(
         b"\x82\xa1s\xa1c\xa1n\xcc\xc8",
-        &mark(RecordedState::Cancelled),
+        &state_record(RecordedState::Cancelled),
     );
 }
 
 #[test]
-fn every_mark_is_shown_to_users_as_before() {
+fn recorded_states_map_to_the_states_shown_to_users() {
     assert_eq!(RecordedState::Open.ended(), None);
     assert_eq!(RecordedState::Done.ended(), Some(JobState::Done));
     assert_eq!(RecordedState::Cancelled.ended(), Some(JobState::Cancelled));
 }
 
 #[test]
-fn a_cancelled_job_keeps_its_bytes() {
+fn cancelled_job_record_keeps_its_bytes() {
     let cancelled = CancelledJob {
         cancelled_at_us: 1_700_000_000_000_000,
     };
-    assert_keeps(
+    assert_round_trip(
         b"\x81\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00",
         &cancelled,
     );
 }
 
-/// All numbers differ, so that none is taken for another.
+/// All numbers differ, so that a swap of two fields is found.
 #[test]
-fn the_tasks_of_a_chunk_keep_their_bytes() {
+fn task_chunk_keeps_its_bytes() {
     let chunk = TaskChunk {
         placed: vec![
             PlacedTask {
@@ -332,7 +344,7 @@
             },
         ],
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x83\xa1p\x92\x94\x03\x02\xa6host-1\xcd\x01\x2c\x94\x04\xce\x00\x01\x11\x70\
             \xa6host-2\x01\xa1w\x91\x92\x05\x06\xa1d\x92\x92\x00\x02\x92\x07\x7f",
@@ -343,22 +355,22 @@
         waiting: Vec::new(),
         done: Vec::new(),
     };
-    assert_keeps(b"\x83\xa1p\x90\xa1w\x90\xa1d\x90", &empty);
+    assert_round_trip(b"\x83\xa1p\x90\xa1w\x90\xa1d\x90", &empty);
 }
 
 #[test]
-fn a_machine_keeps_its_bytes() {
+fn machine_record_keeps_its_bytes() {
     let machine = |spot| MachineRecord {
         addr: "10.1.0.1:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot,
     };
-    assert_keeps(
+    assert_round_trip(
         b"\x84\xa4addr\xad10.1.0.1:9000\xacmachine_type\xa2g8\xa4zone\xa1a\xa4spot\xc3",
         &machine(true),
     );
-    assert_keeps(
+    assert_round_trip(
         b"\x84\xa4addr\xad10.1.0.1:9000\xacmachine_type\xa2g8\xa4zone\xa1a\xa4spot\xc2",
         &machine(false),
     );
