--- a/crates/controller/tests/golden_settings.rs
+++ b/crates/controller/tests/golden_settings.rs
@@ -1,9 +1,10 @@
-//! The operators' settings file with every key, as version 84a8104 reads it.
+//! The operators' settings file with every key, and the defaults. Deployed files depend on
+//! them, so they must not change.
 
 use dillcleat_controller::Tuning;
 
-/// No value is its default, and no two are the same.
-const FULL: &str = "
+/// All values differ from their defaults and from each other.
+const ALL_KEYS_TOML: &str = "
 training_tasks = 11
 training_share = 0.12
 pass_s = 1.3
@@ -23,7 +24,8 @@
 again_s = 0.27
 ";
 
-fn full() -> Tuning {
+/// The settings in `ALL_KEYS_TOML`.
+fn all_keys() -> Tuning {
     Tuning {
         training_tasks: 11,
         training_share: 0.12,
@@ -69,28 +71,30 @@
 
 #[test]
 fn every_key_is_read() {
-    assert_eq!(Tuning::parse(FULL), Ok(full()));
-    let table: toml::Table = toml::from_str(FULL).expect("a table");
-    assert_eq!(Tuning::read(table), Ok(full()));
+    assert_eq!(Tuning::parse(ALL_KEYS_TOML), Ok(all_keys()));
+    let table: toml::Table = toml::from_str(ALL_KEYS_TOML).expect("a table");
+    assert_eq!(Tuning::read(table), Ok(all_keys()));
 }
 
 #[test]
-fn every_key_may_be_missing() {
+fn missing_key_has_its_default() {
     assert_eq!(Tuning::parse(""), Ok(defaults()));
-    let one = Tuning {
+    let one_key = Tuning {
         idle_s: 17.5,
         ..defaults()
     };
-    assert_eq!(Tuning::parse("idle_s = 17.5"), Ok(one));
+    assert_eq!(Tuning::parse("idle_s = 17.5"), Ok(one_key));
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_the_names_of_all() {
+fn unknown_key_is_rejected_with_a_list_of_all_keys() {
     let error = Tuning::parse("colour = 1")
         .expect_err("unknown")
         .to_string();
     assert!(error.contains("unknown field `colour`"), "{error}");
-    let keys = FULL.lines().filter_map(|line| line.split_once(" = "));
+    let keys = ALL_KEYS_TOML
+        .lines()
+        .filter_map(|line| line.split_once(" = "));
     for (key, _) in keys {
         assert!(error.contains(&format!("`{key}`")), "{key}: {error}");
     }
