--- a/crates/controller/tests/rejection_texts.rs
+++ b/crates/controller/tests/rejection_texts.rs
@@ -1,4 +1,4 @@
-//! The texts with which jobs and settings are rejected: users and operators read them.
+//! Error texts of rejected jobs and settings, which are shown to users and operators.
 
 mod common;
 
@@ -8,8 +8,9 @@
 use dillcleat_controller::{Tuning, TuningError};
 use dillcleat_wire::user::JobSpec;
 
-/// The text with which a job is rejected in a team of 4 CPUs, on machines of 8.
-fn rejection(change: fn(&mut JobSpec)) -> Option<String> {
+/// The error text for a job of a team with a quota of 4 CPUs, on machines of 8 CPUs; None if
+/// the job is accepted.
+fn rejection_text(change: fn(&mut JobSpec)) -> Option<String> {
     let mut config = config_with_team();
     for team in &mut config.teams {
         team.cpus_max = 4.0;
@@ -21,30 +22,30 @@
 }
 
 #[test]
-fn a_job_that_can_never_run_is_rejected_with_its_reason() {
-    assert_eq!(rejection(|_| {}), None);
-    let unknown_team = rejection(|spec| spec.team = "nobody".into());
+fn job_that_can_never_run_is_rejected_with_the_reason() {
+    assert_eq!(rejection_text(|_| {}), None);
+    let unknown_team = rejection_text(|spec| spec.team = "nobody".into());
     assert_eq!(unknown_team.as_deref(), Some("unknown team"));
-    let no_machine = rejection(|spec| spec.gpus = 1.0);
+    let no_machine = rejection_text(|spec| spec.gpus = 1.0);
     assert_eq!(
         no_machine.as_deref(),
         Some("a task fits no allowed machine type")
     );
-    let over_limit = rejection(|spec| spec.cpus = 4.5);
+    let over_limit = rejection_text(|spec| spec.cpus = 4.5);
     assert_eq!(
         over_limit.as_deref(),
         Some("the job needs more than its team's limit")
     );
-    let zones = rejection(|spec| (spec.single_zone, spec.spread) = (true, true));
+    let conflicting_zones = rejection_text(|spec| (spec.single_zone, spec.spread) = (true, true));
     assert_eq!(
-        zones.as_deref(),
+        conflicting_zones.as_deref(),
         Some("one zone and a spread over zones exclude each other")
     );
 }
 
 #[test]
-fn a_setting_out_of_range_is_rejected_with_the_range() {
-    let error = Tuning::parse("training_share = 1.5").expect_err("over one");
+fn setting_out_of_range_is_rejected_with_the_range() {
+    let error = Tuning::parse("training_share = 1.5").expect_err("greater than 1");
     assert!(matches!(error, TuningError::OutOfRange { .. }));
     assert_eq!(
         error.to_string(),
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn malformed_settings_are_rejected_in_one_line() {
+fn error_for_malformed_settings_is_one_line() {
     let error = Tuning::parse("idle_s = 'long'\n").expect_err("not a number");
     assert!(matches!(error, TuningError::Malformed(_)));
     assert!(!error.to_string().contains('\n'), "{error}");
