--- a/crates/controller/tests/blind.rs
+++ b/crates/controller/tests/blind.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn reports_are_answered_only_while_a_cancellation_could_still_be_obeyed() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &[]);
     assert_eq!(node.leading(), Some(1));
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A node with the settings of a small deployment.
+//! Node configurations, stored rows and a scripted environment shared by the tests.
 
-// Each test file uses a part of this.
+// Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 pub mod fleet;
-pub mod gap;
+pub mod leader_fixture;
 pub mod users;
 
 use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord};
@@ -53,14 +53,15 @@
 max_connections = 900
 "#;
 
-pub fn node() -> Node {
+/// A node of a three-member cluster whose members are all in zone `a`.
+pub fn single_zone_node() -> Node {
     let platform = PlatformSettings::parse(SETTINGS).expect("good settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
-/// The settings of `node` with a team `t` without a limit.
+/// The configuration of `single_zone_node` with an additional team `t` that has no limits.
 pub fn config_with_team() -> Config {
-    let mut config = node().config().clone();
+    let mut config = single_zone_node().config().clone();
     config.teams.push(Team {
         name: "t".into(),
         cpus: 0.0,
@@ -71,7 +72,7 @@
     config
 }
 
-/// A machine type `t` in zone a with so many CPUs.
+/// A machine type `t` in zone `a` with the given number of CPUs.
 pub fn machine_type(cpus: f64) -> MachineType {
     MachineType {
         name: "t".into(),
@@ -87,8 +88,8 @@
     }
 }
 
-/// Its record.
-pub fn types(cpus: f64) -> KeyValue {
+/// The stored machine type record that holds only `machine_type(cpus)`.
+pub fn machine_types_row(cpus: f64) -> KeyValue {
     let types = vec![machine_type(cpus)];
     KeyValue {
         key: records::TYPES.into(),
@@ -98,112 +99,109 @@
     }
 }
 
-/// The same with a sibling in zone b and one in zone c.
-pub fn node_of_three_zones() -> Node {
+/// A node in zone `a` with one sibling each in zones `b` and `c`.
+pub fn three_zone_node() -> Node {
     let text = include_str!("../../../../deploy/example-node.toml");
     let platform = PlatformSettings::parse(text).expect("good settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
-/// Answers every call but watches, so that the node leads and stays leader.
-/// `machines` are on record in the store.
+/// Passes `input` to the node and answers every call except watches, so that the node is
+/// elected and stays leader. `machines` are the stored machine rows. Returns the status
+/// codes of the answers.
 pub fn step(node: &mut Node, at: Micros, input: Input, machines: &[KeyValue]) -> Vec<u16> {
-    step_and_calls(node, at, input, machines).0
+    step_and_cloud_calls(node, at, input, machines).0
 }
 
-/// The same with the calls to the cloud, which has nothing to rent.
-pub fn step_and_calls(
+/// Like `step`, and also returns the calls to the cloud, which has no capacity.
+pub fn step_and_cloud_calls(
     node: &mut Node,
     at: Micros,
     input: Input,
     machines: &[KeyValue],
 ) -> (Vec<u16>, Vec<CloudRequest>) {
-    step_with(node, at, input, machines, &mut Around::default())
+    step_with(node, at, input, machines, &mut Environment::default())
 }
 
-/// What of its surroundings answers a node.
-pub struct Around {
-    pub state: bool,
-    pub cloud: bool,
-    /// What the cloud says that it rents; in fact it has nothing.
-    pub types: Vec<MachineType>,
-    /// The records of the lead, the term and the machine types.
-    pub shared: Vec<KeyValue>,
-    /// Rows of the queue.
-    pub queue: Vec<KeyValue>,
-    /// Rows of tasks.
-    pub tasks: Vec<KeyValue>,
-    /// A listing of this prefix waits for an answer.
-    pub held: Option<&'static str>,
-    pub listings: Vec<CallId>,
-    /// A record that reads of its key find.
-    pub found: Option<KeyValue>,
-    /// Transactions that compare this key fail for it, and reads of single keys are
-    /// refused. Without it there is no such key.
-    pub conflict: Option<String>,
-    /// What fails beside it.
-    pub fails_too: Option<String>,
-    /// Transactions wait for their answers.
-    pub held_txns: bool,
-    pub txns: Vec<CallId>,
-    /// Renewals of leases wait for their answers.
-    pub held_renewals: bool,
-    pub renewals: Vec<CallId>,
-    /// Transactions that compare this key have no answer.
-    pub lost: Option<&'static str>,
-    /// Reads of single keys that were refused.
-    pub refused: usize,
-    /// For how long leases were made, in milliseconds, by their numbers from 1 on.
-    pub leases: Vec<u64>,
-    /// Leases that were let go.
-    pub let_go: Vec<LeaseId>,
-    /// Transactions that were sent.
-    pub writes: Vec<Transaction>,
-    /// Bodies of the answers that were given.
-    pub bodies: Vec<Vec<u8>>,
-    /// The revision after which the queue was watched last.
-    pub queue_after: Option<u64>,
-    /// Watches that wait for an answer.
-    pub watches: Vec<CallId>,
+/// Determines how calls of a node are answered, and records them.
+pub struct Environment {
+    pub store_up: bool,
+    pub cloud_up: bool,
+    /// The machine types that the cloud offers; every scale-out fails for lack of capacity.
+    pub machine_types: Vec<MachineType>,
+    /// Rows of the leader, the term and the machine types.
+    pub shared_rows: Vec<KeyValue>,
+    pub queue_rows: Vec<KeyValue>,
+    pub task_rows: Vec<KeyValue>,
+    /// Listings of this prefix are not answered but collected in `held_listings`.
+    pub held_listing_prefix: Option<&'static str>,
+    pub held_listings: Vec<CallId>,
+    /// The row that reads of its key return.
+    pub readable_row: Option<KeyValue>,
+    /// Transactions with a precondition on this key fail with a conflict, and reads of
+    /// single keys are refused. If unset, reads of single keys find nothing.
+    pub conflicting_key: Option<String>,
+    /// A further key that such a conflict lists as failed.
+    pub second_conflicting_key: Option<String>,
+    /// Transactions are not answered but collected in `held_transactions`.
+    pub hold_transactions: bool,
+    pub held_transactions: Vec<CallId>,
+    /// Lease renewals are not answered but collected in `held_renewals`.
+    pub hold_renewals: bool,
+    pub held_renewals: Vec<CallId>,
+    /// Transactions with a precondition on this key get no answer.
+    pub unanswered_key: Option<&'static str>,
+    /// Number of reads of single keys that were refused.
+    pub refused_reads: usize,
+    /// TTLs of the granted leases in order of their IDs, which start at 1.
+    pub granted_ttls_ms: Vec<u64>,
+    pub revoked_leases: Vec<LeaseId>,
+    /// The transactions received, except those held or refused.
+    pub transactions: Vec<Transaction>,
+    pub answer_bodies: Vec<Vec<u8>>,
+    /// The revision after which the latest watch of the queue starts.
+    pub queue_watch_revision: Option<u64>,
+    pub open_watches: Vec<CallId>,
 }
 
-impl Default for Around {
+impl Default for Environment {
     fn default() -> Self {
-        Around {
-            state: true,
-            cloud: true,
-            types: Vec::new(),
-            shared: Vec::new(),
-            queue: Vec::new(),
-            tasks: Vec::new(),
-            held: None,
-            listings: Vec::new(),
-            found: None,
-            conflict: None,
-            fails_too: None,
-            held_txns: false,
-            txns: Vec::new(),
-            held_renewals: false,
-            renewals: Vec::new(),
-            lost: None,
-            refused: 0,
-            leases: Vec::new(),
-            let_go: Vec::new(),
-            writes: Vec::new(),
-            bodies: Vec::new(),
-            queue_after: None,
-            watches: Vec::new(),
+        Environment {
+            store_up: true,
+            cloud_up: true,
+            machine_types: Vec::new(),
+            shared_rows: Vec::new(),
+            queue_rows: Vec::new(),
+            task_rows: Vec::new(),
+            held_listing_prefix: None,
+            held_listings: Vec::new(),
+            readable_row: None,
+            conflicting_key: None,
+            second_conflicting_key: None,
+            hold_transactions: false,
+            held_transactions: Vec::new(),
+            hold_renewals: false,
+            held_renewals: Vec::new(),
+            unanswered_key: None,
+            refused_reads: 0,
+            granted_ttls_ms: Vec::new(),
+            revoked_leases: Vec::new(),
+            transactions: Vec::new(),
+            answer_bodies: Vec::new(),
+            queue_watch_revision: None,
+            open_watches: Vec::new(),
         }
     }
 }
 
-/// The same where not everything answers. Calls to the cloud are told of in any case.
+/// Like `step_and_cloud_calls`, with calls answered as `env` says. The returned calls to
+/// the cloud include those that fail.
 pub fn step_with(
     node: &mut Node,
     at: Micros,
     input: Input,
     machines: &[KeyValue],
-    around: &mut Around,
+    env: &mut Environment,
 ) -> (Vec<u16>, Vec<CloudRequest>) {
     let now = Timestamp {
         monotonic: at,
@@ -217,7 +215,7 @@
             match output {
                 Output::Answer { answer, .. } => {
                     statuses.push(answer.status);
-                    around.bodies.push(answer.body);
+                    env.answer_bodies.push(answer.body);
                 }
                 Output::Store {
                     id,
@@ -225,40 +223,42 @@
                     ..
                 } => {
                     if prefix == records::QUEUE {
-                        around.queue_after = Some(after);
+                        env.queue_watch_revision = Some(after);
                     }
-                    around.watches.push(id);
+                    env.open_watches.push(id);
                 }
                 Output::Store {
                     id,
                     call: StoreRequest::List { prefix, .. },
                     ..
-                } if around.held.is_some_and(|held| held == prefix) => around.listings.push(id),
+                } if env.held_listing_prefix.is_some_and(|held| held == prefix) => {
+                    env.held_listings.push(id)
+                }
                 Output::Store {
                     id,
                     call: StoreRequest::RenewLease { .. },
                     ..
-                } if around.held_renewals => around.renewals.push(id),
+                } if env.hold_renewals => env.held_renewals.push(id),
                 Output::Store {
                     id,
                     call: StoreRequest::Transaction(_),
                     ..
-                } if around.held_txns => around.txns.push(id),
+                } if env.hold_transactions => env.held_transactions.push(id),
                 Output::Store {
                     id,
                     call: StoreRequest::Transaction(txn),
                     ..
-                } if around
-                    .lost
+                } if env
+                    .unanswered_key
                     .is_some_and(|k| txn.compare.iter().any(|c| c.key == k)) =>
                 {
-                    around.writes.push(txn);
+                    env.transactions.push(txn);
                     inputs.push(Input::Store {
                         id,
                         reply: Err(CallError::NoAnswer),
                     });
                 }
-                Output::Store { id, .. } if !around.state => inputs.push(Input::Store {
+                Output::Store { id, .. } if !env.store_up => inputs.push(Input::Store {
                     id,
                     reply: Err(CallError::NoAnswer),
                 }),
@@ -267,30 +267,30 @@
                         StoreRequest::List { prefix, .. } => StoreResponse::RangePage(RangePage {
                             rows: match prefix.as_str() {
                                 records::MACHINES => machines.to_vec(),
-                                records::QUEUE => around.queue.clone(),
-                                records::TASKS => around.tasks.clone(),
-                                records::SHARED => around.shared.clone(),
+                                records::QUEUE => env.queue_rows.clone(),
+                                records::TASKS => env.task_rows.clone(),
+                                records::SHARED => env.shared_rows.clone(),
                                 _ => vec![],
                             },
                             more: false,
                             revision: 1,
                         }),
                         StoreRequest::GrantLease { ttl_ms } => {
-                            around.leases.push(ttl_ms);
-                            let lease = LeaseId(around.leases.len() as u64);
+                            env.granted_ttls_ms.push(ttl_ms);
+                            let lease = LeaseId(env.granted_ttls_ms.len() as u64);
                             StoreResponse::Lease { lease }
                         }
                         StoreRequest::Transaction(txn) => {
-                            around.writes.push(txn.clone());
+                            env.transactions.push(txn.clone());
                             let failed = txn.compare.into_iter().map(|c| c.key);
                             match failed
                                 .into_iter()
-                                .find(|k| around.conflict.as_ref() == Some(k))
+                                .find(|k| env.conflicting_key.as_ref() == Some(k))
                             {
                                 Some(key) => StoreResponse::Conflict {
                                     failed: [key]
                                         .into_iter()
-                                        .chain(around.fails_too.clone())
+                                        .chain(env.second_conflicting_key.clone())
                                         .collect(),
                                     revision: 2,
                                 },
@@ -298,23 +298,23 @@
                             }
                         }
                         StoreRequest::Get { key }
-                            if around.found.as_ref().is_some_and(|r| r.key == key) =>
+                            if env.readable_row.as_ref().is_some_and(|r| r.key == key) =>
                         {
-                            match &around.found {
+                            match &env.readable_row {
                                 Some(row) => StoreResponse::Found(row.clone()),
                                 None => StoreResponse::Unavailable,
                             }
                         }
-                        StoreRequest::Get { .. } if around.conflict.is_none() => {
+                        StoreRequest::Get { .. } if env.conflicting_key.is_none() => {
                             StoreResponse::NotFound { revision: 2 }
                         }
                         StoreRequest::Get { .. } => {
-                            around.refused += 1;
+                            env.refused_reads += 1;
                             StoreResponse::Unavailable
                         }
                         StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
                         StoreRequest::RevokeLease { lease } => {
-                            around.let_go.push(lease);
+                            env.revoked_leases.push(lease);
                             StoreResponse::LeaseRenewed
                         }
                         _ => continue,
@@ -326,7 +326,7 @@
                 }
                 Output::Cloud { id, call, .. } => {
                     let reply = match &call {
-                        CloudRequest::Types => CloudResponse::Types(around.types.clone()),
+                        CloudRequest::Types => CloudResponse::Types(env.machine_types.clone()),
                         CloudRequest::ScaleOut(_) => CloudResponse::NoCapacity,
                         CloudRequest::Delete(_) => CloudResponse::Deleted,
                         CloudRequest::List { .. } => CloudResponse::Listed(MachineList {
@@ -335,7 +335,7 @@
                         }),
                     };
                     calls.push(call);
-                    let reply = match around.cloud {
+                    let reply = match env.cloud_up {
                         true => Ok(reply),
                         false => Err(CallError::NotSent),
                     };
@@ -348,7 +348,7 @@
     (statuses, calls)
 }
 
-/// A record as an earlier leader has left it.
+/// A stored row of version 1 that is not bound to a lease.
 pub fn row<T: serde::Serialize>(key: String, record: &T) -> KeyValue {
     KeyValue {
         key,
@@ -358,8 +358,8 @@
     }
 }
 
-/// A machine as an earlier leader has put it on record.
-pub fn recorded(machine: &str, zone: &str) -> KeyValue {
+/// The stored row of an ordinary machine of type `t`.
+pub fn machine_row(machine: &str, zone: &str) -> KeyValue {
     KeyValue {
         key: records::machine_key(machine),
         value: encode_value(&MachineRecord {
@@ -373,8 +373,8 @@
     }
 }
 
-/// The request in which a machine without tasks reports to a leader of term 1.
-pub fn report(machine: &str, zone: &str, seq: u64) -> Input {
+/// A heartbeat of a machine without tasks whose fencing token is term 1.
+pub fn heartbeat_request(machine: &str, zone: &str, sequence: u64) -> Input {
     let report = Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:7".into(),
@@ -382,7 +382,7 @@
         zone: zone.into(),
         spot: false,
         incarnation: 1,
-        sequence: seq,
+        sequence,
         fencing_token: 1,
         interruption_notice_s: None,
         tasks: Vec::new(),
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/users.rs
@@ -121,7 +121,7 @@
             at,
             sent: Vec::new(),
             told: Vec::new(),
-            types: super::types(8.0),
+            types: super::machine_types_row(8.0),
             requests: 0,
         }
     }
--- a/crates/controller/tests/cut_off.rs
+++ b/crates/controller/tests/cut_off.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Around, node_of_three_zones, recorded, report, step_with};
+use common::{Environment, heartbeat_request, machine_row, step_with, three_zone_node};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
@@ -21,7 +21,7 @@
     node: Node,
     rows: Vec<KeyValue>,
     at: Micros,
-    around: Around,
+    env: Environment,
     /// Machines that report.
     heard: fn(usize) -> bool,
     /// Siblings that are heard, and whether the state service answers them.
@@ -31,12 +31,12 @@
 
 impl Day {
     fn new(machines: usize) -> Day {
-        let rows = (0..machines).map(|i| recorded(&format!("m{i:03}"), zone(i)));
+        let rows = (0..machines).map(|i| machine_row(&format!("m{i:03}"), zone(i)));
         Day {
-            node: node_of_three_zones(),
+            node: three_zone_node(),
             rows: rows.collect(),
             at: 0,
-            around: Around::default(),
+            env: Environment::default(),
             heard: |_| true,
             siblings: &[("n1", true), ("n2", true)],
             deletions: Vec::new(),
@@ -45,7 +45,7 @@
 
     fn step(&mut self, input: Input) {
         let now = START + self.at;
-        let (_, calls) = step_with(&mut self.node, now, input, &self.rows, &mut self.around);
+        let (_, calls) = step_with(&mut self.node, now, input, &self.rows, &mut self.env);
         for call in calls {
             if let CloudRequest::Delete(names) = call {
                 self.deletions.push((self.at, names));
@@ -58,12 +58,12 @@
         let end = self.at + time * SECOND;
         while self.at < end {
             self.step(Input::Tick);
-            for id in std::mem::take(&mut self.around.watches) {
+            for id in std::mem::take(&mut self.env.open_watches) {
                 let quiet = WatchBatch {
                     revision: 2,
                     events: Vec::new(),
                 };
-                let reply = match self.around.state {
+                let reply = match self.env.store_up {
                     true => Ok(StoreResponse::WatchBatch(quiet)),
                     false => Err(CallError::NoAnswer),
                 };
@@ -86,7 +86,7 @@
                 let heard = self.heard;
                 for machine in (0..self.rows.len()).filter(|m| heard(*m)) {
                     let seq = self.at / MILLISECOND + 1;
-                    let input = report(&format!("m{machine:03}"), zone(machine), seq);
+                    let input = heartbeat_request(&format!("m{machine:03}"), zone(machine), seq);
                     self.step(input);
                 }
             }
@@ -108,7 +108,7 @@
     assert_eq!(day.pass(8), []);
     day.heard = |m| zone(m) == "a";
     day.siblings = &[];
-    day.around.state = false;
+    day.env.store_up = false;
     assert_eq!(day.node.leading(), Some(1));
     assert_eq!(day.pass(Day::FIRST_MINUTE - 8), []);
     assert_eq!(day.node.leading(), Some(1), "nobody has told it otherwise");
@@ -143,12 +143,12 @@
     assert_eq!(day.pass(8), []);
     day.heard = |m| m >= 8;
     day.siblings = &[("n1", false), ("n2", false)];
-    day.around.state = false;
+    day.env.store_up = false;
     assert_eq!(day.pass(25), []);
     day.heard = |m| m >= 7;
     assert_eq!(day.pass(3), []);
     day.siblings = &[("n1", true), ("n2", true)];
-    day.around.state = true;
+    day.env.store_up = true;
     let told = day.pass(Day::FIRST_MINUTE - 36);
     assert!(told.iter().all(|(_, names)| names.len() <= 5), "{told:?}");
     let mut names: Vec<String> = told.into_iter().flat_map(|(_, names)| names).collect();
@@ -162,13 +162,13 @@
 fn who_is_heard_before_its_deletion_goes_out_stays() {
     let mut day = Day::new(12);
     assert_eq!(day.pass(8), []);
-    day.around.cloud = false;
+    day.env.cloud_up = false;
     day.heard = |m| m > 0;
     let tried = day.pass(20);
     assert!(!tried.is_empty(), "it was to be deleted");
     day.heard = |_| true;
     day.pass(3);
-    day.around.cloud = true;
+    day.env.cloud_up = true;
     assert_eq!(day.pass(Day::FIRST_MINUTE - 31), []);
 }
 
@@ -179,9 +179,9 @@
     let mut day = Day::new(12);
     assert_eq!(day.pass(4), []);
     day.siblings = &[("n1", false), ("n2", false)];
-    day.around.state = false;
+    day.env.store_up = false;
     assert_eq!(day.pass(43), []);
     day.siblings = &[("n1", true), ("n2", true)];
-    day.around.state = true;
+    day.env.store_up = true;
     assert_eq!(day.pass(Day::FIRST_MINUTE - 47), []);
 }
--- a/crates/controller/tests/deaf.rs
+++ b/crates/controller/tests/deaf.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{recorded, report, step};
+use common::{heartbeat_request, machine_row, step};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, SECOND, Timestamp, Tuning, micros,
 };
@@ -28,13 +28,13 @@
 /// having `heard` one report or none, while a sibling that knows of a term says whether
 /// it hears any. `pause` is a gap in its ticks after two seconds.
 fn leads_for(heard: bool, (term, hears): (u64, bool), pause: Micros) -> Micros {
-    let machines: Vec<KeyValue> = (0..3).map(|i| recorded(&format!("m{i}"), "a")).collect();
-    let mut node = common::node();
+    let machines: Vec<KeyValue> = (0..3).map(|i| machine_row(&format!("m{i}"), "a")).collect();
+    let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &machines);
     assert_eq!(node.leading(), Some(1));
     if heard {
-        let input = report("m0", "a", 1);
+        let input = heartbeat_request("m0", "a", 1);
         assert_eq!(step(&mut node, start, input, &machines), [200]);
     }
     let mut led_for = 0;
@@ -78,13 +78,13 @@
 /// past the new leader, until their leases had run out.
 #[test]
 fn workers_are_sent_to_whom_a_sibling_says_leads() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let now = Timestamp {
         monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
     };
     let sent_to = |node: &mut Node| {
-        let out = node.handle(now, report("m0", "a", 1));
+        let out = node.handle(now, heartbeat_request("m0", "a", 1));
         let mut answers = out.into_iter().filter_map(|o| match o {
             Output::Answer { answer, .. } => Some(answer),
             _ => None,
@@ -123,7 +123,7 @@
 
 /// How long a node that no worker reaches takes to be elected beside such a sibling.
 fn elected_after(leads: bool, hears: bool) -> Micros {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     let mut times = (0..10 * SECOND).step_by(100 * MILLISECOND as usize);
     let elected = times.find(|at| {
--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -50,7 +50,7 @@
 /// polls once left nothing for submissions and cancellations.
 #[test]
 fn a_flood_is_refused_at_once_within_the_budget() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let at = 1000 * SECOND;
     // Seven tenths of 200 calls a second, a third of it for this node, of which
     // polls leave half.
@@ -62,7 +62,7 @@
 /// budget it turned most away while its siblings' parts lay idle.
 #[test]
 fn the_budget_goes_where_the_users_are() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let mut at = 1000 * SECOND;
     let beat = |node: &mut Node, at, from: &str, asked| {
         let now = Timestamp {
--- a/crates/controller/tests/idle.rs
+++ b/crates/controller/tests/idle.rs
@@ -33,7 +33,7 @@
         row(records::TERM, encode_value(&TermRecord { term: 1 })),
         row(records::TYPES, encode_value(&types)),
     ];
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     let mut watch: Option<(Micros, Input)> = None;
     for at in (start..start + 60 * SECOND).step_by(50 * MILLISECOND as usize) {
--- a/crates/controller/tests/learned.rs
+++ b/crates/controller/tests/learned.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Around, step_with};
+use common::{Environment, step_with};
 use dillcleat_controller::records::{OpenJob, open_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
@@ -34,7 +34,7 @@
 /// What a leader that is elected `after` it was told so tells of the job, with its
 /// clock at zero: its size, its credit and its samples.
 fn taken_up(told: Estimates, after: Micros) -> (f64, f64, usize) {
-    let mut node: Node = common::node_of_three_zones();
+    let mut node: Node = common::three_zone_node();
     let spec = JobSpec {
         team: "books".into(),
         ..JobSpec::plain("req-1", JobKind::Batch, 50, 2.0)
@@ -46,8 +46,8 @@
         unmarked: true,
         parallelism_limit: None,
     };
-    let mut around = Around::default();
-    around.queue.push(KeyValue {
+    let mut env = Environment::default();
+    env.queue_rows.push(KeyValue {
         key: open_key("req-1"),
         value: encode_value(&open),
         version: 3,
@@ -60,10 +60,10 @@
         START,
         Input::Peer { from, message },
         &[],
-        &mut around,
+        &mut env,
     );
     let at = START + after;
-    step_with(&mut node, at, Input::Tick, &[], &mut around);
+    step_with(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
     let now = Timestamp {
--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/lift.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Around, config_with_team, machine_type, step_with};
+use common::{Environment, config_with_team, machine_type, step_with};
 use dillcleat_controller::config::DeadlineObjective;
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
@@ -49,17 +49,17 @@
     });
     let mut node = Node::new(config);
     let jobs = std::iter::once(stage("first", "req-1")).chain(others);
-    let mut around = Around {
-        types: vec![MachineType {
+    let mut env = Environment {
+        machine_types: vec![MachineType {
             spot_price: Some(0.3),
             ..machine_type(4.0)
         }],
-        queue: jobs.map(open).collect(),
-        ..Around::default()
+        queue_rows: jobs.map(open).collect(),
+        ..Environment::default()
     };
     let mut ticks = (0..6 * SECOND).step_by(100 * MILLISECOND as usize);
     ticks.any(|at| {
-        let (_, calls) = step_with(&mut node, START + at, Input::Tick, &[], &mut around);
+        let (_, calls) = step_with(&mut node, START + at, Input::Tick, &[], &mut env);
         let ordinary = |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(rent) if !rent.spot);
         calls.iter().any(ordinary)
     })
--- a/crates/controller/tests/limits_fall.rs
+++ b/crates/controller/tests/limits_fall.rs
@@ -48,7 +48,7 @@
         // Reports come every two seconds, ticks twenty times in one.
         for n in 0..100 {
             if n % 40 == 0 {
-                led.take(common::report("m", "a", n + 1));
+                led.take(common::heartbeat_request("m", "a", n + 1));
             }
             led.take(Input::Tick);
             led.at += 50 * MILLISECOND;
@@ -76,8 +76,8 @@
             parallelism_limit: None,
         };
         match prefix {
-            records::SHARED => vec![common::types(64.0)],
-            records::MACHINES => vec![common::recorded("m", "a")],
+            records::SHARED => vec![common::machine_types_row(64.0)],
+            records::MACHINES => vec![common::machine_row("m", "a")],
             records::QUEUE => vec![row(records::open_key("req-1"), &job)],
             _ => Vec::new(),
         }
--- a/crates/controller/tests/marks.rs
+++ b/crates/controller/tests/marks.rs
@@ -12,7 +12,7 @@
 /// Polls a fresh node for the job with these records in the store, key to
 /// version and value. Returns the status and state it answers.
 fn poll(store: &BTreeMap<String, (u64, Value)>) -> (u16, Option<JobState>) {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let now = Timestamp {
         monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
--- a/crates/controller/tests/orphans.rs
+++ b/crates/controller/tests/orphans.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Around, config_with_team, machine_type, recorded, row, step_with};
+use common::{Environment, config_with_team, machine_row, machine_type, row, step_with};
 use dillcleat_controller::records::{
     self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
@@ -54,7 +54,7 @@
 
 struct Day {
     node: Node,
-    around: Around,
+    env: Environment,
     rows: Vec<KeyValue>,
     seq: u64,
     /// What machines have seen.
@@ -72,13 +72,13 @@
         };
         Day {
             node: Node::new(config),
-            around: Around {
-                queue,
-                tasks: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
-                types: vec![machine_type(8.0)],
-                ..Around::default()
+            env: Environment {
+                queue_rows: queue,
+                task_rows: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
+                machine_types: vec![machine_type(8.0)],
+                ..Environment::default()
             },
-            rows: vec![recorded("m", "a"), recorded("n", "a")],
+            rows: vec![machine_row("m", "a"), machine_row("n", "a")],
             seq: 0,
             token: 1,
         }
@@ -86,7 +86,7 @@
 
     fn step(&mut self, at: Micros, input: Input) -> Vec<u16> {
         let now = START + at;
-        step_with(&mut self.node, now, input, &self.rows, &mut self.around).0
+        step_with(&mut self.node, now, input, &self.rows, &mut self.env).0
     }
 
     /// Ticks until then, with watches that tell of nothing and a machine that is empty.
@@ -101,7 +101,7 @@
     }
 
     fn watched(&mut self, at: Micros, events: Vec<WatchEvent>) {
-        for id in std::mem::take(&mut self.around.watches) {
+        for id in std::mem::take(&mut self.env.open_watches) {
             let changes = WatchBatch {
                 revision: 3,
                 events: events.clone(),
@@ -144,10 +144,10 @@
             target: HEARTBEAT_PATH.into(),
             body: encode(&report),
         };
-        self.around.bodies.clear();
+        self.env.answer_bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
-                let body = self.around.bodies.pop().expect("an answer");
+                let body = self.env.answer_bodies.pop().expect("an answer");
                 let answer: HeartbeatReply = dillcleat_wire::decode(&body).expect("an answer");
                 Some(answer.commands)
             }
@@ -157,7 +157,7 @@
 
     /// Keys that were dropped.
     fn dropped(&self) -> Vec<&str> {
-        let changes = self.around.writes.iter().flat_map(|t| &t.then);
+        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
         changes
             .filter_map(|c| match c {
                 Mutation::Delete { key } => Some(key.as_str()),
@@ -169,7 +169,7 @@
     /// How many tasks of the job were placed.
     fn placed(&self, id: &str) -> usize {
         let key = records::tasks_key(id, TaskRange::Chunk(0));
-        let changes = self.around.writes.iter().flat_map(|t| &t.then);
+        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
             Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
@@ -190,7 +190,7 @@
     let other_teams = Day::new(teamless, vec![described(JOB, 2)], 1);
     let other_form = Day::new(config_with_team(), vec![undescribed(JOB)], 1);
     let mut other_record = Day::new(config_with_team(), vec![described(JOB, 2)], 1);
-    other_record.around.tasks[0].value = encode_value(&"of a new form");
+    other_record.env.task_rows[0].value = encode_value(&"of a new form");
     for (of, mut day) in [other_teams, other_form, other_record]
         .into_iter()
         .enumerate()
@@ -223,7 +223,7 @@
         Some(RecordedState::Cancelled),
     ] {
         let mut day = Day::new(config_with_team(), Vec::new(), 1);
-        day.around.found = mark.map(|s| {
+        day.env.readable_row = mark.map(|s| {
             row(
                 records::job_key(JOB),
                 &JobStateRecord {
@@ -254,7 +254,7 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    day.around.found = Some(row(records::job_key(JOB), &mark));
+    day.env.readable_row = Some(row(records::job_key(JOB), &mark));
     day.pass(0, 5 * SECOND);
     let key = records::open_key("req-000002");
     assert_eq!(day.dropped(), [key], "it is cancelled with the other");
@@ -266,7 +266,7 @@
 fn a_cancelled_job_that_can_not_be_read_is_stopped() {
     let limit = config_with_team().blind_limit();
     let mut day = Day::new(config_with_team(), vec![undescribed(JOB)], 1);
-    day.around.cloud = false;
+    day.env.cloud_up = false;
     day.pass(0, SECOND);
     let running = Some(TaskState::Running);
     assert_eq!(day.reports(SECOND, "m", running), Some(vec![]));
@@ -317,7 +317,7 @@
         let queue = vec![cancelled.clone(), undescribed(JOB)];
         let mut day = Day::new(config_with_team(), queue, 1);
         if !readable {
-            day.around.tasks[0].value = encode_value(&"of a new form");
+            day.env.task_rows[0].value = encode_value(&"of a new form");
         }
         day.pass(0, SECOND);
         day.token = 0;
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Around, config_with_team, recorded, row, step_with};
+use common::{Environment, config_with_team, machine_row, row, step_with};
 use dillcleat_controller::records::{self, OpenJob, TaskChunk};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
@@ -44,7 +44,7 @@
 }
 
 /// What the beats of half a second tell. The lead is kept, other calls go unanswered.
-fn tells(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<JobProgress> {
+fn tells(node: &mut Node, at: &mut Micros, env: &mut Environment) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -63,7 +63,7 @@
                     ..
                 } => {
                     let reply = Ok(StoreResponse::LeaseRenewed);
-                    step_with(node, *at, Input::Store { id, reply }, &[], around);
+                    step_with(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
             }
@@ -73,7 +73,7 @@
 }
 
 /// A leader of a job with one task, which runs on a machine.
-fn leader() -> (Node, Micros, Around) {
+fn leader() -> (Node, Micros, Environment) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
         spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
@@ -87,23 +87,23 @@
         ..TaskChunk::default()
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
-    let mut around = Around {
-        queue: vec![row(records::open_key(JOB), &open)],
-        tasks: vec![row(tasks, &chunk)],
-        ..Around::default()
+    let mut env = Environment {
+        queue_rows: vec![row(records::open_key(JOB), &open)],
+        task_rows: vec![row(tasks, &chunk)],
+        ..Environment::default()
     };
     step_with(
         &mut node,
         START,
         Input::Tick,
-        &[recorded("m", "a")],
-        &mut around,
+        &[machine_row("m", "a")],
+        &mut env,
     );
     assert_eq!(node.leading(), Some(1));
-    (node, START, around)
+    (node, START, env)
 }
 
-fn reports(node: &mut Node, at: Micros, seq: u64, state: TaskState, around: &mut Around) {
+fn reports(node: &mut Node, at: Micros, seq: u64, state: TaskState, env: &mut Environment) {
     let task = TaskStatus {
         task: format!("{JOB}/0").parse().expect("a task's name"),
         attempt: 1,
@@ -129,28 +129,28 @@
         target: HEARTBEAT_PATH.into(),
         body: encode(&report),
     };
-    step_with(node, at, input, &[], around);
+    step_with(node, at, input, &[], env);
 }
 
 /// Nothing changes while a replica runs: who started later told its user for hours that
 /// none does.
 #[test]
 fn a_controller_that_is_heard_anew_is_told_everything() {
-    let (mut node, mut at, mut around) = leader();
-    reports(&mut node, at, 1, TaskState::Running, &mut around);
+    let (mut node, mut at, mut env) = leader();
+    reports(&mut node, at, 1, TaskState::Running, &mut env);
     let running = [told(JOB, 0, 1)];
-    assert_eq!(tells(&mut node, &mut at, &mut around), running);
+    assert_eq!(tells(&mut node, &mut at, &mut env), running);
     // It is told again until the next pass.
-    while !tells(&mut node, &mut at, &mut around).is_empty() {
+    while !tells(&mut node, &mut at, &mut env).is_empty() {
         assert!(at < START + 3 * SECOND);
     }
     hear(&mut node, at, "n1", beat(1, false));
-    assert_eq!(tells(&mut node, &mut at, &mut around), running);
+    assert_eq!(tells(&mut node, &mut at, &mut env), running);
     hear(&mut node, at, "n1", beat(1, false));
-    assert_eq!(tells(&mut node, &mut at, &mut around), []);
+    assert_eq!(tells(&mut node, &mut at, &mut env), []);
     // Its end is told as well, or nobody else would ever forget it.
-    reports(&mut node, at, 2, TaskState::Exited, &mut around);
-    assert_eq!(tells(&mut node, &mut at, &mut around), [told(JOB, 0, 0)]);
+    reports(&mut node, at, 2, TaskState::Exited, &mut env);
+    assert_eq!(tells(&mut node, &mut at, &mut env), [told(JOB, 0, 0)]);
     assert_eq!(node.progress(JOB), None);
 }
 
@@ -161,19 +161,19 @@
     let mut node = Node::new(config_with_team());
     let others = vec![told(JOB, 0, 3), told("req-2", 1, 1)];
     hear(&mut node, START, "n1", Message::JobProgress(others));
-    let (mut at, mut around) = (START, Around::default());
-    step_with(&mut node, at, Input::Tick, &[], &mut around);
+    let (mut at, mut env) = (START, Environment::default());
+    step_with(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
     // Whoever is heard anew is told nothing either that may be so no more.
     hear(&mut node, at, "n1", beat(1, false));
     while at < START + 9 * SECOND {
-        all.extend(tells(&mut node, &mut at, &mut around));
+        all.extend(tells(&mut node, &mut at, &mut env));
     }
     assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
         hear(&mut node, at, "n1", beat(1, false));
-        let more = tells(&mut node, &mut at, &mut around);
+        let more = tells(&mut node, &mut at, &mut env);
         if !more.is_empty() {
             assert_eq!(more, [told(JOB, 0, 0), told("req-2", 0, 0)]);
             assert_eq!(node.progress(JOB), None);
@@ -195,9 +195,9 @@
     hear(&mut node, START, "n1", one(0, 3));
     assert_eq!(node.progress(JOB), Some((1, 2)));
     // Nor does it for the successor itself.
-    let (mut node, at, mut around) = leader();
-    reports(&mut node, at, 1, TaskState::Running, &mut around);
-    tells(&mut node, &mut at.clone(), &mut around);
+    let (mut node, at, mut env) = leader();
+    reports(&mut node, at, 1, TaskState::Running, &mut env);
+    tells(&mut node, &mut at.clone(), &mut env);
     hear(&mut node, at, "n1", one(0, 0));
     assert_eq!(node.progress(JOB), Some((0, 1)));
 }
--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silence.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{recorded, report, step_and_calls};
+use common::{heartbeat_request, machine_row, step_and_cloud_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::{Message, SilentZone};
 use dillcleat_wire::cloud::CloudRequest;
@@ -19,21 +19,21 @@
 /// alone reports, if `one_reports`.
 fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
     let rows: Vec<KeyValue> = (0..9)
-        .map(|i| recorded(&format!("m{i}"), zone(i)))
+        .map(|i| machine_row(&format!("m{i}"), zone(i)))
         .collect();
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     if let Some(quiet_ms) = quiet_ms {
         let message = Message::SilentZones(vec![SilentZone {
             zone: "cut".into(),
             silent_ms: quiet_ms,
         }]);
         let from = "n1".into();
-        step_and_calls(&mut node, START, Input::Peer { from, message }, &rows);
+        step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
     }
     let mut deleted = Vec::new();
     for at in (0..20 * SECOND).step_by(100 * MILLISECOND as usize) {
         let now = START + at;
-        let (_, calls) = step_and_calls(&mut node, now, Input::Tick, &rows);
+        let (_, calls) = step_and_cloud_calls(&mut node, now, Input::Tick, &rows);
         for call in calls {
             if let CloudRequest::Delete(names) = call {
                 deleted.extend(names.into_iter().map(|name| (name, at)));
@@ -42,8 +42,8 @@
         if at.is_multiple_of(2 * SECOND) {
             for machine in (0..9).filter(|m| *m > 2 || (*m == 0 && one_reports)) {
                 let seq = at / MILLISECOND + 1;
-                let input = report(&format!("m{machine}"), zone(machine), seq);
-                assert_eq!(step_and_calls(&mut node, now, input, &rows).0, [200]);
+                let input = heartbeat_request(&format!("m{machine}"), zone(machine), seq);
+                assert_eq!(step_and_cloud_calls(&mut node, now, input, &rows).0, [200]);
             }
         }
     }
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/slow.rs
@@ -30,7 +30,7 @@
                     StoreRequest::List { .. } => inputs.push(Input::Store {
                         id,
                         reply: Ok(StoreResponse::RangePage(RangePage {
-                            rows: vec![common::types(8.0)],
+                            rows: vec![common::machine_types_row(8.0)],
                             more: false,
                             revision: 1,
                         })),
