--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod fleet;
 pub mod leader_fixture;
-pub mod users;
+pub mod stepped_node;
 
 use dillcleat_controller::records::{self, MachineRecord, MachineTypesRecord};
 use dillcleat_controller::{
--- a/crates/controller/tests/common/users.rs
+++ b/crates/controller/tests/common/stepped_node.rs
@@ -1,5 +1,5 @@
-//! Nodes and a store driven call by call: when a call is carried out and when its answer
-//! comes is up to the test.
+//! A node and an in-memory store. The test decides when each store call is executed and
+//! when its answer arrives.
 
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{
@@ -15,14 +15,15 @@
 use dillcleat_wire::{decode, encode};
 use std::collections::BTreeMap;
 
-/// The state service: what it holds, key to version and value.
+/// A key-value store with compare-and-swap transactions.
 #[derive(Debug, Default)]
-pub struct Store {
+pub struct MemoryStore {
+    /// Version and value by key.
     pub rows: BTreeMap<String, (u64, Value)>,
     revision: u64,
 }
 
-impl Store {
+impl MemoryStore {
     fn row(&self, key: &str) -> Option<KeyValue> {
         let (version, value) = self.rows.get(key)?;
         Some(KeyValue {
@@ -33,7 +34,7 @@
         })
     }
 
-    pub fn carry_out(&mut self, call: &StoreRequest) -> StoreResponse {
+    pub fn execute(&mut self, call: &StoreRequest) -> StoreResponse {
         let revision = self.revision;
         let txn = match call {
             StoreRequest::Get { key } => {
@@ -44,8 +45,8 @@
             other => panic!("unexpected {other:?}"),
         };
         let version = |c: &&Precondition| self.rows.get(&c.key).map_or(0, |(v, _)| *v);
-        let unequal = txn.compare.iter().filter(|c| version(c) != c.version);
-        let failed: Vec<String> = unequal.map(|c| c.key.clone()).collect();
+        let mismatches = txn.compare.iter().filter(|c| version(c) != c.version);
+        let failed: Vec<String> = mismatches.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return StoreResponse::Conflict { failed, revision };
         }
@@ -66,83 +67,85 @@
         }
     }
 
-    /// A job's mark, if it has one.
-    pub fn mark(&self, id: &str) -> Option<RecordedState> {
+    /// The state in the job's state record, if it has one.
+    pub fn recorded_state(&self, id: &str) -> Option<RecordedState> {
         let row = self.row(&records::job_key(id))?;
-        row.decode_value::<JobStateRecord>().map(|mark| mark.state)
+        row.decode_value::<JobStateRecord>()
+            .map(|record| record.state)
     }
 
-    /// What a leader writes once a job's last task is done.
-    pub fn done(&mut self, id: &str) -> StoreResponse {
-        let mark = JobStateRecord {
+    /// Writes what a leader writes once the last task of a job is done.
+    pub fn mark_done(&mut self, id: &str) -> StoreResponse {
+        let record = JobStateRecord {
             state: RecordedState::Done,
             task_count: 2,
         };
         let txn = Transaction::default()
             .compare(records::job_key(id), 0)
-            .put(records::job_key(id), &mark)
+            .put(records::job_key(id), &record)
             .delete(records::open_key(id));
-        self.carry_out(&StoreRequest::Transaction(txn))
+        self.execute(&StoreRequest::Transaction(txn))
     }
 
-    /// What a leader writes once the tasks of a cancelled job are gone.
-    pub fn clear(&mut self, id: &str) {
+    /// Writes what a leader writes once no task of a cancelled job is left.
+    pub fn remove_cancelled(&mut self, id: &str) {
         let txn = Transaction::default()
             .delete(records::open_key(id))
             .delete(records::cancelled_key(id));
-        self.carry_out(&StoreRequest::Transaction(txn));
+        self.execute(&StoreRequest::Transaction(txn));
     }
 }
 
-/// An answer to a user.
+/// An answer to a user request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answered {
+pub struct UserAnswer {
     pub request: u64,
     pub status: u16,
     pub state: Option<JobState>,
 }
 
-/// A node whose calls about jobs wait for the test to carry them out and answer them.
+/// A node whose store calls about jobs stay pending until the test executes and answers
+/// them.
 #[derive(Debug)]
-pub struct Driven {
+pub struct SteppedNode {
     pub node: Node,
-    pub at: Micros,
-    pub sent: Vec<(CallId, StoreRequest)>,
-    pub told: Vec<Answered>,
-    /// The row of machine types that it reads.
-    pub types: KeyValue,
-    requests: u64,
+    pub now: Micros,
+    pub pending_calls: Vec<(CallId, StoreRequest)>,
+    pub answers: Vec<UserAnswer>,
+    /// The row that every listing returns.
+    pub machine_types_row: KeyValue,
+    request_count: u64,
 }
 
-impl Driven {
-    pub fn new(config: Config, at: Micros) -> Driven {
-        Driven {
+impl SteppedNode {
+    pub fn new(config: Config, now: Micros) -> SteppedNode {
+        SteppedNode {
             node: Node::new(config),
-            at,
-            sent: Vec::new(),
-            told: Vec::new(),
-            types: super::machine_types_row(8.0),
-            requests: 0,
+            now,
+            pending_calls: Vec::new(),
+            answers: Vec::new(),
+            machine_types_row: super::machine_types_row(8.0),
+            request_count: 0,
         }
     }
 
-    /// One that has read the machine types.
-    pub fn ready(config: Config, at: Micros) -> Driven {
-        let mut driven = Driven::new(config, at);
-        driven.tick();
-        driven
+    /// A node that has read the machine types.
+    pub fn ready(config: Config, now: Micros) -> SteppedNode {
+        let mut node = SteppedNode::new(config, now);
+        node.tick();
+        node
     }
 
-    pub fn feed(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         let now = Timestamp {
-            monotonic: self.at,
-            wall: self.at,
+            monotonic: self.now,
+            wall: self.now,
         };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for output in self.node.handle(now, input) {
                 match output {
-                    Output::Answer { id, answer } => self.told.push(Answered {
+                    Output::Answer { id, answer } => self.answers.push(UserAnswer {
                         request: id.0,
                         status: answer.status,
                         state: decode::<JobStatus>(&answer.body).ok().map(|s| s.state),
@@ -151,15 +154,15 @@
                         StoreRequest::List { .. } => inputs.push(Input::Store {
                             id,
                             reply: Ok(StoreResponse::RangePage(RangePage {
-                                rows: vec![self.types.clone()],
+                                rows: vec![self.machine_types_row.clone()],
                                 more: false,
                                 revision: 1,
                             })),
                         }),
                         StoreRequest::Get { .. } | StoreRequest::Transaction(_)
-                            if about_a_job(&call) =>
+                            if concerns_a_job(&call) =>
                         {
-                            self.sent.push((id, call));
+                            self.pending_calls.push((id, call));
                         }
                         _ => {}
                     },
@@ -170,18 +173,18 @@
     }
 
     pub fn tick(&mut self) {
-        self.feed(Input::Tick);
+        self.handle(Input::Tick);
     }
 
     pub fn request(&mut self, method: &str, target: String, body: Vec<u8>) -> u64 {
-        self.requests += 1;
-        self.feed(Input::Request {
-            id: RequestId(self.requests),
+        self.request_count += 1;
+        self.handle(Input::Request {
+            id: RequestId(self.request_count),
             method: method.into(),
             target,
             body,
         });
-        self.requests
+        self.request_count
     }
 
     pub fn poll(&mut self, id: &str) -> u64 {
@@ -196,61 +199,61 @@
         self.request("POST", JOBS_PATH.into(), encode(spec))
     }
 
-    /// The oldest call that waits.
-    pub fn take(&mut self) -> (CallId, StoreRequest) {
-        assert!(!self.sent.is_empty(), "no call waits");
-        self.sent.remove(0)
+    /// Removes and returns the oldest pending call.
+    pub fn take_call(&mut self) -> (CallId, StoreRequest) {
+        assert!(!self.pending_calls.is_empty(), "no call is pending");
+        self.pending_calls.remove(0)
     }
 
     pub fn reply(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
-        self.feed(Input::Store { id, reply });
+        self.handle(Input::Store { id, reply });
     }
 
-    /// Carries out the oldest call that waits, and answers it at once.
-    pub fn serve(&mut self, store: &mut Store) {
-        let (id, call) = self.take();
-        self.reply(id, Ok(store.carry_out(&call)));
+    /// Executes the oldest pending call and answers it at once.
+    pub fn execute_next(&mut self, store: &mut MemoryStore) {
+        let (id, call) = self.take_call();
+        self.reply(id, Ok(store.execute(&call)));
     }
 
-    /// The same until none waits.
-    pub fn settle(&mut self, store: &mut Store) {
-        while !self.sent.is_empty() {
-            self.serve(store);
+    /// Executes and answers pending calls until there are none.
+    pub fn execute_all(&mut self, store: &mut MemoryStore) {
+        while !self.pending_calls.is_empty() {
+            self.execute_next(store);
         }
     }
 
-    /// The oldest call that waits is carried out, and its answer is lost.
-    pub fn lose(&mut self, store: &mut Store) {
-        let (id, call) = self.take();
-        store.carry_out(&call);
+    /// Executes the oldest pending call, whose answer is lost.
+    pub fn execute_and_lose_answer(&mut self, store: &mut MemoryStore) {
+        let (id, call) = self.take_call();
+        store.execute(&call);
         self.reply(id, Err(CallError::NoAnswer));
     }
 
-    /// What a request was answered, if it was.
+    /// Status and job state of the answer to a request, or `None` if there is none yet.
     pub fn answer(&self, request: u64) -> Option<(u16, Option<JobState>)> {
-        let mut of = self.told.iter().filter(|a| a.request == request);
-        let answer = of.next().map(|a| (a.status, a.state));
-        assert_eq!(of.next(), None, "answered twice");
+        let mut answers = self.answers.iter().filter(|a| a.request == request);
+        let answer = answers.next().map(|a| (a.status, a.state));
+        assert_eq!(answers.next(), None, "answered twice");
         answer
     }
 }
 
-fn about_a_job(call: &StoreRequest) -> bool {
-    let is = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN);
+fn concerns_a_job(call: &StoreRequest) -> bool {
+    let is_job_key = |key: &str| key.starts_with("j/") || key.starts_with(records::OPEN);
     match call {
-        StoreRequest::Get { key } => is(key),
-        StoreRequest::Transaction(txn) => txn.compare.iter().any(|c| is(&c.key)),
+        StoreRequest::Get { key } => is_job_key(key),
+        StoreRequest::Transaction(txn) => txn.compare.iter().any(|c| is_job_key(&c.key)),
         _ => false,
     }
 }
 
-pub fn spec(id: &str) -> JobSpec {
+pub fn job_spec(id: &str) -> JobSpec {
     JobSpec::plain(id, JobKind::Batch, 2, 1.0)
 }
 
-/// A submission with one field replaced, or left out.
-pub fn with(id: &str, name: &str, field: Option<Value>) -> Vec<u8> {
-    let Value::Map(mut fields) = encode_value(&spec(id)) else {
+/// An encoded submission in which one field is replaced, or removed if `field` is `None`.
+pub fn submission_with_field(id: &str, name: &str, field: Option<Value>) -> Vec<u8> {
+    let Value::Map(mut fields) = encode_value(&job_spec(id)) else {
         panic!("a submission is a map");
     };
     fields.retain(|(key, _)| key.as_str() != Some(name));
