--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! A controller with a store, a cloud and workers around it, small and without chance.
-//! Every worker checks that no task starts while it is on another.
+//! A deterministic simulation of one controller with a store, a cloud and workers. Fails
+//! the test if a task starts while it runs on another worker.
 
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{
@@ -28,15 +28,16 @@
 #[derive(Debug, Default)]
 struct Store {
     rows: BTreeMap<String, KeyValue>,
+    /// Revision, key and event of every mutation.
     events: Vec<(u64, String, WatchEvent)>,
     revision: u64,
 }
 
 impl Store {
-    fn carry_out(&mut self, txn: &Transaction) -> StoreResponse {
+    fn execute(&mut self, txn: &Transaction) -> StoreResponse {
         let version = |c: &&Precondition| self.rows.get(&c.key).map_or(0, |r| r.version);
-        let unequal = txn.compare.iter().filter(|c| version(c) != c.version);
-        let failed: Vec<String> = unequal.map(|c| c.key.clone()).collect();
+        let mismatches = txn.compare.iter().filter(|c| version(c) != c.version);
+        let failed: Vec<String> = mismatches.map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return StoreResponse::Conflict {
                 failed,
@@ -44,17 +45,17 @@
             };
         }
         self.revision += 1;
-        for change in &txn.then {
-            self.change(change.clone());
+        for mutation in &txn.then {
+            self.apply(mutation.clone());
         }
         StoreResponse::Committed {
             revision: self.revision,
         }
     }
 
-    fn change(&mut self, change: Mutation) {
+    fn apply(&mut self, mutation: Mutation) {
         let version = self.revision;
-        let (key, event) = match change {
+        let (key, event) = match mutation {
             Mutation::Put { key, value, lease } => {
                 let row = KeyValue {
                     key: key.clone(),
@@ -78,9 +79,9 @@
         self.events.push((version, key, event));
     }
 
-    fn since(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+    fn events_after(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let events = self.events.iter();
-        let new = events.filter(|(at, key, _)| *at > after && key.starts_with(prefix));
+        let new = events.filter(|(revision, key, _)| *revision > after && key.starts_with(prefix));
         new.map(|(_, _, event)| event.clone()).collect()
     }
 }
@@ -88,8 +89,8 @@
 #[derive(Debug, Clone)]
 struct Task {
     state: TaskState,
-    why: Option<ExitReason>,
-    ends: Micros,
+    exit_reason: Option<ExitReason>,
+    ends_at: Micros,
 }
 
 #[derive(Debug)]
@@ -98,34 +99,33 @@
     zone: String,
     spot: bool,
     cpus: f64,
-    /// When it was rented, and when it is up.
-    rented: Micros,
-    up: Micros,
-    pub session: u64,
-    seq: u64,
-    token: u64,
+    rented_at: Micros,
+    up_at: Micros,
+    pub incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     tasks: BTreeMap<(TaskName, u64), Task>,
-    leased_from: Micros,
-    report_at: Micros,
-    /// It reaches no controller; orders reach it.
-    pub mute: bool,
-    /// Answers and orders to it are lost.
-    pub deaf: bool,
-    /// Only orders to it are lost.
-    pub blocked: bool,
-    /// Orders arrive, and their answers come too late.
-    pub slow: bool,
-    /// It does nothing for now, and then goes on.
+    lease_renewed_at: Micros,
+    next_heartbeat_at: Micros,
+    /// Its heartbeats are lost; commands reach it.
+    pub heartbeats_lost: bool,
+    /// Commands to it and the answers to its heartbeats are lost.
+    pub inbound_lost: bool,
+    /// Only commands to it are lost.
+    pub commands_lost: bool,
+    /// Commands are executed, but their answers arrive after the timeout.
+    pub command_answers_late: bool,
+    /// It is suspended; when this is reset it continues with its previous state.
     pub hung: bool,
-    /// Orders that came while it hung.
-    held: Vec<CommandBatch>,
+    /// Commands that arrived while it was suspended.
+    queued_commands: Vec<CommandBatch>,
     /// Every task that starts here fails at once.
     pub faulty: bool,
 }
 
 impl Worker {
-    fn report(&mut self) -> Heartbeat {
-        self.seq += 1;
+    fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self.tasks.iter();
         Heartbeat {
             machine: self.name.clone(),
@@ -133,84 +133,84 @@
             machine_type: "t".into(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             interruption_notice_s: None,
             tasks: tasks
                 .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: t.state,
-                    reason: t.why,
+                    reason: t.exit_reason,
                     checkpoint_saved: None,
                 })
                 .collect(),
         }
     }
 
-    /// A task runs here that nobody placed.
-    pub fn seat(&mut self, task: &str) {
+    /// Adds a running task that no leader has placed.
+    pub fn add_unplaced_task(&mut self, task: &str) {
         let task = task.parse().expect("a task's name");
         let running = Task {
             state: TaskState::Running,
-            why: None,
-            ends: Micros::MAX,
+            exit_reason: None,
+            ends_at: Micros::MAX,
         };
         self.tasks.insert((task, 1), running);
     }
 
-    /// How many tasks run here.
-    pub fn running(&self) -> usize {
+    pub fn running_tasks(&self) -> usize {
         let running = |t: &&Task| t.state == TaskState::Running;
         self.tasks.values().filter(running).count()
     }
 
-    /// Whether a task of the job runs here.
-    pub fn runs(&self, job: &str) -> bool {
+    pub fn runs_job(&self, job: &str) -> bool {
         let running = |t: &Task| t.state == TaskState::Running;
         let mut tasks = self.tasks.iter();
         tasks.any(|((task, _), t)| task.job == job && running(t))
     }
 }
 
-/// A task's start: when, where, which.
-pub type Started = (Micros, String, String);
+/// Time, machine and task name of a task start.
+pub type TaskStart = (Micros, String, String);
 
 pub struct Fleet {
     pub config: Config,
     pub node: Node,
-    pub at: Micros,
+    pub now: Micros,
     pub workers: BTreeMap<String, Worker>,
-    pub starts: Vec<Started>,
-    pub deleted: Vec<(Micros, String)>,
-    /// Tasks that ran on machines as these were deleted.
-    pub killed: Vec<String>,
-    /// No more tasks may run at once.
-    pub limit: usize,
-    /// What the cloud has left to rent, by zone and kind (spot or ordinary).
-    pub stock: BTreeMap<(String, bool), u32>,
-    pub boot: Micros,
-    /// How far behind the list of machines is.
+    pub starts: Vec<TaskStart>,
+    pub deletions: Vec<(Micros, String)>,
+    /// Tasks that were running on machines when these were deleted.
+    pub killed_tasks: Vec<String>,
+    /// The test fails if more tasks than this run at once.
+    pub max_running_tasks: usize,
+    /// Number of machines that can still be rented, by zone and whether they are spot
+    /// machines.
+    pub rentable: BTreeMap<(String, bool), u32>,
+    pub boot_time: Micros,
+    /// Age of the state that the cloud lists.
     pub list_lag: Micros,
-    /// How long answers to transactions and to rentals take.
+    /// Delay of the answers to transactions with mutations and to scale-outs.
     pub write_lag: Micros,
     pub rent_lag: Micros,
-    /// Neither store nor cloud answers.
+    /// Store and cloud refuse every call.
     pub outage: bool,
-    /// Reads of single keys.
-    pub reads: usize,
-    /// The cloud alone does not answer.
-    pub cloud_out: bool,
-    /// How long a task of a job runs.
-    pub runs: BTreeMap<String, Micros>,
-    types: Vec<MachineType>,
+    /// Number of reads of single keys.
+    pub single_key_reads: usize,
+    /// The cloud alone refuses every call.
+    pub cloud_outage: bool,
+    /// Run time of the tasks of a job, by job name; by default they do not end.
+    pub task_durations: BTreeMap<String, Micros>,
+    machine_types: Vec<MachineType>,
     store: Store,
+    /// Call, prefix, start revision and deadline of each open watch.
     watches: Vec<(CallId, String, u64, Micros)>,
-    /// What reaches the node, and when.
-    under_way: Vec<(Micros, Input)>,
-    named: u32,
-    requests: u64,
+    /// Inputs that reach the node at a later time.
+    delayed_inputs: Vec<(Micros, Input)>,
+    last_rented_number: u32,
+    request_count: u64,
 }
 
 impl Fleet {
@@ -219,60 +219,60 @@
         let record = records::MachineTypesRecord {
             types: types.clone(),
         };
-        store.carry_out(&Transaction::default().put(records::TYPES, &record));
+        store.execute(&Transaction::default().put(records::TYPES, &record));
         Fleet {
             node: Node::new(config.clone()),
             config,
-            at: START,
+            now: START,
             workers: BTreeMap::new(),
             starts: Vec::new(),
-            deleted: Vec::new(),
-            killed: Vec::new(),
-            limit: usize::MAX,
-            stock: BTreeMap::new(),
-            boot: 5 * SECOND,
+            deletions: Vec::new(),
+            killed_tasks: Vec::new(),
+            max_running_tasks: usize::MAX,
+            rentable: BTreeMap::new(),
+            boot_time: 5 * SECOND,
             list_lag: 4 * SECOND,
             write_lag: 0,
             rent_lag: 0,
             outage: false,
-            reads: 0,
-            cloud_out: false,
-            runs: BTreeMap::new(),
-            types,
+            single_key_reads: 0,
+            cloud_outage: false,
+            task_durations: BTreeMap::new(),
+            machine_types: types,
             store,
             watches: Vec::new(),
-            under_way: Vec::new(),
-            named: 0,
-            requests: 0,
+            delayed_inputs: Vec::new(),
+            last_rented_number: 0,
+            request_count: 0,
         }
     }
 
     fn cpus(&self) -> f64 {
-        self.types[0].cpus
+        self.machine_types[0].cpus
     }
 
-    /// A machine that is there already.
-    pub fn machine(&mut self, name: &str, zone: &str, spot: bool) -> &mut Worker {
-        let at = self.at;
+    /// Adds a machine that is already up.
+    pub fn add_machine(&mut self, name: &str, zone: &str, spot: bool) -> &mut Worker {
+        let now = self.now;
         let worker = Worker {
             name: name.into(),
             zone: zone.into(),
             spot,
             cpus: self.cpus(),
-            rented: at,
-            up: at,
-            session: 1,
-            seq: 0,
-            token: 0,
+            rented_at: now,
+            up_at: now,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: BTreeMap::new(),
-            leased_from: at,
-            report_at: at,
-            mute: false,
-            deaf: false,
-            blocked: false,
-            slow: false,
+            lease_renewed_at: now,
+            next_heartbeat_at: now,
+            heartbeats_lost: false,
+            inbound_lost: false,
+            commands_lost: false,
+            command_answers_late: false,
             hung: false,
-            held: Vec::new(),
+            queued_commands: Vec::new(),
             faulty: false,
         };
         self.workers.entry(name.into()).or_insert(worker)
@@ -282,47 +282,45 @@
         self.workers.get_mut(name).expect("a machine of this name")
     }
 
-    /// Another node has accepted the job.
+    /// Stores the job as another node does that accepts it.
     pub fn submit(&mut self, spec: JobSpec) {
         let open = OpenJob {
-            submitted_at_us: self.at,
+            submitted_at_us: self.now,
             chunk: 25,
             unmarked: true,
             parallelism_limit: None,
             spec,
         };
         let key = records::open_key(&open.spec.id);
-        self.store
-            .carry_out(&Transaction::default().put(key, &open));
+        self.store.execute(&Transaction::default().put(key, &open));
     }
 
-    /// A user cancels the job here; the answer's status.
+    /// Cancels the job at the node and returns the status code of the answer.
     pub fn cancel(&mut self, id: &str) -> u16 {
-        self.ask("POST", cancel_path(id), Vec::new())
+        self.user_request("POST", cancel_path(id), Vec::new())
     }
 
-    /// What the store holds under a key.
-    pub fn record(&self, key: &str) -> Option<Value> {
+    pub fn stored_value(&self, key: &str) -> Option<Value> {
         self.store.rows.get(key).map(|r| r.value.clone())
     }
 
-    /// Keys in the store that begin so.
-    pub fn keys(&self, prefix: &str) -> usize {
+    /// Number of stored keys with this prefix.
+    pub fn key_count(&self, prefix: &str) -> usize {
         let keys = self.store.rows.keys();
         keys.filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// Changes of such keys since the beginning.
-    pub fn changes(&self, prefix: &str) -> usize {
+    /// Number of mutations of keys with this prefix since the start.
+    pub fn change_count(&self, prefix: &str) -> usize {
         let events = self.store.events.iter();
         events.filter(|(_, key, _)| key.starts_with(prefix)).count()
     }
 
-    /// A request reaches the node; the last of the answers that come at once.
+    /// Passes a request to the node and returns the last of the immediate answers.
     fn request(&mut self, method: &str, target: String, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
-        self.requests += 1;
+        self.request_count += 1;
         let input = Input::Request {
-            id: RequestId(self.requests),
+            id: RequestId(self.request_count),
             method: method.into(),
             target,
             body,
@@ -330,37 +328,37 @@
         self.handle(input).pop()
     }
 
-    /// A user's request at the node; the answer's status.
-    pub fn ask(&mut self, method: &str, target: String, body: Vec<u8>) -> u16 {
+    /// Sends a user request to the node; returns the status code of the answer, or 0 if
+    /// there is no immediate answer.
+    pub fn user_request(&mut self, method: &str, target: String, body: Vec<u8>) -> u16 {
         self.request(method, target, body).map_or(0, |a| a.0)
     }
 
-    /// Sets a record as another node would.
+    /// Writes a record as another node would.
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
-        let change = Mutation::Put {
+        let mutation = Mutation::Put {
             key,
             value: encode_value(record),
             lease: None,
         };
         self.store.revision += 1;
-        self.store.change(change);
+        self.store.apply(mutation);
     }
 
-    /// The controller ends, and one begins anew that knows nothing.
-    pub fn new_leader(&mut self) {
+    /// Replaces the controller by a newly started one.
+    pub fn replace_leader(&mut self) {
         self.node = Node::new(self.config.clone());
         self.watches.clear();
-        self.under_way.clear();
+        self.delayed_inputs.clear();
     }
 
-    /// Machines on which a task of the job runs.
-    pub fn running(&self, job: &str) -> Vec<String> {
-        let workers = self.workers.values().filter(|w| w.runs(job));
+    pub fn machines_running(&self, job: &str) -> Vec<String> {
+        let workers = self.workers.values().filter(|w| w.runs_job(job));
         workers.map(|w| w.name.clone()).collect()
     }
 
-    /// CPUs that tasks take, by the prefix of their jobs' names.
-    pub fn cpus_of(&self, jobs: &[&str]) -> usize {
+    /// CPUs used by the running tasks of these jobs, at one CPU per task.
+    pub fn cpus_used_by(&self, jobs: &[&str]) -> usize {
         let tasks = self.workers.values().flat_map(|w| w.tasks.iter());
         let running = tasks.filter(|(_, t)| t.state == TaskState::Running);
         running
@@ -368,60 +366,61 @@
             .count()
     }
 
-    pub fn starts_of(&self, job: &str) -> Vec<&Started> {
+    pub fn starts_of(&self, job: &str) -> Vec<&TaskStart> {
         let starts = self.starts.iter();
         starts
             .filter(|(_, _, task)| task.starts_with(job))
             .collect()
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, time: Micros) {
-        let end = self.at + time;
-        while self.at < end {
-            self.at += STEP;
-            self.work();
-            self.deliver();
+    /// Advances the simulation by `duration`.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.now += STEP;
+            self.run_workers();
+            self.deliver_delayed_inputs();
             self.handle(Input::Tick);
             self.answer_watches();
-            self.report();
+            self.send_heartbeats();
         }
     }
 
-    /// Leases run out, tasks end, and what was held up is carried out.
-    fn work(&mut self) {
-        let (at, lease) = (self.at, self.config.worker_lease);
+    /// Handles lease expiry and the ends of tasks, and executes the commands that arrived
+    /// while a worker was suspended.
+    fn run_workers(&mut self) {
+        let (now, lease) = (self.now, self.config.worker_lease);
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let w = self.worker(&name);
-            if at > w.leased_from + lease {
+            if now > w.lease_renewed_at + lease {
                 w.tasks.clear();
-                w.session += 1;
-                w.leased_from = at;
-                w.report_at = at;
+                w.incarnation += 1;
+                w.lease_renewed_at = now;
+                w.next_heartbeat_at = now;
             }
-            if w.hung || at < w.up {
+            if w.hung || now < w.up_at {
                 continue;
             }
             for task in w.tasks.values_mut() {
-                if task.state == TaskState::Running && at >= task.ends {
+                if task.state == TaskState::Running && now >= task.ends_at {
                     task.state = TaskState::Exited;
-                    task.why = Some(ExitReason::Done);
-                    w.report_at = w.report_at.min(at + SECOND / 2);
+                    task.exit_reason = Some(ExitReason::Done);
+                    w.next_heartbeat_at = w.next_heartbeat_at.min(now + SECOND / 2);
                 }
             }
-            for orders in std::mem::take(&mut w.held) {
-                self.ordered(&name, &orders);
+            for batch in std::mem::take(&mut w.queued_commands) {
+                self.receive_commands(&name, &batch);
             }
         }
     }
 
-    fn deliver(&mut self) {
-        let at = self.at;
-        let (due, later) = std::mem::take(&mut self.under_way)
+    fn deliver_delayed_inputs(&mut self) {
+        let now = self.now;
+        let (due, later) = std::mem::take(&mut self.delayed_inputs)
             .into_iter()
-            .partition(|(due, _)| *due <= at);
-        self.under_way = later;
+            .partition(|(due, _)| *due <= now);
+        self.delayed_inputs = later;
         let due: Vec<(Micros, Input)> = due;
         for (_, input) in due {
             self.handle(input);
@@ -430,10 +429,10 @@
 
     fn answer_watches(&mut self) {
         let mut due = Vec::new();
-        let (at, out, store) = (self.at, self.outage, &self.store);
+        let (now, outage, store) = (self.now, self.outage, &self.store);
         self.watches.retain(|(id, prefix, after, until)| {
-            let events = store.since(prefix, *after);
-            let answered = !out && (!events.is_empty() || at >= *until);
+            let events = store.events_after(prefix, *after);
+            let answered = !outage && (!events.is_empty() || now >= *until);
             if answered {
                 let revision = store.revision;
                 let reply = Ok(StoreResponse::WatchBatch(WatchBatch { revision, events }));
@@ -446,40 +445,40 @@
         }
     }
 
-    fn report(&mut self) {
+    fn send_heartbeats(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let (at, every) = (self.at, self.config.heartbeat_interval);
+            let (now, interval) = (self.now, self.config.heartbeat_interval);
             let w = self.worker(&name);
-            if w.mute || w.hung || at < w.up || at < w.report_at {
+            if w.heartbeats_lost || w.hung || now < w.up_at || now < w.next_heartbeat_at {
                 continue;
             }
-            w.report_at = at + every;
-            let body = encode(&w.report());
+            w.next_heartbeat_at = now + interval;
+            let body = encode(&w.heartbeat());
             let Some((200, body)) = self.request("POST", HEARTBEAT_PATH.into(), body) else {
                 continue;
             };
-            let answer: HeartbeatReply = decode(&body).expect("an answer to a report");
+            let answer: HeartbeatReply = decode(&body).expect("an answer to a heartbeat");
             let w = self.worker(&name);
-            if w.deaf {
-                // It waits for the answer, and then pauses.
-                w.report_at = at + 5 * SECOND;
+            if w.inbound_lost {
+                // The worker waits for an answer until its timeout, then pauses.
+                w.next_heartbeat_at = now + 5 * SECOND;
                 continue;
             }
-            if answer.fencing_token < w.token {
+            if answer.fencing_token < w.fencing_token {
                 continue;
             }
-            if answer.fencing_token > w.token {
-                w.token = answer.fencing_token;
-                w.report_at = at + SECOND / 2;
+            if answer.fencing_token > w.fencing_token {
+                w.fencing_token = answer.fencing_token;
+                w.next_heartbeat_at = now + SECOND / 2;
             }
-            w.leased_from = at;
-            self.execute(&name, &answer.commands);
+            w.lease_renewed_at = now;
+            self.execute_commands(&name, &answer.commands);
         }
     }
 
-    fn execute(&mut self, name: &str, commands: &[Command]) {
-        let at = self.at;
+    fn execute_commands(&mut self, name: &str, commands: &[Command]) {
+        let now = self.now;
         for command in commands {
             match command {
                 Command::Launch { task, attempt } => {
@@ -487,30 +486,37 @@
                     if self.worker(name).tasks.contains_key(&key) {
                         continue;
                     }
-                    let on = |w: &Worker| {
+                    let runs_task = |w: &Worker| {
                         let mut tasks = w.tasks.iter();
                         tasks.any(|((t, _), s)| t == task && s.state == TaskState::Running)
                     };
-                    let others = self.workers.values().find(|w| on(w));
-                    assert!(others.is_none(), "{task} starts twice, at {at}");
-                    let runs = self.runs.get(&task.job).copied();
-                    let ends = at + runs.unwrap_or(100_000 * SECOND);
+                    let running_on = self.workers.values().find(|w| runs_task(w));
+                    assert!(running_on.is_none(), "{task} starts a second time at {now}");
+                    let duration = self.task_durations.get(&task.job).copied();
+                    let ends_at = now + duration.unwrap_or(100_000 * SECOND);
                     let w = self.worker(name);
                     let faulty = w.faulty;
-                    let task_now = Task {
+                    let new_task = Task {
                         state: match faulty {
                             true => TaskState::Exited,
                             false => TaskState::Running,
                         },
-                        why: faulty.then_some(ExitReason::Error),
-                        ends,
+                        exit_reason: faulty.then_some(ExitReason::Error),
+                        ends_at,
                     };
-                    w.tasks.insert(key, task_now);
-                    w.report_at = w.report_at.min(at + SECOND / 2);
-                    assert!(w.running() as f64 <= w.cpus, "tasks of a CPU each");
-                    self.starts.push((at, name.into(), task.to_string()));
-                    let running = self.workers.values().map(Worker::running).sum::<usize>();
-                    assert!(running <= self.limit, "{running} tasks run, at {at}");
+                    w.tasks.insert(key, new_task);
+                    w.next_heartbeat_at = w.next_heartbeat_at.min(now + SECOND / 2);
+                    assert!(w.running_tasks() as f64 <= w.cpus, "more tasks than CPUs");
+                    self.starts.push((now, name.into(), task.to_string()));
+                    let running = self
+                        .workers
+                        .values()
+                        .map(Worker::running_tasks)
+                        .sum::<usize>();
+                    assert!(
+                        running <= self.max_running_tasks,
+                        "{running} tasks run at {now}"
+                    );
                 }
                 Command::Stop { task, attempt, .. } => {
                     let w = self.worker(name);
@@ -518,8 +524,8 @@
                         && t.state == TaskState::Running
                     {
                         t.state = TaskState::Exited;
-                        t.why = Some(ExitReason::Stopped);
-                        w.report_at = w.report_at.min(at + SECOND / 2);
+                        t.exit_reason = Some(ExitReason::Stopped);
+                        w.next_heartbeat_at = w.next_heartbeat_at.min(now + SECOND / 2);
                     }
                 }
                 Command::Reap { task, attempt } => {
@@ -530,26 +536,26 @@
         }
     }
 
-    /// Orders reach a worker; status and body of its answer.
-    fn ordered(&mut self, name: &str, orders: &CommandBatch) -> (u16, Vec<u8>) {
-        let at = self.at;
+    /// Handles commands at a worker; returns status code and body of its answer.
+    fn receive_commands(&mut self, name: &str, batch: &CommandBatch) -> (u16, Vec<u8>) {
+        let now = self.now;
         let w = self.worker(name);
-        if orders.fencing_token < w.token || orders.incarnation != w.session {
-            return (409, encode(&w.report()));
+        if batch.fencing_token < w.fencing_token || batch.incarnation != w.incarnation {
+            return (409, encode(&w.heartbeat()));
         }
-        if orders.fencing_token > w.token {
-            w.token = orders.fencing_token;
-            w.report_at = w.report_at.min(at + SECOND / 2);
+        if batch.fencing_token > w.fencing_token {
+            w.fencing_token = batch.fencing_token;
+            w.next_heartbeat_at = w.next_heartbeat_at.min(now + SECOND / 2);
         }
-        self.execute(name, &orders.commands);
-        (200, encode(&self.worker(name).report()))
+        self.execute_commands(name, &batch.commands);
+        (200, encode(&self.worker(name).heartbeat()))
     }
 
-    /// The node takes an input and all that is answered at once; the answers it gives.
+    /// Passes an input to the node, answers its calls, and returns its answers to requests.
     fn handle(&mut self, input: Input) -> Vec<(u16, Vec<u8>)> {
         let now = Timestamp {
-            monotonic: self.at,
-            wall: self.at,
+            monotonic: self.now,
+            wall: self.now,
         };
         let mut answers = Vec::new();
         let mut inputs = vec![input];
@@ -557,36 +563,36 @@
             for output in self.node.handle(now, input) {
                 match output {
                     Output::Answer { answer, .. } => answers.push((answer.status, answer.body)),
-                    Output::Store { id, call, .. } => inputs.extend(self.state(id, &call)),
-                    Output::Cloud { id, call, .. } => inputs.extend(self.cloud(id, call)),
+                    Output::Store { id, call, .. } => inputs.extend(self.store_call(id, &call)),
+                    Output::Cloud { id, call, .. } => inputs.extend(self.cloud_call(id, call)),
                     Output::Commands {
                         id,
                         addr,
-                        commands: orders,
+                        commands,
                         timeout,
                     } => {
                         let name = addr.trim_end_matches(":9000").to_string();
                         let Some(w) = self.workers.get_mut(&name) else {
                             let reply = Err(CallError::NoAnswer);
-                            self.under_way
-                                .push((self.at + timeout, Input::Commands { id, reply }));
+                            self.delayed_inputs
+                                .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         };
-                        if w.deaf || w.blocked || w.hung || self.at < w.up {
-                            if w.hung && !w.deaf && !w.blocked {
-                                w.held.push(orders);
+                        if w.inbound_lost || w.commands_lost || w.hung || self.now < w.up_at {
+                            if w.hung && !w.inbound_lost && !w.commands_lost {
+                                w.queued_commands.push(commands);
                             }
                             let reply = Err(CallError::NoAnswer);
-                            self.under_way
-                                .push((self.at + timeout, Input::Commands { id, reply }));
+                            self.delayed_inputs
+                                .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         }
-                        let slow = w.slow;
-                        let answer = self.ordered(&name, &orders);
-                        if slow {
+                        let answers_late = w.command_answers_late;
+                        let answer = self.receive_commands(&name, &commands);
+                        if answers_late {
                             let reply = Err(CallError::NoAnswer);
-                            self.under_way
-                                .push((self.at + timeout, Input::Commands { id, reply }));
+                            self.delayed_inputs
+                                .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         }
                         let reply = Ok(answer);
@@ -599,12 +605,12 @@
         answers
     }
 
-    fn state(&mut self, id: CallId, call: &StoreRequest) -> Option<Input> {
+    fn store_call(&mut self, id: CallId, call: &StoreRequest) -> Option<Input> {
         let revision = self.store.revision;
         let prefixed = |prefix: &str| -> Vec<KeyValue> {
             let rows = self.store.rows.values();
-            let of = rows.filter(|r| r.key.starts_with(prefix));
-            of.cloned().collect()
+            let matching = rows.filter(|r| r.key.starts_with(prefix));
+            matching.cloned().collect()
         };
         if let StoreRequest::Watch {
             prefix,
@@ -612,7 +618,7 @@
             hold_ms,
         } = call
         {
-            let until = self.at + hold_ms * MILLISECOND;
+            let until = self.now + hold_ms * MILLISECOND;
             self.watches.push((id, prefix.clone(), *after, until));
             return None;
         }
@@ -620,7 +626,7 @@
             let reply = Ok(StoreResponse::Unavailable);
             return Some(Input::Store { id, reply });
         }
-        self.reads += usize::from(matches!(call, StoreRequest::Get { .. }));
+        self.single_key_reads += usize::from(matches!(call, StoreRequest::Get { .. }));
         let reply = match call {
             StoreRequest::Get { key } => match self.store.rows.get(key) {
                 Some(row) => StoreResponse::Found(row.clone()),
@@ -632,11 +638,11 @@
                 revision,
             }),
             StoreRequest::Transaction(txn) => {
-                let reply = self.store.carry_out(txn);
+                let reply = self.store.execute(txn);
                 if self.write_lag > 0 && !txn.then.is_empty() {
                     let reply = Ok(reply);
                     let input = Input::Store { id, reply };
-                    self.under_way.push((self.at + self.write_lag, input));
+                    self.delayed_inputs.push((self.now + self.write_lag, input));
                     return None;
                 }
                 reply
@@ -645,12 +651,12 @@
                 lease: LeaseId(revision),
             },
             StoreRequest::RevokeLease { lease } => {
-                let bound = |r: &&KeyValue| r.lease == Some(*lease);
-                let rows = self.store.rows.values().filter(bound);
+                let bound_to_lease = |r: &&KeyValue| r.lease == Some(*lease);
+                let rows = self.store.rows.values().filter(bound_to_lease);
                 let keys: Vec<String> = rows.map(|r| r.key.clone()).collect();
                 self.store.revision += 1;
                 for key in keys {
-                    self.store.change(Mutation::Delete { key });
+                    self.store.apply(Mutation::Delete { key });
                 }
                 StoreResponse::LeaseRenewed
             }
@@ -663,17 +669,17 @@
         })
     }
 
-    fn cloud(&mut self, id: CallId, call: CloudRequest) -> Option<Input> {
-        if self.outage || self.cloud_out {
+    fn cloud_call(&mut self, id: CallId, call: CloudRequest) -> Option<Input> {
+        if self.outage || self.cloud_outage {
             let reply = Ok(CloudResponse::Refused { status: 503 });
             return Some(Input::Cloud { id, reply });
         }
         let mut lag = 0;
         let reply = match call {
-            CloudRequest::Types => CloudResponse::Types(self.types.clone()),
-            CloudRequest::ScaleOut(rent) => {
+            CloudRequest::Types => CloudResponse::Types(self.machine_types.clone()),
+            CloudRequest::ScaleOut(request) => {
                 lag = self.rent_lag;
-                self.rent(&rent)
+                self.scale_out(&request)
             }
             CloudRequest::Delete(names) => {
                 for name in names {
@@ -681,47 +687,47 @@
                     let tasks = w.into_iter().flat_map(|w| w.tasks.into_iter());
                     let running = tasks.filter(|(_, t)| t.state == TaskState::Running);
                     let running = running.map(|((task, _), _)| task.to_string());
-                    self.killed.extend(running);
-                    self.deleted.push((self.at, name));
+                    self.killed_tasks.extend(running);
+                    self.deletions.push((self.now, name));
                 }
                 CloudResponse::Deleted
             }
-            CloudRequest::List { .. } => self.list(),
+            CloudRequest::List { .. } => self.list_machines(),
         };
         let input = Input::Cloud {
             id,
             reply: Ok(reply),
         };
         if lag > 0 {
-            self.under_way.push((self.at + lag, input));
+            self.delayed_inputs.push((self.now + lag, input));
             return None;
         }
         Some(input)
     }
 
-    fn rent(&mut self, rent: &ScaleOut) -> CloudResponse {
-        let key = (rent.zone.clone(), rent.spot);
-        let left = self.stock.entry(key).or_default();
-        let count = rent.count.min(*left);
+    fn scale_out(&mut self, request: &ScaleOut) -> CloudResponse {
+        let key = (request.zone.clone(), request.spot);
+        let left = self.rentable.entry(key).or_default();
+        let count = request.count.min(*left);
         *left -= count;
         if count == 0 {
             return CloudResponse::NoCapacity;
         }
-        let up = self.at + self.boot;
+        let up = self.now + self.boot_time;
         let mut names = Vec::new();
         for _ in 0..count {
-            self.named += 1;
-            let name = format!("r{:02}", self.named);
-            let w = self.machine(&name, &rent.zone, rent.spot);
-            (w.up, w.leased_from, w.report_at) = (up, up, up);
+            self.last_rented_number += 1;
+            let name = format!("r{:02}", self.last_rented_number);
+            let w = self.add_machine(&name, &request.zone, request.spot);
+            (w.up_at, w.lease_renewed_at, w.next_heartbeat_at) = (up, up, up);
             names.push(name);
         }
         CloudResponse::ScaledOut(names)
     }
 
-    fn list(&self) -> CloudResponse {
-        let then = self.at.saturating_sub(self.list_lag);
-        let listed = self.workers.values().filter(|w| w.rented <= then);
+    fn list_machines(&self) -> CloudResponse {
+        let as_of = self.now.saturating_sub(self.list_lag);
+        let listed = self.workers.values().filter(|w| w.rented_at <= as_of);
         let machines = listed
             .map(|w| ListedMachine {
                 name: w.name.clone(),
@@ -729,11 +735,11 @@
                 machine_type: "t".into(),
                 zone: w.zone.clone(),
                 spot: w.spot,
-                state: match w.up <= then {
+                state: match w.up_at <= as_of {
                     true => InstanceState::Running,
                     false => InstanceState::Booting,
                 },
-                age_s: (then - w.rented) as f64 / SECOND as f64,
+                age_s: (as_of - w.rented_at) as f64 / SECOND as f64,
             })
             .collect();
         CloudResponse::Listed(MachineList {
--- a/crates/controller/tests/flood.rs
+++ b/crates/controller/tests/flood.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, spec};
+use common::stepped_node::{SteppedNode, job_spec};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -106,16 +106,16 @@
 /// A submission that is turned away for want of changes takes no call from the polls.
 #[test]
 fn a_flood_of_submissions_takes_only_what_it_uses() {
-    let mut node = Driven::ready(common::config_with_team(), 1000 * SECOND);
+    let mut node = SteppedNode::ready(common::config_with_team(), 1000 * SECOND);
     for i in 0..1000 {
-        node.submit(&spec(&format!("req-{i}")));
+        node.submit(&job_spec(&format!("req-{i}")));
     }
     // A third of seven tenths of 80 changes a second.
-    assert_eq!(node.sent.len(), 18);
-    node.sent.clear();
+    assert_eq!(node.pending_calls.len(), 18);
+    node.pending_calls.clear();
     for i in 0..1000 {
         node.poll(&format!("req-{i}"));
     }
     // Of 46 calls polls leave half, and 18 are taken.
-    assert_eq!(node.sent.len(), 5);
+    assert_eq!(node.pending_calls.len(), 5);
 }
--- a/crates/controller/tests/lost_answers.rs
+++ b/crates/controller/tests/lost_answers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::{CallError, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JOBS_PATH, JobState};
@@ -14,34 +14,34 @@
 const DONE: (u16, Option<JobState>) = (200, Some(JobState::Done));
 const CANCELLED: (u16, Option<JobState>) = (200, Some(JobState::Cancelled));
 
-fn node() -> Driven {
-    Driven::ready(common::config_with_team(), START)
+fn node() -> SteppedNode {
+    SteppedNode::ready(common::config_with_team(), START)
 }
 
 /// What another node is told that is asked now.
-fn elsewhere(store: &mut Store, ask: fn(&mut Driven) -> u64) -> (u16, Option<JobState>) {
+fn elsewhere(store: &mut MemoryStore, ask: fn(&mut SteppedNode) -> u64) -> (u16, Option<JobState>) {
     let mut other = node();
     let request = ask(&mut other);
-    other.settle(store);
+    other.execute_all(store);
     other.answer(request).expect("an answer")
 }
 
-fn nothing(_: &mut Store) {}
+fn nothing(_: &mut MemoryStore) {}
 
-fn done(store: &mut Store) {
-    store.done(JOB);
+fn done(store: &mut MemoryStore) {
+    store.mark_done(JOB);
 }
 
-fn cancelled(store: &mut Store) {
+fn cancelled(store: &mut MemoryStore) {
     assert_eq!(elsewhere(store, |n| n.cancel(JOB)), CANCELLED);
 }
 
-fn cleared(store: &mut Store) {
+fn cleared(store: &mut MemoryStore) {
     cancelled(store);
-    store.clear(JOB);
+    store.remove_cancelled(JOB);
 }
 
-type Change = fn(&mut Store);
+type Change = fn(&mut MemoryStore);
 
 /// What becomes of the job before the submission is tried again, and what is so.
 const SINCE: [(Change, (u16, Option<JobState>)); 4] = [
@@ -54,13 +54,13 @@
 #[test]
 fn a_submission_tried_again_tells_what_has_become_of_the_job() {
     for (since, now) in SINCE {
-        let (mut node, mut store) = (node(), Store::default());
-        let submission = node.submit(&spec(JOB));
-        node.lose(&mut store);
+        let (mut node, mut store) = (node(), MemoryStore::default());
+        let submission = node.submit(&job_spec(JOB));
+        node.execute_and_lose_answer(&mut store);
         assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), QUEUED);
         since(&mut store);
         let rows = store.rows.clone();
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(submission), Some(now));
         assert_eq!(store.rows, rows, "written twice");
     }
@@ -70,17 +70,17 @@
 /// because the first was slow, is answered after the end was told here.
 #[test]
 fn the_later_answer_of_two_tries_takes_no_end_back() {
-    let (mut node, mut store) = (node(), Store::default());
-    let submission = node.submit(&spec(JOB));
-    let (first, call) = node.take();
-    store.carry_out(&call);
-    node.at += 100 * MILLISECOND;
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    let submission = node.submit(&job_spec(JOB));
+    let (first, call) = node.take_call();
+    store.execute(&call);
+    node.now += 100 * MILLISECOND;
     node.tick();
-    let (second, call) = node.take();
-    let known = store.carry_out(&call);
-    store.done(JOB);
+    let (second, call) = node.take_call();
+    let known = store.execute(&call);
+    store.mark_done(JOB);
     let poll = node.poll(JOB);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(poll), Some(DONE));
     node.reply(first, Err(CallError::NoAnswer));
     assert_eq!(node.answer(submission), None);
@@ -92,37 +92,40 @@
 #[test]
 fn a_cancellation_tried_again_finds_itself_or_the_end() {
     for (clear, known) in [(false, false), (false, true), (true, false), (true, true)] {
-        let (mut node, mut store) = (node(), Store::default());
-        elsewhere(&mut store, |n| n.submit(&spec(JOB)));
+        let (mut node, mut store) = (node(), MemoryStore::default());
+        elsewhere(&mut store, |n| n.submit(&job_spec(JOB)));
         if known {
             node.poll(JOB);
-            node.settle(&mut store);
+            node.execute_all(&mut store);
         }
         let cancellation = node.cancel(JOB);
         if !known {
-            node.serve(&mut store);
+            node.execute_next(&mut store);
         }
-        node.lose(&mut store);
+        node.execute_and_lose_answer(&mut store);
         assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), CANCELLED);
         // Done comes too late.
-        assert!(matches!(store.done(JOB), StoreResponse::Conflict { .. }));
+        assert!(matches!(
+            store.mark_done(JOB),
+            StoreResponse::Conflict { .. }
+        ));
         if clear {
-            store.clear(JOB);
+            store.remove_cancelled(JOB);
         }
         let rows = store.rows.clone();
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(cancellation), Some(CANCELLED));
         assert_eq!(store.rows, rows, "written twice");
     }
     // Its last task ended before the lost try was carried out.
-    let (mut node, mut store) = (node(), Store::default());
-    elsewhere(&mut store, |n| n.submit(&spec(JOB)));
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    elsewhere(&mut store, |n| n.submit(&job_spec(JOB)));
     let cancellation = node.cancel(JOB);
-    node.serve(&mut store);
-    store.done(JOB);
-    node.lose(&mut store);
+    node.execute_next(&mut store);
+    store.mark_done(JOB);
+    node.execute_and_lose_answer(&mut store);
     assert_eq!(elsewhere(&mut store, |n| n.poll(JOB)), DONE);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
 
@@ -130,19 +133,19 @@
 /// the first did not.
 #[test]
 fn what_the_store_calls_malformed_is_refused_only_if_it_is_unknown() {
-    let (mut node, mut store) = (node(), Store::default());
-    let malformed = |node: &mut Driven| {
-        let submission = node.submit(&spec(JOB));
-        let (id, _) = node.take();
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    let malformed = |node: &mut SteppedNode| {
+        let submission = node.submit(&job_spec(JOB));
+        let (id, _) = node.take_call();
         node.reply(id, Ok(StoreResponse::Malformed));
         submission
     };
     let submission = malformed(&mut node);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some((400, None)));
-    elsewhere(&mut store, |n| n.submit(&spec(JOB)));
+    elsewhere(&mut store, |n| n.submit(&job_spec(JOB)));
     let submission = malformed(&mut node);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some(QUEUED));
 }
 
@@ -151,12 +154,12 @@
 #[test]
 fn a_store_out_of_reach_is_not_tried_without_end() {
     let mut node = node();
-    let submission = node.submit(&spec(JOB));
+    let submission = node.submit(&job_spec(JOB));
     let mut tries = 0;
     while node.answer(submission).is_none() {
         tries += 1;
         assert!(tries < 20, "no end of tries");
-        let (id, _) = node.take();
+        let (id, _) = node.take_call();
         node.reply(id, Err(CallError::NotSent));
     }
     assert_eq!(node.answer(submission), Some((503, None)));
@@ -171,23 +174,29 @@
 fn nothing_lost_stays_under_way() {
     let mut config = common::config_with_team();
     (config.state_rps, config.state_write_rps) = (1e6, 1e6);
-    let asking: [fn(&mut Driven, &str) -> u64; 5] = [
-        |n, id| n.submit(&spec(id)),
+    let asking: [fn(&mut SteppedNode, &str) -> u64; 5] = [
+        |n, id| n.submit(&job_spec(id)),
         |n, id| n.poll(id),
         |n, id| n.cancel(id),
-        |n, id| n.request("POST", JOBS_PATH.into(), with(id, "leaves", None)),
         |n, id| {
-            let mut spec = spec(&id.replace("req-1", "req-2"));
+            n.request(
+                "POST",
+                JOBS_PATH.into(),
+                submission_with_field(id, "leaves", None),
+            )
+        },
+        |n, id| {
+            let mut spec = job_spec(&id.replace("req-1", "req-2"));
             spec.depends_on = vec![id.into()];
             n.submit(&spec)
         },
     ];
-    let unknown = Store::default();
-    let mut accepted = Store::default();
-    elsewhere(&mut accepted, |n| n.submit(&spec(JOB)));
-    let mut over = Store::default();
-    elsewhere(&mut over, |n| n.submit(&spec(JOB)));
-    over.done(JOB);
+    let unknown = MemoryStore::default();
+    let mut accepted = MemoryStore::default();
+    elsewhere(&mut accepted, |n| n.submit(&job_spec(JOB)));
+    let mut over = MemoryStore::default();
+    elsewhere(&mut over, |n| n.submit(&job_spec(JOB)));
+    over.mark_done(JOB);
     let stores = [unknown, accepted, over];
     let faults = [
         Err(CallError::NoAnswer),
@@ -197,25 +206,25 @@
     for case in 0..180 {
         let (ask, fault) = (asking[case % 5], &faults[case / 5 % 3]);
         let (job, lost) = (case / 15 % 3, case / 45);
-        let mut node = Driven::ready(config.clone(), START);
+        let mut node = SteppedNode::ready(config.clone(), START);
         for round in 0..260 {
             let id = format!("req-1{round}");
-            let mut store = Store::default();
+            let mut store = MemoryStore::default();
             let rows = stores[job].rows.iter();
             store.rows = rows
                 .map(|(k, row)| (k.replace(JOB, &id), row.clone()))
                 .collect();
             let request = ask(&mut node, &id);
-            let (mut call, until) = (0, node.at + 10 * SECOND);
+            let (mut call, until) = (0, node.now + 10 * SECOND);
             while node.answer(request).is_none() {
-                assert!(node.at < until, "{case}: never answered");
-                node.at += 20 * MILLISECOND;
-                if node.sent.is_empty() {
+                assert!(node.now < until, "{case}: never answered");
+                node.now += 20 * MILLISECOND;
+                if node.pending_calls.is_empty() {
                     node.tick();
                     continue;
                 }
-                let (id, sent) = node.take();
-                let carried_out = store.carry_out(&sent);
+                let (id, sent) = node.take_call();
+                let carried_out = store.execute(&sent);
                 let lost = call == lost;
                 call += 1;
                 node.reply(id, if lost { fault.clone() } else { Ok(carried_out) });
@@ -229,18 +238,18 @@
             );
             let refused = case % 5 == 1 && call > lost;
             assert!(!refused || status == 503, "{case}: {status}");
-            node.told.clear();
+            node.answers.clear();
         }
         // What else is there to do is done, all at once.
-        let mut store = Store::default();
+        let mut store = MemoryStore::default();
         let ids = ["req-1", "req-3", "req-4"];
-        let submissions = ids.map(|id| node.submit(&spec(id)));
-        node.settle(&mut store);
+        let submissions = ids.map(|id| node.submit(&job_spec(id)));
+        node.execute_all(&mut store);
         for submission in submissions {
             assert_eq!(node.answer(submission).map(|a| a.0), Some(201), "{case}");
         }
         let poll = node.poll(JOB);
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(poll), Some(QUEUED), "{case}");
     }
 }
--- a/crates/controller/tests/mute.rs
+++ b/crates/controller/tests/mute.rs
@@ -21,22 +21,22 @@
 /// Two machines with much room, of which the first has all four tasks of a job.
 fn two() -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
-    fleet.machine("m0", "a", false);
+    fleet.add_machine("m0", "a", false);
     fleet.submit(job(1, 4));
-    fleet.pass(5 * SECOND);
-    fleet.machine("m1", "a", false);
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m0"]);
+    fleet.advance(5 * SECOND);
+    fleet.add_machine("m1", "a", false);
+    fleet.advance(5 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
     fleet
 }
 
 /// A job of one task comes each second; when those that started on m0 did, counted from
 /// now, and how many started late or not at all.
 fn stream(fleet: &mut Fleet, seconds: u64) -> (Vec<Micros>, usize) {
-    let from = fleet.at;
+    let from = fleet.now;
     for i in 0..seconds {
         fleet.submit(job(100 + i as u32, 1));
-        fleet.pass(SECOND);
+        fleet.advance(SECOND);
     }
     let there = fleet.starts.iter().filter(|s| s.0 >= from && s.1 == "m0");
     let there = there.map(|s| s.0 - from).collect();
@@ -49,10 +49,10 @@
 
 /// With the other machine gone what ran there runs on m0.
 fn is_used_again(mut fleet: Fleet) {
-    fleet.pass(3 * SECOND);
+    fleet.advance(3 * SECOND);
     fleet.workers.remove("m1");
-    fleet.pass(12 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m0"]);
+    fleet.advance(12 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
 /// Its answers to orders do not renew its lease: whatever is launched there ends with it.
@@ -61,17 +61,17 @@
 fn a_mute_machine_gets_no_new_work_beside_other_room_once_it_is_noticed() {
     for leaders in [1, 2] {
         let mut fleet = two();
-        fleet.worker("m0").mute = true;
+        fleet.worker("m0").heartbeats_lost = true;
         if leaders == 2 {
-            fleet.pass(4 * SECOND);
-            fleet.new_leader();
+            fleet.advance(4 * SECOND);
+            fleet.replace_leader();
         }
         let (there, late) = stream(&mut fleet, 25);
         assert!(there.iter().all(|at| *at < 5 * SECOND), "{there:?}");
         assert_eq!(late, 0);
         // Its lease ended, and with it the first job: that is at work again elsewhere.
-        assert_eq!(fleet.running("req-000001"), ["m1"]);
-        fleet.worker("m0").mute = false;
+        assert_eq!(fleet.machines_running("req-000001"), ["m1"]);
+        fleet.worker("m0").heartbeats_lost = false;
         is_used_again(fleet);
     }
 }
@@ -81,7 +81,7 @@
 fn a_mute_machine_is_used_where_there_is_no_other_room() {
     let mut fleet = two();
     fleet.workers.remove("m1");
-    fleet.worker("m0").mute = true;
+    fleet.worker("m0").heartbeats_lost = true;
     let (there, _) = stream(&mut fleet, 12);
     assert!(there.iter().any(|at| *at > 9 * SECOND), "{there:?}");
 }
@@ -90,13 +90,13 @@
 #[test]
 fn what_a_mute_machine_had_is_placed_again_after_its_lease() {
     let mut fleet = two();
-    fleet.worker("m0").mute = true;
+    fleet.worker("m0").heartbeats_lost = true;
     let lease = fleet.config.worker_lease;
-    fleet.pass(lease - 3 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m0"]);
-    fleet.pass(8 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m1"]);
-    assert_eq!(fleet.deleted, [], "it answers: it is there");
+    fleet.advance(lease - 3 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
+    fleet.advance(8 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m1"]);
+    assert_eq!(fleet.deletions, [], "it answers: it is there");
 }
 
 /// The stop goes straight to it, and its answer is the proof.
@@ -104,17 +104,17 @@
 fn a_mute_machine_ends_what_is_cancelled_and_stays() {
     for before in [0, 5] {
         let mut fleet = two();
-        fleet.worker("m0").mute = true;
-        fleet.pass(before * SECOND);
+        fleet.worker("m0").heartbeats_lost = true;
+        fleet.advance(before * SECOND);
         assert_eq!(fleet.cancel("req-000001"), 200);
-        fleet.pass(2 * SECOND);
-        assert_eq!(fleet.running("req-000001"), Vec::<String>::new());
+        fleet.advance(2 * SECOND);
+        assert_eq!(fleet.machines_running("req-000001"), Vec::<String>::new());
         assert_eq!(
-            fleet.record(&records::open_key("req-000001")),
+            fleet.stored_value(&records::open_key("req-000001")),
             None,
             "cleared"
         );
-        assert_eq!(fleet.deleted, []);
+        assert_eq!(fleet.deletions, []);
     }
 }
 
@@ -123,12 +123,16 @@
 #[test]
 fn a_deaf_machine_gets_no_new_work_once_it_is_noticed() {
     let mut fleet = two();
-    fleet.worker("m0").deaf = true;
-    fleet.pass(8 * SECOND);
+    fleet.worker("m0").inbound_lost = true;
+    fleet.advance(8 * SECOND);
     let (_, late) = stream(&mut fleet, 25);
     assert_eq!(late, 0);
-    assert_eq!(fleet.running("req-000001"), ["m1"], "its lease ended");
-    fleet.worker("m0").deaf = false;
+    assert_eq!(
+        fleet.machines_running("req-000001"),
+        ["m1"],
+        "its lease ended"
+    );
+    fleet.worker("m0").inbound_lost = false;
     is_used_again(fleet);
 }
 
@@ -137,12 +141,17 @@
 #[test]
 fn a_machine_that_only_orders_do_not_reach_is_used_all_the_same() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
-    fleet.machine("m0", "a", false).blocked = true;
+    fleet.add_machine("m0", "a", false).commands_lost = true;
     for number in 1..=5 {
         let spec = job(number, 2);
         fleet.submit(spec.clone());
-        fleet.pass(30 * SECOND);
-        assert_eq!(fleet.running(&spec.id), ["m0"], "{:?}", fleet.starts);
+        fleet.advance(30 * SECOND);
+        assert_eq!(
+            fleet.machines_running(&spec.id),
+            ["m0"],
+            "{:?}",
+            fleet.starts
+        );
     }
 }
 
@@ -150,15 +159,15 @@
 #[test]
 fn a_machine_that_missed_one_order_is_used_again_at_once() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
-    fleet.machine("m0", "a", false).blocked = true;
-    fleet.pass(5 * SECOND);
+    fleet.add_machine("m0", "a", false).commands_lost = true;
+    fleet.advance(5 * SECOND);
     fleet.submit(job(1, 1));
-    fleet.pass(SECOND);
-    fleet.worker("m0").blocked = false;
-    fleet.pass(4 * SECOND);
+    fleet.advance(SECOND);
+    fleet.worker("m0").commands_lost = false;
+    fleet.advance(4 * SECOND);
     fleet.submit(job(2, 1));
-    fleet.pass(SECOND);
-    assert_eq!(fleet.running("req-000002"), ["m0"]);
+    fleet.advance(SECOND);
+    assert_eq!(fleet.machines_running("req-000002"), ["m0"]);
 }
 
 /// It was asked meanwhile and answered, so nobody missed it.
@@ -166,16 +175,16 @@
 fn a_machine_that_was_mute_is_used_again_at_its_first_report() {
     let mut fleet = two();
     // The fuller one is the better place, but for that.
-    fleet.worker("m0").mute = true;
-    fleet.pass(8 * SECOND);
+    fleet.worker("m0").heartbeats_lost = true;
+    fleet.advance(8 * SECOND);
     fleet.submit(job(2, 1));
-    fleet.pass(SECOND);
-    assert_eq!(fleet.running("req-000002"), ["m1"]);
-    fleet.worker("m0").mute = false;
-    fleet.pass(SECOND);
+    fleet.advance(SECOND);
+    assert_eq!(fleet.machines_running("req-000002"), ["m1"]);
+    fleet.worker("m0").heartbeats_lost = false;
+    fleet.advance(SECOND);
     fleet.submit(job(3, 1));
-    fleet.pass(SECOND);
-    assert_eq!(fleet.running("req-000003"), ["m0"]);
+    fleet.advance(SECOND);
+    assert_eq!(fleet.machines_running("req-000003"), ["m0"]);
 }
 
 /// Room behind such a machine serves nobody: another is rented, and nothing there is
@@ -188,21 +197,25 @@
         within: SECOND,
     }];
     let mut fleet = Fleet::new(config, vec![machine_type(4.0)]);
-    fleet.machine("m0", "a", false);
+    fleet.add_machine("m0", "a", false);
     fleet.submit(job(1, 4));
-    fleet.pass(5 * SECOND);
-    fleet.worker("m0").mute = true;
-    fleet.pass(5 * SECOND);
+    fleet.advance(5 * SECOND);
+    fleet.worker("m0").heartbeats_lost = true;
+    fleet.advance(5 * SECOND);
     fleet.submit(JobSpec {
         priority: Priority::High,
         ..JobSpec::plain("req-000002", JobKind::Service, 1, 1.0)
     });
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.worker("m0").running(), 4, "no room is made there");
-    fleet.stock.insert(("a".into(), false), 2);
+    fleet.advance(5 * SECOND);
+    assert_eq!(
+        fleet.worker("m0").running_tasks(),
+        4,
+        "no room is made there"
+    );
+    fleet.rentable.insert(("a".into(), false), 2);
     // Its lease has ended by then, and it stands empty.
-    fleet.pass(30 * SECOND);
-    assert_eq!(fleet.cpus_of(&["req-000001", "req-000002"]), 5);
+    fleet.advance(30 * SECOND);
+    assert_eq!(fleet.cpus_used_by(&["req-000001", "req-000002"]), 5);
 }
 
 /// A session that goes on for longer than a lease has heard something, a new one has not;
@@ -248,22 +261,22 @@
         for way in ["", "ended", "mute", "deaf", "blocked"] {
             let mut fleet = two();
             let m = fleet.worker("m0");
-            (m.hung, m.blocked) = (true, way == "blocked");
-            let cancelled = fleet.at;
+            (m.hung, m.commands_lost) = (true, way == "blocked");
+            let cancelled = fleet.now;
             assert_eq!(fleet.cancel("req-000001"), 200);
-            fleet.pass(SECOND / 5);
+            fleet.advance(SECOND / 5);
             fleet.outage = true;
             if way == "ended" {
-                fleet.new_leader();
+                fleet.replace_leader();
             }
-            fleet.pass(goes_on * SECOND);
+            fleet.advance(goes_on * SECOND);
             let m = fleet.worker("m0");
-            (m.hung, m.mute, m.deaf) = (false, way == "mute", way == "deaf");
+            (m.hung, m.heartbeats_lost, m.inbound_lost) = (false, way == "mute", way == "deaf");
             let end = cancelled + fleet.config.cancel_deadline;
-            while fleet.at < end + 40 * SECOND {
-                fleet.pass(SECOND);
-                let runs = !fleet.running("req-000001").is_empty();
-                let late = fleet.at >= end - SECOND;
+            while fleet.now < end + 40 * SECOND {
+                fleet.advance(SECOND);
+                let runs = !fleet.machines_running("req-000001").is_empty();
+                let late = fleet.now >= end - SECOND;
                 assert!(!runs || !late, "{way:?}, goes on after {goes_on} s");
             }
         }
--- a/crates/controller/tests/odd_requests.rs
+++ b/crates/controller/tests/odd_requests.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::records::{MachineTypesRecord, RecordedState};
 use dillcleat_controller::{CallError, Config, Micros, SECOND, records};
 use dillcleat_wire::store::{StoreRequest, StoreResponse, Value, encode_value};
@@ -24,14 +24,17 @@
 
 /// Submissions that are not in their form, each wrong in one field.
 fn malformed() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = encode_value(&spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&job_spec(JOB)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
     let mut add = |name: &str, field: Option<Value>| {
         let shown = field.as_ref().map_or(String::new(), Value::to_string);
         let shown: String = shown.chars().take(40).collect();
-        all.push((format!("{name} = {shown}"), with(JOB, name, field)));
+        all.push((
+            format!("{name} = {shown}"),
+            submission_with_field(JOB, name, field),
+        ));
     };
     for (name, good) in &fields {
         let name = name.as_str().expect("text");
@@ -87,7 +90,7 @@
 fn unfit() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
     let mut add = |what: &str, change: fn(&mut JobSpec)| {
-        let mut spec = spec(JOB);
+        let mut spec = job_spec(JOB);
         change(&mut spec);
         all.push((what.to_string(), dillcleat_wire::encode(&spec)));
     };
@@ -116,7 +119,7 @@
 /// Submits, and answers every call as told; each answer takes a second. Returns what is
 /// answered.
 fn submit(
-    node: &mut Driven,
+    node: &mut SteppedNode,
     body: &[u8],
     mut reply: impl FnMut(&StoreRequest) -> Result<StoreResponse, CallError>,
 ) -> (u16, Option<JobState>) {
@@ -125,22 +128,22 @@
         if let Some(answer) = node.answer(request) {
             return answer;
         }
-        if node.sent.is_empty() {
+        if node.pending_calls.is_empty() {
             node.tick();
             continue;
         }
-        let (id, call) = node.take();
-        node.at += SECOND;
+        let (id, call) = node.take_call();
+        node.now += SECOND;
         node.reply(id, reply(&call));
     }
     panic!("no answer");
 }
 
 /// Nodes that have just started, and that know the machine types.
-fn nodes() -> [(bool, Driven); 2] {
+fn nodes() -> [(bool, SteppedNode); 2] {
     [
-        (false, Driven::new(config(), START)),
-        (true, Driven::ready(config(), START)),
+        (false, SteppedNode::new(config(), START)),
+        (true, SteppedNode::ready(config(), START)),
     ]
 }
 
@@ -152,8 +155,8 @@
         .flat_map(|(r, all)| all.iter().map(move |b| (*r, b)))
     {
         for (ready, mut node) in nodes() {
-            let mut store = Store::default();
-            let (status, _) = submit(&mut node, body, |call| Ok(store.carry_out(call)));
+            let mut store = MemoryStore::default();
+            let (status, _) = submit(&mut node, body, |call| Ok(store.execute(call)));
             // What fits is yet to be heard of.
             let expected = if ready || refusal == 400 {
                 refusal
@@ -169,22 +172,22 @@
 /// A cloud in trouble that lists no type at all is no reason to refuse every job for good.
 #[test]
 fn an_empty_list_of_types_decides_nothing() {
-    let mut node = Driven::new(config(), START);
-    node.types = common::row(
+    let mut node = SteppedNode::new(config(), START);
+    node.machine_types_row = common::row(
         records::TYPES.into(),
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
-    let good = dillcleat_wire::encode(&spec(JOB));
-    let mut store = Store::default();
-    let (status, _) = submit(&mut node, &good, |call| Ok(store.carry_out(call)));
+    let good = dillcleat_wire::encode(&job_spec(JOB));
+    let mut store = MemoryStore::default();
+    let (status, _) = submit(&mut node, &good, |call| Ok(store.execute(call)));
     assert_eq!(status, 503);
 }
 
 /// Whether the job is known can't be told, and no refusal is right for a known one.
 #[test]
 fn who_is_not_served_refuses_and_accepts_nothing() {
-    let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let good = ("good".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
     let all = [malformed(), unfit(), vec![good]].concat();
     let replies = [
         Ok(StoreResponse::Unavailable),
@@ -205,27 +208,27 @@
 /// Whatever its repetition holds, and at whichever node it arrives.
 #[test]
 fn a_repeated_submission_of_a_known_job_tells_how_it_is() {
-    let good = ("good".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let good = ("good".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
     let all = [malformed(), unfit(), vec![good]].concat();
     let states = [JobState::Queued, JobState::Done, JobState::Cancelled];
     for (what, body) in &all {
         for state in states {
-            let mut store = Store::default();
-            let mut other = Driven::ready(config(), START);
-            other.submit(&spec(JOB));
-            other.settle(&mut store);
+            let mut store = MemoryStore::default();
+            let mut other = SteppedNode::ready(config(), START);
+            other.submit(&job_spec(JOB));
+            other.execute_all(&mut store);
             match state {
                 JobState::Done => {
-                    store.done(JOB);
+                    store.mark_done(JOB);
                 }
                 JobState::Cancelled => {
                     other.cancel(JOB);
-                    other.settle(&mut store);
+                    other.execute_all(&mut store);
                 }
                 _ => {}
             }
             for (ready, mut node) in nodes() {
-                let answer = submit(&mut node, body, |call| Ok(store.carry_out(call)));
+                let answer = submit(&mut node, body, |call| Ok(store.execute(call)));
                 assert_eq!(answer, (200, Some(state)), "{what}, ready: {ready}");
             }
         }
@@ -235,11 +238,11 @@
 /// That an end is known needs no store: such a node tells it all the same.
 #[test]
 fn a_cancellation_of_what_is_over_or_never_was() {
-    let mut store = Store::default();
-    let mut node = Driven::ready(config(), START);
-    let mut ask = |store: &mut Store, id: &str| {
+    let mut store = MemoryStore::default();
+    let mut node = SteppedNode::ready(config(), START);
+    let mut ask = |store: &mut MemoryStore, id: &str| {
         let request = node.cancel(id);
-        node.settle(store);
+        node.execute_all(store);
         node.answer(request)
     };
     assert_eq!(ask(&mut store, JOB), Some((404, None)));
@@ -247,14 +250,14 @@
         assert_eq!(ask(&mut store, form), Some((404, None)), "{form}");
     }
     assert!(store.rows.is_empty());
-    let mut other = Driven::ready(config(), START);
-    other.submit(&spec(JOB));
-    other.settle(&mut store);
-    store.done(JOB);
+    let mut other = SteppedNode::ready(config(), START);
+    other.submit(&job_spec(JOB));
+    other.execute_all(&mut store);
+    store.mark_done(JOB);
     for _ in 0..2 {
         assert_eq!(ask(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
-    assert_eq!(store.mark(JOB), Some(RecordedState::Done));
+    assert_eq!(store.recorded_state(JOB), Some(RecordedState::Done));
     let request = node.cancel(JOB);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/controller/tests/rejection_texts.rs
+++ b/crates/controller/tests/rejection_texts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::users::spec;
+use common::stepped_node::job_spec;
 use common::{config_with_team, machine_type};
 use dillcleat_controller::admission::check_schedulable;
 use dillcleat_controller::{Tuning, TuningError};
@@ -14,7 +14,7 @@
     for team in &mut config.teams {
         team.cpus_max = 4.0;
     }
-    let mut spec = spec("req-1");
+    let mut spec = job_spec("req-1");
     change(&mut spec);
     let checked = check_schedulable(&config, &[machine_type(8.0)], &spec);
     checked.err().map(|error| error.to_string())
--- a/crates/controller/tests/seeded_answers.rs
+++ b/crates/controller/tests/seeded_answers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::records::{self, RecordedState};
 use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::store::{StoreRequest, StoreResponse, Value};
@@ -73,8 +73,8 @@
     /// Nodes have room for so few jobs only: what they once told they have to read again.
     room: Option<u8>,
     at: Micros,
-    store: Store,
-    nodes: Vec<(Driven, u32)>,
+    store: MemoryStore,
+    nodes: Vec<(SteppedNode, u32)>,
     calls: Vec<Call>,
     /// Calls that were given up and may yet be carried out.
     late: Vec<StoreRequest>,
@@ -104,9 +104,9 @@
             rng: Rng::with_seed(seed),
             room,
             at,
-            store: Store::default(),
+            store: MemoryStore::default(),
             nodes: (0..3)
-                .map(|_| (Driven::ready(config(room), at), 0))
+                .map(|_| (SteppedNode::ready(config(room), at), 0))
                 .collect(),
             calls: Vec::new(),
             late: Vec::new(),
@@ -125,14 +125,14 @@
         let (kind, request) = match self.rng.u32(..16) {
             0..7 => (Kind::Poll, node.poll(job)),
             7..10 => (Kind::Cancel, node.cancel(job)),
-            10..13 => (Kind::Submit, node.submit(&spec(job))),
+            10..13 => (Kind::Submit, node.submit(&job_spec(job))),
             13 | 14 => {
-                let body = with(job, "leaves", Some(Value::from(0)));
+                let body = submission_with_field(job, "leaves", Some(Value::from(0)));
                 (Kind::Bad, node.request("POST", JOBS_PATH.into(), body))
             }
             _ => {
                 let other = JOBS[self.rng.usize(..JOBS.len())];
-                let mut spec = spec(job);
+                let mut spec = job_spec(job);
                 spec.depends_on = vec![other.into()];
                 let told = self.told.get(other).copied().unwrap_or_default();
                 (Kind::After(told), node.submit(&spec))
@@ -150,7 +150,7 @@
         for n in 0..self.nodes.len() {
             let (node, start) = &mut self.nodes[n];
             let (node_and_start, start) = ((n, *start), *start);
-            for (id, call) in std::mem::take(&mut node.sent) {
+            for (id, call) in std::mem::take(&mut node.pending_calls) {
                 let node = node_and_start;
                 let reply = None;
                 self.calls.push(Call {
@@ -160,7 +160,7 @@
                     reply,
                 });
             }
-            for a in std::mem::take(&mut node.told) {
+            for a in std::mem::take(&mut node.answers) {
                 let asked = self.requests.remove(&(n, start, a.request));
                 let asked = asked.expect("answered once");
                 self.judge((n, start), &asked, a.status, a.state);
@@ -200,7 +200,10 @@
         }
         assert!(self.submitted.contains(job), "{job}: invented");
         if let Known::Ended(state) = now {
-            let mark = self.store.mark(job).and_then(RecordedState::ended);
+            let mark = self
+                .store
+                .recorded_state(job)
+                .and_then(RecordedState::ended);
             assert_eq!(mark, Some(state), "{asked:?}");
         }
         let ended = matches!(now, Known::Ended(_));
@@ -243,7 +246,7 @@
     fn carry_out(&mut self, i: usize) {
         let call = &mut self.calls[i];
         if call.reply.is_none() {
-            call.reply = Some(self.store.carry_out(&call.call));
+            call.reply = Some(self.store.execute(&call.call));
         }
     }
 
@@ -251,11 +254,11 @@
     fn lead(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
         let described = self.store.rows.contains_key(&records::open_key(job));
-        match self.store.mark(job) {
+        match self.store.recorded_state(job) {
             None if described => {
-                self.store.done(job);
+                self.store.mark_done(job);
             }
-            Some(RecordedState::Cancelled) => self.store.clear(job),
+            Some(RecordedState::Cancelled) => self.store.remove_cancelled(job),
             _ => {}
         }
     }
@@ -266,17 +269,17 @@
             0..25 => self.ask(n),
             25..40 => {
                 self.at += self.rng.u64(..40) * MILLISECOND;
-                self.nodes[n].0.at = self.at;
+                self.nodes[n].0.now = self.at;
                 self.nodes[n].0.tick();
             }
             40..43 => self.lead(),
             43..44 if self.rng.u32(..4) == 0 => {
                 let start = self.nodes[n].1 + 1;
-                self.nodes[n] = (Driven::new(config(self.room), self.at), start);
+                self.nodes[n] = (SteppedNode::new(config(self.room), self.at), start);
             }
             44..46 if !self.late.is_empty() => {
                 let late = self.late.swap_remove(self.rng.usize(..self.late.len()));
-                self.store.carry_out(&late);
+                self.store.execute(&late);
             }
             kind if !self.calls.is_empty() => {
                 let i = self.rng.usize(..self.calls.len());
@@ -306,7 +309,7 @@
             }
             self.at += 20 * MILLISECOND;
             for (node, _) in &mut self.nodes {
-                node.at = self.at;
+                node.now = self.at;
                 node.tick();
             }
             self.gather();
--- a/crates/controller/tests/stream.rs
+++ b/crates/controller/tests/stream.rs
@@ -20,16 +20,19 @@
 fn of_a_job_that_has_ended_nothing_stays_but_its_mark() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(8.0)]);
     for name in ["m1", "m2", "m3"] {
-        fleet.machine(name, "a", false);
+        fleet.add_machine(name, "a", false);
     }
-    fleet.pass(8 * SECOND);
+    fleet.advance(8 * SECOND);
     for n in 0..JOBS {
         let spec = JobSpec {
             team: "t".into(),
             ..JobSpec::plain(&id(n), JobKind::Batch, 1, 1.0)
         };
-        fleet.runs.insert(id(n), 3 * SECOND);
-        assert_eq!(fleet.ask("POST", JOBS_PATH.into(), encode(&spec)), 201);
+        fleet.task_durations.insert(id(n), 3 * SECOND);
+        assert_eq!(
+            fleet.user_request("POST", JOBS_PATH.into(), encode(&spec)),
+            201
+        );
         // Every fourth is cancelled: in turn at once, and while it runs or waits.
         let cancelled = match n % 8 {
             3 => Some(n),
@@ -40,31 +43,42 @@
             assert_eq!(fleet.cancel(&id(n)), 200);
         }
         if n == JOBS / 2 {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        fleet.pass(250 * MILLISECOND);
+        fleet.advance(250 * MILLISECOND);
         // Every user asks, also while the leader changes.
-        assert_eq!(fleet.ask("GET", poll_path(&id(n)), Vec::new()), 200);
+        assert_eq!(
+            fleet.user_request("GET", poll_path(&id(n)), Vec::new()),
+            200
+        );
     }
-    fleet.pass(60 * SECOND);
+    fleet.advance(60 * SECOND);
     for n in 0..JOBS {
-        let mark = fleet.record(&records::job_key(&id(n))).expect("a mark");
+        let mark = fleet
+            .stored_value(&records::job_key(&id(n)))
+            .expect("a mark");
         let mark: JobStateRecord = dillcleat_wire::store::decode_value(&mark).expect("a mark");
         assert_ne!(mark.state, RecordedState::Open, "{}", id(n));
     }
-    assert_eq!(fleet.keys("j/"), JOBS as usize);
-    assert_eq!(fleet.keys(records::QUEUE), 0);
-    assert_eq!(fleet.keys(records::TASKS), 0);
+    assert_eq!(fleet.key_count("j/"), JOBS as usize);
+    assert_eq!(fleet.key_count(records::QUEUE), 0);
+    assert_eq!(fleet.key_count(records::TASKS), 0);
     // Nothing else is kept of them, by whatever name: machines and the shared records.
-    let rest = fleet.keys(records::MACHINES) + fleet.keys(records::SHARED);
-    assert_eq!(fleet.keys(""), JOBS as usize + rest);
+    let rest = fleet.key_count(records::MACHINES) + fleet.key_count(records::SHARED);
+    assert_eq!(fleet.key_count(""), JOBS as usize + rest);
     // Description, placement, mark, and both dropped. What is cancelled before it is placed
     // has a row of that instead, and what is cancelled later is made up for by ends that are
     // written together.
-    let own = fleet.changes("j/") + fleet.changes(records::QUEUE) + fleet.changes(records::TASKS);
+    let own = fleet.change_count("j/")
+        + fleet.change_count(records::QUEUE)
+        + fleet.change_count(records::TASKS);
     let most = 5 * JOBS;
     assert!(own <= most as usize, "{own} changes, at most {most}");
     // What was told is known, here and by the transactions themselves.
-    assert!(fleet.reads <= 4, "{} reads", fleet.reads);
+    assert!(
+        fleet.single_key_reads <= 4,
+        "{} reads",
+        fleet.single_key_reads
+    );
     assert!((0..JOBS).all(|n| !fleet.node.holds(&id(n))));
 }
--- a/crates/controller/tests/team_limits.rs
+++ b/crates/controller/tests/team_limits.rs
@@ -38,13 +38,13 @@
     let mut t = machine_type(8.0);
     t.gpus = 8.0;
     let mut fleet = Fleet::new(config, vec![t]);
-    fleet.limit = LIMIT as usize;
-    fleet.machine("m0", "a", false);
+    fleet.max_running_tasks = LIMIT as usize;
+    fleet.add_machine("m0", "a", false);
     fleet.submit(job("req-000001", kind, gpus));
-    fleet.pass(5 * SECOND);
-    fleet.machine("m1", "b", false);
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m0"]);
+    fleet.advance(5 * SECOND);
+    fleet.add_machine("m1", "b", false);
+    fleet.advance(5 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
     fleet
 }
 
@@ -57,34 +57,34 @@
     hangs: Option<Micros>,
 ) -> (Micros, bool) {
     let machine = fleet.worker("m0");
-    (machine.hung, machine.mute, machine.deaf) = match hangs {
+    (machine.hung, machine.heartbeats_lost, machine.inbound_lost) = match hangs {
         Some(_) => (true, false, false),
         None => (false, true, true),
     };
     if matches!(ends, Ends::Before | Ends::Both) {
-        fleet.new_leader();
-        fleet.pass(SECOND);
+        fleet.replace_leader();
+        fleet.advance(SECOND);
     }
-    let from = fleet.at;
+    let from = fleet.now;
     assert_eq!(fleet.cancel("req-000001"), 200);
     fleet.submit(next.clone());
     if matches!(ends, Ends::After | Ends::Both) {
-        fleet.pass(SECOND);
-        fleet.new_leader();
+        fleet.advance(SECOND);
+        fleet.replace_leader();
     }
-    while fleet.starts_of(&next.id).is_empty() && fleet.at < from + 40 * SECOND {
-        if hangs.is_some_and(|time| fleet.at >= from + time)
+    while fleet.starts_of(&next.id).is_empty() && fleet.now < from + 40 * SECOND {
+        if hangs.is_some_and(|time| fleet.now >= from + time)
             && let Some(m) = fleet.workers.get_mut("m0")
         {
             m.hung = false;
         }
-        fleet.pass(SECOND / 10);
+        fleet.advance(SECOND / 10);
     }
     let deleted = !fleet.workers.contains_key("m0");
-    let after = fleet.at - from;
-    fleet.pass(SECOND);
+    let after = fleet.now - from;
+    fleet.advance(SECOND);
     assert_eq!(
-        fleet.cpus_of(&[&next.id]),
+        fleet.cpus_used_by(&[&next.id]),
         LIMIT as usize,
         "all of it is free"
     );
@@ -119,25 +119,25 @@
     for ends in [Ends::Never, Ends::After] {
         let mut fleet = at_limit(JobKind::Batch, false);
         assert_eq!(fleet.cancel("req-000001"), 200);
-        fleet.pass(5 * SECOND);
+        fleet.advance(5 * SECOND);
         fleet.write_lag = 3 * SECOND;
         fleet.submit(job("req-000002", JobKind::Batch, false));
-        fleet.pass(SECOND);
+        fleet.advance(SECOND);
         fleet.cancel("req-000002");
         fleet.submit(job("req-000003", JobKind::Batch, false));
-        fleet.pass(SECOND / 2);
+        fleet.advance(SECOND / 2);
         if matches!(ends, Ends::After) {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
         assert_eq!(
             fleet.starts_of("req-000002"),
-            Vec::<&common::fleet::Started>::new()
+            Vec::<&common::fleet::TaskStart>::new()
         );
-        assert_eq!(fleet.cpus_of(&["req-000003"]), LIMIT as usize);
+        assert_eq!(fleet.cpus_used_by(&["req-000003"]), LIMIT as usize);
         let tasks = records::tasks_key("req-000002", records::TaskRange::Chunk(0));
         assert_eq!(
-            fleet.record(&tasks),
+            fleet.stored_value(&tasks),
             None,
             "nothing of it stays in the store"
         );
--- a/crates/controller/tests/zones.rs
+++ b/crates/controller/tests/zones.rs
@@ -21,14 +21,14 @@
     let mut t = machine_type(4.0);
     t.zones.push("b".into());
     let mut fleet = Fleet::new(config_with_team(), vec![t]);
-    fleet.machine("a0", "a", false);
-    fleet.machine("a1", "a", false);
+    fleet.add_machine("a0", "a", false);
+    fleet.add_machine("a1", "a", false);
     fleet.submit(spec);
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
-    fleet.machine("b0", "b", false);
-    fleet.machine("b1", "b", false);
-    fleet.pass(5 * SECOND);
+    fleet.advance(5 * SECOND);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
+    fleet.add_machine("b0", "b", false);
+    fleet.add_machine("b1", "b", false);
+    fleet.advance(5 * SECOND);
     fleet
 }
 
@@ -41,12 +41,16 @@
         ..job(8)
     });
     fleet.workers.remove("a0");
-    fleet.pass(20 * SECOND);
-    assert_eq!(fleet.running(JOB), ["a1"], "beside free room in zone b");
+    fleet.advance(20 * SECOND);
+    assert_eq!(
+        fleet.machines_running(JOB),
+        ["a1"],
+        "beside free room in zone b"
+    );
     fleet.workers.remove("a1");
-    fleet.pass(20 * SECOND);
-    assert_eq!(fleet.running(JOB), ["b0", "b1"]);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
+    fleet.advance(20 * SECOND);
+    assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
 }
 
 /// The last tasks in a zone that nobody can ask hold the others there, also with a leader
@@ -59,19 +63,22 @@
             ..job(8)
         });
         fleet.workers.remove("a0");
-        fleet.pass(10 * SECOND);
+        fleet.advance(10 * SECOND);
         let a1 = fleet.worker("a1");
-        (a1.mute, a1.deaf) = (true, true);
+        (a1.heartbeats_lost, a1.inbound_lost) = (true, true);
         if new_leader {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        while !fleet.deleted.iter().any(|(_, name)| name == "a1") {
-            assert_eq!(fleet.running(JOB), ["a1"]);
-            fleet.pass(SECOND / 10);
-            assert!(fleet.at < common::fleet::START + 60 * SECOND, "never freed");
+        while !fleet.deletions.iter().any(|(_, name)| name == "a1") {
+            assert_eq!(fleet.machines_running(JOB), ["a1"]);
+            fleet.advance(SECOND / 10);
+            assert!(
+                fleet.now < common::fleet::START + 60 * SECOND,
+                "never freed"
+            );
         }
-        fleet.pass(10 * SECOND);
-        assert_eq!(fleet.running(JOB), ["b0", "b1"]);
+        fleet.advance(10 * SECOND);
+        assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
     }
 }
 
@@ -84,12 +91,12 @@
     });
     fleet.workers.remove("a0");
     fleet.workers.remove("a1");
-    fleet.pass(60 * SECOND);
-    assert_eq!(fleet.running(JOB), Vec::<String>::new());
-    fleet.stock.insert(("a".into(), false), 2);
+    fleet.advance(60 * SECOND);
+    assert_eq!(fleet.machines_running(JOB), Vec::<String>::new());
+    fleet.rentable.insert(("a".into(), false), 2);
     // An offer that was refused is asked for again after 15 s, and boots in 5 s.
-    fleet.pass(25 * SECOND);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
+    fleet.advance(25 * SECOND);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
 }
 
 /// Over links so slow that no answer to orders comes in time: the urgent job has all room
@@ -99,20 +106,20 @@
     let urgent = "req-000002";
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     for name in ["m0", "m1"] {
-        fleet.machine(name, "a", false).slow = true;
+        fleet.add_machine(name, "a", false).command_answers_late = true;
     }
     for id in [JOB, urgent] {
-        fleet.runs.insert(id.into(), 3 * SECOND);
+        fleet.task_durations.insert(id.into(), 3 * SECOND);
     }
     fleet.submit(job(60));
-    fleet.pass(15 * SECOND);
-    let at = fleet.at;
+    fleet.advance(15 * SECOND);
+    let at = fleet.now;
     fleet.submit(JobSpec {
         id: urgent.into(),
         priority: Priority::High,
         ..job(12)
     });
-    fleet.pass(80 * SECOND);
+    fleet.advance(80 * SECOND);
     let starts = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
     let (first, rest) = (starts(urgent), starts(JOB));
     assert_eq!((first.len(), rest.len()), (12, 60), "each once");
@@ -121,5 +128,5 @@
     // What had been placed before it came may still start.
     let between = rest.iter().filter(|t| (at + 3 * SECOND..last).contains(t));
     assert_eq!(between.count(), 0);
-    assert_eq!(fleet.cpus_of(&[JOB, urgent]), 0, "all is done");
+    assert_eq!(fleet.cpus_used_by(&[JOB, urgent]), 0, "all is done");
 }
