--- a/crates/controller/tests/gap.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -1,5 +1,6 @@
-//! The fixture: cancellations that are confirmed elsewhere while this leader is out of reach
-//! of the state service. What holds then holds by time alone (docs/meetings.md).
+//! A leader that is partitioned from the store does not see the cancellations that other
+//! nodes confirm. It must stop renewing worker leases early enough that the cancelled tasks
+//! end by the cancellation deadline. Stale writes and heartbeats must have no effect.
 
 mod common;
 
@@ -15,25 +16,28 @@
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, cancel_path};
 use dillcleat_wire::worker::Command;
 
-/// Whoever was told at once after the last read is owed the end of the tasks, and the
-/// lease of a report that was answered last runs from its sending.
-fn holds(fixture: &LeaderFixture, read: Micros, last_answer: Micros) {
-    let (lease, cancel) = (fixture.config.worker_lease, fixture.config.cancel_deadline);
+/// Asserts that a cancellation confirmed just after the read at `read_at` takes effect in
+/// time: the worker lease, last renewed at `renewed_at`, expires before the deadline.
+fn assert_deadline_met(fixture: &LeaderFixture, read_at: Micros, renewed_at: Micros) {
+    let (lease, deadline) = (fixture.config.worker_lease, fixture.config.cancel_deadline);
     assert!(
-        on_fast_clock(last_answer + lease - read) < cancel,
-        "read at {read}, answered until {last_answer}"
+        on_fast_clock(renewed_at + lease - read_at) < deadline,
+        "read at {read_at}, lease renewed at {renewed_at}"
+    );
+    assert!(
+        renewed_at > read_at + 10 * SECOND,
+        "leases are renewed for too short a time"
     );
-    assert!(last_answer > read + 10 * SECOND, "for no reason so short");
 }
 
 #[test]
-fn a_read_counts_from_when_it_was_sent_however_late_its_answer_is() {
+fn watch_freshness_counts_from_request_time() {
     let mut fixture = LeaderFixture::elected();
-    // The watch was open before the refusal; it is answered after 9 s, with nothing.
+    // The watch is answered after 9 s without events.
     fixture.answer_watches(9 * SECOND, Vec::new());
-    // It is resumed, and not answered any more.
+    // The resumed watch is not answered.
     let last = fixture.last_answered_heartbeat(9 * SECOND);
-    holds(&fixture, 9 * SECOND, last);
+    assert_deadline_met(&fixture, 9 * SECOND, last);
     let mut fixture = LeaderFixture::elected();
     for s in 1..9 {
         fixture.step(s * SECOND, Input::Tick);
@@ -41,34 +45,37 @@
     fixture.env.store_up = false;
     fixture.answer_watches(9 * SECOND, Vec::new());
     fixture.env.store_up = true;
-    let open = std::mem::take(&mut fixture.env.open_watches);
+    let delayed = std::mem::take(&mut fixture.env.open_watches);
     let last = fixture.last_answered_heartbeat(10 * SECOND);
-    holds(&fixture, 9 * SECOND, last);
-    // Held for half a minute, then answered: it was asked for at 9 s.
-    fixture.env.open_watches = open;
+    assert_deadline_met(&fixture, 9 * SECOND, last);
+    // The watch that was requested at 9 s is answered at 100 s.
+    fixture.env.open_watches = delayed;
     fixture.answer_watches(100 * SECOND, Vec::new());
     let fresh = std::mem::take(&mut fixture.env.open_watches);
     assert!(
         fixture.send_heartbeat(100 * SECOND).is_none(),
-        "as old as its sending"
+        "the watch was requested at 9 s"
     );
     fixture.env.open_watches = fresh;
     fixture.answer_watches(101 * SECOND, Vec::new());
     assert!(
         fixture.send_heartbeat(101 * SECOND).is_some(),
-        "asked for at 100 s"
+        "the watch was requested at 100 s"
     );
 }
 
-/// It knows of nothing that was confirmed before it was elected: a leader that was refused
-/// may have kept the leases up until then. It once answered from its election on.
+/// A previous leader that was partitioned from the store may have renewed leases until
+/// the election, so cancellations confirmed before it count too.
 #[test]
-fn a_new_leader_answers_nobody_before_it_has_read_the_cancellations() {
+fn new_leader_renews_no_lease_before_reading_cancellations() {
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::QUEUE);
     fixture.step(0, Input::Tick);
     assert_eq!(fixture.node.leading(), Some(1));
-    assert!(fixture.send_heartbeat(SECOND).is_none(), "nothing is read");
+    assert!(
+        fixture.send_heartbeat(SECOND).is_none(),
+        "nothing has been read"
+    );
     let listing = fixture
         .env
         .held_listings
@@ -78,22 +85,26 @@
     fixture.step(2 * SECOND, Input::Store { id: listing, reply });
     assert!(fixture.send_heartbeat(2 * SECOND).is_none());
     fixture.step(3 * SECOND, Input::Tick);
-    let listing = fixture.env.held_listings.pop().expect("once more");
+    let listing = fixture
+        .env
+        .held_listings
+        .pop()
+        .expect("the listing is retried");
     fixture.env.held_listing_prefix = Some(records::TASKS);
     let reply = single_page(&fixture.env.queue_rows);
     fixture.step(4 * SECOND, Input::Store { id: listing, reply });
     assert!(
         fixture.send_heartbeat(4 * SECOND).is_some(),
-        "no cancellation there"
+        "the job is not cancelled"
     );
-    // What is read counts from its sending, here too.
+    // A listing also counts from the time of its request.
     let last = fixture.last_answered_heartbeat(5 * SECOND);
-    holds(&fixture, 3 * SECOND, last);
+    assert_deadline_met(&fixture, 3 * SECOND, last);
 }
 
-/// The pages come slowly, and then nothing more.
+/// The recovery takes 9 s, and the watches after it are not answered.
 #[test]
-fn a_load_counts_from_the_sending_of_its_first_page() {
+fn recovery_freshness_counts_from_request_of_first_page() {
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::TASKS);
     for s in 0..10 {
@@ -102,32 +113,36 @@
     let listing = fixture.env.held_listings.pop().expect("tasks are read");
     let reply = single_page(&fixture.env.task_rows);
     fixture.step(9 * SECOND, Input::Store { id: listing, reply });
-    assert!(fixture.node.fence().is_some(), "all is read");
+    assert!(fixture.node.fence().is_some(), "recovery is complete");
     let last = fixture.last_answered_heartbeat(10 * SECOND);
-    holds(&fixture, 0, last);
+    assert_deadline_met(&fixture, 0, last);
 }
 
-/// While the placements are yet to be read any machine may hold what is cancelled.
+/// Until the placements are read, any machine may run a cancelled task.
 #[test]
-fn a_leader_that_reads_yet_answers_no_longer_than_the_oldest_cancellation_lets_it() {
+fn recovering_leader_stops_renewing_before_oldest_cancellation_deadline() {
     let limit = config_with_team().blind_limit();
-    for (ago, answers) in [(SECOND, true), (limit + SECOND, false)] {
+    for (cancelled_before, renews) in [(SECOND, true), (limit + SECOND, false)] {
         let mut fixture = LeaderFixture::new();
-        let mut queue = vec![cancellation_row(START - ago)];
+        let mut queue = vec![cancellation_row(START - cancelled_before)];
         queue.append(&mut fixture.env.queue_rows);
         fixture.env.queue_rows = queue;
         fixture.env.held_listing_prefix = Some(records::TASKS);
         fixture.step(0, Input::Tick);
-        assert_eq!(fixture.send_heartbeat(SECOND).is_some(), answers, "{ago}");
+        assert_eq!(
+            fixture.send_heartbeat(SECOND).is_some(),
+            renews,
+            "{cancelled_before}"
+        );
         let last = fixture.last_answered_heartbeat(2 * SECOND);
-        let lease_ends = on_fast_clock(last + fixture.config.worker_lease + ago);
+        let lease_ends = on_fast_clock(last + fixture.config.worker_lease + cancelled_before);
         assert!(lease_ends < fixture.config.cancel_deadline, "{last}");
     }
 }
 
-/// A leader that is elected again begins anew.
+/// A leader that is deposed and elected again has to read the queue again.
 #[test]
-fn what_was_read_in_a_term_before_does_not_count() {
+fn reads_of_an_earlier_term_do_not_count() {
     let mut fixture = LeaderFixture::elected();
     assert!(fixture.send_heartbeat(SECOND).is_some());
     fixture.env.held_listing_prefix = Some(records::QUEUE);
@@ -149,18 +164,17 @@
     assert!(fixture.send_heartbeat(8 * SECOND).is_none());
 }
 
-/// The machine couldn't be reached when its job was cancelled. When it can, the leader
-/// has had no read for a while. It once answered without the stop, and so kept the task
-/// for as long as it answered at all.
+/// The machine is unreachable when its job is cancelled, and reachable again when the last
+/// read of the leader is too old for launches.
 #[test]
-fn a_known_cancellation_is_obeyed_without_a_read() {
+fn known_cancellation_is_enforced_without_fresh_read() {
     let mut fixture = LeaderFixture::elected();
     assert!(fixture.send_heartbeat(SECOND / 2).is_some());
     fixture.answer_watches(
         SECOND,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
     );
-    // Without a read a launch would be too late by now.
+    // The last read is too old for a launch by now.
     for s in 2..12 {
         fixture.step(s * SECOND, Input::Tick);
     }
@@ -171,39 +185,40 @@
     );
 }
 
-/// The task stays, whatever the cause, the cloud deletes nothing, and the leader reads
-/// all there is: the machine is left to its lease in time, and answered again once the
-/// task is seen gone.
+/// The machine keeps reporting the cancelled task, and the cloud is unreachable. Its lease
+/// must expire in time; it is renewed again once the task is gone.
 #[test]
-fn a_machine_that_may_hold_what_is_cancelled_is_left_to_its_lease() {
+fn lease_is_not_renewed_while_cancelled_task_remains() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.cloud_up = false;
-    let told = SECOND;
+    let cancelled_at = SECOND;
     fixture.answer_watches(
-        told,
-        vec![LeaderFixture::put_event(cancellation_row(START + told))],
+        cancelled_at,
+        vec![LeaderFixture::put_event(cancellation_row(
+            START + cancelled_at,
+        ))],
     );
-    let mut last = 0;
+    let mut renewed_at = 0;
     for s in 2..60 {
         let at = s * SECOND;
         fixture.step(at, Input::Tick);
         fixture.answer_watches(at, Vec::new());
         if fixture.send_heartbeat(at).is_some() {
-            last = at;
+            renewed_at = at;
         }
     }
-    holds(&fixture, told, last);
+    assert_deadline_met(&fixture, cancelled_at, renewed_at);
     fixture.task_present = false;
     assert!(
         fixture.send_heartbeat(60 * SECOND).is_some(),
-        "nothing is left there"
+        "no cancelled task is left"
     );
 }
 
-/// Most controllers are refused and say so, and none says otherwise: that looks like an
-/// outage, and one that isn't heard may have been elected meanwhile (seed 11387).
+/// The reachable sibling has no store either, which looks like an outage, but an
+/// unreachable sibling may have been elected.
 #[test]
-fn who_cannot_prove_the_lead_deletes_nothing_for_a_cancellation() {
+fn leader_without_proof_deletes_no_machine_for_a_cancellation() {
     let mut fixture = LeaderFixture::elected();
     fixture.answer_watches(
         SECOND,
@@ -235,9 +250,9 @@
     assert!(!deleted);
 }
 
-/// The write of a placement had no answer and was carried out late, before its second try.
+/// The write of a placement times out but is executed late, so its retry conflicts.
 #[test]
-fn a_try_that_was_carried_out_late_is_looked_for() {
+fn conflict_of_a_retried_write_is_resolved_by_a_read() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![common::machine_type(8.0)];
     fixture.step(0, Input::Tick);
@@ -251,13 +266,16 @@
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
     }
     assert!(fixture.env.refused_reads > 0, "the chunk is read");
-    assert!(fixture.node.leading().is_some(), "nobody else wrote it");
+    assert!(
+        fixture.node.leading().is_some(),
+        "the conflicting write is its own"
+    );
 }
 
-/// A copy of an older report has no commands in its answer: whoever sent it doesn't hear
-/// them, and what is launched would count as on its way.
+/// The machine does not receive the answer to a duplicate of an older heartbeat, so
+/// commands in it would wrongly count as sent.
 #[test]
-fn an_older_report_is_answered_without_commands() {
+fn older_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
     fixture.send_heartbeat(SECOND / 2);
     fixture.send_heartbeat(SECOND);
@@ -273,7 +291,7 @@
 }
 
 #[test]
-fn a_later_term_in_the_store_ends_an_earlier_one() {
+fn later_term_in_store_deposes_leader() {
     let mut fixture = LeaderFixture::elected();
     fixture.step(SECOND / 10, Input::Tick);
     let term = row(records::TERM.into(), &records::TermRecord { term: 9 });
@@ -281,9 +299,10 @@
     assert_eq!(fixture.node.leading(), None);
 }
 
-/// Its transaction may be carried out yet: with the lease gone it can't set the key.
+/// Its election transaction may still be executed late; without the lease it cannot set
+/// the leader key.
 #[test]
-fn whoever_is_not_elected_lets_its_lease_go() {
+fn losing_candidate_revokes_its_lease() {
     let mut fixture = LeaderFixture::new();
     fixture.env.conflicting_key = Some(records::LEAD.into());
     fixture.step(0, Input::Tick);
@@ -291,9 +310,10 @@
     assert_eq!(fixture.env.revoked_leases, [LeaseId(1)]);
 }
 
-/// Carried out late, after its job has ended and its description is dropped.
+/// A submission that is executed late, after its job has ended and its record was deleted,
+/// must not create the job again.
 #[test]
-fn a_submission_compares_that_its_job_is_neither_open_nor_ended() {
+fn submission_requires_absent_job_and_state_record() {
     let mut fixture = LeaderFixture::new();
     fixture.env.machine_types = vec![common::machine_type(8.0)];
     for t in 0..30 {
@@ -319,15 +339,15 @@
         .transactions
         .iter()
         .find(|t| t.then.iter().any(puts));
-    let compared = &submission.expect("it is stored").compare;
+    let preconditions = &submission.expect("it is stored").compare;
     for key in [records::job_key(id), open.clone()] {
-        assert!(compared.iter().any(|c| c.key == key && c.version == 0));
+        assert!(preconditions.iter().any(|c| c.key == key && c.version == 0));
     }
 }
 
-/// Carried out late, after its job is done.
+/// A cancellation that is executed late, after its job is done, must have no effect.
 #[test]
-fn a_cancellation_compares_the_mark() {
+fn cancellation_requires_absent_state_record() {
     let mut fixture = LeaderFixture::elected();
     let open = fixture.env.queue_rows[0].clone();
     fixture.env.readable_row = Some(open);
@@ -341,16 +361,20 @@
     assert_eq!(fixture.step(SECOND, input), [200]);
     let cancelled = records::cancelled_key(JOB_ID);
     let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == cancelled);
-    let mut writes = fixture.env.transactions.iter();
-    let cancellation = writes.find(|t| t.then.iter().any(puts));
-    let compared = &cancellation.expect("it is stored").compare;
-    let mark = records::job_key(JOB_ID);
-    assert!(compared.iter().any(|c| c.key == mark && c.version == 0));
+    let mut transactions = fixture.env.transactions.iter();
+    let cancellation = transactions.find(|t| t.then.iter().any(puts));
+    let preconditions = &cancellation.expect("it is stored").compare;
+    let state_key = records::job_key(JOB_ID);
+    assert!(
+        preconditions
+            .iter()
+            .any(|c| c.key == state_key && c.version == 0)
+    );
 }
 
-/// Whoever leads next is protected by nothing else.
+/// The term precondition is the only protection of the next leader against late writes.
 #[test]
-fn every_write_of_a_leader_compares_its_term() {
+fn every_leader_write_requires_its_term() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![common::machine_type(8.0)];
     fixture.step(0, Input::Tick);
@@ -360,18 +384,18 @@
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
         fixture.send_heartbeat(t * 100 * MILLISECOND);
     }
-    let writes = &fixture.env.transactions;
-    assert!(writes.len() > 1, "an end and a placement");
-    for txn in writes {
+    let transactions = &fixture.env.transactions;
+    assert!(transactions.len() > 1, "a task end and a placement");
+    for txn in transactions {
         let term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM;
         assert!(txn.compare.iter().any(term), "{txn:?}");
     }
 }
 
-/// The task is not seen gone though its machine reports: who can prove to lead doesn't wait
-/// for the lease.
+/// The machine sends heartbeats but keeps the cancelled task. A leader with proof of its
+/// leadership deletes the machine without waiting for the lease to expire.
 #[test]
-fn a_cancelled_task_that_stays_costs_its_machine_in_time() {
+fn machine_that_keeps_cancelled_task_is_deleted_before_deadline() {
     let mut fixture = LeaderFixture::elected();
     fixture.answer_watches(
         SECOND,
@@ -405,9 +429,9 @@
     );
 }
 
-/// A machine was deleted, and a copy of an old report of it arrives.
+/// A duplicate of an earlier heartbeat arrives after the deletion of its machine.
 #[test]
-fn what_is_gone_does_not_come_back_by_an_old_report() {
+fn delayed_heartbeat_does_not_restore_deleted_machine() {
     let mut fixture = LeaderFixture::elected();
     fixture.send_heartbeat(SECOND / 2);
     fixture.answer_watches(
@@ -429,18 +453,18 @@
         let deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
         deleted += calls.into_iter().filter(deletion).count();
         fixture.answer_watches(at, Vec::new());
-        // Until the deletion it reports; what arrives later was sent before.
+        // It sends heartbeats until its deletion; the one that arrives later was delayed.
         if t % 10 == 0 && (t < 160 && deleted == 0 || t == 250) {
             fixture.send_heartbeat(at);
         }
     }
-    assert_eq!(deleted, 1, "it is not known again");
+    assert_eq!(deleted, 1, "the machine is not registered again");
 }
 
-/// The leader may end before the write gets through: the machine keeps the result for
-/// the next one.
+/// The leader may be lost before the result is stored; the machine has to keep it for the
+/// next leader.
 #[test]
-fn an_end_is_reaped_only_once_it_is_stored() {
+fn exited_task_is_reaped_only_after_its_result_is_stored() {
     for tasks in [1, 2] {
         let mut fixture = LeaderFixture::with_tasks(tasks);
         fixture.step(0, Input::Tick);
@@ -462,20 +486,17 @@
     }
 }
 
-/// Its mark has changed, as a placement's write shows, and can't be read, while the watch
-/// tells of the cancellation: its tasks once ran on until the mark was read.
+/// A conflict shows that the state record of the job has changed. While it cannot be read,
+/// the watch reports the cancellation.
 #[test]
-fn a_cancellation_is_obeyed_though_its_mark_can_not_be_read() {
+fn cancellation_is_enforced_while_state_record_is_unreadable() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.conflicting_key = Some(records::job_key(JOB_ID));
     fixture.env.machine_types = vec![common::machine_type(8.0)];
     fixture.step(0, Input::Tick);
     assert!(fixture.send_heartbeat(SECOND / 2).is_some());
     fixture.step(SECOND, Input::Tick);
-    assert!(
-        fixture.env.refused_reads > 0,
-        "a placement of the second task"
-    );
+    assert!(fixture.env.refused_reads > 0, "the second task is placed");
     fixture.answer_watches(
         3 * SECOND / 2,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
@@ -487,10 +508,10 @@
     );
 }
 
-/// The end of a job meets its cancellation just as the state service goes out: its record
-/// is read until it is answered, and not as fast as refusals come.
+/// The end of a job conflicts with its cancellation while the store refuses reads: the read
+/// of the state record must be retried, but not in a tight loop.
 #[test]
-fn a_refused_read_is_made_again_after_a_pause() {
+fn refused_read_is_retried_after_a_pause() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.conflicting_key = Some(records::job_key(JOB_ID));
     fixture.task_completed = true;
@@ -505,18 +526,18 @@
     );
 }
 
-/// A lease that takes up the whole of `cancel_s` leaves no time: then reports are
-/// answered all the same, and what may come late by how much is said.
+/// If the worker lease takes up almost all of `cancel_s`, heartbeats are answered all the
+/// same, and the possible delay of cancellations is reported.
 #[test]
-fn settings_that_leave_no_time_are_said_and_served() {
+fn worker_lease_near_cancel_deadline_reports_shortfall() {
     let mut config = config_with_team();
     assert_eq!(config.cancel_shortfall(), None);
     config.worker_lease = config.cancel_deadline - SECOND;
-    let short = config.cancel_shortfall().expect("no time is left");
-    assert_eq!(config.blind_limit(), short);
-    // With the margin, no end comes later than this.
+    let shortfall = config.cancel_shortfall().expect("a shortfall");
+    assert_eq!(config.blind_limit(), shortfall);
+    // Tasks end no later than this, including the margin.
     let latest = config.blind_limit() + config.worker_lease;
-    assert!(latest <= config.cancel_deadline + short);
+    assert!(latest <= config.cancel_deadline + shortfall);
     config.worker_lease = config.cancel_deadline / 2;
     assert_eq!(config.cancel_shortfall(), None);
 }
