--- a/crates/controller/tests/handover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -1,5 +1,5 @@
-//! What meets the change from one leader to the next: cancellations, answers that get
-//! lost, reports of long ago.
+//! Leader failover: cancellations, lost answers and delayed heartbeats around the change
+//! from one leader to the next.
 
 mod common;
 
@@ -17,8 +17,14 @@
 };
 use dillcleat_wire::worker::Command;
 
-/// Answers the listing that waits.
-fn listed(fixture: &mut LeaderFixture, at: Micros, rows: &[KeyValue], more: bool, revision: u64) {
+/// Answers the latest held listing with one page.
+fn answer_listing(
+    fixture: &mut LeaderFixture,
+    at: Micros,
+    rows: &[KeyValue],
+    more: bool,
+    revision: u64,
+) {
     let id = fixture.env.held_listings.pop().expect("a listing");
     let reply = Ok(StoreResponse::RangePage(RangePage {
         rows: rows.to_vec(),
@@ -28,13 +34,13 @@
     fixture.step(at, Input::Store { id, reply });
 }
 
-fn tasks() -> String {
+fn task_chunk_key() -> String {
     records::tasks_key(JOB_ID, TaskRange::Chunk(0))
 }
 
-/// Placements of the job in what was written last of its tasks.
-fn placed(fixture: &LeaderFixture) -> Vec<PlacedTask> {
-    let key = tasks();
+/// The placements in the latest write of the task record.
+fn stored_placements(fixture: &LeaderFixture) -> Vec<PlacedTask> {
+    let key = task_chunk_key();
     let changes = fixture.env.transactions.iter().rev().flat_map(|t| &t.then);
     let mut records = changes.filter_map(|c| match c {
         Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
@@ -43,20 +49,22 @@
     records.next().map_or(Vec::new(), |c| c.placed)
 }
 
-fn drops(fixture: &LeaderFixture, key: &str) -> bool {
+/// Whether any transaction deletes the key.
+fn deletes_key(fixture: &LeaderFixture, key: &str) -> bool {
     let mut changes = fixture.env.transactions.iter().flat_map(|t| &t.then);
     changes.any(|c| matches!(c, Mutation::Delete { key: k } if k == key))
 }
 
-fn stops(commands: Option<Vec<Command>>) -> bool {
+fn is_single_stop(commands: Option<Vec<Command>>) -> bool {
     matches!(commands.as_deref(), Some([Command::Stop { .. }]))
 }
 
-/// Rows come in the order of keys: a cancellation may land on a page already read, one
-/// that is read comes before its job. While there are more, nobody is answered.
+/// Pages list rows in key order, in which a cancellation precedes its job. A cancellation
+/// that is written to a page already read must be seen by the watch. No lease is renewed
+/// until all pages are read.
 #[test]
-fn cancellations_are_known_whatever_page_they_land_on() {
-    let other = row(records::cancelled_key("req-000009"), &row_of(START));
+fn cancellations_are_found_on_any_page_of_the_listing() {
+    let other = row(records::cancelled_key("req-000009"), &cancelled_job(START));
     for read_first in [false, true] {
         let mut fixture = LeaderFixture::new();
         fixture.env.held_listing_prefix = Some(records::QUEUE);
@@ -65,47 +73,48 @@
         if read_first {
             first.insert(0, cancellation_row(START));
         }
-        listed(&mut fixture, SECOND, &first, true, 5);
+        answer_listing(&mut fixture, SECOND, &first, true, 5);
         assert!(
             fixture.send_heartbeat(SECOND).is_none(),
-            "more may be cancelled"
+            "later pages may contain cancellations"
         );
         let jobs = fixture.env.queue_rows.clone();
-        listed(&mut fixture, 2 * SECOND, &jobs, false, 9);
+        answer_listing(&mut fixture, 2 * SECOND, &jobs, false, 9);
         assert!(fixture.node.fence().is_some());
         if !read_first {
             assert_eq!(
                 fixture.env.queue_watch_revision,
                 Some(5),
-                "from the first page on"
+                "the watch starts at the first page"
             );
             fixture.answer_watches(
                 2 * SECOND,
                 vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
             );
         }
-        assert!(stops(fixture.send_heartbeat(3 * SECOND)));
+        assert!(is_single_stop(fixture.send_heartbeat(3 * SECOND)));
     }
 }
 
-fn row_of(at: Micros) -> records::CancelledJob {
+fn cancelled_job(at: Micros) -> records::CancelledJob {
     records::CancelledJob {
         cancelled_at_us: at,
     }
 }
 
-/// None of them leads for long enough to delete the machine, the stop doesn't arrive:
-/// the lease ends it, counted from the cancellation and from no leader's beginning.
+/// No leader leads for long enough to delete the machine, and the cloud is unreachable.
+/// The worker lease must expire in time, counted from the cancellation and not from an
+/// election.
 #[test]
-fn leaders_that_change_all_the_time_keep_no_cancelled_task() {
+fn cancelled_task_ends_in_time_despite_frequent_leader_changes() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.cloud_up = false;
-    let told = SECOND;
+    let cancelled_at = SECOND;
     fixture
         .env
         .queue_rows
-        .insert(0, cancellation_row(START + told));
-    let (mut last, mut terms) = (0, Vec::new());
+        .insert(0, cancellation_row(START + cancelled_at));
+    let (mut renewed_at, mut terms) = (0, Vec::new());
     for t in 10..900 {
         let at = t * 100 * MILLISECOND;
         if t % 50 == 0 {
@@ -124,23 +133,23 @@
         fixture.fencing_token = fixture.node.leading().unwrap_or(fixture.fencing_token);
         terms.push(fixture.fencing_token);
         if t % 10 == 0 && fixture.send_heartbeat(at).is_some() {
-            last = at;
+            renewed_at = at;
         }
     }
     terms.dedup();
     assert!(terms.len() > 10, "{terms:?}");
-    assert!(last > 10 * SECOND);
-    let ends = on_fast_clock(last + fixture.config.worker_lease - told);
+    assert!(renewed_at > 10 * SECOND);
+    let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
         ends < fixture.config.cancel_deadline,
-        "answered until {last}"
+        "lease renewed at {renewed_at}"
     );
 }
 
-/// Nobody led for longer than a lease: what was placed is over with its session, also
-/// that of a job that was cancelled meanwhile.
+/// The machine has a new incarnation after its lease expired, which ends the tasks placed
+/// on the earlier one, also those of a cancelled job.
 #[test]
-fn what_was_placed_before_all_leases_ended_is_over() {
+fn placements_of_an_expired_incarnation_are_ended() {
     for is_cancelled in [false, true] {
         let mut fixture = LeaderFixture::new();
         fixture.env.machine_types = vec![machine_type(8.0)];
@@ -154,24 +163,24 @@
                 fixture.send_heartbeat(t * 100 * MILLISECOND);
             }
         }
-        let again = [PlacedTask::from((0, 2, "m".to_string(), 2))];
-        assert_eq!(placed(&fixture) == again, !is_cancelled);
+        let second_attempt = [PlacedTask::from((0, 2, "m".to_string(), 2))];
+        assert_eq!(stored_placements(&fixture) == second_attempt, !is_cancelled);
         assert_eq!(
-            drops(&fixture, &records::cancelled_key(JOB_ID)),
+            deletes_key(&fixture, &records::cancelled_key(JOB_ID)),
             is_cancelled
         );
     }
 }
 
-/// A zone is cut off for longer than a lease, with a controller that answers its workers:
-/// silence proves nothing, not even a long one, only the end of the machine does.
+/// A controller in a partitioned zone may still renew leases there, so that missing
+/// heartbeats do not prove the end of tasks, however long they are missing.
 #[test]
-fn what_is_silent_is_placed_again_only_once_its_machine_is_gone() {
+fn tasks_of_silent_machine_are_placed_again_only_after_its_deletion() {
     let mut fixture = LeaderFixture::new();
     fixture.machine_rows.push(machine_row("n", "a"));
     fixture.env.machine_types = vec![machine_type(8.0)];
     let mut deleted = false;
-    // Machines that are idle are returned after a minute.
+    // Ends before idle machines are returned, which is after a minute.
     for t in 0..540 {
         let at = t * 100 * MILLISECOND;
         fixture.env.cloud_up = !(10..450).contains(&t);
@@ -189,43 +198,42 @@
         if t % 10 == 0 {
             fixture.step(at, heartbeat_request("n", "a", t + 1));
         }
-        let again = placed(&fixture)
+        let placed_again = stored_placements(&fixture)
             .iter()
             .any(|p| (p.index, p.attempt) == (0, 2));
-        assert!(deleted || !again, "{at}");
+        assert!(deleted || !placed_again, "{at}");
     }
     assert_eq!(fixture.node.leading(), Some(1));
     assert_eq!(
-        placed(&fixture),
+        stored_placements(&fixture),
         [PlacedTask::from((0, 2, "n".to_string(), 1))]
     );
 }
 
-/// It was sent in a session before, and arrives first at a new leader, that knows of a
-/// later session by a placement alone. To take it for the latest once took the session
-/// back, and absence from it as proof.
+/// A heartbeat of an earlier incarnation arrives first at a new leader, which knows the
+/// later incarnation only from a placement. A task missing from it has not ended.
 #[test]
-fn an_old_report_takes_no_session_back() {
+fn heartbeat_of_earlier_incarnation_is_ignored() {
     let mut fixture = LeaderFixture::new();
     let chunk = TaskChunk {
         placed: vec![(0, 1, "m".to_string(), 3).into()],
         ..TaskChunk::default()
     };
-    fixture.env.task_rows = vec![row(tasks(), &chunk)];
+    fixture.env.task_rows = vec![row(task_chunk_key(), &chunk)];
     fixture.env.queue_rows.insert(0, cancellation_row(START));
     fixture.step(0, Input::Tick);
     (fixture.incarnation, fixture.task_present) = (2, false);
     assert_eq!(fixture.send_heartbeat(SECOND), Some(vec![]));
     fixture.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&fixture, &records::cancelled_key(JOB_ID)));
+    assert!(!deletes_key(&fixture, &records::cancelled_key(JOB_ID)));
     (fixture.incarnation, fixture.task_present) = (3, true);
-    assert!(stops(fixture.send_heartbeat(2 * SECOND)));
+    assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
-/// A copy of a report is kept until a new leader has acted, and arrives there: it says
-/// nothing of what was launched since, whatever token it shows.
+/// A duplicate of an earlier heartbeat arrives late and lists no task. It does not prove
+/// the end of a task that was launched since, whatever its fencing token.
 #[test]
-fn a_report_that_was_kept_for_the_next_leader_ends_nothing() {
+fn delayed_heartbeat_does_not_end_tasks() {
     for token in [0, 1] {
         let mut fixture = LeaderFixture::elected();
         fixture.sequence = 7;
@@ -241,14 +249,14 @@
         ) = (3, token, false);
         assert_eq!(fixture.send_heartbeat(2 * SECOND), Some(vec![]));
         fixture.step(2 * SECOND, Input::Tick);
-        assert!(!drops(&fixture, &records::cancelled_key(JOB_ID)));
+        assert!(!deletes_key(&fixture, &records::cancelled_key(JOB_ID)));
     }
 }
 
-/// The record of the term was written and the answer lost: whoever sees that the lead is
-/// its own begins anew in a later term.
+/// The election transaction is executed and its answer lost. A node that then finds itself
+/// recorded as leader revokes the lease and stands for election in a later term.
 #[test]
-fn an_election_without_an_answer_is_never_led() {
+fn election_without_answer_is_abandoned() {
     let mut fixture = LeaderFixture::new();
     fixture.env.unanswered_key = Some(records::LEAD);
     fixture.step(0, Input::Tick);
@@ -267,43 +275,51 @@
     assert_eq!(
         fixture.env.revoked_leases,
         [LeaseId(1)],
-        "it may be its own"
+        "the lease may be its own"
     );
-    assert_eq!(fixture.node.leading(), None, "the key is there still");
+    assert_eq!(fixture.node.leading(), None, "the leader key still exists");
     fixture.env.shared_rows.remove(0);
     fixture.env.transactions.clear();
     fixture.step(3 * SECOND / 2, Input::Tick);
     assert_eq!(fixture.node.leading(), Some(2));
-    let compared = &fixture.env.transactions[0].compare;
+    let preconditions = &fixture.env.transactions[0].compare;
     assert!(
-        compared
+        preconditions
             .iter()
             .any(|c| c.key == records::TERM && c.version == 5)
     );
     assert!(
-        compared
+        preconditions
             .iter()
             .any(|c| c.key == records::LEAD && c.version == 0)
     );
 }
 
-/// It was not running while the answer came: by then somebody else may lead.
+/// The node is suspended until after the answer to its election; by then another node may
+/// lead.
 #[test]
-fn an_election_is_not_led_by_who_was_not_running_meanwhile() {
+fn election_answered_after_a_pause_is_abandoned() {
     let mut fixture = LeaderFixture::new();
     fixture.env.hold_transactions = true;
     fixture.step(0, Input::Tick);
-    let take = fixture.env.held_transactions.pop().expect("a transaction");
+    let election = fixture.env.held_transactions.pop().expect("a transaction");
     fixture.step(2 * SECOND, Input::Tick);
     let reply = Ok(StoreResponse::Committed { revision: 2 });
-    fixture.step(2 * SECOND, Input::Store { id: take, reply });
+    fixture.step(
+        2 * SECOND,
+        Input::Store {
+            id: election,
+            reply,
+        },
+    );
     assert_eq!(fixture.node.leading(), None);
 }
 
-/// The placement is in the store, its answer was lost, and a user cancels the job before
-/// the second try: it is never launched, though nobody has told of the cancellation yet.
+/// The write of a placement is executed and its answer lost; the job is cancelled before
+/// the retry. The task must not be launched, although no watch has reported the
+/// cancellation yet.
 #[test]
-fn what_is_cancelled_beside_a_lost_answer_is_not_launched() {
+fn task_cancelled_before_write_retry_is_not_launched() {
     for is_cancelled in [false, true] {
         let mut fixture = LeaderFixture::with_tasks(2);
         fixture.env.machine_types = vec![machine_type(8.0)];
@@ -312,50 +328,48 @@
         fixture.send_heartbeat(SECOND / 10);
         fixture.step(SECOND / 5, Input::Tick);
         fixture.env.unanswered_key = None;
-        let stored = placed(&fixture);
-        assert_eq!(stored.len(), 2, "the second task");
-        fixture.env.conflicting_key = Some(tasks());
+        let placements = stored_placements(&fixture);
+        assert_eq!(placements.len(), 2, "the second task is placed");
+        fixture.env.conflicting_key = Some(task_chunk_key());
         fixture.env.second_conflicting_key = is_cancelled.then(|| records::job_key(JOB_ID));
         let chunk = TaskChunk {
-            placed: stored,
+            placed: placements,
             ..TaskChunk::default()
         };
-        let mut found = row(tasks(), &chunk);
+        let mut found = row(task_chunk_key(), &chunk);
         found.version = 7;
         fixture.env.readable_row = Some(found);
         for t in 3..8 {
             fixture.step(t * 100 * MILLISECOND, Input::Tick);
         }
         let commands = fixture.send_heartbeat(SECOND).expect("an answer");
-        let starts = |c: &Command| matches!(c, Command::Launch { task, .. } if task.index == 1);
-        assert_eq!(commands.iter().any(starts), !is_cancelled);
-        assert_eq!(stops(Some(commands)), is_cancelled);
+        let is_launch = |c: &Command| matches!(c, Command::Launch { task, .. } if task.index == 1);
+        assert_eq!(commands.iter().any(is_launch), !is_cancelled);
+        assert_eq!(is_single_stop(Some(commands)), is_cancelled);
     }
 }
 
-/// A write shows that a job has ended; how, and since when, can't be read for a while.
+/// A conflict shows that the state record of a job has changed, and the record cannot be
+/// read for a while.
 #[test]
-fn what_runs_of_a_job_whose_mark_has_changed_is_stopped_at_once() {
+fn tasks_of_job_with_changed_state_record_are_stopped() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![machine_type(8.0)];
     fixture.env.conflicting_key = Some(records::job_key(JOB_ID));
     fixture.step(0, Input::Tick);
     fixture.send_heartbeat(SECOND / 2);
     fixture.step(SECOND, Input::Tick);
-    assert!(
-        fixture.env.refused_reads > 0,
-        "a placement of the second task"
-    );
-    assert!(stops(fixture.send_heartbeat(2 * SECOND)));
+    assert!(fixture.env.refused_reads > 0, "the second task is placed");
+    assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
-/// The write came long after the cancellation, which its row tells later still.
+/// A conflict reveals the cancellation long after it was made; its row arrives even later.
 #[test]
-fn a_cancellation_counts_from_its_own_time_whatever_was_seen_of_it_before() {
+fn cancel_deadline_counts_from_recorded_cancellation_time() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![machine_type(8.0)];
     fixture.env.conflicting_key = Some(records::job_key(JOB_ID));
-    let (told, met) = (4 * SECOND, 95 * SECOND / 10);
+    let (cancelled_at, conflict_at) = (4 * SECOND, 95 * SECOND / 10);
     fixture.step(0, Input::Tick);
     for t in 1..95 {
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
@@ -363,53 +377,55 @@
             fixture.answer_watches(t * 100 * MILLISECOND, Vec::new());
         }
     }
-    fixture.send_heartbeat(met);
-    fixture.step(met, Input::Tick);
-    fixture.step(met + SECOND / 10, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "a placement meets the mark");
+    fixture.send_heartbeat(conflict_at);
+    fixture.step(conflict_at, Input::Tick);
+    fixture.step(conflict_at + SECOND / 10, Input::Tick);
+    assert!(fixture.env.refused_reads > 0, "the placement conflicts");
     fixture.env.cloud_up = false;
     fixture.answer_watches(
         10 * SECOND,
-        vec![LeaderFixture::put_event(cancellation_row(START + told))],
+        vec![LeaderFixture::put_event(cancellation_row(
+            START + cancelled_at,
+        ))],
     );
-    let mut last = 0;
+    let mut renewed_at = 0;
     for s in 11..60 {
         fixture.step(s * SECOND, Input::Tick);
         fixture.answer_watches(s * SECOND, Vec::new());
         if fixture.send_heartbeat(s * SECOND).is_some() {
-            last = s * SECOND;
+            renewed_at = s * SECOND;
         }
     }
-    let ends = on_fast_clock(last + fixture.config.worker_lease - told);
+    let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
-        last > 20 * SECOND && ends < fixture.config.cancel_deadline,
-        "{last}"
+        renewed_at > 20 * SECOND && ends < fixture.config.cancel_deadline,
+        "{renewed_at}"
     );
 }
 
-/// What is launched without a read of a moment ago may be cancelled already.
+/// Without a recent read the job may have been cancelled already.
 #[test]
-fn nothing_is_launched_without_a_read_of_a_moment_ago() {
+fn launches_require_a_recent_read() {
     let mut fixture = LeaderFixture::elected();
     fixture.task_present = false;
-    let starts = |commands: Option<Vec<Command>>| match commands.as_deref() {
+    let is_launch = |commands: Option<Vec<Command>>| match commands.as_deref() {
         Some([Command::Launch { .. }]) => true,
         Some([]) => false,
         other => panic!("{other:?}"),
     };
-    assert!(starts(fixture.send_heartbeat(SECOND)));
+    assert!(is_launch(fixture.send_heartbeat(SECOND)));
     for s in 2..8 {
         fixture.step(s * SECOND, Input::Tick);
     }
-    assert!(!starts(fixture.send_heartbeat(8 * SECOND)));
+    assert!(!is_launch(fixture.send_heartbeat(8 * SECOND)));
     fixture.answer_watches(8 * SECOND, Vec::new());
     fixture.answer_watches(9 * SECOND, Vec::new());
-    assert!(starts(fixture.send_heartbeat(9 * SECOND)));
+    assert!(is_launch(fixture.send_heartbeat(9 * SECOND)));
 }
 
-/// Its placement would fail for its mark, and hold room and its team's limit until then.
+/// Placing its tasks would use capacity and the limit of its team until the write fails.
 #[test]
-fn a_cancelled_job_leaves_the_line() {
+fn cancelled_job_leaves_the_queue() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![machine_type(8.0)];
     fixture.step(0, Input::Tick);
@@ -426,43 +442,43 @@
     assert_eq!(fixture.node.counts().placed, 0);
 }
 
-/// Dependents are cancelled with it once the mark is read, though nothing of it is left by
-/// then.
+/// Jobs that depend on a cancelled job are cancelled when its state record is read, even if
+/// its tasks are gone by then.
 #[test]
-fn a_job_is_cleared_only_once_its_cancellation_is_read() {
+fn job_is_removed_only_after_its_state_record_is_read() {
     let mut fixture = LeaderFixture::with_tasks(2);
-    let mut waits = fixture.env.queue_rows[0]
+    let mut dependent = fixture.env.queue_rows[0]
         .decode_value::<OpenJob>()
         .expect("a job");
-    (waits.spec.id, waits.spec.depends_on) = ("req-000002".into(), vec![JOB_ID.into()]);
+    (dependent.spec.id, dependent.spec.depends_on) = ("req-000002".into(), vec![JOB_ID.into()]);
     fixture
         .env
         .queue_rows
-        .push(row(records::open_key("req-000002"), &waits));
+        .push(row(records::open_key("req-000002"), &dependent));
     fixture.env.machine_types = vec![machine_type(8.0)];
     fixture.env.conflicting_key = Some(records::job_key(JOB_ID));
     fixture.step(0, Input::Tick);
     fixture.send_heartbeat(SECOND / 2);
     fixture.step(SECOND, Input::Tick);
-    assert!(stops(fixture.send_heartbeat(SECOND)));
+    assert!(is_single_stop(fixture.send_heartbeat(SECOND)));
     fixture.task_present = false;
     fixture.send_heartbeat(3 * SECOND / 2);
     fixture.step(2 * SECOND, Input::Tick);
-    assert!(!drops(&fixture, &records::open_key(JOB_ID)));
-    let mark = JobStateRecord {
+    assert!(!deletes_key(&fixture, &records::open_key(JOB_ID)));
+    let state_record = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: 2,
     };
-    fixture.env.readable_row = Some(row(records::job_key(JOB_ID), &mark));
+    fixture.env.readable_row = Some(row(records::job_key(JOB_ID), &state_record));
     fixture.step(5 * SECOND / 2, Input::Tick);
     fixture.step(3 * SECOND, Input::Tick);
-    assert!(drops(&fixture, &records::open_key(JOB_ID)));
-    assert!(drops(&fixture, &records::open_key("req-000002")));
+    assert!(deletes_key(&fixture, &records::open_key(JOB_ID)));
+    assert!(deletes_key(&fixture, &records::open_key("req-000002")));
 }
 
-/// A try without an answer may be carried out after a later change of the types.
+/// A write that timed out may still be executed after a later write of the machine types.
 #[test]
-fn the_machine_types_compare_their_version() {
+fn machine_types_write_requires_the_version_read() {
     let mut fixture = LeaderFixture::new();
     let mut stored = machine_types_row(4.0);
     stored.version = 4;
@@ -471,7 +487,7 @@
     fixture.env.conflicting_key = Some(records::TYPES.into());
     fixture.step(0, Input::Tick);
     fixture.step(SECOND / 10, Input::Tick);
-    // It was written by the leader before, after this one had looked.
+    // The previous leader wrote it after this one had read it.
     stored.version = 9;
     fixture.env.readable_row = Some(stored);
     for t in 2..10 {
@@ -482,19 +498,19 @@
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
     }
     assert_eq!(fixture.node.leading(), Some(1));
-    let compared = fixture.env.transactions.iter().flat_map(|t| &t.compare);
-    let types = compared.filter(|c| c.key == records::TYPES);
-    let versions: Vec<u64> = types.map(|c| c.version).collect();
-    assert_eq!(versions[..2], [4, 9], "not tried again before it is read");
+    let preconditions = fixture.env.transactions.iter().flat_map(|t| &t.compare);
+    let of_types = preconditions.filter(|c| c.key == records::TYPES);
+    let versions: Vec<u64> = of_types.map(|c| c.version).collect();
+    assert_eq!(versions[..2], [4, 9], "retried only after a read");
     assert_eq!(versions.last(), Some(&9));
 }
 
-/// What the watch tells may arrive after a later read: of a leader whose key had gone by
-/// then nothing more would be heard, and nobody would be elected.
+/// A watch event may arrive after a later read. If it restored a leader key deleted by then,
+/// no event would follow and no node would be elected.
 #[test]
-fn news_of_before_a_read_are_none() {
+fn watch_events_older_than_the_listing_are_ignored() {
     let mut fixture = LeaderFixture::elected();
-    // It makes way for a sibling that workers reach, for a while.
+    // It steps down in favor of a sibling that workers can reach.
     let message = Message::Heartbeat {
         term: 7,
         is_leader: false,
@@ -507,7 +523,11 @@
     for t in 11..15 {
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
     }
-    assert_eq!(fixture.node.leading(), None, "also when it has led before");
+    assert_eq!(
+        fixture.node.leading(),
+        None,
+        "it does not stand for election at once"
+    );
     let lead = LeaderRecord {
         member: "n1".into(),
         lease: LeaseId(8),
@@ -516,7 +536,7 @@
     let event = WatchEvent::Put {
         key: records::LEAD.into(),
         value: row(records::LEAD.into(), &lead).value,
-        // All keys were read as of this revision.
+        // The listings were read at this revision.
         version: 1,
     };
     fixture.answer_watches(15 * 100 * MILLISECOND, vec![event]);
@@ -526,9 +546,9 @@
     assert!(fixture.node.leading().is_some());
 }
 
-/// The lease of a term before has ended, which is told late.
+/// The expiry of the lease of an earlier term is reported late.
 #[test]
-fn the_end_of_an_earlier_lease_ends_no_later_term() {
+fn expiry_of_an_earlier_lease_does_not_depose_later_term() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.hold_renewals = true;
     for t in 1..5 {
@@ -555,21 +575,20 @@
     assert_eq!(fixture.node.leading(), term);
 }
 
-/// A state service that answers in seconds once let nobody renew a lease of 1.25 s (seed
-/// 2704 of the days of meetings). What a watch holds back, or what has no answer, says
-/// nothing of it, and what was slow long ago nothing of now.
+/// With a slow store the shortest lease would expire before it is renewed. Held watches,
+/// calls without answer and slow answers of long ago do not count as a slow store.
 #[test]
-fn a_lease_is_longer_while_the_state_service_is_slow() {
+fn leader_lease_is_extended_while_store_is_slow() {
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::SHARED);
     fixture.step(0, Input::Tick);
     for t in 1..12 {
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
     }
-    listed(&mut fixture, 1200 * MILLISECOND, &[], false, 1);
+    answer_listing(&mut fixture, 1200 * MILLISECOND, &[], false, 1);
     assert!(fixture.node.leading().is_some());
     fixture.env.held_listing_prefix = None;
-    let deposed = |fixture: &mut LeaderFixture, at: Micros| {
+    let depose_and_reelect = |fixture: &mut LeaderFixture, at: Micros| {
         let message = Message::Heartbeat {
             term: 1000,
             is_leader: false,
@@ -585,14 +604,14 @@
         }
         assert!(fixture.node.leading().is_some());
     };
-    deposed(&mut fixture, 3 * SECOND);
+    depose_and_reelect(&mut fixture, 3 * SECOND);
     for t in 40..600 {
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
         if t % 10 == 0 {
             fixture.answer_watches(t * 100 * MILLISECOND, Vec::new());
         }
     }
-    deposed(&mut fixture, 60 * SECOND);
+    depose_and_reelect(&mut fixture, 60 * SECOND);
     assert_eq!(fixture.env.granted_ttls_ms, [3600, 3600, 1250]);
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::SHARED);
@@ -608,14 +627,14 @@
     assert_eq!(fixture.env.granted_ttls_ms, [1250]);
 }
 
-/// It was answered before: whoever sent it doesn't hear this answer.
+/// The machine does not receive the answer to a duplicate.
 #[test]
-fn a_copy_of_the_latest_report_is_answered_without_commands() {
+fn duplicate_of_latest_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
     fixture.task_present = false;
-    let start = fixture.send_heartbeat(SECOND).expect("an answer");
-    assert!(matches!(&start[..], [Command::Launch { .. }]));
+    let commands = fixture.send_heartbeat(SECOND).expect("an answer");
+    assert!(matches!(&commands[..], [Command::Launch { .. }]));
     fixture.sequence -= 1;
     assert_eq!(fixture.send_heartbeat(SECOND), Some(vec![]));
-    assert_eq!(fixture.send_heartbeat(3 * SECOND / 2), Some(start));
+    assert_eq!(fixture.send_heartbeat(3 * SECOND / 2), Some(commands));
 }
