--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -119,7 +119,7 @@
     pub hung: bool,
     /// Commands that arrived while it was suspended.
     queued_commands: Vec<CommandBatch>,
-    /// Every task that starts here fails at once.
+    /// Every task that starts here fails immediately.
     pub faulty: bool,
 }
 
--- a/crates/controller/tests/common/leader_fixture.rs
+++ b/crates/controller/tests/common/leader_fixture.rs
@@ -120,7 +120,7 @@
             reason: self.task_completed.then_some(ExitReason::Done),
             checkpoint_saved: None,
         };
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
@@ -136,7 +136,7 @@
             id: RequestId(self.sequence),
             method: "POST".into(),
             target: HEARTBEAT_PATH.into(),
-            body: encode(&report),
+            body: encode(&heartbeat),
         };
         self.env.answer_bodies.clear();
         match self.step(at, input)[..] {
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -375,7 +375,7 @@
 
 /// A heartbeat of a machine without tasks whose fencing token is term 1.
 pub fn heartbeat_request(machine: &str, zone: &str, sequence: u64) -> Input {
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:7".into(),
         machine_type: "t".into(),
@@ -391,6 +391,6 @@
         id: RequestId(1),
         method: "POST".into(),
         target: HEARTBEAT_PATH.into(),
-        body: encode(&report),
+        body: encode(&heartbeat),
     }
 }
