--- a/crates/controller/tests/silence.rs
+++ b/crates/controller/tests/silent_zone_handover.rs
@@ -1,4 +1,5 @@
-//! A leader that ends while a zone is cut off, and the one that follows.
+//! A leader fails while a zone is partitioned: its successor has to take over for how long
+//! the machines there have been silent.
 
 mod common;
 
@@ -10,22 +11,22 @@
 
 const START: Micros = 1000 * SECOND;
 
-fn zone(machine: usize) -> &'static str {
-    if machine < 3 { "cut" } else { "b" }
+fn zone_of(machine: usize) -> &'static str {
+    if machine < 3 { "partitioned" } else { "b" }
 }
 
-/// When the machines of a zone are deleted that was cut off before the leader
-/// began, which had `silent_ms` from the leader before. In the cut zone machine 0
-/// alone reports, if `one_reports`.
-fn deleted_after(quiet_ms: Option<u32>, one_reports: bool) -> Vec<(String, Micros)> {
+/// The machines that a new leader deletes, and when. The zone `partitioned` was partitioned
+/// before its election; the previous leader reported it as silent for `silent_ms`. Machine 0
+/// there sends heartbeats if `one_recovers`, the others do not.
+fn deleted_machines(silent_ms: Option<u32>, one_recovers: bool) -> Vec<(String, Micros)> {
     let rows: Vec<KeyValue> = (0..9)
-        .map(|i| machine_row(&format!("m{i}"), zone(i)))
+        .map(|i| machine_row(&format!("m{i}"), zone_of(i)))
         .collect();
     let mut node = common::single_zone_node();
-    if let Some(quiet_ms) = quiet_ms {
+    if let Some(silent_ms) = silent_ms {
         let message = Message::SilentZones(vec![SilentZone {
-            zone: "cut".into(),
-            silent_ms: quiet_ms,
+            zone: "partitioned".into(),
+            silent_ms,
         }]);
         let from = "n1".into();
         step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
@@ -40,9 +41,9 @@
             }
         }
         if at.is_multiple_of(2 * SECOND) {
-            for machine in (0..9).filter(|m| *m > 2 || (*m == 0 && one_reports)) {
-                let seq = at / MILLISECOND + 1;
-                let input = heartbeat_request(&format!("m{machine}"), zone(machine), seq);
+            for machine in (0..9).filter(|m| *m > 2 || (*m == 0 && one_recovers)) {
+                let sequence = at / MILLISECOND + 1;
+                let input = heartbeat_request(&format!("m{machine}"), zone_of(machine), sequence);
                 assert_eq!(step_and_cloud_calls(&mut node, now, input, &rows).0, [200]);
             }
         }
@@ -51,23 +52,27 @@
     deleted
 }
 
-/// Replicas behind a cut were once left down for the time by which the leader's
-/// end made their lease look longer than it was (zone, brunnmatt-books-fleet).
+/// Otherwise a change of leader would delay the replacement of the replicas in the
+/// partitioned zone.
 #[test]
-fn a_new_leader_counts_the_silence_that_the_one_before_has_seen() {
-    assert_eq!(deleted_after(None, false), [], "nobody knows of it");
-    let deleted = deleted_after(Some(12_000), false);
+fn new_leader_continues_the_silence_seen_by_its_predecessor() {
+    assert_eq!(
+        deleted_machines(None, false),
+        [],
+        "the silence is not known to it"
+    );
+    let deleted = deleted_machines(Some(12_000), false);
     assert_eq!(deleted.len(), 3, "{deleted:?}");
-    // A lease of 14 s and a report's 2 s are over 4 s into the term.
+    // A worker lease of 14 s and a heartbeat interval of 2 s end 4 s into the term.
     let on_time = |(_, at): &(String, Micros)| (4 * SECOND..6 * SECOND).contains(at);
     assert!(deleted.iter().all(on_time), "{deleted:?}");
 }
 
-/// The cut may have ended with the leader: who reports in time stays, and nobody
-/// goes before a report was due.
+/// The partition may have ended when the leader failed: no machine is deleted before its next
+/// heartbeat was due.
 #[test]
-fn whom_the_leader_before_found_silent_may_still_report() {
-    let deleted = deleted_after(Some(40_000), true);
+fn machine_reported_silent_stays_if_it_sends_a_heartbeat() {
+    let deleted = deleted_machines(Some(40_000), true);
     let names: Vec<&str> = deleted.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["m1", "m2"], "{deleted:?}");
     assert!(
