--- a/crates/controller/tests/blind.rs
+++ b/crates/controller/tests/cancellation_watch_lost.rs
@@ -1,5 +1,5 @@
-//! A leader that no longer sees the cancellations goes quiet in time, though
-//! its lease is renewed and nobody shows it a higher term.
+//! A leader whose watch of the cancellations is not answered stops renewing worker leases in
+//! time, although its own lease is renewed and no later term is known to it.
 
 mod common;
 
@@ -9,16 +9,16 @@
 use dillcleat_wire::worker::Heartbeat;
 
 #[test]
-fn reports_are_answered_only_while_a_cancellation_could_still_be_obeyed() {
+fn heartbeats_are_answered_only_while_cancellations_can_take_effect_in_time() {
     let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &[]);
     assert_eq!(node.leading(), Some(1));
-    let mut last_answered = 0;
+    let mut last_answered_s = 0;
     for s in 1..60 {
         let at = start + s * SECOND;
         step(&mut node, at, Input::Tick, &[]);
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: "m".into(),
             addr: "127.0.0.1:7".into(),
             machine_type: "t".into(),
@@ -34,18 +34,18 @@
             id: RequestId(s),
             method: "POST".into(),
             target: "/checkin".into(),
-            body: encode(&report),
+            body: encode(&heartbeat),
         };
         match step(&mut node, at, input, &[])[..] {
-            [200] => last_answered = s,
+            [200] => last_answered_s = s,
             [503] => {}
             ref other => panic!("unexpected {other:?}"),
         }
     }
-    // Cancelled elsewhere at the start, gone within 44 s: the worker's lease
-    // of 14 s runs from its last answered report.
+    // A task cancelled by another node at the start must end within 44 s; the worker lease of
+    // 14 s runs from the last answered heartbeat.
     assert!(
-        (10..=44 - 14 - 1).contains(&last_answered),
-        "{last_answered}"
+        (10..=44 - 14 - 1).contains(&last_answered_s),
+        "{last_answered_s}"
     );
 }
--- a/crates/controller/tests/permit.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -1,4 +1,4 @@
-//! What may be sent to the cloud, and until when.
+//! Which requests a leader may send to the cloud, and until when.
 
 use dillcleat_controller::leadership_guard::{
     CloudAction, DeletionReason, LeadershipProof, proof_time,
@@ -25,9 +25,9 @@
     CloudAction::Delete(DeletionReason::Returned),
 ];
 
-/// Permit ends before the loan does, whatever the loan's time.
+/// Permits for changes expire before the leader lease, whatever its TTL.
 #[test]
-fn nothing_that_lasts_is_sent_once_another_may_lead() {
+fn permits_for_changes_expire_before_the_leader_lease() {
     for ttl in [0.5, 2.5, 60.0] {
         let config = config(ttl);
         let sent = 100 * SECOND;
@@ -36,47 +36,54 @@
             ..LeadershipProof::default()
         };
         for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
-            let given = |at| proof.permit(&config, at, action).is_some();
+            let is_permitted = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100_000, action);
-            let permit = permit.expect("proved a moment ago");
+            let permit = permit.expect("the proof is recent");
             let last = sent + 100_000 + permit.within(sent + 100_000);
             assert_eq!(last, sent + proof_time(&config));
-            // By a clock that runs 0.05% slow.
+            // Even by a clock that runs 0.05% slow.
             assert!(
                 (last - sent) * 10_005 / 10_000 < micros(ttl),
                 "{ttl} {action:?}"
             );
-            assert!(given(last - 1) && !given(last), "{ttl} {action:?}");
+            assert!(
+                is_permitted(last - 1) && !is_permitted(last),
+                "{ttl} {action:?}"
+            );
         }
-        let look = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
-        assert!(look.is_some_and(|l| !l.covers(&CloudRequest::Delete(Vec::new()))));
+        let read_only = proof.permit(&config, sent + 100 * SECOND, CloudAction::Look);
+        assert!(read_only.is_some_and(|p| !p.covers(&CloudRequest::Delete(Vec::new()))));
     }
 }
 
-/// Of a slow state service the lease is longer than the settings say, and never shorter:
-/// the proof rests on that. A successor comes before the workers' leases are over.
+/// With a slow store the leader lease is longer than configured. It is never shorter, because
+/// the validity of the proof depends on it, and short enough that a successor is elected
+/// before the worker leases expire.
 #[test]
-fn a_lease_follows_how_slow_answers_are_and_covers_the_proof() {
+fn leader_lease_follows_store_latency_and_outlasts_the_proof() {
     for ttl in [0.5, 1.25, 60.0] {
         let config = config(ttl);
-        let mut before = 0;
-        for answers in [0, 20, 400, 1500, 60_000].map(|ms| ms * MILLISECOND) {
-            let lease = lease_time(&config, answers);
+        let mut previous_lease = 0;
+        for latency in [0, 20, 400, 1500, 60_000].map(|ms| ms * MILLISECOND) {
+            let lease = lease_time(&config, latency);
             assert!(
                 proof_time(&config) * 10_005 / 10_000 < lease,
-                "{ttl} {answers}"
+                "{ttl} {latency}"
             );
-            assert!(lease >= micros(ttl) && lease >= before);
+            assert!(lease >= micros(ttl) && lease >= previous_lease);
             assert!(lease <= micros(ttl).max(config.worker_lease / 3));
-            before = lease;
+            previous_lease = lease;
         }
-        assert!(ttl > 10.0 || before > micros(ttl), "it follows");
+        assert!(
+            ttl > 10.0 || previous_lease > micros(ttl),
+            "the lease grows"
+        );
     }
 }
 
-/// Not for a cancellation either: leases end what nobody can prove to be allowed to.
+/// This includes cancellations: without a proof the worker leases end the tasks.
 #[test]
-fn without_proof_nothing_is_deleted_on_any_ground() {
+fn without_recent_proof_no_change_is_permitted() {
     let config = config(2.5);
     for isolated in [false, true] {
         let proof = LeadershipProof {
