--- a/crates/controller/tests/lift.rs
+++ b/crates/controller/tests/deadline_propagation.rs
@@ -1,4 +1,4 @@
-//! What a job has of those that wait for it.
+//! A job inherits urgency from the deadlines of the jobs that depend on it.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const START: Micros = 1000 * SECOND;
 
-fn open(spec: JobSpec) -> KeyValue {
+fn open_job_row(spec: JobSpec) -> KeyValue {
     let key = records::open_key(&spec.id);
     let job = OpenJob {
         submitted_at_us: START,
@@ -38,9 +38,9 @@
     }
 }
 
-/// Whether ordinary machines are rented, where there are no spot machines, for a first
-/// stage without a deadline, given what else is on record.
-fn pays_for(others: Vec<JobSpec>) -> bool {
+/// Whether ordinary machines are rented for a first stage without a deadline, while no spot
+/// machines are available and `others` are stored as well.
+fn rents_ordinary_machines(others: Vec<JobSpec>) -> bool {
     let mut config = config_with_team();
     config.deadline_objectives.push(DeadlineObjective {
         class: "last".into(),
@@ -54,38 +54,39 @@
             spot_price: Some(0.3),
             ..machine_type(4.0)
         }],
-        queue_rows: jobs.map(open).collect(),
+        queue_rows: jobs.map(open_job_row).collect(),
         ..Environment::default()
     };
     let mut ticks = (0..6 * SECOND).step_by(100 * MILLISECOND as usize);
     ticks.any(|at| {
         let (_, calls) = step_with(&mut node, START + at, Input::Tick, &[], &mut env);
-        let ordinary = |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(rent) if !rent.spot);
-        calls.iter().any(ordinary)
+        let is_ordinary =
+            |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(request) if !request.spot);
+        calls.iter().any(is_ordinary)
     })
 }
 
-/// Users set the deadline on the last job of a line only. The one before it is due early
-/// enough for the work after it, through as many as there are between.
+/// Users set a deadline only on the last job of a pipeline. It applies to all earlier stages,
+/// less the estimates of the stages that follow them.
 #[test]
-fn a_stage_is_as_urgent_as_the_deadline_at_the_end_of_its_line() {
+fn first_stage_inherits_the_deadline_of_its_pipeline() {
     let middle = JobSpec {
         depends_on: vec!["req-1".into()],
         ..stage("middle", "req-2")
     };
-    let last = |awaits: &str| JobSpec {
-        depends_on: vec![awaits.into()],
+    let last = |dependency: &str| JobSpec {
+        depends_on: vec![dependency.into()],
         deadline_s: Some(90.0),
         ..stage("last", "req-3")
     };
-    assert!(!pays_for(vec![]));
-    assert!(!pays_for(vec![middle.clone()]));
-    assert!(pays_for(vec![last("req-1")]));
-    assert!(pays_for(vec![middle.clone(), last("req-2")]));
-    // With work after it that can't end in time any more it is as any other.
+    assert!(!rents_ordinary_machines(vec![]));
+    assert!(!rents_ordinary_machines(vec![middle.clone()]));
+    assert!(rents_ordinary_machines(vec![last("req-1")]));
+    assert!(rents_ordinary_machines(vec![middle.clone(), last("req-2")]));
+    // A deadline that the later stages cannot meet any more does not count.
     let long = JobSpec {
         estimate_s: 80.0,
         ..middle
     };
-    assert!(!pays_for(vec![long, last("req-2")]));
+    assert!(!rents_ordinary_machines(vec![long, last("req-2")]));
 }
--- a/crates/controller/tests/slow.rs
+++ b/crates/controller/tests/submission_retry.rs
@@ -1,4 +1,4 @@
-//! A slow answer of the state service does not hold a submission up.
+//! A submission whose store call is answered slowly is sent a second time.
 
 mod common;
 
@@ -13,7 +13,8 @@
 
 const START: Micros = 1000 * SECOND;
 
-/// Transactions that a node sends at this time, and the statuses it answers.
+/// Passes an input to the node. Returns the transactions it sends and the status codes of its
+/// answers.
 fn step(node: &mut Node, at: Micros, input: Input) -> (Vec<(CallId, Transaction)>, Vec<u16>) {
     let now = Timestamp {
         monotonic: at,
@@ -44,7 +45,8 @@
     (sent, answered)
 }
 
-fn submitted() -> (Node, CallId) {
+/// A node with a submission under way, and the call that stores it.
+fn node_with_submission() -> (Node, CallId) {
     let mut node = Node::new(common::config_with_team());
     step(&mut node, START, Input::Tick);
     let request = Input::Request {
@@ -68,17 +70,17 @@
 }
 
 #[test]
-fn a_slow_submission_is_sent_a_second_time_and_answered_once() {
-    let (mut node, first) = submitted();
-    let soon = START + 50 * MILLISECOND;
-    assert!(step(&mut node, soon, Input::Tick).0.is_empty());
-    let (sent, _) = step(&mut node, soon + 50 * MILLISECOND, Input::Tick);
+fn slow_submission_is_retried_once_and_answered_once() {
+    let (mut node, first) = node_with_submission();
+    let before_retry = START + 50 * MILLISECOND;
+    assert!(step(&mut node, before_retry, Input::Tick).0.is_empty());
+    let (sent, _) = step(&mut node, before_retry + 50 * MILLISECOND, Input::Tick);
     let [(second, txn)] = &sent[..] else {
         panic!("{sent:?}");
     };
     assert!(txn.then.len() == 1 && *second != first);
-    // Once is enough.
-    let later = soon + 100 * MILLISECOND;
+    // It is not sent a third time.
+    let later = before_retry + 100 * MILLISECOND;
     assert!(step(&mut node, later, Input::Tick).0.is_empty());
     let done = Ok(StoreResponse::Committed { revision: 2 });
     assert_eq!(reply(&mut node, later, *second, done), [201]);
@@ -89,11 +91,11 @@
     assert_eq!(reply(&mut node, later, first, conflict), [0; 0]);
 }
 
-/// The first try was carried out and its answer is slow: that there is a description and
-/// no mark says that the job is open, without another look.
+/// The first attempt was executed and its answer is slow. An existing job record without a
+/// state record shows that the job is open, so that no read is needed.
 #[test]
-fn the_second_try_may_find_the_first_carried_out() {
-    let (mut node, first) = submitted();
+fn retry_that_conflicts_with_the_first_attempt_succeeds() {
+    let (mut node, first) = node_with_submission();
     let at = START + 100 * MILLISECOND;
     let (sent, _) = step(&mut node, at, Input::Tick);
     let conflict = |keys: &[String]| {
@@ -121,16 +123,16 @@
         ),
         [0; 0]
     );
-    // With a mark it may have ended: that is read.
-    let (mut node, first) = submitted();
+    // With a state record the job may have ended, so that the record has to be read.
+    let (mut node, first) = node_with_submission();
     let ended = [records::job_key("req-1"), open];
     assert_eq!(reply(&mut node, at, first, conflict(&ended)), [0; 0]);
 }
 
-/// That one of two has failed is no answer while the other may have one.
+/// The failure of one attempt is no answer while the other is still pending.
 #[test]
-fn a_second_try_that_fails_says_nothing() {
-    let (mut node, first) = submitted();
+fn failed_retry_does_not_answer_the_submission() {
+    let (mut node, first) = node_with_submission();
     let at = START + 100 * MILLISECOND;
     let (sent, _) = step(&mut node, at, Input::Tick);
     assert_eq!(
