--- a/crates/controller/tests/waiting.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -1,4 +1,5 @@
-//! No job waits for 90 s beside a machine that fits, with its team under its limit.
+//! No job waits for more than 90 s while its team is under its limit and a machine with
+//! sufficient free capacity exists.
 
 mod common;
 
@@ -8,11 +9,12 @@
 use dillcleat_controller::{Config, Micros, SECOND};
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
-/// No job waits for longer beside a machine that fits.
-const BOUND: Micros = 90 * SECOND;
+/// The longest that a job may wait while a machine with sufficient capacity exists.
+const MAX_WAIT: Micros = 90 * SECOND;
 
-/// Replicas of the class `c` are expected sooner than any machine boots.
-fn hurried() -> Config {
+/// The start objective of class `c` is shorter than the boot time of a machine, so that
+/// capacity is reserved for its replicas.
+fn config_with_reserve() -> Config {
     let mut config = config_with_team();
     config.start_objectives = vec![StartObjective {
         class: "c".into(),
@@ -35,17 +37,17 @@
     }
 }
 
-/// Spot offers are refused for good: the cloud has none. Such a job once waited for ever
-/// beside the room of services, of which it needs little and gets no more.
+/// No spot machine can be rented. A waiting batch job must get a part of the capacity
+/// reserved for services, but no more than one task needs.
 #[test]
-fn the_reserve_gives_way_in_time_and_no_further_than_it_must() {
-    let mut fleet = Fleet::new(hurried(), vec![with_spot(5.0)]);
+fn starving_job_borrows_no_more_of_the_service_reserve_than_needed() {
+    let mut fleet = Fleet::new(config_with_reserve(), vec![spot_machine_type(5.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
     fleet.advance(5 * SECOND);
     let from = fleet.now;
     fleet.submit(batch("req-000001", 9));
-    // One replica runs, three CPUs are kept: one is left.
+    // One replica runs, and three of the five CPUs are reserved: one is left.
     fleet.advance(5 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
     fleet.submit(batch("req-000002", 9));
@@ -53,15 +55,15 @@
     assert_eq!(
         fleet.cpus_used_by(&["req-000002"]),
         0,
-        "the reserve is kept"
+        "the reserve is not lent yet"
     );
-    fleet.advance(BOUND - 40 * SECOND);
+    fleet.advance(MAX_WAIT - 40 * SECOND);
     let starts = fleet.starts_of("req-000002");
     assert_eq!(starts.len(), 1, "{:?}", fleet.starts);
     assert!(starts[0].0 > from + 45 * SECOND);
-    // Its first task took what was kept from nobody.
+    // The first task of the other job uses the CPU that is not reserved.
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 2);
-    // Those whom it is kept for make them yield it.
+    // Replicas, for which the capacity is reserved, preempt the batch tasks.
     fleet.submit(JobSpec {
         id: "req-000901".into(),
         ..service(2)
@@ -70,11 +72,10 @@
     assert_eq!(fleet.cpus_used_by(&["req-000900", "req-000901"]), 3);
 }
 
-/// Since when a job waits is known to its leader alone: the next one counts from its own
-/// start, and so within the bound of the last change.
+/// Only the leader knows since when a job waits. A new leader counts from its own election.
 #[test]
-fn a_new_leader_lets_the_reserve_give_way_within_the_bound_of_its_start() {
-    let mut fleet = Fleet::new(hurried(), vec![with_spot(4.0)]);
+fn reserve_is_lent_within_the_bound_after_a_leader_change() {
+    let mut fleet = Fleet::new(config_with_reserve(), vec![spot_machine_type(4.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
     fleet.advance(5 * SECOND);
@@ -84,16 +85,16 @@
         assert_eq!(fleet.cpus_used_by(&["req-000001"]), 0);
         fleet.replace_leader();
     }
-    fleet.advance(BOUND - 30 * SECOND);
+    fleet.advance(MAX_WAIT - 30 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
 }
 
-/// What is lent counts as kept: the room is not rented again for the next that starves.
+/// Lent capacity still counts as reserved and is not rented again.
 #[test]
-fn no_ordinary_machine_is_rented_for_what_is_lent() {
-    let mut config = hurried();
+fn no_machine_is_rented_to_replace_lent_reserve() {
+    let mut config = config_with_reserve();
     config.tuning.spare_share = 1.0;
-    let mut fleet = Fleet::new(config, vec![with_spot(5.0)]);
+    let mut fleet = Fleet::new(config, vec![spot_machine_type(5.0)]);
     fleet.rentable.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
@@ -103,10 +104,10 @@
     assert_eq!(fleet.workers.len(), 1);
 }
 
-/// A job that failed on two faulty machines is tried with one task at a time. That one
-/// may run for long, and proves nothing meanwhile.
+/// A job that failed on two machines is retried with one task at a time. A long run of that
+/// task must not block the others beyond the bound.
 #[test]
-fn a_doubtful_job_waits_no_longer_than_others_beside_free_machines() {
+fn job_suspected_of_failing_gets_more_tasks_within_the_bound() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.add_machine("m0", "a", false).faulty = true;
     fleet.add_machine("m1", "a", false).faulty = true;
@@ -120,7 +121,7 @@
     );
     fleet.add_machine("m2", "a", false);
     for running in [2, 3] {
-        fleet.advance(BOUND);
+        fleet.advance(MAX_WAIT);
         assert_eq!(
             fleet.cpus_used_by(&["req-000001"]),
             running,
@@ -130,30 +131,30 @@
     }
 }
 
-/// The only machines that fit have failed the job, or several: a bad day of theirs, with
-/// replicas on them that stay. Nothing once took them off their lists.
+/// The only remaining machine had failures of several jobs, but works again. It keeps running
+/// a replica, so that it is not replaced.
 #[test]
-fn a_job_is_tried_again_where_it_or_others_failed() {
+fn machine_with_past_failures_is_used_again_within_the_bound() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(8.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.add_machine("m1", "b", false);
     fleet.submit(service(1));
     fleet.advance(5 * SECOND);
     let name = fleet.machines_running("req-000900").remove(0);
-    let bad_day = |fleet: &mut Fleet, bad| fleet.worker(&name).faulty = bad;
-    // They run elsewhere, and so tell against the machine on which they fail.
+    let set_faulty = |fleet: &mut Fleet, faulty| fleet.worker(&name).faulty = faulty;
+    // They succeed elsewhere, so that their failures are attributed to the machine.
     for id in ["req-000001", "req-000002"] {
         fleet.task_durations.insert(id.into(), 12 * SECOND);
     }
-    bad_day(&mut fleet, true);
+    set_faulty(&mut fleet, true);
     fleet.submit(batch("req-000001", 12));
     fleet.submit(batch("req-000002", 12));
     fleet.advance(60 * SECOND);
-    bad_day(&mut fleet, false);
+    set_faulty(&mut fleet, false);
     let other = if name == "m0" { "m1" } else { "m0" };
     fleet.workers.remove(other);
     fleet.submit(batch("req-000003", 1));
-    fleet.advance(BOUND);
+    fleet.advance(MAX_WAIT);
     assert_eq!(
         fleet.machines_running("req-000003"),
         [name],
@@ -162,10 +163,9 @@
     );
 }
 
-/// A machine takes nothing while something is on it that nobody placed there: that is
-/// stopped at once.
+/// A machine gets no tasks while an unplaced task runs on it, which is stopped at once.
 #[test]
-fn strays_keep_a_machine_for_seconds() {
+fn unplaced_task_blocks_its_machine_only_for_seconds() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
     fleet
         .add_machine("m0", "a", false)
@@ -175,10 +175,10 @@
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
-/// A machine that is to be returned while the cloud is out takes nothing. Once the cloud is
-/// back it goes, and another comes for the job that waits beside it.
+/// An idle machine that cannot be returned during a cloud outage gets no tasks. Afterwards it
+/// is deleted, and another is rented for the waiting job.
 #[test]
-fn a_machine_that_is_being_returned_keeps_nobody_waiting() {
+fn machine_being_returned_does_not_starve_a_job() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
     fleet.rentable.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
@@ -194,14 +194,14 @@
     assert_eq!(
         fleet.cpus_used_by(&["req-000001"]),
         0,
-        "it is to be returned"
+        "the machine is being returned"
     );
     fleet.cloud_outage = false;
     fleet.advance(20 * SECOND);
     assert_eq!(fleet.machines_running("req-000001"), ["r01"]);
 }
 
-fn with_spot(cpus: f64) -> dillcleat_wire::cloud::MachineType {
+fn spot_machine_type(cpus: f64) -> dillcleat_wire::cloud::MachineType {
     dillcleat_wire::cloud::MachineType {
         spot_price: Some(0.3),
         ..machine_type(cpus)
