--- a/crates/controller/tests/common/leader_fixture.rs
+++ b/crates/controller/tests/common/leader_fixture.rs
@@ -153,11 +153,11 @@
     /// Answers all open watches with these events.
     pub fn answer_watches(&mut self, at: Micros, events: Vec<WatchEvent>) {
         for id in std::mem::take(&mut self.env.open_watches) {
-            let changes = WatchBatch {
+            let batch = WatchBatch {
                 revision: 3,
                 events: events.clone(),
             };
-            let reply = Ok(StoreResponse::WatchBatch(changes));
+            let reply = Ok(StoreResponse::WatchBatch(batch));
             self.step(at, Input::Store { id, reply });
         }
     }
--- a/crates/controller/tests/isolated_leader.rs
+++ b/crates/controller/tests/isolated_leader.rs
@@ -148,9 +148,9 @@
 }
 
 /// No machine is deleted for missing heartbeats while the store is down for all controllers.
-/// Afterwards the machines that are still silent are deleted, few with each call.
+/// Afterwards the machines that are still unresponsive are deleted, few with each call.
 #[test]
-fn silent_machines_are_deleted_in_small_batches_after_store_outage() {
+fn unresponsive_machines_are_deleted_in_small_batches_after_store_outage() {
     let mut scenario = Scenario::new(30);
     assert_eq!(scenario.advance(8), []);
     scenario.sends_heartbeats = |m| m >= 8;
@@ -168,8 +168,8 @@
     );
     let mut names: Vec<String> = deletions.into_iter().flat_map(|(_, names)| names).collect();
     names.sort();
-    let silent: Vec<String> = (0..7).map(|i| format!("m{i:03}")).collect();
-    assert_eq!(names, silent);
+    let unresponsive: Vec<String> = (0..7).map(|i| format!("m{i:03}")).collect();
+    assert_eq!(names, unresponsive);
 }
 
 /// A deletion that could not be sent is dropped when heartbeats of its machine arrive.
@@ -188,9 +188,9 @@
 }
 
 /// During a store outage the leader has to stop renewing leases. Machines whose heartbeats
-/// it refused must not count as silent afterwards.
+/// it refused must not count as unresponsive afterwards.
 #[test]
-fn machines_with_refused_heartbeats_do_not_count_as_silent() {
+fn machines_with_refused_heartbeats_do_not_count_as_unresponsive() {
     let mut scenario = Scenario::new(12);
     assert_eq!(scenario.advance(4), []);
     scenario.siblings = &[("n1", false), ("n2", false)];
--- a/crates/controller/tests/job_starvation.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -61,7 +61,7 @@
     let starts = fleet.starts_of("req-000002");
     assert_eq!(starts.len(), 1, "{:?}", fleet.starts);
     assert!(starts[0].0 > from + 45 * SECOND);
-    // The first task of the other job uses the CPU that is not reserved.
+    // One of these two tasks uses the CPU that is not reserved.
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 2);
     // Replicas, for which the capacity is reserved, preempt the batch tasks.
     fleet.submit(JobSpec {
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -175,7 +175,7 @@
 /// A controller in a partitioned zone may still renew leases there, so that missing
 /// heartbeats do not prove the end of tasks, however long they are missing.
 #[test]
-fn tasks_of_silent_machine_are_placed_again_only_after_its_deletion() {
+fn tasks_of_unresponsive_machine_are_placed_again_only_after_its_deletion() {
     let mut fixture = LeaderFixture::new();
     fixture.machine_rows.push(machine_row("n", "a"));
     fixture.env.machine_types = vec![machine_type(8.0)];
@@ -359,7 +359,7 @@
     fixture.step(0, Input::Tick);
     fixture.send_heartbeat(SECOND / 2);
     fixture.step(SECOND, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "the second task is placed");
+    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
     assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
@@ -380,7 +380,7 @@
     fixture.send_heartbeat(conflict_at);
     fixture.step(conflict_at, Input::Tick);
     fixture.step(conflict_at + SECOND / 10, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "the placement conflicts");
+    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
     fixture.env.cloud_up = false;
     fixture.answer_watches(
         10 * SECOND,
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -37,9 +37,9 @@
         };
         for action in DELETIONS.into_iter().chain([CloudAction::ScaleOut]) {
             let is_permitted = |at| proof.permit(&config, at, action).is_some();
-            let permit = proof.permit(&config, sent + 100_000, action);
+            let permit = proof.permit(&config, sent + 100 * MILLISECOND, action);
             let permit = permit.expect("the proof is recent");
-            let last = sent + 100_000 + permit.within(sent + 100_000);
+            let last = sent + 100 * MILLISECOND + permit.within(sent + 100 * MILLISECOND);
             assert_eq!(last, sent + proof_time(&config));
             // Even by a clock that runs 0.05% slow.
             assert!(
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -333,12 +333,12 @@
     };
     assert_eq!(fixture.step(3 * SECOND, input), [201]);
     let open = records::open_key(id);
-    let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == open);
+    let puts_key = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == open);
     let submission = fixture
         .env
         .transactions
         .iter()
-        .find(|t| t.then.iter().any(puts));
+        .find(|t| t.then.iter().any(puts_key));
     let preconditions = &submission.expect("it is stored").compare;
     for key in [records::job_key(id), open.clone()] {
         assert!(preconditions.iter().any(|c| c.key == key && c.version == 0));
@@ -360,9 +360,9 @@
     };
     assert_eq!(fixture.step(SECOND, input), [200]);
     let cancelled = records::cancelled_key(JOB_ID);
-    let puts = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == cancelled);
+    let puts_key = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if *key == cancelled);
     let mut transactions = fixture.env.transactions.iter();
-    let cancellation = transactions.find(|t| t.then.iter().any(puts));
+    let cancellation = transactions.find(|t| t.then.iter().any(puts_key));
     let preconditions = &cancellation.expect("it is stored").compare;
     let state_key = records::job_key(JOB_ID);
     assert!(
@@ -387,8 +387,8 @@
     let transactions = &fixture.env.transactions;
     assert!(transactions.len() > 1, "a task end and a placement");
     for txn in transactions {
-        let term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM;
-        assert!(txn.compare.iter().any(term), "{txn:?}");
+        let is_term = |c: &dillcleat_wire::store::Precondition| c.key == records::TERM;
+        assert!(txn.compare.iter().any(is_term), "{txn:?}");
     }
 }
 
@@ -401,7 +401,7 @@
         SECOND,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
     );
-    let mut deleted = None;
+    let mut deleted_at = None;
     for t in 10..400 {
         let at = t * 100 * MILLISECOND;
         let now = START + at;
@@ -413,19 +413,19 @@
             &fixture.machine_rows,
             &mut fixture.env,
         );
-        let deletes = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
-        if calls.iter().any(deletes) {
-            deleted.get_or_insert(at);
+        let is_deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
+        if calls.iter().any(is_deletion) {
+            deleted_at.get_or_insert(at);
         }
         fixture.answer_watches(at, Vec::new());
         if t % 10 == 0 {
             fixture.send_heartbeat(at);
         }
     }
-    let deleted = deleted.expect("it is deleted");
+    let deleted_at = deleted_at.expect("the machine is deleted");
     assert!(
-        deleted < SECOND + fixture.config.cancel_deadline * 4 / 10,
-        "{deleted}"
+        deleted_at < SECOND + fixture.config.cancel_deadline * 4 / 10,
+        "{deleted_at}"
     );
 }
 
@@ -438,7 +438,7 @@
         SECOND,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
     );
-    let mut deleted = 0;
+    let mut deletions = 0;
     for t in 20..600 {
         let at = t * 100 * MILLISECOND;
         let now = START + at;
@@ -450,15 +450,15 @@
             &fixture.machine_rows,
             &mut fixture.env,
         );
-        let deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
-        deleted += calls.into_iter().filter(deletion).count();
+        let is_deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
+        deletions += calls.into_iter().filter(is_deletion).count();
         fixture.answer_watches(at, Vec::new());
         // It sends heartbeats until its deletion; the one that arrives later was delayed.
-        if t % 10 == 0 && (t < 160 && deleted == 0 || t == 250) {
+        if t % 10 == 0 && (t < 160 && deletions == 0 || t == 250) {
             fixture.send_heartbeat(at);
         }
     }
-    assert_eq!(deleted, 1, "the machine is not registered again");
+    assert_eq!(deletions, 1, "the machine is not registered again");
 }
 
 /// The leader may be lost before the result is stored; the machine has to keep it for the
@@ -496,7 +496,7 @@
     fixture.step(0, Input::Tick);
     assert!(fixture.send_heartbeat(SECOND / 2).is_some());
     fixture.step(SECOND, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "the second task is placed");
+    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
     fixture.answer_watches(
         3 * SECOND / 2,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
--- a/crates/controller/tests/silent_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -1,5 +1,5 @@
 //! A leader fails while a zone is partitioned: its successor has to take over for how long
-//! the machines there have been silent.
+//! the machines there have been unresponsive.
 
 mod common;
 
@@ -16,17 +16,17 @@
 }
 
 /// The machines that a new leader deletes, and when. The zone `partitioned` was partitioned
-/// before its election; the previous leader reported it as silent for `silent_ms`. Machine 0
-/// there sends heartbeats if `one_recovers`, the others do not.
-fn deleted_machines(silent_ms: Option<u32>, one_recovers: bool) -> Vec<(String, Micros)> {
+/// before its election; the previous leader reported it as unresponsive for
+/// `unresponsive_ms`. Machine 0 there sends heartbeats if `one_recovers`, the others do not.
+fn deleted_machines(unresponsive_ms: Option<u32>, one_recovers: bool) -> Vec<(String, Micros)> {
     let rows: Vec<KeyValue> = (0..9)
         .map(|i| machine_row(&format!("m{i}"), zone_of(i)))
         .collect();
     let mut node = common::single_zone_node();
-    if let Some(silent_ms) = silent_ms {
+    if let Some(unresponsive_ms) = unresponsive_ms {
         let message = Message::SilentZones(vec![SilentZone {
             zone: "partitioned".into(),
-            silent_ms,
+            silent_ms: unresponsive_ms,
         }]);
         let from = "n1".into();
         step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
@@ -55,11 +55,11 @@
 /// Otherwise a change of leader would delay the replacement of the replicas in the
 /// partitioned zone.
 #[test]
-fn new_leader_continues_the_silence_seen_by_its_predecessor() {
+fn new_leader_counts_unresponsive_time_seen_by_its_predecessor() {
     assert_eq!(
         deleted_machines(None, false),
         [],
-        "the silence is not known to it"
+        "the partition is not known to it"
     );
     let deleted = deleted_machines(Some(12_000), false);
     assert_eq!(deleted.len(), 3, "{deleted:?}");
@@ -71,7 +71,7 @@
 /// The partition may have ended when the leader failed: no machine is deleted before its next
 /// heartbeat was due.
 #[test]
-fn machine_reported_silent_stays_if_it_sends_a_heartbeat() {
+fn machine_reported_unresponsive_stays_if_it_sends_a_heartbeat() {
     let deleted = deleted_machines(Some(40_000), true);
     let names: Vec<&str> = deleted.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["m1", "m2"], "{deleted:?}");
