--- a/crates/controller/tests/answer_consistency.rs
+++ b/crates/controller/tests/answer_consistency.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::records::{self, RecordedState};
 use dillcleat_controller::{CallError, CallId, Config, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::store::{StoreRequest, StoreResponse, Value};
@@ -76,10 +76,10 @@
     rng: Rng,
     /// How many jobs a node's cache holds, if limited. Evicted jobs are read again.
     cache_capacity: Option<u8>,
-    at: Micros,
-    store: Store,
+    now: Micros,
+    store: MemoryStore,
     /// The nodes, each with its number of restarts.
-    nodes: Vec<(Driven, u32)>,
+    nodes: Vec<(SteppedNode, u32)>,
     calls: Vec<StoreCall>,
     /// Calls that failed for the node and may still be executed.
     late_calls: Vec<StoreRequest>,
@@ -104,15 +104,15 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let at = 1000 * SECOND;
+        let now = 1000 * SECOND;
         let cache_capacity = [None, Some(1), None, Some(2)][seed as usize % 4];
         Simulation {
             rng: Rng::with_seed(seed),
             cache_capacity,
-            at,
-            store: Store::default(),
+            now,
+            store: MemoryStore::default(),
             nodes: (0..3)
-                .map(|_| (Driven::ready(config(cache_capacity), at), 0))
+                .map(|_| (SteppedNode::ready(config(cache_capacity), now), 0))
                 .collect(),
             calls: Vec::new(),
             late_calls: Vec::new(),
@@ -132,9 +132,9 @@
         let (kind, request) = match self.rng.u32(..16) {
             0..7 => (RequestKind::Poll, node.poll(job)),
             7..10 => (RequestKind::Cancel, node.cancel(job)),
-            10..13 => (RequestKind::Submit, node.submit(&spec(job))),
+            10..13 => (RequestKind::Submit, node.submit(&job_spec(job))),
             13 | 14 => {
-                let body = with(job, "leaves", Some(Value::from(0)));
+                let body = submission_with_field(job, "leaves", Some(Value::from(0)));
                 (
                     RequestKind::MalformedSubmit,
                     node.request("POST", JOBS_PATH.into(), body),
@@ -142,7 +142,7 @@
             }
             _ => {
                 let other = JOBS[self.rng.usize(..JOBS.len())];
-                let mut spec = spec(job);
+                let mut spec = job_spec(job);
                 spec.depends_on = vec![other.into()];
                 let reported = self.reported.get(other).copied().unwrap_or_default();
                 (RequestKind::SubmitDependent(reported), node.submit(&spec))
@@ -160,7 +160,7 @@
         for n in 0..self.nodes.len() {
             let (node, restarts) = &mut self.nodes[n];
             let (node_and_restarts, restarts) = ((n, *restarts), *restarts);
-            for (id, call) in std::mem::take(&mut node.sent) {
+            for (id, call) in std::mem::take(&mut node.pending_calls) {
                 let node = node_and_restarts;
                 let reply = None;
                 self.calls.push(StoreCall {
@@ -170,7 +170,7 @@
                     reply,
                 });
             }
-            for a in std::mem::take(&mut node.told) {
+            for a in std::mem::take(&mut node.answers) {
                 let request = self.requests.remove(&(n, restarts, a.request));
                 let request = request.expect("answered once");
                 self.check_answer((n, restarts), &request, a.status, a.state);
@@ -215,8 +215,11 @@
         }
         assert!(self.submitted.contains(job), "{job}: never submitted");
         if let Reported::Ended(state) = now {
-            let mark = self.store.mark(job).and_then(RecordedState::ended);
-            assert_eq!(mark, Some(state), "{request:?}");
+            let recorded = self
+                .store
+                .recorded_state(job)
+                .and_then(RecordedState::ended);
+            assert_eq!(recorded, Some(state), "{request:?}");
         }
         let ended = matches!(now, Reported::Ended(_));
         assert!(ended || request.kind != RequestKind::Cancel, "{request:?}");
@@ -260,7 +263,7 @@
     fn execute(&mut self, i: usize) {
         let call = &mut self.calls[i];
         if call.reply.is_none() {
-            call.reply = Some(self.store.carry_out(&call.call));
+            call.reply = Some(self.store.execute(&call.call));
         }
     }
 
@@ -268,11 +271,11 @@
     fn act_as_leader(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
         let described = self.store.rows.contains_key(&records::open_key(job));
-        match self.store.mark(job) {
+        match self.store.recorded_state(job) {
             None if described => {
-                self.store.done(job);
+                self.store.mark_done(job);
             }
-            Some(RecordedState::Cancelled) => self.store.clear(job),
+            Some(RecordedState::Cancelled) => self.store.remove_cancelled(job),
             _ => {}
         }
     }
@@ -282,19 +285,22 @@
         match self.rng.u32(..100) {
             0..25 => self.send_request(n),
             25..40 => {
-                self.at += self.rng.u64(..40) * MILLISECOND;
-                self.nodes[n].0.at = self.at;
+                self.now += self.rng.u64(..40) * MILLISECOND;
+                self.nodes[n].0.now = self.now;
                 self.nodes[n].0.tick();
             }
             40..43 => self.act_as_leader(),
             43..44 if self.rng.u32(..4) == 0 => {
                 let restarts = self.nodes[n].1 + 1;
-                self.nodes[n] = (Driven::new(config(self.cache_capacity), self.at), restarts);
+                self.nodes[n] = (
+                    SteppedNode::new(config(self.cache_capacity), self.now),
+                    restarts,
+                );
             }
             44..46 if !self.late_calls.is_empty() => {
                 let i = self.rng.usize(..self.late_calls.len());
                 let late = self.late_calls.swap_remove(i);
-                self.store.carry_out(&late);
+                self.store.execute(&late);
             }
             kind if !self.calls.is_empty() => {
                 let i = self.rng.usize(..self.calls.len());
@@ -322,9 +328,9 @@
                 self.deliver(0);
                 self.collect_outputs();
             }
-            self.at += 20 * MILLISECOND;
+            self.now += 20 * MILLISECOND;
             for (node, _) in &mut self.nodes {
-                node.at = self.at;
+                node.now = self.now;
                 node.tick();
             }
             self.collect_outputs();
--- a/crates/controller/tests/ended_job_cleanup.rs
+++ b/crates/controller/tests/ended_job_cleanup.rs
@@ -21,16 +21,19 @@
 fn ended_jobs_leave_only_their_state_records() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(8.0)]);
     for name in ["m1", "m2", "m3"] {
-        fleet.machine(name, "a", false);
+        fleet.add_machine(name, "a", false);
     }
-    fleet.pass(8 * SECOND);
+    fleet.advance(8 * SECOND);
     for n in 0..JOB_COUNT {
         let spec = JobSpec {
             team: "t".into(),
             ..JobSpec::plain(&job_id(n), JobKind::Batch, 1, 1.0)
         };
-        fleet.runs.insert(job_id(n), 3 * SECOND);
-        assert_eq!(fleet.ask("POST", JOBS_PATH.into(), encode(&spec)), 201);
+        fleet.task_durations.insert(job_id(n), 3 * SECOND);
+        assert_eq!(
+            fleet.user_request("POST", JOBS_PATH.into(), encode(&spec)),
+            201
+        );
         // One job in eight is cancelled at once, and again a second later.
         let cancelled = match n % 8 {
             3 => Some(n),
@@ -41,38 +44,46 @@
             assert_eq!(fleet.cancel(&job_id(n)), 200);
         }
         if n == JOB_COUNT / 2 {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        fleet.pass(250 * MILLISECOND);
+        fleet.advance(250 * MILLISECOND);
         // Polls are answered during the failover, too.
-        assert_eq!(fleet.ask("GET", poll_path(&job_id(n)), Vec::new()), 200);
+        assert_eq!(
+            fleet.user_request("GET", poll_path(&job_id(n)), Vec::new()),
+            200
+        );
     }
-    fleet.pass(60 * SECOND);
+    fleet.advance(60 * SECOND);
     for n in 0..JOB_COUNT {
         let value = fleet
-            .record(&records::job_key(&job_id(n)))
+            .stored_value(&records::job_key(&job_id(n)))
             .expect("a state record");
         let record: JobStateRecord =
             dillcleat_wire::store::decode_value(&value).expect("a state record");
         assert_ne!(record.state, RecordedState::Open, "{}", job_id(n));
     }
-    assert_eq!(fleet.keys("j/"), JOB_COUNT as usize);
-    assert_eq!(fleet.keys(records::QUEUE), 0);
-    assert_eq!(fleet.keys(records::TASKS), 0);
+    assert_eq!(fleet.key_count("j/"), JOB_COUNT as usize);
+    assert_eq!(fleet.key_count(records::QUEUE), 0);
+    assert_eq!(fleet.key_count(records::TASKS), 0);
     // All other keys are of machines and of shared records.
-    let other_keys = fleet.keys(records::MACHINES) + fleet.keys(records::SHARED);
-    assert_eq!(fleet.keys(""), JOB_COUNT as usize + other_keys);
+    let other_keys = fleet.key_count(records::MACHINES) + fleet.key_count(records::SHARED);
+    assert_eq!(fleet.key_count(""), JOB_COUNT as usize + other_keys);
     // Five changes per job: its description, placement and state record are written, and the
     // first two are deleted. A job that is cancelled before it is placed has a cancellation
     // record instead of a placement.
-    let job_changes =
-        fleet.changes("j/") + fleet.changes(records::QUEUE) + fleet.changes(records::TASKS);
+    let job_changes = fleet.change_count("j/")
+        + fleet.change_count(records::QUEUE)
+        + fleet.change_count(records::TASKS);
     let max_changes = 5 * JOB_COUNT;
     assert!(
         job_changes <= max_changes as usize,
         "{job_changes} changes, at most {max_changes}"
     );
     // Polls are answered from the cache.
-    assert!(fleet.reads <= 4, "{} reads", fleet.reads);
+    assert!(
+        fleet.single_key_reads <= 4,
+        "{} reads",
+        fleet.single_key_reads
+    );
     assert!((0..JOB_COUNT).all(|n| !fleet.node.holds(&job_id(n))));
 }
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Around, step_with};
+use common::{Environment, step_with};
 use dillcleat_controller::records::{OpenJob, open_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
@@ -34,7 +34,7 @@
 /// Elects a node `delay` after it received the estimates. Returns the size, the credit and
 /// the number of samples that it replicates itself for the job, at virtual time zero.
 fn replicated_after_election(received: Estimates, delay: Micros) -> (f64, f64, usize) {
-    let mut node: Node = common::node_of_three_zones();
+    let mut node: Node = common::three_zone_node();
     let spec = JobSpec {
         team: "books".into(),
         ..JobSpec::plain("req-1", JobKind::Batch, 50, 2.0)
@@ -46,8 +46,8 @@
         unmarked: true,
         parallelism_limit: None,
     };
-    let mut around = Around::default();
-    around.queue.push(KeyValue {
+    let mut env = Environment::default();
+    env.queue_rows.push(KeyValue {
         key: open_key("req-1"),
         value: encode_value(&open),
         version: 3,
@@ -60,10 +60,10 @@
         START,
         Input::Peer { from, message },
         &[],
-        &mut around,
+        &mut env,
     );
     let at = START + delay;
-    step_with(&mut node, at, Input::Tick, &[], &mut around);
+    step_with(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
     let now = Timestamp {
--- a/crates/controller/tests/job_state_records.rs
+++ b/crates/controller/tests/job_state_records.rs
@@ -13,7 +13,7 @@
 /// Polls a node that has just started. The store holds a version and a value for each key.
 /// Returns the status and the job state of the answer.
 fn poll(store: &BTreeMap<String, (u64, Value)>) -> (u16, Option<JobState>) {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let now = Timestamp {
         monotonic: 1000 * SECOND,
         wall: 1000 * SECOND,
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::{CallError, MILLISECOND, Micros, SECOND};
 use dillcleat_wire::store::StoreResponse;
 use dillcleat_wire::user::{JOBS_PATH, JobState};
@@ -15,34 +15,37 @@
 const DONE: (u16, Option<JobState>) = (200, Some(JobState::Done));
 const CANCELLED: (u16, Option<JobState>) = (200, Some(JobState::Cancelled));
 
-fn node() -> Driven {
-    Driven::ready(common::config_with_team(), START)
+fn node() -> SteppedNode {
+    SteppedNode::ready(common::config_with_team(), START)
 }
 
 /// Sends a request to another node and returns its answer.
-fn ask_other_node(store: &mut Store, send: fn(&mut Driven) -> u64) -> (u16, Option<JobState>) {
+fn ask_other_node(
+    store: &mut MemoryStore,
+    send: fn(&mut SteppedNode) -> u64,
+) -> (u16, Option<JobState>) {
     let mut other = node();
     let request = send(&mut other);
-    other.settle(store);
+    other.execute_all(store);
     other.answer(request).expect("an answer")
 }
 
-fn leave_open(_: &mut Store) {}
+fn leave_open(_: &mut MemoryStore) {}
 
-fn finish(store: &mut Store) {
-    store.done(JOB);
+fn finish(store: &mut MemoryStore) {
+    store.mark_done(JOB);
 }
 
-fn cancel(store: &mut Store) {
+fn cancel(store: &mut MemoryStore) {
     assert_eq!(ask_other_node(store, |n| n.cancel(JOB)), CANCELLED);
 }
 
-fn cancel_and_delete(store: &mut Store) {
+fn cancel_and_delete(store: &mut MemoryStore) {
     cancel(store);
-    store.clear(JOB);
+    store.remove_cancelled(JOB);
 }
 
-type Change = fn(&mut Store);
+type Change = fn(&mut MemoryStore);
 
 /// Changes to the job before its submission is retried, each with the expected answer.
 const CHANGES: [(Change, (u16, Option<JobState>)); 4] = [
@@ -55,13 +58,13 @@
 #[test]
 fn retried_submission_returns_the_jobs_present_state() {
     for (change, expected) in CHANGES {
-        let (mut node, mut store) = (node(), Store::default());
-        let submission = node.submit(&spec(JOB));
-        node.lose(&mut store);
+        let (mut node, mut store) = (node(), MemoryStore::default());
+        let submission = node.submit(&job_spec(JOB));
+        node.execute_and_lose_answer(&mut store);
         assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
         change(&mut store);
         let rows = store.rows.clone();
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(submission), Some(expected));
         assert_eq!(store.rows, rows, "written twice");
     }
@@ -71,17 +74,17 @@
 /// is open, arrives after a poll at this node has found the job done.
 #[test]
 fn late_reply_to_a_retry_does_not_reopen_a_done_job() {
-    let (mut node, mut store) = (node(), Store::default());
-    let submission = node.submit(&spec(JOB));
-    let (first, call) = node.take();
-    store.carry_out(&call);
-    node.at += 100 * MILLISECOND;
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    let submission = node.submit(&job_spec(JOB));
+    let (first, call) = node.take_call();
+    store.execute(&call);
+    node.now += 100 * MILLISECOND;
     node.tick();
-    let (second, call) = node.take();
-    let second_reply = store.carry_out(&call);
-    store.done(JOB);
+    let (second, call) = node.take_call();
+    let second_reply = store.execute(&call);
+    store.mark_done(JOB);
     let poll = node.poll(JOB);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(poll), Some(DONE));
     node.reply(first, Err(CallError::NoAnswer));
     assert_eq!(node.answer(submission), None);
@@ -93,56 +96,59 @@
 #[test]
 fn retried_cancellation_finds_the_job_cancelled_or_done() {
     for (delete, cached) in [(false, false), (false, true), (true, false), (true, true)] {
-        let (mut node, mut store) = (node(), Store::default());
-        ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
+        let (mut node, mut store) = (node(), MemoryStore::default());
+        ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
         if cached {
             node.poll(JOB);
-            node.settle(&mut store);
+            node.execute_all(&mut store);
         }
         let cancellation = node.cancel(JOB);
         if !cached {
-            node.serve(&mut store);
+            node.execute_next(&mut store);
         }
-        node.lose(&mut store);
+        node.execute_and_lose_answer(&mut store);
         assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), CANCELLED);
         // The job can no longer become done.
-        assert!(matches!(store.done(JOB), StoreResponse::Conflict { .. }));
+        assert!(matches!(
+            store.mark_done(JOB),
+            StoreResponse::Conflict { .. }
+        ));
         if delete {
-            store.clear(JOB);
+            store.remove_cancelled(JOB);
         }
         let rows = store.rows.clone();
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(cancellation), Some(CANCELLED));
         assert_eq!(store.rows, rows, "written twice");
     }
     // The job's last task ends before the first attempt is executed.
-    let (mut node, mut store) = (node(), Store::default());
-    ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
     let cancellation = node.cancel(JOB);
-    node.serve(&mut store);
-    store.done(JOB);
-    node.lose(&mut store);
+    node.execute_next(&mut store);
+    store.mark_done(JOB);
+    node.execute_and_lose_answer(&mut store);
     assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), DONE);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
 
 /// A repeated submission may have another content than the accepted one.
 #[test]
 fn submission_that_the_store_rejects_as_malformed_gets_400_only_if_the_job_is_unknown() {
-    let (mut node, mut store) = (node(), Store::default());
-    let submit_malformed = |node: &mut Driven| {
-        let submission = node.submit(&spec(JOB));
-        let (id, _) = node.take();
+    let (mut node, mut store) = (node(), MemoryStore::default());
+    let submit_malformed = |node: &mut SteppedNode| {
+        let submission = node.submit(&job_spec(JOB));
+        let (id, _) = node.take_call();
         node.reply(id, Ok(StoreResponse::Malformed));
         submission
     };
     let submission = submit_malformed(&mut node);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some((400, None)));
-    ask_other_node(&mut store, |n| n.submit(&spec(JOB)));
+    ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
     let submission = submit_malformed(&mut node);
-    node.settle(&mut store);
+    node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some(QUEUED));
 }
 
@@ -150,12 +156,12 @@
 #[test]
 fn retries_of_a_submission_stay_within_the_write_budget() {
     let mut node = node();
-    let submission = node.submit(&spec(JOB));
+    let submission = node.submit(&job_spec(JOB));
     let mut attempts = 0;
     while node.answer(submission).is_none() {
         attempts += 1;
         assert!(attempts < 20, "retried without limit");
-        let (id, _) = node.take();
+        let (id, _) = node.take_call();
         node.reply(id, Err(CallError::NotSent));
     }
     assert_eq!(node.answer(submission), Some((503, None)));
@@ -169,23 +175,29 @@
 fn failed_calls_release_their_request_slots() {
     let mut config = common::config_with_team();
     (config.state_rps, config.state_write_rps) = (1e6, 1e6);
-    let requests: [fn(&mut Driven, &str) -> u64; 5] = [
-        |n, id| n.submit(&spec(id)),
+    let requests: [fn(&mut SteppedNode, &str) -> u64; 5] = [
+        |n, id| n.submit(&job_spec(id)),
         |n, id| n.poll(id),
         |n, id| n.cancel(id),
-        |n, id| n.request("POST", JOBS_PATH.into(), with(id, "leaves", None)),
         |n, id| {
-            let mut spec = spec(&id.replace("req-1", "req-2"));
+            n.request(
+                "POST",
+                JOBS_PATH.into(),
+                submission_with_field(id, "leaves", None),
+            )
+        },
+        |n, id| {
+            let mut spec = job_spec(&id.replace("req-1", "req-2"));
             spec.depends_on = vec![id.into()];
             n.submit(&spec)
         },
     ];
-    let unknown = Store::default();
-    let mut open = Store::default();
-    ask_other_node(&mut open, |n| n.submit(&spec(JOB)));
-    let mut done = Store::default();
-    ask_other_node(&mut done, |n| n.submit(&spec(JOB)));
-    done.done(JOB);
+    let unknown = MemoryStore::default();
+    let mut open = MemoryStore::default();
+    ask_other_node(&mut open, |n| n.submit(&job_spec(JOB)));
+    let mut done = MemoryStore::default();
+    ask_other_node(&mut done, |n| n.submit(&job_spec(JOB)));
+    done.mark_done(JOB);
     let stores = [unknown, open, done];
     let faults = [
         Err(CallError::NoAnswer),
@@ -195,25 +207,25 @@
     for case in 0..180 {
         let (send, fault) = (requests[case % 5], &faults[case / 5 % 3]);
         let (store_index, failing_call) = (case / 15 % 3, case / 45);
-        let mut node = Driven::ready(config.clone(), START);
+        let mut node = SteppedNode::ready(config.clone(), START);
         for round in 0..260 {
             let id = format!("req-1{round}");
-            let mut store = Store::default();
+            let mut store = MemoryStore::default();
             let rows = stores[store_index].rows.iter();
             store.rows = rows
                 .map(|(k, row)| (k.replace(JOB, &id), row.clone()))
                 .collect();
             let request = send(&mut node, &id);
-            let (mut calls, deadline) = (0, node.at + 10 * SECOND);
+            let (mut calls, deadline) = (0, node.now + 10 * SECOND);
             while node.answer(request).is_none() {
-                assert!(node.at < deadline, "case {case}: never answered");
-                node.at += 20 * MILLISECOND;
-                if node.sent.is_empty() {
+                assert!(node.now < deadline, "case {case}: never answered");
+                node.now += 20 * MILLISECOND;
+                if node.pending_calls.is_empty() {
                     node.tick();
                     continue;
                 }
-                let (id, sent) = node.take();
-                let reply = store.carry_out(&sent);
+                let (id, sent) = node.take_call();
+                let reply = store.execute(&sent);
                 let fails = calls == failing_call;
                 calls += 1;
                 node.reply(id, if fails { fault.clone() } else { Ok(reply) });
@@ -227,13 +239,13 @@
             );
             let poll_failed = case % 5 == 1 && calls > failing_call;
             assert!(!poll_failed || status == 503, "case {case}: {status}");
-            node.told.clear();
+            node.answers.clear();
         }
         // The node still serves further requests.
-        let mut store = Store::default();
+        let mut store = MemoryStore::default();
         let ids = ["req-1", "req-3", "req-4"];
-        let submissions = ids.map(|id| node.submit(&spec(id)));
-        node.settle(&mut store);
+        let submissions = ids.map(|id| node.submit(&job_spec(id)));
+        node.execute_all(&mut store);
         for submission in submissions {
             assert_eq!(
                 node.answer(submission).map(|a| a.0),
@@ -242,7 +254,7 @@
             );
         }
         let poll = node.poll(JOB);
-        node.settle(&mut store);
+        node.execute_all(&mut store);
         assert_eq!(node.answer(poll), Some(QUEUED), "case {case}");
     }
 }
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -22,7 +22,7 @@
 /// A leader with one machine and an open job whose tasks all fit on it.
 struct Harness {
     node: Node,
-    at: Micros,
+    now: Micros,
     /// The store's replies to the first batches of tasks. All later batches are committed.
     batch_replies: Vec<Result<StoreResponse, CallError>>,
     /// The store's reply to a read of a chunk.
@@ -42,7 +42,7 @@
         (config.value_bytes, config.txn_ops) = (LOWERED_VALUE_BYTES, 16);
         let mut harness = Harness {
             node: Node::new(config),
-            at: 1000 * SECOND,
+            now: 1000 * SECOND,
             batch_replies,
             chunk_reply,
             batches: Vec::new(),
@@ -52,10 +52,10 @@
         // Twenty ticks a second, and a heartbeat every two seconds.
         for n in 0..100 {
             if n % 40 == 0 {
-                harness.handle(common::report("m", "a", n + 1));
+                harness.handle(common::heartbeat_request("m", "a", n + 1));
             }
             harness.handle(Input::Tick);
-            harness.at += 50 * MILLISECOND;
+            harness.now += 50 * MILLISECOND;
         }
         harness
     }
@@ -80,8 +80,8 @@
             parallelism_limit: None,
         };
         match prefix {
-            records::SHARED => vec![common::types(64.0)],
-            records::MACHINES => vec![common::recorded("m", "a")],
+            records::SHARED => vec![common::machine_types_row(64.0)],
+            records::MACHINES => vec![common::machine_row("m", "a")],
             records::QUEUE => vec![row(records::open_key("req-1"), &job)],
             _ => Vec::new(),
         }
@@ -89,8 +89,8 @@
 
     fn handle(&mut self, input: Input) {
         let now = Timestamp {
-            monotonic: self.at,
-            wall: self.at,
+            monotonic: self.now,
+            wall: self.now,
         };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Around, config_with_team, recorded, row, step_with};
+use common::{Environment, config_with_team, machine_row, row, step_with};
 use dillcleat_controller::records::{self, OpenJob, TaskChunk};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
@@ -46,7 +46,7 @@
 
 /// Ticks for half a second and returns the progress that the node broadcasts. Renewals of
 /// the leader's lease succeed, and other calls are not answered.
-fn broadcasts(node: &mut Node, at: &mut Micros, around: &mut Around) -> Vec<JobProgress> {
+fn broadcasts(node: &mut Node, at: &mut Micros, env: &mut Environment) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -65,7 +65,7 @@
                     ..
                 } => {
                     let reply = Ok(StoreResponse::LeaseRenewed);
-                    step_with(node, *at, Input::Store { id, reply }, &[], around);
+                    step_with(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
             }
@@ -75,7 +75,7 @@
 }
 
 /// A leader with a job of one task, which is placed on machine `m`.
-fn leader() -> (Node, Micros, Around) {
+fn leader() -> (Node, Micros, Environment) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
         spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
@@ -89,24 +89,30 @@
         ..TaskChunk::default()
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
-    let mut around = Around {
-        queue: vec![row(records::open_key(JOB), &open)],
-        tasks: vec![row(tasks, &chunk)],
-        ..Around::default()
+    let mut env = Environment {
+        queue_rows: vec![row(records::open_key(JOB), &open)],
+        task_rows: vec![row(tasks, &chunk)],
+        ..Environment::default()
     };
     step_with(
         &mut node,
         START,
         Input::Tick,
-        &[recorded("m", "a")],
-        &mut around,
+        &[machine_row("m", "a")],
+        &mut env,
     );
     assert_eq!(node.leading(), Some(1));
-    (node, START, around)
+    (node, START, env)
 }
 
 /// The machine sends a heartbeat with the task in the given state.
-fn heartbeat(node: &mut Node, at: Micros, sequence: u64, state: TaskState, around: &mut Around) {
+fn send_heartbeat(
+    node: &mut Node,
+    at: Micros,
+    sequence: u64,
+    state: TaskState,
+    env: &mut Environment,
+) {
     let task = TaskStatus {
         task: format!("{JOB}/0").parse().expect("a task's name"),
         attempt: 1,
@@ -132,29 +138,29 @@
         target: HEARTBEAT_PATH.into(),
         body: encode(&heartbeat),
     };
-    step_with(node, at, input, &[], around);
+    step_with(node, at, input, &[], env);
 }
 
 /// A controller that starts later has missed all changes, and the counts of a running
 /// service may not change again for hours.
 #[test]
 fn leader_sends_all_progress_again_to_a_peer_that_becomes_reachable() {
-    let (mut node, mut at, mut around) = leader();
-    heartbeat(&mut node, at, 1, TaskState::Running, &mut around);
+    let (mut node, mut at, mut env) = leader();
+    send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
     let running = [counts(JOB, 0, 1)];
-    assert_eq!(broadcasts(&mut node, &mut at, &mut around), running);
+    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
     // It is repeated until the next scheduling pass.
-    while !broadcasts(&mut node, &mut at, &mut around).is_empty() {
+    while !broadcasts(&mut node, &mut at, &mut env).is_empty() {
         assert!(at < START + 3 * SECOND);
     }
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut around), running);
+    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut around), []);
+    assert_eq!(broadcasts(&mut node, &mut at, &mut env), []);
     // Zero counts are sent at the job's end, so that peers remove its entry.
-    heartbeat(&mut node, at, 2, TaskState::Exited, &mut around);
+    send_heartbeat(&mut node, at, 2, TaskState::Exited, &mut env);
     assert_eq!(
-        broadcasts(&mut node, &mut at, &mut around),
+        broadcasts(&mut node, &mut at, &mut env),
         [counts(JOB, 0, 0)]
     );
     assert_eq!(node.progress(JOB), None);
@@ -167,19 +173,19 @@
     let mut node = Node::new(config_with_team());
     let previous = vec![counts(JOB, 0, 3), counts("req-2", 1, 1)];
     receive(&mut node, START, "n1", Message::JobProgress(previous));
-    let (mut at, mut around) = (START, Around::default());
-    step_with(&mut node, at, Input::Tick, &[], &mut around);
+    let (mut at, mut env) = (START, Environment::default());
+    step_with(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
     // Possibly outdated counts are not sent to a peer that becomes reachable, either.
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
     while at < START + 9 * SECOND {
-        all.extend(broadcasts(&mut node, &mut at, &mut around));
+        all.extend(broadcasts(&mut node, &mut at, &mut env));
     }
     assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
         receive(&mut node, at, "n1", peer_heartbeat(1, false));
-        let more = broadcasts(&mut node, &mut at, &mut around);
+        let more = broadcasts(&mut node, &mut at, &mut env);
         if !more.is_empty() {
             assert_eq!(more, [counts(JOB, 0, 0), counts("req-2", 0, 0)]);
             assert_eq!(node.progress(JOB), None);
@@ -201,9 +207,9 @@
     receive(&mut node, START, "n1", progress(0, 3));
     assert_eq!(node.progress(JOB), Some((1, 2)));
     // The new leader ignores it, too.
-    let (mut node, at, mut around) = leader();
-    heartbeat(&mut node, at, 1, TaskState::Running, &mut around);
-    broadcasts(&mut node, &mut at.clone(), &mut around);
+    let (mut node, at, mut env) = leader();
+    send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
+    broadcasts(&mut node, &mut at.clone(), &mut env);
     receive(&mut node, at, "n1", progress(0, 0));
     assert_eq!(node.progress(JOB), Some((0, 1)));
 }
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, Store, spec, with};
+use common::stepped_node::{MemoryStore, SteppedNode, job_spec, submission_with_field};
 use dillcleat_controller::records::{MachineTypesRecord, RecordedState};
 use dillcleat_controller::{CallError, Config, Micros, SECOND, records};
 use dillcleat_wire::store::{StoreRequest, StoreResponse, Value, encode_value};
@@ -25,14 +25,17 @@
 
 /// Malformed submissions, each with one wrong field and a description of it.
 fn malformed_submissions() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = encode_value(&spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&job_spec(JOB)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
     let mut add = |name: &str, field: Option<Value>| {
         let shown = field.as_ref().map_or(String::new(), Value::to_string);
         let shown: String = shown.chars().take(40).collect();
-        all.push((format!("{name} = {shown}"), with(JOB, name, field)));
+        all.push((
+            format!("{name} = {shown}"),
+            submission_with_field(JOB, name, field),
+        ));
     };
     for (name, valid) in &fields {
         let name = name.as_str().expect("text");
@@ -88,7 +91,7 @@
 fn unschedulable_submissions() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
     let mut add = |reason: &str, change: fn(&mut JobSpec)| {
-        let mut spec = spec(JOB);
+        let mut spec = job_spec(JOB);
         change(&mut spec);
         all.push((reason.to_string(), dillcleat_wire::encode(&spec)));
     };
@@ -119,7 +122,7 @@
 /// Sends a submission, answers every store call after a second with `reply`, and returns the
 /// status and job state of the answer.
 fn submit(
-    node: &mut Driven,
+    node: &mut SteppedNode,
     body: &[u8],
     mut reply: impl FnMut(&StoreRequest) -> Result<StoreResponse, CallError>,
 ) -> (u16, Option<JobState>) {
@@ -128,22 +131,22 @@
         if let Some(answer) = node.answer(request) {
             return answer;
         }
-        if node.sent.is_empty() {
+        if node.pending_calls.is_empty() {
             node.tick();
             continue;
         }
-        let (id, call) = node.take();
-        node.at += SECOND;
+        let (id, call) = node.take_call();
+        node.now += SECOND;
         node.reply(id, reply(&call));
     }
     panic!("no answer");
 }
 
 /// A node that has just started, and one that has read the machine types, which is `ready`.
-fn nodes() -> [(bool, Driven); 2] {
+fn nodes() -> [(bool, SteppedNode); 2] {
     [
-        (false, Driven::new(config(), START)),
-        (true, Driven::ready(config(), START)),
+        (false, SteppedNode::new(config(), START)),
+        (true, SteppedNode::ready(config(), START)),
     ]
 }
 
@@ -158,8 +161,8 @@
         .flat_map(|(r, all)| all.iter().map(move |b| (*r, b)))
     {
         for (ready, mut node) in nodes() {
-            let mut store = Store::default();
-            let (status, _) = submit(&mut node, body, |call| Ok(store.carry_out(call)));
+            let mut store = MemoryStore::default();
+            let (status, _) = submit(&mut node, body, |call| Ok(store.execute(call)));
             // Without the machine types a node cannot check whether a job is schedulable.
             let expected = if ready || status_if_ready == 400 {
                 status_if_ready
@@ -175,22 +178,22 @@
 /// A failing cloud may list no types at all, which must not make every job unschedulable.
 #[test]
 fn submission_gets_503_while_the_list_of_machine_types_is_empty() {
-    let mut node = Driven::new(config(), START);
-    node.types = common::row(
+    let mut node = SteppedNode::new(config(), START);
+    node.machine_types_row = common::row(
         records::TYPES.into(),
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
-    let valid = dillcleat_wire::encode(&spec(JOB));
-    let mut store = Store::default();
-    let (status, _) = submit(&mut node, &valid, |call| Ok(store.carry_out(call)));
+    let valid = dillcleat_wire::encode(&job_spec(JOB));
+    let mut store = MemoryStore::default();
+    let (status, _) = submit(&mut node, &valid, |call| Ok(store.execute(call)));
     assert_eq!(status, 503);
 }
 
 /// The job may already exist, and a submission of an existing job must not be rejected.
 #[test]
 fn every_submission_gets_503_while_the_store_fails() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -216,7 +219,7 @@
 /// Whatever the repetition contains, and also at a node that has just started.
 #[test]
 fn repeated_submission_of_an_existing_job_returns_its_state() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&spec(JOB)));
+    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -226,22 +229,22 @@
     let states = [JobState::Queued, JobState::Done, JobState::Cancelled];
     for (case, body) in &all {
         for state in states {
-            let mut store = Store::default();
-            let mut other = Driven::ready(config(), START);
-            other.submit(&spec(JOB));
-            other.settle(&mut store);
+            let mut store = MemoryStore::default();
+            let mut other = SteppedNode::ready(config(), START);
+            other.submit(&job_spec(JOB));
+            other.execute_all(&mut store);
             match state {
                 JobState::Done => {
-                    store.done(JOB);
+                    store.mark_done(JOB);
                 }
                 JobState::Cancelled => {
                     other.cancel(JOB);
-                    other.settle(&mut store);
+                    other.execute_all(&mut store);
                 }
                 _ => {}
             }
             for (ready, mut node) in nodes() {
-                let answer = submit(&mut node, body, |call| Ok(store.carry_out(call)));
+                let answer = submit(&mut node, body, |call| Ok(store.execute(call)));
                 assert_eq!(answer, (200, Some(state)), "{case}, ready: {ready}");
             }
         }
@@ -251,11 +254,11 @@
 /// Once a node has seen that a job has ended, it needs no store call to answer.
 #[test]
 fn cancellation_of_an_unknown_job_gets_404_and_of_a_done_job_its_state() {
-    let mut store = Store::default();
-    let mut node = Driven::ready(config(), START);
-    let mut cancel = |store: &mut Store, id: &str| {
+    let mut store = MemoryStore::default();
+    let mut node = SteppedNode::ready(config(), START);
+    let mut cancel = |store: &mut MemoryStore, id: &str| {
         let request = node.cancel(id);
-        node.settle(store);
+        node.execute_all(store);
         node.answer(request)
     };
     assert_eq!(cancel(&mut store, JOB), Some((404, None)));
@@ -263,14 +266,14 @@
         assert_eq!(cancel(&mut store, id), Some((404, None)), "{id}");
     }
     assert!(store.rows.is_empty());
-    let mut other = Driven::ready(config(), START);
-    other.submit(&spec(JOB));
-    other.settle(&mut store);
-    store.done(JOB);
+    let mut other = SteppedNode::ready(config(), START);
+    other.submit(&job_spec(JOB));
+    other.execute_all(&mut store);
+    store.mark_done(JOB);
     for _ in 0..2 {
         assert_eq!(cancel(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
-    assert_eq!(store.mark(JOB), Some(RecordedState::Done));
+    assert_eq!(store.recorded_state(JOB), Some(RecordedState::Done));
     let request = node.cancel(JOB);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::users::{Driven, spec};
+use common::stepped_node::{SteppedNode, job_spec};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -51,7 +51,7 @@
 /// must leave some for submissions and cancellations.
 #[test]
 fn requests_over_the_budget_get_503_at_once() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let at = 1000 * SECOND;
     // Users get seven tenths of 200 calls a second, and this node a third of that. Polls
     // leave half of it to other requests.
@@ -62,7 +62,7 @@
 /// The load balancer may send every user to one node.
 #[test]
 fn node_gets_the_budget_of_peers_without_requests() {
-    let mut node = common::node();
+    let mut node = common::single_zone_node();
     let mut at = 1000 * SECOND;
     let peer_heartbeat = |node: &mut Node, at, from: &str, requests_per_s| {
         let now = Timestamp {
@@ -106,16 +106,16 @@
 /// A submission that is rejected because the write budget is used up takes no call.
 #[test]
 fn rejected_submissions_leave_their_calls_to_polls() {
-    let mut node = Driven::ready(common::config_with_team(), 1000 * SECOND);
+    let mut node = SteppedNode::ready(common::config_with_team(), 1000 * SECOND);
     for i in 0..REQUESTS {
-        node.submit(&spec(&format!("req-{i}")));
+        node.submit(&job_spec(&format!("req-{i}")));
     }
     // A third of seven tenths of 80 writes a second.
-    assert_eq!(node.sent.len(), 18);
-    node.sent.clear();
+    assert_eq!(node.pending_calls.len(), 18);
+    node.pending_calls.clear();
     for i in 0..REQUESTS {
         node.poll(&format!("req-{i}"));
     }
     // Polls leave 23 of the 46 calls to other requests, and submissions have used 18.
-    assert_eq!(node.sent.len(), 5);
+    assert_eq!(node.pending_calls.len(), 5);
 }
--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -13,36 +13,44 @@
 /// changes after `failover`. The workers check that no task starts twice.
 fn run_with_failover(failover: Micros, rent_lag: Micros, list_lag: Micros) {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
-    fleet.stock.insert(("a".into(), false), 99);
-    (fleet.boot, fleet.write_lag) = (SECOND, 2 * SECOND);
+    fleet.rentable.insert(("a".into(), false), 99);
+    (fleet.boot_time, fleet.write_lag) = (SECOND, 2 * SECOND);
     (fleet.rent_lag, fleet.list_lag) = (rent_lag, list_lag);
     let case = format!("failover {failover}, scale-out lag {rent_lag}, list lag {list_lag}");
-    fleet.pass(3 * SECOND);
+    fleet.advance(3 * SECOND);
     for (id, tasks) in [("req-000001", 9), ("req-000002", 5)] {
         let spec = JobSpec::plain(id, JobKind::Batch, tasks, 1.0);
         fleet.submit(JobSpec {
             spot: false,
             ..spec
         });
-        fleet.pass(2 * SECOND);
+        fleet.advance(2 * SECOND);
     }
-    fleet.pass(failover);
-    fleet.new_leader();
-    fleet.pass(30 * SECOND);
-    assert_eq!(fleet.cpus_of(&["req-000001", "req-000002"]), 14, "{case}");
-    fleet.pass(120 * SECOND);
+    fleet.advance(failover);
+    fleet.replace_leader();
+    fleet.advance(30 * SECOND);
     assert_eq!(
-        fleet.killed,
+        fleet.cpus_used_by(&["req-000001", "req-000002"]),
+        14,
+        "{case}"
+    );
+    fleet.advance(120 * SECOND);
+    assert_eq!(
+        fleet.killed_tasks,
         Vec::<String>::new(),
         "{case}: deleted while running tasks"
     );
-    let idle = fleet.workers.values().filter(|w| w.running() == 0);
+    let idle = fleet.workers.values().filter(|w| w.running_tasks() == 0);
     let idle: Vec<&String> = idle.map(|w| &w.name).collect();
     assert!(
         idle.is_empty(),
         "{case}: idle machines are not deleted: {idle:?}"
     );
-    assert_eq!(fleet.cpus_of(&["req-000001", "req-000002"]), 14, "{case}");
+    assert_eq!(
+        fleet.cpus_used_by(&["req-000001", "req-000002"]),
+        14,
+        "{case}"
+    );
 }
 
 #[test]
@@ -62,16 +70,16 @@
 /// and replaces it after each `term`.
 fn fleet_after_failovers(boot: Micros, term: Micros, terms: u32) -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
-    fleet.stock.insert(("a".into(), false), 1);
-    fleet.boot = boot;
+    fleet.rentable.insert(("a".into(), false), 1);
+    fleet.boot_time = boot;
     let spec = JobSpec::plain("req-000001", JobKind::Batch, 1, 1.0);
     fleet.submit(JobSpec {
         spot: false,
         ..spec
     });
     for _ in 0..terms {
-        fleet.pass(term);
-        fleet.new_leader();
+        fleet.advance(term);
+        fleet.replace_leader();
     }
     fleet
 }
@@ -81,14 +89,14 @@
 #[test]
 fn machine_that_never_boots_is_deleted_despite_failovers() {
     let fleet = fleet_after_failovers(10_000 * SECOND, 40 * SECOND, 4);
-    assert_eq!(fleet.deleted.len(), 1);
+    assert_eq!(fleet.deletions.len(), 1);
 }
 
 /// The new leader knows of the booting machine only from the cloud's list.
 #[test]
 fn new_leader_does_not_delete_a_slowly_booting_machine() {
     let mut fleet = fleet_after_failovers(25 * SECOND, 8 * SECOND, 1);
-    fleet.pass(22 * SECOND);
-    assert_eq!(fleet.deleted, []);
-    assert_eq!(fleet.cpus_of(&["req-000001"]), 1);
+    fleet.advance(22 * SECOND);
+    assert_eq!(fleet.deletions, []);
+    assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
 }
--- a/crates/controller/tests/team_quota.rs
+++ b/crates/controller/tests/team_quota.rs
@@ -39,13 +39,13 @@
     let mut t = machine_type(8.0);
     t.gpus = 8.0;
     let mut fleet = Fleet::new(config, vec![t]);
-    fleet.limit = QUOTA_TASKS as usize;
-    fleet.machine("m0", "a", false);
+    fleet.max_running_tasks = QUOTA_TASKS as usize;
+    fleet.add_machine("m0", "a", false);
     fleet.submit(job("req-000001", kind, gpu_quota));
-    fleet.pass(5 * SECOND);
-    fleet.machine("m1", "b", false);
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.running("req-000001"), ["m0"]);
+    fleet.advance(5 * SECOND);
+    fleet.add_machine("m1", "b", false);
+    fleet.advance(5 * SECOND);
+    assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
     fleet
 }
 
@@ -59,34 +59,34 @@
     hang_time: Option<Micros>,
 ) -> (Micros, bool) {
     let machine = fleet.worker("m0");
-    (machine.hung, machine.mute, machine.deaf) = match hang_time {
+    (machine.hung, machine.heartbeats_lost, machine.inbound_lost) = match hang_time {
         Some(_) => (true, false, false),
         None => (false, true, true),
     };
     if matches!(failover, Failover::Before | Failover::BeforeAndAfter) {
-        fleet.new_leader();
-        fleet.pass(SECOND);
+        fleet.replace_leader();
+        fleet.advance(SECOND);
     }
-    let from = fleet.at;
+    let from = fleet.now;
     assert_eq!(fleet.cancel("req-000001"), 200);
     fleet.submit(next.clone());
     if matches!(failover, Failover::After | Failover::BeforeAndAfter) {
-        fleet.pass(SECOND);
-        fleet.new_leader();
+        fleet.advance(SECOND);
+        fleet.replace_leader();
     }
-    while fleet.starts_of(&next.id).is_empty() && fleet.at < from + 40 * SECOND {
-        if hang_time.is_some_and(|time| fleet.at >= from + time)
+    while fleet.starts_of(&next.id).is_empty() && fleet.now < from + 40 * SECOND {
+        if hang_time.is_some_and(|time| fleet.now >= from + time)
             && let Some(m) = fleet.workers.get_mut("m0")
         {
             m.hung = false;
         }
-        fleet.pass(SECOND / 10);
+        fleet.advance(SECOND / 10);
     }
     let deleted = !fleet.workers.contains_key("m0");
-    let after = fleet.at - from;
-    fleet.pass(SECOND);
+    let after = fleet.now - from;
+    fleet.advance(SECOND);
     assert_eq!(
-        fleet.cpus_of(&[&next.id]),
+        fleet.cpus_used_by(&[&next.id]),
         QUOTA_TASKS as usize,
         "the whole quota is free"
     );
@@ -132,23 +132,27 @@
     for failover in [Failover::None, Failover::After] {
         let mut fleet = fleet_at_quota(JobKind::Batch, false);
         assert_eq!(fleet.cancel("req-000001"), 200);
-        fleet.pass(5 * SECOND);
+        fleet.advance(5 * SECOND);
         fleet.write_lag = 3 * SECOND;
         fleet.submit(job("req-000002", JobKind::Batch, false));
-        fleet.pass(SECOND);
+        fleet.advance(SECOND);
         fleet.cancel("req-000002");
         fleet.submit(job("req-000003", JobKind::Batch, false));
-        fleet.pass(SECOND / 2);
+        fleet.advance(SECOND / 2);
         if matches!(failover, Failover::After) {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
         assert_eq!(
             fleet.starts_of("req-000002"),
-            Vec::<&common::fleet::Started>::new()
+            Vec::<&common::fleet::TaskStart>::new()
         );
-        assert_eq!(fleet.cpus_of(&["req-000003"]), QUOTA_TASKS as usize);
+        assert_eq!(fleet.cpus_used_by(&["req-000003"]), QUOTA_TASKS as usize);
         let tasks = records::tasks_key("req-000002", records::TaskRange::Chunk(0));
-        assert_eq!(fleet.record(&tasks), None, "its task records are deleted");
+        assert_eq!(
+            fleet.stored_value(&tasks),
+            None,
+            "its task records are deleted"
+        );
     }
 }
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Around, config_with_team, machine_type, recorded, row, step_with};
+use common::{Environment, config_with_team, machine_row, machine_type, row, step_with};
 use dillcleat_controller::records::{
     self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
@@ -55,7 +55,7 @@
 /// A leader with two machines, `m` and `n`. The test sends their heartbeats.
 struct Harness {
     node: Node,
-    around: Around,
+    env: Environment,
     machine_rows: Vec<KeyValue>,
     sequence: u64,
     /// The fencing token in the machines' heartbeats.
@@ -65,7 +65,7 @@
 impl Harness {
     /// A node that wins the election at its first tick, with `placed` tasks of the job on
     /// machine `m`.
-    fn new(config: Config, queue: Vec<KeyValue>, placed: u32) -> Harness {
+    fn new(config: Config, queue_rows: Vec<KeyValue>, placed: u32) -> Harness {
         let chunk = TaskChunk {
             placed: (0..placed)
                 .map(|i| (i, 1, "m".to_string(), 1).into())
@@ -74,13 +74,13 @@
         };
         Harness {
             node: Node::new(config),
-            around: Around {
-                queue,
-                tasks: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
-                types: vec![machine_type(8.0)],
-                ..Around::default()
+            env: Environment {
+                queue_rows,
+                task_rows: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
+                machine_types: vec![machine_type(8.0)],
+                ..Environment::default()
             },
-            machine_rows: vec![recorded("m", "a"), recorded("n", "a")],
+            machine_rows: vec![machine_row("m", "a"), machine_row("n", "a")],
             sequence: 0,
             fencing_token: 1,
         }
@@ -93,7 +93,7 @@
             now,
             input,
             &self.machine_rows,
-            &mut self.around,
+            &mut self.env,
         )
         .0
     }
@@ -104,13 +104,13 @@
             self.step(at, Input::Tick);
             self.answer_watches(at, Vec::new());
             if at.is_multiple_of(SECOND) {
-                self.heartbeat(at, "n", None);
+                self.send_heartbeat(at, "n", None);
             }
         }
     }
 
     fn answer_watches(&mut self, at: Micros, events: Vec<WatchEvent>) {
-        for id in std::mem::take(&mut self.around.watches) {
+        for id in std::mem::take(&mut self.env.open_watches) {
             let changes = WatchBatch {
                 revision: 3,
                 events: events.clone(),
@@ -122,7 +122,7 @@
 
     /// Sends the machine's heartbeat, with task 0 of the job in the given state, if any.
     /// Returns the commands of the reply, or None if the heartbeat is rejected.
-    fn heartbeat(
+    fn send_heartbeat(
         &mut self,
         at: Micros,
         machine: &str,
@@ -154,10 +154,10 @@
             target: HEARTBEAT_PATH.into(),
             body: encode(&heartbeat),
         };
-        self.around.bodies.clear();
+        self.env.answer_bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
-                let body = self.around.bodies.pop().expect("a reply");
+                let body = self.env.answer_bodies.pop().expect("a reply");
                 let reply: HeartbeatReply = dillcleat_wire::decode(&body).expect("a reply");
                 Some(reply.commands)
             }
@@ -167,7 +167,7 @@
 
     /// The keys that the leader has deleted, in order.
     fn deleted_keys(&self) -> Vec<&str> {
-        let changes = self.around.writes.iter().flat_map(|t| &t.then);
+        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
         changes
             .filter_map(|c| match c {
                 Mutation::Delete { key } => Some(key.as_str()),
@@ -179,7 +179,7 @@
     /// How many tasks of the job are placed according to the last write of its first chunk.
     fn placed_count(&self, id: &str) -> usize {
         let key = records::tasks_key(id, TaskRange::Chunk(0));
-        let changes = self.around.writes.iter().flat_map(|t| &t.then);
+        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
             Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
@@ -200,7 +200,7 @@
     let unknown_team = Harness::new(without_teams, vec![open_job_row(JOB, 2)], 1);
     let unreadable_description = Harness::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
     let mut unreadable_chunk = Harness::new(config_with_team(), vec![open_job_row(JOB, 2)], 1);
-    unreadable_chunk.around.tasks[0].value = encode_value(&"a later format");
+    unreadable_chunk.env.task_rows[0].value = encode_value(&"a later format");
     for (case, mut harness) in [unknown_team, unreadable_description, unreadable_chunk]
         .into_iter()
         .enumerate()
@@ -209,7 +209,7 @@
         assert_eq!(harness.node.leading(), Some(1));
         let running = Some(TaskState::Running);
         assert_eq!(
-            harness.heartbeat(2 * SECOND, "m", running),
+            harness.send_heartbeat(2 * SECOND, "m", running),
             Some(vec![]),
             "case {case}"
         );
@@ -217,18 +217,18 @@
         assert_eq!(harness.placed_count(JOB), 0, "case {case}");
         assert_eq!(harness.node.counts().passes, 0, "no job is in the queue");
         assert_eq!(
-            harness.heartbeat(8 * SECOND, "m", running),
+            harness.send_heartbeat(8 * SECOND, "m", running),
             Some(vec![]),
             "case {case}"
         );
         assert_eq!(harness.deleted_keys(), [""; 0], "case {case}");
         let exited = Some(TaskState::Exited);
-        let answer = harness.heartbeat(9 * SECOND, "m", exited);
+        let answer = harness.send_heartbeat(9 * SECOND, "m", exited);
         // A task is reaped only after its end is stored, which is impossible while the
         // description or the chunk cannot be read.
         assert_eq!(answer, Some(vec![]), "case {case}");
         harness.advance(9 * SECOND, 10 * SECOND);
-        let answer = harness.heartbeat(10 * SECOND, "m", exited);
+        let answer = harness.send_heartbeat(10 * SECOND, "m", exited);
         assert_eq!(
             answer.is_some_and(|c| c.is_empty()),
             case > 0,
@@ -245,7 +245,7 @@
         Some(RecordedState::Cancelled),
     ] {
         let mut harness = Harness::new(config_with_team(), Vec::new(), 1);
-        harness.around.found = state.map(|state| {
+        harness.env.readable_row = state.map(|state| {
             row(
                 records::job_key(JOB),
                 &JobStateRecord {
@@ -260,7 +260,7 @@
             harness.deleted_keys().contains(&key.as_str()),
             state.is_some()
         );
-        let commands = harness.heartbeat(5 * SECOND, "m", Some(TaskState::Running));
+        let commands = harness.send_heartbeat(5 * SECOND, "m", Some(TaskState::Running));
         let stopped = matches!(commands.as_deref(), Some([Command::Stop { .. }]));
         assert_eq!(stopped, state.is_some());
     }
@@ -283,7 +283,7 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    harness.around.found = Some(row(records::job_key(JOB), &state_record));
+    harness.env.readable_row = Some(row(records::job_key(JOB), &state_record));
     harness.advance(0, 5 * SECOND);
     let key = records::open_key("req-000002");
     assert_eq!(
@@ -298,10 +298,10 @@
 fn cancellation_of_an_unreadable_job_stops_its_tasks() {
     let renewal_limit = config_with_team().blind_limit();
     let mut harness = Harness::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
-    harness.around.cloud = false;
+    harness.env.cloud_up = false;
     harness.advance(0, SECOND);
     let running = Some(TaskState::Running);
-    assert_eq!(harness.heartbeat(SECOND, "m", running), Some(vec![]));
+    assert_eq!(harness.send_heartbeat(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
     let cancelled = row(
         records::cancelled_key(JOB),
@@ -316,24 +316,24 @@
     };
     harness.answer_watches(SECOND, vec![event]);
     let commands = harness
-        .heartbeat(2 * SECOND, "m", running)
+        .send_heartbeat(2 * SECOND, "m", running)
         .expect("a reply");
     assert!(matches!(&commands[..], [Command::Stop { .. }]));
     // No watch is answered for some time.
     for s in 2..10 {
         harness.step(s * SECOND, Input::Tick);
-        harness.heartbeat(s * SECOND, "n", None);
+        harness.send_heartbeat(s * SECOND, "n", None);
     }
     let commands = harness
-        .heartbeat(10 * SECOND, "m", running)
+        .send_heartbeat(10 * SECOND, "m", running)
         .expect("a reply");
     assert!(matches!(&commands[..], [Command::Stop { .. }]));
     let last = SECOND + renewal_limit;
     harness.advance(10 * SECOND, last + SECOND);
-    assert_eq!(harness.heartbeat(last + SECOND, "m", running), None);
-    assert!(harness.heartbeat(last + SECOND, "n", None).is_some());
+    assert_eq!(harness.send_heartbeat(last + SECOND, "m", running), None);
+    assert!(harness.send_heartbeat(last + SECOND, "n", None).is_some());
     assert!(
-        harness.heartbeat(last + SECOND, "m", None).is_some(),
+        harness.send_heartbeat(last + SECOND, "m", None).is_some(),
         "the task is gone"
     );
 }
@@ -350,18 +350,21 @@
         },
     );
     for readable in [true, false] {
-        let queue = vec![cancelled.clone(), unreadable_job_row(JOB)];
-        let mut harness = Harness::new(config_with_team(), queue, 1);
+        let queue_rows = vec![cancelled.clone(), unreadable_job_row(JOB)];
+        let mut harness = Harness::new(config_with_team(), queue_rows, 1);
         if !readable {
-            harness.around.tasks[0].value = encode_value(&"a later format");
+            harness.env.task_rows[0].value = encode_value(&"a later format");
         }
         harness.advance(0, SECOND);
         harness.fencing_token = 0;
-        assert_eq!(harness.heartbeat(SECOND, "m", None), None);
-        assert_eq!(harness.heartbeat(SECOND, "o", None).is_some(), readable);
+        assert_eq!(harness.send_heartbeat(SECOND, "m", None), None);
+        assert_eq!(
+            harness.send_heartbeat(SECOND, "o", None).is_some(),
+            readable
+        );
         harness.fencing_token = 1;
         assert!(
-            harness.heartbeat(2 * SECOND, "m", None).is_some(),
+            harness.send_heartbeat(2 * SECOND, "m", None).is_some(),
             "the machine has no task"
         );
     }
@@ -372,8 +375,8 @@
     let mut config = config_with_team();
     config.teams[0].cpus_max = 4.0;
     let other = "req-000002";
-    let queue = vec![unreadable_job_row(JOB), open_job_row(other, 9)];
-    let mut harness = Harness::new(config, queue, 3);
+    let queue_rows = vec![unreadable_job_row(JOB), open_job_row(other, 9)];
+    let mut harness = Harness::new(config, queue_rows, 3);
     harness.advance(0, 4 * SECOND);
     assert_eq!(harness.placed_count(other), 1);
 }
--- a/crates/controller/tests/zone_constraints.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -22,14 +22,14 @@
     let mut t = machine_type(4.0);
     t.zones.push("b".into());
     let mut fleet = Fleet::new(config_with_team(), vec![t]);
-    fleet.machine("a0", "a", false);
-    fleet.machine("a1", "a", false);
+    fleet.add_machine("a0", "a", false);
+    fleet.add_machine("a1", "a", false);
     fleet.submit(spec);
-    fleet.pass(5 * SECOND);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
-    fleet.machine("b0", "b", false);
-    fleet.machine("b1", "b", false);
-    fleet.pass(5 * SECOND);
+    fleet.advance(5 * SECOND);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
+    fleet.add_machine("b0", "b", false);
+    fleet.add_machine("b1", "b", false);
+    fleet.advance(5 * SECOND);
     fleet
 }
 
@@ -41,16 +41,16 @@
         ..job_spec(8)
     });
     fleet.workers.remove("a0");
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     assert_eq!(
-        fleet.running(JOB),
+        fleet.machines_running(JOB),
         ["a1"],
         "despite free capacity in zone b"
     );
     fleet.workers.remove("a1");
-    fleet.pass(20 * SECOND);
-    assert_eq!(fleet.running(JOB), ["b0", "b1"]);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
+    fleet.advance(20 * SECOND);
+    assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
 }
 
 /// The array's last tasks in a zone run on a partitioned machine. A new leader knows of them
@@ -63,22 +63,22 @@
             ..job_spec(8)
         });
         fleet.workers.remove("a0");
-        fleet.pass(10 * SECOND);
+        fleet.advance(10 * SECOND);
         let a1 = fleet.worker("a1");
-        (a1.mute, a1.deaf) = (true, true);
+        (a1.heartbeats_lost, a1.inbound_lost) = (true, true);
         if new_leader {
-            fleet.new_leader();
+            fleet.replace_leader();
         }
-        while !fleet.deleted.iter().any(|(_, name)| name == "a1") {
-            assert_eq!(fleet.running(JOB), ["a1"]);
-            fleet.pass(SECOND / 10);
+        while !fleet.deletions.iter().any(|(_, name)| name == "a1") {
+            assert_eq!(fleet.machines_running(JOB), ["a1"]);
+            fleet.advance(SECOND / 10);
             assert!(
-                fleet.at < common::fleet::START + 60 * SECOND,
+                fleet.now < common::fleet::START + 60 * SECOND,
                 "the machine is never deleted"
             );
         }
-        fleet.pass(10 * SECOND);
-        assert_eq!(fleet.running(JOB), ["b0", "b1"]);
+        fleet.advance(10 * SECOND);
+        assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
     }
 }
 
@@ -90,12 +90,12 @@
     });
     fleet.workers.remove("a0");
     fleet.workers.remove("a1");
-    fleet.pass(60 * SECOND);
-    assert_eq!(fleet.running(JOB), Vec::<String>::new());
-    fleet.stock.insert(("a".into(), false), 2);
+    fleet.advance(60 * SECOND);
+    assert_eq!(fleet.machines_running(JOB), Vec::<String>::new());
+    fleet.rentable.insert(("a".into(), false), 2);
     // A scale-out that found no capacity is retried after 15 s, and machines boot in 5 s.
-    fleet.pass(25 * SECOND);
-    assert_eq!(fleet.cpus_of(&[JOB]), 8);
+    fleet.advance(25 * SECOND);
+    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
 }
 
 /// Replies to commands always arrive too late. The high-priority job must get all capacity
@@ -105,20 +105,20 @@
     let urgent = "req-000002";
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     for name in ["m0", "m1"] {
-        fleet.machine(name, "a", false).slow = true;
+        fleet.add_machine(name, "a", false).command_answers_late = true;
     }
     for id in [JOB, urgent] {
-        fleet.runs.insert(id.into(), 3 * SECOND);
+        fleet.task_durations.insert(id.into(), 3 * SECOND);
     }
     fleet.submit(job_spec(60));
-    fleet.pass(15 * SECOND);
-    let at = fleet.at;
+    fleet.advance(15 * SECOND);
+    let at = fleet.now;
     fleet.submit(JobSpec {
         id: urgent.into(),
         priority: Priority::High,
         ..job_spec(12)
     });
-    fleet.pass(80 * SECOND);
+    fleet.advance(80 * SECOND);
     let start_times = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
     let (urgent_starts, other_starts) = (start_times(urgent), start_times(JOB));
     assert_eq!(
@@ -133,5 +133,5 @@
         .iter()
         .filter(|t| (at + 3 * SECOND..last).contains(t));
     assert_eq!(between.count(), 0);
-    assert_eq!(fleet.cpus_of(&[JOB, urgent]), 0, "all tasks are done");
+    assert_eq!(fleet.cpus_used_by(&[JOB, urgent]), 0, "all tasks are done");
 }
