--- a/crates/controller/tests/failure_attribution.rs
+++ b/crates/controller/tests/failure_attribution.rs
@@ -47,13 +47,13 @@
     );
     assert_eq!(job.record_failure(&machine(2), 0), None);
     assert!(job.may_start(50, false, 0));
-    let mut strikes = MachineStrikes::default();
-    strikes.add(&Rc::from("job"));
-    strikes.add(&Rc::from("job"));
+    let mut machine_failures = MachineStrikes::default();
+    machine_failures.add(&Rc::from("job"));
+    machine_failures.add(&Rc::from("job"));
     assert!(
-        strikes.any() && !strikes.warrant_cordon(),
+        machine_failures.any() && !machine_failures.warrant_cordon(),
         "a single job does not warrant a cordon"
     );
-    strikes.add(&Rc::from("other"));
-    assert!(strikes.warrant_cordon());
+    machine_failures.add(&Rc::from("other"));
+    assert!(machine_failures.warrant_cordon());
 }
