--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -312,10 +312,10 @@
                             env.refused_reads += 1;
                             StoreResponse::Unavailable
                         }
-                        StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewed,
+                        StoreRequest::RenewLease { .. } => StoreResponse::LeaseRenewedOrRevoked,
                         StoreRequest::RevokeLease { lease } => {
                             env.revoked_leases.push(lease);
-                            StoreResponse::LeaseRenewed
+                            StoreResponse::LeaseRenewedOrRevoked
                         }
                         _ => continue,
                     };
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -133,7 +133,7 @@
                         }
                     }
                     StoreRequest::Transaction(_) => Ok(StoreResponse::Committed { revision: 2 }),
-                    _ => Ok(StoreResponse::LeaseRenewed),
+                    _ => Ok(StoreResponse::LeaseRenewedOrRevoked),
                 };
                 inputs.push(Input::Store { id, reply });
             }
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -64,7 +64,7 @@
                     call: StoreRequest::RenewLease { .. },
                     ..
                 } => {
-                    let reply = Ok(StoreResponse::LeaseRenewed);
+                    let reply = Ok(StoreResponse::LeaseRenewedOrRevoked);
                     step_with(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
--- a/crates/controller/tests/unresponsive_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -5,7 +5,7 @@
 
 use common::{heartbeat_request, machine_row, step_and_cloud_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
-use dillcleat_peer_protocol::{Message, SilentZone};
+use dillcleat_peer_protocol::{Message, UnresponsiveZone};
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::store::KeyValue;
 
@@ -24,9 +24,9 @@
         .collect();
     let mut node = common::single_zone_node();
     if let Some(unresponsive_ms) = unresponsive_ms {
-        let message = Message::SilentZones(vec![SilentZone {
+        let message = Message::UnresponsiveZones(vec![UnresponsiveZone {
             zone: "partitioned".into(),
-            silent_ms: unresponsive_ms,
+            unresponsive_ms,
         }]);
         let from = "n1".into();
         step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
