--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -62,7 +62,7 @@
                     call: StoreRequest::RenewLease { .. },
                     ..
                 } => {
-                    let reply = Ok(StoreResponse::LeaseRenewed);
+                    let reply = Ok(StoreResponse::LeaseRenewedOrRevoked);
                     step_with(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
