--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -1,10 +1,12 @@
-//! Deletion of machines: silent ones, idle ones, and those that hold cancelled tasks.
+//! Deletion of machines that are unresponsive, idle or hold cancelled tasks.
 
 use crate::calls::Context;
 use crate::leader::Leader;
 use crate::leader::boot_estimator::{BootEstimator, boot_time};
 use crate::leader::scheduling::CPU_ROUNDING_ERROR;
-use crate::leader::zone_partition::{PARTITION_LEASES, SpareCapacity, heartbeat_missed_after};
+use crate::leader::zone_partition::{
+    PARTITION_GRACE_LEASES, SpareCapacity, heartbeat_missed_after,
+};
 use crate::leadership_guard::{CloudAction, DeletionReason};
 use crate::machines::{Machine, MachineEnd};
 use crate::sched::SlabIndex;
@@ -14,118 +16,124 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A machine is paid for by the minute, so it may as well be kept for one; the rest is for
-/// the deletion.
-const PAID_TIME: Micros = 55 * SECOND;
+/// The minimum age at which an idle machine is deleted. Machines are billed by the minute;
+/// the difference to a minute allows for the time that the deletion takes.
+const MIN_MACHINE_LIFETIME: Micros = 55 * SECOND;
 
-/// What one check for silent machines goes by.
-struct SilenceCheck<'a> {
+/// The inputs of a check for unresponsive machines.
+struct LivenessCheck<'a> {
     now: Micros,
     config: &'a Config,
     types: &'a [MachineType],
     partitioned: &'a BTreeSet<Rc<str>>,
-    /// Many machines are silent at once.
-    many_silent: bool,
-    /// It is rather this node that is isolated.
+    /// Whether many machines are unresponsive at once.
+    many_unresponsive: bool,
+    /// Whether this node is probably the one that is isolated.
     isolated: bool,
-    /// When this term's leader had read the store.
+    /// When this leader had recovered its state.
     ready_since: Micros,
 }
 
-/// A machine that has been silent for too long, and for how long.
-struct SilentMachine {
+/// A machine that is to be deleted because it is unresponsive.
+struct UnresponsiveMachine {
     name: Rc<str>,
-    silence: Micros,
+    unresponsive_for: Micros,
 }
 
-/// What a check for silent machines has found.
+/// The result of a check for unresponsive machines.
 #[derive(Default)]
-struct SilentMachines {
-    /// The indexes of machines that are to be asked if they are there.
+struct UnresponsiveMachines {
+    /// The indexes of machines that are to be probed.
     to_probe: Vec<SlabIndex>,
-    to_delete: Vec<SilentMachine>,
+    to_delete: Vec<UnresponsiveMachine>,
 }
 
-impl SilenceCheck<'_> {
-    /// The silence after which a machine that was up is deleted.
-    fn ordinary_limit(&self) -> Micros {
+impl LivenessCheck<'_> {
+    /// The maximum unresponsive time of a machine that is up, if few machines are
+    /// unresponsive.
+    fn base_max_unresponsive_time(&self) -> Micros {
         (self.config.worker_lease * 4 / 10).max(2 * self.config.heartbeat_interval + SECOND)
     }
 
-    /// For how long this machine may be silent.
+    /// The unresponsive time after which the machine may be deleted.
     ///
-    /// Many that are silent at once look like a partition or a stall that may heal before
-    /// leases expire; after that what was on them is gone in any case. Replicas behind a
-    /// partition serve until their lease ends. To delete them sooner once cost a third of
-    /// all replicas the time that others took to boot (rough, brunnmatt-books-grown).
-    fn limit(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
+    /// If many machines are unresponsive at once, the cause is probably a partition or a
+    /// stall that may end before their leases expire; after that their tasks have ended
+    /// anyway. Replicas in a partitioned zone may serve until their lease expires, so their
+    /// machines are kept until then.
+    fn max_unresponsive_time(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
             if machine.expected {
                 boot_estimator.max_wait(machine, boot)
             } else {
-                // Known by a record or a listing only: it should send a heartbeat right
-                // away.
-                self.ordinary_limit() + boot
+                // The machine is known only from a record or a listing. If it is running,
+                // it sends heartbeats already.
+                self.base_max_unresponsive_time() + boot
             }
         } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
             self.config.worker_lease
-        } else if self.many_silent {
+        } else if self.many_unresponsive {
             self.config.worker_lease + self.config.heartbeat_interval
         } else {
-            self.ordinary_limit()
+            self.base_max_unresponsive_time()
         }
     }
 
-    /// For how long nothing was heard of the machine.
-    fn silence(&self, machine: &Machine) -> Micros {
+    /// The time since the last contact with the machine.
+    fn unresponsive_for(&self, machine: &Machine) -> Micros {
         let last_contact_at = machine.reachability.last_contact_at();
         self.now.saturating_sub(last_contact_at)
     }
 
-    /// Whether the machine is to be asked if it is there. One heartbeat that got lost costs a
-    /// worker up to 5 s; whether the machine is there shows sooner when it is asked.
-    fn needs_probe(&self, machine: &Machine, silence: Micros) -> bool {
+    /// Whether the machine is to be probed. After a lost heartbeat, the reply to a probe
+    /// shows sooner than the next heartbeat whether the machine is up.
+    fn needs_probe(&self, machine: &Machine, unresponsive_for: Micros) -> bool {
         machine.is_ready()
-            && silence > heartbeat_missed_after(self.config)
+            && unresponsive_for > heartbeat_missed_after(self.config)
             && !machine.command_state.is_requested()
     }
 
-    /// Whether a machine that has been silent for too long is to be deleted now.
+    /// Whether a machine that exceeds its maximum unresponsive time is to be deleted now.
     ///
-    /// Machines in a partitioned zone may come back any time, and their capacity with them.
-    /// To delete 512 machines whose work could not run elsewhere cost a third of all portals
-    /// the rest of a partition and a minute besides (zone, rosterwise-nz-fleet). What the
-    /// work of this machine could have elsewhere is taken from `spare`.
-    fn is_given_up(&self, machine: &Machine, silence: Micros, spare: &mut SpareCapacity) -> bool {
-        let is_kept_for_its_work = self.partitioned.contains(&machine.name)
-            && self.may_heal(silence)
+    /// Machines in a partitioned zone may become reachable again at any time, so they are
+    /// kept while their tasks could not run elsewhere. The capacity for the tasks of a
+    /// machine that is deleted is taken from `spare`.
+    fn should_delete(
+        &self,
+        machine: &Machine,
+        unresponsive_for: Micros,
+        spare: &mut SpareCapacity,
+    ) -> bool {
+        let is_kept_for_its_tasks = self.partitioned.contains(&machine.name)
+            && self.may_heal(unresponsive_for)
             && !spare.take_for(machine);
-        let is_doubted = self.isolated && self.may_heal(silence);
-        self.had_its_chance(machine) && !is_kept_for_its_work && !is_doubted
+        let may_be_reachable = self.isolated && self.may_heal(unresponsive_for);
+        self.had_time_to_report(machine) && !is_kept_for_its_tasks && !may_be_reachable
     }
 
-    /// Whether the silence is so short that a partition may still heal.
-    fn may_heal(&self, silence: Micros) -> bool {
-        silence < self.config.worker_lease * PARTITION_LEASES
+    /// Whether the unresponsive time is short enough for a partition to count as temporary.
+    fn may_heal(&self, unresponsive_for: Micros) -> bool {
+        unresponsive_for < self.config.worker_lease * PARTITION_GRACE_LEASES
     }
 
-    /// Whether the machine had time to send this leader a heartbeat. One that only the
-    /// leader before found silent gets that first.
-    fn had_its_chance(&self, machine: &Machine) -> bool {
+    /// Whether the machine had time to send a heartbeat to this leader. This protects
+    /// machines that only the previous leader found unresponsive.
+    fn had_time_to_report(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
         !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
 
-    /// Whether the cloud has taken the machine back by its own notice.
-    fn is_taken_back(&self, machine: &Machine, silence: Micros) -> bool {
-        let gone_at = machine.interrupted_at().map(|at| at + SECOND);
-        gone_at.is_some_and(|at| self.now >= at) && silence > self.config.heartbeat_interval
+    /// Whether the cloud has reclaimed the machine according to its interruption notice.
+    fn is_reclaimed(&self, machine: &Machine, unresponsive_for: Micros) -> bool {
+        let reclaim_at = machine.interrupted_at().map(|at| at + SECOND);
+        reclaim_at.is_some_and(|at| self.now >= at)
+            && unresponsive_for > self.config.heartbeat_interval
     }
 }
 
 impl Leader {
-    /// Has a machine deleted.
+    /// Queues the deletion of a machine.
     pub(in crate::leader) fn delete_machine(&mut self, name: &Rc<str>, reason: DeletionReason) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.being_deleted = true;
@@ -133,13 +141,13 @@
         }
     }
 
-    /// Deletes machines that hold a cancelled job's tasks and do not show their end, well
-    /// before the time by which cancelled tasks must have ended.
+    /// Deletes machines that hold tasks of a cancelled job and have not reported their end,
+    /// well before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let patience = ctx.config.cancel_deadline * 3 / 10;
+        let removal_timeout = ctx.config.cancel_deadline * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
-        if now < self.recovery.ready_since() + patience / 4 || !permitted {
+        if now < self.recovery.ready_since() + removal_timeout / 4 || !permitted {
             return;
         }
         let mut overdue: BTreeSet<Rc<str>> = BTreeSet::new();
@@ -147,7 +155,7 @@
             let Some((id, job)) = self.jobs.at(index) else {
                 continue;
             };
-            if job.cancelled.is_none_or(|at| now < at + patience) {
+            if job.cancelled_at.is_none_or(|at| now < at + removal_timeout) {
                 continue;
             }
             for (task, machine) in job.on_machines() {
@@ -162,8 +170,8 @@
         }
     }
 
-    /// Whether a cancelled task may be on the machine, which is not yet to be deleted for
-    /// such a reason.
+    /// Whether the cancelled task may be on the machine, and the machine's deletion is not
+    /// already queued with this urgency.
     fn may_hold_cancelled_task(&self, machine: &str, job: &Rc<str>, task: u32) -> bool {
         let Some(machine) = self.machines.get(machine) else {
             return false;
@@ -176,19 +184,19 @@
         slot.is_some_and(|slot| slot.cancelled && slot.stored)
     }
 
-    /// Deletes machines that fell silent: the cloud's answer is the proof that what was on
-    /// them is gone. Those of `partitioned` zones have rules of their own.
-    pub(super) fn delete_silent_machines(
+    /// Deletes machines that have become unresponsive. The cloud's confirmation proves that
+    /// their tasks have ended. Machines in `partitioned` are subject to additional rules.
+    pub(super) fn delete_unresponsive_machines(
         &mut self,
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
     ) {
         let may_delete = self.may_answer_heartbeats(ctx)
             && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Unresponsive));
-        let SilentMachines {
+        let UnresponsiveMachines {
             to_probe,
             to_delete,
-        } = self.find_silent_machines(ctx, partitioned);
+        } = self.find_unresponsive_machines(ctx, partitioned);
         for index in to_probe {
             if let Some(machine) = self.machines.get_mut_unmarked(index) {
                 machine.command_state.request_probe();
@@ -199,63 +207,74 @@
         if !may_delete {
             return;
         }
-        for SilentMachine { name, silence } in to_delete {
-            let silent_s = seconds(silence);
-            log::info!("deleting machine machine={name} reason=silent silent_s={silent_s}");
+        for UnresponsiveMachine {
+            name,
+            unresponsive_for,
+        } in to_delete
+        {
+            let unresponsive_s = seconds(unresponsive_for);
+            log::info!(
+                "deleting machine machine={name} reason=unresponsive unresponsive_s={unresponsive_s}"
+            );
             self.delete_machine(&name, DeletionReason::Unresponsive);
         }
     }
 
-    fn find_silent_machines(
+    fn find_unresponsive_machines(
         &self,
         ctx: &Context,
         partitioned: &BTreeSet<Rc<str>>,
-    ) -> SilentMachines {
+    ) -> UnresponsiveMachines {
         let types = self.machine_types.shared();
-        let check = SilenceCheck {
+        let check = LivenessCheck {
             now: ctx.now.monotonic,
             config: ctx.config,
             types: types.as_deref().map_or(&[][..], Vec::as_slice),
             partitioned,
-            many_silent: self.are_many_silent(),
+            many_unresponsive: self.are_many_unresponsive(),
             isolated: self.is_probably_isolated(ctx.config),
             ready_since: self.recovery.ready_since(),
         };
         let mut spare = self.spare_capacity(partitioned);
-        let mut found = SilentMachines::default();
+        let mut found = UnresponsiveMachines::default();
         let derived = &self.derived;
-        let suspects = &(derived.silent_machines() | derived.booting_machines())
+        let suspects = &(derived.unresponsive_machines() | derived.booting_machines())
             | derived.interrupted_machines();
         for index in suspects {
             let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
-            let silence = check.silence(machine);
-            if check.needs_probe(machine, silence) {
+            let unresponsive_for = check.unresponsive_for(machine);
+            if check.needs_probe(machine, unresponsive_for) {
                 found.to_probe.push(index);
             }
-            let limit = check.limit(machine, &self.autoscaler.boot_estimator);
-            let is_silent = silence >= limit && check.is_given_up(machine, silence, &mut spare);
-            if is_silent || check.is_taken_back(machine, silence) {
+            let max_unresponsive_time =
+                check.max_unresponsive_time(machine, &self.autoscaler.boot_estimator);
+            let is_unresponsive = unresponsive_for >= max_unresponsive_time
+                && check.should_delete(machine, unresponsive_for, &mut spare);
+            if is_unresponsive || check.is_reclaimed(machine, unresponsive_for) {
                 let name = machine.name.clone();
-                found.to_delete.push(SilentMachine { name, silence });
+                found.to_delete.push(UnresponsiveMachine {
+                    name,
+                    unresponsive_for,
+                });
             }
         }
         found
     }
 
-    /// Whether many machines are silent at once. They are counted as soon as they miss a
-    /// heartbeat: one by one they would be deleted before they are many.
-    fn are_many_silent(&self) -> bool {
+    /// Whether many machines are unresponsive at once. Machines count as soon as they miss a
+    /// heartbeat. Otherwise, each could be deleted before there are many.
+    fn are_many_unresponsive(&self) -> bool {
         let up = self.derived.sums().machines_up() as u64;
-        self.derived.silent_machines().len() > 2.max(up * 3 / 10)
+        self.derived.unresponsive_machines().len() > 2.max(up * 3 / 10)
     }
 
-    /// Deletes machines that are idle, or that are not to be used any more and are empty.
+    /// Deletes empty machines that are idle, cordoned or about to be reclaimed.
     pub(super) fn scale_in(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
         let max_idle = micros(ctx.config.tuning.idle_s);
-        let headroom_cpus = self.headroom_ahead_cpus(ctx.config);
+        let headroom_cpus = self.proactive_headroom_cpus(ctx.config);
         let mut free_cpus: BTreeMap<Rc<str>, f64> = BTreeMap::new();
         let mut to_delete = Vec::new();
         for name in self.empty_machines_in_deletion_order() {
@@ -271,8 +290,9 @@
             }
             let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
             let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
-                && now >= machine.known_since() + PAID_TIME;
-            // What the headroom needs is kept: it would be asked for again at once.
+                && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
+            // Machines that the headroom needs are kept: they would be requested again at
+            // once.
             if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
                 let total = self.type_resources(&machine.machine_type);
                 let machine_cpus = total.map_or(0.0, |total| total.cpus);
@@ -294,7 +314,8 @@
         }
     }
 
-    /// Machines with nothing on them; those that hold the fewest images of services first.
+    /// The empty machines in the order of deletion: those with the fewest service images
+    /// in their cache first.
     fn empty_machines_in_deletion_order(&self) -> Vec<Rc<str>> {
         let empty = self.derived.empty_machines().iter();
         let mut machines: Vec<(u32, Rc<str>)> = empty
@@ -305,7 +326,7 @@
         machines.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Forgets a machine that is certainly gone, and frees what was on it.
+    /// Removes a machine that is proved to be gone, and returns its tasks to waiting.
     pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
         self.autoscaler.record_removed(name, ctx.now.monotonic);
         let Some(mut machine) = self.machines.remove(name) else {
--- a/crates/controller/src/leader/task_ranges.rs
+++ b/crates/controller/src/leader/task_ranges.rs
@@ -1,4 +1,4 @@
-//! Which record of the store holds which tasks of a job.
+//! The division of a job's tasks among stored records.
 
 use crate::records::TaskRange;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,55 +10,59 @@
 /// A stored part of a chunk.
 #[derive(Debug, Clone, Copy)]
 struct StoredPart {
-    /// The last task in it.
+    /// The index of the last task in it.
     last: u32,
     version: u64,
 }
 
-/// A job's tasks in chunks, as they were divided when it was submitted.
+/// The tasks of a job, divided into chunks of the size chosen at submission.
 ///
-/// A chunk that has become too large for the store is never written again: what changes in
-/// it goes to smaller parts, each of which overrides the chunk for its tasks. Every task so
-/// has exactly one record that holds it, and no two records need to change at once,
-/// whenever the leader ends between two writes.
+/// A chunk that has become too large for the store is split and never written again.
+/// Changes are written to smaller parts, each of which overrides the chunk for its tasks. So
+/// each task has exactly one authoritative record, and a leader that ends between two
+/// writes leaves a consistent state.
 #[derive(Debug)]
 pub(super) struct TaskRanges {
     task_count: u32,
-    chunk_tasks: u32,
-    part_tasks: u32,
-    /// The version of each chunk, 0 if it is not stored.
+    tasks_per_chunk: u32,
+    tasks_per_part: u32,
+    /// The version of each chunk; 0 if it is not stored.
     chunk_versions: Vec<u64>,
-    /// Chunks that are not written any more.
+    /// Chunks that were split and are no longer written.
     split_chunks: BTreeSet<u32>,
-    /// Stored parts, by their first task. They do not overlap.
+    /// Stored parts, by the index of their first task. They do not overlap.
     parts: BTreeMap<u32, StoredPart>,
 }
 
 impl TaskRanges {
-    /// No record is stored yet. Chunks and parts hold at most so many tasks.
-    pub fn new(task_count: u32, chunk_tasks: u32, part_tasks: u32) -> TaskRanges {
-        let chunk_tasks = chunk_tasks.max(1);
+    /// Creates the division of a job of which no task record is stored.
+    pub fn new(task_count: u32, tasks_per_chunk: u32, tasks_per_part: u32) -> TaskRanges {
+        let tasks_per_chunk = tasks_per_chunk.max(1);
         TaskRanges {
             task_count,
-            chunk_tasks,
-            part_tasks: part_tasks.max(1),
-            chunk_versions: vec![0; task_count.div_ceil(chunk_tasks) as usize],
+            tasks_per_chunk,
+            tasks_per_part: tasks_per_part.max(1),
+            chunk_versions: vec![0; task_count.div_ceil(tasks_per_chunk) as usize],
             split_chunks: BTreeSet::new(),
             parts: BTreeMap::new(),
         }
     }
 
-    /// The tasks of a chunk.
-    fn chunk(&self, chunk: u32) -> Range<u32> {
-        let first = chunk.saturating_mul(self.chunk_tasks).min(self.task_count);
-        let end = first.saturating_add(self.chunk_tasks).min(self.task_count);
+    /// The indexes of the tasks in a chunk.
+    fn chunk_indexes(&self, chunk: u32) -> Range<u32> {
+        let first = chunk
+            .saturating_mul(self.tasks_per_chunk)
+            .min(self.task_count);
+        let end = first
+            .saturating_add(self.tasks_per_chunk)
+            .min(self.task_count);
         first..end
     }
 
-    /// The tasks of a range.
-    pub fn range(&self, range: TaskRange) -> Range<u32> {
+    /// The indexes of the tasks in a range.
+    pub fn indexes(&self, range: TaskRange) -> Range<u32> {
         match range {
-            TaskRange::Chunk(chunk) => self.chunk(chunk),
+            TaskRange::Chunk(chunk) => self.chunk_indexes(chunk),
             TaskRange::Part { from, to, .. } => {
                 from.min(self.task_count)..to.saturating_add(1).min(self.task_count)
             }
@@ -67,7 +71,7 @@
 
     /// The range to whose record a change of the task is written.
     pub fn range_of(&self, task: u32) -> TaskRange {
-        let chunk = task / self.chunk_tasks;
+        let chunk = task / self.tasks_per_chunk;
         if !self.split_chunks.contains(&chunk) {
             return TaskRange::Chunk(chunk);
         }
@@ -82,13 +86,13 @@
         }
     }
 
-    /// A part for a task that is in no stored part, `last_before` being the last task of
-    /// the part before it. It ends where the neighbouring parts begin: they may be of
-    /// another size, stored under other settings.
+    /// Returns a new part for a task that is in no stored part. `last_before` is the last
+    /// task of the preceding part. The new part is bounded by the neighbouring parts, which
+    /// may have been written with another part size.
     fn new_part(&self, chunk: u32, task: u32, last_before: Option<u32>) -> TaskRange {
-        let all = self.chunk(chunk);
-        let mut from = all.start + (task - all.start) / self.part_tasks * self.part_tasks;
-        let mut to = (from + self.part_tasks).min(all.end) - 1;
+        let all = self.chunk_indexes(chunk);
+        let mut from = all.start + (task - all.start) / self.tasks_per_part * self.tasks_per_part;
+        let mut to = (from + self.tasks_per_part).min(all.end) - 1;
         if let Some(last) = last_before {
             from = from.max(last + 1);
         }
@@ -98,26 +102,27 @@
         TaskRange::Part { chunk, from, to }
     }
 
-    /// From now on the chunk is written in parts. Returns those that cover it.
+    /// Splits a chunk, which is written in parts from now on. Returns the parts that cover
+    /// it.
     pub fn split(&mut self, chunk: u32) -> Vec<TaskRange> {
         self.split_chunks.insert(chunk);
-        let all = self.chunk(chunk);
+        let all = self.chunk_indexes(chunk);
         let mut parts = Vec::new();
         let mut next = all.start;
         while next < all.end {
             let part = self.range_of(next);
-            next = self.range(part).end.max(next + 1);
+            next = self.indexes(part).end.max(next + 1);
             parts.push(part);
         }
         parts
     }
 
-    /// Whether the chunk is written in parts.
+    /// Whether the chunk was split.
     pub fn is_split(&self, chunk: u32) -> bool {
         self.split_chunks.contains(&chunk)
     }
 
-    /// The version of a range's record, 0 if it is not stored.
+    /// The version of a range's record; 0 if it is not stored.
     pub fn version(&self, range: TaskRange) -> u64 {
         match range {
             TaskRange::Chunk(chunk) => {
@@ -128,7 +133,7 @@
         }
     }
 
-    /// The range's record is in the store, with this version.
+    /// Records that the range's record is stored with this version.
     pub fn set_version(&mut self, range: TaskRange, version: u64) {
         match range {
             TaskRange::Chunk(chunk) => {
@@ -143,14 +148,14 @@
         }
     }
 
-    /// Every range that has a record.
-    pub fn stored(&self) -> Vec<TaskRange> {
+    /// All ranges that have a stored record.
+    pub fn stored_ranges(&self) -> Vec<TaskRange> {
         let versions = self.chunk_versions.iter().enumerate();
         let chunks = versions
             .filter(|(_, version)| **version > 0)
             .map(|(chunk, _)| TaskRange::Chunk(chunk as u32));
         let parts = self.parts.iter().map(|(from, part)| TaskRange::Part {
-            chunk: from / self.chunk_tasks,
+            chunk: from / self.tasks_per_chunk,
             from: *from,
             to: part.last,
         });
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -29,7 +29,7 @@
 }
 
 impl Reachability {
-    /// The initial state of a machine: it counts as heard from at `now`.
+    /// The initial state of a machine: the last contact is taken to be at `now`.
     pub(super) fn new(now: Micros) -> Reachability {
         Reachability {
             last_contact_at: now,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -81,7 +81,7 @@
 
     /// Whether this node leads and has the job among its open jobs.
     pub fn has_open_job(&self, job: &str) -> bool {
-        self.leader.as_ref().is_some_and(|l| l.holds(job))
+        self.leader.as_ref().is_some_and(|l| l.has_open_job(job))
     }
 
     /// The number of done and of running tasks of a job, as last broadcast by a leader.
@@ -312,7 +312,7 @@
                 {
                     // The leader's watch reports these cancellations later. Until then it
                     // could launch tasks of a job whose cancellation is already confirmed.
-                    leader.observe_cancellations(&mut ctx, &cancelled);
+                    leader.apply_observed_cancellations(&mut ctx, &cancelled);
                     leader.send_pending(&mut ctx);
                 }
                 None
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -64,8 +64,8 @@
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
         let mut leader = Leader::new(&mut ctx, term, term_version, types, inherited);
         leader.leadership_proof.proved_at = self.election.proved_at();
-        if let Some(last_heartbeat_at) = self.unresponsive_zones.take_recent(now.monotonic) {
-            leader.set_zones_silent_before_term(last_heartbeat_at);
+        if let Some(last_contact_at) = self.unresponsive_zones.take_recent(now.monotonic) {
+            leader.set_zones_unresponsive_before_term(last_contact_at);
         }
         self.leader = Some(leader);
         self.admission.progress.begin_term(now.monotonic);
