--- a/crates/controller/src/admission/dependency_check.rs
+++ b/crates/controller/src/admission/dependency_check.rs
@@ -1,4 +1,5 @@
-//! Checks that all jobs that a submission depends on have been accepted.
+//! Checks the dependencies of a submission: each must be an accepted job other than a
+//! service.
 //!
 //! An accepted job stays accepted, so a cached job needs no read. The records of the other
 //! jobs are read concurrently, for each job the open record first and then, if there is
@@ -9,7 +10,7 @@
 use crate::CallError;
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, Continuation, JobRecordKind, PendingRequest};
-use crate::job_cache::KnownJob;
+use crate::job_cache::CachedJobState;
 use crate::messages::{Answer, RequestId};
 use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
 use crate::request_budget::{RequestPriority, StoreCost};
@@ -24,8 +25,10 @@
 /// Why a job must not be a dependency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum InvalidReason {
+    /// The job does not exist, is the submitted job itself, or its id is malformed.
     #[error("which was never accepted")]
     NeverAccepted,
+    /// The job is a service.
     #[error("a service, which is never done")]
     Service,
 }
@@ -60,7 +63,7 @@
     /// The invalid dependency that was found last.
     invalid: Option<InvalidDependency>,
     /// Whether the read of a dependency failed.
-    inconclusive: bool,
+    read_failed: bool,
     /// The dependencies that are already done.
     done: Vec<String>,
 }
@@ -73,7 +76,7 @@
             received_at,
             pending_reads: 0,
             invalid: None,
-            inconclusive: false,
+            read_failed: false,
             done: Vec::new(),
         }
     }
@@ -82,11 +85,11 @@
         self.invalid = Some(InvalidDependency::new(name, reason));
     }
 
-    /// Records the state of a dependency.
-    fn record(&mut self, name: &str, known: KnownJob) {
-        match known.record.state {
+    /// Adds the state of a dependency.
+    fn add_state(&mut self, name: &str, cached: CachedJobState) {
+        match cached.record.state {
             RecordedState::Done => self.done.push(name.to_string()),
-            RecordedState::Open if known.is_service => self.reject(name, InvalidReason::Service),
+            RecordedState::Open if cached.is_service => self.reject(name, InvalidReason::Service),
             RecordedState::Open | RecordedState::Cancelled => {}
         }
     }
@@ -99,15 +102,15 @@
     }
 }
 
-fn read_dependency(ctx: &mut Context, submission: u64, dependency: String, record: JobRecordKind) {
-    let key = match record {
+fn read_dependency(ctx: &mut Context, check_id: u64, dependency: String, kind: JobRecordKind) {
+    let key = match kind {
         JobRecordKind::State => records::job_state_key(&dependency),
         JobRecordKind::Open => records::open_job_key(&dependency),
     };
     let step = Step::ReadDependency {
-        submission,
+        check_id,
         dependency,
-        record,
+        kind,
     };
     ctx.hedged_store_request(StoreRequest::Get { key }, Continuation::Admission(step));
 }
@@ -115,19 +118,19 @@
 /// The state of a dependency according to the response to a read; None if the record was not
 /// found or the read failed.
 fn decode_reply(
-    record: JobRecordKind,
+    kind: JobRecordKind,
     reply: &Result<StoreResponse, CallError>,
-) -> Option<KnownJob> {
+) -> Option<CachedJobState> {
     let Ok(StoreResponse::Found(row)) = reply else {
         return None;
     };
-    match record {
+    match kind {
         JobRecordKind::State => row
             .decode_value::<JobStateRecord>()
-            .map(|state| KnownJob::from_state_record(state, row.version)),
+            .map(|state| CachedJobState::from_state_record(state, row.version)),
         JobRecordKind::Open => row
             .decode_value::<OpenJob>()
-            .map(|job| KnownJob::from_open_row(&job, row)),
+            .map(|job| CachedJobState::from_open_row(&job, row)),
     }
 }
 
@@ -141,78 +144,78 @@
     ) {
         let now = ctx.now.monotonic;
         let mut check = DependencyCheck::new(request, job, now);
-        let unknown = self.record_known_dependencies(&mut check);
+        let uncached = self.add_cached_dependencies(&mut check);
         if check.invalid.is_some() {
             return self.finish_dependency_check(ctx, check);
         }
         // The cost includes the transaction that creates the job.
         let cost = StoreCost {
-            calls: 1.0 + unknown.len() as f64,
+            calls: 1.0 + uncached.len() as f64,
             writes: 1.0,
         };
-        if self.in_flight + unknown.len() >= MAX_IN_FLIGHT
+        if self.in_flight + uncached.len() >= MAX_IN_FLIGHT
             || !self.take_budget(cost, RequestPriority::Change, now)
         {
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
-        if unknown.is_empty() {
+        if uncached.is_empty() {
             return self.finish_dependency_check(ctx, check);
         }
-        check.pending_reads = unknown.len();
-        self.in_flight += unknown.len();
-        self.last_dependency_check += 1;
-        let submission = self.last_dependency_check;
-        self.dependency_checks.insert(submission, check);
-        for dependency in unknown {
-            read_dependency(ctx, submission, dependency, JobRecordKind::Open);
+        check.pending_reads = uncached.len();
+        self.in_flight += uncached.len();
+        self.last_check_id += 1;
+        let check_id = self.last_check_id;
+        self.dependency_checks.insert(check_id, check);
+        for dependency in uncached {
+            read_dependency(ctx, check_id, dependency, JobRecordKind::Open);
         }
     }
 
-    /// Records the dependencies that are cached or invalid. Returns those that must be read.
-    fn record_known_dependencies(&self, check: &mut DependencyCheck) -> Vec<String> {
-        let mut unknown = Vec::new();
+    /// Adds the dependencies that are cached or invalid. Returns those that must be read.
+    fn add_cached_dependencies(&self, check: &mut DependencyCheck) -> Vec<String> {
+        let mut uncached = Vec::new();
         for name in check.job.spec.depends_on.clone() {
             match self.cache.get(&name) {
-                Some(known) => check.record(&name, known),
+                Some(cached) => check.add_state(&name, cached),
                 None if name == check.job.spec.id || !is_job_id(&name) => {
                     check.reject(&name, InvalidReason::NeverAccepted);
                 }
-                None => unknown.push(name),
+                None => uncached.push(name),
             }
         }
-        unknown
+        uncached
     }
 
     /// Handles the response to a read of a dependency.
     pub(super) fn handle_dependency_read(
         &mut self,
         ctx: &mut Context,
-        submission: u64,
+        check_id: u64,
         dependency: String,
-        record: JobRecordKind,
+        kind: JobRecordKind,
         reply: &Result<StoreResponse, CallError>,
     ) {
         let not_found = matches!(reply, Ok(StoreResponse::NotFound { .. }));
-        if not_found && record == JobRecordKind::Open {
+        if not_found && kind == JobRecordKind::Open {
             // The dependency has ended, or it never existed.
-            self.calls.charge(1.0, ctx.now.monotonic);
-            return read_dependency(ctx, submission, dependency, JobRecordKind::State);
+            self.request_budget.charge(1.0, ctx.now.monotonic);
+            return read_dependency(ctx, check_id, dependency, JobRecordKind::State);
         }
         self.in_flight -= 1;
-        let Some(mut check) = self.dependency_checks.remove(&submission) else {
+        let Some(mut check) = self.dependency_checks.remove(&check_id) else {
             return;
         };
-        match decode_reply(record, reply) {
-            Some(known) => {
-                self.cache.insert(&dependency, known);
-                check.record(&dependency, known);
+        match decode_reply(kind, reply) {
+            Some(cached) => {
+                self.cache.insert(&dependency, cached);
+                check.add_state(&dependency, cached);
             }
             None if not_found => check.reject(&dependency, InvalidReason::NeverAccepted),
-            None => check.inconclusive = true,
+            None => check.read_failed = true,
         }
         check.pending_reads -= 1;
         if check.pending_reads > 0 {
-            self.dependency_checks.insert(submission, check);
+            self.dependency_checks.insert(check_id, check);
         } else {
             self.finish_dependency_check(ctx, check);
         }
@@ -223,15 +226,19 @@
         let (request, received_at) = (check.request, check.received_at);
         let answer = match &check.invalid {
             Some(invalid) => Answer::refusal(422, invalid.to_string()),
-            None if check.inconclusive => Answer::retry_later(STORE_UNREACHABLE),
+            None if check.read_failed => Answer::retry_later(STORE_UNREACHABLE),
             None => {
                 self.in_flight += 1;
-                return self.create(ctx, request, Rc::new(check.into_job()), received_at);
+                return self.send_creation(ctx, request, Rc::new(check.into_job()), received_at);
             }
         };
         // If the job exists, this is a repeated submission and its state is the answer, even
         // if the dependencies are invalid.
         let id = check.job.spec.id;
-        self.resolve(ctx, id, PendingRequest::Reject { request, answer });
+        self.determine_state(
+            ctx,
+            id,
+            PendingRequest::RejectUnlessExists { request, answer },
+        );
     }
 }
--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -6,7 +6,7 @@
 //! A submitted job has an *open record* (`q/o/`) with its description, which exists until
 //! the job's tasks are gone. The *state record* (`j/`) says that the job is done or
 //! cancelled. It is written once, by compare-and-swap: a second writer fails and reads the
-//! final state. (Jobs of earlier versions also have a state record while they are open.)
+//! final state. (For jobs of earlier versions, see [`records`](crate::records).)
 //!
 //! # Requests
 //!
@@ -19,8 +19,8 @@
 //!   submission is rejected only if the job does not exist, so that an accepted job is not
 //!   rejected later, for example after a change of the machine types.
 //! - **Poll.** See the next section.
-//! - **Cancellation.** A transaction writes the state record if its version is still the
-//!   cached one. After a conflict, the state record is read: either the job has ended
+//! - **Cancellation.** A transaction writes the state record and the cancellation record
+//!   (`q/c/`) if the version of the state record is still the cached one. After a conflict, the state record is read: either the job has ended
 //!   before, or an earlier attempt at the cancellation was committed.
 //!
 //! # Consistency of answers
@@ -41,8 +41,11 @@
 //!
 //! # Limits
 //!
-//! Requests to the store are charged to a `RequestBudget`, and the number in flight is
-//! bounded. A request that exceeds a limit is rejected at once with 503 and `Retry-After`.
+//! Reads, submissions and verifications are charged to a `RequestBudget`, and a new read or
+//! submission is sent only while fewer than `MAX_IN_FLIGHT` are in flight. A request that
+//! exceeds a limit is rejected at once with 503 and `Retry-After`. Exceptions: the transaction
+//! that cancels a job that is cached as open is neither charged nor limited, and the read of a
+//! state record, which continues a request that is already being handled, is never rejected.
 
 mod dependency_check;
 mod replies;
@@ -57,7 +60,7 @@
 use crate::Config;
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, Continuation, PendingRequest};
-use crate::job_cache::{JobCache, KnownJob};
+use crate::job_cache::{CachedJobState, JobCache};
 use crate::messages::{Answer, RequestId};
 use crate::progress::{ProgressTable, TaskCounts};
 use crate::records::{self, CancelledJob, JobStateRecord, OpenJob, RecordedState};
@@ -70,7 +73,7 @@
 /// How long a submission or cancellation is retried. This is shorter than the 5 s after which
 /// clients stop waiting.
 const RETRY_TIMEOUT: Micros = 4 * SECOND;
-/// The maximum number of reads, submissions and cancellations in flight.
+/// The maximum number of reads and submissions in flight, above which no new ones are sent.
 const MAX_IN_FLIGHT: usize = 256;
 
 const TOO_MANY_REQUESTS: &str = "too many requests";
@@ -81,15 +84,16 @@
 /// Handles users' requests; see the [module](self).
 #[derive(Debug)]
 pub struct Admission {
-    calls: RequestBudget,
-    writes: RequestBudget,
+    request_budget: RequestBudget,
+    write_budget: RequestBudget,
     cache: JobCache,
     verifications: Verifications,
-    /// The number of reads, submissions and cancellations in flight.
+    /// The number of reads and submissions in flight, without verifications. The transaction of
+    /// a cancellation does not count.
     in_flight: usize,
-    /// Submissions whose dependencies are being read, by the number of the check.
+    /// Submissions whose dependencies are being read, by the id of the check.
     dependency_checks: HashMap<u64, DependencyCheck>,
-    last_dependency_check: u64,
+    last_check_id: u64,
     request_rate: RequestRate,
     /// Jobs that were observed to be cancelled and not yet reported to the leader in this
     /// process.
@@ -121,13 +125,13 @@
     /// Creates the state of a node with an empty cache.
     pub fn new(config: &Config) -> Self {
         Admission {
-            calls: RequestBudget::new(config.store_rps, config),
-            writes: RequestBudget::new(config.store_write_rps, config),
+            request_budget: RequestBudget::new(config.store_rps, config),
+            write_budget: RequestBudget::new(config.store_write_rps, config),
             cache: JobCache::new(config),
             verifications: Verifications::default(),
             in_flight: 0,
             dependency_checks: HashMap::new(),
-            last_dependency_check: 0,
+            last_check_id: 0,
             request_rate: RequestRate::default(),
             cancelled: Vec::new(),
             progress: ProgressTable::default(),
@@ -136,14 +140,14 @@
 
     /// Updates and returns the rate of users' requests at this node, per second. Must be
     /// called at the fixed interval `interval`.
-    pub fn request_rate(&mut self, interval: Micros) -> f64 {
+    pub fn update_request_rate(&mut self, interval: Micros) -> f64 {
         self.request_rate.update(interval)
     }
 
     /// Sets this node's share, from 0 to 1, of the store's request budget for users.
     pub fn set_budget_share(&mut self, share: f64, now: Micros) {
-        self.calls.set_share(share, now);
-        self.writes.set_share(share, now);
+        self.request_budget.set_share(share, now);
+        self.write_budget.set_share(share, now);
     }
 
     /// Counts a user's request, for the rate of requests.
@@ -153,8 +157,8 @@
 
     /// Whether [`take_budget`](Self::take_budget) would succeed.
     pub fn has_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
-        self.calls.has(cost.calls, priority, now)
-            && (cost.writes == 0.0 || self.writes.has(cost.writes, priority, now))
+        self.request_budget.has(cost.calls, priority, now)
+            && (cost.writes == 0.0 || self.write_budget.has(cost.writes, priority, now))
     }
 
     /// Takes a request's cost from the budget: either all of it or nothing. Returns whether
@@ -162,29 +166,30 @@
     pub fn take_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
         let available = self.has_budget(cost, priority, now);
         if available {
-            self.calls.charge(cost.calls, now);
-            self.writes.charge(cost.writes, now);
+            self.request_budget.charge(cost.calls, now);
+            self.write_budget.charge(cost.writes, now);
         }
         available
     }
 
     /// Records that an open job was stored.
     pub fn record_admission(&mut self, job: &OpenJob) {
-        self.cache.insert(&job.spec.id, KnownJob::newly_open(job));
+        self.cache
+            .insert(&job.spec.id, CachedJobState::newly_open(job));
     }
 
     /// Records that the leader in this process has stored a job's end.
     pub fn record_end(&mut self, id: &str, record: JobStateRecord) {
-        self.cache.insert(id, KnownJob::ended(record));
+        self.cache.insert(id, CachedJobState::ended(record));
         self.progress.job_ended(id);
     }
 
     /// Records the state of a job as shown by its state record.
-    fn record_state(&mut self, id: &str, known: KnownJob) {
-        if known.record.state == RecordedState::Cancelled {
+    fn record_state(&mut self, id: &str, cached: CachedJobState) {
+        if cached.record.state == RecordedState::Cancelled {
             self.cancelled.push(id.to_string());
         }
-        self.cache.insert(id, known);
+        self.cache.insert(id, cached);
     }
 
     /// The jobs that were observed to be cancelled since the last call.
@@ -194,13 +199,13 @@
 
     /// Handles a poll.
     pub fn poll(&mut self, ctx: &mut Context, request: RequestId, id: String) {
-        self.resolve_by_id(ctx, id, PendingRequest::Status(request));
+        self.determine_state_by_id(ctx, id, PendingRequest::Status(request));
     }
 
     /// Handles a cancellation.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, id: String) {
         let received_at = ctx.now.monotonic;
-        self.resolve_by_id(
+        self.determine_state_by_id(
             ctx,
             id,
             PendingRequest::Cancel {
@@ -210,22 +215,24 @@
         );
     }
 
-    fn resolve_by_id(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
+    fn determine_state_by_id(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         self.count_request();
         if !is_job_id(&id) {
             return ctx.answer(pending.request(), Answer::refusal(404, NO_SUCH_JOB));
         }
-        self.resolve(ctx, id, pending);
+        self.determine_state(ctx, id, pending);
     }
 
-    /// Determines the state of a request's job by the cheapest sufficient means: the cache,
+    /// Determines the state of a request's job and answers the request, by the cheapest sufficient means: the cache,
     /// a verification of the cached state, or a read.
-    fn resolve(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
+    fn determine_state(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         match self.cache.get(&id) {
-            Some(known) if !known.is_open() => self.conclude(ctx, &id, Some(known), pending),
+            Some(cached) if !cached.is_open() => {
+                self.answer_with_state(ctx, &id, Some(cached), pending)
+            }
             // The transaction of the cancellation verifies the cached state itself.
-            Some(known) if matches!(pending, PendingRequest::Cancel { .. }) => {
-                self.conclude(ctx, &id, Some(known), pending);
+            Some(cached) if matches!(pending, PendingRequest::Cancel { .. }) => {
+                self.answer_with_state(ctx, &id, Some(cached), pending);
             }
             Some(_) => self.verify(ctx, id, pending),
             None => self.read_open_record(ctx, id, pending),
@@ -236,7 +243,10 @@
         // Requests must not share a read: the store may have executed a read that is already
         // in flight before this request was received.
         let priority = RequestPriority::from(&pending);
-        if self.in_flight >= MAX_IN_FLIGHT || !self.calls.try_take(1.0, priority, ctx.now.monotonic)
+        if self.in_flight >= MAX_IN_FLIGHT
+            || !self
+                .request_budget
+                .try_take(1.0, priority, ctx.now.monotonic)
         {
             return ctx.answer(pending.request(), Answer::retry_later(TOO_MANY_REQUESTS));
         }
@@ -248,11 +258,12 @@
         ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Reads the state record of a job that has no open record or has just ended. A job
-    /// without either record did not exist when the request was received.
+    /// Reads the state record after the open record was not found, or after a transaction
+    /// found the state record changed. A job without either record did not exist when the
+    /// request was received.
     fn read_state_record(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         self.in_flight += 1;
-        self.calls.charge(1.0, ctx.now.monotonic);
+        self.request_budget.charge(1.0, ctx.now.monotonic);
         let call = StoreRequest::Get {
             key: records::job_state_key(&id),
         };
@@ -260,17 +271,17 @@
         ctx.store_request(call, Continuation::Admission(step));
     }
 
-    /// Answers a request whose job has the state `known`, None if the job does not exist. The
-    /// cancellation of an open job is sent to the store instead.
-    fn conclude(
+    /// Answers a request from the state of its job; `cached` is None if the job does not exist.
+    /// For the cancellation of an open job, sends the transaction instead.
+    fn answer_with_state(
         &self,
         ctx: &mut Context,
         id: &str,
-        known: Option<KnownJob>,
+        cached: Option<CachedJobState>,
         pending: PendingRequest,
     ) {
-        match (known, pending) {
-            (None, PendingRequest::Reject { request, answer }) => {
+        match (cached, pending) {
+            (None, PendingRequest::RejectUnlessExists { request, answer }) => {
                 if answer.status != 503 {
                     log::info!("job rejected job={id} status={}", answer.status);
                 }
@@ -280,16 +291,16 @@
                 ctx.answer(request, Answer::refusal(404, NO_SUCH_JOB));
             }
             (
-                Some(known),
+                Some(cached),
                 PendingRequest::Cancel {
                     request,
                     received_at,
                 },
-            ) if known.is_open() => {
-                send_cancellation(ctx, id, known, request, received_at);
+            ) if cached.is_open() => {
+                send_cancellation(ctx, id, cached, request, received_at);
             }
-            (Some(known), pending) => {
-                let status = self.status(id, known.record);
+            (Some(cached), pending) => {
+                let status = self.status(id, cached.record);
                 ctx.answer(pending.request(), Answer::body(200, &status));
             }
         }
@@ -321,19 +332,19 @@
 fn send_cancellation(
     ctx: &mut Context,
     id: &str,
-    known: KnownJob,
+    cached: CachedJobState,
     request: RequestId,
     received_at: Micros,
 ) {
     let record = JobStateRecord {
         state: RecordedState::Cancelled,
-        task_count: known.record.task_count,
+        task_count: cached.record.task_count,
     };
     let cancelled = CancelledJob {
         cancelled_at_us: ctx.now.wall,
     };
     let txn = Transaction::default()
-        .compare(records::job_state_key(id), known.version)
+        .compare(records::job_state_key(id), cached.version)
         .put(records::job_state_key(id), &record)
         .put(records::cancelled_job_key(id), &cancelled);
     let step = Step::Cancel {
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -4,7 +4,7 @@
 use crate::CallError;
 use crate::calls::Context;
 use crate::continuations::{AdmissionStep as Step, PendingRequest};
-use crate::job_cache::KnownJob;
+use crate::job_cache::CachedJobState;
 use crate::messages::{Answer, RequestId};
 use crate::records::{self, JobStateRecord, OpenJob, RecordedState};
 use crate::request_budget::{RequestPriority, StoreCost};
@@ -32,21 +32,21 @@
             }
             Step::VerifyOpen { jobs } => self.handle_verification(ctx, jobs, &reply),
             Step::ReadDependency {
-                submission,
+                check_id,
                 dependency,
-                record,
-            } => self.handle_dependency_read(ctx, submission, dependency, record, &reply),
+                kind,
+            } => self.handle_dependency_read(ctx, check_id, dependency, kind, &reply),
             Step::Create {
                 request,
                 job,
                 received_at,
-            } => self.handle_created(ctx, request, job, received_at, reply),
+            } => self.handle_create_reply(ctx, request, job, received_at, reply),
             Step::Cancel {
                 id,
                 request,
                 received_at,
             } => {
-                self.handle_cancelled(ctx, id, request, received_at, reply);
+                self.handle_cancel_reply(ctx, id, request, received_at, reply);
             }
         }
     }
@@ -63,10 +63,11 @@
                 let Some(job) = row.decode_value::<OpenJob>() else {
                     return answer_unreadable(ctx, &row.key, &pending);
                 };
-                self.cache.insert(&id, KnownJob::from_open_row(&job, &row));
+                self.cache
+                    .insert(&id, CachedJobState::from_open_row(&job, &row));
                 // The open record of a cancelled job exists until its tasks are gone, so its
                 // existence does not prove that the job is open.
-                self.resolve(ctx, id, pending);
+                self.determine_state(ctx, id, pending);
             }
             Ok(StoreResponse::NotFound { .. }) => self.read_state_record(ctx, id, pending),
             _ => ctx.answer(pending.request(), Answer::retry_later(STORE_UNREACHABLE)),
@@ -85,29 +86,29 @@
                 let Some(record) = row.decode_value::<JobStateRecord>() else {
                     return answer_unreadable(ctx, &row.key, &pending);
                 };
-                let known = KnownJob::from_state_record(record, row.version);
-                self.record_state(id, known);
-                self.conclude(ctx, id, Some(known), pending);
+                let cached = CachedJobState::from_state_record(record, row.version);
+                self.record_state(id, cached);
+                self.answer_with_state(ctx, id, Some(cached), pending);
             }
-            // The job was stored after the read, and this node may have confirmed that to
-            // the user. The state is determined again instead of answering "no such job".
-            Ok(StoreResponse::NotFound { .. }) if self.is_known_without_state_record(id) => {
-                self.resolve(ctx, id.to_string(), pending);
+            // If the job is cached by now, it was stored after the read, and this node may
+            // have confirmed that to the user. The state is determined again instead of answering "no such job".
+            Ok(StoreResponse::NotFound { .. }) if self.is_cached_without_state_record(id) => {
+                self.determine_state(ctx, id.to_string(), pending);
             }
-            Ok(StoreResponse::NotFound { .. }) => self.conclude(ctx, id, None, pending),
+            Ok(StoreResponse::NotFound { .. }) => self.answer_with_state(ctx, id, None, pending),
             _ => ctx.answer(pending.request(), Answer::retry_later(STORE_UNREACHABLE)),
         }
     }
 
     /// Whether the job is cached with a state that is consistent with the absence of a state
     /// record.
-    fn is_known_without_state_record(&self, id: &str) -> bool {
+    fn is_cached_without_state_record(&self, id: &str) -> bool {
         self.cache
             .get(id)
-            .is_some_and(|known| known.version == 0 || !known.is_open())
+            .is_some_and(|cached| cached.version == 0 || !cached.is_open())
     }
 
-    fn handle_created(
+    fn handle_create_reply(
         &mut self,
         ctx: &mut Context,
         request: RequestId,
@@ -115,8 +116,8 @@
         received_at: Micros,
         reply: Result<StoreResponse, CallError>,
     ) {
-        // The outcome is unknown, since the transaction may still be executed. The same
-        // transaction is sent again: it either commits or finds the record of the first one.
+        // Without a response the outcome is unknown, since the transaction may still be
+        // executed. The same transaction is sent again: it either commits or finds the record of the first one.
         if reply.is_err()
             && ctx.now.monotonic < received_at + RETRY_TIMEOUT
             && self.take_budget(
@@ -125,7 +126,7 @@
                 ctx.now.monotonic,
             )
         {
-            return self.create(ctx, request, job, received_at);
+            return self.send_creation(ctx, request, job, received_at);
         }
         self.in_flight -= 1;
         match reply {
@@ -139,7 +140,11 @@
                 // If the job exists, this is a repeated submission, which may be larger than
                 // the accepted one.
                 let answer = Answer::refusal(400, "the job cannot be stored");
-                self.resolve(ctx, id, PendingRequest::Reject { request, answer });
+                self.determine_state(
+                    ctx,
+                    id,
+                    PendingRequest::RejectUnlessExists { request, answer },
+                );
             }
             _ => ctx.answer(request, Answer::retry_later(STORE_UNREACHABLE)),
         }
@@ -149,9 +154,10 @@
         let id = job.spec.id.clone();
         self.record_admission(job);
         log_accepted(job);
-        // The job has ended before this response arrived, and a user may know that.
+        // If the job has ended meanwhile, another request may already have reported that, so
+        // the answer must not be `queued`.
         if let Some(ended) = self.cache.get_ended(&id) {
-            return self.conclude(ctx, &id, Some(ended), PendingRequest::Status(request));
+            return self.answer_with_state(ctx, &id, Some(ended), PendingRequest::Status(request));
         }
         let status = JobStatus {
             id,
@@ -173,9 +179,9 @@
     ) {
         let id = job.spec.id.clone();
         log::info!("repeated submission job={id}");
-        // The job had an open record and no state record, so it was open when the transaction
-        // was executed. If this node does not know of an end since then, no further read is
-        // needed.
+        // If only the comparison of the open record failed, the job was open when the
+        // transaction was executed. If this node does not know of an end since then, no further
+        // read is needed.
         if failed == [records::open_job_key(&id)] && self.cache.get_ended(&id).is_none() {
             let record = JobStateRecord {
                 state: RecordedState::Open,
@@ -184,10 +190,10 @@
             let status = self.status(&id, record);
             return ctx.answer(request, Answer::body(200, &status));
         }
-        self.resolve(ctx, id, PendingRequest::Status(request));
+        self.determine_state(ctx, id, PendingRequest::Status(request));
     }
 
-    fn handle_cancelled(
+    fn handle_cancel_reply(
         &mut self,
         ctx: &mut Context,
         id: String,
@@ -201,17 +207,17 @@
         };
         match reply {
             Ok(StoreResponse::Committed { .. }) => {
-                let known = self.cache.get(&id);
+                let cached = self.cache.get(&id);
                 let record = JobStateRecord {
                     state: RecordedState::Cancelled,
-                    task_count: known.map_or(0, |known| known.record.task_count),
+                    task_count: cached.map_or(0, |cached| cached.record.task_count),
                 };
-                self.record_state(&id, KnownJob::ended(record));
+                self.record_state(&id, CachedJobState::ended(record));
                 log::info!("job cancelled job={id}");
                 let status = self.status(&id, record);
                 ctx.answer(request, Answer::body(200, &status));
             }
-            // Either the job has ended before, or an earlier attempt was committed.
+            // The job had already ended, or an earlier attempt was committed.
             Ok(StoreResponse::Conflict { .. }) => self.read_state_record(ctx, id, pending),
             Err(_) if ctx.now.monotonic < received_at + RETRY_TIMEOUT => {
                 self.read_open_record(ctx, id, pending);
--- a/crates/controller/src/admission/submission.rs
+++ b/crates/controller/src/admission/submission.rs
@@ -30,16 +30,22 @@
             return ctx.answer(request, Answer::refusal(400, cause));
         };
         if self.cache.get(&id).is_some() {
-            return self.resolve(ctx, id, PendingRequest::Status(request));
+            return self.determine_state(ctx, id, PendingRequest::Status(request));
         }
         match validate(ctx, spec, types) {
-            Ok(job) if job.spec.depends_on.is_empty() => self.submit_valid(ctx, request, job),
+            Ok(job) if job.spec.depends_on.is_empty() => {
+                self.submit_without_dependencies(ctx, request, job)
+            }
             Ok(job) => self.check_dependencies(ctx, request, job),
-            Err(answer) => self.resolve(ctx, id, PendingRequest::Reject { request, answer }),
+            Err(answer) => self.determine_state(
+                ctx,
+                id,
+                PendingRequest::RejectUnlessExists { request, answer },
+            ),
         }
     }
 
-    fn submit_valid(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
+    fn submit_without_dependencies(&mut self, ctx: &mut Context, request: RequestId, job: OpenJob) {
         let now = ctx.now.monotonic;
         if self.in_flight >= MAX_IN_FLIGHT
             || !self.take_budget(StoreCost::transaction(1.0), RequestPriority::Change, now)
@@ -47,10 +53,12 @@
             return ctx.answer(request, Answer::retry_later(TOO_MANY_REQUESTS));
         }
         self.in_flight += 1;
-        self.create(ctx, request, Rc::new(job), now);
+        self.send_creation(ctx, request, Rc::new(job), now);
     }
 
-    pub(super) fn create(
+    /// Sends the transaction that stores the job. The caller has charged the budget and
+    /// incremented `in_flight`.
+    pub(super) fn send_creation(
         &self,
         ctx: &mut Context,
         request: RequestId,
--- a/crates/controller/src/admission/verification.rs
+++ b/crates/controller/src/admission/verification.rs
@@ -29,9 +29,9 @@
     /// Requests for the next transaction, with the ids of their jobs.
     queued: Vec<(String, PendingRequest)>,
     /// Requests whose job is in a transaction in flight, by the id of the job.
-    in_flight: HashMap<String, Vec<PendingRequest>>,
+    awaiting_reply: HashMap<String, Vec<PendingRequest>>,
     /// The number of transactions in flight.
-    transactions: usize,
+    transactions_in_flight: usize,
 }
 
 impl Admission {
@@ -44,12 +44,13 @@
         self.send_verification(ctx);
     }
 
-    /// Sends a transaction for the queued requests if the limits allow it.
+    /// Sends a transaction for the queued requests if the limits allow it. Consumes budget even
+    /// if none of the queued requests turns out to need a comparison.
     pub(super) fn send_verification(&mut self, ctx: &mut Context) {
         if self.verifications.queued.is_empty()
-            || self.verifications.transactions >= MAX_TRANSACTIONS
+            || self.verifications.transactions_in_flight >= MAX_TRANSACTIONS
             || !self
-                .calls
+                .request_budget
                 .try_take(1.0, RequestPriority::Poll, ctx.now.monotonic)
         {
             return;
@@ -58,7 +59,7 @@
         if jobs.is_empty() {
             return;
         }
-        self.verifications.transactions += 1;
+        self.verifications.transactions_in_flight += 1;
         // The transaction is hedged because the loss of one would delay the answers of many
         // requests.
         ctx.hedged_store_request(
@@ -68,7 +69,7 @@
     }
 
     /// Builds a transaction for queued requests, up to the maximum number of comparisons,
-    /// and moves these requests in flight. A request whose job has ended meanwhile is
+    /// and moves these requests to `awaiting_reply`. A request whose job has ended meanwhile is
     /// answered, and one whose job is no longer cached is continued with a read. Returns the
     /// transaction and the ids of its jobs.
     fn collect_comparisons(&mut self, ctx: &mut Context) -> (Transaction, Vec<String>) {
@@ -77,28 +78,28 @@
         let max_jobs = ctx.config.max_txn_ops * COMPARISONS_PER_OP;
         let mut still_queued = Vec::new();
         for (id, pending) in std::mem::take(&mut self.verifications.queued) {
-            let Some(known) = self.cache.get(&id) else {
+            let Some(cached) = self.cache.get(&id) else {
                 self.read_open_record(ctx, id, pending);
                 continue;
             };
-            if !known.is_open() {
-                self.conclude(ctx, &id, Some(known), pending);
+            if !cached.is_open() {
+                self.answer_with_state(ctx, &id, Some(cached), pending);
                 continue;
             }
             let in_this_transaction = jobs.contains(&id);
             // A job is in at most one transaction at a time, so that the response concerns
             // all requests that are in flight for the job.
-            let in_another = self.verifications.in_flight.contains_key(&id);
+            let in_another = self.verifications.awaiting_reply.contains_key(&id);
             if !in_this_transaction && (jobs.len() >= max_jobs || in_another) {
                 still_queued.push((id, pending));
                 continue;
             }
             if !in_this_transaction {
-                txn = txn.compare(records::job_state_key(&id), known.version);
+                txn = txn.compare(records::job_state_key(&id), cached.version);
                 jobs.push(id.clone());
             }
             self.verifications
-                .in_flight
+                .awaiting_reply
                 .entry(id)
                 .or_default()
                 .push(pending);
@@ -114,18 +115,22 @@
         jobs: Vec<String>,
         reply: &Result<StoreResponse, CallError>,
     ) {
-        self.verifications.transactions -= 1;
+        self.verifications.transactions_in_flight -= 1;
         for id in jobs {
-            let requests = self.verifications.in_flight.remove(&id).unwrap_or_default();
+            let requests = self
+                .verifications
+                .awaiting_reply
+                .remove(&id)
+                .unwrap_or_default();
             match reply {
                 Ok(StoreResponse::Committed { .. }) => {
-                    self.conclude_verified(ctx, &id, requests, false);
+                    self.handle_verified_state(ctx, &id, requests, false);
                 }
                 // A conflict lists the changed keys. The other jobs of the transaction were
                 // unchanged.
                 Ok(StoreResponse::Conflict { failed, .. }) => {
                     let changed = failed.contains(&records::job_state_key(&id));
-                    self.conclude_verified(ctx, &id, requests, changed);
+                    self.handle_verified_state(ctx, &id, requests, changed);
                 }
                 _ => {
                     for pending in requests {
@@ -137,8 +142,9 @@
         self.send_verification(ctx);
     }
 
-    /// Continues the requests of a job. `changed` says whether its state record has changed.
-    fn conclude_verified(
+    /// Answers the requests of a job if its state is unchanged or final; otherwise reads the
+    /// job's records. `changed` says whether its state record has changed.
+    fn handle_verified_state(
         &mut self,
         ctx: &mut Context,
         id: &str,
@@ -147,8 +153,8 @@
     ) {
         for pending in requests {
             match self.cache.get(id) {
-                Some(known) if !changed || !known.is_open() => {
-                    self.conclude(ctx, id, Some(known), pending);
+                Some(cached) if !changed || !cached.is_open() => {
+                    self.answer_with_state(ctx, id, Some(cached), pending);
                 }
                 _ if changed => self.read_state_record(ctx, id.to_string(), pending),
                 _ => self.read_open_record(ctx, id.to_string(), pending),
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -49,7 +49,7 @@
     /// Monotonic time at which the request, or the first one of a hedged pair, was sent.
     sent_at: Micros,
     /// The other request of a hedged pair.
-    twin: Option<CallId>,
+    paired_call: Option<CallId>,
 }
 
 /// A request that is sent a second time if its response is slow.
@@ -76,12 +76,12 @@
         CallId(self.last_id)
     }
 
-    fn open(&mut self, continuation: Continuation, now: Timestamp) -> CallId {
+    fn register(&mut self, continuation: Continuation, now: Timestamp) -> CallId {
         let id = self.next_id();
         let call = PendingCall {
             continuation,
             sent_at: now.monotonic,
-            twin: None,
+            paired_call: None,
         };
         self.pending.insert(id, call);
         id
@@ -91,45 +91,45 @@
     /// was sent. The first response to a hedged pair completes both requests, unless it is a
     /// failure and the other request may still succeed: then None is returned, as for an
     /// unknown request.
-    pub fn close(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
+    pub fn complete(&mut self, id: CallId, failed: bool) -> Option<(Continuation, Micros)> {
         let call = self.pending.remove(&id)?;
-        if let Some(twin) = call.twin {
-            if failed && let Some(other) = self.pending.get_mut(&twin) {
-                other.twin = None;
+        if let Some(paired_call) = call.paired_call {
+            if failed && let Some(other) = self.pending.get_mut(&paired_call) {
+                other.paired_call = None;
                 return None;
             }
-            self.pending.remove(&twin);
+            self.pending.remove(&paired_call);
         }
         Some((call.continuation, call.sent_at))
     }
 
-    /// Opens the second request for each pending request whose response is slow, as far as
-    /// the hedge budget allows. A candidate that exceeds the budget is not hedged later.
-    fn open_hedged(&mut self, config: &Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
+    /// Registers the second request for each pending request whose response is slow, within
+    /// the hedge budget. A candidate that exceeds the budget is not hedged later.
+    fn register_duplicates(&mut self, config: &Config, now: Micros) -> Vec<(CallId, StoreRequest)> {
         let per_s = config.store_rps * HEDGED_REQUEST_FRACTION;
         self.hedge_budget.refill(now, per_s, per_s.max(1.0));
-        let mut opened = Vec::new();
+        let mut duplicates = Vec::new();
         while let Some(candidate) = self.hedge_candidates.pop_front_if(|c| now >= c.due_at) {
             if self.hedge_budget.available() < 1.0 || !self.pending.contains_key(&candidate.id) {
                 continue;
             }
             self.hedge_budget.take(1.0);
-            let twin = self.next_id();
-            self.open_twin(candidate.id, twin);
-            opened.push((twin, candidate.call));
+            let duplicate_id = self.next_id();
+            self.register_duplicate(candidate.id, duplicate_id);
+            duplicates.push((duplicate_id, candidate.call));
         }
-        opened
+        duplicates
     }
 
-    fn open_twin(&mut self, first_id: CallId, twin_id: CallId) {
+    fn register_duplicate(&mut self, first_id: CallId, duplicate_id: CallId) {
         if let Some(first) = self.pending.get_mut(&first_id) {
-            first.twin = Some(twin_id);
-            let twin = PendingCall {
+            first.paired_call = Some(duplicate_id);
+            let duplicate = PendingCall {
                 continuation: first.continuation.clone(),
                 sent_at: first.sent_at,
-                twin: Some(first_id),
+                paired_call: Some(first_id),
             };
-            self.pending.insert(twin_id, twin);
+            self.pending.insert(duplicate_id, duplicate);
         }
     }
 }
@@ -152,7 +152,7 @@
 
     /// Sends a request to the store.
     pub fn store_request(&mut self, call: StoreRequest, continuation: Continuation) -> CallId {
-        let id = self.calls.open(continuation, self.now);
+        let id = self.calls.register(continuation, self.now);
         self.push_store_request(id, call);
         id
     }
@@ -177,7 +177,10 @@
     /// Sends the hedged requests whose responses are slow a second time. Must be called at
     /// every tick.
     pub fn send_hedged_requests(&mut self) {
-        for (id, call) in self.calls.open_hedged(self.config, self.now.monotonic) {
+        for (id, call) in self
+            .calls
+            .register_duplicates(self.config, self.now.monotonic)
+        {
             self.push_store_request(id, call);
         }
     }
@@ -197,7 +200,7 @@
             );
             return;
         }
-        let id = self.calls.open(continuation, self.now);
+        let id = self.calls.register(continuation, self.now);
         self.out.push(Output::Cloud {
             id,
             call,
@@ -213,7 +216,7 @@
         commands: CommandBatch,
         continuation: Continuation,
     ) -> CallId {
-        let id = self.calls.open(continuation, self.now);
+        let id = self.calls.register(continuation, self.now);
         self.out.push(Output::Commands {
             id,
             addr,
@@ -233,7 +236,7 @@
 fn request_kind(call: &CloudRequest) -> &'static str {
     match call {
         CloudRequest::Types => "types",
-        CloudRequest::ScaleOut(_) => "scale_out",
+        CloudRequest::ScaleOut(_) => "scale-out",
         CloudRequest::Delete(_) => "delete",
         CloudRequest::List { .. } => "list",
     }
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -20,9 +20,9 @@
 pub enum PendingRequest {
     /// Reports the job's state: a poll, or a submission of a known job.
     Status(RequestId),
-    /// Rejects a submission, unless the job exists: then this is a repeated submission, and
+    /// Rejects a submission unless the job exists: then this is a repeated submission, and
     /// the job's state is reported.
-    Reject {
+    RejectUnlessExists {
         /// The request that waits for the answer.
         request: RequestId,
         /// The answer that rejects the submission.
@@ -42,7 +42,7 @@
     pub fn request(&self) -> RequestId {
         match self {
             PendingRequest::Status(request)
-            | PendingRequest::Reject { request, .. }
+            | PendingRequest::RejectUnlessExists { request, .. }
             | PendingRequest::Cancel { request, .. } => *request,
         }
     }
@@ -77,12 +77,12 @@
     },
     /// Reads a record of a job that a submission depends on.
     ReadDependency {
-        /// The submission whose dependencies are checked.
-        submission: u64,
+        /// The check of the submission's dependencies.
+        check_id: u64,
         /// The id of the job that it depends on.
         dependency: String,
         /// Which record is read.
-        record: JobRecordKind,
+        kind: JobRecordKind,
     },
     /// Verifies that the state records of jobs that are cached as open are unchanged.
     VerifyOpen {
@@ -114,8 +114,9 @@
 pub enum ElectionStep {
     /// Reads all shared keys.
     Read,
-    /// Revokes a lease of an earlier process of this member.
-    RevokeOwnLease,
+    /// Revokes the lease of this member that a read found: of an earlier process or an earlier
+    /// term.
+    RevokePreviousLease,
     /// Requests the lease of a candidacy.
     GrantLease,
     /// Claims leadership by compare-and-swap.
@@ -134,8 +135,8 @@
     },
     /// Watches the shared keys.
     Watch,
-    /// Revokes a lease that is no longer needed. The response is ignored.
-    Revoke,
+    /// Revokes the lease of a term or a candidacy that has ended. The response is ignored.
+    RevokeUnneededLease,
 }
 
 /// The steps of a leader.
@@ -191,7 +192,7 @@
         /// The step of the leader.
         step: LeaderStep,
     },
-    /// The response is ignored.
+    /// No module needs the response.
     Ignore,
 }
 
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -244,7 +244,7 @@
 
     fn revoke_lease(ctx: &mut Context, lease: LeaseId) {
         let call = StoreRequest::RevokeLease { lease };
-        ctx.store_request(call, Continuation::Election(Step::Revoke));
+        ctx.store_request(call, Continuation::Election(Step::RevokeUnneededLease));
     }
 
     /// First step of a candidacy: requests a lease if there is no leader and this node
--- a/crates/controller/src/election/replies.rs
+++ b/crates/controller/src/election/replies.rs
@@ -17,7 +17,7 @@
     ) -> Option<LeadershipChange> {
         match step {
             Step::Read => self.handle_read(ctx, reply),
-            Step::RevokeOwnLease => self.handle_own_lease_revoked(ctx, reply),
+            Step::RevokePreviousLease => self.handle_own_lease_revoked(ctx, reply),
             Step::GrantLease => self.handle_lease_granted(ctx, sent_at, reply),
             Step::Claim {
                 lease,
@@ -29,7 +29,7 @@
                 self.watching = false;
                 return self.handle_watch(ctx, reply);
             }
-            Step::Revoke => {}
+            Step::RevokeUnneededLease => {}
         }
         None
     }
@@ -48,7 +48,7 @@
                 self.phase = Phase::AwaitingReply;
                 ctx.store_request(
                     StoreRequest::RevokeLease { lease },
-                    Continuation::Election(Step::RevokeOwnLease),
+                    Continuation::Election(Step::RevokePreviousLease),
                 );
             }
             _ => {
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -13,7 +13,7 @@
 
 /// The state of a job, as shown by a read or write of its records.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct KnownJob {
+pub(crate) struct CachedJobState {
     pub record: JobStateRecord,
     /// The version of an open job's state record; 0 if it has none.
     pub version: u64,
@@ -21,10 +21,10 @@
     pub is_service: bool,
 }
 
-impl KnownJob {
+impl CachedJobState {
     /// The state of an open job without a state record.
-    pub fn newly_open(job: &OpenJob) -> KnownJob {
-        KnownJob {
+    pub fn newly_open(job: &OpenJob) -> CachedJobState {
+        CachedJobState {
             record: JobStateRecord {
                 state: RecordedState::Open,
                 task_count: job.spec.tasks,
@@ -35,16 +35,16 @@
     }
 
     /// The state of a job whose open record was read from `row`.
-    pub fn from_open_row(job: &OpenJob, row: &KeyValue) -> KnownJob {
-        KnownJob {
+    pub fn from_open_row(job: &OpenJob, row: &KeyValue) -> CachedJobState {
+        CachedJobState {
             version: job.state_version(row.version),
-            ..KnownJob::newly_open(job)
+            ..CachedJobState::newly_open(job)
         }
     }
 
     /// The state of a job whose state record was read.
-    pub fn from_state_record(record: JobStateRecord, version: u64) -> KnownJob {
-        KnownJob {
+    pub fn from_state_record(record: JobStateRecord, version: u64) -> CachedJobState {
+        CachedJobState {
             record,
             version,
             is_service: false,
@@ -52,8 +52,8 @@
     }
 
     /// The state of a job whose end is stored.
-    pub fn ended(record: JobStateRecord) -> KnownJob {
-        KnownJob::from_state_record(record, 0)
+    pub fn ended(record: JobStateRecord) -> CachedJobState {
+        CachedJobState::from_state_record(record, 0)
     }
 
     /// Whether the job was neither done nor cancelled.
@@ -64,11 +64,11 @@
 
 /// A bounded cache of job states, which evicts entries in the order of their insertion.
 ///
-/// Unlike in an LRU cache, an ended job must never be replaced by an open one, and a lookup
-/// does not change the order.
+/// While an ended job is cached, it is never replaced by an open state. Lookups do not change
+/// the order of eviction.
 #[derive(Debug)]
 pub(crate) struct JobCache {
-    jobs: HashMap<String, KnownJob>,
+    jobs: HashMap<String, CachedJobState>,
     /// Oldest first.
     insertion_order: VecDeque<String>,
     capacity: usize,
@@ -85,25 +85,25 @@
     }
 
     /// The cached state of the job.
-    pub fn get(&self, id: &str) -> Option<KnownJob> {
+    pub fn get(&self, id: &str) -> Option<CachedJobState> {
         self.jobs.get(id).copied()
     }
 
     /// The cached state of the job, if the job has ended.
-    pub fn get_ended(&self, id: &str) -> Option<KnownJob> {
-        self.get(id).filter(|known| !known.is_open())
+    pub fn get_ended(&self, id: &str) -> Option<CachedJobState> {
+        self.get(id).filter(|cached| !cached.is_open())
     }
 
     /// Inserts or replaces the state of a job. An ended job stays ended even if a delayed
     /// response shows it as open.
-    pub fn insert(&mut self, id: &str, seen: KnownJob) {
-        if let Some(known) = self.jobs.get_mut(id) {
-            if known.is_open() {
-                *known = seen;
+    pub fn insert(&mut self, id: &str, state: CachedJobState) {
+        if let Some(cached) = self.jobs.get_mut(id) {
+            if cached.is_open() {
+                *cached = state;
             }
             return;
         }
-        self.jobs.insert(id.to_string(), seen);
+        self.jobs.insert(id.to_string(), state);
         self.insertion_order.push_back(id.to_string());
         self.evict_oldest();
     }
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -297,7 +297,7 @@
             reply,
             Err(_) | Ok(StoreResponse::Unavailable | StoreResponse::RateLimited)
         );
-        let (continuation, sent_at) = self.calls.close(id, failed)?;
+        let (continuation, sent_at) = self.calls.complete(id, failed)?;
         if reply.is_ok() && !continuation.is_watch() {
             let latency = now.monotonic.saturating_sub(sent_at);
             self.election.record_store_latency(latency, now.monotonic);
@@ -342,9 +342,9 @@
         id: CallId,
         reply: Result<CloudResponse, CallError>,
     ) {
-        let closed = self.calls.close(id, reply.is_err());
+        let completed = self.calls.complete(id, reply.is_err());
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
-        if let Some((Continuation::Leader { term, step }, _)) = closed
+        if let Some((Continuation::Leader { term, step }, _)) = completed
             && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
             && let LeaderStep::Cloud(request) = step
         {
@@ -360,9 +360,9 @@
         id: CallId,
         reply: Result<(u16, Vec<u8>), CallError>,
     ) {
-        let closed = self.calls.close(id, reply.is_err());
+        let completed = self.calls.complete(id, reply.is_err());
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
-        if let Some((Continuation::Leader { term, step }, _)) = closed
+        if let Some((Continuation::Leader { term, step }, _)) = completed
             && let Some(leader) = self.leader.as_mut().filter(|l| l.term == term)
             && let LeaderStep::SendCommands { machine } = step
         {
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -57,7 +57,7 @@
     /// so that it can serve the start of a burst. Returns the rate of users' requests at
     /// this node, per second.
     fn rebalance_budget(&mut self, now: Timestamp) -> u32 {
-        let own_per_s = self.admission.request_rate(HEARTBEAT_INTERVAL);
+        let own_per_s = self.admission.update_request_rate(HEARTBEAT_INTERVAL);
         let nodes = (self.config.peers.len() + 1) as f64;
         let (mut reachable_nodes, mut all_per_s) = (1.0, own_per_s);
         for (_, peer) in self.peers.reachable(now.monotonic) {
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -63,7 +63,7 @@
     fn from(pending: &PendingRequest) -> Self {
         match pending {
             PendingRequest::Status(_) => RequestPriority::Poll,
-            PendingRequest::Reject { .. } | PendingRequest::Cancel { .. } => {
+            PendingRequest::RejectUnlessExists { .. } | PendingRequest::Cancel { .. } => {
                 RequestPriority::Change
             }
         }
