--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -20,8 +20,9 @@
 //!   rejected later, for example after a change of the machine types.
 //! - **Poll.** See the next section.
 //! - **Cancellation.** A transaction writes the state record and the cancellation record
-//!   (`q/c/`) if the version of the state record is still the cached one. After a conflict, the state record is read: either the job has ended
-//!   before, or an earlier attempt at the cancellation was committed.
+//!   (`q/c/`) if the version of the state record is still the cached one. After a conflict,
+//!   the state record is read: the job had already ended, or an earlier attempt at the
+//!   cancellation was committed.
 //!
 //! # Consistency of answers
 //!
@@ -44,8 +45,8 @@
 //! Reads, submissions and verifications are charged to a `RequestBudget`, and a new read or
 //! submission is sent only while fewer than `MAX_IN_FLIGHT` are in flight. A request that
 //! exceeds a limit is rejected at once with 503 and `Retry-After`. Exceptions: the transaction
-//! that cancels a job that is cached as open is neither charged nor limited, and the read of a
-//! state record, which continues a request that is already being handled, is never rejected.
+//! that cancels an open job is neither charged nor limited, and the read of a state record,
+//! which continues a request that is already being handled, is charged but never rejected.
 
 mod dependency_check;
 mod replies;
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// A scale-out that was not executed within this time is dropped, so that a new one is
-/// planned from the current demand.
+/// A scale-out that was certainly not executed is dropped after this time, once an attempt has
+/// failed or while none is permitted, so that a new one is planned from the current demand.
 const SCALE_OUT_EXPIRY: Micros = 5 * SECOND;
 /// The number of machines that one request may delete however small the fleet is.
 const MIN_DELETION_LIMIT: usize = 5;
@@ -22,9 +22,9 @@
 struct PendingScaleOut {
     request: ScaleOut,
     requested_at: Micros,
-    /// Whether an earlier attempt may have been executed. The same request name must then
+    /// Whether an earlier attempt may have been or may still be executed. The same request name must then
     /// be repeated until there is a final response.
-    uncertain: bool,
+    outcome_unknown: bool,
 }
 
 /// A machine that is to be deleted.
@@ -32,7 +32,7 @@
 struct PendingDeletion {
     reason: DeletionReason,
     /// Whether an earlier attempt may still be executed at any time.
-    uncertain: bool,
+    outcome_unknown: bool,
 }
 
 /// The kind of a request to the cloud.
@@ -76,9 +76,9 @@
 pub struct CloudQueue {
     /// The cloud's rate limit, in requests per second.
     rate_per_s: f64,
-    /// The requests that the rate limit allows now. This is not a
-    /// [`crate::token_bucket::TokenBucket`] because that one rounds differently, which would
-    /// change the times of requests.
+    /// The requests that the rate limit allows now. Not a
+    /// [`TokenBucket`](crate::token_bucket::TokenBucket): its rounding differs, and recorded
+    /// simulator runs depend on the exact send times.
     tokens: f64,
     tokens_refilled_at: Micros,
     call_in_flight: bool,
@@ -94,7 +94,7 @@
     list_after: Option<String>,
     next_types_at: Micros,
     /// The number of scale-out request names that were generated.
-    scale_outs_named: u64,
+    request_names_generated: u64,
 }
 
 impl CloudQueue {
@@ -113,15 +113,15 @@
             next_listing_at: now,
             list_after: None,
             next_types_at: now,
-            scale_outs_named: 0,
+            request_names_generated: 0,
         }
     }
 
     /// Generates the unique name of a scale-out request, by which the cloud recognizes a
     /// repeated request. No other leader generates the same name, since terms are unique.
     pub fn new_request_name(&mut self, term: u64) -> String {
-        self.scale_outs_named += 1;
-        format!("t{term}-{}", self.scale_outs_named)
+        self.request_names_generated += 1;
+        format!("t{term}-{}", self.request_names_generated)
     }
 
     /// Queues a scale-out.
@@ -129,7 +129,7 @@
         self.scale_outs.push_back(PendingScaleOut {
             request,
             requested_at: now,
-            uncertain: false,
+            outcome_unknown: false,
         });
     }
 
@@ -143,12 +143,13 @@
         self.scale_outs.pop_front().map(|pending| pending.request)
     }
 
-    /// Records that the scale-out in flight failed without a final response. It is
-    /// `uncertain` if it may still be executed.
-    pub fn scale_out_failed(&mut self, now: Micros, uncertain: bool) {
+    /// Records that the scale-out in flight failed without a final response. Drops it if
+    /// it has expired and was certainly not executed. `outcome_unknown` says whether this
+    /// attempt may still be executed.
+    pub fn scale_out_failed(&mut self, now: Micros, outcome_unknown: bool) {
         if let Some(pending) = self.scale_outs.front_mut() {
-            pending.uncertain |= uncertain;
-            if !pending.uncertain && now > pending.requested_at + SCALE_OUT_EXPIRY {
+            pending.outcome_unknown |= outcome_unknown;
+            if !pending.outcome_unknown && now > pending.requested_at + SCALE_OUT_EXPIRY {
                 self.scale_outs.pop_front();
             }
         }
@@ -159,7 +160,7 @@
     pub fn delete(&mut self, name: Rc<str>, reason: DeletionReason) {
         let deletion = self.deletions.entry(name).or_insert(PendingDeletion {
             reason,
-            uncertain: false,
+            outcome_unknown: false,
         });
         deletion.reason = deletion.reason.min(reason);
     }
@@ -183,7 +184,7 @@
             return false;
         };
         let withdrawn = deletion.reason == DeletionReason::Unresponsive
-            && !deletion.uncertain
+            && !deletion.outcome_unknown
             && !self.deletions_in_flight.iter().any(|n| **n == *name);
         if withdrawn {
             self.deletions.remove(name);
@@ -200,12 +201,12 @@
         names
     }
 
-    /// Records that the deletion in flight failed. It is `uncertain` if it may still be
-    /// executed.
-    pub fn deletion_failed(&mut self, uncertain: bool) {
+    /// Records that the deletion in flight failed. `outcome_unknown` says whether this
+    /// attempt may still be executed.
+    pub fn deletion_failed(&mut self, outcome_unknown: bool) {
         for name in std::mem::take(&mut self.deletions_in_flight) {
             if let Some(deletion) = self.deletions.get_mut(&name) {
-                deletion.uncertain |= uncertain;
+                deletion.outcome_unknown |= outcome_unknown;
             }
         }
     }
@@ -232,8 +233,9 @@
         self.paused_until = now + FAILURE_BACKOFF;
     }
 
-    /// Takes the next request that may be sent now, if there is one. It deletes at most
-    /// `deletion_limit` machines that may be in use. `permit` issues a permit for an action
+    /// Takes the next request that may be sent now, if there is one. A deletion contains
+    /// at most `deletion_limit` machines, but at least 5 are allowed; failed machines may exceed
+    /// the limit. `permit` issues a permit for an action
     /// that is allowed now.
     pub fn next(
         &mut self,
@@ -249,7 +251,7 @@
         if scale_out_permit.is_none() {
             // Once scale-outs are permitted again, a new plan will fit the demand better.
             self.scale_outs.retain(|pending| {
-                pending.uncertain || now < pending.requested_at + SCALE_OUT_EXPIRY
+                pending.outcome_unknown || now < pending.requested_at + SCALE_OUT_EXPIRY
             });
         }
         let scale_out_permit = scale_out_permit.filter(|_| self.has_scale_outs());
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -14,15 +14,16 @@
 }
 
 /// The service-level objective for the deadlines of a class of jobs. It combines all deadline
-/// objectives of the class: the strictest share and the greatest multiple.
+/// objectives of the class: `share` is the maximum of their shares, `max_multiple` the maximum
+/// of their multiples.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeadlineObjective {
     /// The class of jobs.
     pub class: String,
-    /// The fraction of the class's jobs, 0 to 1, that must end by a multiple of their
-    /// deadline.
+    /// The fraction of the class's jobs, 0 to 1, that must end by the multiple
+    /// `max_multiple` of their deadline.
     pub share: f64,
-    /// The greatest of these multiples. A job that ends later than that misses every
+    /// The multiple of the deadline. A job that ends later than that misses every
     /// objective.
     pub max_multiple: f64,
 }
@@ -51,12 +52,12 @@
     /// The maximum difference between the wall clocks of two machines.
     pub clock_error: Micros,
     /// The store's limit of requests per second from all controllers. The store may announce
-    /// new limits. This field and the next three contain the smaller of the current and the
-    /// announced limit, so that new records comply with both.
+    /// new limits. Fields for store limits without the prefix `current_` contain the smaller of
+    /// the current and the announced limit, so that new records comply with both.
     pub store_rps: f64,
     /// The store's limit of writes per second from all controllers.
     pub store_write_rps: f64,
-    /// The maximum size of a value in the store.
+    /// The maximum size of a value in the store (set in kB of 1024 bytes).
     pub max_value_bytes: usize,
     /// The maximum number of operations in a transaction.
     pub max_txn_ops: usize,
@@ -71,7 +72,7 @@
     pub cloud_rps: f64,
     /// The maximum delay until a change appears in the cloud's list of machines.
     pub cloud_list_lag: Micros,
-    /// The memory that this controller may use, in megabytes.
+    /// The memory that this controller may use, in MB of 10^6 bytes.
     pub memory_mb: f64,
     /// The maximum number of command batches to workers that are in flight at once.
     pub max_commands_in_flight: usize,
@@ -90,7 +91,7 @@
         let current = &cluster.store;
         let announced = &current.next;
         let max_value_bytes =
-            kilobytes(announced.value_kb.unwrap_or(f64::MAX).min(current.value_kb));
+            kb_to_bytes(announced.value_kb.unwrap_or(f64::MAX).min(current.value_kb));
         let write_rps = announced
             .write_rps
             .unwrap_or(f64::MAX)
@@ -110,13 +111,12 @@
             max_value_bytes,
             max_txn_ops: announced.txn_ops.unwrap_or(u32::MAX).min(current.txn_ops) as usize,
             current_store_write_rps: current.write_rps,
-            current_max_value_bytes: kilobytes(current.value_kb),
+            current_max_value_bytes: kb_to_bytes(current.value_kb),
             tasks_per_chunk: tasks_per_chunk(max_value_bytes),
             cloud_rps: cluster.cloud.rps,
             cloud_list_lag: micros(cluster.cloud.list_lag_s),
             memory_mb: cluster.quota.mem_mb,
-            // Together with the requests to the store, the cloud and peers, this is less than
-            // a quarter of the connections.
+            // Leaves most connections for users; the minimum of 6 keeps small clusters working.
             max_commands_in_flight: (cluster.quota.max_connections / 5).clamp(6, 1024) as usize,
             start_objectives: start_objectives(cluster),
             deadline_objectives: deadline_objectives(cluster),
@@ -136,7 +136,8 @@
             .find(|objective| objective.class == class)
     }
 
-    /// The limit for answering heartbeats when a cancellation may not have taken effect. Each
+    /// How long the leader keeps answering heartbeats while a cancellation may not have taken
+    /// effect. Each
     /// answer renews a worker's lease. A worker that gets no answers ends its tasks after
     /// `worker_lease`, so answers must stop early enough for the tasks of a cancelled job to
     /// end within `cancel_deadline`.
@@ -157,9 +158,9 @@
             .saturating_sub(self.worker_lease + margin)
     }
 
-    /// By how much a cancelled task may exceed `cancel_deadline` while the store is
-    /// unreachable, because the deadline is too short compared to the lease. None if it
-    /// cannot.
+    /// The maximum time by which a cancelled task may outlast `cancel_deadline` while the store
+    /// is unreachable, because that time is too short compared to the lease. None if it cannot
+    /// outlast it.
     pub fn cancel_deadline_shortfall(&self) -> Option<Micros> {
         let shortfall =
             MIN_HEARTBEAT_ANSWER_LIMIT.saturating_sub(self.time_before_lease_must_expire());
@@ -189,7 +190,7 @@
     (value_bytes / PLACED_TASK_BYTES).clamp(8, 128) as u32
 }
 
-fn kilobytes(kb: f64) -> usize {
+fn kb_to_bytes(kb: f64) -> usize {
     (kb * 1024.0) as usize
 }
 
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -17,7 +17,7 @@
 //! - it observes a higher term in the store, in a worker's heartbeat or from a peer,
 //! - one of its fenced writes failed, or the revisions that it watches were compacted,
 //! - no worker heartbeats reach it while they may reach a peer, or
-//! - its process was paused for longer than the lease lasts.
+//! - its process was paused for at least `lead_ttl_s`, so that the lease may have expired.
 //!
 //! A leader that cannot reach the store does not step down for that reason. Its
 //! [`LeadershipProof`](crate::leadership_guard::LeadershipProof) ages instead, and
@@ -42,12 +42,13 @@
 
 /// Delay before the shared keys are read again after a failure.
 const READ_RETRY_DELAY: Micros = 250 * MILLISECOND;
-/// Delay from the sending of a failed renewal to the next one. A lease may survive an
-/// outage of the store, so an early retry can still renew it.
+/// The maximum delay from the sending of a failed renewal to the next one; a regular renewal
+/// that is due earlier is not delayed. A lease may survive an outage of the store, so an early
+/// retry can still renew it.
 const RENEW_RETRY_DELAY: Micros = 400 * MILLISECOND;
-/// How long the store holds a watch without changes. An idle follower has no other
-/// evidence that it reaches the store, so this must be shorter than the time for which a
-/// response counts as such evidence.
+/// How long the store holds a watch without changes. This must be shorter than
+/// the time for which the store counts as reachable after a response
+/// (`node::reachability`), since an idle follower sends no other requests to it.
 const WATCH_HOLD_MS: u64 = 1_000;
 /// How long a node that receives no worker heartbeats delays its candidacy while a peer
 /// receives them. Otherwise several nodes without contact to the workers could be elected
@@ -75,8 +76,8 @@
 /// receives worker heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BetterCandidate {
-    /// This node receives worker heartbeats.
-    None,
+    /// No peer is better: this node receives worker heartbeats itself.
+    NotNeeded,
     /// This node receives no worker heartbeats. It is unknown whether a peer does.
     Unknown,
     /// A peer receives worker heartbeats and this node does not.
@@ -106,11 +107,11 @@
     watching: bool,
     /// When the lease is to be renewed next.
     renew_at: Micros,
-    /// This node does not stand for election before this time.
-    abstain_until: Micros,
+    /// This node does not become a candidate before this time.
+    candidacy_blocked_until: Micros,
     better_candidate: BetterCandidate,
     /// When this node first observed that there is no leader; None while there is one.
-    vacant_since: Option<Micros>,
+    leaderless_since: Option<Micros>,
     /// The lease of the current candidacy.
     candidate_lease: Option<LeaseId>,
     /// See [`proved_at`](Self::proved_at).
@@ -132,9 +133,9 @@
             shared: SharedKeys::default(),
             watching: false,
             renew_at: 0,
-            abstain_until: 0,
-            better_candidate: BetterCandidate::None,
-            vacant_since: None,
+            candidacy_blocked_until: 0,
+            better_candidate: BetterCandidate::NotNeeded,
+            leaderless_since: None,
             candidate_lease: None,
             proved_at: 0,
             store_latency: StoreLatency::default(),
@@ -159,7 +160,7 @@
         self.proved_at
     }
 
-    /// The highest term that was read from the store.
+    /// The term in the latest known version of `s/term`.
     pub fn term(&self) -> u64 {
         self.shared.term
     }
@@ -204,7 +205,7 @@
         let now = ctx.now.monotonic;
         match self.phase {
             Phase::ReadScheduled { at } if now >= at => self.read_shared_keys(ctx),
-            Phase::Following => self.stand_for_election_if_vacant(ctx),
+            Phase::Following => self.stand_for_election_if_leaderless(ctx),
             Phase::Leading { lease, .. } if now >= self.renew_at => self.renew_lease(ctx, lease),
             _ => {}
         }
@@ -249,20 +250,20 @@
 
     /// First step of a candidacy: requests a lease if there is no leader and this node
     /// need not wait for a better candidate.
-    fn stand_for_election_if_vacant(&mut self, ctx: &mut Context) {
+    fn stand_for_election_if_leaderless(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.shared.leader.is_some() {
-            self.vacant_since = None;
+            self.leaderless_since = None;
             return;
         }
-        let vacant_since = *self.vacant_since.get_or_insert(now);
+        let leaderless_since = *self.leaderless_since.get_or_insert(now);
         let delay = match self.better_candidate {
             BetterCandidate::Peer => DELAY_FOR_BETTER_PEER,
             // Before the first term no worker exists that could send heartbeats.
             BetterCandidate::Unknown if self.shared.term > 0 => DELAY_FOR_UNKNOWN_PEER,
-            BetterCandidate::Unknown | BetterCandidate::None => 0,
+            BetterCandidate::Unknown | BetterCandidate::NotNeeded => 0,
         };
-        if now < self.abstain_until || now < vacant_since + delay {
+        if now < self.candidacy_blocked_until || now < leaderless_since + delay {
             return;
         }
         self.phase = Phase::AwaitingReply;
@@ -304,7 +305,7 @@
         term_version: u64,
     ) -> LeadershipChange {
         self.phase = Phase::Leading { lease, term };
-        self.vacant_since = None;
+        self.leaderless_since = None;
         self.proved_at = lease_requested_at;
         self.shared.term = term;
         self.shared.term_version = term_version;
@@ -319,35 +320,37 @@
     }
 
     /// Ends a candidacy that failed or whose outcome is unknown. Revoking the lease makes
-    /// the outcome certain, since a key cannot be bound to a lease that has ended.
+    /// the outcome certain, since a key cannot be bound to a lease that has ended: this node
+    /// cannot become leader by a delayed transaction.
     fn abandon_candidacy(&mut self, ctx: &mut Context, lease: LeaseId, term: u64, outcome: &str) {
         log::info!("not elected term={term} reason={outcome}");
         Self::revoke_lease(ctx, lease);
         self.schedule_read(ctx, READ_RETRY_DELAY);
     }
 
-    /// Resigns leadership and revokes the lease, so that another node can be elected at
-    /// once. This node does not stand for election for the duration `abstain`. Returns
-    /// None if this node does not lead.
+    /// Steps down and revokes the lease, so that another node can be elected at once. This
+    /// node does not become a candidate again for the duration `backoff`. Returns None if
+    /// this node does not lead.
     pub fn step_down(
         &mut self,
         ctx: &mut Context,
         reason: &str,
-        abstain: Micros,
+        backoff: Micros,
     ) -> Option<LeadershipChange> {
         let Phase::Leading { lease, term } = self.phase else {
             return None;
         };
         log::info!("stepping down term={term} reason={reason}");
-        self.abstain_until = ctx.now.monotonic + abstain;
+        self.candidacy_blocked_until = ctx.now.monotonic + backoff;
         self.schedule_read(ctx, READ_RETRY_DELAY);
         Self::revoke_lease(ctx, lease);
         Some(LeadershipChange::Deposed)
     }
 
-    /// Discards the election state after a pause of the process that was longer than the
-    /// lease, since another node may have been elected meanwhile.
-    pub fn resume_after_pause(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
+    /// Steps down, or abandons the candidacy and reads the shared keys again, after a pause of
+    /// the process that was at least as long as the minimum lease: another node may have been
+    /// elected meanwhile.
+    pub fn handle_long_pause(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
         if self.leading().is_some() {
             return self.step_down(ctx, "process was paused for longer than its lease", 0);
         }
--- a/crates/controller/src/election/replies.rs
+++ b/crates/controller/src/election/replies.rs
@@ -40,11 +40,11 @@
         };
         self.shared.apply_read(&page);
         match &self.shared.leader {
-            // The lease of an earlier process of this member, which no longer runs: there
-            // is no need to wait for its expiry.
+            // The stored leader is this member, from an earlier process or an earlier term of
+            // this one. Revoking the lease avoids waiting for its expiry.
             Some(leader) if leader.member == ctx.config.member => {
                 let lease = leader.lease;
-                log::info!("revoking earlier lease of this member lease={lease}");
+                log::info!("revoking previous lease of this member lease={lease}");
                 self.phase = Phase::AwaitingReply;
                 ctx.store_request(
                     StoreRequest::RevokeLease { lease },
@@ -53,7 +53,7 @@
             }
             _ => {
                 self.phase = Phase::Following;
-                self.stand_for_election_if_vacant(ctx);
+                self.stand_for_election_if_leaderless(ctx);
             }
         }
     }
@@ -75,7 +75,7 @@
     ) {
         match reply {
             // The lease was requested before a pause of the process, after which the
-            // shared keys are read again.
+            // shared keys are read again. The lease is left to expire.
             _ if self.phase != Phase::AwaitingReply => {}
             Ok(StoreResponse::Lease { lease }) => self.claim_leadership(ctx, lease, sent_at),
             _ => self.retry_read(ctx),
@@ -136,6 +136,7 @@
                 self.renew_at = self.renew_at.min(sent_at + RENEW_RETRY_DELAY);
                 None
             }
+            // An unexpected response is no evidence. The next regular renewal follows.
             Ok(_) => None,
         }
     }
--- a/crates/controller/src/election/shared_keys.rs
+++ b/crates/controller/src/election/shared_keys.rs
@@ -8,10 +8,11 @@
 /// The keys with the prefix [`records::SHARED_PREFIX`], as last read or watched.
 #[derive(Debug, Default)]
 pub(super) struct SharedKeys {
-    /// The store revision that this copy reflects.
+    /// The store revision that this copy reflects. The version of a key is the store revision
+    /// of its last change.
     pub revision: u64,
     pub leader: Option<LeaderRecord>,
-    /// The highest term observed.
+    /// The current term, which never decreases in the store.
     pub term: u64,
     pub term_version: u64,
     pub machine_types: Option<Rc<Vec<MachineType>>>,
@@ -19,7 +20,8 @@
 }
 
 impl SharedKeys {
-    /// Replaces this copy by the result of a full read.
+    /// Applies a full read. The leader is cleared if it is absent; the other keys are never
+    /// deleted.
     pub fn apply_read(&mut self, page: &RangePage) {
         self.revision = page.revision;
         self.leader = None;
--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -1,15 +1,15 @@
 //! Failure attribution: decides whether a task failure is caused by the job or the machine.
 //!
 //! A failure is attributed to a machine only if the same job runs on other machines, so that
-//! a faulty job does not get healthy machines cordoned. It is attributed to a job only if no
+//! a faulty job does not cause healthy machines to be cordoned. It is attributed to a job only if no
 //! failure is attributed to the machine.
 
 use crate::{Micros, SECOND};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// The number of machines on which a job must have failed, without having run on any, to
-/// become a suspect.
+/// The number of machines on which a job must have failed, without having succeeded on
+/// any, to become a suspect.
 const SUSPECT_MACHINES: usize = 2;
 /// The number of jobs that must have failed on a machine, while running on other machines,
 /// for the machine to be cordoned.
@@ -22,9 +22,9 @@
 /// The failures of one job that may be caused by the job.
 #[derive(Debug, Default)]
 pub struct FailureRecord {
-    /// Whether a task of the job is known to have run.
-    has_run: bool,
-    /// The machines on which the job failed before a task of it was known to have run.
+    /// Whether a task of the job has succeeded, or a replica of the service has served.
+    has_succeeded: bool,
+    /// The machines on which the job failed before it succeeded.
     failed_on: BTreeSet<Rc<str>>,
     /// The number of failures since the job became a suspect.
     suspect_failures: u32,
@@ -32,21 +32,21 @@
 }
 
 impl FailureRecord {
-    /// Whether the job has failed on several machines and is not known to have run on any. A
+    /// Whether the job has failed on several machines and has not succeeded on any. A
     /// suspect job is retried with one task at a time, causes no scale-out and does not
     /// count as an active job.
     pub fn is_suspect(&self) -> bool {
-        !self.has_run && self.failed_on.len() >= SUSPECT_MACHINES
+        !self.has_succeeded && self.failed_on.len() >= SUSPECT_MACHINES
     }
 
-    /// Whether a task of the job is known to have run.
-    pub fn has_run(&self) -> bool {
-        self.has_run
+    /// Whether a task of the job has succeeded, or a replica of the service has served.
+    pub fn has_succeeded(&self) -> bool {
+        self.has_succeeded
     }
 
-    /// Whether another task of the job may be placed while `placed` of its tasks are. A
-    /// placed task shows nothing until it ends, however long it runs, so a starving suspect
-    /// job is retried with an additional task.
+    /// Whether another task of the job may be placed. `placed` is the number of its placed
+    /// tasks. A running task is no evidence until it ends, so a starving suspect job may be
+    /// retried with an additional task.
     pub fn may_start(&self, placed: usize, starving: bool, now: Micros) -> bool {
         !self.is_suspect() || ((placed == 0 || starving) && now >= self.retry_at)
     }
@@ -56,11 +56,11 @@
         self.is_suspect().then_some(self.retry_at)
     }
 
-    /// Records that a task of the job has failed on a machine. Returns the backoff until
-    /// the next retry if this failure starts one: if a whole job array fails at once, only
-    /// one of the failures does.
+    /// Records that a task of the job has failed on a machine. Returns the new
+    /// backoff. Returns None if the job is no suspect or a backoff is in progress, so that the
+    /// simultaneous failure of a job array counts once.
     pub fn record_failure(&mut self, machine: &Rc<str>, now: Micros) -> Option<Micros> {
-        if self.has_run {
+        if self.has_succeeded {
             return None;
         }
         self.failed_on.insert(machine.clone());
@@ -73,10 +73,10 @@
         Some(backoff)
     }
 
-    /// Records that a task of the job has run. Returns the machines to which its earlier
+    /// Records that a task of the job has succeeded, or a replica has served. Returns the machines to which its earlier
     /// failures are attributed by that.
     pub fn record_success(&mut self) -> BTreeSet<Rc<str>> {
-        self.has_run = true;
+        self.has_succeeded = true;
         std::mem::take(&mut self.failed_on)
     }
 }
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -1,6 +1,7 @@
 //! The estimates of run times and job sizes that earlier leaders have sent to this node.
 //!
-//! Virtual sizes, samples and mean run times are kept only in the leader's memory. With each
+//! Virtual job sizes, run-time samples and mean run times (see
+//! [`JobEstimate`] and [`ClassRunTime`]) are kept only in the leader's memory. With each
 //! of its peer heartbeats, a leader replicates some of them, so that they survive a failover.
 //! They are hints: if one is lost, the new leader estimates it again.
 
@@ -70,7 +71,7 @@
         self.add_jobs(config, message.jobs, now);
     }
 
-    /// Adds the estimates of jobs, as far as memory allows.
+    /// Adds the estimates of jobs, up to the maximum number of jobs; drops outdated ones first.
     fn add_jobs(&mut self, config: &Config, jobs: Vec<JobEstimate>, now: Micros) {
         let max_jobs = max_jobs(config);
         if self.jobs.len() + jobs.len() > max_jobs {
@@ -119,8 +120,9 @@
         &self.classes
     }
 
-    /// Removes and returns the estimate of a job, with its credit as of the latest message.
-    /// None if there is no estimate or it is invalid.
+    /// Removes and returns the estimate of a job, with its credit as of the latest message. For
+    /// an ageing job, the sender subtracts the virtual time at which the ageing began; this adds
+    /// the latest virtual time and clears the flag. None if there is no estimate or it is invalid.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut estimate = self.jobs.remove(id)?;
         if std::mem::take(&mut estimate.is_ageing) {
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -138,7 +138,11 @@
     /// Records that a task of the job has run successfully. Its earlier errors are then
     /// attributed to the machines on which they occurred.
     fn job_has_run(&mut self, id: &Rc<str>) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.failures.has_run()) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| !job.failures.has_succeeded())
+        else {
             return;
         };
         for machine in job.failures.record_success() {
@@ -194,7 +198,7 @@
             ExitReason::Error => {
                 m.health.record_failed_job(id);
                 let name = m.name.clone();
-                if job.failures.has_run() {
+                if job.failures.has_succeeded() {
                     self.attribute_error_to_machine(&name, id);
                 } else if !m.health.has_attributed_failures()
                     && let Some(pause) = job.failures.record_failure(&name, now)
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -1,7 +1,8 @@
 //! Guards irreversible actions against a leader that may have lost its leadership.
 //!
-//! A deletion, a scale-out and the stop of a running task cannot be undone, and are not
-//! fenced by the term: the cloud does not check terms. The sender must therefore have
+//! A deletion, a scale-out and the stop of a running task cannot be undone. Deletions and
+//! scale-outs are not fenced, since the cloud does not check terms. A stop is fenced, but a
+//! worker that does not know the new term would still obey it. The sender must therefore have
 //! proved recently that it leads. The proof is a response of the store that granted or
 //! renewed the lease to which `s/lead` is bound: after the send time of that request, no
 //! other node can be elected until the lease expires.
@@ -18,9 +19,9 @@
 /// The maximum validity of a proof, however long the lease is.
 const MAX_PROOF_VALIDITY: Micros = 4 * SECOND;
 
-/// How long a proof is valid after the request was sent whose response is the proof. This
-/// is four fifths of the shortest lease; the rest is a margin for clock drift and for the
-/// time that it takes to write a permitted request.
+/// How long a proof is valid, counted from the send time of the request that it answers. This
+/// is four fifths of the shortest lease, and at most `MAX_PROOF_VALIDITY`; the rest is a margin
+/// for clock drift and for the time that it takes to write a permitted request.
 pub fn proof_validity(config: &Config) -> Micros {
     (micros(config.tuning.lead_ttl_s) / 5 * 4).min(MAX_PROOF_VALIDITY)
 }
@@ -32,11 +33,11 @@
     /// leads.
     pub proved_at: Micros,
     /// Whether there are controllers in other zones and none of them is reachable. If other
-    /// zones are unresponsive, it is then more likely that this node's zone is partitioned.
+    /// zones then appear unresponsive, the cause is probably a partition of this node's zone.
     pub isolated: bool,
 }
 
-/// Why a machine is deleted.
+/// Why a machine is deleted, in descending order of urgency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeletionReason {
     /// A cancelled task may still run on the machine: its end is not confirmed.
@@ -76,10 +77,9 @@
     /// Issues a permit for the action; None if the action is a change and the proof is not
     /// recent.
     ///
-    /// Without a recent proof, no [`DeletionReason`] suffices. Even if the store appears to
-    /// be unavailable to all controllers, a newly elected leader may exist that this node
-    /// cannot reach. The tasks of a cancelled job end in that case because the machine's
-    /// heartbeats are not answered and its lease expires (`Leader::heartbeat`).
+    /// No [`DeletionReason`] is exempt: even if the store seems unavailable to all controllers,
+    /// a new leader may exist. The tasks of a cancelled job end in that case because the
+    /// leader stops answering the machine's heartbeats.
     pub fn permit(&self, config: &Config, now: Micros, action: CloudAction) -> Option<CloudPermit> {
         match action {
             CloudAction::Read => Some(CloudPermit {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -12,7 +12,8 @@
 //! - [`admission`] answers users' requests, on every node;
 //! - [`leader`] schedules tasks, scales the fleet and reconciles heartbeats, only on the
 //!   elected node;
-//! - [`calls`] and [`continuations`] match responses with the requests of the modules.
+//! - [`calls`] and [`continuations`] track outgoing requests and route their responses to the
+//!   module that sent them.
 
 #![warn(
     missing_docs,
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -27,7 +27,7 @@
         log::info!("process was paused paused_s={}", seconds(pause));
         if pause >= micros(self.config.tuning.lead_ttl_s) {
             let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
-            let change = self.election.resume_after_pause(&mut ctx);
+            let change = self.election.handle_long_pause(&mut ctx);
             self.apply_leadership_change(now, out, change);
         } else if let Some(leader) = &mut self.leader {
             leader.exclude_pause(pause, now.monotonic);
@@ -149,7 +149,7 @@
 
     pub(super) fn better_candidate(&self, now: Timestamp) -> BetterCandidate {
         if self.reachability.workers_reachable(now.monotonic) {
-            BetterCandidate::None
+            BetterCandidate::NotNeeded
         } else if self.peers.has_better_candidate(now.monotonic) {
             BetterCandidate::Peer
         } else {
--- a/crates/controller/src/store_latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -14,8 +14,8 @@
 /// leader's record and renewed.
 const RESPONSES_PER_LEASE: u64 = 3;
 
-/// The latency of the slowest recent response, which decays over time. Requests without a
-/// response do not count, since they may be caused by a network partition.
+/// The latency of the slowest recent response, which decays over time. Missing responses
+/// do not count, since a network partition may cause them.
 #[derive(Debug, Default)]
 pub struct StoreLatency {
     slowest: Micros,
@@ -42,8 +42,8 @@
 /// The duration of the leadership lease for the given store latency.
 pub fn lease_time(config: &Config, latency: Micros) -> Micros {
     let shortest = micros(config.tuning.lead_ttl_s);
-    // The rest of the workers' lease is for the next leader to be elected, to read the store
-    // and to be found by the machines.
+    // The rest of the workers' lease leaves time to elect the next leader, to recover its state
+    // and for workers to reach it.
     let longest = shortest.max(config.worker_lease / 3);
     latency
         .saturating_mul(RESPONSES_PER_LEASE)
--- a/crates/controller/src/token_bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -1,7 +1,6 @@
 //! A token bucket whose rate and capacity may differ at each refill.
 //!
-//! Crates such as `governor` fix the rate and capacity at construction and count whole
-//! tokens. Here both vary, and the bucket may be overdrawn.
+//! Crates such as `governor` fix both at construction and do not allow an overdraft.
 
 use crate::{Micros, seconds};
 
