--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -158,7 +158,7 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             up,
-            unresponsive: up && machine.reachability.has_missed_heartbeat(now, missed_after),
+            unresponsive: up && machine.reachability.is_heartbeat_overdue(now, missed_after),
             booting,
             interrupted: machine.interrupted_at().is_some() && is_retained,
             empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -24,7 +24,7 @@
     attempt: u64,
     reason: ExitReason,
     /// How long the attempt ran, if known.
-    ran: Option<Micros>,
+    run_time: Option<Micros>,
 }
 
 impl Leader {
@@ -57,13 +57,13 @@
                 task,
                 attempt,
                 reason,
-                ran,
+                run_time,
             } => {
                 let exited = ExitedTask {
                     task,
                     attempt,
                     reason,
-                    ran,
+                    run_time,
                 };
                 self.apply_exit(ctx, machine, &exited);
             }
@@ -113,8 +113,8 @@
         if !job.complete_task(*index, exited.attempt) {
             return;
         }
-        if let Some(ran) = exited.ran {
-            let run_time_s = seconds(ran);
+        if let Some(run_time) = exited.run_time {
+            let run_time_s = seconds(run_time);
             if !job.trained {
                 if let Some(job_index) = job_index {
                     self.estimates.mark_changed(job_index);
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -1,6 +1,6 @@
 //! The machines of the fleet, and the tasks that may be running on each.
 //!
-//! A placed task occupies its slot until it is proved to be gone. One of these is a proof:
+//! A placed task occupies its slot until it is proved to be gone. Each of the following is proof:
 //! - a newer heartbeat under this term's fencing token lists the task as exited;
 //! - such a heartbeat does not list the task, and no launch of it can still be executed;
 //! - a later incarnation of the worker agent has started;
@@ -73,7 +73,7 @@
     pub expected: bool,
     /// Whether the machine's record is stored or queued to be written.
     pub recorded: bool,
-    /// Whether the machine is to be deleted. It gets no more tasks.
+    /// Whether the deletion of the machine is requested. It gets no more tasks.
     pub being_deleted: bool,
     /// The tasks that are placed on the machine.
     pub slots: BTreeMap<TaskKey, TaskSlot>,
@@ -84,8 +84,8 @@
     /// The task failures on the machine.
     pub health: MachineHealth,
     /// Whether a heartbeat has arrived under this term's fencing token.
-    ready: bool,
-    /// Whether any heartbeat has arrived.
+    has_current_token: bool,
+    /// Whether the machine is known to have sent a heartbeat, to this or the previous leader.
     up: bool,
     /// When the machine became known or, if that was earlier, began to boot.
     known_since: Micros,
@@ -101,7 +101,7 @@
     exited: Vec<TaskAttempt>,
     /// The attempts that the latest heartbeat lists as not exited and that are not placed
     /// on the machine.
-    unexpected: Vec<TaskAttempt>,
+    unplaced_attempts: Vec<TaskAttempt>,
 }
 
 impl Machine {
@@ -113,7 +113,7 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            ready: false,
+            has_current_token: false,
             up: false,
             expected: false,
             recorded: false,
@@ -131,7 +131,7 @@
                 sequence: 0,
             },
             exited: Vec::new(),
-            unexpected: Vec::new(),
+            unplaced_attempts: Vec::new(),
         }
     }
 
@@ -149,10 +149,10 @@
     /// Whether a heartbeat has arrived under this term's fencing token. Before that, the
     /// task list of a heartbeat is not a proof.
     pub fn is_ready(&self) -> bool {
-        self.ready
+        self.has_current_token
     }
 
-    /// Whether any heartbeat has arrived.
+    /// Whether the machine is known to have sent a heartbeat, to this or the previous leader.
     pub fn is_up(&self) -> bool {
         self.up
     }
@@ -203,10 +203,10 @@
         self.position.incarnation = self.position.incarnation.max(incarnation);
     }
 
-    /// Resets all times at the start of a term, and requests a command batch, which carries
+    /// Starts the heartbeat, age and idle times anew at the start of a term, and requests a command batch, which carries
     /// the new fencing token to the machine.
     pub fn begin_term(&mut self, now: Micros) {
-        self.reachability.assume_unresponsive_since(now);
+        self.reachability.set_last_contact(now);
         self.known_since = now;
         self.empty_since = now;
         self.command_state.request();
@@ -216,28 +216,28 @@
     /// last heartbeat arrived at `at`.
     pub fn assume_unresponsive_since(&mut self, at: Micros) {
         self.up = true;
-        self.reachability.assume_unresponsive_since(at);
+        self.reachability.set_last_contact(at);
     }
 
     /// Records that the machine had begun to boot by the time `at`.
     pub fn assume_booting_since(&mut self, at: Micros) {
         self.known_since = self.known_since.min(at);
-        self.reachability.limit_last_contact(at);
+        self.reachability.bound_last_contact(at);
     }
 
-    /// Places a task on the machine. The worker caches the most recently used images;
+    /// Places a task on the machine. `image_gb` is the size of its image. The worker caches the most recently used images;
     /// `cache_gb` is the part of the cache that can be relied on.
     pub fn add_task(
         &mut self,
         task: TaskKey,
         slot: TaskSlot,
-        image: (&Rc<str>, f64),
+        (image, image_gb): (&Rc<str>, f64),
         cache_gb: f64,
     ) {
         self.slots.insert(task, slot);
         let images = Rc::make_mut(&mut self.images);
-        images.retain(|(name, _)| name != image.0);
-        images.push((image.0.clone(), image.1));
+        images.retain(|(name, _)| name != image);
+        images.push((image.clone(), image_gb));
         let mut total_gb: f64 = images.iter().map(|(_, gb)| gb).sum();
         let mut evicted = 0;
         while evicted + 1 < images.len()
@@ -263,12 +263,12 @@
         self.slots.values().any(|slot| slot.service)
     }
 
-    /// Whether a task of a job array is placed on the machine.
+    /// Whether a batch task (not a replica of a service) is placed on the machine.
     pub fn has_array_tasks(&self) -> bool {
         self.array_slots().next().is_some()
     }
 
-    /// The tasks of job arrays that are placed on the machine.
+    /// The batch tasks that are placed on the machine.
     pub fn array_slots(&self) -> impl Iterator<Item = &TaskSlot> {
         self.slots.values().filter(|slot| !slot.service)
     }
@@ -276,7 +276,7 @@
     /// The attempts that the latest heartbeat lists as not exited and that are not placed
     /// on the machine.
     pub fn unexpected_tasks(&self) -> &[TaskAttempt] {
-        &self.unexpected
+        &self.unplaced_attempts
     }
 
     /// Whether new tasks may be placed on the machine.
@@ -286,35 +286,35 @@
 
     /// Whether a new task may be placed on the machine if it fits on no other.
     pub fn accepts_tasks_as_last_resort(&self, now: Micros) -> bool {
-        self.ready
+        self.has_current_token
             && !self.being_deleted
             && self.interrupted_at.is_none()
-            && self.unexpected.is_empty()
+            && self.unplaced_attempts.is_empty()
             && now >= self.health.blocked_until()
     }
 
     /// Records a newer periodic heartbeat. Returns whether the machine may have become
-    /// reachable by it. `missed_after` is the time without a heartbeat after which one counts
-    /// as missed. `lease_proof_after` is the time after which the worker's lease must have
-    /// expired unless replies reach the worker.
+    /// reachable by it. `overdue_after` is the time without a heartbeat after which one is
+    /// overdue. `lease_proof_after` is the time after which the worker's lease must have expired
+    /// unless messages from the controller reach the machine.
     ///
-    /// There are two proofs that replies reach the worker. A worker that receives no reply
-    /// to a heartbeat waits for a timeout before it sends the next one, so an earlier next
-    /// heartbeat shows that the reply has arrived. And an incarnation that continues for
-    /// longer than the lease shows that the lease was renewed. Replies to commands are not
-    /// needed as a proof: over a slow link they may always be late.
+    /// Besides a reply to commands, there are two proofs that messages from the controller
+    /// reach the machine. A worker that receives no reply to a heartbeat waits for a timeout
+    /// before it sends the next one, so an earlier next heartbeat shows that the reply has
+    /// arrived. And an incarnation that continues for longer than the lease shows that the
+    /// lease was renewed. Over a slow link, replies to commands may always be late.
     pub fn heartbeat_received(
         &mut self,
         now: Micros,
         new_incarnation: bool,
         lease_proof_after: Micros,
-        missed_after: Micros,
+        overdue_after: Micros,
     ) -> bool {
         let update = self.reachability.record_heartbeat(
             now,
             new_incarnation,
             lease_proof_after,
-            missed_after,
+            overdue_after,
         );
         if update.needs_probe {
             // A probe gives the proof sooner than further heartbeats do.
--- a/crates/controller/src/machines/command_state.rs
+++ b/crates/controller/src/machines/command_state.rs
@@ -23,8 +23,8 @@
     probe_requested: bool,
     /// No batch is sent before this time.
     not_before: Micros,
-    /// The launches of the current incarnation that were sent and got no reply. They may
-    /// still be executed minutes later.
+    /// The launches of the current incarnation that were sent and got no reply. Kept until the
+    /// next incarnation, since a delayed command may be executed at any time.
     unanswered_launches: BTreeSet<TaskAttempt>,
 }
 
@@ -66,7 +66,8 @@
         self.requested = true;
     }
 
-    /// Clears the request after the commands were sent in the reply to a heartbeat.
+    /// Clears the request, but not a requested probe, after the commands were sent in the reply
+    /// to a heartbeat.
     pub fn clear_request(&mut self) {
         self.requested = false;
     }
@@ -115,8 +116,8 @@
         self.unanswered_launches.contains(launch) || self.is_launch_in_flight(launch)
     }
 
-    /// Forgets the launches for earlier incarnations, which the worker rejects.
-    pub(super) fn forget_unanswered_launches(&mut self) {
+    /// Clears the launches for earlier incarnations, which the worker rejects.
+    pub(super) fn clear_unanswered_launches(&mut self) {
         self.unanswered_launches.clear();
     }
 }
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -1,4 +1,4 @@
-//! The task failures on a machine, and their consequences for it.
+//! Which machines are cordoned or excluded from placements after task failures.
 
 use crate::Micros;
 use crate::failure_attribution::AttributedFailures;
@@ -11,8 +11,8 @@
     /// A cordoned machine gets new tasks only as a last resort, and is deleted when empty.
     cordoned: bool,
     /// The machine gets no new task before this time, since it lacked the resources for one.
-    blocked_until: Micros,
-    /// The jobs that failed on this machine. Their tasks are placed on other machines.
+    placement_paused_until: Micros,
+    /// The jobs of which a task failed on this machine. Their tasks are placed on other machines.
     failed_jobs: BTreeSet<Rc<str>>,
     /// The failures that are attributed to the machine.
     attributed_failures: AttributedFailures,
@@ -26,15 +26,15 @@
 
     /// The time before which the machine gets no new task.
     pub fn blocked_until(&self) -> Micros {
-        self.blocked_until
+        self.placement_paused_until
     }
 
     /// Excludes the machine from new placements until the time `until`.
     pub fn block_until(&mut self, until: Micros) {
-        self.blocked_until = until;
+        self.placement_paused_until = until;
     }
 
-    /// The jobs that failed on this machine.
+    /// The jobs of which a task failed on this machine.
     pub fn failed_jobs(&self) -> impl Iterator<Item = &Rc<str>> {
         self.failed_jobs.iter()
     }
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -1,7 +1,6 @@
 //! Reconciles the tasks that a heartbeat lists with the tasks that are placed on a machine.
 //!
-//! Invariant: a slot is freed only on proof that its attempt is gone. The early returns and
-//! conditions below exist for that reason.
+//! Invariant: a slot is freed only on proof that its attempt is gone.
 
 use super::{
     HeartbeatPosition, HeartbeatSource, Machine, TaskAttempt, TaskEvent, TaskKey, TaskLossReason,
@@ -35,7 +34,7 @@
             // a proof yet.
             return events;
         }
-        self.ready = true;
+        self.has_current_token = true;
         let present = self.reconcile_listed_tasks(&heartbeat.tasks, now, &mut events);
         self.remove_absent_tasks(&present, source, &mut events);
         if !self.slots.is_empty() {
@@ -55,10 +54,11 @@
         }
     }
 
-    /// Frees the slots of earlier incarnations. A restarted agent has killed all tasks of
+    /// Frees the slots of earlier incarnations. Also called for the first heartbeat, whose
+    /// incarnation may be known from a stored placement. A restarted agent has killed all tasks of
     /// earlier incarnations and rejects commands for them.
     fn begin_incarnation(&mut self, incarnation: u64, events: &mut Vec<TaskEvent>) {
-        self.command_state.forget_unanswered_launches();
+        self.command_state.clear_unanswered_launches();
         let is_earlier = |_: &TaskKey, slot: &TaskSlot| slot.incarnation < incarnation;
         let reason = TaskLossReason::LaterIncarnation;
         events.extend(remove_lost(&mut self.slots, is_earlier, reason));
@@ -86,7 +86,7 @@
         events: &mut Vec<TaskEvent>,
     ) -> BTreeSet<TaskKey> {
         self.exited.clear();
-        self.unexpected.clear();
+        self.unplaced_attempts.clear();
         let mut present = BTreeSet::new();
         for status in tasks {
             let key: TaskKey = (Rc::from(status.task.job.as_str()), status.task.index);
@@ -104,10 +104,10 @@
                     events.extend(self.remove_exited(key, status, now));
                 }
             } else if is_placed {
-                events.extend(self.update_seen(&key, status.state, now));
+                events.extend(self.record_reported_state(&key, status.state, now));
                 present.insert(key);
             } else {
-                self.unexpected.push(listed);
+                self.unplaced_attempts.push(listed);
             }
         }
         present
@@ -121,17 +121,22 @@
         now: Micros,
     ) -> Option<TaskEvent> {
         let slot = self.slots.remove(&task)?;
-        let running_since = slot.running_since.filter(|_| slot.watched);
+        let running_since = slot.running_since.filter(|_| slot.observed_from_start);
         Some(TaskEvent::Exited {
             task,
             attempt: status.attempt,
             reason: status.reason.unwrap_or(ExitReason::Other),
-            ran: running_since.map(|since| now.saturating_sub(since)),
+            run_time: running_since.map(|since| now.saturating_sub(since)),
         })
     }
 
-    /// Records the listed state of a placed attempt.
-    fn update_seen(&mut self, key: &TaskKey, state: TaskState, now: Micros) -> Option<TaskEvent> {
+    /// Records the reported state of a placed attempt.
+    fn record_reported_state(
+        &mut self,
+        key: &TaskKey,
+        state: TaskState,
+        now: Micros,
+    ) -> Option<TaskEvent> {
         let slot = self.slots.get_mut(key)?;
         let starts = state == TaskState::Running && slot.reported_state != Some(TaskState::Running);
         slot.reported_state = Some(state);
@@ -142,7 +147,8 @@
         Some(TaskEvent::Running(key.clone()))
     }
 
-    /// Frees the slots of attempts that the heartbeat does not list.
+    /// Frees the slots of attempts that the heartbeat does not list. An attempt that was never
+    /// reported and is not cancelled is kept: its launch is still to be sent or repeated.
     ///
     /// Absence is a proof only if no launch can still be executed. A launch command in the
     /// reply to a heartbeat has been executed or dropped before the worker sends the next
@@ -163,7 +169,7 @@
                 && slot.stored
                 && (slot.cancelled || slot.reported_state.is_some())
                 && !commands.may_still_launch(&slot.task_attempt(key))
-                && slot.launch_replied_to.is_none_or(reply_is_settled)
+                && slot.launch_sent_in_reply_to.is_none_or(reply_is_settled)
         };
         let reason = TaskLossReason::AbsentFromHeartbeat;
         events.extend(remove_lost(&mut self.slots, is_gone, reason));
--- a/crates/controller/src/machines/needed_commands.rs
+++ b/crates/controller/src/machines/needed_commands.rs
@@ -10,14 +10,15 @@
     /// time, so lost messages need not be tracked.
     ///
     /// `is_end_stored` returns whether the end of an exited attempt is stored; attempts are
-    /// reaped only after that. Tasks are preempted only if `may_preempt` is set.
+    /// reaped only after that. Stop commands for preempted tasks are included only if
+    /// `may_preempt` is set.
     pub fn needed_commands(
         &self,
         may_preempt: bool,
         is_end_stored: impl Fn(&TaskName, u64) -> bool,
     ) -> Vec<Command> {
-        let mut commands: Vec<Command> = self.reaps(is_end_stored).collect();
-        commands.extend(self.unexpected_task_stops());
+        let mut commands: Vec<Command> = self.reap_commands(is_end_stored).collect();
+        commands.extend(self.unplaced_attempt_stops());
         commands.extend(self.cancelled_task_stops());
         commands.extend(self.launches_and_preemptions(may_preempt));
         commands
@@ -26,7 +27,7 @@
     /// The commands that remove exited attempts whose end is stored. An attempt is not
     /// reaped while a launch command for it may still arrive, since the worker would then
     /// start it a second time.
-    fn reaps(
+    fn reap_commands(
         &self,
         is_end_stored: impl Fn(&TaskName, u64) -> bool,
     ) -> impl Iterator<Item = Command> {
@@ -40,8 +41,8 @@
         })
     }
 
-    fn unexpected_task_stops(&self) -> impl Iterator<Item = Command> {
-        self.unexpected.iter().map(TaskAttempt::stop_command)
+    fn unplaced_attempt_stops(&self) -> impl Iterator<Item = Command> {
+        self.unplaced_attempts.iter().map(TaskAttempt::stop_command)
     }
 
     /// The commands that stop cancelled tasks that a heartbeat has listed.
@@ -88,7 +89,7 @@
                     .get_mut(&(Rc::from(task.job.as_str()), task.index))
                 && slot.attempt == *attempt
             {
-                slot.launch_replied_to = Some(self.position);
+                slot.launch_sent_in_reply_to = Some(self.position);
             }
         }
     }
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -19,7 +19,7 @@
     commands_unanswered_since: Option<Micros>,
 }
 
-/// How a periodic heartbeat changed what is known of the connection to its machine.
+/// The result of recording a periodic heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ContactUpdate {
     /// Whether the machine may have become reachable by this heartbeat.
@@ -29,7 +29,7 @@
 }
 
 impl Reachability {
-    /// The initial state of a machine: the last contact is taken to be at `now`.
+    /// The initial state of a machine: its latest contact is set to `now`.
     pub(super) fn new(now: Micros) -> Reachability {
         Reachability {
             last_contact_at: now,
@@ -54,20 +54,23 @@
         self.commands_unanswered_since
     }
 
-    /// Whether a heartbeat is overdue: no heartbeat arrived for `missed_after`.
-    pub fn has_missed_heartbeat(&self, now: Micros, missed_after: Micros) -> bool {
-        now >= self.last_contact_at + missed_after
+    /// Whether a heartbeat is overdue: none, periodic or in reply to commands, arrived for
+    /// `overdue_after`.
+    pub fn is_heartbeat_overdue(&self, now: Micros, overdue_after: Micros) -> bool {
+        now >= self.last_contact_at + overdue_after
     }
 
-    /// Whether heartbeats arrive and, as far as is known, messages reach the machine.
-    pub fn is_reachable(&self, now: Micros, missed_after: Micros) -> bool {
-        !self.has_missed_heartbeat(now, missed_after) && self.commands_unanswered_since.is_none()
+    /// Whether heartbeats arrive, periodic or in reply to commands, and as far as is known
+    /// messages reach the machine.
+    pub fn is_reachable(&self, now: Micros, overdue_after: Micros) -> bool {
+        !self.is_heartbeat_overdue(now, overdue_after) && self.commands_unanswered_since.is_none()
     }
 
-    /// Like [`is_reachable`](Self::is_reachable), but only periodic heartbeats count, so
-    /// that a task placed now can be launched and its lease is renewed.
-    pub fn is_reachable_both_ways(&self, now: Micros, missed_after: Micros) -> bool {
-        now < self.last_heartbeat_at + missed_after && self.commands_unanswered_since.is_none()
+    /// Like [`is_reachable`](Self::is_reachable), but only periodic heartbeats count. The
+    /// replies to these renew the worker's lease, so a task that is placed now can be launched
+    /// and keeps running.
+    pub fn is_reachable_both_ways(&self, now: Micros, overdue_after: Micros) -> bool {
+        now < self.last_heartbeat_at + overdue_after && self.commands_unanswered_since.is_none()
     }
 
     /// Whether either direction has failed for `duration` or longer.
@@ -81,14 +84,15 @@
         self.last_contact_at = now;
     }
 
-    /// Treats the machine as unresponsive since `at`.
-    pub(super) fn assume_unresponsive_since(&mut self, at: Micros) {
+    /// Sets the times of the latest heartbeats to `at`.
+    pub(super) fn set_last_contact(&mut self, at: Micros) {
         self.last_contact_at = at;
         self.last_heartbeat_at = at;
     }
 
-    /// Treats the machine as unresponsive since `at` or earlier, since it is still booting.
-    pub(super) fn limit_last_contact(&mut self, at: Micros) {
+    /// Lowers the time of the latest contact to at most `at`, for a machine that is still
+    /// booting.
+    pub(super) fn bound_last_contact(&mut self, at: Micros) {
         self.last_contact_at = self.last_contact_at.min(at);
     }
 
@@ -114,20 +118,21 @@
         now: Micros,
         new_incarnation: bool,
         lease_proof_after: Micros,
-        missed_after: Micros,
+        overdue_after: Micros,
     ) -> ContactUpdate {
         let previous = std::mem::replace(&mut self.last_heartbeat_at, now);
-        let was_late = now >= previous + missed_after;
+        let was_overdue = now >= previous + overdue_after;
         let reply_arrived = |since| previous >= since && now < previous + WORKER_FAILOVER_TIMEOUT;
         match self.commands_unanswered_since {
+            // A new agent has not failed to answer any commands yet: the time starts again.
             Some(_) if new_incarnation => self.commands_unanswered_since = Some(now),
             Some(since) if reply_arrived(since) || now >= since + lease_proof_after => {
                 self.commands_unanswered_since = None;
             }
-            unresponsive => {
+            unanswered => {
                 return ContactUpdate {
-                    may_have_recovered: was_late,
-                    needs_probe: unresponsive.is_some(),
+                    may_have_recovered: was_overdue,
+                    needs_probe: unanswered.is_some(),
                 };
             }
         }
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -41,10 +41,10 @@
     pub resources: Resources,
     /// Whether the task is a replica of a service.
     pub service: bool,
-    /// Whether the task uses resources that were reserved for services.
+    /// Whether the task uses the headroom that is kept free for services.
     pub uses_service_headroom: bool,
-    /// The index of the task's job, for estimates. The index of a removed job may be
-    /// reused for another job.
+    /// The index of the task's job. The index of a removed job may be reused for another job,
+    /// so use it only for estimates, where a stale index does no harm.
     pub job: SlabIndex,
     /// Whether the placement is stored. Before that, no command for it is sent.
     pub stored: bool,
@@ -58,9 +58,9 @@
     pub running_since: Option<Micros>,
     /// Whether this leader has observed the whole run, so that its run time may be used
     /// for estimates.
-    pub watched: bool,
+    pub observed_from_start: bool,
     /// The heartbeat whose reply carried the latest launch command for the attempt.
-    pub(super) launch_replied_to: Option<HeartbeatPosition>,
+    pub(super) launch_sent_in_reply_to: Option<HeartbeatPosition>,
 }
 
 impl TaskSlot {
@@ -85,8 +85,8 @@
             preempted: false,
             reported_state: None,
             running_since: None,
-            watched: !stored,
-            launch_replied_to: None,
+            observed_from_start: !stored,
+            launch_sent_in_reply_to: None,
         }
     }
 
@@ -95,7 +95,7 @@
         self.stored && self.reported_state.is_some()
     }
 
-    /// The time for which the task has been running; 0 if it has not been seen running.
+    /// The time for which the task has been running; 0 if it has not been reported as running.
     pub fn running_for(&self, now: Micros) -> Micros {
         self.running_since
             .map_or(0, |since| now.saturating_sub(since))
@@ -116,7 +116,7 @@
 /// A change of a placed task that a heartbeat, or the loss of its machine, has shown.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskEvent {
-    /// The task was seen running for the first time.
+    /// The task was reported as running for the first time.
     Running(TaskKey),
     /// The attempt has exited, and its slot was freed.
     Exited {
@@ -127,7 +127,7 @@
         /// Why the attempt exited.
         reason: ExitReason,
         /// The run time, if this leader has observed the whole run.
-        ran: Option<Micros>,
+        run_time: Option<Micros>,
     },
     /// The attempt is gone without a result, and its slot was freed.
     Lost {
@@ -162,7 +162,7 @@
     }
 }
 
-/// The proof that a machine is gone.
+/// Why a machine is known to be gone; see [`TaskLossReason::MachineGone`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineEnd {
     /// The cloud has confirmed the deletion of the machine.
