--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -309,7 +309,7 @@
             if let Some(job) = self.jobs.get_mut_unmarked(index) {
                 job.replicated_counts = counts;
             }
-            changed.push(counts.message(id));
+            changed.push(counts.into_progress(id));
         }
         changed
     }
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -140,7 +140,7 @@
         /// The final state.
         state: JobState,
     },
-    /// An attempt of one of the job's tasks failed. A new leader that receives the failure
+    /// An attempt of one of the job's tasks failed; the job goes on. A new leader that receives the failure
     /// again repeats the event for the same attempt.
     Failed {
         /// The id of the job.
@@ -152,7 +152,7 @@
     },
 }
 
-/// An HTTP response.
+/// The response to an HTTP request of a user or a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -11,8 +11,8 @@
 mod reachability;
 mod unresponsive_zones;
 
-use self::reachability::Reachability;
-use self::unresponsive_zones::UnresponsiveZoneHint;
+use self::reachability::ServiceReachability;
+use self::unresponsive_zones::UnresponsiveZoneReport;
 use crate::admission::{Admission, Unschedulable, check_schedulable};
 use crate::calls::{Context, PendingCalls};
 use crate::continuations::{Continuation, LeaderStep};
@@ -41,8 +41,8 @@
     /// Present while this node leads.
     leader: Option<Leader>,
     peers: Peers,
-    reachability: Reachability,
-    unresponsive_zones: UnresponsiveZoneHint,
+    reachability: ServiceReachability,
+    unresponsive_zones: UnresponsiveZoneReport,
     /// The estimates that leaders have broadcast, used if this node is elected.
     received_estimates: ReceivedEstimates,
     next_peer_heartbeat_at: Micros,
@@ -59,8 +59,8 @@
             election: Election::new(),
             leader: None,
             peers: Peers::default(),
-            reachability: Reachability::default(),
-            unresponsive_zones: UnresponsiveZoneHint::default(),
+            reachability: ServiceReachability::default(),
+            unresponsive_zones: UnresponsiveZoneReport::default(),
             received_estimates: ReceivedEstimates::default(),
             next_peer_heartbeat_at: 0,
             last_input_at: 0,
@@ -98,7 +98,8 @@
         (!types.is_empty()).then(|| check_schedulable(&self.config, types, spec))
     }
 
-    /// Creates the record of a job that is submitted now. `parallelism_limit` is the
+    /// Builds the open record of a job that is submitted now, without storing it.
+    /// `parallelism_limit` is the
     /// maximum number of its tasks that run at once.
     pub fn open_job(
         &self,
@@ -122,7 +123,7 @@
     }
 
     /// Whether [`take_budget`](Self::take_budget) would succeed now, for a caller that
-    /// does not know yet whether it will need the budget.
+    /// may not need the budget.
     pub fn has_budget(
         &mut self,
         cost: StoreCost,
@@ -173,7 +174,7 @@
     /// to be carried out.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut out = Vec::new();
-        self.detect_process_pause(now, &mut out);
+        self.handle_process_pause(now, &mut out);
         let change = match input {
             Input::Tick => self.handle_tick(now, &mut out),
             Input::Request {
@@ -219,8 +220,8 @@
         if now.monotonic < self.next_peer_heartbeat_at {
             return None;
         }
-        self.send_peer_heartbeat(now, out);
-        self.step_down_if_unreachable(now, out)
+        self.broadcast_to_peers(now, out);
+        self.step_down_without_heartbeats(now, out)
     }
 
     fn handle_request(
@@ -310,8 +311,9 @@
                 if let Some(leader) = &mut self.leader
                     && !cancelled.is_empty()
                 {
-                    // The leader's watch reports these cancellations later. Until then it
-                    // could launch tasks of a job whose cancellation is already confirmed.
+                    // The leader's watch reports these cancellations later. Until then the
+                    // leader could launch tasks of a job whose cancellation is already
+                    // confirmed.
                     leader.apply_observed_cancellations(&mut ctx, &cancelled);
                     leader.send_pending(&mut ctx);
                 }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -14,10 +14,11 @@
 const MIN_PROCESS_PAUSE: Micros = SECOND;
 
 impl Node {
-    /// Deposes the leader if the process was paused for longer than the leader's lease. A
-    /// leader that resumed with its outdated state would find every worker unresponsive and
-    /// could delete machines that already belong to its successor.
-    pub(super) fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    /// After a pause of the process of at least `lead_ttl_s`, steps down or reads the election
+    /// state again. After a shorter one, excludes the pause from the times without heartbeats
+    /// that the leader measures. A leader that resumed with its outdated state would find every
+    /// worker unresponsive and could delete machines that already belong to its successor.
+    pub(super) fn handle_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let pause = now.monotonic.saturating_sub(self.last_input_at);
         let first_input = self.last_input_at == 0;
         self.last_input_at = now.monotonic;
@@ -94,6 +95,7 @@
                     let state = record.state.ended().unwrap_or(JobState::Done);
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
+                // Not cached here: the leader has only observed this cancellation.
                 LeaderEvent::JobCancelled(job) => {
                     let state = JobState::Cancelled;
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
@@ -105,7 +107,7 @@
                 LeaderEvent::TermEnded => {
                     let deposed = self.election.step_down(
                         &mut ctx,
-                        "leader state does not match the store",
+                        "leader state can no longer be kept consistent with the store",
                         0,
                     );
                     change = deposed.or(change);
@@ -119,10 +121,10 @@
         self.apply_leadership_change(now, out, change);
     }
 
-    /// The other node that leads, as far as this node knows: the leader according to the
-    /// store, unless a peer reports that it leads in a later term. A stored leader whose
-    /// heartbeats say that it has stepped down does not count, so that nodes without
-    /// contact to the store do not redirect workers to a former leader.
+    /// The leader, if it is another node: according to the store, unless a peer reports that
+    /// it leads in a later term. A stored leader that reports in its heartbeats that it does
+    /// not lead is ignored, so that nodes without contact to the store do not redirect workers
+    /// to a former leader.
     pub(super) fn other_leader(&self, now: Timestamp) -> Option<&str> {
         let stored = self.election.known_leader();
         let term = stored.map_or(0, |leader| leader.term);
--- a/crates/controller/src/node/peer_messages.rs
+++ b/crates/controller/src/node/peer_messages.rs
@@ -14,15 +14,17 @@
 
 impl Node {
     /// Broadcasts this node's status and, if it leads, the leader's messages.
-    pub(super) fn send_peer_heartbeat(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    pub(super) fn broadcast_to_peers(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         self.next_peer_heartbeat_at = now.monotonic + HEARTBEAT_INTERVAL;
-        let requests_per_s = self.rebalance_budget(now);
+        let requests_per_s = self.admission.update_request_rate(HEARTBEAT_INTERVAL);
+        self.update_budget_share(requests_per_s, now);
         let heartbeat = Message::Heartbeat {
             term: self.election.term(),
             is_leader: self.leader.is_some(),
             store_reachable: self.reachability.store_reachable(now.monotonic),
             workers_reachable: self.reachability.workers_reachable(now.monotonic),
-            requests_per_s,
+            // A cast from a float saturates.
+            requests_per_s: requests_per_s.ceil() as u32,
         };
         out.push(Output::Peer { message: heartbeat });
         let messages = self.leader_messages(now.monotonic);
@@ -54,10 +56,9 @@
     /// Sets this node's share of the store's request budget in proportion to its share of
     /// the users' requests, which may be unevenly distributed. An equal share per
     /// unreachable peer stays reserved, and no node gets less than half of an equal share,
-    /// so that it can serve the start of a burst. Returns the rate of users' requests at
-    /// this node, per second.
-    fn rebalance_budget(&mut self, now: Timestamp) -> u32 {
-        let own_per_s = self.admission.update_request_rate(HEARTBEAT_INTERVAL);
+    /// so that it can serve the start of a burst. `own_per_s` is the rate of users' requests
+    /// at this node.
+    fn update_budget_share(&mut self, own_per_s: f64, now: Timestamp) {
         let nodes = (self.config.peers.len() + 1) as f64;
         let (mut reachable_nodes, mut all_per_s) = (1.0, own_per_s);
         for (_, peer) in self.peers.reachable(now.monotonic) {
@@ -71,8 +72,6 @@
         };
         let share = (own_fraction * reachable_nodes / nodes).max(0.5 / nodes);
         self.admission.set_budget_share(share, now.monotonic);
-        // A cast from a float saturates.
-        own_per_s.ceil() as u32
     }
 
     pub(super) fn handle_peer_message(
@@ -126,7 +125,7 @@
     ) {
         if !self.peers.is_reachable(&from, now.monotonic) {
             // The peer may have missed earlier broadcasts.
-            self.admission.progress.repeat_all();
+            self.admission.progress.resend_all();
         }
         self.peers.update(from, status);
         let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
--- a/crates/controller/src/node/reachability.rs
+++ b/crates/controller/src/node/reachability.rs
@@ -1,5 +1,5 @@
-//! Whether the store and the workers are reachable from this node. Its health depends on
-//! that, and whether it should step down in favour of a peer.
+//! Whether the store and the workers are reachable from this node. This determines the health
+//! that the node reports and whether it steps down in favour of a peer.
 
 use super::Node;
 use crate::calls::Context;
@@ -9,18 +9,19 @@
 
 /// How long the store counts as reachable after a response, and the workers after a
 /// heartbeat.
-const REACHABLE_TIMEOUT: Micros = 3 * SECOND;
+const SERVICE_REACHABLE_TIMEOUT: Micros = 3 * SECOND;
 
 /// Evidence that the store and the workers are reachable from this node.
 #[derive(Debug, Default)]
-pub(super) struct Reachability {
+pub(super) struct ServiceReachability {
     /// Arrival of the store's latest response other than "unavailable".
     store_response_at: Option<Micros>,
-    /// Arrival of the latest worker heartbeat; 0 before the first.
+    /// Arrival of the latest worker heartbeat; 0 before the first. Workers therefore count as
+    /// reachable for SERVICE_REACHABLE_TIMEOUT after time 0 of the monotonic clock.
     worker_heartbeat_at: Micros,
 }
 
-impl Reachability {
+impl ServiceReachability {
     pub fn record_store_response(&mut self, now: Micros) {
         self.store_response_at = Some(now);
     }
@@ -31,12 +32,12 @@
 
     pub fn store_reachable(&self, now: Micros) -> bool {
         self.store_response_at
-            .is_some_and(|at| now < at + REACHABLE_TIMEOUT)
+            .is_some_and(|at| now < at + SERVICE_REACHABLE_TIMEOUT)
     }
 
     /// Whether any worker's heartbeat has arrived recently.
     pub fn workers_reachable(&self, now: Micros) -> bool {
-        now < self.worker_heartbeat_at + REACHABLE_TIMEOUT
+        now < self.worker_heartbeat_at + SERVICE_REACHABLE_TIMEOUT
     }
 }
 
@@ -56,9 +57,9 @@
         self.reachability.store_reachable(now.monotonic) || !peer_reaches_store
     }
 
-    /// Deposes a leader that receives no worker heartbeats if a peer may receive them, so
+    /// Steps down if this leader receives no worker heartbeats and a peer may receive them, so
     /// that the workers' leases are renewed before they expire.
-    pub(super) fn step_down_if_unreachable(
+    pub(super) fn step_down_without_heartbeats(
         &mut self,
         now: Timestamp,
         out: &mut Vec<Output>,
@@ -66,7 +67,7 @@
         let expected_since = self.leader.as_ref()?.expects_heartbeats_since()?;
         let term = self.election.leading()?;
         if !self.are_heartbeats_overdue(expected_since, term, now.monotonic)
-            || !self.should_yield_to_peer(expected_since, now.monotonic)
+            || !self.should_step_down_for_peer(expected_since, now.monotonic)
         {
             return None;
         }
@@ -84,7 +85,7 @@
         let received_in_term = last_heartbeat_at >= expected_since;
         // Peers have been redirecting workers to this node for long enough that a heartbeat
         // should have arrived, and none has.
-        let redirects_failed = self.peers.redirected_long_enough(term, now) && !received_in_term;
+        let redirects_failed = self.peers.update_redirection(term, now) && !received_in_term;
         let mut timeout = self.config.heartbeat_interval * 5 / 4 + 3 * SECOND / 2;
         if !received_in_term {
             // The workers may still be waiting for a response of the previous leader.
@@ -93,13 +94,15 @@
         now >= expected_since.max(last_heartbeat_at) + timeout || redirects_failed
     }
 
-    /// Whether a peer receives worker heartbeats, or may receive them.
-    fn should_yield_to_peer(&self, expected_since: Micros, now: Micros) -> bool {
+    /// Whether another node may receive worker heartbeats: a reachable peer does, the workers'
+    /// leases are near their expiry, or no peer is reachable, so that this node may be the
+    /// isolated one.
+    fn should_step_down_for_peer(&self, expected_since: Micros, now: Micros) -> bool {
         let last_heartbeat_at = self.reachability.worker_heartbeat_at;
         let mut peers = self.peers.reachable(now).peekable();
         let no_peer_reachable = peers.peek().is_none();
         // The only peer that receives heartbeats may not be able to reach this node, so the
-        // leader yields well before the workers' leases expire. This does not apply to a
+        // leader steps down well before the workers' leases expire. This does not apply to a
         // leader that received no heartbeat in its term: if all machines are dead, leaders
         // would keep stepping down, and none would lead long enough to replace the machines.
         let received_in_term = last_heartbeat_at >= expected_since;
--- a/crates/controller/src/peers.rs
+++ b/crates/controller/src/peers.rs
@@ -6,11 +6,11 @@
 use std::collections::HashMap;
 
 /// How long a peer counts as reachable after a heartbeat.
-const REACHABLE_TIMEOUT: Micros = 2 * SECOND;
+const PEER_REACHABLE_TIMEOUT: Micros = 2 * SECOND;
 /// If a peer has redirected workers to the leader for this long, the leader must have
-/// received a heartbeat, provided that workers reach it. A peer reports workers as reachable
-/// for up to 3 s after their last heartbeat, which may have arrived before the peer knew the
-/// leader, and a worker needs some more time to follow the redirection.
+/// received a heartbeat, provided that workers reach it. This is longer than
+/// `SERVICE_REACHABLE_TIMEOUT` of `node::reachability` plus the time in which a worker follows
+/// a redirection.
 const REDIRECT_TIMEOUT: Micros = 9 * SECOND / 2;
 
 /// A peer's latest heartbeat.
@@ -31,7 +31,7 @@
 
 impl PeerStatus {
     fn is_recent(&self, now: Micros) -> bool {
-        now < self.received_at + REACHABLE_TIMEOUT
+        now < self.received_at + PEER_REACHABLE_TIMEOUT
     }
 }
 
@@ -75,8 +75,8 @@
     }
 
     /// Whether a peer would be a better leader than a node that receives no worker
-    /// heartbeats. A peer that reports itself as leader does not count, since there is an
-    /// election because it may have failed.
+    /// heartbeats. A peer that reports itself as leader is ignored: the election takes place
+    /// because that leader may have failed.
     pub fn has_better_candidate(&self, now: Micros) -> bool {
         self.reachable(now).any(|(_, status)| {
             status.workers_reachable && status.store_reachable && !status.is_leader
@@ -99,15 +99,16 @@
         self.leader_after(term, now).is_some()
     }
 
-    /// Whether this peer knows of the term and reports that it does not lead.
+    /// Whether this peer has read the term from the store and reports that it does not lead.
     pub fn has_stepped_down(&self, name: &str, term: u64, now: Micros) -> bool {
         self.recent_status(name, now)
             .is_some_and(|status| !status.is_leader && status.term >= term)
     }
 
-    /// Whether peers have redirected workers to this node, the leader of the term, for long
-    /// enough that a heartbeat should have arrived. Must be called with every broadcast.
-    pub fn redirected_long_enough(&mut self, term: u64, now: Micros) -> bool {
+    /// Whether peers that receive worker heartbeats have known the term, in which this node
+    /// leads, for [`REDIRECT_TIMEOUT`]: they redirect the workers to this node, so a heartbeat
+    /// should have arrived. Maintains the timer, so it must be called with every broadcast.
+    pub fn update_redirection(&mut self, term: u64, now: Micros) -> bool {
         let redirects = |status: &PeerStatus| status.workers_reachable && status.term >= term;
         if !self.reachable(now).any(|(_, status)| redirects(status)) {
             self.redirection = None;
--- a/crates/controller/src/progress.rs
+++ b/crates/controller/src/progress.rs
@@ -1,7 +1,7 @@
 //! The number of done and of running tasks of each job, as reported by leaders. For display.
 //!
-//! A leader sends changes to its peers. It repeats the whole table when a peer becomes
-//! reachable, since the peer may have missed changes. A new leader also repeats it once its
+//! A leader sends changes to its peers. It resends the whole table when a peer becomes
+//! reachable, since the peer may have missed changes. A new leader also resends it once its
 //! machines have had time to report, since it sends no change for a job that has neither
 //! done nor running tasks, and peers may hold outdated counts for such a job.
 
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The maximum number of jobs in the table.
+/// The maximum number of jobs in the table; see [`ProgressTable::set`].
 const MAX_JOBS: usize = 64_000;
 /// The time after its election within which a leader's machines are expected to have
 /// reported their tasks.
@@ -24,14 +24,14 @@
 }
 
 impl TaskCounts {
-    /// No task is done or running. This is also sent for a job that has ended.
+    /// No task is done or running. Also reported for a job that has ended.
     pub const NONE: TaskCounts = TaskCounts {
         done: 0,
         running: 0,
     };
 
     /// The message that reports these counts for a job.
-    pub fn message(self, job: String) -> JobProgress {
+    pub fn into_progress(self, job: String) -> JobProgress {
         JobProgress {
             job,
             done: self.done,
@@ -53,11 +53,11 @@
     jobs: BTreeMap<String, Entry>,
     /// The jobs that have ended and whose end has not been sent yet.
     ended: Vec<String>,
-    /// While the table is being repeated, the job after which the next page begins.
-    repeat_after: Option<String>,
-    /// When the machines of the new leader in this process are expected to have reported;
-    /// None once the table is repeated for that reason.
-    machines_reported_at: Option<Micros>,
+    /// While the table is being resent, the job after which the next page begins.
+    resend_after: Option<String>,
+    /// When the machines of the new leader in this process are expected to have reported,
+    /// which may be in the future; None once the table is resent for that reason.
+    reports_expected_by: Option<Micros>,
 }
 
 impl ProgressTable {
@@ -73,6 +73,8 @@
             self.jobs.remove(&job);
             return;
         }
+        // Makes room by dropping jobs without running tasks, or all entries if that is not
+        // enough.
         if self.jobs.len() >= MAX_JOBS && !self.jobs.contains_key(&job) {
             self.jobs.retain(|_, entry| entry.counts.running > 0);
             if self.jobs.len() > MAX_JOBS * 9 / 10 {
@@ -108,28 +110,29 @@
             entry.is_own = false;
         }
         self.ended.clear();
-        self.repeat_after = None;
-        self.machines_reported_at = Some(now + MACHINE_REPORT_TIME);
+        self.resend_after = None;
+        self.reports_expected_by = Some(now + MACHINE_REPORT_TIME);
     }
 
-    /// Starts to repeat the whole table.
-    pub fn repeat_all(&mut self) {
-        self.repeat_after = Some(String::new());
+    /// Starts to resend the whole table.
+    pub fn resend_all(&mut self) {
+        self.resend_after = Some(String::new());
     }
 
     /// The messages that the leader in this process sends in addition to its changes, each
     /// with at most [`MAX_PROGRESS_JOBS`] jobs. `all_changes_sent` says whether no changes remain
     /// after those that the leader sends now.
     pub fn next_messages(&mut self, all_changes_sent: bool, now: Micros) -> Vec<Vec<JobProgress>> {
-        if all_changes_sent && self.machines_reported_at.is_some_and(|at| now >= at) {
-            self.machines_reported_at = None;
-            self.repeat_all();
+        if all_changes_sent && self.reports_expected_by.is_some_and(|at| now >= at) {
+            self.reports_expected_by = None;
+            self.resend_all();
         }
         let ended = self.ended.drain(..);
-        let mut progress: Vec<JobProgress> =
-            ended.map(|job| TaskCounts::NONE.message(job)).collect();
-        if let Some(after) = self.repeat_after.take() {
-            self.repeat_page(&after, &mut progress);
+        let mut progress: Vec<JobProgress> = ended
+            .map(|job| TaskCounts::NONE.into_progress(job))
+            .collect();
+        if let Some(after) = self.resend_after.take() {
+            self.resend_page(&after, &mut progress);
         }
         progress
             .chunks(MAX_PROGRESS_JOBS)
@@ -137,23 +140,23 @@
             .collect()
     }
 
-    /// Adds one page of the repeated table to `progress`: the jobs after the job `after`.
-    fn repeat_page(&mut self, after: &str, progress: &mut Vec<JobProgress>) {
+    /// Adds one page of the resent table to `progress`: the jobs after the job `after`.
+    fn resend_page(&mut self, after: &str, progress: &mut Vec<JobProgress>) {
         let rest = self.jobs.range::<str, _>((Excluded(after), Unbounded));
         let page: Vec<(String, Entry)> = rest
             .take(MAX_PROGRESS_JOBS)
             .map(|(job, entry)| (job.clone(), *entry))
             .collect();
         if page.len() == MAX_PROGRESS_JOBS {
-            self.repeat_after = page.last().map(|(job, _)| job.clone());
+            self.resend_after = page.last().map(|(job, _)| job.clone());
         }
         for (job, entry) in page {
             if entry.is_own {
-                progress.push(entry.counts.message(job));
-            } else if self.machines_reported_at.is_none() {
+                progress.push(entry.counts.into_progress(job));
+            } else if self.reports_expected_by.is_none() {
                 // Only an earlier leader reported these counts, so they are outdated.
                 self.jobs.remove(&job);
-                progress.push(TaskCounts::NONE.message(job));
+                progress.push(TaskCounts::NONE.into_progress(job));
             }
         }
     }
