--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -90,7 +90,7 @@
 
     /// Limits writes to `store_rps` changes per second.
     pub fn limit_rate(&mut self, store_rps: f64) {
-        self.rate.limit(store_rps);
+        self.rate.lower_limit(store_rps);
     }
 
     /// Reduces the batch size after a batch of `refused_writes` writes was too large.
@@ -122,7 +122,7 @@
     /// Schedules the retry of a write that the store rejected in a batch of its own.
     pub fn retry_refused(&mut self, now: Micros, write: PendingWrite) {
         self.queue
-            .retry_refused_at(now + REFUSED_WRITE_RETRY_INTERVAL, write);
+            .retry_rejected_at(now + REFUSED_WRITE_RETRY_INTERVAL, write);
     }
 
     /// Schedules the retry of a read that was not answered. The delay limits the number of
@@ -164,12 +164,12 @@
     /// none.
     fn next_batch(&mut self, ctx: &Context) -> Option<WriteBatch> {
         let now = ctx.now.monotonic;
-        self.writer.queue.requeue_refused(now);
+        self.writer.queue.requeue_rejected(now);
         let deferrable_per_s = ctx.config.store_write_rps * DEFERRABLE_WRITE_SHARE;
         self.writer
             .queue
             .refill_deferrable_budget(now, deferrable_per_s);
-        if self.writer.queue.is_idle() {
+        if self.writer.queue.has_nothing_to_send() {
             return None;
         }
         let max_changes = self.writer.rate.available(now).min(ctx.config.max_txn_ops);
@@ -183,13 +183,13 @@
             let Some(write) = self.writer.queue.pop(batch.writes.len(), cancellations) else {
                 break;
             };
-            let checkpoint = batch.checkpoint();
+            let savepoint = batch.savepoint();
             if !self.add_to_batch(&write, &mut batch) {
                 continue;
             }
-            let sizes = batch.sizes_since(checkpoint);
+            let sizes = batch.sizes_since(savepoint);
             if sizes.largest_value_bytes > self.writer.max_value_bytes {
-                batch.roll_back(checkpoint);
+                batch.roll_back(savepoint);
                 self.handle_oversized_record(ctx, write);
                 continue;
             }
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -39,7 +39,7 @@
                     // The store may have switched to its lower limit without notice.
                     self.writer.limit_rate(ctx.config.store_write_rps);
                 }
-                batch.uncertain |= other.is_err();
+                batch.outcome_unknown |= other.is_err();
                 self.writer.resend_later(ctx.now.monotonic, batch);
             }
         }
@@ -54,7 +54,7 @@
         let task_key = failed
             .iter()
             .find(|key| key.starts_with(records::TASKS_PREFIX));
-        let Some(key) = task_key.filter(|_| batch.uncertain) else {
+        let Some(key) = task_key.filter(|_| batch.outcome_unknown) else {
             return self.batch_rejected(ctx, batch, failed);
         };
         // Only this leader writes task records, so an earlier attempt of the batch was
@@ -85,7 +85,7 @@
             "store rejected an oversized batch, reducing the batch size writes={}",
             batch.writes.len()
         );
-        match batch.leader_owned_key().filter(|_| batch.uncertain) {
+        match batch.leader_owned_key().filter(|_| batch.outcome_unknown) {
             // No attempt of the batch can be applied from now on, so one read is conclusive.
             Some(key) => self.read_outcome(ctx, batch, key),
             None => self.retry_smaller(ctx, batch),
--- a/crates/controller/src/write_queue/batch.rs
+++ b/crates/controller/src/write_queue/batch.rs
@@ -17,7 +17,7 @@
 
 /// The lengths of a batch's lists at some time, to roll back what was added since.
 #[derive(Debug, Clone, Copy)]
-pub struct BatchCheckpoint {
+pub struct BatchSavepoint {
     mutations: usize,
     preconditions: usize,
     placements: usize,
@@ -28,7 +28,8 @@
 pub struct MutationSizes {
     /// The size of the largest value.
     pub largest_value_bytes: usize,
-    /// The size of all keys and values, including the overhead per mutation.
+    /// The size of all keys and values that are set, and an overhead per mutation. The keys of
+    /// deletions are not counted.
     pub total_bytes: usize,
 }
 
@@ -41,7 +42,7 @@
     /// The placements that the transaction stores.
     pub placements: Vec<NewPlacement>,
     /// Whether an earlier attempt had no response, so that it may have been committed.
-    pub uncertain: bool,
+    pub outcome_unknown: bool,
 }
 
 impl WriteBatch {
@@ -54,7 +55,7 @@
             transaction: Transaction::default().compare(records::TERM_KEY, term_version),
             writes: Vec::new(),
             placements: Vec::new(),
-            uncertain: false,
+            outcome_unknown: false,
         }
     }
 
@@ -96,26 +97,26 @@
         self.transaction = change(std::mem::take(&mut self.transaction));
     }
 
-    /// A checkpoint of the batch, for [`roll_back`](Self::roll_back).
-    pub fn checkpoint(&self) -> BatchCheckpoint {
-        BatchCheckpoint {
+    /// A savepoint of the batch, for [`roll_back`](Self::roll_back).
+    pub fn savepoint(&self) -> BatchSavepoint {
+        BatchSavepoint {
             mutations: self.transaction.then.len(),
             preconditions: self.transaction.compare.len(),
             placements: self.placements.len(),
         }
     }
 
-    /// Removes everything that was added since the checkpoint.
-    pub fn roll_back(&mut self, checkpoint: BatchCheckpoint) {
-        self.transaction.then.truncate(checkpoint.mutations);
-        self.transaction.compare.truncate(checkpoint.preconditions);
-        self.placements.truncate(checkpoint.placements);
+    /// Removes everything that was added since the savepoint.
+    pub fn roll_back(&mut self, savepoint: BatchSavepoint) {
+        self.transaction.then.truncate(savepoint.mutations);
+        self.transaction.compare.truncate(savepoint.preconditions);
+        self.placements.truncate(savepoint.placements);
     }
 
-    /// The sizes of the mutations that were added since the checkpoint.
-    pub fn sizes_since(&self, checkpoint: BatchCheckpoint) -> MutationSizes {
+    /// The sizes of the mutations that were added since the savepoint.
+    pub fn sizes_since(&self, savepoint: BatchSavepoint) -> MutationSizes {
         let mut sizes = MutationSizes::default();
-        for mutation in &self.transaction.then[checkpoint.mutations..] {
+        for mutation in &self.transaction.then[savepoint.mutations..] {
             sizes.total_bytes += Self::MUTATION_OVERHEAD_BYTES;
             if let Mutation::Put { key, value, .. } = mutation {
                 let value_bytes = store::json_size(value);
