--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -158,8 +158,8 @@
 
     /// Whether [`take_budget`](Self::take_budget) would succeed.
     pub fn has_budget(&mut self, cost: StoreCost, priority: RequestPriority, now: Micros) -> bool {
-        self.request_budget.has(cost.calls, priority, now)
-            && (cost.writes == 0.0 || self.write_budget.has(cost.writes, priority, now))
+        self.request_budget.is_available(cost.calls, priority, now)
+            && (cost.writes == 0.0 || self.write_budget.is_available(cost.writes, priority, now))
     }
 
     /// Takes a request's cost from the budget: either all of it or nothing. Returns whether
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -13,7 +13,7 @@
 //!   which says that the job is open and has the same version as the open record. Such jobs
 //!   may still exist.)
 //! - `t/JOB/CHUNK`: the task record of a chunk of an unfinished job's tasks, with the
-//!   machines on which the tasks may be.
+//!   machines on which the tasks may be running.
 //! - `t/JOB/CHUNK/FROM-TO`: the task record of a part of a chunk that is too large to be
 //!   written as a whole. It overrides the chunk's record and follows it in key order.
 //! - `m/MACHINE`: the address and the properties of a machine that has sent a heartbeat.
@@ -46,16 +46,16 @@
 pub const MACHINES_PREFIX: &str = "m/";
 
 /// Prefix of the state records of jobs.
-const JOB_STATES: &str = "j/";
+const JOB_STATES_PREFIX: &str = "j/";
 
 /// The key of a job's state record.
 pub fn job_state_key(id: &str) -> String {
-    format!("{JOB_STATES}{id}")
+    format!("{JOB_STATES_PREFIX}{id}")
 }
 
 /// The id of the job whose state record has this key; None if this is not such a key.
 pub fn parse_job_state_key(key: &str) -> Option<&str> {
-    key.strip_prefix(JOB_STATES)
+    key.strip_prefix(JOB_STATES_PREFIX)
 }
 
 /// The key of a job's open record.
@@ -209,8 +209,8 @@
     }
 }
 
-/// The part of an open record that determines how its tasks count against a team's quota.
-/// It can be decoded even if the rest of the record has a format that this version does not
+/// The resources that the tasks of an open job count against the team's quota: a part of the
+/// open record. It can be decoded even if the rest of the record has a format that this version does not
 /// support.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenClaim {
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,8 +1,10 @@
 //! The budget of users' requests within the store's rate limits.
 //!
-//! The store's rate limits apply to all controllers together. A fixed fraction is for users'
-//! requests and is divided among the nodes in proportion to their load. The rest is reserved
-//! for the leader, so that a flood of requests cannot prevent the renewal of its lease.
+//! The store's rate limits apply to all controllers together. A fixed fraction of each limit
+//! is for users' requests and is divided among the nodes in proportion to their load. The rest
+//! of the request limit is left to the leader, so that a flood of requests cannot prevent the
+//! renewal of its lease. The write limit is not divided in the same way: the leader's own
+//! fraction of it ([`WriteRate`](crate::write_queue::WriteRate)) overlaps with the users'.
 
 use crate::Config;
 use crate::continuations::PendingRequest;
@@ -13,7 +15,7 @@
 const USERS_FRACTION: f64 = 0.7;
 
 /// The budget of this node's users within one of the store's limits (requests or writes). It
-/// accumulates at most one second's worth.
+/// accumulates at most one second's worth, or 2 if that is more.
 #[derive(Debug)]
 pub(crate) struct RequestBudget {
     /// The rate that is available to users at all nodes together.
@@ -49,10 +51,10 @@
 /// low priority are rejected first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// A request that ends or deletes something and thereby frees resources. It may overdraw
-    /// the budget by a quarter of a second's worth.
+    /// A deletion, or a write of the object reconciler, in the API server. It may overdraw the
+    /// budget by a quarter of a second's worth.
     End,
-    /// A submission or cancellation.
+    /// A submission, a cancellation by a user, or another change of an object in the API server.
     Change,
     /// A poll. Polls leave half a second's worth to the others, so that a flood of polls does
     /// not cause submissions to be rejected.
@@ -102,7 +104,7 @@
 
     /// Takes `count` if it is available to this priority; returns whether it was.
     pub fn try_take(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
-        let available = self.has(count, priority, now);
+        let available = self.is_available(count, priority, now);
         if available {
             self.bucket.take(count);
         }
@@ -110,13 +112,15 @@
     }
 
     /// Whether `count` is available to this priority.
-    pub fn has(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
+    pub fn is_available(&mut self, count: f64, priority: RequestPriority, now: Micros) -> bool {
         self.refill(now);
         let reserve = match priority {
             RequestPriority::Change => 0.0,
             RequestPriority::Poll => self.per_s / 2.0,
             RequestPriority::End => -self.per_s / 4.0,
         };
+        // The reserve is reduced for a cost that would otherwise exceed what the bucket can ever
+        // hold.
         self.bucket.available() >= count + reserve.min(self.per_s - count)
     }
 }
--- a/crates/controller/src/task_key.rs
+++ b/crates/controller/src/task_key.rs
@@ -2,5 +2,6 @@
 
 use std::rc::Rc;
 
-/// A task: the id of its job and its index within the job.
+/// A task: the id of its job and its index within the job. In messages to and from workers,
+/// [`TaskName`](dillcleat_wire::TaskName) has the same content with an owned job id.
 pub type TaskKey = (Rc<str>, u32);
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -31,7 +31,7 @@
     /// The idle time after which a machine is deleted (scale-in), in seconds.
     #[serde(rename = "idle_s")]
     pub idle_s: f64,
-    /// The usual time to fetch an image, in seconds, for planning scale-outs and start times.
+    /// The assumed time to fetch an image, regardless of its size, in seconds, for planning scale-outs and start times.
     #[serde(rename = "fetch_s")]
     pub fetch_s: f64,
     /// How long a task may wait for resources that running tasks will release before a
@@ -39,11 +39,11 @@
     #[serde(rename = "patience")]
     pub patience: f64,
     /// The number of replicas per zone for which capacity on on-demand machines is reserved.
-    /// The reserve is for services that must start in less time than a machine boots.
+    /// This headroom is for services that must start in less time than a machine boots.
     #[serde(rename = "reserve_replicas")]
     pub reserve_replicas: u32,
     /// The fraction of the fleet's CPUs, 0 to 1, for which machines may be started ahead of
-    /// demand to provide that reserve.
+    /// demand to provide that headroom.
     #[serde(rename = "spare_share")]
     pub spare_share: f64,
     /// On-demand machines are started for late tasks only if the deadline objective of their
@@ -58,8 +58,8 @@
     #[serde(rename = "refused_pause_s")]
     pub refused_pause_s: f64,
     /// The waiting time after which a job is starving, in seconds. One task of a starving job
-    /// may run where it otherwise may not: on capacity that is reserved for services, or on
-    /// a machine on which the job has failed.
+    /// may be placed on capacity that is reserved for services, or on a machine on which a task
+    /// of the job has failed.
     #[serde(rename = "starve_s")]
     pub starve_s: f64,
     /// The fraction of the fleet, 0 to 1, that one request may delete. It limits the damage
