--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -21,7 +21,7 @@
 
 /// The failures of one job that may be caused by the job.
 #[derive(Debug, Default)]
-pub struct FailureRecord {
+pub struct JobFailures {
     /// Whether a task of the job has succeeded, or a replica of the service has served.
     has_succeeded: bool,
     /// The machines on which the job failed before it succeeded.
@@ -31,7 +31,7 @@
     retry_at: Micros,
 }
 
-impl FailureRecord {
+impl JobFailures {
     /// Whether the job has failed on several machines and has not succeeded on any. A
     /// suspect job is retried with one task at a time, causes no scale-out and does not
     /// count as an active job.
@@ -98,7 +98,7 @@
     }
 
     /// Whether the machine is to be cordoned.
-    pub fn warrant_cordon(&self) -> bool {
+    pub fn should_cordon(&self) -> bool {
         self.0.len() >= CORDON_JOBS
     }
 }
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -146,7 +146,7 @@
                 self.machines.insert(machine.name.clone(), machine);
             }
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.expected = true;
+                machine.boot_expected = true;
             }
         }
         if (names.len() as u32) < request.count {
@@ -207,7 +207,7 @@
             log::info!("cloud lists an unknown machine machine={}", listed.name);
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
             let mut machine = Machine::new(&listed.name, machine_type, zone, listed.spot, now);
-            machine.expected = is_booting;
+            machine.boot_expected = is_booting;
             self.machines.insert(machine.name.clone(), machine);
         }
         let Some(machine) = self.machines.get_mut(&listed.name) else {
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -64,7 +64,7 @@
     fn max_unresponsive_time(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
-            if machine.expected {
+            if machine.boot_expected {
                 boot_estimator.max_wait(machine, boot)
             } else {
                 // The machine is known only from a record or a listing. If it is running,
@@ -284,7 +284,7 @@
             if !machine.is_ready()
                 || machine.being_deleted
                 || !machine.slots.is_empty()
-                || !machine.unexpected_tasks().is_empty()
+                || !machine.unplaced_attempts().is_empty()
             {
                 continue;
             }
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -203,7 +203,7 @@
                 continue;
             };
             let mut free = machine.free_resources(total);
-            for slot in machine.array_slots().filter(is_soon_free) {
+            for slot in machine.batch_slots().filter(is_soon_free) {
                 free.add(&slot.resources);
             }
             if free.cpus > CPU_ROUNDING_ERROR {
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -167,7 +167,7 @@
                     .push(*machine),
                 BootProgress::Late => {}
             }
-            if progress != BootProgress::OnTime && machine.expected {
+            if progress != BootProgress::OnTime && machine.boot_expected {
                 late_types.insert(ZonalType::of(machine));
             }
         }
@@ -193,7 +193,7 @@
         booting
             .filter(|index| !self.derived.is_unresponsive(*index))
             .filter_map(|index| Some(self.machines.at(index)?.1))
-            .filter(|machine| machine.expected || machine.recorded)
+            .filter(|machine| machine.boot_expected || machine.recorded)
             .collect()
     }
 
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -270,7 +270,7 @@
             return None;
         }
         let mut view = machine_view(machine, machine.free_resources(total));
-        view.outbound_unreachable = !reachability.is_reachable_both_ways(now, missed_after);
+        view.outbound_unreachable = !reachability.is_reachable_and_renews_lease(now, missed_after);
         if !machine.spot {
             view.service_images = self.service_images_on(machine);
         }
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -162,10 +162,14 @@
             booting,
             interrupted: machine.interrupted_at().is_some() && is_retained,
             empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
-            runs_arrays: machine.has_array_tasks(),
+            runs_arrays: machine.has_batch_tasks(),
             recorded: machine.recorded && is_retained,
             ready_cpus: if machine.is_ready() { cpus } else { 0 },
-            booting_cpus: if booting && machine.expected { cpus } else { 0 },
+            booting_cpus: if booting && machine.boot_expected {
+                cpus
+            } else {
+                0
+            },
             lent_cpus: borrowers
                 .map(|slot| to_millionths(slot.resources.cpus))
                 .sum(),
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -37,7 +37,7 @@
             ready: machine.is_ready(),
             recorded: machine.recorded,
             interrupted: machine.interrupted_at().is_some(),
-            has_unexpected_tasks: !machine.unexpected_tasks().is_empty(),
+            has_unexpected_tasks: !machine.unplaced_attempts().is_empty(),
         }
     }
 }
@@ -200,7 +200,7 @@
             let boot_s = seconds(now - machine.known_since());
             log::info!("machine is up machine={name} zone={zone} boot_s={boot_s}");
             machine.restart_idle_time(now);
-            if machine.expected {
+            if machine.boot_expected {
                 self.autoscaler.boot_estimator.record_boot(machine, now);
             }
         }
@@ -227,7 +227,7 @@
             return false;
         };
         let may_have_recovered =
-            machine.heartbeat_received(now, new_incarnation, proof_after, missed_after);
+            machine.record_periodic_heartbeat(now, new_incarnation, proof_after, missed_after);
         if machine.command_state.is_probe_requested() {
             let name = machine.name.clone();
             self.command_dispatch.enqueue_background(name);
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -2,7 +2,7 @@
 
 use super::task_ranges::TaskRanges;
 use super::urgency::Urgency;
-use crate::failure_attribution::FailureRecord;
+use crate::failure_attribution::JobFailures;
 use crate::progress::TaskCounts;
 use crate::records::{
     DoneTasks, JobStateRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
@@ -101,7 +101,7 @@
     /// Whether the size was derived from training tasks. Services don't need training.
     pub trained: bool,
     /// The failures of the job, used to attribute them to the job or to machines.
-    pub failures: FailureRecord,
+    pub failures: JobFailures,
     /// No task is placed before this time.
     pub blocked_until: Micros,
     /// The task counts that were last sent to peers.
@@ -150,7 +150,7 @@
             waiting_since: None,
             resource_request: Rc::new(ResourceRequest::of(&open.spec)),
             trained: open.spec.kind == JobKind::Service,
-            failures: FailureRecord::default(),
+            failures: JobFailures::default(),
             blocked_until: 0,
             replicated_counts: TaskCounts::NONE,
             image: Rc::from(open.spec.image.as_str()),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -292,7 +292,7 @@
             match self.partitions.last_contact_before_term(&machine.zone) {
                 // A recorded machine has sent a heartbeat to a previous leader.
                 Some(last_contact) if machine.recorded => {
-                    machine.assume_unresponsive_since(now.min(last_contact));
+                    machine.restore_last_contact(now.min(last_contact));
                     // Machines in other zones, which are likely to answer, come first.
                     self.command_dispatch
                         .enqueue_background_at(now + SECOND, machine.name.clone());
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -104,7 +104,7 @@
         free,
         images: machine.images().clone(),
         service_images: 0,
-        failed_jobs: machine.health.failed_jobs().cloned().collect(),
+        failed_jobs: machine.health.jobs_with_failures().cloned().collect(),
         cordoned: machine.health.is_cordoned(),
         outbound_unreachable: false,
     }
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -97,7 +97,7 @@
             let is_usable = machine.accepts_tasks(now)
                 && machine
                     .reachability
-                    .is_reachable_both_ways(now, missed_after);
+                    .is_reachable_and_renews_lease(now, missed_after);
             if let Some(view) = self.machine_view(machine).filter(|_| is_usable) {
                 self.add_preemptible_tasks(&mut inputs, machine, view, now);
             }
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -196,7 +196,7 @@
         match reason {
             ExitReason::InsufficientResources => m.health.block_until(now + NO_RESOURCES_PAUSE),
             ExitReason::Error => {
-                m.health.record_failed_job(id);
+                m.health.record_job_failure(id);
                 let name = m.name.clone();
                 if job.failures.has_succeeded() {
                     self.attribute_error_to_machine(&name, id);
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -59,7 +59,7 @@
     /// other leader can launch tasks on it.
     fn may_be_on(&self, id: &str, machine: &Machine) -> bool {
         if machine.is_ready() {
-            let unexpected = machine.unexpected_tasks();
+            let unexpected = machine.unplaced_attempts();
             unexpected.iter().any(|attempt| attempt.task.job == id)
         } else {
             self.may_be_anywhere || self.machines.contains(&machine.name)
@@ -94,7 +94,7 @@
 
     /// The stop commands for the machine's tasks that belong to cancelled unknown jobs.
     pub fn stops<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Command> + 'a {
-        let unexpected = machine.unexpected_tasks().iter();
+        let unexpected = machine.unplaced_attempts().iter();
         unexpected
             .filter(|unexpected| self.is_cancelled(&unexpected.task.job))
             .map(TaskAttempt::stop_command)
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -117,7 +117,7 @@
             .filter(|_| !partitioned.is_empty())
             .filter_map(|index| self.machines.at(index))
             .filter(|(name, _)| !partitioned.contains(*name))
-            .flat_map(|(_, machine)| machine.array_slots())
+            .flat_map(|(_, machine)| machine.batch_slots())
             .map(|slot| slot.resources.cpus)
             .sum();
         let mut spare = SpareCapacity {
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -70,7 +70,7 @@
     /// Whether this is a spot instance.
     pub spot: bool,
     /// Whether the machine is known to be booting, so that it counts as pending capacity.
-    pub expected: bool,
+    pub boot_expected: bool,
     /// Whether the machine's record is stored or queued to be written.
     pub recorded: bool,
     /// Whether the deletion of the machine is requested. It gets no more tasks.
@@ -115,7 +115,7 @@
             spot,
             has_current_token: false,
             up: false,
-            expected: false,
+            boot_expected: false,
             recorded: false,
             being_deleted: false,
             known_since: now,
@@ -214,7 +214,7 @@
 
     /// Records, as reported by the previous leader, that the machine was up and that its
     /// last heartbeat arrived at `at`.
-    pub fn assume_unresponsive_since(&mut self, at: Micros) {
+    pub fn restore_last_contact(&mut self, at: Micros) {
         self.up = true;
         self.reachability.set_last_contact(at);
     }
@@ -264,18 +264,18 @@
     }
 
     /// Whether a batch task (not a replica of a service) is placed on the machine.
-    pub fn has_array_tasks(&self) -> bool {
-        self.array_slots().next().is_some()
+    pub fn has_batch_tasks(&self) -> bool {
+        self.batch_slots().next().is_some()
     }
 
     /// The batch tasks that are placed on the machine.
-    pub fn array_slots(&self) -> impl Iterator<Item = &TaskSlot> {
+    pub fn batch_slots(&self) -> impl Iterator<Item = &TaskSlot> {
         self.slots.values().filter(|slot| !slot.service)
     }
 
     /// The attempts that the latest heartbeat lists as not exited and that are not placed
     /// on the machine.
-    pub fn unexpected_tasks(&self) -> &[TaskAttempt] {
+    pub fn unplaced_attempts(&self) -> &[TaskAttempt] {
         &self.unplaced_attempts
     }
 
@@ -303,7 +303,7 @@
     /// before it sends the next one, so an earlier next heartbeat shows that the reply has
     /// arrived. And an incarnation that continues for longer than the lease shows that the
     /// lease was renewed. Over a slow link, replies to commands may always be late.
-    pub fn heartbeat_received(
+    pub fn record_periodic_heartbeat(
         &mut self,
         now: Micros,
         new_incarnation: bool,
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -13,7 +13,7 @@
     /// The machine gets no new task before this time, since it lacked the resources for one.
     placement_paused_until: Micros,
     /// The jobs of which a task failed on this machine. Their tasks are placed on other machines.
-    failed_jobs: BTreeSet<Rc<str>>,
+    jobs_with_failures: BTreeSet<Rc<str>>,
     /// The failures that are attributed to the machine.
     attributed_failures: AttributedFailures,
 }
@@ -35,13 +35,13 @@
     }
 
     /// The jobs of which a task failed on this machine.
-    pub fn failed_jobs(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.failed_jobs.iter()
+    pub fn jobs_with_failures(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.jobs_with_failures.iter()
     }
 
     /// Records that a task of the job has failed on this machine.
-    pub fn record_failed_job(&mut self, job: &Rc<str>) {
-        self.failed_jobs.insert(job.clone());
+    pub fn record_job_failure(&mut self, job: &Rc<str>) {
+        self.jobs_with_failures.insert(job.clone());
     }
 
     /// Whether any failure is attributed to the machine. Further failures on it are then no
@@ -54,7 +54,7 @@
     /// Returns whether this causes the machine to be cordoned.
     pub fn attribute_failure(&mut self, job: &Rc<str>) -> bool {
         self.attributed_failures.add(job);
-        let newly_cordoned = self.attributed_failures.warrant_cordon() && !self.cordoned;
+        let newly_cordoned = self.attributed_failures.should_cordon() && !self.cordoned;
         self.cordoned |= newly_cordoned;
         newly_cordoned
     }
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -69,7 +69,7 @@
     /// Like [`is_reachable`](Self::is_reachable), but only periodic heartbeats count. The
     /// replies to these renew the worker's lease, so a task that is placed now can be launched
     /// and keeps running.
-    pub fn is_reachable_both_ways(&self, now: Micros, overdue_after: Micros) -> bool {
+    pub fn is_reachable_and_renews_lease(&self, now: Micros, overdue_after: Micros) -> bool {
         now < self.last_heartbeat_at + overdue_after && self.commands_unanswered_since.is_none()
     }
 
@@ -112,7 +112,7 @@
         self.commands_unanswered_since.get_or_insert(now);
     }
 
-    /// Records a newer periodic heartbeat; see [`super::Machine::heartbeat_received`].
+    /// Records a newer periodic heartbeat; see [`super::Machine::record_periodic_heartbeat`].
     pub(super) fn record_heartbeat(
         &mut self,
         now: Micros,
--- a/crates/controller/tests/failure_attribution.rs
+++ b/crates/controller/tests/failure_attribution.rs
@@ -1,7 +1,7 @@
 //! Whether a task's failure is attributed to its job or to its machine.
 
 use dillcleat_controller::SECOND;
-use dillcleat_controller::failure_attribution::{AttributedFailures, FailureRecord};
+use dillcleat_controller::failure_attribution::{AttributedFailures, JobFailures};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn job_that_fails_on_several_machines_is_retried_with_one_task_and_backoff() {
-    let mut job = FailureRecord::default();
+    let mut job = JobFailures::default();
     assert_eq!(job.record_failure(&machine(0), 0), None);
     assert_eq!(job.record_failure(&machine(0), 0), None);
     assert!(
@@ -37,7 +37,7 @@
 
 #[test]
 fn failures_of_a_job_that_has_succeeded_count_against_the_machine() {
-    let mut job = FailureRecord::default();
+    let mut job = JobFailures::default();
     job.record_failure(&machine(0), 0);
     job.record_failure(&machine(1), 0);
     assert!(job.is_suspect());
@@ -51,9 +51,9 @@
     machine_failures.add(&Rc::from("job"));
     machine_failures.add(&Rc::from("job"));
     assert!(
-        machine_failures.has_failures() && !machine_failures.warrant_cordon(),
+        machine_failures.has_failures() && !machine_failures.should_cordon(),
         "a single job does not warrant a cordon"
     );
     machine_failures.add(&Rc::from("other"));
-    assert!(machine_failures.warrant_cordon());
+    assert!(machine_failures.should_cordon());
 }
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -232,13 +232,13 @@
     let mut machine = Machine::new("m", "t", "a", false, 0);
     let (proof_after, missed_after) = (17 * SECOND, 3 * SECOND);
     machine.reachability.record_command_failure(SECOND);
-    machine.heartbeat_received(2 * SECOND, false, proof_after, missed_after);
+    machine.record_periodic_heartbeat(2 * SECOND, false, proof_after, missed_after);
     assert!(
         machine.command_state.is_probe_requested() && machine.command_state.is_requested(),
         "a probe is requested"
     );
-    machine.heartbeat_received(14 * SECOND, true, proof_after, missed_after);
-    machine.heartbeat_received(19 * SECOND, false, proof_after, missed_after);
+    machine.record_periodic_heartbeat(14 * SECOND, true, proof_after, missed_after);
+    machine.record_periodic_heartbeat(19 * SECOND, false, proof_after, missed_after);
     assert_eq!(
         machine.reachability.commands_unanswered_since(),
         Some(14 * SECOND)
@@ -246,22 +246,22 @@
     assert!(
         !machine
             .reachability
-            .is_reachable_both_ways(19 * SECOND, missed_after)
+            .is_reachable_and_renews_lease(19 * SECOND, missed_after)
     );
-    assert!(machine.heartbeat_received(31 * SECOND, false, proof_after, missed_after));
+    assert!(machine.record_periodic_heartbeat(31 * SECOND, false, proof_after, missed_after));
     assert!(
         machine
             .reachability
-            .is_reachable_both_ways(31 * SECOND, missed_after)
+            .is_reachable_and_renews_lease(31 * SECOND, missed_after)
     );
     machine.reachability.record_command_failure(40 * SECOND);
-    machine.heartbeat_received(41 * SECOND, false, proof_after, missed_after);
-    machine.heartbeat_received(46 * SECOND, false, proof_after, missed_after);
+    machine.record_periodic_heartbeat(41 * SECOND, false, proof_after, missed_after);
+    machine.record_periodic_heartbeat(46 * SECOND, false, proof_after, missed_after);
     assert!(
         machine.reachability.commands_unanswered_since().is_some(),
         "it may have waited for an answer until its timeout"
     );
-    machine.heartbeat_received(50 * SECOND, false, proof_after, missed_after);
+    machine.record_periodic_heartbeat(50 * SECOND, false, proof_after, missed_after);
     assert_eq!(
         machine.reachability.commands_unanswered_since(),
         None,
