--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -5,7 +5,7 @@
 use crate::failure_attribution::JobFailures;
 use crate::progress::TaskCounts;
 use crate::records::{
-    DoneTasks, JobStateRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
+    DoneTasks, JobStateRecord, OpenJob, PlacedTask, RecordedState, TaskRange, TaskRecord,
     WaitingTask,
 };
 use crate::sched::ResourceRequest;
@@ -262,8 +262,8 @@
     }
 
     /// Builds the record of a range of tasks.
-    pub(super) fn task_chunk(&self, range: TaskRange) -> TaskChunk {
-        let mut chunk = TaskChunk::default();
+    pub(super) fn task_chunk(&self, range: TaskRange) -> TaskRecord {
+        let mut chunk = TaskRecord::default();
         for index in self.task_ranges.indexes(range) {
             let task = &self.tasks[index as usize];
             let attempt = task.attempt;
@@ -306,7 +306,7 @@
 
     /// Applies the waiting and done tasks of a stored record. Its placements are applied
     /// separately because they also change machines.
-    pub(super) fn apply_chunk(&mut self, chunk: &TaskChunk) {
+    pub(super) fn apply_chunk(&mut self, chunk: &TaskRecord) {
         let task_count = self.tasks.len() as u32;
         for waiting in &chunk.waiting {
             if let Some(task) = self.tasks.get_mut(waiting.index as usize) {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -12,7 +12,7 @@
 use crate::continuations::LeaderStep;
 use crate::machines::Machine;
 use crate::machines::TaskSlot;
-use crate::records::{self, MachineRecord, PlacedTask, TaskChunk, TaskRange};
+use crate::records::{self, MachineRecord, PlacedTask, TaskRange, TaskRecord};
 use crate::sched::SlabIndex;
 use crate::{Micros, SECOND};
 use dillcleat_wire::store::{KeyValue, RangePage, StoreRequest, StoreResponse};
@@ -311,7 +311,7 @@
         let Some(id) = self.jobs.name(id).cloned() else {
             return self.add_unknown_job_record(id, row);
         };
-        let Some(chunk) = row.decode_value::<TaskChunk>() else {
+        let Some(chunk) = row.decode_value::<TaskRecord>() else {
             log::error!("unreadable task record key={}", row.key);
             return self.demote_to_unknown(ctx, &id, range, &row.key);
         };
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -9,7 +9,7 @@
 use super::Leader;
 use crate::calls::Context;
 use crate::machines::{Machine, TaskAttempt};
-use crate::records::{OpenClaim, TaskChunk, TaskRange};
+use crate::records::{OpenJobResources, TaskRange, TaskRecord};
 use crate::sched::to_millionths;
 use crate::write_queue::PendingWrite;
 use crate::{Config, Micros, SECOND};
@@ -128,7 +128,7 @@
 impl Leader {
     /// Adds a job with an unreadable description. It is not scheduled.
     pub(super) fn add_undescribed_job(&mut self, ctx: &Context, id: &str, value: &Value) {
-        let task_claim = store::decode_value::<OpenClaim>(value).and_then(|open| {
+        let task_claim = store::decode_value::<OpenJobResources>(value).and_then(|open| {
             let ResourceClaim { team, cpus, gpus } = open.spec;
             Some(TaskClaim {
                 team: ctx.config.team(&team)?,
@@ -169,7 +169,7 @@
             // The job has probably ended, and its records were not completely deleted.
             self.dependencies.request_state_read(Rc::from(id));
         }
-        let Some(chunk) = row.decode_value::<TaskChunk>() else {
+        let Some(chunk) = row.decode_value::<TaskRecord>() else {
             log::error!("unreadable task record key={}", row.key);
             job.may_be_anywhere = true;
             return;
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -213,7 +213,7 @@
 /// open record. It can be decoded even if the rest of the record has a format that this version does not
 /// support.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct OpenClaim {
+pub struct OpenJobResources {
     /// The team, and the resources of each task that count against its quota.
     #[serde(rename = "spec")]
     pub spec: ResourceClaim,
@@ -308,7 +308,7 @@
 /// A task record: the tasks of a chunk or of a part of one. A task in none of the lists is
 /// waiting and has never been placed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct TaskChunk {
+pub struct TaskRecord {
     /// The placed tasks.
     #[serde(rename = "p")]
     pub placed: Vec<PlacedTask>,
--- a/crates/controller/tests/common/leader_fixture.rs
+++ b/crates/controller/tests/common/leader_fixture.rs
@@ -2,7 +2,7 @@
 //! the test controls.
 
 use super::{Environment, config_with_team, machine_row, row, step_with};
-use dillcleat_controller::records::{self, CancelledJob, OpenJob, TaskChunk};
+use dillcleat_controller::records::{self, CancelledJob, OpenJob, TaskRecord};
 use dillcleat_controller::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::encode;
@@ -65,9 +65,9 @@
             without_state_record: true,
             parallelism_limit: None,
         };
-        let chunk = TaskChunk {
+        let chunk = TaskRecord {
             placed: vec![(0, 1, "m".to_string(), 1).into()],
-            ..TaskChunk::default()
+            ..TaskRecord::default()
         };
         let tasks = records::tasks_key(JOB_ID, records::TaskRange::Chunk(0));
         LeaderFixture {
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -4,9 +4,9 @@
 use dillcleat_controller::records::{
     CANCELLED_JOBS_PREFIX, CancelledJob, DoneTasks, JobStateRecord, LEADER_KEY, LeaderRecord,
     MACHINE_TYPES_KEY, MACHINES_PREFIX, MachineRecord, MachineTypesRecord, OPEN_JOBS_PREFIX,
-    OpenClaim, OpenJob, PlacedTask, QUEUE_PREFIX, RecordedState, SHARED_PREFIX, TASKS_PREFIX,
-    TERM_KEY, TaskChunk, TaskRange, TermRecord, WaitingTask, cancelled_job_key, job_state_key,
-    machine_key, open_job_key, parse_tasks_key, tasks_key,
+    OpenJob, OpenJobResources, PlacedTask, QUEUE_PREFIX, RecordedState, SHARED_PREFIX,
+    TASKS_PREFIX, TERM_KEY, TaskRange, TaskRecord, TermRecord, WaitingTask, cancelled_job_key,
+    job_state_key, machine_key, open_job_key, parse_tasks_key, tasks_key,
 };
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{LeaseId, Value, decode_value, encode_value};
@@ -260,7 +260,7 @@
 
 #[test]
 fn open_claim_is_read_from_an_open_jobs_record() {
-    let claim = OpenClaim {
+    let claim = OpenJobResources {
         spec: ResourceClaim {
             team: "books".into(),
             cpus: 4.0,
@@ -326,7 +326,7 @@
 /// All numbers differ, so that a swap of two fields is found.
 #[test]
 fn task_chunk_keeps_its_bytes() {
-    let chunk = TaskChunk {
+    let chunk = TaskRecord {
         placed: vec![
             PlacedTask {
                 index: 3,
@@ -359,7 +359,7 @@
             \xa6host-2\x01\xa1w\x91\x92\x05\x06\xa1d\x92\x92\x00\x02\x92\x07\x7f",
         &chunk,
     );
-    let empty = TaskChunk {
+    let empty = TaskRecord {
         placed: Vec::new(),
         waiting: Vec::new(),
         done: Vec::new(),
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -6,7 +6,7 @@
 use common::leader_fixture::{JOB_ID, LeaderFixture, START, cancellation_row, on_fast_clock};
 use common::{heartbeat_request, machine_row, machine_type, machine_types_row, row, step_with};
 use dillcleat_controller::records::{
-    self, JobStateRecord, LeaderRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
+    self, JobStateRecord, LeaderRecord, OpenJob, PlacedTask, RecordedState, TaskRange, TaskRecord,
     TermRecord,
 };
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, SECOND};
@@ -43,7 +43,7 @@
     let key = task_chunk_key();
     let changes = fixture.env.transactions.iter().rev().flat_map(|t| &t.then);
     let mut records = changes.filter_map(|c| match c {
-        Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
+        Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskRecord>(value),
         _ => None,
     });
     records.next().map_or(Vec::new(), |c| c.placed)
@@ -218,9 +218,9 @@
 #[test]
 fn heartbeat_of_earlier_incarnation_is_ignored() {
     let mut fixture = LeaderFixture::new();
-    let chunk = TaskChunk {
+    let chunk = TaskRecord {
         placed: vec![(0, 1, "m".to_string(), 3).into()],
-        ..TaskChunk::default()
+        ..TaskRecord::default()
     };
     fixture.env.task_rows = vec![row(task_chunk_key(), &chunk)];
     fixture.env.queue_rows.insert(0, cancellation_row(START));
@@ -335,9 +335,9 @@
         assert_eq!(placements.len(), 2, "the second task is placed");
         fixture.env.conflicting_key = Some(task_chunk_key());
         fixture.env.second_conflicting_key = is_cancelled.then(|| records::job_state_key(JOB_ID));
-        let chunk = TaskChunk {
+        let chunk = TaskRecord {
             placed: placements,
-            ..TaskChunk::default()
+            ..TaskRecord::default()
         };
         let mut found = row(task_chunk_key(), &chunk);
         found.version = 7;
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -191,7 +191,7 @@
 fn attempt_that_was_executed_is_not_repeated() {
     let stored = row(
         records::tasks_key("req-1", TaskRange::Chunk(0)),
-        &records::TaskChunk::default(),
+        &records::TaskRecord::default(),
     );
     let found = StoreResponse::Found(KeyValue {
         version: 7,
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{Environment, config_with_team, machine_row, row, step_with};
-use dillcleat_controller::records::{self, OpenJob, TaskChunk};
+use dillcleat_controller::records::{self, OpenJob, TaskRecord};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -84,9 +84,9 @@
         without_state_record: true,
         parallelism_limit: None,
     };
-    let chunk = TaskChunk {
+    let chunk = TaskRecord {
         placed: vec![(0, 1, "m".to_string(), 1).into()],
-        ..TaskChunk::default()
+        ..TaskRecord::default()
     };
     let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
     let mut env = Environment {
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -5,7 +5,7 @@
 
 use common::{Environment, config_with_team, machine_row, machine_type, row, step_with};
 use dillcleat_controller::records::{
-    self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+    self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskRange, TaskRecord,
 };
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, Node, RequestId, SECOND};
 use dillcleat_wire::encode;
@@ -66,11 +66,11 @@
     /// A node that wins the election at its first tick, with `placed` tasks of the job on
     /// machine `m`.
     fn new(config: Config, queue_rows: Vec<KeyValue>, placed: u32) -> Harness {
-        let chunk = TaskChunk {
+        let chunk = TaskRecord {
             placed: (0..placed)
                 .map(|i| (i, 1, "m".to_string(), 1).into())
                 .collect(),
-            ..TaskChunk::default()
+            ..TaskRecord::default()
         };
         Harness {
             node: Node::new(config),
@@ -181,7 +181,7 @@
         let key = records::tasks_key(id, TaskRange::Chunk(0));
         let changes = self.env.transactions.iter().flat_map(|t| &t.then);
         let mut records = changes.filter_map(|c| match c {
-            Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
+            Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskRecord>(value),
             _ => None,
         });
         records.next_back().map_or(0, |c| c.placed.len())
--- a/crates/controller/tests/version_compatibility.rs
+++ b/crates/controller/tests/version_compatibility.rs
@@ -2,7 +2,7 @@
 //! frames that it wrote, as bytes, are read, and copies of its types read new records.
 
 use dillcleat_controller::records::{
-    CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
+    CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskRange, TaskRecord,
     parse_tasks_key, tasks_key,
 };
 use dillcleat_peer_protocol::Message;
@@ -71,7 +71,7 @@
         assert_eq!(encode_value(&expected), record);
     }
     assert_same(OPEN_JOB_HEX, open_job(Vec::new()));
-    let chunk = TaskChunk {
+    let chunk = TaskRecord {
         placed: vec![(3, 2, "host-000231".to_string(), 1).into()],
         waiting: vec![(5, 1).into()],
         done: vec![(0, 2).into()],
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -13,7 +13,7 @@
 use crate::worker::{PATIENCE, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::config::StartObjective;
 use dillcleat_controller::records::{
-    self, MachineRecord, MachineTypesRecord, OpenJob, PlacedTask, TaskChunk,
+    self, MachineRecord, MachineTypesRecord, OpenJob, PlacedTask, TaskRecord,
 };
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
@@ -441,7 +441,7 @@
             let spec = self.spec(kind);
             self.record(&spec);
             let play_run = self.plays.get(&spec.id).map_or(0, |p| p.run);
-            let mut chunk = TaskChunk::default();
+            let mut chunk = TaskRecord::default();
             for index in 0..spec.tasks.min(places.len() as u32) {
                 let Some(machine) = places.pop() else {
                     break;
