--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -142,7 +142,7 @@
     },
     /// An attempt of one of the job's tasks failed; the job goes on. A new leader that receives the failure
     /// again repeats the event for the same attempt.
-    Failed {
+    TaskFailed {
         /// The id of the job.
         job: String,
         /// The index of the task within the job.
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -101,7 +101,11 @@
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
                 LeaderEvent::TaskFailed { job, task, attempt } => {
-                    out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
+                    out.push(Output::JobEvent(JobEvent::TaskFailed {
+                        job,
+                        task,
+                        attempt,
+                    }));
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
                 LeaderEvent::TermEnded => {
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -53,7 +53,7 @@
 pub enum RequestPriority {
     /// A deletion, or a write of the object reconciler, in the API server. It may overdraw the
     /// budget by a quarter of a second's worth.
-    End,
+    DeleteOrReconcile,
     /// A submission, a cancellation by a user, or another change of an object in the API server.
     Change,
     /// A poll. Polls leave half a second's worth to the others, so that a flood of polls does
@@ -117,7 +117,7 @@
         let reserve = match priority {
             RequestPriority::Change => 0.0,
             RequestPriority::Poll => self.per_s / 2.0,
-            RequestPriority::End => -self.per_s / 4.0,
+            RequestPriority::DeleteOrReconcile => -self.per_s / 4.0,
         };
         // The reserve is reduced for a cost that would otherwise exceed what the bucket can ever
         // hold.
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -152,7 +152,7 @@
     }
 
     /// Reads settings from a TOML table that contains only the operator's settings.
-    pub fn read(table: toml::Table) -> Result<Tuning, TuningError> {
+    pub fn from_table(table: toml::Table) -> Result<Tuning, TuningError> {
         table.try_into::<Tuning>()?.validated()
     }
 
--- a/crates/controller/tests/golden_settings.rs
+++ b/crates/controller/tests/golden_settings.rs
@@ -73,7 +73,7 @@
 fn every_key_is_read() {
     assert_eq!(Tuning::parse(ALL_KEYS_TOML), Ok(all_keys()));
     let table: toml::Table = toml::from_str(ALL_KEYS_TOML).expect("a table");
-    assert_eq!(Tuning::read(table), Ok(all_keys()));
+    assert_eq!(Tuning::from_table(table), Ok(all_keys()));
 }
 
 #[test]
--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -190,7 +190,7 @@
             Some(Rules::new(settings, key))
         }
     };
-    let tuning = Tuning::read(table).map_err(|e| bad(e.to_string()))?;
+    let tuning = Tuning::from_table(table).map_err(|e| bad(e.to_string()))?;
     Ok((tuning, rules))
 }
 
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -451,7 +451,7 @@
             let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
             if !ctx.node.take_budget(
                 StoreCost::transaction(changes),
-                RequestPriority::End,
+                RequestPriority::DeleteOrReconcile,
                 ctx.now,
             ) {
                 self.keeper.put_off(wish);
@@ -570,6 +570,6 @@
     match verb {
         Verb::Get | Verb::List | Verb::Watch => RequestPriority::Poll,
         Verb::Create | Verb::Update | Verb::Patch => RequestPriority::Change,
-        Verb::Delete => RequestPriority::End,
+        Verb::Delete => RequestPriority::DeleteOrReconcile,
     }
 }
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -126,7 +126,9 @@
             }
             Some(Ok(())) => {}
         }
-        Ok(ctx.node.open_job(spec, Some(wanted.at_most), ctx.now))
+        Ok(ctx
+            .node
+            .build_open_record(spec, Some(wanted.at_most), ctx.now))
     }
 
     fn fits(
@@ -632,7 +634,7 @@
         let txn = reconciler::delete(txn, object);
         if !ctx.node.take_budget(
             StoreCost::transaction(txn.then.len() as f64),
-            RequestPriority::End,
+            RequestPriority::DeleteOrReconcile,
             ctx.now,
         ) {
             return Err(StatusError::TooMany);
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -203,7 +203,7 @@
             JobEvent::Ended { job, state } => {
                 self.fact(&job, cache).ended = Some(state);
             }
-            JobEvent::Failed { job, task, attempt } => {
+            JobEvent::TaskFailed { job, task, attempt } => {
                 self.fact(&job, cache).failed.insert((task, attempt));
             }
         }
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -99,7 +99,7 @@
                 self.bytes(job.as_bytes());
                 self.bytes(&dillcleat_wire::encode(state));
             }
-            Output::JobEvent(JobEvent::Failed { job, task, attempt }) => {
+            Output::JobEvent(JobEvent::TaskFailed { job, task, attempt }) => {
                 self.kind(Kind::Failed, 0);
                 self.bytes(job.as_bytes());
                 self.number(u64::from(*task));
