--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -48,7 +48,7 @@
     pub worker_lease: Micros,
     /// The time after the confirmation of a cancellation within which the job's tasks must
     /// have ended.
-    pub cancel_deadline: Micros,
+    pub cancel_time_limit: Micros,
     /// The maximum difference between the wall clocks of two machines.
     pub clock_error: Micros,
     /// The store's limit of requests per second from all controllers. The store may announce
@@ -104,7 +104,7 @@
             teams: cluster.teams.clone(),
             heartbeat_interval: micros(cluster.workers.report_s),
             worker_lease: micros(cluster.workers.lease_s),
-            cancel_deadline: micros(cluster.workers.cancel_s),
+            cancel_time_limit: micros(cluster.workers.cancel_s),
             clock_error: micros(cluster.clock_error_ms / 1e3),
             store_rps: announced.rps.unwrap_or(f64::MAX).min(current.rps),
             store_write_rps: write_rps,
@@ -140,7 +140,7 @@
     /// effect. Each
     /// answer renews a worker's lease. A worker that gets no answers ends its tasks after
     /// `worker_lease`, so answers must stop early enough for the tasks of a cancelled job to
-    /// end within `cancel_deadline`.
+    /// end within `cancel_time_limit`.
     ///
     /// The limit applies to all machines, counted from the sending of the leader's last
     /// successful read of the cancellations, and to a machine that runs tasks of a cancelled
@@ -150,18 +150,18 @@
             .max(MIN_HEARTBEAT_ANSWER_LIMIT)
     }
 
-    /// The part of `cancel_deadline` that remains after subtracting the lease and a margin for
+    /// The part of `cancel_time_limit` that remains after subtracting the lease and a margin for
     /// clock drift and requests in flight.
     fn time_before_lease_must_expire(&self) -> Micros {
-        let margin = (self.cancel_deadline / 10).max(SECOND);
-        self.cancel_deadline
+        let margin = (self.cancel_time_limit / 10).max(SECOND);
+        self.cancel_time_limit
             .saturating_sub(self.worker_lease + margin)
     }
 
-    /// The maximum time by which a cancelled task may outlast `cancel_deadline` while the store
+    /// The maximum time by which a cancelled task may outlast `cancel_time_limit` while the store
     /// is unreachable, because that time is too short compared to the lease. None if it cannot
     /// outlast it.
-    pub fn cancel_deadline_shortfall(&self) -> Option<Micros> {
+    pub fn cancel_time_excess(&self) -> Option<Micros> {
         let shortfall =
             MIN_HEARTBEAT_ANSWER_LIMIT.saturating_sub(self.time_before_lease_must_expire());
         (shortfall > 0).then_some(shortfall)
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -24,7 +24,7 @@
 //! irreversible actions require a recent proof.
 //!
 //! **Timers.** The lease lasts `lead_ttl_s`, or longer while the store is slow
-//! ([`lease_time`]). It is renewed every quarter of `lead_ttl_s`, so that it outlasts two
+//! ([`lease_ttl`]). It is renewed every quarter of `lead_ttl_s`, so that it outlasts two
 //! consecutive lost renewals.
 
 mod replies;
@@ -34,7 +34,7 @@
 use crate::calls::Context;
 use crate::continuations::{Continuation, ElectionStep as Step};
 use crate::records::{self, LeaderRecord, TermRecord};
-use crate::store_latency::{StoreLatency, lease_time};
+use crate::store_latency::{StoreLatency, lease_ttl};
 use crate::{MILLISECOND, Micros, SECOND, micros};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{LeaseId, StoreRequest, Transaction};
@@ -267,7 +267,7 @@
             return;
         }
         self.phase = Phase::AwaitingReply;
-        let ttl_ms = lease_time(ctx.config, self.store_latency.recent(now)) / 1000;
+        let ttl_ms = lease_ttl(ctx.config, self.store_latency.recent(now)) / 1000;
         let call = StoreRequest::GrantLease { ttl_ms };
         ctx.store_request(call, Continuation::Election(Step::GrantLease));
     }
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -145,7 +145,7 @@
     /// well before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let removal_timeout = ctx.config.cancel_deadline * 3 / 10;
+        let removal_timeout = ctx.config.cancel_time_limit * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.recovery.ready_since() + removal_timeout / 4 || !permitted {
             return;
--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -82,5 +82,5 @@
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
     ctx.now
         .monotonic
-        .saturating_sub(ago.min(ctx.config.cancel_deadline))
+        .saturating_sub(ago.min(ctx.config.cancel_time_limit))
 }
--- a/crates/controller/src/store_latency.rs
+++ b/crates/controller/src/store_latency.rs
@@ -40,7 +40,7 @@
 }
 
 /// The duration of the leadership lease for the given store latency.
-pub fn lease_time(config: &Config, latency: Micros) -> Micros {
+pub fn lease_ttl(config: &Config, latency: Micros) -> Micros {
     let shortest = micros(config.tuning.lead_ttl_s);
     // The rest of the workers' lease leaves time to elect the next leader, to recover its state
     // and for workers to reach it.
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -25,7 +25,7 @@
     #[serde(rename = "first_guess_s")]
     pub first_guess_s: f64,
     /// The minimum time-to-live of the leader's lease, in seconds. The lease is longer while
-    /// the store is slow ([`lease_time`](crate::store_latency::lease_time)).
+    /// the store is slow ([`lease_ttl`](crate::store_latency::lease_ttl)).
     #[serde(rename = "lead_ttl_s")]
     pub lead_ttl_s: f64,
     /// The idle time after which a machine is deleted (scale-in), in seconds.
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -144,7 +144,7 @@
     assert!(renewed_at > 10 * SECOND);
     let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
-        ends < fixture.config.cancel_deadline,
+        ends < fixture.config.cancel_time_limit,
         "lease renewed at {renewed_at}"
     );
 }
@@ -401,7 +401,7 @@
     }
     let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
-        renewed_at > 20 * SECOND && ends < fixture.config.cancel_deadline,
+        renewed_at > 20 * SECOND && ends < fixture.config.cancel_time_limit,
         "{renewed_at}"
     );
 }
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -3,7 +3,7 @@
 use dillcleat_controller::leadership_guard::{
     CloudAction, DeletionReason, LeadershipProof, proof_validity,
 };
-use dillcleat_controller::store_latency::lease_time;
+use dillcleat_controller::store_latency::lease_ttl;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::settings::PlatformSettings;
@@ -65,7 +65,7 @@
         let config = config(ttl);
         let mut previous_lease = 0;
         for latency in [0, 20, 400, 1500, 60_000].map(|ms| ms * MILLISECOND) {
-            let lease = lease_time(&config, latency);
+            let lease = lease_ttl(&config, latency);
             assert!(
                 proof_validity(&config) * 10_005 / 10_000 < lease,
                 "{ttl} {latency}"
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -19,7 +19,10 @@
 /// Asserts that a cancellation confirmed just after the read at `read_at` takes effect in
 /// time: the worker lease, last renewed at `renewed_at`, expires before the deadline.
 fn assert_deadline_met(fixture: &LeaderFixture, read_at: Micros, renewed_at: Micros) {
-    let (lease, deadline) = (fixture.config.worker_lease, fixture.config.cancel_deadline);
+    let (lease, deadline) = (
+        fixture.config.worker_lease,
+        fixture.config.cancel_time_limit,
+    );
     assert!(
         on_fast_clock(renewed_at + lease - read_at) < deadline,
         "read at {read_at}, lease renewed at {renewed_at}"
@@ -136,7 +139,7 @@
         );
         let last = fixture.last_answered_heartbeat(2 * SECOND);
         let lease_ends = on_fast_clock(last + fixture.config.worker_lease + cancelled_before);
-        assert!(lease_ends < fixture.config.cancel_deadline, "{last}");
+        assert!(lease_ends < fixture.config.cancel_time_limit, "{last}");
     }
 }
 
@@ -424,7 +427,7 @@
     }
     let deleted_at = deleted_at.expect("the machine is deleted");
     assert!(
-        deleted_at < SECOND + fixture.config.cancel_deadline * 4 / 10,
+        deleted_at < SECOND + fixture.config.cancel_time_limit * 4 / 10,
         "{deleted_at}"
     );
 }
@@ -531,13 +534,13 @@
 #[test]
 fn worker_lease_near_cancel_deadline_reports_shortfall() {
     let mut config = config_with_team();
-    assert_eq!(config.cancel_deadline_shortfall(), None);
-    config.worker_lease = config.cancel_deadline - SECOND;
-    let shortfall = config.cancel_deadline_shortfall().expect("a shortfall");
+    assert_eq!(config.cancel_time_excess(), None);
+    config.worker_lease = config.cancel_time_limit - SECOND;
+    let shortfall = config.cancel_time_excess().expect("a shortfall");
     assert_eq!(config.heartbeat_answer_limit(), shortfall);
     // Tasks end no later than this, including the margin.
     let latest = config.heartbeat_answer_limit() + config.worker_lease;
-    assert!(latest <= config.cancel_deadline + shortfall);
-    config.worker_lease = config.cancel_deadline / 2;
-    assert_eq!(config.cancel_deadline_shortfall(), None);
+    assert!(latest <= config.cancel_time_limit + shortfall);
+    config.worker_lease = config.cancel_time_limit / 2;
+    assert_eq!(config.cancel_time_excess(), None);
 }
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -296,7 +296,7 @@
             let m = fleet.worker("m0");
             (m.hung, m.heartbeats_lost, m.inbound_lost) =
                 (false, fault == "heartbeats lost", fault == "inbound lost");
-            let deadline = cancelled_at + fleet.config.cancel_deadline;
+            let deadline = cancelled_at + fleet.config.cancel_time_limit;
             while fleet.now < deadline + 40 * SECOND {
                 fleet.advance(SECOND);
                 let is_running = !fleet.machines_running("req-000001").is_empty();
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -81,7 +81,7 @@
 /// What doesn't hold with settings under which `cancel_s` leaves no time beside the
 /// lease; None with all others.
 pub fn short_of_time(config: &Config) -> Option<String> {
-    let short = seconds(config.cancel_deadline_shortfall()?);
+    let short = seconds(config.cancel_time_excess()?);
     Some(format!(
         "cluster.workers.cancel_s leaves no time beside lease_s: while the state service is out \
          of reach, cancelled tasks may run up to {short} s longer than cancel_s"
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -252,7 +252,7 @@
         teams: teams.collect(),
         heartbeat_interval: REPORT,
         worker_lease: LEASE,
-        cancel_deadline: CANCEL,
+        cancel_time_limit: CANCEL,
         clock_error: SECOND / 4,
         store_rps: setting.state_rps,
         store_write_rps: setting.state_write_rps,
