--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -146,7 +146,7 @@
     /// Records that the scale-out in flight failed without a final response. Drops it if
     /// it has expired and was certainly not executed. `outcome_unknown` says whether this
     /// attempt may still be executed.
-    pub fn scale_out_failed(&mut self, now: Micros, outcome_unknown: bool) {
+    pub fn fail_scale_out(&mut self, now: Micros, outcome_unknown: bool) {
         if let Some(pending) = self.scale_outs.front_mut() {
             pending.outcome_unknown |= outcome_unknown;
             if !pending.outcome_unknown && now > pending.requested_at + SCALE_OUT_EXPIRY {
@@ -171,7 +171,7 @@
     }
 
     /// Whether the machine is to be deleted because of a cancelled task.
-    pub fn is_deletion_urgent(&self, name: &str) -> bool {
+    pub fn is_deleted_for_cancellation(&self, name: &str) -> bool {
         let deletion = self.deletions.get(name);
         deletion.is_some_and(|d| d.reason == DeletionReason::Cancelled)
     }
@@ -203,7 +203,7 @@
 
     /// Records that the deletion in flight failed. `outcome_unknown` says whether this
     /// attempt may still be executed.
-    pub fn deletion_failed(&mut self, outcome_unknown: bool) {
+    pub fn fail_deletion(&mut self, outcome_unknown: bool) {
         for name in std::mem::take(&mut self.deletions_in_flight) {
             if let Some(deletion) = self.deletions.get_mut(&name) {
                 deletion.outcome_unknown |= outcome_unknown;
@@ -224,7 +224,7 @@
     }
 
     /// Records that the request in flight has ended, with or without a response.
-    pub fn call_finished(&mut self) {
+    pub fn finish_call(&mut self) {
         self.call_in_flight = false;
     }
 
--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -151,7 +151,7 @@
     /// Watches the queue of jobs.
     Watch,
     /// Writes a batch of the write queue.
-    WriteQueue,
+    WriteBatch,
     /// Reads a record that another writer may have changed.
     Reread {
         /// The key.
--- a/crates/controller/src/dependency_graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -68,8 +68,8 @@
         found
     }
 
-    /// Removes the edges to a job that is done. Returns the jobs that are no longer blocked.
-    pub fn job_done(&mut self, job: &str) -> Vec<Rc<str>> {
+    /// Removes the edges to a job that is done, as a dependency. Returns the jobs that are no longer blocked.
+    pub fn remove_dependency(&mut self, job: &str) -> Vec<Rc<str>> {
         let mut ready = Vec::new();
         for dependent in self.dependents.remove(job).unwrap_or_default() {
             if let Some(dependencies) = self.dependencies.get_mut(&dependent) {
@@ -83,8 +83,8 @@
         ready
     }
 
-    /// Removes the dependencies of a job that has ended.
-    pub fn remove_dependencies(&mut self, job: &str) {
+    /// Removes the edges from a job that has ended, as a dependent.
+    pub fn remove_dependent(&mut self, job: &str) {
         for dependency in self.dependencies.remove(job).unwrap_or_default() {
             if let Some(dependents) = self.dependents.get_mut(&dependency) {
                 dependents.remove(job);
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -63,7 +63,7 @@
     /// Handles the reply to the cloud call in flight.
     pub fn cloud_reply(&mut self, ctx: &mut Context, kind: CloudRequestKind, reply: CloudReply) {
         let now = ctx.now.monotonic;
-        self.autoscaler.cloud_queue.call_finished();
+        self.autoscaler.cloud_queue.finish_call();
         match (kind, reply) {
             (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
                 for name in self.autoscaler.cloud_queue.finish_deletion() {
@@ -100,14 +100,14 @@
         cloud_queue.pause(now);
         match kind {
             CloudRequestKind::ScaleOut => {
-                cloud_queue.scale_out_failed(now, is_uncertain(reply));
+                cloud_queue.fail_scale_out(now, is_uncertain(reply));
                 return;
             }
             CloudRequestKind::Types => {
                 cloud_queue.schedule_types(now + TYPES_RETRY_INTERVAL);
                 return;
             }
-            CloudRequestKind::Delete => cloud_queue.deletion_failed(is_uncertain(reply)),
+            CloudRequestKind::Delete => cloud_queue.fail_deletion(is_uncertain(reply)),
             CloudRequestKind::List => {}
         }
         let reason = FailureReason(reply);
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -177,7 +177,7 @@
             return false;
         };
         let cloud_queue = &self.autoscaler.cloud_queue;
-        if machine.being_deleted && cloud_queue.is_deletion_urgent(&machine.name) {
+        if machine.being_deleted && cloud_queue.is_deleted_for_cancellation(&machine.name) {
             return false;
         }
         let slot = machine.slots.get(&(job.clone(), task));
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -169,7 +169,7 @@
     /// Removes the dependencies of a job that has ended.
     pub(super) fn untrack_dependencies(&mut self, ctx: &Context, id: &Rc<str>) {
         let dependencies = self.dependencies.dependencies(id);
-        self.dependencies.graph.remove_dependencies(id);
+        self.dependencies.graph.remove_dependent(id);
         for dependency in dependencies {
             let open = self
                 .jobs
@@ -184,7 +184,7 @@
     /// Handles the completion of a dependency: jobs without any other dependency become
     /// ready.
     pub(super) fn dependency_done(&mut self, ctx: &Context, id: &Rc<str>) {
-        for ready in self.dependencies.graph.job_done(id) {
+        for ready in self.dependencies.graph.remove_dependency(id) {
             let Some(job) = self.jobs.get_mut(&ready) else {
                 continue;
             };
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -114,7 +114,8 @@
             && job.placed_count() == 0
         {
             job.ending = true;
-            self.writer.enqueue(PendingWrite::ClearJob(id.clone()));
+            self.writer
+                .enqueue(PendingWrite::DeleteJobRecords(id.clone()));
         }
     }
 
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -195,7 +195,7 @@
                 self.page_reply(ctx, &step, reply);
             }
             LeaderStep::Watch => self.queue_watch_reply(ctx, sent, reply),
-            LeaderStep::WriteQueue => self.write_reply(ctx, reply),
+            LeaderStep::WriteBatch => self.write_reply(ctx, reply),
             LeaderStep::Reread { key } => self.reread_reply(ctx, key, reply),
             LeaderStep::ReadTypesVersion => self.machine_types_reply(ctx, reply),
             LeaderStep::ReadEndedJob { id } => self.job_state_reply(ctx, id, reply),
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -156,7 +156,7 @@
     }
 
     fn send_transaction(&self, ctx: &mut Context, transaction: Transaction) {
-        let continuation = self.continuation(LeaderStep::WriteQueue);
+        let continuation = self.continuation(LeaderStep::WriteBatch);
         ctx.store_request(StoreRequest::Transaction(transaction), continuation);
     }
 
@@ -232,7 +232,7 @@
             PendingWrite::Tasks { job, range } => self.add_tasks(job, *range, batch),
             PendingWrite::JobDone(id) => self.add_job_done(id, batch),
             PendingWrite::JobCancelled(id) => self.add_job_cancelled(id, batch),
-            PendingWrite::ClearJob(id) => {
+            PendingWrite::DeleteJobRecords(id) => {
                 batch.delete(records::open_job_key(id));
                 batch.delete(records::cancelled_job_key(id));
                 true
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -315,7 +315,7 @@
                 self.job_done(ctx, id, record);
             }
             PendingWrite::JobCancelled(id) => self.dependent_cancelled(ctx, id),
-            PendingWrite::ClearJob(id) => self.forget_job(ctx, id),
+            PendingWrite::DeleteJobRecords(id) => self.forget_job(ctx, id),
             PendingWrite::MachineTypes => self.machine_types.record_written(revision),
             PendingWrite::Machine(_) | PendingWrite::DeleteKey(_) => {}
         }
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -38,7 +38,7 @@
     /// The cancellation of a job because a job that it depends on was cancelled.
     JobCancelled(Rc<str>),
     /// The deletion of the records of a cancelled job all of whose tasks are gone.
-    ClearJob(Rc<str>),
+    DeleteJobRecords(Rc<str>),
     /// The record of a machine.
     Machine(String),
     /// The deletion of a key that is no longer needed.
@@ -65,7 +65,7 @@
             }
             PendingWrite::JobDone(job) => write!(f, "write=job_done job={job}"),
             PendingWrite::JobCancelled(job) => write!(f, "write=job_cancelled job={job}"),
-            PendingWrite::ClearJob(job) => write!(f, "write=clear_job job={job}"),
+            PendingWrite::DeleteJobRecords(job) => write!(f, "write=delete_job_records job={job}"),
             PendingWrite::Machine(machine) => write!(f, "write=machine machine={machine}"),
             PendingWrite::DeleteKey(key) => write!(f, "write=delete_key key={key}"),
             PendingWrite::MachineTypes => write!(f, "write=machine_types"),
--- a/crates/controller/tests/dependency_graph.rs
+++ b/crates/controller/tests/dependency_graph.rs
@@ -21,10 +21,10 @@
 fn job_is_ready_when_its_last_dependency_is_done() {
     let mut g = graph(&[("b", "a"), ("c", "a"), ("d", "b"), ("d", "c"), ("d", "b")]);
     assert_eq!(sorted_ids(g.transitive_dependents("a")), "b c d");
-    assert_eq!(sorted_ids(g.job_done("a")), "b c");
-    assert_eq!(sorted_ids(g.job_done("b")), "");
+    assert_eq!(sorted_ids(g.remove_dependency("a")), "b c");
+    assert_eq!(sorted_ids(g.remove_dependency("b")), "");
     assert!(g.is_blocked("d") && !g.is_blocked("b"));
-    assert_eq!(sorted_ids(g.job_done("c")), "d");
+    assert_eq!(sorted_ids(g.remove_dependency("c")), "d");
     assert!(
         !g.is_blocked("d") && g.blocked_count() == 0 && g.jobs_with_dependents().next().is_none()
     );
@@ -33,11 +33,11 @@
 #[test]
 fn removed_dependent_is_not_released_by_its_dependencies() {
     let mut g = graph(&[("b", "a"), ("c", "a"), ("c", "b")]);
-    g.remove_dependencies("c");
+    g.remove_dependent("c");
     assert!(g.is_consistent());
     assert_eq!(sorted_ids(g.transitive_dependents("a")), "b");
     assert!(!g.has_dependents("b"));
-    assert_eq!(sorted_ids(g.job_done("a")), "b");
+    assert_eq!(sorted_ids(g.remove_dependency("a")), "b");
 }
 
 /// No submission can create a cycle, but a stored one must not hang a leader.
