--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -205,7 +205,7 @@
             id,
             call,
             timeout: CLOUD_TIMEOUT,
-            within: permit.within(self.now.monotonic),
+            within: permit.remaining_time(self.now.monotonic),
         });
     }
 
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -6,7 +6,7 @@
 use crate::continuations::LeaderStep;
 use crate::leader::{Leader, LeaderEvent};
 use crate::leadership_guard::DeletionReason;
-use crate::machines::{Machine, MachineEnd};
+use crate::machines::{Machine, MachineLossReason};
 use crate::sched::scale_out_plan::InstanceOffering;
 use crate::write_queue::PendingWrite;
 use crate::{Micros, SECOND, micros};
@@ -67,7 +67,7 @@
         match (kind, reply) {
             (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
                 for name in self.autoscaler.cloud_queue.finish_deletion() {
-                    self.remove_machine(ctx, &name, MachineEnd::Deleted);
+                    self.remove_machine(ctx, &name, MachineLossReason::Deleted);
                 }
             }
             (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
@@ -185,7 +185,7 @@
                 continue;
             }
             if listed.state == InstanceState::Failed {
-                self.remove_machine(ctx, &listed.name, MachineEnd::ListedAsFailed);
+                self.remove_machine(ctx, &listed.name, MachineLossReason::ListedAsFailed);
                 let name = Rc::from(listed.name);
                 let cloud_queue = &mut self.autoscaler.cloud_queue;
                 cloud_queue.delete(name, DeletionReason::Failed);
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -8,7 +8,7 @@
     PARTITION_GRACE_LEASES, SpareCapacity, heartbeat_missed_after,
 };
 use crate::leadership_guard::{CloudAction, DeletionReason};
-use crate::machines::{Machine, MachineEnd};
+use crate::machines::{Machine, MachineLossReason};
 use crate::sched::SlabIndex;
 use crate::write_queue::PendingWrite;
 use crate::{Config, Micros, SECOND, micros, records, seconds};
@@ -289,7 +289,7 @@
                 continue;
             }
             let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
-            let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
+            let is_idle = now.saturating_sub(machine.idle_since()) >= max_idle
                 && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
             // Machines that the headroom needs are kept: they would be requested again at
             // once.
@@ -327,7 +327,7 @@
     }
 
     /// Removes a machine that is proved to be gone, and returns its tasks to waiting.
-    pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
+    pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineLossReason) {
         self.autoscaler.record_removed(name, ctx.now.monotonic);
         let Some(mut machine) = self.machines.remove(name) else {
             return;
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -322,7 +322,7 @@
     [
         reachability.last_contact_at() + missed_after,
         reachability.last_heartbeat_at() + missed_after,
-        machine.health.blocked_until(),
+        machine.health.placement_paused_until(),
     ]
     .into_iter()
     .filter(|at| *at > now)
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -194,7 +194,9 @@
             return;
         };
         match reason {
-            ExitReason::InsufficientResources => m.health.block_until(now + NO_RESOURCES_PAUSE),
+            ExitReason::InsufficientResources => {
+                m.health.pause_placement_until(now + NO_RESOURCES_PAUSE)
+            }
             ExitReason::Error => {
                 m.health.record_job_failure(id);
                 let name = m.name.clone();
--- a/crates/controller/src/leadership_guard.rs
+++ b/crates/controller/src/leadership_guard.rs
@@ -104,7 +104,7 @@
     }
 
     /// The time from `now` within which the request must be written to its connection.
-    pub fn within(&self, now: Micros) -> Micros {
+    pub fn remaining_time(&self, now: Micros) -> Micros {
         self.valid_until.saturating_sub(now)
     }
 }
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -18,7 +18,9 @@
 pub use self::command_state::CommandState;
 pub use self::health::MachineHealth;
 pub use self::reachability::Reachability;
-pub use self::task_slot::{MachineEnd, TaskAttempt, TaskEvent, TaskKey, TaskLossReason, TaskSlot};
+pub use self::task_slot::{
+    MachineLossReason, TaskAttempt, TaskEvent, TaskKey, TaskLossReason, TaskSlot,
+};
 use crate::Micros;
 use crate::sched::{Images, Resources};
 use dillcleat_wire::worker::Heartbeat;
@@ -85,22 +87,15 @@
     pub health: MachineHealth,
     /// Whether a heartbeat has arrived under this term's fencing token.
     has_current_token: bool,
-    /// Whether the machine is known to have sent a heartbeat, to this or the previous leader.
     up: bool,
-    /// When the machine became known or, if that was earlier, began to boot.
     known_since: Micros,
-    /// Start of the time during which no task has been placed on the machine.
-    empty_since: Micros,
-    /// When the cloud will reclaim the spot instance, if it has announced that.
+    idle_since: Micros,
     interrupted_at: Option<Micros>,
-    /// The images that the machine's tasks used, the most recent last.
     images: Images,
     /// The position of the latest heartbeat that was applied.
     position: HeartbeatPosition,
     /// The exited attempts that the latest heartbeat lists.
     exited: Vec<TaskAttempt>,
-    /// The attempts that the latest heartbeat lists as not exited and that are not placed
-    /// on the machine.
     unplaced_attempts: Vec<TaskAttempt>,
 }
 
@@ -119,7 +114,7 @@
             recorded: false,
             being_deleted: false,
             known_since: now,
-            empty_since: now,
+            idle_since: now,
             interrupted_at: None,
             slots: BTreeMap::new(),
             images: Images::default(),
@@ -163,8 +158,8 @@
     }
 
     /// Start of the time during which no task has been placed on the machine.
-    pub fn empty_since(&self) -> Micros {
-        self.empty_since
+    pub fn idle_since(&self) -> Micros {
+        self.idle_since
     }
 
     /// When the cloud will reclaim the spot instance, if it has announced that.
@@ -184,7 +179,7 @@
 
     /// Restarts the idle time, so that it does not include the boot time.
     pub fn restart_idle_time(&mut self, now: Micros) {
-        self.empty_since = now;
+        self.idle_since = now;
     }
 
     /// The latest known incarnation of the worker agent.
@@ -208,7 +203,7 @@
     pub fn begin_term(&mut self, now: Micros) {
         self.reachability.set_last_contact(now);
         self.known_since = now;
-        self.empty_since = now;
+        self.idle_since = now;
         self.command_state.request();
     }
 
@@ -290,7 +285,7 @@
             && !self.being_deleted
             && self.interrupted_at.is_none()
             && self.unplaced_attempts.is_empty()
-            && now >= self.health.blocked_until()
+            && now >= self.health.placement_paused_until()
     }
 
     /// Records a newer periodic heartbeat. Returns whether the machine may have become
@@ -324,7 +319,7 @@
     }
 
     /// Frees all slots of a machine that is gone.
-    pub fn take_lost_tasks(&mut self, end: MachineEnd) -> Vec<TaskEvent> {
+    pub fn take_lost_tasks(&mut self, end: MachineLossReason) -> Vec<TaskEvent> {
         std::mem::take(&mut self.slots)
             .into_iter()
             .map(|(task, slot)| TaskEvent::Lost {
--- a/crates/controller/src/machines/command_state.rs
+++ b/crates/controller/src/machines/command_state.rs
@@ -19,7 +19,6 @@
     in_flight: Option<CommandsInFlight>,
     /// Whether the commands that the machine needs are to be computed and sent.
     requested: bool,
-    /// Whether a batch is to be sent even if it is empty, to probe the machine.
     probe_requested: bool,
     /// No batch is sent before this time.
     not_before: Micros,
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -25,12 +25,12 @@
     }
 
     /// The time before which the machine gets no new task.
-    pub fn blocked_until(&self) -> Micros {
+    pub fn placement_paused_until(&self) -> Micros {
         self.placement_paused_until
     }
 
     /// Excludes the machine from new placements until the time `until`.
-    pub fn block_until(&mut self, until: Micros) {
+    pub fn pause_placement_until(&mut self, until: Micros) {
         self.placement_paused_until = until;
     }
 
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -38,7 +38,7 @@
         let present = self.reconcile_listed_tasks(&heartbeat.tasks, now, &mut events);
         self.remove_absent_tasks(&present, source, &mut events);
         if !self.slots.is_empty() {
-            self.empty_since = now;
+            self.idle_since = now;
         }
         events
     }
--- a/crates/controller/src/machines/reachability.rs
+++ b/crates/controller/src/machines/reachability.rs
@@ -9,13 +9,10 @@
 /// The two directions are tracked separately since either may fail alone.
 #[derive(Debug)]
 pub struct Reachability {
-    /// Arrival of the latest heartbeat, periodic or in reply to commands.
     last_contact_at: Micros,
     /// Arrival of the latest periodic heartbeat. Only the replies to these renew the
     /// worker's lease, so a machine that only replies to commands will lose its tasks.
     last_heartbeat_at: Micros,
-    /// When commands first had no reply, if nothing has shown since then that messages
-    /// reach the machine.
     commands_unanswered_since: Option<Micros>,
 }
 
--- a/crates/controller/src/machines/task_slot.rs
+++ b/crates/controller/src/machines/task_slot.rs
@@ -149,7 +149,7 @@
     /// executed.
     AbsentFromHeartbeat,
     /// The machine is gone.
-    MachineGone(MachineEnd),
+    MachineGone(MachineLossReason),
 }
 
 impl fmt::Display for TaskLossReason {
@@ -162,20 +162,20 @@
     }
 }
 
-/// Why a machine is known to be gone; see [`TaskLossReason::MachineGone`].
+/// The proof that a machine is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MachineEnd {
+pub enum MachineLossReason {
     /// The cloud has confirmed the deletion of the machine.
     Deleted,
     /// The cloud lists the machine as failed.
     ListedAsFailed,
 }
 
-impl fmt::Display for MachineEnd {
+impl fmt::Display for MachineLossReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MachineEnd::Deleted => "machine-deleted",
-            MachineEnd::ListedAsFailed => "machine-listed-as-failed",
+            MachineLossReason::Deleted => "machine-deleted",
+            MachineLossReason::ListedAsFailed => "machine-listed-as-failed",
         })
     }
 }
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -39,7 +39,7 @@
             let is_permitted = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100 * MILLISECOND, action);
             let permit = permit.expect("the proof is recent");
-            let last = sent + 100 * MILLISECOND + permit.within(sent + 100 * MILLISECOND);
+            let last = sent + 100 * MILLISECOND + permit.remaining_time(sent + 100 * MILLISECOND);
             assert_eq!(last, sent + proof_validity(&config));
             // Even by a clock that runs 0.05% slow.
             assert!(
