--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -224,8 +224,8 @@
         self.determine_state(ctx, id, pending);
     }
 
-    /// Determines the state of a request's job and answers the request, by the cheapest sufficient means: the cache,
-    /// a verification of the cached state, or a read.
+    /// Determines the state of a request's job and answers the request, by the cheapest
+    /// sufficient means: the cache, a verification of the cached state, or a read.
     fn determine_state(&mut self, ctx: &mut Context, id: String, pending: PendingRequest) {
         match self.cache.get(&id) {
             Some(cached) if !cached.is_open() => {
--- a/crates/controller/src/admission/replies.rs
+++ b/crates/controller/src/admission/replies.rs
@@ -91,7 +91,8 @@
                 self.answer_with_state(ctx, id, Some(cached), pending);
             }
             // If the job is cached by now, it was stored after the read, and this node may
-            // have confirmed that to the user. The state is determined again instead of answering "no such job".
+            // have confirmed that to the user. The state is determined again instead of
+            // answering "no such job".
             Ok(StoreResponse::NotFound { .. }) if self.is_cached_without_state_record(id) => {
                 self.determine_state(ctx, id.to_string(), pending);
             }
@@ -117,7 +118,8 @@
         reply: Result<StoreResponse, CallError>,
     ) {
         // Without a response the outcome is unknown, since the transaction may still be
-        // executed. The same transaction is sent again: it either commits or finds the record of the first one.
+        // executed. The same transaction is sent again: it either commits or finds the record
+        // of the first one.
         if reply.is_err()
             && ctx.now.monotonic < received_at + RETRY_TIMEOUT
             && self.take_budget(
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -22,8 +22,8 @@
 struct PendingScaleOut {
     request: ScaleOut,
     requested_at: Micros,
-    /// Whether an earlier attempt may have been or may still be executed. The same request name must then
-    /// be repeated until there is a final response.
+    /// Whether an earlier attempt may have been or may still be executed. The same request
+    /// name must then be repeated until there is a final response.
     outcome_unknown: bool,
 }
 
@@ -233,10 +233,9 @@
         self.paused_until = now + FAILURE_BACKOFF;
     }
 
-    /// Takes the next request that may be sent now, if there is one. A deletion contains
-    /// at most `deletion_limit` machines, but at least 5 are allowed; failed machines may exceed
-    /// the limit. `permit` issues a permit for an action
-    /// that is allowed now.
+    /// Takes the next request that may be sent now, if there is one. A deletion contains at
+    /// most `deletion_limit` machines, but at least 5 are allowed; failed machines may exceed
+    /// the limit. `permit` issues a permit for an action that is allowed now.
     pub fn next(
         &mut self,
         now: Micros,
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -20,10 +20,10 @@
 pub struct DeadlineObjective {
     /// The class of jobs.
     pub class: String,
-    /// The fraction of the class's jobs, 0 to 1, that must end by the multiple
-    /// `max_multiple` of their deadline.
+    /// The fraction of the class's jobs, 0 to 1, that must end by a multiple of their
+    /// deadline.
     pub share: f64,
-    /// The multiple of the deadline. A job that ends later than that misses every
+    /// The greatest of these multiples. A job that ends later than that misses every
     /// objective.
     pub max_multiple: f64,
 }
@@ -137,10 +137,9 @@
     }
 
     /// How long the leader keeps answering heartbeats while a cancellation may not have taken
-    /// effect. Each
-    /// answer renews a worker's lease. A worker that gets no answers ends its tasks after
-    /// `worker_lease`, so answers must stop early enough for the tasks of a cancelled job to
-    /// end within `cancel_time_limit`.
+    /// effect. Each answer renews a worker's lease. A worker that gets no answers ends its
+    /// tasks after `worker_lease`, so answers must stop early enough for the tasks of a
+    /// cancelled job to end within `cancel_time_limit`.
     ///
     /// The limit applies to all machines, counted from the sending of the leader's last
     /// successful read of the cancellations, and to a machine that runs tasks of a cancelled
--- a/crates/controller/src/dependency_graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -68,7 +68,8 @@
         found
     }
 
-    /// Removes the edges to a job that is done, as a dependency. Returns the jobs that are no longer blocked.
+    /// Removes the edges to a job that is done, as a dependency. Returns the jobs that are no
+    /// longer blocked.
     pub fn remove_dependency(&mut self, job: &str) -> Vec<Rc<str>> {
         let mut ready = Vec::new();
         for dependent in self.dependents.remove(job).unwrap_or_default() {
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -46,9 +46,9 @@
 /// that is due earlier is not delayed. A lease may survive an outage of the store, so an early
 /// retry can still renew it.
 const RENEW_RETRY_DELAY: Micros = 400 * MILLISECOND;
-/// How long the store holds a watch without changes. This must be shorter than
-/// the time for which the store counts as reachable after a response
-/// (`node::reachability`), since an idle follower sends no other requests to it.
+/// How long the store holds a watch without changes. This must be shorter than the time for
+/// which the store counts as reachable after a response (`node::reachability`), since an idle
+/// follower sends no other requests to it.
 const WATCH_HOLD_MS: u64 = 1_000;
 /// How long a node that receives no worker heartbeats delays its candidacy while a peer
 /// receives them. Otherwise several nodes without contact to the workers could be elected
@@ -69,7 +69,7 @@
         term_version: u64,
     },
     /// This node no longer leads.
-    Deposed,
+    SteppedDown,
 }
 
 /// Whether a peer would be a better leader than this node, judged by which of them
@@ -123,7 +123,7 @@
     /// How long a leader that stepped down for lack of worker heartbeats does not stand
     /// for election again. This is long enough for a peer to be elected; if none is, a
     /// leader without heartbeats is better than none.
-    pub const ABSTENTION_TIME: Micros = 3 * SECOND;
+    pub const CANDIDACY_BACKOFF: Micros = 3 * SECOND;
 
     /// Creates the state of a node that has just started. It reads the shared keys at its
     /// first tick.
@@ -344,7 +344,7 @@
         self.candidacy_blocked_until = ctx.now.monotonic + backoff;
         self.schedule_read(ctx, READ_RETRY_DELAY);
         Self::revoke_lease(ctx, lease);
-        Some(LeadershipChange::Deposed)
+        Some(LeadershipChange::SteppedDown)
     }
 
     /// Steps down, or abandons the candidacy and reads the shared keys again, after a pause of
@@ -352,7 +352,11 @@
     /// elected meanwhile.
     pub fn handle_long_pause(&mut self, ctx: &mut Context) -> Option<LeadershipChange> {
         if self.leading().is_some() {
-            return self.step_down(ctx, "process was paused for longer than its lease", 0);
+            return self.step_down(
+                ctx,
+                "process was paused for at least the minimum lease duration",
+                0,
+            );
         }
         self.candidate_lease = None;
         self.schedule_read(ctx, 0);
--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -1,8 +1,8 @@
 //! Failure attribution: decides whether a task failure is caused by the job or the machine.
 //!
 //! A failure is attributed to a machine only if the same job runs on other machines, so that
-//! a faulty job does not cause healthy machines to be cordoned. It is attributed to a job only if no
-//! failure is attributed to the machine.
+//! a faulty job does not cause healthy machines to be cordoned. It is attributed to a job
+//! only if no failure is attributed to the machine.
 
 use crate::{Micros, SECOND};
 use std::collections::BTreeSet;
@@ -73,8 +73,8 @@
         Some(backoff)
     }
 
-    /// Records that a task of the job has succeeded, or a replica has served. Returns the machines to which its earlier
-    /// failures are attributed by that.
+    /// Records that a task of the job has succeeded, or a replica has served. Returns the
+    /// machines to which its earlier failures are attributed by that.
     pub fn record_success(&mut self) -> BTreeSet<Rc<str>> {
         self.has_succeeded = true;
         std::mem::take(&mut self.failed_on)
--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -1,9 +1,9 @@
 //! The estimates of run times and job sizes that earlier leaders have sent to this node.
 //!
-//! Virtual job sizes, run-time samples and mean run times (see
-//! [`JobEstimate`] and [`ClassRunTime`]) are kept only in the leader's memory. With each
-//! of its peer heartbeats, a leader replicates some of them, so that they survive a failover.
-//! They are hints: if one is lost, the new leader estimates it again.
+//! Virtual job sizes, run-time samples and mean run times (see [`JobEstimate`] and
+//! [`ClassRunTime`]) are kept only in the leader's memory. With each of its peer heartbeats,
+//! a leader replicates some of them, so that they survive a failover. They are hints: if one
+//! is lost, the new leader estimates it again.
 
 use crate::{Config, Micros, SECOND};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate};
@@ -120,9 +120,10 @@
         &self.classes
     }
 
-    /// Removes and returns the estimate of a job, with its credit as of the latest message. For
-    /// an ageing job, the sender subtracts the virtual time at which the ageing began; this adds
-    /// the latest virtual time and clears the flag. None if there is no estimate or it is invalid.
+    /// Removes and returns the estimate of a job, with its credit as of the latest message.
+    /// For an ageing job, the sender subtracts the virtual time at which the ageing began;
+    /// this adds the latest virtual time and clears the flag. None if there is no estimate or
+    /// it is invalid.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut estimate = self.jobs.remove(id)?;
         if std::mem::take(&mut estimate.is_ageing) {
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -198,8 +198,8 @@
         self.position.incarnation = self.position.incarnation.max(incarnation);
     }
 
-    /// Starts the heartbeat, age and idle times anew at the start of a term, and requests a command batch, which carries
-    /// the new fencing token to the machine.
+    /// Starts the heartbeat, age and idle times anew at the start of a term, and requests a
+    /// command batch, which carries the new fencing token to the machine.
     pub fn begin_term(&mut self, now: Micros) {
         self.reachability.set_last_contact(now);
         self.known_since = now;
@@ -220,8 +220,9 @@
         self.reachability.bound_last_contact(at);
     }
 
-    /// Places a task on the machine. `image_gb` is the size of its image. The worker caches the most recently used images;
-    /// `cache_gb` is the part of the cache that can be relied on.
+    /// Places a task on the machine. `image_gb` is the size of its image. The worker caches
+    /// the most recently used images; `cache_gb` is the part of the cache that can be relied
+    /// on.
     pub fn add_task(
         &mut self,
         task: TaskKey,
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -55,8 +55,8 @@
     }
 
     /// Frees the slots of earlier incarnations. Also called for the first heartbeat, whose
-    /// incarnation may be known from a stored placement. A restarted agent has killed all tasks of
-    /// earlier incarnations and rejects commands for them.
+    /// incarnation may be known from a stored placement. A restarted agent has killed all
+    /// tasks of earlier incarnations and rejects commands for them.
     fn begin_incarnation(&mut self, incarnation: u64, events: &mut Vec<TaskEvent>) {
         self.command_state.clear_unanswered_launches();
         let is_earlier = |_: &TaskKey, slot: &TaskSlot| slot.incarnation < incarnation;
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -140,8 +140,8 @@
         /// The final state.
         state: JobState,
     },
-    /// An attempt of one of the job's tasks failed; the job goes on. A new leader that receives the failure
-    /// again repeats the event for the same attempt.
+    /// An attempt of one of the job's tasks failed; the job goes on. A new leader that
+    /// receives the failure again repeats the event for the same attempt.
     TaskFailed {
         /// The id of the job.
         job: String,
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -99,8 +99,7 @@
     }
 
     /// Builds the open record of a job that is submitted now, without storing it.
-    /// `parallelism_limit` is the
-    /// maximum number of its tasks that run at once.
+    /// `parallelism_limit` is the maximum number of its tasks that run at once.
     pub fn build_open_record(
         &self,
         spec: JobSpec,
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -45,7 +45,7 @@
             Some(LeadershipChange::Elected { term, term_version }) => {
                 self.start_leading(now, out, term, term_version);
             }
-            Some(LeadershipChange::Deposed) => self.stop_leading(now),
+            Some(LeadershipChange::SteppedDown) => self.stop_leading(now),
             None => {}
         }
     }
--- a/crates/controller/src/node/reachability.rs
+++ b/crates/controller/src/node/reachability.rs
@@ -75,7 +75,7 @@
         self.election.step_down(
             &mut ctx,
             "no worker heartbeats received",
-            Election::ABSTENTION_TIME,
+            Election::CANDIDACY_BACKOFF,
         )
     }
 
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -210,8 +210,8 @@
 }
 
 /// The resources that the tasks of an open job count against the team's quota: a part of the
-/// open record. It can be decoded even if the rest of the record has a format that this version does not
-/// support.
+/// open record. It can be decoded even if the rest of the record has a format that this
+/// version does not support.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OpenJobResources {
     /// The team, and the resources of each task that count against its quota.
--- a/crates/controller/src/tuning.rs
+++ b/crates/controller/src/tuning.rs
@@ -31,7 +31,8 @@
     /// The idle time after which a machine is deleted (scale-in), in seconds.
     #[serde(rename = "idle_s")]
     pub idle_s: f64,
-    /// The assumed time to fetch an image, regardless of its size, in seconds, for planning scale-outs and start times.
+    /// The assumed time to fetch an image, regardless of its size, in seconds, for planning
+    /// scale-outs and start times.
     #[serde(rename = "fetch_s")]
     pub fetch_s: f64,
     /// How long a task may wait for resources that running tasks will release before a
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -49,8 +49,8 @@
 
 impl PendingWrite {
     /// Whether the write may be delayed: a machine's record is used only by a later leader,
-    /// and an unneeded key may remain for a while. Placements must not wait for
-    /// the many machine records that are written when a fleet boots.
+    /// and an unneeded key may remain for a while. Placements must not wait for the many
+    /// machine records that are written when a fleet boots.
     fn is_deferrable(&self) -> bool {
         matches!(self, PendingWrite::Machine(_) | PendingWrite::DeleteKey(_))
     }
