--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -109,16 +109,16 @@
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
                 LeaderEvent::TermEnded => {
-                    let deposed = self.election.step_down(
+                    let stepped_down = self.election.step_down(
                         &mut ctx,
                         "leader state can no longer be kept consistent with the store",
                         0,
                     );
-                    change = deposed.or(change);
+                    change = stepped_down.or(change);
                 }
                 LeaderEvent::HigherTerm(term) => {
-                    let deposed = self.election.observe_term(&mut ctx, term);
-                    change = deposed.or(change);
+                    let stepped_down = self.election.observe_term(&mut ctx, term);
+                    change = stepped_down.or(change);
                 }
             }
         }
