--- a/crates/controller/tests/answer_consistency.rs
+++ b/crates/controller/tests/answer_consistency.rs
@@ -112,7 +112,12 @@
             now,
             store: MemoryStore::default(),
             nodes: (0..3)
-                .map(|_| (SteppedNode::ready(config(cache_capacity), now), 0))
+                .map(|_| {
+                    (
+                        SteppedNode::with_machine_types(config(cache_capacity), now),
+                        0,
+                    )
+                })
                 .collect(),
             calls: Vec::new(),
             late_calls: Vec::new(),
@@ -273,9 +278,9 @@
         let described = self.store.rows.contains_key(&records::open_job_key(job));
         match self.store.recorded_state(job) {
             None if described => {
-                self.store.mark_done(job);
+                self.store.record_done(job);
             }
-            Some(RecordedState::Cancelled) => self.store.remove_cancelled(job),
+            Some(RecordedState::Cancelled) => self.store.delete_cancelled_records(job),
             _ => {}
         }
     }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -1,5 +1,6 @@
-//! A deterministic simulation of one controller with a store, a cloud and workers. Fails
-//! the test if a task starts while it runs on another worker.
+//! A deterministic simulation of one node with a store, a cloud and workers. Fails the test
+//! if a task is started while another attempt of it runs, or if the running tasks exceed a
+//! machine's CPUs or `max_running_tasks`.
 
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{
@@ -12,7 +13,7 @@
 use dillcleat_wire::cloud::{MachineType, ScaleOut};
 use dillcleat_wire::store::{
     KeyValue, LeaseId, Mutation, Precondition, RangePage, StoreRequest, StoreResponse, Transaction,
-    Value, WatchBatch, WatchEvent, encode_value,
+    Value, WatchBatch, WatchEvent,
 };
 use dillcleat_wire::user::{JobSpec, cancel_path};
 use dillcleat_wire::worker::{
@@ -23,12 +24,12 @@
 use std::collections::BTreeMap;
 
 pub const START: Micros = 1000 * SECOND;
-const STEP: Micros = 100 * MILLISECOND;
+const TICK_INTERVAL: Micros = 100 * MILLISECOND;
 
 #[derive(Debug, Default)]
 struct Store {
     rows: BTreeMap<String, KeyValue>,
-    /// Revision, key and event of every mutation.
+    /// Revision, key and watch event of every mutation.
     events: Vec<(u64, String, WatchEvent)>,
     revision: u64,
 }
@@ -93,13 +94,14 @@
     ends_at: Micros,
 }
 
+/// A machine and the worker process on it.
 #[derive(Debug)]
 pub struct Worker {
     pub name: String,
     zone: String,
     spot: bool,
     cpus: f64,
-    rented_at: Micros,
+    requested_at: Micros,
     up_at: Micros,
     pub incarnation: u64,
     sequence: u64,
@@ -107,17 +109,18 @@
     tasks: BTreeMap<(TaskName, u64), Task>,
     lease_renewed_at: Micros,
     next_heartbeat_at: Micros,
-    /// Its heartbeats are lost; commands reach it.
+    /// The worker's heartbeats are lost; commands reach it.
     pub heartbeats_lost: bool,
-    /// Commands to it and the answers to its heartbeats are lost.
+    /// Commands to the worker and the replies to its heartbeats are lost.
     pub inbound_lost: bool,
-    /// Only commands to it are lost.
+    /// Only commands to the worker are lost.
     pub commands_lost: bool,
-    /// Commands are executed, but their answers arrive after the timeout.
-    pub command_answers_late: bool,
-    /// It is suspended; when this is reset it continues with its previous state.
+    /// Commands are executed, but the replies arrive after the timeout.
+    pub command_replies_late: bool,
+    /// The worker is suspended. When this is reset it continues, unless its lease has expired
+    /// meanwhile: then it starts a new incarnation without tasks.
     pub hung: bool,
-    /// Commands that arrived while it was suspended.
+    /// Commands that arrived while the worker was suspended.
     queued_commands: Vec<CommandBatch>,
     /// Every task that starts here fails immediately.
     pub faulty: bool,
@@ -150,7 +153,7 @@
     }
 
     /// Adds a running task that no leader has placed.
-    pub fn add_unplaced_task(&mut self, task: &str) {
+    pub fn add_unexpected_task(&mut self, task: &str) {
         let task = task.parse().expect("a task's name");
         let running = Task {
             state: TaskState::Running,
@@ -182,24 +185,25 @@
     pub workers: BTreeMap<String, Worker>,
     pub starts: Vec<TaskStart>,
     pub deletions: Vec<(Micros, String)>,
-    /// Tasks that were running on machines when these were deleted.
+    /// Tasks that were running on a machine at its deletion.
     pub killed_tasks: Vec<String>,
     /// The test fails if more tasks than this run at once.
     pub max_running_tasks: usize,
-    /// Number of machines that can still be rented, by zone and whether they are spot
+    /// Number of machines that the cloud can still start, by zone and whether they are spot
     /// machines.
-    pub rentable: BTreeMap<(String, bool), u32>,
+    pub scale_out_capacity: BTreeMap<(String, bool), u32>,
     pub boot_time: Micros,
     /// Age of the state that the cloud lists.
     pub list_lag: Micros,
-    /// Delay of the answers to transactions with mutations and to scale-outs.
+    /// Delay of the replies to transactions with mutations.
     pub write_lag: Micros,
-    pub rent_lag: Micros,
-    /// Store and cloud refuse every call.
+    /// Delay of the replies to scale-outs.
+    pub scale_out_lag: Micros,
+    /// The store and the cloud refuse every call, and watches are not answered.
     pub outage: bool,
     /// Number of reads of single keys.
     pub single_key_reads: usize,
-    /// The cloud alone refuses every call.
+    /// The cloud refuses every call; the store does not.
     pub cloud_outage: bool,
     /// Run time of the tasks of a job, by job name; by default they do not end.
     pub task_durations: BTreeMap<String, Micros>,
@@ -209,7 +213,7 @@
     watches: Vec<(CallId, String, u64, Micros)>,
     /// Inputs that reach the node at a later time.
     delayed_inputs: Vec<(Micros, Input)>,
-    last_rented_number: u32,
+    scaled_out_count: u32,
     request_count: u64,
 }
 
@@ -229,11 +233,11 @@
             deletions: Vec::new(),
             killed_tasks: Vec::new(),
             max_running_tasks: usize::MAX,
-            rentable: BTreeMap::new(),
+            scale_out_capacity: BTreeMap::new(),
             boot_time: 5 * SECOND,
             list_lag: 4 * SECOND,
             write_lag: 0,
-            rent_lag: 0,
+            scale_out_lag: 0,
             outage: false,
             single_key_reads: 0,
             cloud_outage: false,
@@ -242,7 +246,7 @@
             store,
             watches: Vec::new(),
             delayed_inputs: Vec::new(),
-            last_rented_number: 0,
+            scaled_out_count: 0,
             request_count: 0,
         }
     }
@@ -259,7 +263,7 @@
             zone: zone.into(),
             spot,
             cpus: self.cpus(),
-            rented_at: now,
+            requested_at: now,
             up_at: now,
             incarnation: 1,
             sequence: 0,
@@ -270,7 +274,7 @@
             heartbeats_lost: false,
             inbound_lost: false,
             commands_lost: false,
-            command_answers_late: false,
+            command_replies_late: false,
             hung: false,
             queued_commands: Vec::new(),
             faulty: false,
@@ -282,7 +286,7 @@
         self.workers.get_mut(name).expect("a machine of this name")
     }
 
-    /// Stores the job as another node does that accepts it.
+    /// Stores an open job, as a node does that accepts a submission.
     pub fn submit(&mut self, spec: JobSpec) {
         let open = OpenJob {
             submitted_at_us: self.now,
@@ -295,7 +299,7 @@
         self.store.execute(&Transaction::default().put(key, &open));
     }
 
-    /// Cancels the job at the node and returns the status code of the answer.
+    /// Cancels the job at the node and returns the status code of its response.
     pub fn cancel(&mut self, id: &str) -> u16 {
         self.user_request("POST", cancel_path(id), Vec::new())
     }
@@ -311,12 +315,12 @@
     }
 
     /// Number of mutations of keys with this prefix since the start.
-    pub fn change_count(&self, prefix: &str) -> usize {
+    pub fn mutation_count(&self, prefix: &str) -> usize {
         let events = self.store.events.iter();
         events.filter(|(_, key, _)| key.starts_with(prefix)).count()
     }
 
-    /// Passes a request to the node and returns the last of the immediate answers.
+    /// Passes a request to the node. Returns the last response that the node gives at once.
     fn request(&mut self, method: &str, target: String, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
         self.request_count += 1;
         let input = Input::Request {
@@ -328,24 +332,13 @@
         self.handle(input).pop()
     }
 
-    /// Sends a user request to the node; returns the status code of the answer, or 0 if
-    /// there is no immediate answer.
+    /// Sends a user request to the node. Returns the status code of the response, or 0 if the
+    /// node does not respond at once.
     pub fn user_request(&mut self, method: &str, target: String, body: Vec<u8>) -> u16 {
         self.request(method, target, body).map_or(0, |a| a.0)
     }
 
-    /// Writes a record as another node would.
-    pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
-        let mutation = Mutation::Put {
-            key,
-            value: encode_value(record),
-            lease: None,
-        };
-        self.store.revision += 1;
-        self.store.apply(mutation);
-    }
-
-    /// Replaces the controller by a newly started one.
+    /// Replaces the node by a newly started one with empty memory, as after a failover.
     pub fn replace_leader(&mut self) {
         self.node = Node::new(self.config.clone());
         self.watches.clear();
@@ -377,7 +370,7 @@
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
-            self.now += STEP;
+            self.now += TICK_INTERVAL;
             self.run_workers();
             self.deliver_delayed_inputs();
             self.handle(Input::Tick);
@@ -458,22 +451,22 @@
             let Some((200, body)) = self.request("POST", HEARTBEAT_PATH.into(), body) else {
                 continue;
             };
-            let answer: HeartbeatReply = decode(&body).expect("an answer to a heartbeat");
+            let reply: HeartbeatReply = decode(&body).expect("a heartbeat reply");
             let w = self.worker(&name);
             if w.inbound_lost {
-                // The worker waits for an answer until its timeout, then pauses.
+                // The worker waits for a reply until its timeout, then pauses.
                 w.next_heartbeat_at = now + 5 * SECOND;
                 continue;
             }
-            if answer.fencing_token < w.fencing_token {
+            if reply.fencing_token < w.fencing_token {
                 continue;
             }
-            if answer.fencing_token > w.fencing_token {
-                w.fencing_token = answer.fencing_token;
+            if reply.fencing_token > w.fencing_token {
+                w.fencing_token = reply.fencing_token;
                 w.next_heartbeat_at = now + SECOND / 2;
             }
             w.lease_renewed_at = now;
-            self.execute_commands(&name, &answer.commands);
+            self.execute_commands(&name, &reply.commands);
         }
     }
 
@@ -536,7 +529,7 @@
         }
     }
 
-    /// Handles commands at a worker; returns status code and body of its answer.
+    /// Handles commands at a worker; returns status code and body of its reply.
     fn receive_commands(&mut self, name: &str, batch: &CommandBatch) -> (u16, Vec<u8>) {
         let now = self.now;
         let w = self.worker(name);
@@ -551,18 +544,19 @@
         (200, encode(&self.worker(name).heartbeat()))
     }
 
-    /// Passes an input to the node, answers its calls, and returns its answers to requests.
+    /// Passes an input to the node and executes its calls. Returns status code and body of the
+    /// node's responses to requests.
     fn handle(&mut self, input: Input) -> Vec<(u16, Vec<u8>)> {
         let now = Timestamp {
             monotonic: self.now,
             wall: self.now,
         };
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for output in self.node.handle(now, input) {
                 match output {
-                    Output::Answer { answer, .. } => answers.push((answer.status, answer.body)),
+                    Output::Answer { answer, .. } => responses.push((answer.status, answer.body)),
                     Output::Store { id, call, .. } => inputs.extend(self.store_call(id, &call)),
                     Output::Cloud { id, call, .. } => inputs.extend(self.cloud_call(id, call)),
                     Output::Commands {
@@ -587,22 +581,22 @@
                                 .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         }
-                        let answers_late = w.command_answers_late;
-                        let answer = self.receive_commands(&name, &commands);
-                        if answers_late {
+                        let replies_late = w.command_replies_late;
+                        let reply = self.receive_commands(&name, &commands);
+                        if replies_late {
                             let reply = Err(CallError::NoAnswer);
                             self.delayed_inputs
                                 .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         }
-                        let reply = Ok(answer);
+                        let reply = Ok(reply);
                         inputs.push(Input::Commands { id, reply });
                     }
                     _ => {}
                 }
             }
         }
-        answers
+        responses
     }
 
     fn store_call(&mut self, id: CallId, call: &StoreRequest) -> Option<Input> {
@@ -678,7 +672,7 @@
         let reply = match call {
             CloudRequest::Types => CloudResponse::Types(self.machine_types.clone()),
             CloudRequest::ScaleOut(request) => {
-                lag = self.rent_lag;
+                lag = self.scale_out_lag;
                 self.scale_out(&request)
             }
             CloudRequest::Delete(names) => {
@@ -707,7 +701,7 @@
 
     fn scale_out(&mut self, request: &ScaleOut) -> CloudResponse {
         let key = (request.zone.clone(), request.spot);
-        let left = self.rentable.entry(key).or_default();
+        let left = self.scale_out_capacity.entry(key).or_default();
         let count = request.count.min(*left);
         *left -= count;
         if count == 0 {
@@ -716,8 +710,8 @@
         let up = self.now + self.boot_time;
         let mut names = Vec::new();
         for _ in 0..count {
-            self.last_rented_number += 1;
-            let name = format!("r{:02}", self.last_rented_number);
+            self.scaled_out_count += 1;
+            let name = format!("r{:02}", self.scaled_out_count);
             let w = self.add_machine(&name, &request.zone, request.spot);
             (w.up_at, w.lease_renewed_at, w.next_heartbeat_at) = (up, up, up);
             names.push(name);
@@ -727,7 +721,7 @@
 
     fn list_machines(&self) -> CloudResponse {
         let as_of = self.now.saturating_sub(self.list_lag);
-        let listed = self.workers.values().filter(|w| w.rented_at <= as_of);
+        let listed = self.workers.values().filter(|w| w.requested_at <= as_of);
         let machines = listed
             .map(|w| ListedMachine {
                 name: w.name.clone(),
@@ -739,7 +733,7 @@
                     true => InstanceState::Running,
                     false => InstanceState::Booting,
                 },
-                age_s: (as_of - w.rented_at) as f64 / SECOND as f64,
+                age_s: (as_of - w.requested_at) as f64 / SECOND as f64,
             })
             .collect();
         CloudResponse::Listed(MachineList {
--- a/crates/controller/tests/common/leader_fixture.rs
+++ b/crates/controller/tests/common/leader_fixture.rs
@@ -1,7 +1,7 @@
 //! A leader with one machine that runs a task of a job, and an environment whose failures
 //! the test controls.
 
-use super::{Environment, config_with_team, machine_row, row, step_with};
+use super::{Environment, config_with_team, machine_row, row, step_in_environment};
 use dillcleat_controller::records::{self, CancelledJob, OpenJob, TaskChunk};
 use dillcleat_controller::{CallError, Config, Input, Micros, Node, RequestId, SECOND};
 use dillcleat_peer_protocol::Message;
@@ -15,8 +15,9 @@
 pub const START: Micros = 1000 * SECOND;
 pub const JOB_ID: &str = "req-000001";
 
-/// The duration as measured by a clock that runs 0.05% fast.
-pub fn on_fast_clock(duration: Micros) -> Micros {
+/// The longest time that the duration can take by another clock: clocks drift by at most
+/// 0.05%.
+pub fn with_max_clock_drift(duration: Micros) -> Micros {
     duration * 10_005 / 10_000
 }
 
@@ -39,8 +40,8 @@
     pub sequence: u64,
     /// The highest fencing token that the machine has received.
     pub fencing_token: u64,
-    /// Whether the machine still reports the task.
-    pub task_present: bool,
+    /// Whether the machine's heartbeats contain the task.
+    pub reports_task: bool,
     /// Whether the task has completed.
     pub task_completed: bool,
 }
@@ -82,7 +83,7 @@
             incarnation: 1,
             sequence: 0,
             fencing_token: 1,
-            task_present: true,
+            reports_task: true,
             task_completed: false,
         }
     }
@@ -96,7 +97,7 @@
 
     pub fn step(&mut self, at: Micros, input: Input) -> Vec<u16> {
         let now = START + at;
-        step_with(
+        step_in_environment(
             &mut self.node,
             now,
             input,
@@ -106,8 +107,8 @@
         .0
     }
 
-    /// Sends a heartbeat of the machine. Returns the commands of the answer, or `None` if
-    /// the answer does not renew the lease.
+    /// Sends a heartbeat of the machine. Returns the commands in the reply, or `None` if the
+    /// machine's lease is not renewed.
     pub fn send_heartbeat(&mut self, at: Micros) -> Option<Vec<Command>> {
         self.sequence += 1;
         let task = TaskStatus {
@@ -130,7 +131,7 @@
             sequence: self.sequence,
             fencing_token: self.fencing_token,
             interruption_notice_s: None,
-            tasks: self.task_present.then_some(task).into_iter().collect(),
+            tasks: self.reports_task.then_some(task).into_iter().collect(),
         };
         let input = Input::Request {
             id: RequestId(self.sequence),
@@ -141,9 +142,10 @@
         self.env.answer_bodies.clear();
         match self.step(at, input)[..] {
             [200] => {
-                let body = self.env.answer_bodies.pop().expect("an answer");
-                let answer: HeartbeatReply = dillcleat_wire::decode(&body).expect("an answer");
-                Some(answer.commands)
+                let body = self.env.answer_bodies.pop().expect("a body");
+                let reply: HeartbeatReply =
+                    dillcleat_wire::decode(&body).expect("a heartbeat reply");
+                Some(reply.commands)
             }
             [503 | 421] => None,
             ref other => panic!("unexpected {other:?}"),
@@ -162,14 +164,14 @@
         }
     }
 
-    /// Sends a heartbeat each second for 90 s and returns the time of the last one that
-    /// renewed the lease.
-    pub fn last_answered_heartbeat(&mut self, from: Micros) -> Micros {
-        let mut last = 0;
+    /// Sends a heartbeat each second for 90 s. Returns the time of the last one that renewed
+    /// the machine's lease.
+    pub fn run_and_return_last_renewal(&mut self, from: Micros) -> Micros {
+        let mut renewed_at = 0;
         for s in 0..90 {
             let at = from + s * SECOND;
             self.step(at, Input::Tick);
-            // The store renews the leader lease, and a sibling sends heartbeats.
+            // The tick renews the leader lease, and the sibling's heartbeat has no later term.
             let message = Message::Heartbeat {
                 term: 1,
                 is_leader: false,
@@ -180,10 +182,10 @@
             let from = "n1".to_string();
             self.step(at, Input::Peer { from, message });
             if self.send_heartbeat(at).is_some() {
-                last = at;
+                renewed_at = at;
             }
         }
-        last
+        renewed_at
     }
 
     pub fn put_event(row: KeyValue) -> WatchEvent {
@@ -195,7 +197,7 @@
     }
 }
 
-/// The answer to a listing that fits into one page.
+/// The reply to a listing that fits into one page.
 pub fn single_page(rows: &[KeyValue]) -> Result<StoreResponse, CallError> {
     Ok(StoreResponse::RangePage(RangePage {
         rows: rows.to_vec(),
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -55,11 +55,11 @@
 
 /// A node of a three-member cluster whose members are all in zone `a`.
 pub fn single_zone_node() -> Node {
-    let platform = PlatformSettings::parse(SETTINGS).expect("good settings");
+    let platform = PlatformSettings::parse(SETTINGS).expect("valid settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
-/// The configuration of `single_zone_node` with an additional team `t` that has no limits.
+/// The configuration of `single_zone_node` with one team, `t`, that has no quota.
 pub fn config_with_team() -> Config {
     let mut config = single_zone_node().config().clone();
     config.teams.push(Team {
@@ -102,30 +102,32 @@
 /// A node in zone `a` with one sibling each in zones `b` and `c`.
 pub fn three_zone_node() -> Node {
     let text = include_str!("../../../../deploy/example-node.toml");
-    let platform = PlatformSettings::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("valid settings");
     Node::new(Config::new(&platform, Tuning::default()))
 }
 
 /// Passes `input` to the node and answers every call except watches, so that the node is
 /// elected and stays leader. `machines` are the stored machine rows. Returns the status
-/// codes of the answers.
+/// codes of the node's responses.
 pub fn step(node: &mut Node, at: Micros, input: Input, machines: &[KeyValue]) -> Vec<u16> {
-    step_and_cloud_calls(node, at, input, machines).0
+    step_returning_cloud_calls(node, at, input, machines).0
 }
 
 /// Like `step`, and also returns the calls to the cloud, which has no capacity.
-pub fn step_and_cloud_calls(
+pub fn step_returning_cloud_calls(
     node: &mut Node,
     at: Micros,
     input: Input,
     machines: &[KeyValue],
 ) -> (Vec<u16>, Vec<CloudRequest>) {
-    step_with(node, at, input, machines, &mut Environment::default())
+    step_in_environment(node, at, input, machines, &mut Environment::default())
 }
 
 /// Determines how calls of a node are answered, and records them.
 pub struct Environment {
+    /// If false, store calls fail with `NoAnswer`, except watches and held calls.
     pub store_up: bool,
+    /// If false, cloud calls fail with `NotSent`.
     pub cloud_up: bool,
     /// The machine types that the cloud offers; every scale-out fails for lack of capacity.
     pub machine_types: Vec<MachineType>,
@@ -136,10 +138,10 @@
     /// Listings of this prefix are not answered but collected in `held_listings`.
     pub held_listing_prefix: Option<&'static str>,
     pub held_listings: Vec<CallId>,
-    /// The row that reads of its key return.
+    /// If set, reads of this row's key return the row.
     pub readable_row: Option<KeyValue>,
-    /// Transactions with a precondition on this key fail with a conflict, and reads of
-    /// single keys are refused. If unset, reads of single keys find nothing.
+    /// Transactions with a precondition on this key conflict. While it is set, reads of single
+    /// keys other than that of `readable_row` are refused; otherwise they find nothing.
     pub conflicting_key: Option<String>,
     /// A further key that such a conflict lists as failed.
     pub second_conflicting_key: Option<String>,
@@ -149,14 +151,14 @@
     /// Lease renewals are not answered but collected in `held_renewals`.
     pub hold_renewals: bool,
     pub held_renewals: Vec<CallId>,
-    /// Transactions with a precondition on this key get no answer.
+    /// Transactions with a precondition on this key fail with `NoAnswer`.
     pub unanswered_key: Option<&'static str>,
     /// Number of reads of single keys that were refused.
     pub refused_reads: usize,
     /// TTLs of the granted leases in order of their IDs, which start at 1.
     pub granted_ttls_ms: Vec<u64>,
     pub revoked_leases: Vec<LeaseId>,
-    /// The transactions received, except those held or refused.
+    /// The transactions received, without those held and those that fail because of `store_up`.
     pub transactions: Vec<Transaction>,
     pub answer_bodies: Vec<Vec<u8>>,
     /// The revision after which the latest watch of the queue starts.
@@ -194,9 +196,9 @@
     }
 }
 
-/// Like `step_and_cloud_calls`, with calls answered as `env` says. The returned calls to
+/// Like `step_returning_cloud_calls`, with calls answered as `env` says. The returned calls to
 /// the cloud include those that fail.
-pub fn step_with(
+pub fn step_in_environment(
     node: &mut Node,
     at: Micros,
     input: Input,
@@ -358,7 +360,7 @@
     }
 }
 
-/// The stored row of an ordinary machine of type `t`.
+/// The stored row of an on-demand machine of type `t`.
 pub fn machine_row(machine: &str, zone: &str) -> KeyValue {
     KeyValue {
         key: records::machine_key(machine),
@@ -373,7 +375,7 @@
     }
 }
 
-/// A heartbeat of a machine without tasks whose fencing token is term 1.
+/// A heartbeat with fencing token 1 of a machine that runs no tasks.
 pub fn heartbeat_request(machine: &str, zone: &str, sequence: u64) -> Input {
     let heartbeat = Heartbeat {
         machine: machine.into(),
--- a/crates/controller/tests/common/stepped_node.rs
+++ b/crates/controller/tests/common/stepped_node.rs
@@ -1,5 +1,5 @@
-//! A node and an in-memory store. The test decides when each store call is executed and
-//! when its answer arrives.
+//! A node and an in-memory store. The test decides when each store call about a job is
+//! executed and answered; listings are answered at once, other calls never.
 
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{
@@ -51,8 +51,8 @@
             return StoreResponse::Conflict { failed, revision };
         }
         self.revision += 1;
-        for change in &txn.then {
-            match change {
+        for mutation in &txn.then {
+            match mutation {
                 Mutation::Put { key, value, .. } => {
                     self.rows
                         .insert(key.clone(), (self.revision, value.clone()));
@@ -74,8 +74,8 @@
             .map(|record| record.state)
     }
 
-    /// Writes what a leader writes once the last task of a job is done.
-    pub fn mark_done(&mut self, id: &str) -> StoreResponse {
+    /// Executes the transaction by which a leader ends a job whose last task is done.
+    pub fn record_done(&mut self, id: &str) -> StoreResponse {
         let record = JobStateRecord {
             state: RecordedState::Done,
             task_count: 2,
@@ -87,8 +87,9 @@
         self.execute(&StoreRequest::Transaction(txn))
     }
 
-    /// Writes what a leader writes once no task of a cancelled job is left.
-    pub fn remove_cancelled(&mut self, id: &str) {
+    /// Executes the transaction by which a leader deletes the records of a cancelled job that
+    /// has no tasks left.
+    pub fn delete_cancelled_records(&mut self, id: &str) {
         let txn = Transaction::default()
             .delete(records::open_job_key(id))
             .delete(records::cancelled_job_key(id));
@@ -130,7 +131,7 @@
     }
 
     /// A node that has read the machine types.
-    pub fn ready(config: Config, now: Micros) -> SteppedNode {
+    pub fn with_machine_types(config: Config, now: Micros) -> SteppedNode {
         let mut node = SteppedNode::new(config, now);
         node.tick();
         node
@@ -222,14 +223,14 @@
         }
     }
 
-    /// Executes the oldest pending call, whose answer is lost.
-    pub fn execute_and_lose_answer(&mut self, store: &mut MemoryStore) {
+    /// Executes the oldest pending call and fails it with `NoAnswer`.
+    pub fn execute_and_lose_reply(&mut self, store: &mut MemoryStore) {
         let (id, call) = self.take_call();
         store.execute(&call);
         self.reply(id, Err(CallError::NoAnswer));
     }
 
-    /// Status and job state of the answer to a request, or `None` if there is none yet.
+    /// Status code and job state of the answer to a user request, or `None` if there is none yet.
     pub fn answer(&self, request: u64) -> Option<(u16, Option<JobState>)> {
         let mut answers = self.answers.iter().filter(|a| a.request == request);
         let answer = answers.next().map(|a| (a.status, a.state));
--- a/crates/controller/tests/deadline_propagation.rs
+++ b/crates/controller/tests/deadline_propagation.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Environment, config_with_team, machine_type, step_with};
+use common::{Environment, config_with_team, machine_type, step_in_environment};
 use dillcleat_controller::config::DeadlineObjective;
 use dillcleat_controller::records::{self, OpenJob};
 use dillcleat_controller::{Input, MILLISECOND, Micros, Node, SECOND};
@@ -59,7 +59,7 @@
     };
     let mut ticks = (0..6 * SECOND).step_by(100 * MILLISECOND as usize);
     ticks.any(|at| {
-        let (_, calls) = step_with(&mut node, START + at, Input::Tick, &[], &mut env);
+        let (_, calls) = step_in_environment(&mut node, START + at, Input::Tick, &[], &mut env);
         let is_ordinary =
             |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(request) if !request.spot);
         calls.iter().any(is_ordinary)
--- a/crates/controller/tests/ended_job_cleanup.rs
+++ b/crates/controller/tests/ended_job_cleanup.rs
@@ -72,9 +72,9 @@
     // Five changes per job: its description, placement and state record are written, and the
     // first two are deleted. A job that is cancelled before it is placed has a cancellation
     // record instead of a placement.
-    let job_changes = fleet.change_count("j/")
-        + fleet.change_count(records::QUEUE_PREFIX)
-        + fleet.change_count(records::TASKS_PREFIX);
+    let job_changes = fleet.mutation_count("j/")
+        + fleet.mutation_count(records::QUEUE_PREFIX)
+        + fleet.mutation_count(records::TASKS_PREFIX);
     let max_changes = 5 * JOB_COUNT;
     assert!(
         job_changes <= max_changes as usize,
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Environment, step_with};
+use common::{Environment, step_in_environment};
 use dillcleat_controller::records::{OpenJob, open_job_key};
 use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
 use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
@@ -55,7 +55,7 @@
     });
     let from = "n1".to_string();
     let message = Message::Estimates(received);
-    step_with(
+    step_in_environment(
         &mut node,
         START,
         Input::Peer { from, message },
@@ -63,7 +63,7 @@
         &mut env,
     );
     let at = START + delay;
-    step_with(&mut node, at, Input::Tick, &[], &mut env);
+    step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let at = at + SECOND * 9 / 10;
     let now = Timestamp {
--- a/crates/controller/tests/isolated_leader.rs
+++ b/crates/controller/tests/isolated_leader.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Environment, heartbeat_request, machine_row, step_with, three_zone_node};
+use common::{Environment, heartbeat_request, machine_row, step_in_environment, three_zone_node};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, Node, SECOND};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
@@ -47,7 +47,7 @@
 
     fn step(&mut self, input: Input) {
         let now = START + self.at;
-        let (_, calls) = step_with(
+        let (_, calls) = step_in_environment(
             &mut self.node,
             now,
             input,
--- a/crates/controller/tests/job_starvation.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -95,7 +95,7 @@
     let mut config = config_with_reserve();
     config.tuning.spare_share = 1.0;
     let mut fleet = Fleet::new(config, vec![spot_machine_type(5.0)]);
-    fleet.rentable.insert(("a".into(), false), 9);
+    fleet.scale_out_capacity.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
     fleet.submit(batch("req-000001", 9));
@@ -169,7 +169,7 @@
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
     fleet
         .add_machine("m0", "a", false)
-        .add_unplaced_task("req-000009/0");
+        .add_unexpected_task("req-000009/0");
     fleet.submit(batch("req-000001", 1));
     fleet.advance(5 * SECOND);
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
@@ -180,7 +180,7 @@
 #[test]
 fn machine_being_returned_does_not_starve_a_job() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
-    fleet.rentable.insert(("a".into(), false), 9);
+    fleet.scale_out_capacity.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
     fleet.advance(50 * SECOND);
     fleet.cloud_outage = true;
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -3,8 +3,12 @@
 
 mod common;
 
-use common::leader_fixture::{JOB_ID, LeaderFixture, START, cancellation_row, on_fast_clock};
-use common::{heartbeat_request, machine_row, machine_type, machine_types_row, row, step_with};
+use common::leader_fixture::{
+    JOB_ID, LeaderFixture, START, cancellation_row, with_max_clock_drift,
+};
+use common::{
+    heartbeat_request, machine_row, machine_type, machine_types_row, row, step_in_environment,
+};
 use dillcleat_controller::records::{
     self, JobStateRecord, LeaderRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
     TermRecord,
@@ -142,7 +146,7 @@
     terms.dedup();
     assert!(terms.len() > 10, "{terms:?}");
     assert!(renewed_at > 10 * SECOND);
-    let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
+    let ends = with_max_clock_drift(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
         ends < fixture.config.cancel_deadline,
         "lease renewed at {renewed_at}"
@@ -159,7 +163,7 @@
         if is_cancelled {
             fixture.env.queue_rows.insert(0, cancellation_row(START));
         }
-        (fixture.incarnation, fixture.task_present) = (2, false);
+        (fixture.incarnation, fixture.reports_task) = (2, false);
         for t in 0..30 {
             fixture.step(t * 100 * MILLISECOND, Input::Tick);
             if t % 10 == 5 {
@@ -188,7 +192,7 @@
         let at = t * 100 * MILLISECOND;
         fixture.env.cloud_up = !(10..450).contains(&t);
         let now = START + at;
-        let (_, calls) = step_with(
+        let (_, calls) = step_in_environment(
             &mut fixture.node,
             now,
             Input::Tick,
@@ -225,11 +229,11 @@
     fixture.env.task_rows = vec![row(task_chunk_key(), &chunk)];
     fixture.env.queue_rows.insert(0, cancellation_row(START));
     fixture.step(0, Input::Tick);
-    (fixture.incarnation, fixture.task_present) = (2, false);
+    (fixture.incarnation, fixture.reports_task) = (2, false);
     assert_eq!(fixture.send_heartbeat(SECOND), Some(vec![]));
     fixture.step(2 * SECOND, Input::Tick);
     assert!(!deletes_key(&fixture, &records::cancelled_job_key(JOB_ID)));
-    (fixture.incarnation, fixture.task_present) = (3, true);
+    (fixture.incarnation, fixture.reports_task) = (3, true);
     assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
@@ -248,7 +252,7 @@
         (
             fixture.sequence,
             fixture.fencing_token,
-            fixture.task_present,
+            fixture.reports_task,
         ) = (3, token, false);
         assert_eq!(fixture.send_heartbeat(2 * SECOND), Some(vec![]));
         fixture.step(2 * SECOND, Input::Tick);
@@ -399,7 +403,7 @@
             renewed_at = s * SECOND;
         }
     }
-    let ends = on_fast_clock(renewed_at + fixture.config.worker_lease - cancelled_at);
+    let ends = with_max_clock_drift(renewed_at + fixture.config.worker_lease - cancelled_at);
     assert!(
         renewed_at > 20 * SECOND && ends < fixture.config.cancel_deadline,
         "{renewed_at}"
@@ -410,7 +414,7 @@
 #[test]
 fn launches_require_a_recent_read() {
     let mut fixture = LeaderFixture::elected();
-    fixture.task_present = false;
+    fixture.reports_task = false;
     let is_launch = |commands: Option<Vec<Command>>| match commands.as_deref() {
         Some([Command::Launch { .. }]) => true,
         Some([]) => false,
@@ -464,7 +468,7 @@
     fixture.send_heartbeat(SECOND / 2);
     fixture.step(SECOND, Input::Tick);
     assert!(is_single_stop(fixture.send_heartbeat(SECOND)));
-    fixture.task_present = false;
+    fixture.reports_task = false;
     fixture.send_heartbeat(3 * SECOND / 2);
     fixture.step(2 * SECOND, Input::Tick);
     assert!(!deletes_key(&fixture, &records::open_job_key(JOB_ID)));
@@ -634,7 +638,7 @@
 #[test]
 fn duplicate_of_latest_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
-    fixture.task_present = false;
+    fixture.reports_task = false;
     let commands = fixture.send_heartbeat(SECOND).expect("an answer");
     assert!(matches!(&commands[..], [Command::Launch { .. }]));
     fixture.sequence -= 1;
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -10,7 +10,7 @@
 
 fn config(lead_ttl_s: f64) -> Config {
     let text = include_str!("../../../deploy/example-node.toml");
-    let platform = PlatformSettings::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("valid settings");
     let tuning = Tuning {
         lead_ttl_s,
         ..Tuning::default()
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -16,7 +16,7 @@
 const CANCELLED: (u16, Option<JobState>) = (200, Some(JobState::Cancelled));
 
 fn node() -> SteppedNode {
-    SteppedNode::ready(common::config_with_team(), START)
+    SteppedNode::with_machine_types(common::config_with_team(), START)
 }
 
 /// Sends a request to another node and returns its answer.
@@ -33,7 +33,7 @@
 fn leave_open(_: &mut MemoryStore) {}
 
 fn finish(store: &mut MemoryStore) {
-    store.mark_done(JOB);
+    store.record_done(JOB);
 }
 
 fn cancel(store: &mut MemoryStore) {
@@ -42,7 +42,7 @@
 
 fn cancel_and_delete(store: &mut MemoryStore) {
     cancel(store);
-    store.remove_cancelled(JOB);
+    store.delete_cancelled_records(JOB);
 }
 
 type Change = fn(&mut MemoryStore);
@@ -60,7 +60,7 @@
     for (change, expected) in CHANGES {
         let (mut node, mut store) = (node(), MemoryStore::default());
         let submission = node.submit(&job_spec(JOB));
-        node.execute_and_lose_answer(&mut store);
+        node.execute_and_lose_reply(&mut store);
         assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
         change(&mut store);
         let rows = store.rows.clone();
@@ -82,7 +82,7 @@
     node.tick();
     let (second, call) = node.take_call();
     let second_reply = store.execute(&call);
-    store.mark_done(JOB);
+    store.record_done(JOB);
     let poll = node.poll(JOB);
     node.execute_all(&mut store);
     assert_eq!(node.answer(poll), Some(DONE));
@@ -106,15 +106,15 @@
         if !cached {
             node.execute_next(&mut store);
         }
-        node.execute_and_lose_answer(&mut store);
+        node.execute_and_lose_reply(&mut store);
         assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), CANCELLED);
         // The job can no longer become done.
         assert!(matches!(
-            store.mark_done(JOB),
+            store.record_done(JOB),
             StoreResponse::Conflict { .. }
         ));
         if delete {
-            store.remove_cancelled(JOB);
+            store.delete_cancelled_records(JOB);
         }
         let rows = store.rows.clone();
         node.execute_all(&mut store);
@@ -126,8 +126,8 @@
     ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
     let cancellation = node.cancel(JOB);
     node.execute_next(&mut store);
-    store.mark_done(JOB);
-    node.execute_and_lose_answer(&mut store);
+    store.record_done(JOB);
+    node.execute_and_lose_reply(&mut store);
     assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), DONE);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
@@ -197,7 +197,7 @@
     ask_other_node(&mut open, |n| n.submit(&job_spec(JOB)));
     let mut done = MemoryStore::default();
     ask_other_node(&mut done, |n| n.submit(&job_spec(JOB)));
-    done.mark_done(JOB);
+    done.record_done(JOB);
     let stores = [unknown, open, done];
     let faults = [
         Err(CallError::NoAnswer),
@@ -207,7 +207,7 @@
     for case in 0..180 {
         let (send, fault) = (requests[case % 5], &faults[case / 5 % 3]);
         let (store_index, failing_call) = (case / 15 % 3, case / 45);
-        let mut node = SteppedNode::ready(config.clone(), START);
+        let mut node = SteppedNode::with_machine_types(config.clone(), START);
         for round in 0..260 {
             let id = format!("req-1{round}");
             let mut store = MemoryStore::default();
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Environment, config_with_team, machine_row, row, step_with};
+use common::{Environment, config_with_team, machine_row, row, step_in_environment};
 use dillcleat_controller::records::{self, OpenJob, TaskChunk};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
@@ -65,7 +65,7 @@
                     ..
                 } => {
                     let reply = Ok(StoreResponse::LeaseRenewedOrRevoked);
-                    step_with(node, *at, Input::Store { id, reply }, &[], env);
+                    step_in_environment(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
             }
@@ -94,7 +94,7 @@
         task_rows: vec![row(tasks, &chunk)],
         ..Environment::default()
     };
-    step_with(
+    step_in_environment(
         &mut node,
         START,
         Input::Tick,
@@ -138,7 +138,7 @@
         target: HEARTBEAT_PATH.into(),
         body: encode(&heartbeat),
     };
-    step_with(node, at, input, &[], env);
+    step_in_environment(node, at, input, &[], env);
 }
 
 /// A controller that starts later has missed all changes, and the counts of a running
@@ -174,7 +174,7 @@
     let previous = vec![counts(JOB, 0, 3), counts("req-2", 1, 1)];
     receive(&mut node, START, "n1", Message::JobProgress(previous));
     let (mut at, mut env) = (START, Environment::default());
-    step_with(&mut node, at, Input::Tick, &[], &mut env);
+    step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
     // Possibly outdated counts are not sent to a peer that becomes reachable, either.
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -146,7 +146,7 @@
 fn nodes() -> [(bool, SteppedNode); 2] {
     [
         (false, SteppedNode::new(config(), START)),
-        (true, SteppedNode::ready(config(), START)),
+        (true, SteppedNode::with_machine_types(config(), START)),
     ]
 }
 
@@ -230,12 +230,12 @@
     for (case, body) in &all {
         for state in states {
             let mut store = MemoryStore::default();
-            let mut other = SteppedNode::ready(config(), START);
+            let mut other = SteppedNode::with_machine_types(config(), START);
             other.submit(&job_spec(JOB));
             other.execute_all(&mut store);
             match state {
                 JobState::Done => {
-                    store.mark_done(JOB);
+                    store.record_done(JOB);
                 }
                 JobState::Cancelled => {
                     other.cancel(JOB);
@@ -255,7 +255,7 @@
 #[test]
 fn cancellation_of_an_unknown_job_gets_404_and_of_a_done_job_its_state() {
     let mut store = MemoryStore::default();
-    let mut node = SteppedNode::ready(config(), START);
+    let mut node = SteppedNode::with_machine_types(config(), START);
     let mut cancel = |store: &mut MemoryStore, id: &str| {
         let request = node.cancel(id);
         node.execute_all(store);
@@ -266,10 +266,10 @@
         assert_eq!(cancel(&mut store, id), Some((404, None)), "{id}");
     }
     assert!(store.rows.is_empty());
-    let mut other = SteppedNode::ready(config(), START);
+    let mut other = SteppedNode::with_machine_types(config(), START);
     other.submit(&job_spec(JOB));
     other.execute_all(&mut store);
-    store.mark_done(JOB);
+    store.record_done(JOB);
     for _ in 0..2 {
         assert_eq!(cancel(&mut store, JOB), Some((200, Some(JobState::Done))));
     }
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -106,7 +106,7 @@
 /// A submission that is rejected because the write budget is used up takes no call.
 #[test]
 fn rejected_submissions_leave_their_calls_to_polls() {
-    let mut node = SteppedNode::ready(common::config_with_team(), 1000 * SECOND);
+    let mut node = SteppedNode::with_machine_types(common::config_with_team(), 1000 * SECOND);
     for i in 0..REQUESTS {
         node.submit(&job_spec(&format!("req-{i}")));
     }
--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -11,12 +11,12 @@
 /// Two jobs are submitted while there are no machines. Machines boot in a second, but
 /// replies to writes and scale-outs take seconds, and the cloud's list lags. The leader
 /// changes after `failover`. The workers check that no task starts twice.
-fn run_with_failover(failover: Micros, rent_lag: Micros, list_lag: Micros) {
+fn run_with_failover(failover: Micros, scale_out_lag: Micros, list_lag: Micros) {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
-    fleet.rentable.insert(("a".into(), false), 99);
+    fleet.scale_out_capacity.insert(("a".into(), false), 99);
     (fleet.boot_time, fleet.write_lag) = (SECOND, 2 * SECOND);
-    (fleet.rent_lag, fleet.list_lag) = (rent_lag, list_lag);
-    let case = format!("failover {failover}, scale-out lag {rent_lag}, list lag {list_lag}");
+    (fleet.scale_out_lag, fleet.list_lag) = (scale_out_lag, list_lag);
+    let case = format!("failover {failover}, scale-out lag {scale_out_lag}, list lag {list_lag}");
     fleet.advance(3 * SECOND);
     for (id, tasks) in [("req-000001", 9), ("req-000002", 5)] {
         let spec = JobSpec::plain(id, JobKind::Batch, tasks, 1.0);
@@ -70,7 +70,7 @@
 /// and replaces it after each `term`.
 fn fleet_after_failovers(boot: Micros, term: Micros, terms: u32) -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
-    fleet.rentable.insert(("a".into(), false), 1);
+    fleet.scale_out_capacity.insert(("a".into(), false), 1);
     fleet.boot_time = boot;
     let spec = JobSpec::plain("req-000001", JobKind::Batch, 1, 1.0);
     fleet.submit(JobSpec {
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -21,7 +21,7 @@
 const CANCELLED: Answered = Some((200, Some(JobState::Cancelled)));
 
 fn node() -> SteppedNode {
-    SteppedNode::ready(common::config_with_team(), START)
+    SteppedNode::with_machine_types(common::config_with_team(), START)
 }
 
 /// A store with the job accepted.
@@ -82,7 +82,7 @@
         let (early_id, call) = node.take_call();
         let absent = store.execute(&call);
         store = store_with_job();
-        store.mark_done(JOB);
+        store.record_done(JOB);
         let second = send(&mut node);
         node.execute_next(&mut store);
         node.execute_next(&mut store);
@@ -141,7 +141,7 @@
     node.execute_all(&mut store);
     let poll = node.poll(JOB);
     let (late_id, _) = node.take_call();
-    store.mark_done(JOB);
+    store.record_done(JOB);
     let cancellation = node.cancel(JOB);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
@@ -164,7 +164,7 @@
     let first = node.poll(JOB);
     let (early_id, call) = node.take_call();
     let equal = store.execute(&call);
-    store.mark_done(JOB);
+    store.record_done(JOB);
     for send in [|n: &mut SteppedNode| n.poll(JOB), malformed_submission] {
         let later = send(&mut node);
         assert_eq!((node.answer(later), node.pending_calls.len()), (None, 0));
@@ -208,9 +208,9 @@
         nodes[2].execute_next(&mut store);
         let cancellation = nodes[0].cancel(JOB);
         let (id, call) = nodes[0].take_call();
-        let end = done_first.then(|| store.mark_done(JOB));
+        let end = done_first.then(|| store.record_done(JOB));
         let reply = store.execute(&call);
-        let end = end.unwrap_or_else(|| store.mark_done(JOB));
+        let end = end.unwrap_or_else(|| store.record_done(JOB));
         assert_eq!(matches!(end, StoreResponse::Committed { .. }), done_first);
         // The other nodes answer before the transaction's reply reaches the first.
         let requests: [SendRequest; 4] = [
@@ -251,9 +251,9 @@
                 other.execute_all(&mut store);
                 // The description is read, and deleted before the comparison.
                 node.execute_next(&mut store);
-                store.remove_cancelled(JOB);
+                store.delete_cancelled_records(JOB);
             } else {
-                store.mark_done(JOB);
+                store.record_done(JOB);
             }
             node.execute_all(&mut store);
             assert_eq!(node.answer(request), expected);
@@ -267,10 +267,10 @@
 fn job_evicted_during_a_comparison_is_read_again() {
     let mut config = common::config_with_team();
     (config.store_rps, config.store_write_rps) = (1e6, 1e6);
-    let mut other = SteppedNode::ready(config.clone(), START);
+    let mut other = SteppedNode::with_machine_types(config.clone(), START);
     // The cache takes an eighth of the memory: five jobs of 200 bytes.
     config.memory_mb = 0.008;
-    let mut node = SteppedNode::ready(config, START);
+    let mut node = SteppedNode::with_machine_types(config, START);
     let mut store = MemoryStore::default();
     for id in ["req-1", "req-2", "req-3", "req-4", "req-5", "req-6"] {
         other.submit(&job_spec(id));
@@ -294,7 +294,7 @@
     assert_eq!(txn.compare.len(), 2);
     node.poll("req-6");
     node.execute_all(&mut store);
-    store.mark_done("req-2");
+    store.record_done("req-2");
     node.reply(id, Ok(store.execute(&call)));
     node.execute_all(&mut store);
     assert_eq!((node.answer(evicted), node.answer(ended)), (QUEUED, DONE));
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::leader_fixture::{
-    JOB_ID, LeaderFixture, START, cancellation_row, on_fast_clock, single_page,
+    JOB_ID, LeaderFixture, START, cancellation_row, single_page, with_max_clock_drift,
 };
-use common::{config_with_team, row, step_with};
+use common::{config_with_team, row, step_in_environment};
 use dillcleat_controller::{CallError, Input, MILLISECOND, Micros, RequestId, SECOND, records};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::cloud::CloudRequest;
@@ -21,7 +21,7 @@
 fn assert_deadline_met(fixture: &LeaderFixture, read_at: Micros, renewed_at: Micros) {
     let (lease, deadline) = (fixture.config.worker_lease, fixture.config.cancel_deadline);
     assert!(
-        on_fast_clock(renewed_at + lease - read_at) < deadline,
+        with_max_clock_drift(renewed_at + lease - read_at) < deadline,
         "read at {read_at}, lease renewed at {renewed_at}"
     );
     assert!(
@@ -36,7 +36,7 @@
     // The watch is answered after 9 s without events.
     fixture.answer_watches(9 * SECOND, Vec::new());
     // The resumed watch is not answered.
-    let last = fixture.last_answered_heartbeat(9 * SECOND);
+    let last = fixture.run_and_return_last_renewal(9 * SECOND);
     assert_deadline_met(&fixture, 9 * SECOND, last);
     let mut fixture = LeaderFixture::elected();
     for s in 1..9 {
@@ -46,7 +46,7 @@
     fixture.answer_watches(9 * SECOND, Vec::new());
     fixture.env.store_up = true;
     let delayed = std::mem::take(&mut fixture.env.open_watches);
-    let last = fixture.last_answered_heartbeat(10 * SECOND);
+    let last = fixture.run_and_return_last_renewal(10 * SECOND);
     assert_deadline_met(&fixture, 9 * SECOND, last);
     // The watch that was requested at 9 s is answered at 100 s.
     fixture.env.open_watches = delayed;
@@ -98,7 +98,7 @@
         "the job is not cancelled"
     );
     // A listing also counts from the time of its request.
-    let last = fixture.last_answered_heartbeat(5 * SECOND);
+    let last = fixture.run_and_return_last_renewal(5 * SECOND);
     assert_deadline_met(&fixture, 3 * SECOND, last);
 }
 
@@ -114,7 +114,7 @@
     let reply = single_page(&fixture.env.task_rows);
     fixture.step(9 * SECOND, Input::Store { id: listing, reply });
     assert!(fixture.node.fence().is_some(), "recovery is complete");
-    let last = fixture.last_answered_heartbeat(10 * SECOND);
+    let last = fixture.run_and_return_last_renewal(10 * SECOND);
     assert_deadline_met(&fixture, 0, last);
 }
 
@@ -134,8 +134,9 @@
             renews,
             "{cancelled_before}"
         );
-        let last = fixture.last_answered_heartbeat(2 * SECOND);
-        let lease_ends = on_fast_clock(last + fixture.config.worker_lease + cancelled_before);
+        let last = fixture.run_and_return_last_renewal(2 * SECOND);
+        let lease_ends =
+            with_max_clock_drift(last + fixture.config.worker_lease + cancelled_before);
         assert!(lease_ends < fixture.config.cancel_deadline, "{last}");
     }
 }
@@ -208,7 +209,7 @@
         }
     }
     assert_deadline_met(&fixture, cancelled_at, renewed_at);
-    fixture.task_present = false;
+    fixture.reports_task = false;
     assert!(
         fixture.send_heartbeat(60 * SECOND).is_some(),
         "no cancelled task is left"
@@ -238,7 +239,7 @@
         let from = "n1".to_string();
         fixture.step(at, Input::Peer { from, message });
         let now = START + at;
-        let (_, calls) = step_with(
+        let (_, calls) = step_in_environment(
             &mut fixture.node,
             now,
             Input::Tick,
@@ -406,7 +407,7 @@
         let at = t * 100 * MILLISECOND;
         let now = START + at;
         let tick = Input::Tick;
-        let (_, calls) = step_with(
+        let (_, calls) = step_in_environment(
             &mut fixture.node,
             now,
             tick,
@@ -443,7 +444,7 @@
         let at = t * 100 * MILLISECOND;
         let now = START + at;
         let tick = Input::Tick;
-        let (_, calls) = step_with(
+        let (_, calls) = step_in_environment(
             &mut fixture.node,
             now,
             tick,
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -219,7 +219,7 @@
         4,
         "no task there is preempted"
     );
-    fleet.rentable.insert(("a".into(), false), 2);
+    fleet.scale_out_capacity.insert(("a".into(), false), 2);
     // Its lease expires meanwhile, which ends its tasks.
     fleet.advance(30 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001", "req-000002"]), 5);
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Environment, config_with_team, machine_row, machine_type, row, step_with};
+use common::{Environment, config_with_team, machine_row, machine_type, row, step_in_environment};
 use dillcleat_controller::records::{
     self, CancelledJob, JobStateRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
 };
@@ -88,7 +88,7 @@
 
     fn step(&mut self, at: Micros, input: Input) -> Vec<u16> {
         let now = START + at;
-        step_with(
+        step_in_environment(
             &mut self.node,
             now,
             input,
--- a/crates/controller/tests/unresponsive_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{heartbeat_request, machine_row, step_and_cloud_calls};
+use common::{heartbeat_request, machine_row, step_returning_cloud_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::{Message, UnresponsiveZone};
 use dillcleat_wire::cloud::CloudRequest;
@@ -29,12 +29,12 @@
             unresponsive_ms,
         }]);
         let from = "n1".into();
-        step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
+        step_returning_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
     }
     let mut deleted = Vec::new();
     for at in (0..20 * SECOND).step_by(100 * MILLISECOND as usize) {
         let now = START + at;
-        let (_, calls) = step_and_cloud_calls(&mut node, now, Input::Tick, &rows);
+        let (_, calls) = step_returning_cloud_calls(&mut node, now, Input::Tick, &rows);
         for call in calls {
             if let CloudRequest::Delete(names) = call {
                 deleted.extend(names.into_iter().map(|name| (name, at)));
@@ -44,7 +44,10 @@
             for machine in (0..9).filter(|m| *m > 2 || (*m == 0 && one_recovers)) {
                 let sequence = at / MILLISECOND + 1;
                 let input = heartbeat_request(&format!("m{machine}"), zone_of(machine), sequence);
-                assert_eq!(step_and_cloud_calls(&mut node, now, input, &rows).0, [200]);
+                assert_eq!(
+                    step_returning_cloud_calls(&mut node, now, input, &rows).0,
+                    [200]
+                );
             }
         }
     }
--- a/crates/controller/tests/zone_constraints.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -92,7 +92,7 @@
     fleet.workers.remove("a1");
     fleet.advance(60 * SECOND);
     assert_eq!(fleet.machines_running(JOB), Vec::<String>::new());
-    fleet.rentable.insert(("a".into(), false), 2);
+    fleet.scale_out_capacity.insert(("a".into(), false), 2);
     // A scale-out that found no capacity is retried after 15 s, and machines boot in 5 s.
     fleet.advance(25 * SECOND);
     assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
@@ -105,7 +105,7 @@
     let urgent = "req-000002";
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     for name in ["m0", "m1"] {
-        fleet.add_machine(name, "a", false).command_answers_late = true;
+        fleet.add_machine(name, "a", false).command_replies_late = true;
     }
     for id in [JOB, urgent] {
         fleet.task_durations.insert(id.into(), 3 * SECOND);
