--- a/crates/controller/tests/cancellation_watch_lost.rs
+++ b/crates/controller/tests/cancellation_watch_lost.rs
@@ -1,5 +1,5 @@
 //! A leader whose watch of the cancellations is not answered stops renewing worker leases in
-//! time, although its own lease is renewed and no later term is known to it.
+//! time, although it keeps its own lease and has seen no later term.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use dillcleat_wire::worker::Heartbeat;
 
 #[test]
-fn heartbeats_are_answered_only_while_cancellations_can_take_effect_in_time() {
+fn worker_lease_is_renewed_only_while_cancellations_can_take_effect_in_time() {
     let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &[]);
     assert_eq!(node.leading(), Some(1));
-    let mut last_answered_s = 0;
+    let mut last_renewal_s = 0;
     for s in 1..60 {
         let at = start + s * SECOND;
         step(&mut node, at, Input::Tick, &[]);
@@ -37,15 +37,15 @@
             body: encode(&heartbeat),
         };
         match step(&mut node, at, input, &[])[..] {
-            [200] => last_answered_s = s,
+            [200] => last_renewal_s = s,
             [503] => {}
             ref other => panic!("unexpected {other:?}"),
         }
     }
     // A task cancelled by another node at the start must end within 44 s; the worker lease of
-    // 14 s runs from the last answered heartbeat.
+    // 14 s runs from its last renewal.
     assert!(
-        (10..=44 - 14 - 1).contains(&last_answered_s),
-        "{last_answered_s}"
+        (10..=44 - 14 - 1).contains(&last_renewal_s),
+        "{last_renewal_s}"
     );
 }
--- a/crates/controller/tests/isolated_leader.rs
+++ b/crates/controller/tests/isolated_leader.rs
@@ -1,6 +1,5 @@
-//! A leader in a partitioned zone, as seen from inside: it receives heartbeats only from
-//! the machines of its own zone and from no sibling. It must not take the other zones for
-//! failed.
+//! A leader that is partitioned from the other zones receives heartbeats only from the
+//! machines of its own zone. It must not treat the other zones as failed.
 
 mod common;
 
@@ -18,7 +17,7 @@
     ZONES[machine % 3]
 }
 
-struct Scenario {
+struct Fixture {
     node: Node,
     machine_rows: Vec<KeyValue>,
     /// Time since `START`.
@@ -31,10 +30,10 @@
     deletions: Vec<(Micros, Vec<String>)>,
 }
 
-impl Scenario {
-    fn new(machines: usize) -> Scenario {
+impl Fixture {
+    fn new(machines: usize) -> Fixture {
         let rows = (0..machines).map(|i| machine_row(&format!("m{i:03}"), zone_of(i)));
-        Scenario {
+        Fixture {
             node: three_zone_node(),
             machine_rows: rows.collect(),
             at: 0,
@@ -104,28 +103,28 @@
         std::mem::take(&mut self.deletions)
     }
 
-    /// Until this time missing heartbeats are the only reason for a deletion: idle machines are
-    /// returned after a minute.
-    const BEFORE_IDLE_RETURN_S: u64 = 54;
+    /// Before this time machines are deleted only for missing heartbeats; idle machines are
+    /// deleted after 60 s.
+    const IDLE_DELETION_STARTS_S: u64 = 54;
 }
 
-/// Guards against deleting the machines of healthy zones from within a partition.
+/// Guards against deleting the machines of healthy zones during a partition.
 #[test]
-fn leader_without_proof_deletes_no_machine() {
-    let mut scenario = Scenario::new(12);
-    assert_eq!(scenario.advance(8), []);
-    scenario.sends_heartbeats = |m| zone_of(m) == "a";
-    scenario.siblings = &[];
-    scenario.env.store_up = false;
-    assert_eq!(scenario.node.leading(), Some(1));
-    assert_eq!(scenario.advance(Scenario::BEFORE_IDLE_RETURN_S - 8), []);
+fn leader_without_leadership_proof_deletes_no_machine() {
+    let mut fixture = Fixture::new(12);
+    assert_eq!(fixture.advance(8), []);
+    fixture.sends_heartbeats = |m| zone_of(m) == "a";
+    fixture.siblings = &[];
+    fixture.env.store_up = false;
+    assert_eq!(fixture.node.leading(), Some(1));
+    assert_eq!(fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 8), []);
     assert_eq!(
-        scenario.node.leading(),
+        fixture.node.leading(),
         Some(1),
-        "no later term is known to it"
+        "the leader has seen no later term"
     );
-    // It does not return idle machines either.
-    assert_eq!(scenario.advance(100), []);
+    // The leader does not delete idle machines either.
+    assert_eq!(fixture.advance(100), []);
 }
 
 /// Even a leader that reaches the store deletes no machine if it receives no heartbeat from
@@ -133,11 +132,11 @@
 #[test]
 fn leader_without_contact_to_other_zones_deletes_no_machine() {
     let deletions_with = |siblings| {
-        let mut scenario = Scenario::new(12);
-        scenario.advance(8);
-        scenario.sends_heartbeats = |m| zone_of(m) == "a";
-        scenario.siblings = siblings;
-        scenario.advance(Scenario::BEFORE_IDLE_RETURN_S - 8)
+        let mut fixture = Fixture::new(12);
+        fixture.advance(8);
+        fixture.sends_heartbeats = |m| zone_of(m) == "a";
+        fixture.siblings = siblings;
+        fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 8)
     };
     assert_eq!(deletions_with(&[]), []);
     let deletions = deletions_with(&[("n2", true)]);
@@ -147,21 +146,21 @@
     );
 }
 
-/// No machine is deleted for missing heartbeats while the store is down for all controllers.
+/// No machine is deleted for missing heartbeats while the store is down for all members.
 /// Afterwards the machines that are still unresponsive are deleted, few with each call.
 #[test]
 fn unresponsive_machines_are_deleted_in_small_batches_after_store_outage() {
-    let mut scenario = Scenario::new(30);
-    assert_eq!(scenario.advance(8), []);
-    scenario.sends_heartbeats = |m| m >= 8;
-    scenario.siblings = &[("n1", false), ("n2", false)];
-    scenario.env.store_up = false;
-    assert_eq!(scenario.advance(25), []);
-    scenario.sends_heartbeats = |m| m >= 7;
-    assert_eq!(scenario.advance(3), []);
-    scenario.siblings = &[("n1", true), ("n2", true)];
-    scenario.env.store_up = true;
-    let deletions = scenario.advance(Scenario::BEFORE_IDLE_RETURN_S - 36);
+    let mut fixture = Fixture::new(30);
+    assert_eq!(fixture.advance(8), []);
+    fixture.sends_heartbeats = |m| m >= 8;
+    fixture.siblings = &[("n1", false), ("n2", false)];
+    fixture.env.store_up = false;
+    assert_eq!(fixture.advance(25), []);
+    fixture.sends_heartbeats = |m| m >= 7;
+    assert_eq!(fixture.advance(3), []);
+    fixture.siblings = &[("n1", true), ("n2", true)];
+    fixture.env.store_up = true;
+    let deletions = fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 36);
     assert!(
         deletions.iter().all(|(_, names)| names.len() <= 5),
         "{deletions:?}"
@@ -175,28 +174,28 @@
 /// A deletion that could not be sent is dropped when heartbeats of its machine arrive.
 #[test]
 fn machine_that_recovers_before_its_deletion_is_sent_stays() {
-    let mut scenario = Scenario::new(12);
-    assert_eq!(scenario.advance(8), []);
-    scenario.env.cloud_up = false;
-    scenario.sends_heartbeats = |m| m > 0;
-    let attempted = scenario.advance(20);
+    let mut fixture = Fixture::new(12);
+    assert_eq!(fixture.advance(8), []);
+    fixture.env.cloud_up = false;
+    fixture.sends_heartbeats = |m| m > 0;
+    let attempted = fixture.advance(20);
     assert!(!attempted.is_empty(), "a deletion is attempted");
-    scenario.sends_heartbeats = |_| true;
-    scenario.advance(3);
-    scenario.env.cloud_up = true;
-    assert_eq!(scenario.advance(Scenario::BEFORE_IDLE_RETURN_S - 31), []);
+    fixture.sends_heartbeats = |_| true;
+    fixture.advance(3);
+    fixture.env.cloud_up = true;
+    assert_eq!(fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 31), []);
 }
 
 /// During a store outage the leader has to stop renewing leases. Machines whose heartbeats
 /// it refused must not count as unresponsive afterwards.
 #[test]
 fn machines_with_refused_heartbeats_do_not_count_as_unresponsive() {
-    let mut scenario = Scenario::new(12);
-    assert_eq!(scenario.advance(4), []);
-    scenario.siblings = &[("n1", false), ("n2", false)];
-    scenario.env.store_up = false;
-    assert_eq!(scenario.advance(43), []);
-    scenario.siblings = &[("n1", true), ("n2", true)];
-    scenario.env.store_up = true;
-    assert_eq!(scenario.advance(Scenario::BEFORE_IDLE_RETURN_S - 47), []);
+    let mut fixture = Fixture::new(12);
+    assert_eq!(fixture.advance(4), []);
+    fixture.siblings = &[("n1", false), ("n2", false)];
+    fixture.env.store_up = false;
+    assert_eq!(fixture.advance(43), []);
+    fixture.siblings = &[("n1", true), ("n2", true)];
+    fixture.env.store_up = true;
+    assert_eq!(fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 47), []);
 }
--- a/crates/controller/tests/job_starvation.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -1,4 +1,4 @@
-//! No job waits for more than 90 s while its team is under its limit and a machine with
+//! No job waits for more than 90 s while its team is below its quota and a machine with
 //! sufficient free capacity exists.
 
 mod common;
@@ -9,11 +9,10 @@
 use dillcleat_controller::{Config, Micros, SECOND};
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
-/// The longest that a job may wait while a machine with sufficient capacity exists.
 const MAX_WAIT: Micros = 90 * SECOND;
 
-/// The start objective of class `c` is shorter than the boot time of a machine, so that
-/// capacity is reserved for its replicas.
+/// The start objective of class `c`, the class of `JobSpec::plain`, is shorter than the boot
+/// time of a machine, so that capacity is reserved for its replicas.
 fn config_with_reserve() -> Config {
     let mut config = config_with_team();
     config.start_objectives = vec![StartObjective {
@@ -30,32 +29,32 @@
     }
 }
 
-fn batch(id: &str, tasks: u32) -> JobSpec {
+fn batch_job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         class: "b".into(),
         ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
     }
 }
 
-/// No spot machine can be rented. A waiting batch job must get a part of the capacity
-/// reserved for services, but no more than one task needs.
+/// No machine can be added. A waiting batch job must get a part of the capacity reserved for
+/// services, but no more than one task needs.
 #[test]
-fn starving_job_borrows_no_more_of_the_service_reserve_than_needed() {
+fn starving_job_uses_no_more_reserved_capacity_than_one_task_needs() {
     let mut fleet = Fleet::new(config_with_reserve(), vec![spot_machine_type(5.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
     fleet.advance(5 * SECOND);
     let from = fleet.now;
-    fleet.submit(batch("req-000001", 9));
+    fleet.submit(batch_job("req-000001", 9));
     // One replica runs, and three of the five CPUs are reserved: one is left.
     fleet.advance(5 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
-    fleet.submit(batch("req-000002", 9));
+    fleet.submit(batch_job("req-000002", 9));
     fleet.advance(30 * SECOND);
     assert_eq!(
         fleet.cpus_used_by(&["req-000002"]),
         0,
-        "the reserve is not lent yet"
+        "reserved capacity is not used yet"
     );
     fleet.advance(MAX_WAIT - 40 * SECOND);
     let starts = fleet.starts_of("req-000002");
@@ -72,14 +71,14 @@
     assert_eq!(fleet.cpus_used_by(&["req-000900", "req-000901"]), 3);
 }
 
-/// Only the leader knows since when a job waits. A new leader counts from its own election.
+/// Waiting times are not stored: a new leader counts from its election.
 #[test]
-fn reserve_is_lent_within_the_bound_after_a_leader_change() {
+fn reserved_capacity_is_used_within_max_wait_after_a_failover() {
     let mut fleet = Fleet::new(config_with_reserve(), vec![spot_machine_type(4.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
     fleet.advance(5 * SECOND);
-    fleet.submit(batch("req-000001", 9));
+    fleet.submit(batch_job("req-000001", 9));
     for _ in 0..3 {
         fleet.advance(30 * SECOND);
         assert_eq!(fleet.cpus_used_by(&["req-000001"]), 0);
@@ -89,29 +88,29 @@
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
 }
 
-/// Lent capacity still counts as reserved and is not rented again.
+/// Reserved capacity that a batch job uses still counts as reserved.
 #[test]
-fn no_machine_is_rented_to_replace_lent_reserve() {
+fn no_machine_is_added_to_replace_used_reserve() {
     let mut config = config_with_reserve();
     config.tuning.spare_share = 1.0;
     let mut fleet = Fleet::new(config, vec![spot_machine_type(5.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
     fleet.submit(service(1));
-    fleet.submit(batch("req-000001", 9));
+    fleet.submit(batch_job("req-000001", 9));
     fleet.advance(150 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 4);
     assert_eq!(fleet.workers.len(), 1);
 }
 
 /// A job that failed on two machines is retried with one task at a time. A long run of that
-/// task must not block the others beyond the bound.
+/// task must not block the others for longer than `MAX_WAIT`.
 #[test]
-fn job_suspected_of_failing_gets_more_tasks_within_the_bound() {
+fn job_suspected_of_failing_gets_more_tasks_within_max_wait() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.add_machine("m0", "a", false).faulty = true;
     fleet.add_machine("m1", "a", false).faulty = true;
-    fleet.submit(batch("req-000001", 3));
+    fleet.submit(batch_job("req-000001", 3));
     fleet.advance(10 * SECOND);
     let failed = fleet.starts_of("req-000001");
     assert!(
@@ -134,7 +133,7 @@
 /// The only remaining machine had failures of several jobs, but works again. It keeps running
 /// a replica, so that it is not replaced.
 #[test]
-fn machine_with_past_failures_is_used_again_within_the_bound() {
+fn machine_with_past_failures_is_used_again_within_max_wait() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(8.0)]);
     fleet.add_machine("m0", "a", false);
     fleet.add_machine("m1", "b", false);
@@ -142,18 +141,19 @@
     fleet.advance(5 * SECOND);
     let name = fleet.machines_running("req-000900").remove(0);
     let set_faulty = |fleet: &mut Fleet, faulty| fleet.worker(&name).faulty = faulty;
-    // They succeed elsewhere, so that their failures are attributed to the machine.
+    // These jobs succeed on the other machine, so that their failures are attributed to this
+    // one.
     for id in ["req-000001", "req-000002"] {
         fleet.task_durations.insert(id.into(), 12 * SECOND);
     }
     set_faulty(&mut fleet, true);
-    fleet.submit(batch("req-000001", 12));
-    fleet.submit(batch("req-000002", 12));
+    fleet.submit(batch_job("req-000001", 12));
+    fleet.submit(batch_job("req-000002", 12));
     fleet.advance(60 * SECOND);
     set_faulty(&mut fleet, false);
     let other = if name == "m0" { "m1" } else { "m0" };
     fleet.workers.remove(other);
-    fleet.submit(batch("req-000003", 1));
+    fleet.submit(batch_job("req-000003", 1));
     fleet.advance(MAX_WAIT);
     assert_eq!(
         fleet.machines_running("req-000003"),
@@ -163,29 +163,30 @@
     );
 }
 
-/// A machine gets no tasks while an unplaced task runs on it, which is stopped at once.
+/// While a task runs that no leader has placed, its machine gets no tasks. The leader stops the
+/// task at once.
 #[test]
-fn unplaced_task_blocks_its_machine_only_for_seconds() {
+fn unexpected_task_blocks_its_machine_only_briefly() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
     fleet
         .add_machine("m0", "a", false)
         .add_unexpected_task("req-000009/0");
-    fleet.submit(batch("req-000001", 1));
+    fleet.submit(batch_job("req-000001", 1));
     fleet.advance(5 * SECOND);
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
-/// An idle machine that cannot be returned during a cloud outage gets no tasks. Afterwards it
-/// is deleted, and another is rented for the waiting job.
+/// An idle machine that cannot be deleted during a cloud outage gets no tasks. Afterwards it is
+/// deleted, and another is started for the waiting job.
 #[test]
-fn machine_being_returned_does_not_starve_a_job() {
+fn machine_being_deleted_does_not_starve_a_job() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 9);
     fleet.add_machine("m0", "a", false);
     fleet.advance(50 * SECOND);
     fleet.cloud_outage = true;
     fleet.advance(20 * SECOND);
-    let spec = batch("req-000001", 1);
+    let spec = batch_job("req-000001", 1);
     fleet.submit(JobSpec {
         spot: false,
         ..spec
@@ -194,7 +195,7 @@
     assert_eq!(
         fleet.cpus_used_by(&["req-000001"]),
         0,
-        "the machine is being returned"
+        "the machine is being deleted"
     );
     fleet.cloud_outage = false;
     fleet.advance(20 * SECOND);
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -25,7 +25,6 @@
     CloudAction::Delete(DeletionReason::Unneeded),
 ];
 
-/// Permits for changes expire before the leader lease, whatever its TTL.
 #[test]
 fn permits_for_changes_expire_before_the_leader_lease() {
     for ttl in [0.5, 2.5, 60.0] {
@@ -41,7 +40,7 @@
             let permit = permit.expect("the proof is recent");
             let last = sent + 100 * MILLISECOND + permit.within(sent + 100 * MILLISECOND);
             assert_eq!(last, sent + proof_validity(&config));
-            // Even by a clock that runs 0.05% slow.
+            // The clock may run 0.05% slow.
             assert!(
                 (last - sent) * 10_005 / 10_000 < micros(ttl),
                 "{ttl} {action:?}"
@@ -57,8 +56,9 @@
 }
 
 /// With a slow store the leader lease is longer than configured. It is never shorter, because
-/// the validity of the proof depends on it, and short enough that a successor is elected
-/// before the worker leases expire.
+/// the validity of the proof depends on the configured time, and never longer than a third of
+/// the worker lease unless configured so, because a successor must be elected before the worker
+/// leases expire.
 #[test]
 fn leader_lease_follows_store_latency_and_outlasts_the_proof() {
     for ttl in [0.5, 1.25, 60.0] {
@@ -81,7 +81,7 @@
     }
 }
 
-/// This includes cancellations: without a proof the worker leases end the tasks.
+/// Not even a deletion for a cancellation is permitted: the worker lease ends the tasks.
 #[test]
 fn without_recent_proof_no_change_is_permitted() {
     let config = config(2.5);
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -31,23 +31,24 @@
 }
 
 #[test]
-fn watch_freshness_counts_from_request_time() {
+fn lease_renewal_limit_counts_from_the_watch_request() {
     let mut fixture = LeaderFixture::elected();
-    // The watch is answered after 9 s without events.
+    // The watch returns after 9 s without events.
     fixture.answer_watches(9 * SECOND, Vec::new());
-    // The resumed watch is not answered.
-    let last = fixture.run_and_return_last_renewal(9 * SECOND);
-    assert_deadline_met(&fixture, 9 * SECOND, last);
+    // The next watch is not answered.
+    let renewed_at = fixture.run_and_return_last_renewal(9 * SECOND);
+    assert_deadline_met(&fixture, 9 * SECOND, renewed_at);
     let mut fixture = LeaderFixture::elected();
     for s in 1..9 {
         fixture.step(s * SECOND, Input::Tick);
     }
+    // Calls that follow the watch's reply fail, so that only the next watch is open.
     fixture.env.store_up = false;
     fixture.answer_watches(9 * SECOND, Vec::new());
     fixture.env.store_up = true;
     let delayed = std::mem::take(&mut fixture.env.open_watches);
-    let last = fixture.run_and_return_last_renewal(10 * SECOND);
-    assert_deadline_met(&fixture, 9 * SECOND, last);
+    let renewed_at = fixture.run_and_return_last_renewal(10 * SECOND);
+    assert_deadline_met(&fixture, 9 * SECOND, renewed_at);
     // The watch that was requested at 9 s is answered at 100 s.
     fixture.env.open_watches = delayed;
     fixture.answer_watches(100 * SECOND, Vec::new());
@@ -97,14 +98,14 @@
         fixture.send_heartbeat(4 * SECOND).is_some(),
         "the job is not cancelled"
     );
-    // A listing also counts from the time of its request.
-    let last = fixture.run_and_return_last_renewal(5 * SECOND);
-    assert_deadline_met(&fixture, 3 * SECOND, last);
+    // The age of a listing is measured from its request.
+    let renewed_at = fixture.run_and_return_last_renewal(5 * SECOND);
+    assert_deadline_met(&fixture, 3 * SECOND, renewed_at);
 }
 
 /// The recovery takes 9 s, and the watches after it are not answered.
 #[test]
-fn recovery_freshness_counts_from_request_of_first_page() {
+fn lease_renewal_limit_counts_from_the_request_of_the_first_page() {
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::TASKS_PREFIX);
     for s in 0..10 {
@@ -114,8 +115,8 @@
     let reply = single_page(&fixture.env.task_rows);
     fixture.step(9 * SECOND, Input::Store { id: listing, reply });
     assert!(fixture.node.fence().is_some(), "recovery is complete");
-    let last = fixture.run_and_return_last_renewal(10 * SECOND);
-    assert_deadline_met(&fixture, 0, last);
+    let renewed_at = fixture.run_and_return_last_renewal(10 * SECOND);
+    assert_deadline_met(&fixture, 0, renewed_at);
 }
 
 /// Until the placements are read, any machine may run a cancelled task.
@@ -134,16 +135,16 @@
             renews,
             "{cancelled_before}"
         );
-        let last = fixture.run_and_return_last_renewal(2 * SECOND);
+        let renewed_at = fixture.run_and_return_last_renewal(2 * SECOND);
         let lease_ends =
-            with_max_clock_drift(last + fixture.config.worker_lease + cancelled_before);
-        assert!(lease_ends < fixture.config.cancel_deadline, "{last}");
+            with_max_clock_drift(renewed_at + fixture.config.worker_lease + cancelled_before);
+        assert!(lease_ends < fixture.config.cancel_deadline, "{renewed_at}");
     }
 }
 
 /// A leader that is deposed and elected again has to read the queue again.
 #[test]
-fn reads_of_an_earlier_term_do_not_count() {
+fn re_elected_leader_renews_no_lease_before_reading_the_queue() {
     let mut fixture = LeaderFixture::elected();
     assert!(fixture.send_heartbeat(SECOND).is_some());
     fixture.env.held_listing_prefix = Some(records::QUEUE_PREFIX);
@@ -175,11 +176,10 @@
         SECOND,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
     );
-    // The last read is too old for a launch by now.
     for s in 2..12 {
         fixture.step(s * SECOND, Input::Tick);
     }
-    let commands = fixture.send_heartbeat(12 * SECOND).expect("an answer");
+    let commands = fixture.send_heartbeat(12 * SECOND).expect("a reply");
     assert!(
         matches!(&commands[..], [Command::Stop { .. }]),
         "{commands:?}"
@@ -189,7 +189,7 @@
 /// The machine keeps reporting the cancelled task, and the cloud is unreachable. Its lease
 /// must expire in time; it is renewed again once the task is gone.
 #[test]
-fn lease_is_not_renewed_while_cancelled_task_remains() {
+fn lease_expires_before_deadline_while_cancelled_task_remains() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.cloud_up = false;
     let cancelled_at = SECOND;
@@ -216,10 +216,10 @@
     );
 }
 
-/// The reachable sibling has no store either, which looks like an outage, but an
-/// unreachable sibling may have been elected.
+/// The reachable sibling cannot reach the store either, as in an outage, but an unreachable
+/// sibling may have been elected.
 #[test]
-fn leader_without_proof_deletes_no_machine_for_a_cancellation() {
+fn leader_without_leadership_proof_deletes_no_machine_for_a_cancellation() {
     let mut fixture = LeaderFixture::elected();
     fixture.answer_watches(
         SECOND,
@@ -253,7 +253,7 @@
 
 /// The write of a placement times out but is executed late, so its retry conflicts.
 #[test]
-fn conflict_of_a_retried_write_is_resolved_by_a_read() {
+fn conflict_of_a_retried_write_does_not_depose_the_leader() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![common::machine_type(8.0)];
     fixture.step(0, Input::Tick);
@@ -266,15 +266,18 @@
     for t in 3..8 {
         fixture.step(t * 100 * MILLISECOND, Input::Tick);
     }
-    assert!(fixture.env.refused_reads > 0, "the chunk is read");
+    assert!(
+        fixture.env.refused_reads > 0,
+        "the leader tries to read the chunk"
+    );
     assert!(
         fixture.node.leading().is_some(),
-        "the conflicting write is its own"
+        "the conflicting write is the leader's own"
     );
 }
 
-/// The machine does not receive the answer to a duplicate of an older heartbeat, so
-/// commands in it would wrongly count as sent.
+/// The machine does not receive the reply to a duplicate of an older heartbeat, so commands
+/// in it would wrongly count as sent.
 #[test]
 fn older_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
@@ -287,7 +290,7 @@
     fixture.sequence -= 2;
     assert_eq!(fixture.send_heartbeat(SECOND), Some(vec![]));
     fixture.sequence += 1;
-    let commands = fixture.send_heartbeat(SECOND).expect("an answer");
+    let commands = fixture.send_heartbeat(SECOND).expect("a reply");
     assert!(matches!(&commands[..], [Command::Stop { .. }]));
 }
 
@@ -300,8 +303,8 @@
     assert_eq!(fixture.node.leading(), None);
 }
 
-/// Its election transaction may still be executed late; without the lease it cannot set
-/// the leader key.
+/// The candidate's election transaction may still be executed late; without the lease it
+/// cannot set the leader key.
 #[test]
 fn losing_candidate_revokes_its_lease() {
     let mut fixture = LeaderFixture::new();
@@ -424,13 +427,14 @@
         }
     }
     let deleted_at = deleted_at.expect("the machine is deleted");
+    // The leader deletes the machine after 3/10 of the deadline; 1/10 is a margin.
     assert!(
         deleted_at < SECOND + fixture.config.cancel_deadline * 4 / 10,
         "{deleted_at}"
     );
 }
 
-/// A duplicate of an earlier heartbeat arrives after the deletion of its machine.
+/// A heartbeat arrives after the deletion of its machine.
 #[test]
 fn delayed_heartbeat_does_not_restore_deleted_machine() {
     let mut fixture = LeaderFixture::elected();
@@ -454,7 +458,8 @@
         let is_deletion = |c: &CloudRequest| matches!(c, CloudRequest::Delete(_));
         deletions += calls.into_iter().filter(is_deletion).count();
         fixture.answer_watches(at, Vec::new());
-        // It sends heartbeats until its deletion; the one that arrives later was delayed.
+        // The machine sends heartbeats for 16 s, or until its deletion if that is earlier. The
+        // heartbeat at 25 s is a delayed one.
         if t % 10 == 0 && (t < 160 && deletions == 0 || t == 250) {
             fixture.send_heartbeat(at);
         }
@@ -479,7 +484,7 @@
         for t in 21..30 {
             fixture.step(t * 100 * MILLISECOND, Input::Tick);
         }
-        let commands = fixture.send_heartbeat(3 * SECOND).expect("an answer");
+        let commands = fixture.send_heartbeat(3 * SECOND).expect("a reply");
         assert!(
             matches!(&commands[..], [Command::Reap { .. }]),
             "{tasks}: {commands:?}"
@@ -497,12 +502,15 @@
     fixture.step(0, Input::Tick);
     assert!(fixture.send_heartbeat(SECOND / 2).is_some());
     fixture.step(SECOND, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
+    assert!(
+        fixture.env.refused_reads > 0,
+        "the conflict makes the leader read the state record"
+    );
     fixture.answer_watches(
         3 * SECOND / 2,
         vec![LeaderFixture::put_event(cancellation_row(START + SECOND))],
     );
-    let commands = fixture.send_heartbeat(2 * SECOND).expect("an answer");
+    let commands = fixture.send_heartbeat(2 * SECOND).expect("a reply");
     assert!(
         matches!(&commands[..], [Command::Stop { .. }]),
         "{commands:?}"
@@ -527,8 +535,8 @@
     );
 }
 
-/// If the worker lease takes up almost all of `cancel_s`, heartbeats are answered all the
-/// same, and the possible delay of cancellations is reported.
+/// If the worker lease leaves too little time before `cancel_s`, tasks of a cancelled job may
+/// end late by at most the reported shortfall.
 #[test]
 fn worker_lease_near_cancel_deadline_reports_shortfall() {
     let mut config = config_with_team();
--- a/crates/controller/tests/team_quota.rs
+++ b/crates/controller/tests/team_quota.rs
@@ -1,4 +1,5 @@
-//! When the team quota of a cancelled task is released while its machine is unreachable.
+//! The team quota of a cancelled task is released only when the task has ended, also if its
+//! machine is unreachable.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::user::{JobKind, JobSpec};
 
-/// The team's quota in tasks, each of which takes one CPU or one GPU of it.
+/// The team's quota, in tasks of one CPU or one GPU each.
 const QUOTA_TASKS: u32 = 4;
 
 /// Whether there is a failover before or after the cancellation.
@@ -49,17 +50,17 @@
     fleet
 }
 
-/// Cancels the job while its machine hangs for `hang_time` or, without one, is partitioned.
-/// Returns when the team's next job starts, counted from the cancellation, and whether the
-/// machine was deleted by then.
+/// Cancels the job while its machine is suspended for `suspension` or, without one, is
+/// partitioned. Returns when the team's next job starts, relative to the cancellation, and
+/// whether the machine was deleted by then.
 fn next_job_started_after(
     mut fleet: Fleet,
     next: &JobSpec,
     failover: Failover,
-    hang_time: Option<Micros>,
+    suspension: Option<Micros>,
 ) -> (Micros, bool) {
     let machine = fleet.worker("m0");
-    (machine.hung, machine.heartbeats_lost, machine.inbound_lost) = match hang_time {
+    (machine.hung, machine.heartbeats_lost, machine.inbound_lost) = match suspension {
         Some(_) => (true, false, false),
         None => (false, true, true),
     };
@@ -75,7 +76,7 @@
         fleet.replace_leader();
     }
     while fleet.starts_of(&next.id).is_empty() && fleet.now < from + 40 * SECOND {
-        if hang_time.is_some_and(|time| fleet.now >= from + time)
+        if suspension.is_some_and(|time| fleet.now >= from + time)
             && let Some(m) = fleet.workers.get_mut("m0")
         {
             m.hung = false;
@@ -93,8 +94,8 @@
     (after, deleted)
 }
 
-/// The quota and the machine's resources are released by the same evidence. The workers
-/// check that running tasks never exceed the quota.
+/// The quota is released once the end of the tasks is proved. `Fleet` fails the test if the
+/// running tasks exceed the quota.
 #[test]
 fn quota_of_cancelled_tasks_is_released_by_a_heartbeat_or_the_machines_deletion() {
     for kind in [JobKind::Batch, JobKind::Service] {
@@ -111,13 +112,14 @@
                 let (after, deleted) =
                     next_job_started_after(fleet_at_quota(kind, gpu_quota), &next, failover, None);
                 assert!(deleted && after < 20 * SECOND, "{case}: {after}");
-                // The machine hangs for a short time: its next heartbeat does.
-                let hang_time = Some(3 * SECOND);
+                // The machine is suspended for a short time: its next heartbeat proves the
+                // tasks' end.
+                let suspension = Some(3 * SECOND);
                 let (after, deleted) = next_job_started_after(
                     fleet_at_quota(kind, gpu_quota),
                     &next,
                     failover,
-                    hang_time,
+                    suspension,
                 );
                 assert!(!deleted && after < 6 * SECOND, "{case}: {after}");
             }
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -1,4 +1,5 @@
-//! Machines whose heartbeats are lost, that do not receive answers or commands, or that hang.
+//! Machines whose heartbeats are lost, that do not receive replies or commands, or that are
+//! suspended.
 
 mod common;
 
@@ -30,8 +31,8 @@
     fleet
 }
 
-/// Submits a job of one task each second. Returns when tasks started on `m0`, counted from
-/// now, and how many jobs started late or not at all.
+/// Submits a job of one task each second. Returns the start times on `m0`, relative to the
+/// call, and the number of jobs that did not start within 2 s.
 fn submit_each_second(fleet: &mut Fleet, seconds: u64) -> (Vec<Micros>, usize) {
     let from = fleet.now;
     for i in 0..seconds {
@@ -55,14 +56,14 @@
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
-/// Its answers to commands do not renew its lease, so that tasks launched there end when the
-/// lease expires. This holds after a change of leader too.
+/// The machine's replies to commands do not renew its lease, so that tasks launched there end
+/// when the lease expires. This holds after a failover too.
 #[test]
 fn machine_with_lost_heartbeats_gets_no_tasks_if_others_have_capacity() {
-    for leaders in [1, 2] {
+    for failover in [false, true] {
         let mut fleet = fleet_of_two();
         fleet.worker("m0").heartbeats_lost = true;
-        if leaders == 2 {
+        if failover {
             fleet.advance(4 * SECOND);
             fleet.replace_leader();
         }
@@ -72,14 +73,14 @@
             "{start_times:?}"
         );
         assert_eq!(late, 0);
-        // Its lease has expired, and the tasks of the first job run on the other machine.
+        // The lease of `m0` has expired, and the tasks of the first job run on the other machine.
         assert_eq!(fleet.machines_running("req-000001"), ["m1"]);
         fleet.worker("m0").heartbeats_lost = false;
         assert_m0_is_used_again(fleet);
     }
 }
 
-/// Its heartbeats may arrive again before its lease expires.
+/// The machine's heartbeats may arrive again before its lease expires.
 #[test]
 fn machine_with_lost_heartbeats_is_used_if_no_other_has_capacity() {
     let mut fleet = fleet_of_two();
@@ -92,7 +93,7 @@
     );
 }
 
-/// The answer to a command shows the new incarnation, so that the leader need not wait for a
+/// The reply to a command shows the new incarnation, so that the leader need not wait for a
 /// heartbeat.
 #[test]
 fn tasks_of_machine_with_lost_heartbeats_are_placed_again_after_lease_expiry() {
@@ -103,10 +104,10 @@
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
     fleet.advance(8 * SECOND);
     assert_eq!(fleet.machines_running("req-000001"), ["m1"]);
-    assert_eq!(fleet.deletions, [], "it answers commands");
+    assert_eq!(fleet.deletions, [], "the machine replies to commands");
 }
 
-/// The stop command reaches it, and its answer proves the end of the tasks.
+/// The stop command reaches the machine, and the reply proves the end of the tasks.
 #[test]
 fn machine_with_lost_heartbeats_stops_cancelled_tasks_and_is_kept() {
     for seconds_before in [0, 5] {
@@ -125,8 +126,8 @@
     }
 }
 
-/// Its heartbeats arrive, but neither answers nor commands reach it. Guards against placing
-/// tasks there again after each of its heartbeats.
+/// The machine's heartbeats arrive, but neither replies nor commands reach it. Guards against
+/// placing tasks there again after each of its heartbeats.
 #[test]
 fn machine_with_lost_inbound_traffic_gets_no_tasks() {
     let mut fleet = fleet_of_two();
@@ -137,16 +138,16 @@
     assert_eq!(
         fleet.machines_running("req-000001"),
         ["m1"],
-        "its lease has expired"
+        "the lease of m0 has expired"
     );
     fleet.worker("m0").inbound_lost = false;
     assert_m0_is_used_again(fleet);
 }
 
-/// A firewall blocks commands to it permanently, but it receives the answers to its
+/// A firewall blocks all commands to the machine, but it receives the replies to its
 /// heartbeats, as its unchanged incarnation shows.
 #[test]
-fn machine_that_receives_only_heartbeat_answers_is_used() {
+fn machine_that_receives_only_heartbeat_replies_is_used() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
     fleet.add_machine("m0", "a", false).commands_lost = true;
     for number in 1..=5 {
@@ -177,11 +178,12 @@
     assert_eq!(fleet.machines_running("req-000002"), ["m0"]);
 }
 
-/// It answered commands while its heartbeats were lost, so that no further proof is needed.
+/// The machine replied to commands while its heartbeats were lost, so that no further proof of
+/// its reachability is needed.
 #[test]
 fn machine_is_used_again_at_its_first_heartbeat_that_arrives() {
     let mut fleet = fleet_of_two();
-    // With its heartbeats it would be preferred, because it is fuller.
+    // The fuller machine `m0` would be preferred if its heartbeats arrived.
     fleet.worker("m0").heartbeats_lost = true;
     fleet.advance(8 * SECOND);
     fleet.submit(job(2, 1));
@@ -194,10 +196,10 @@
     assert_eq!(fleet.machines_running("req-000003"), ["m0"]);
 }
 
-/// Its capacity does not count: another machine is rented, and no task there is preempted for
-/// replicas that could not be started.
+/// The capacity of the machine does not count: another machine is added, and no task there is
+/// preempted for a replica that could not be started.
 #[test]
-fn capacity_of_machine_with_lost_heartbeats_does_not_count() {
+fn machine_with_lost_heartbeats_is_replaced_and_its_tasks_are_not_preempted() {
     let mut config = config_with_team();
     config.start_objectives = vec![StartObjective {
         class: "c".into(),
@@ -217,19 +219,22 @@
     assert_eq!(
         fleet.worker("m0").running_tasks(),
         4,
-        "no task there is preempted"
+        "no task on m0 is preempted"
     );
     fleet.scale_out_capacity.insert(("a".into(), false), 2);
-    // Its lease expires meanwhile, which ends its tasks.
+    // The lease of `m0` expires meanwhile, which ends its tasks.
     fleet.advance(30 * SECOND);
     assert_eq!(fleet.cpus_used_by(&["req-000001", "req-000002"]), 5);
 }
 
-/// An incarnation that outlives a lease has received answers, a new one need not have. A
-/// heartbeat that follows another within the timeout also proves that the answer arrived.
+/// A worker that keeps its incarnation for longer than a lease must have received replies. A
+/// heartbeat that follows another within the worker's timeout also proves that the reply to the
+/// earlier one has arrived.
 #[test]
 fn unchanged_incarnation_or_prompt_heartbeat_proves_reachability() {
     let mut machine = Machine::new("m", "t", "a", false, 0);
+    // A worker lease of 14 s with a margin, and the time without a heartbeat after which one
+    // counts as missed.
     let (proof_after, missed_after) = (17 * SECOND, 3 * SECOND);
     machine.reachability.record_command_failure(SECOND);
     machine.heartbeat_received(2 * SECOND, false, proof_after, missed_after);
@@ -259,19 +264,19 @@
     machine.heartbeat_received(46 * SECOND, false, proof_after, missed_after);
     assert!(
         machine.reachability.commands_unanswered_since().is_some(),
-        "it may have waited for an answer until its timeout"
+        "the worker may have waited for a reply until its timeout"
     );
     machine.heartbeat_received(50 * SECOND, false, proof_after, missed_after);
     assert_eq!(
         machine.reachability.commands_unanswered_since(),
         None,
-        "it did not wait for the timeout"
+        "the worker did not wait for the timeout"
     );
 }
 
-/// The machine hangs while the job is cancelled, and resumes during an outage of store and
-/// cloud, when no node can prove its leadership. The answer to its first heartbeat stops the
-/// task; without an answer its lease expires in time.
+/// The machine is suspended while the job is cancelled, and resumes during an outage of store
+/// and cloud, when no node can prove its leadership. The reply to its first heartbeat stops the
+/// task; without a reply its lease expires in time.
 #[test]
 fn resumed_machine_ends_cancelled_task_in_time() {
     for resumes_after_s in [2, 9, 13] {
