--- a/crates/controller/tests/answer_consistency.rs
+++ b/crates/controller/tests/answer_consistency.rs
@@ -86,7 +86,7 @@
     /// Unanswered requests by node, number of restarts and request id.
     requests: HashMap<(usize, u32, u64), Request>,
     reported: HashMap<&'static str, Reported>,
-    /// The state that each node has reported itself since its latest restart.
+    /// The end or acceptance of each job that a node has reported since its latest restart.
     reported_by_node: HashMap<(usize, u32, &'static str), Reported>,
     submitted: HashSet<&'static str>,
     created: HashSet<&'static str>,
@@ -96,7 +96,7 @@
     let mut config = common::config_with_team();
     (config.store_rps, config.store_write_rps) = (1e6, 1e6);
     if let Some(jobs) = cache_capacity {
-        // The cache takes an eighth of the memory, and a job 200 bytes of the cache.
+        // The cache takes an eighth of the memory, and each job takes 200 bytes of it.
         config.memory_mb = 0.0016 * f64::from(jobs);
     }
     config
@@ -191,7 +191,7 @@
         state: Option<JobState>,
     ) {
         let job = request.job;
-        let now = match (status, state) {
+        let shown = match (status, state) {
             (503, _) => return,
             (200 | 201, Some(state)) => Reported::from_state(state),
             (404, None) if matches!(request.kind, RequestKind::Poll | RequestKind::Cancel) => {
@@ -204,37 +204,37 @@
             }
             _ => panic!("{request:?}: {status} {state:?}"),
         };
-        assert!(now.may_follow(request.before), "{request:?}: {now:?}");
+        assert!(shown.may_follow(request.before), "{request:?}: {shown:?}");
         let own = self.reported_by_node.entry((n, restarts, job)).or_default();
         assert!(
-            now.may_follow(*own),
-            "{request:?} at a node that has reported {own:?}: {now:?}"
+            shown.may_follow(*own),
+            "{request:?} at a node that has reported {own:?}: {shown:?}"
         );
         // A node need not remember that it reported a job as open, unless it accepted the
         // job itself.
-        if (matches!(now, Reported::Ended(_)) || status == 201) && self.cache_capacity.is_none() {
-            *own = now;
+        if (matches!(shown, Reported::Ended(_)) || status == 201) && self.cache_capacity.is_none() {
+            *own = shown;
         }
-        if now == Reported::Unknown {
+        if shown == Reported::Unknown {
             return;
         }
         assert!(self.submitted.contains(job), "{job}: never submitted");
-        if let Reported::Ended(state) = now {
+        if let Reported::Ended(state) = shown {
             let recorded = self
                 .store
                 .recorded_state(job)
                 .and_then(RecordedState::ended);
             assert_eq!(recorded, Some(state), "{request:?}");
         }
-        let ended = matches!(now, Reported::Ended(_));
+        let ended = matches!(shown, Reported::Ended(_));
         assert!(ended || request.kind != RequestKind::Cancel, "{request:?}");
         assert!(
             status == 200 || self.created.insert(job),
             "{job}: created twice"
         );
         let reported = self.reported.entry(job).or_default();
-        if now.may_follow(*reported) {
-            *reported = now;
+        if shown.may_follow(*reported) {
+            *reported = shown;
         }
     }
 
@@ -242,11 +242,11 @@
     fn deliver(&mut self, i: usize) {
         let call = self.calls.swap_remove(i);
         let (n, restarts) = call.node;
-        let (node, now) = &mut self.nodes[n];
+        let (node, current_restarts) = &mut self.nodes[n];
         let Some(reply) = call.reply else {
             unreachable!("the call was executed");
         };
-        if restarts == *now {
+        if restarts == *current_restarts {
             node.reply(call.id, Ok(reply));
         }
     }
@@ -259,8 +259,8 @@
             self.late_calls.push(call.call);
         }
         let (n, restarts) = call.node;
-        let (node, now) = &mut self.nodes[n];
-        if restarts == *now {
+        let (node, current_restarts) = &mut self.nodes[n];
+        if restarts == *current_restarts {
             node.reply(call.id, Err(CallError::NoAnswer));
         }
     }
@@ -275,9 +275,9 @@
     /// Writes what a leader would write next for a random job.
     fn act_as_leader(&mut self) {
         let job = JOBS[self.rng.usize(..JOBS.len())];
-        let described = self.store.rows.contains_key(&records::open_job_key(job));
+        let has_description = self.store.rows.contains_key(&records::open_job_key(job));
         match self.store.recorded_state(job) {
-            None if described => {
+            None if has_description => {
                 self.store.record_done(job);
             }
             Some(RecordedState::Cancelled) => self.store.delete_cancelled_records(job),
@@ -341,8 +341,9 @@
             self.collect_outputs();
         }
         let current: Vec<u32> = self.nodes.iter().map(|(_, restarts)| *restarts).collect();
-        let open = |(n, restarts, _): &&(usize, u32, u64)| current[*n] == *restarts;
-        assert_eq!(self.requests.keys().find(open), None, "never answered");
+        let is_of_current_run = |(n, restarts, _): &&(usize, u32, u64)| current[*n] == *restarts;
+        let unanswered = self.requests.keys().find(is_of_current_run);
+        assert_eq!(unanswered, None, "never answered");
     }
 }
 
--- a/crates/controller/tests/cancellation_before_watch_event.rs
+++ b/crates/controller/tests/cancellation_before_watch_event.rs
@@ -5,11 +5,11 @@
 
 use common::leader_fixture::{JOB_ID, LeaderFixture};
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
-use dillcleat_controller::{Input, RequestId, SECOND};
+use dillcleat_controller::{Input, Micros, RequestId, SECOND};
 use dillcleat_wire::user::{cancel_path, poll_path};
 use dillcleat_wire::worker::Command;
 
-fn send_request(fixture: &mut LeaderFixture, at: u64, method: &str, target: String) -> Vec<u16> {
+fn send_request(fixture: &mut LeaderFixture, at: Micros, method: &str, target: String) -> Vec<u16> {
     let request = Input::Request {
         id: RequestId(900),
         method: method.into(),
@@ -20,7 +20,7 @@
 }
 
 /// Whether the reply to the machine's heartbeat has a stop command.
-fn gets_stop_command(fixture: &mut LeaderFixture, at: u64) -> bool {
+fn gets_stop_command(fixture: &mut LeaderFixture, at: Micros) -> bool {
     let commands = fixture.send_heartbeat(at).expect("the lease is renewed");
     commands.iter().any(|c| matches!(c, Command::Stop { .. }))
 }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -119,7 +119,7 @@
     pub command_replies_late: bool,
     /// The worker is suspended. When this is reset it continues, unless its lease has expired
     /// meanwhile: then it starts a new incarnation without tasks.
-    pub hung: bool,
+    pub suspended: bool,
     /// Commands that arrived while the worker was suspended.
     queued_commands: Vec<CommandBatch>,
     /// Every task that starts here fails immediately.
@@ -275,7 +275,7 @@
             inbound_lost: false,
             commands_lost: false,
             command_replies_late: false,
-            hung: false,
+            suspended: false,
             queued_commands: Vec::new(),
             faulty: false,
         };
@@ -392,7 +392,7 @@
                 w.lease_renewed_at = now;
                 w.next_heartbeat_at = now;
             }
-            if w.hung || now < w.up_at {
+            if w.suspended || now < w.up_at {
                 continue;
             }
             for task in w.tasks.values_mut() {
@@ -443,7 +443,7 @@
         for name in names {
             let (now, interval) = (self.now, self.config.heartbeat_interval);
             let w = self.worker(&name);
-            if w.heartbeats_lost || w.hung || now < w.up_at || now < w.next_heartbeat_at {
+            if w.heartbeats_lost || w.suspended || now < w.up_at || now < w.next_heartbeat_at {
                 continue;
             }
             w.next_heartbeat_at = now + interval;
@@ -572,8 +572,8 @@
                                 .push((self.now + timeout, Input::Commands { id, reply }));
                             continue;
                         };
-                        if w.inbound_lost || w.commands_lost || w.hung || self.now < w.up_at {
-                            if w.hung && !w.inbound_lost && !w.commands_lost {
+                        if w.inbound_lost || w.commands_lost || w.suspended || self.now < w.up_at {
+                            if w.suspended && !w.inbound_lost && !w.commands_lost {
                                 w.queued_commands.push(commands);
                             }
                             let reply = Err(CallError::NoAnswer);
--- a/crates/controller/tests/deadline_propagation.rs
+++ b/crates/controller/tests/deadline_propagation.rs
@@ -1,4 +1,4 @@
-//! A job inherits urgency from the deadlines of the jobs that depend on it.
+//! A job inherits the deadline of the jobs that depend on it, less their estimated run times.
 
 mod common;
 
@@ -38,9 +38,9 @@
     }
 }
 
-/// Whether ordinary machines are rented for a first stage without a deadline, while no spot
-/// machines are available and `others` are stored as well.
-fn rents_ordinary_machines(others: Vec<JobSpec>) -> bool {
+/// Whether the leader requests on-demand machines for a first stage without a deadline when no
+/// spot machine is available. `others` are the other jobs in the queue.
+fn scales_out_on_demand(others: Vec<JobSpec>) -> bool {
     let mut config = config_with_team();
     config.deadline_objectives.push(DeadlineObjective {
         class: "last".into(),
@@ -60,9 +60,9 @@
     let mut ticks = (0..6 * SECOND).step_by(100 * MILLISECOND as usize);
     ticks.any(|at| {
         let (_, calls) = step_in_environment(&mut node, START + at, Input::Tick, &[], &mut env);
-        let is_ordinary =
+        let is_on_demand =
             |c: &CloudRequest| matches!(c, CloudRequest::ScaleOut(request) if !request.spot);
-        calls.iter().any(is_ordinary)
+        calls.iter().any(is_on_demand)
     })
 }
 
@@ -79,14 +79,14 @@
         deadline_s: Some(90.0),
         ..stage("last", "req-3")
     };
-    assert!(!rents_ordinary_machines(vec![]));
-    assert!(!rents_ordinary_machines(vec![middle.clone()]));
-    assert!(rents_ordinary_machines(vec![last("req-1")]));
-    assert!(rents_ordinary_machines(vec![middle.clone(), last("req-2")]));
+    assert!(!scales_out_on_demand(vec![]));
+    assert!(!scales_out_on_demand(vec![middle.clone()]));
+    assert!(scales_out_on_demand(vec![last("req-1")]));
+    assert!(scales_out_on_demand(vec![middle.clone(), last("req-2")]));
     // A deadline that the later stages cannot meet any more does not count.
     let long = JobSpec {
         estimate_s: 80.0,
         ..middle
     };
-    assert!(!rents_ordinary_machines(vec![long, last("req-2")]));
+    assert!(!scales_out_on_demand(vec![long, last("req-2")]));
 }
--- a/crates/controller/tests/dependency_graph.rs
+++ b/crates/controller/tests/dependency_graph.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn removed_dependent_is_not_released_by_its_dependencies() {
+fn removed_dependent_does_not_become_ready() {
     let mut g = graph(&[("b", "a"), ("c", "a"), ("c", "b")]);
     g.remove_dependencies("c");
     assert!(g.is_consistent());
@@ -40,7 +40,7 @@
     assert_eq!(sorted_ids(g.job_done("a")), "b");
 }
 
-/// No submission can create a cycle, but a stored one must not hang a leader.
+/// No submission can create a cycle, but a cycle in stored records must not hang the leader.
 #[test]
 fn traversal_of_a_cycle_terminates() {
     let g = graph(&[("a", "c"), ("b", "a"), ("c", "b"), ("d", "d")]);
--- a/crates/controller/tests/ended_job_cleanup.rs
+++ b/crates/controller/tests/ended_job_cleanup.rs
@@ -1,6 +1,5 @@
-//! Single-task jobs are submitted four a second for a minute, an eighth of them cancelled,
-//! with one failover. Ended jobs must leave only their state records in the store, and the
-//! number of writes and reads is bounded.
+//! Ended jobs must leave only their state records in the store, with a bounded number of reads
+//! and writes, also across a failover.
 
 mod common;
 
@@ -69,18 +68,18 @@
     let other_keys =
         fleet.key_count(records::MACHINES_PREFIX) + fleet.key_count(records::SHARED_PREFIX);
     assert_eq!(fleet.key_count(""), JOB_COUNT as usize + other_keys);
-    // Five changes per job: its description, placement and state record are written, and the
-    // first two are deleted. A job that is cancelled before it is placed has a cancellation
-    // record instead of a placement.
-    let job_changes = fleet.mutation_count("j/")
+    // Five mutations per job: its description, placement and state record are written, and the
+    // description and the placement are deleted. A job that is cancelled before it is placed
+    // has a cancellation record instead of a placement.
+    let mutations = fleet.mutation_count("j/")
         + fleet.mutation_count(records::QUEUE_PREFIX)
         + fleet.mutation_count(records::TASKS_PREFIX);
-    let max_changes = 5 * JOB_COUNT;
+    let max_mutations = 5 * JOB_COUNT;
     assert!(
-        job_changes <= max_changes as usize,
-        "{job_changes} changes, at most {max_changes}"
+        mutations <= max_mutations as usize,
+        "{mutations} mutations, at most {max_mutations}"
     );
-    // Polls are answered from the cache.
+    // Almost all polls are answered from the cache.
     assert!(
         fleet.single_key_reads <= 4,
         "{} reads",
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -241,6 +241,7 @@
             \xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa5chunk\x08\xa8unmarked\xc2",
         &open,
     );
+    // A record of an earlier version, without `unmarked`.
     assert_decodes(
         b"\
             \x83\xa4spec\xde\x00\x14\xa3ref\xa7req-412\xa3lot\xa5merge\xa4desk\xa5books\
@@ -323,7 +324,7 @@
     );
 }
 
-/// All numbers differ, so that a swap of two fields is found.
+/// The numbers within each entry differ, so that a swap of two fields is detected.
 #[test]
 fn task_chunk_keeps_its_bytes() {
     let chunk = TaskChunk {
--- a/crates/controller/tests/golden_settings.rs
+++ b/crates/controller/tests/golden_settings.rs
@@ -1,5 +1,5 @@
-//! The operators' settings file with every key, and the defaults. Deployed files depend on
-//! them, so they must not change.
+//! Keys and defaults of the operators' settings file: deployed files depend on both, so they
+//! must not change.
 
 use dillcleat_controller::Tuning;
 
--- a/crates/controller/tests/heartbeat_reconciliation.rs
+++ b/crates/controller/tests/heartbeat_reconciliation.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn spec() -> JobSpec {
+fn job_spec() -> JobSpec {
     JobSpec::plain("req-1", JobKind::Batch, 1, 1.0)
 }
 
@@ -61,7 +61,7 @@
         ),
         []
     );
-    let mut slot = TaskSlot::new(1, 1, 0, &spec(), true);
+    let mut slot = TaskSlot::new(1, 1, 0, &job_spec(), true);
     slot.reported_state = Some(TaskState::Running);
     m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     m
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn missing_task_is_lost_only_by_a_newer_heartbeat_with_the_current_fencing_token() {
+fn missing_task_counts_as_lost_only_after_a_newer_heartbeat_with_the_current_fencing_token() {
     let mut m = machine();
     // The worker still accepts a launch command of the previous leader.
     assert_eq!(
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn task_is_lost_when_the_agent_reports_a_later_incarnation() {
+fn task_is_lost_when_the_worker_reports_a_later_incarnation() {
     let mut m = machine();
     let events = apply(
         &mut m,
@@ -115,7 +115,7 @@
 fn task_with_an_unacknowledged_launch_is_neither_lost_nor_reaped() {
     let mut m = machine();
     m.slots.clear();
-    let slot = TaskSlot::new(1, 1, 0, &spec(), true);
+    let slot = TaskSlot::new(1, 1, 0, &job_spec(), true);
     m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let launch = m.needed_commands(true, |_, _| true);
     assert!(matches!(launch[..], [Command::Launch { .. }]));
@@ -135,8 +135,8 @@
         ),
         []
     );
-    // The task was launched and failed. While the worker lists the attempt, a late launch
-    // has no effect; after a reap it would.
+    // The task was launched and failed. A late launch has no effect while the worker still
+    // lists the attempt, but would start the task again after a reap.
     let exited = heartbeat(1, 3, TERM, &[(1, TaskState::Exited)]);
     let events = apply(&mut m, &exited, HeartbeatSource::Periodic);
     assert!(matches!(events[..], [TaskEvent::Exited { attempt: 1, .. }]));
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn launch_in_a_heartbeat_reply_is_settled_only_by_the_next_periodic_heartbeat() {
+fn launch_in_a_heartbeat_reply_is_unconfirmed_until_the_next_periodic_heartbeat() {
     let mut m = machine();
     m.slots.clear();
     m.add_task(
         task_key(),
-        TaskSlot::new(1, 1, 0, &spec(), true),
+        TaskSlot::new(1, 1, 0, &job_spec(), true),
         (&Rc::from("img"), 1.0),
         50.0,
     );
@@ -191,7 +191,7 @@
     m.slots.clear();
     m.add_task(
         task_key(),
-        TaskSlot::new(1, 1, 0, &spec(), false),
+        TaskSlot::new(1, 1, 0, &job_spec(), false),
         (&Rc::from("img"), 1.0),
         50.0,
     );
@@ -208,7 +208,7 @@
 fn end_of_an_earlier_attempt_does_not_end_the_placed_one() {
     let mut m = machine();
     m.slots.clear();
-    let slot = TaskSlot::new(2, 1, 0, &spec(), true);
+    let slot = TaskSlot::new(2, 1, 0, &job_spec(), true);
     m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     let ended = heartbeat(1, 2, TERM, &[(1, TaskState::Exited)]);
     assert_eq!(apply(&mut m, &ended, HeartbeatSource::Periodic), []);
@@ -226,7 +226,7 @@
     assert!(matches!(&stops[..], [Command::Stop { attempt: 1, .. }, ..]));
 }
 
-/// A new leader may read a placement from an earlier incarnation of the agent.
+/// A new leader may read a placement from an earlier incarnation of the worker.
 #[test]
 fn placement_of_an_earlier_incarnation_gets_no_commands() {
     let mut m = machine();
@@ -236,7 +236,7 @@
         &heartbeat(2, 2, TERM, &[]),
         HeartbeatSource::Periodic,
     );
-    let slot = TaskSlot::new(1, 1, 0, &spec(), true);
+    let slot = TaskSlot::new(1, 1, 0, &job_spec(), true);
     m.add_task(task_key(), slot, (&Rc::from("img"), 1.0), 50.0);
     assert_eq!(m.needed_commands(true, |_, _| true), []);
 }
--- a/crates/controller/tests/idle_follower.rs
+++ b/crates/controller/tests/idle_follower.rs
@@ -1,4 +1,4 @@
-//! Health of a follower without requests.
+//! A follower that serves no user requests stays healthy.
 
 mod common;
 
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -11,6 +11,8 @@
 
 const START: Micros = 1000 * SECOND;
 
+/// Estimates of one job with this size and credit, in CPU-seconds. On the wire the credit of an
+/// ageing job is relative to the sender's virtual time, here 500.
 fn estimates(term: u64, credit: f64, size: f64) -> Estimates {
     Estimates {
         term,
@@ -32,7 +34,8 @@
 }
 
 /// Elects a node `delay` after it received the estimates. Returns the size, the credit and
-/// the number of samples that it replicates itself for the job, at virtual time zero.
+/// the number of samples that it then replicates itself for the job. Its virtual time starts
+/// at zero, so it has added the sender's virtual time to the credit.
 fn replicated_after_election(received: Estimates, delay: Micros) -> (f64, f64, usize) {
     let mut node: Node = common::three_zone_node();
     let spec = JobSpec {
@@ -82,11 +85,11 @@
     let job = jobs
         .iter()
         .find(|j| j.job == "req-1")
-        .expect("its estimate is replicated");
+        .expect("the job's estimate is replicated");
     (job.size, job.credit, job.samples.len())
 }
 
-/// Otherwise a large job's ageing would start again at every failover.
+/// Guards against restarting a large job's ageing at every failover. The credit is 500 - 200.
 #[test]
 fn new_leader_continues_with_replicated_estimates() {
     assert_eq!(
@@ -105,16 +108,16 @@
     assert_eq!(
         replicated_after_election(estimates(1, -200.0, 2100.0), SECOND),
         initial,
-        "the new leader's own term"
+        "estimates of the receiver's own term are ignored"
     );
     assert_eq!(
         replicated_after_election(estimates(0, -200.0, 2100.0), 700 * SECOND).1,
         0.0,
-        "outdated"
+        "outdated estimates are ignored"
     );
     assert_eq!(
         replicated_after_election(estimates(0, -900.0, 2100.0), SECOND).1,
         0.0,
-        "negative credit"
+        "the credit would be 500 - 900"
     );
 }
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -1,5 +1,5 @@
-//! Leader failover: cancellations, lost answers and delayed heartbeats around the change
-//! from one leader to the next.
+//! Leader failover: cancellations, lost replies and delayed heartbeats around the change from
+//! one leader to the next.
 
 mod common;
 
@@ -72,12 +72,12 @@
         records::cancelled_job_key("req-000009"),
         &cancelled_job(START),
     );
-    for read_first in [false, true] {
+    for on_first_page in [false, true] {
         let mut fixture = LeaderFixture::new();
         fixture.env.held_listing_prefix = Some(records::QUEUE_PREFIX);
         fixture.step(0, Input::Tick);
         let mut first = vec![other.clone()];
-        if read_first {
+        if on_first_page {
             first.insert(0, cancellation_row(START));
         }
         answer_listing(&mut fixture, SECOND, &first, true, 5);
@@ -88,7 +88,7 @@
         let jobs = fixture.env.queue_rows.clone();
         answer_listing(&mut fixture, 2 * SECOND, &jobs, false, 9);
         assert!(fixture.node.fence().is_some());
-        if !read_first {
+        if !on_first_page {
             assert_eq!(
                 fixture.env.queue_watch_revision,
                 Some(5),
@@ -113,7 +113,7 @@
 /// The worker lease must expire in time, counted from the cancellation and not from an
 /// election.
 #[test]
-fn cancelled_task_ends_in_time_despite_frequent_leader_changes() {
+fn cancelled_task_ends_in_time_despite_frequent_failovers() {
     let mut fixture = LeaderFixture::elected();
     fixture.env.cloud_up = false;
     let cancelled_at = SECOND;
@@ -153,10 +153,10 @@
     );
 }
 
-/// The machine has a new incarnation after its lease expired, which ends the tasks placed
-/// on the earlier one, also those of a cancelled job.
+/// The machine has a new incarnation after its lease expired, which ends the tasks placed on
+/// the earlier one. If their job is cancelled, its records are then deleted.
 #[test]
-fn placements_of_an_expired_incarnation_are_ended() {
+fn tasks_of_an_expired_incarnation_are_placed_again_unless_cancelled() {
     for is_cancelled in [false, true] {
         let mut fixture = LeaderFixture::new();
         fixture.env.machine_types = vec![machine_type(8.0)];
@@ -179,7 +179,7 @@
     }
 }
 
-/// A controller in a partitioned zone may still renew leases there, so that missing
+/// A previous leader in a partitioned zone may still renew leases there, so that missing
 /// heartbeats do not prove the end of tasks, however long they are missing.
 #[test]
 fn tasks_of_unresponsive_machine_are_placed_again_only_after_its_deletion() {
@@ -187,7 +187,7 @@
     fixture.machine_rows.push(machine_row("n", "a"));
     fixture.env.machine_types = vec![machine_type(8.0)];
     let mut deleted = false;
-    // Ends before idle machines are returned, which is after a minute.
+    // Stops at 54 s, because idle machines are deleted after 60 s.
     for t in 0..540 {
         let at = t * 100 * MILLISECOND;
         fixture.env.cloud_up = !(10..450).contains(&t);
@@ -217,8 +217,8 @@
     );
 }
 
-/// A heartbeat of an earlier incarnation arrives first at a new leader, which knows the
-/// later incarnation only from a placement. A task missing from it has not ended.
+/// A heartbeat of an earlier incarnation arrives at a new leader that has read the later
+/// incarnation from a placement. A task missing from the heartbeat has not ended.
 #[test]
 fn heartbeat_of_earlier_incarnation_is_ignored() {
     let mut fixture = LeaderFixture::new();
@@ -260,10 +260,10 @@
     }
 }
 
-/// The election transaction is executed and its answer lost. A node that then finds itself
+/// The election transaction is executed and its reply lost. A node that then finds itself
 /// recorded as leader revokes the lease and stands for election in a later term.
 #[test]
-fn election_without_answer_is_abandoned() {
+fn election_with_lost_reply_is_repeated_in_a_later_term() {
     let mut fixture = LeaderFixture::new();
     fixture.env.unanswered_key = Some(records::LEADER_KEY);
     fixture.step(0, Input::Tick);
@@ -282,7 +282,7 @@
     assert_eq!(
         fixture.env.revoked_leases,
         [LeaseId(1)],
-        "the lease may be its own"
+        "the lease in the leader key is the node's own"
     );
     assert_eq!(fixture.node.leading(), None, "the leader key still exists");
     fixture.env.shared_rows.remove(0);
@@ -302,10 +302,10 @@
     );
 }
 
-/// The node is suspended until after the answer to its election; by then another node may
-/// lead.
+/// The node is suspended until after the reply to its election transaction; by then another
+/// node may lead.
 #[test]
-fn election_answered_after_a_pause_is_abandoned() {
+fn election_reply_after_a_suspension_is_ignored() {
     let mut fixture = LeaderFixture::new();
     fixture.env.hold_transactions = true;
     fixture.step(0, Input::Tick);
@@ -322,7 +322,7 @@
     assert_eq!(fixture.node.leading(), None);
 }
 
-/// The write of a placement is executed and its answer lost; the job is cancelled before
+/// The write of a placement is executed and its reply lost; the job is cancelled before
 /// the retry. The task must not be launched, although no watch has reported the
 /// cancellation yet.
 #[test]
@@ -349,7 +349,7 @@
         for t in 3..8 {
             fixture.step(t * 100 * MILLISECOND, Input::Tick);
         }
-        let commands = fixture.send_heartbeat(SECOND).expect("an answer");
+        let commands = fixture.send_heartbeat(SECOND).expect("a reply");
         let is_launch = |c: &Command| matches!(c, Command::Launch { task, .. } if task.index == 1);
         assert_eq!(commands.iter().any(is_launch), !is_cancelled);
         assert_eq!(is_single_stop(Some(commands)), is_cancelled);
@@ -366,7 +366,10 @@
     fixture.step(0, Input::Tick);
     fixture.send_heartbeat(SECOND / 2);
     fixture.step(SECOND, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
+    assert!(
+        fixture.env.refused_reads > 0,
+        "the conflict makes the leader read the state record"
+    );
     assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
@@ -387,7 +390,10 @@
     fixture.send_heartbeat(conflict_at);
     fixture.step(conflict_at, Input::Tick);
     fixture.step(conflict_at + SECOND / 10, Input::Tick);
-    assert!(fixture.env.refused_reads > 0, "a placement conflicts");
+    assert!(
+        fixture.env.refused_reads > 0,
+        "the conflict makes the leader read the state record"
+    );
     fixture.env.cloud_up = false;
     fixture.answer_watches(
         10 * SECOND,
@@ -410,9 +416,9 @@
     );
 }
 
-/// Without a recent read the job may have been cancelled already.
+/// Without a recent read of the cancellations the job may have been cancelled already.
 #[test]
-fn launches_require_a_recent_read() {
+fn task_is_launched_only_after_a_recent_read_of_cancellations() {
     let mut fixture = LeaderFixture::elected();
     fixture.reports_task = false;
     let is_launch = |commands: Option<Vec<Command>>| match commands.as_deref() {
@@ -430,9 +436,9 @@
     assert!(is_launch(fixture.send_heartbeat(9 * SECOND)));
 }
 
-/// Placing its tasks would use capacity and the limit of its team until the write fails.
+/// Placing them would use capacity and the team's quota until the write fails.
 #[test]
-fn cancelled_job_leaves_the_queue() {
+fn tasks_of_cancelled_job_are_not_placed() {
     let mut fixture = LeaderFixture::with_tasks(2);
     fixture.env.machine_types = vec![machine_type(8.0)];
     fixture.step(0, Input::Tick);
@@ -452,7 +458,7 @@
 /// Jobs that depend on a cancelled job are cancelled when its state record is read, even if
 /// its tasks are gone by then.
 #[test]
-fn job_is_removed_only_after_its_state_record_is_read() {
+fn cancelled_job_with_dependents_is_removed_only_after_its_state_record_is_read() {
     let mut fixture = LeaderFixture::with_tasks(2);
     let mut dependent = fixture.env.queue_rows[0]
         .decode_value::<OpenJob>()
@@ -494,7 +500,7 @@
     fixture.env.conflicting_key = Some(records::MACHINE_TYPES_KEY.into());
     fixture.step(0, Input::Tick);
     fixture.step(SECOND / 10, Input::Tick);
-    // The previous leader wrote it after this one had read it.
+    // The previous leader has written the record since.
     stored.version = 9;
     fixture.env.readable_row = Some(stored);
     for t in 2..10 {
@@ -517,7 +523,7 @@
 #[test]
 fn watch_events_older_than_the_listing_are_ignored() {
     let mut fixture = LeaderFixture::elected();
-    // It steps down in favor of a sibling that workers can reach.
+    // The leader steps down in favor of a sibling that workers can reach.
     let message = Message::Heartbeat {
         term: 7,
         is_leader: false,
@@ -533,7 +539,7 @@
     assert_eq!(
         fixture.node.leading(),
         None,
-        "it does not stand for election at once"
+        "the node does not stand for election at once"
     );
     let lead = LeaderRecord {
         member: "n1".into(),
@@ -582,8 +588,8 @@
     assert_eq!(fixture.node.leading(), term);
 }
 
-/// With a slow store the shortest lease would expire before it is renewed. Held watches,
-/// calls without answer and slow answers of long ago do not count as a slow store.
+/// With a slow store the shortest lease would expire before it is renewed. Held watches and
+/// slow replies of a minute ago do not count as a slow store.
 #[test]
 fn leader_lease_is_extended_while_store_is_slow() {
     let mut fixture = LeaderFixture::new();
@@ -619,7 +625,13 @@
         }
     }
     depose_and_reelect(&mut fixture, 60 * SECOND);
+    // Three times the store's latency of 1.2 s; after a minute the shortest lease.
     assert_eq!(fixture.env.granted_ttls_ms, [3600, 3600, 1250]);
+}
+
+/// The call may have failed because of a network partition.
+#[test]
+fn call_without_reply_does_not_extend_leader_lease() {
     let mut fixture = LeaderFixture::new();
     fixture.env.held_listing_prefix = Some(records::SHARED_PREFIX);
     fixture.step(0, Input::Tick);
@@ -634,12 +646,12 @@
     assert_eq!(fixture.env.granted_ttls_ms, [1250]);
 }
 
-/// The machine does not receive the answer to a duplicate.
+/// The machine does not receive the reply to a duplicate.
 #[test]
 fn duplicate_of_latest_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
     fixture.reports_task = false;
-    let commands = fixture.send_heartbeat(SECOND).expect("an answer");
+    let commands = fixture.send_heartbeat(SECOND).expect("a reply");
     assert!(matches!(&commands[..], [Command::Launch { .. }]));
     fixture.sequence -= 1;
     assert_eq!(fixture.send_heartbeat(SECOND), Some(vec![]));
--- a/crates/controller/tests/leader_without_heartbeats.rs
+++ b/crates/controller/tests/leader_without_heartbeats.rs
@@ -24,26 +24,27 @@
     }
 }
 
-/// For how long a node with registered machines stays leader without worker heartbeats,
-/// except for one at the start if `one_heartbeat`. A sibling reports its term and whether
-/// workers reach it. The node is suspended for `pause` after two seconds.
+/// How long a node with registered machines stays leader without worker heartbeats after the
+/// start. The sibling's heartbeats contain its term and whether workers reach it. After two
+/// seconds the node is suspended for the time of `suspension`.
 fn time_as_leader(
-    one_heartbeat: bool,
-    (sibling_term, workers_reach_sibling): (u64, bool),
-    pause: Micros,
+    heartbeat_at_start: bool,
+    sibling_term: u64,
+    workers_reach_sibling: bool,
+    suspension: Micros,
 ) -> Micros {
     let machines: Vec<KeyValue> = (0..3).map(|i| machine_row(&format!("m{i}"), "a")).collect();
     let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     step(&mut node, start, Input::Tick, &machines);
     assert_eq!(node.leading(), Some(1));
-    if one_heartbeat {
+    if heartbeat_at_start {
         let input = heartbeat_request("m0", "a", 1);
         assert_eq!(step(&mut node, start, input, &machines), [200]);
     }
     let mut last_led_at = 0;
     for at in (0..30 * SECOND).step_by(100 * MILLISECOND as usize) {
-        if (2 * SECOND..2 * SECOND + pause).contains(&at) {
+        if (2 * SECOND..2 * SECOND + suspension).contains(&at) {
             continue;
         }
         step(
@@ -61,30 +62,30 @@
     last_led_at
 }
 
-/// Workers wait up to 4 s for an answer of the previous leader and pause for a second before
-/// they try the next one. Guards against a leader that steps down meanwhile.
+/// Workers wait up to 4 s for a reply of the previous leader and pause for a second before they
+/// try the next one. The new leader must not step down before then.
 #[test]
 fn new_leader_waits_for_the_workers_of_its_predecessor() {
     // Long enough for a heartbeat interval, the timeout and the pause; well within the
     // worker lease of 14 s.
-    let time_led = time_as_leader(false, (0, true), 0);
+    let time_led = time_as_leader(false, 0, true, 0);
     assert!(
         (15 * SECOND / 2..10 * SECOND).contains(&time_led),
         "{time_led}"
     );
 }
 
-/// A sibling that knows the term has redirected the workers to this leader, so they should
-/// arrive sooner.
+/// A sibling that has seen this term redirects workers to the leader, so they should arrive
+/// sooner.
 #[test]
 fn new_leader_steps_down_sooner_if_redirected_workers_do_not_arrive() {
-    let time_led = time_as_leader(false, (1, true), 0);
+    let time_led = time_as_leader(false, 1, true, 0);
     assert!((4 * SECOND..6 * SECOND).contains(&time_led), "{time_led}");
 }
 
-/// Guards against two followers without store that redirect workers to each other.
+/// Guards against two followers that cannot reach the store and redirect workers to each other.
 #[test]
-fn workers_are_redirected_only_to_a_sibling_that_reports_to_lead() {
+fn workers_are_redirected_only_to_a_sibling_that_claims_to_be_leader() {
     let mut node = common::single_zone_node();
     let now = Timestamp {
         monotonic: 1000 * SECOND,
@@ -121,23 +122,26 @@
 /// Workers do not reach the one sibling that the leader can reach; they may reach the other.
 #[test]
 fn leader_without_heartbeats_steps_down_before_worker_leases_expire() {
-    let time_led = time_as_leader(true, (1, false), 0);
+    let time_led = time_as_leader(true, 1, false, 0);
     assert!((7 * SECOND..11 * SECOND).contains(&time_led), "{time_led}");
-    // A leader that never received a heartbeat stays: if all machines are gone, a leader is
-    // needed to detect that.
-    assert!(time_as_leader(false, (1, false), 0) > 29 * SECOND);
+}
+
+/// If all machines are gone, a leader is needed to detect that.
+#[test]
+fn leader_that_never_received_a_heartbeat_stays() {
+    assert!(time_as_leader(false, 1, false, 0) > 29 * SECOND);
 }
 
 /// Another node may lead after a suspension longer than the leader lease.
 #[test]
 fn leader_steps_down_after_a_suspension_longer_than_its_lease() {
-    assert!(time_as_leader(false, (0, true), 3 * SECOND) < 3 * SECOND);
+    assert!(time_as_leader(false, 0, true, 3 * SECOND) < 3 * SECOND);
     let shorter_than_lease = micros(Tuning::default().lead_ttl_s) - 200 * MILLISECOND;
-    assert!(time_as_leader(false, (0, true), shorter_than_lease) > 7 * SECOND);
+    assert!(time_as_leader(false, 0, true, shorter_than_lease) > 7 * SECOND);
 }
 
 /// How long a node that receives no worker heartbeats takes to be elected, while a sibling
-/// sends these heartbeats.
+/// sends heartbeats with these two flags.
 fn elected_after(sibling_is_leader: bool, workers_reach_sibling: bool) -> Micros {
     let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
@@ -152,7 +156,7 @@
         step(&mut node, start + at, Input::Tick, &[]);
         node.leading().is_some()
     });
-    elected.expect("it is elected, as no other node stands for election")
+    elected.expect("the node is elected, as no other stands for election")
 }
 
 /// Guards against two nodes without worker heartbeats that lead in turn until the worker
@@ -162,6 +166,6 @@
     let waited = elected_after(false, true);
     assert!((SECOND / 2..SECOND).contains(&waited), "{waited}");
     assert_eq!(elected_after(false, false), 0);
-    // The sibling was the leader and has failed since.
+    // A sibling that claims to lead, without a leader key in the store, causes no delay.
     assert_eq!(elected_after(true, true), 0);
 }
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -1,5 +1,5 @@
 //! The transaction of a user's request commits and its reply is lost, while other nodes
-//! read what it wrote. The retry must answer with the present state and write nothing
+//! read what it wrote. The retry must answer with the current state and write nothing
 //! again.
 
 mod common;
@@ -20,7 +20,7 @@
 }
 
 /// Sends a request to another node and returns its answer.
-fn ask_other_node(
+fn request_at_other_node(
     store: &mut MemoryStore,
     send: fn(&mut SteppedNode) -> u64,
 ) -> (u16, Option<JobState>) {
@@ -37,7 +37,7 @@
 }
 
 fn cancel(store: &mut MemoryStore) {
-    assert_eq!(ask_other_node(store, |n| n.cancel(JOB)), CANCELLED);
+    assert_eq!(request_at_other_node(store, |n| n.cancel(JOB)), CANCELLED);
 }
 
 fn cancel_and_delete(store: &mut MemoryStore) {
@@ -56,12 +56,12 @@
 ];
 
 #[test]
-fn retried_submission_returns_the_jobs_present_state() {
+fn retried_submission_returns_the_jobs_current_state() {
     for (change, expected) in CHANGES {
         let (mut node, mut store) = (node(), MemoryStore::default());
         let submission = node.submit(&job_spec(JOB));
         node.execute_and_lose_reply(&mut store);
-        assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
+        assert_eq!(request_at_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
         change(&mut store);
         let rows = store.rows.clone();
         node.execute_all(&mut store);
@@ -97,7 +97,7 @@
 fn retried_cancellation_finds_the_job_cancelled_or_done() {
     for (delete, cached) in [(false, false), (false, true), (true, false), (true, true)] {
         let (mut node, mut store) = (node(), MemoryStore::default());
-        ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
+        request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
         if cached {
             node.poll(JOB);
             node.execute_all(&mut store);
@@ -107,7 +107,10 @@
             node.execute_next(&mut store);
         }
         node.execute_and_lose_reply(&mut store);
-        assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), CANCELLED);
+        assert_eq!(
+            request_at_other_node(&mut store, |n| n.poll(JOB)),
+            CANCELLED
+        );
         // The job can no longer become done.
         assert!(matches!(
             store.record_done(JOB),
@@ -123,12 +126,12 @@
     }
     // The job's last task ends before the first attempt is executed.
     let (mut node, mut store) = (node(), MemoryStore::default());
-    ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
     let cancellation = node.cancel(JOB);
     node.execute_next(&mut store);
     store.record_done(JOB);
     node.execute_and_lose_reply(&mut store);
-    assert_eq!(ask_other_node(&mut store, |n| n.poll(JOB)), DONE);
+    assert_eq!(request_at_other_node(&mut store, |n| n.poll(JOB)), DONE);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
@@ -146,7 +149,7 @@
     let submission = submit_malformed(&mut node);
     node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some((400, None)));
-    ask_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
     let submission = submit_malformed(&mut node);
     node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some(QUEUED));
@@ -169,10 +172,12 @@
     assert_eq!(attempts, 18);
 }
 
-/// More requests than may be under way at once, of every kind and for unknown, open and done
-/// jobs, each with at most one call lost or refused. A slot must be released exactly once.
+/// Requests of every kind, for unknown, open and done jobs, each with at most one call lost or
+/// refused. A slot must be released exactly once.
 #[test]
 fn failed_calls_release_their_request_slots() {
+    // More requests than a node has slots.
+    const ROUNDS: u32 = 260;
     let mut config = common::config_with_team();
     (config.store_rps, config.store_write_rps) = (1e6, 1e6);
     let requests: [fn(&mut SteppedNode, &str) -> u64; 5] = [
@@ -194,9 +199,9 @@
     ];
     let unknown = MemoryStore::default();
     let mut open = MemoryStore::default();
-    ask_other_node(&mut open, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut open, |n| n.submit(&job_spec(JOB)));
     let mut done = MemoryStore::default();
-    ask_other_node(&mut done, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut done, |n| n.submit(&job_spec(JOB)));
     done.record_done(JOB);
     let stores = [unknown, open, done];
     let faults = [
@@ -204,11 +209,13 @@
         Ok(StoreResponse::Unavailable),
         Ok(StoreResponse::Malformed),
     ];
+    // Every combination of a request, a fault, a store and the index of the call that fails.
     for case in 0..180 {
         let (send, fault) = (requests[case % 5], &faults[case / 5 % 3]);
         let (store_index, failing_call) = (case / 15 % 3, case / 45);
+        let is_poll = case % 5 == 1;
         let mut node = SteppedNode::with_machine_types(config.clone(), START);
-        for round in 0..260 {
+        for round in 0..ROUNDS {
             let id = format!("req-1{round}");
             let mut store = MemoryStore::default();
             let rows = stores[store_index].rows.iter();
@@ -237,7 +244,7 @@
                 store_index == 0 || matches!(status, 200 | 201 | 503),
                 "case {case}: {status}"
             );
-            let poll_failed = case % 5 == 1 && calls > failing_call;
+            let poll_failed = is_poll && calls > failing_call;
             assert!(!poll_failed || status == 503, "case {case}: {status}");
             node.answers.clear();
         }
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -20,44 +20,45 @@
 const LOWERED_VALUE_BYTES: usize = 2048;
 
 /// A leader with one machine and an open job whose tasks all fit on it.
-struct Harness {
+struct Fixture {
     node: Node,
     now: Micros,
-    /// The store's replies to the first batches of tasks. All later batches are committed.
-    batch_replies: Vec<Result<StoreResponse, CallError>>,
+    /// The store's replies to the first writes of task records. All later ones are committed.
+    task_write_replies: Vec<Result<StoreResponse, CallError>>,
     /// The store's reply to a read of a chunk.
     chunk_reply: StoreResponse,
-    batches: Vec<Transaction>,
+    /// The transactions that write task records.
+    task_writes: Vec<Transaction>,
     chunk_reads: usize,
     launched_tasks: BTreeSet<String>,
 }
 
-impl Harness {
+impl Fixture {
     /// A leader that has run for five seconds.
     fn new(
-        batch_replies: Vec<Result<StoreResponse, CallError>>,
+        task_write_replies: Vec<Result<StoreResponse, CallError>>,
         chunk_reply: StoreResponse,
-    ) -> Harness {
+    ) -> Fixture {
         let mut config = common::config_with_team();
         (config.max_value_bytes, config.max_txn_ops) = (LOWERED_VALUE_BYTES, 16);
-        let mut harness = Harness {
+        let mut fixture = Fixture {
             node: Node::new(config),
             now: 1000 * SECOND,
-            batch_replies,
+            task_write_replies,
             chunk_reply,
-            batches: Vec::new(),
+            task_writes: Vec::new(),
             chunk_reads: 0,
             launched_tasks: BTreeSet::new(),
         };
         // Twenty ticks a second, and a heartbeat every two seconds.
         for n in 0..100 {
             if n % 40 == 0 {
-                harness.handle(common::heartbeat_request("m", "a", n + 1));
+                fixture.handle(common::heartbeat_request("m", "a", n + 1));
             }
-            harness.handle(Input::Tick);
-            harness.now += 50 * MILLISECOND;
+            fixture.handle(Input::Tick);
+            fixture.now += 50 * MILLISECOND;
         }
-        harness
+        fixture
     }
 
     fn record_launches(&mut self, commands: &[Command]) {
@@ -114,7 +115,7 @@
                 let reply = match call {
                     StoreRequest::Watch { .. } => continue,
                     StoreRequest::List { prefix, .. } => Ok(StoreResponse::RangePage(RangePage {
-                        rows: Harness::stored_rows(&prefix),
+                        rows: Fixture::stored_rows(&prefix),
                         more: false,
                         revision: 1,
                     })),
@@ -126,10 +127,10 @@
                         Ok(self.chunk_reply.clone())
                     }
                     StoreRequest::Transaction(txn) if txn.then.iter().any(writes_tasks) => {
-                        self.batches.push(txn);
-                        match self.batch_replies.is_empty() {
+                        self.task_writes.push(txn);
+                        match self.task_write_replies.is_empty() {
                             true => Ok(StoreResponse::Committed { revision: 9 }),
-                            false => self.batch_replies.remove(0),
+                            false => self.task_write_replies.remove(0),
                         }
                     }
                     StoreRequest::Transaction(_) => Ok(StoreResponse::Committed { revision: 2 }),
@@ -151,11 +152,12 @@
 
 /// Asserts that the leader has launched every task in its first term, and that its parts
 /// cover all tasks and fit the lowered limit.
-fn assert_all_tasks_launched(harness: &Harness) {
-    assert_eq!(harness.node.leading(), Some(1));
-    assert_eq!(harness.launched_tasks.len(), TASK_COUNT as usize);
+fn assert_all_tasks_launched(fixture: &Fixture) {
+    assert_eq!(fixture.node.leading(), Some(1));
+    assert_eq!(fixture.launched_tasks.len(), TASK_COUNT as usize);
     let mut covered = 0;
-    for change in harness.batches.iter().skip(1).flat_map(|txn| &txn.then) {
+    // The first write is the one that the store rejects.
+    for change in fixture.task_writes.iter().skip(1).flat_map(|txn| &txn.then) {
         if let Mutation::Put { key, value, .. } = change
             && let Some((_, TaskRange::Part { from, to, .. })) = parse_tasks_key(key)
         {
@@ -168,21 +170,21 @@
 
 #[test]
 fn chunk_over_the_lowered_size_limit_is_written_in_parts() {
-    let harness = Harness::new(vec![rejected()], StoreResponse::NotFound { revision: 3 });
-    assert_eq!(harness.chunk_reads, 0);
-    assert_all_tasks_launched(&harness);
+    let fixture = Fixture::new(vec![rejected()], StoreResponse::NotFound { revision: 3 });
+    assert_eq!(fixture.chunk_reads, 0);
+    assert_all_tasks_launched(&fixture);
 }
 
 /// The first attempt has no reply and was not executed, which the leader finds out by a read.
 #[test]
 fn chunk_is_written_in_parts_after_an_attempt_that_was_not_executed() {
     let lost = Err(CallError::NoAnswer);
-    let harness = Harness::new(
+    let fixture = Fixture::new(
         vec![lost, rejected()],
         StoreResponse::NotFound { revision: 3 },
     );
-    assert_eq!(harness.chunk_reads, 1);
-    assert_all_tasks_launched(&harness);
+    assert_eq!(fixture.chunk_reads, 1);
+    assert_all_tasks_launched(&fixture);
 }
 
 /// The first attempt has no reply and was executed: the leader reads the chunk's version
@@ -197,23 +199,23 @@
         version: 7,
         ..stored
     });
-    let harness = Harness::new(vec![Err(CallError::NoAnswer), rejected()], found);
-    assert_eq!((harness.chunk_reads, harness.batches.len()), (1, 2));
+    let fixture = Fixture::new(vec![Err(CallError::NoAnswer), rejected()], found);
+    assert_eq!((fixture.chunk_reads, fixture.task_writes.len()), (1, 2));
     assert_eq!(
-        (harness.node.leading(), harness.launched_tasks.len()),
+        (fixture.node.leading(), fixture.launched_tasks.len()),
         (Some(1), TASK_COUNT as usize)
     );
 }
 
 /// Splitting does not help here, so the leader must pause between attempts.
 #[test]
-fn batch_that_is_always_rejected_is_not_retried_continuously() {
+fn task_write_that_is_always_rejected_is_retried_with_pauses() {
     let rejections = (0..1000).map(|_| rejected()).collect();
-    let harness = Harness::new(rejections, StoreResponse::NotFound { revision: 3 });
-    assert_eq!(harness.node.leading(), Some(1));
+    let fixture = Fixture::new(rejections, StoreResponse::NotFound { revision: 3 });
+    assert_eq!(fixture.node.leading(), Some(1));
     assert!(
-        harness.batches.len() < 40,
-        "{} batches",
-        harness.batches.len()
+        fixture.task_writes.len() < 40,
+        "{} writes",
+        fixture.task_writes.len()
     );
 }
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -1,6 +1,6 @@
-//! Replication of job progress: the leader broadcasts how many tasks of each job are done
-//! and how many run. Every controller must show the same counts, also one that has just
-//! started, and after a failover.
+//! Replication of job progress: the leader broadcasts how many tasks of each job are done and
+//! how many run. Every node must show the same counts, also one that has just started, and
+//! after a failover.
 
 mod common;
 
@@ -18,7 +18,7 @@
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
 
-fn counts(job: &str, done: u32, running: u32) -> JobProgress {
+fn job_progress(job: &str, done: u32, running: u32) -> JobProgress {
     let job = job.into();
     JobProgress { job, done, running }
 }
@@ -46,7 +46,11 @@
 
 /// Ticks for half a second and returns the progress that the node broadcasts. Renewals of
 /// the leader's lease succeed, and other calls are not answered.
-fn broadcasts(node: &mut Node, at: &mut Micros, env: &mut Environment) -> Vec<JobProgress> {
+fn run_and_collect_progress(
+    node: &mut Node,
+    at: &mut Micros,
+    env: &mut Environment,
+) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -141,37 +145,43 @@
     step_in_environment(node, at, input, &[], env);
 }
 
-/// A controller that starts later has missed all changes, and the counts of a running
-/// service may not change again for hours.
+/// A node that starts later has missed all changes, and the counts of a running service may not
+/// change again for hours.
 #[test]
 fn leader_sends_all_progress_again_to_a_peer_that_becomes_reachable() {
     let (mut node, mut at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
-    let running = [counts(JOB, 0, 1)];
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
-    // It is repeated until the next scheduling pass.
-    while !broadcasts(&mut node, &mut at, &mut env).is_empty() {
+    let running = [job_progress(JOB, 0, 1)];
+    assert_eq!(
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        running
+    );
+    // The broadcast is repeated until the next scheduling cycle.
+    while !run_and_collect_progress(&mut node, &mut at, &mut env).is_empty() {
         assert!(at < START + 3 * SECOND);
     }
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
+    assert_eq!(
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        running
+    );
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), []);
+    assert_eq!(run_and_collect_progress(&mut node, &mut at, &mut env), []);
     // Zero counts are sent at the job's end, so that peers remove its entry.
     send_heartbeat(&mut node, at, 2, TaskState::Exited, &mut env);
     assert_eq!(
-        broadcasts(&mut node, &mut at, &mut env),
-        [counts(JOB, 0, 0)]
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        [job_progress(JOB, 0, 0)]
     );
     assert_eq!(node.progress(JOB), None);
 }
 
-/// A new leader broadcasts only changes, and a job without running tasks has none: the
-/// counts of the previous leader must not stay for ever.
+/// A new leader broadcasts only changes, so it must reset the counts of jobs of which no machine
+/// reports a task any more.
 #[test]
 fn new_leader_resets_outdated_progress_of_the_previous_leader() {
     let mut node = Node::new(config_with_team());
-    let previous = vec![counts(JOB, 0, 3), counts("req-2", 1, 1)];
+    let previous = vec![job_progress(JOB, 0, 3), job_progress("req-2", 1, 1)];
     receive(&mut node, START, "n1", Message::JobProgress(previous));
     let (mut at, mut env) = (START, Environment::default());
     step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
@@ -180,25 +190,25 @@
     // Possibly outdated counts are not sent to a peer that becomes reachable, either.
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
     while at < START + 9 * SECOND {
-        all.extend(broadcasts(&mut node, &mut at, &mut env));
+        all.extend(run_and_collect_progress(&mut node, &mut at, &mut env));
     }
     assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
         receive(&mut node, at, "n1", peer_heartbeat(1, false));
-        let more = broadcasts(&mut node, &mut at, &mut env);
+        let more = run_and_collect_progress(&mut node, &mut at, &mut env);
         if !more.is_empty() {
-            assert_eq!(more, [counts(JOB, 0, 0), counts("req-2", 0, 0)]);
+            assert_eq!(more, [job_progress(JOB, 0, 0), job_progress("req-2", 0, 0)]);
             assert_eq!(node.progress(JOB), None);
             return;
         }
     }
-    panic!("the outdated counts stay");
+    panic!("outdated counts were not reset within 11 s");
 }
 
 #[test]
 fn progress_from_a_deposed_leader_is_ignored() {
     let mut node = Node::new(config_with_team());
-    let progress = |done, running| Message::JobProgress(vec![counts(JOB, done, running)]);
+    let progress = |done, running| Message::JobProgress(vec![job_progress(JOB, done, running)]);
     receive(&mut node, START, "n1", peer_heartbeat(1, true));
     receive(&mut node, START, "n1", progress(0, 3));
     assert_eq!(node.progress(JOB), Some((0, 3)));
@@ -209,7 +219,7 @@
     // The new leader ignores it, too.
     let (mut node, at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
-    broadcasts(&mut node, &mut at.clone(), &mut env);
+    run_and_collect_progress(&mut node, &mut at.clone(), &mut env);
     receive(&mut node, at, "n1", progress(0, 0));
     assert_eq!(node.progress(JOB), Some((0, 1)));
 }
@@ -224,12 +234,12 @@
         &mut node,
         START,
         "n1",
-        Message::JobProgress(vec![counts(JOB, 0, 3)]),
+        Message::JobProgress(vec![job_progress(JOB, 0, 3)]),
     );
     let mut kept = 0;
     for i in 0..ENDED_JOBS {
         let job = format!("req-9{i}");
-        let progress = Message::JobProgress(vec![counts(&job, 1, 0)]);
+        let progress = Message::JobProgress(vec![job_progress(&job, 1, 0)]);
         receive(&mut node, START, "n1", progress);
     }
     for i in 0..ENDED_JOBS {
@@ -244,7 +254,7 @@
     const JOBS: usize = 6_000 * 10;
     let mut node = Node::new(config_with_team());
     for i in 0..JOBS {
-        let progress = Message::JobProgress(vec![counts(&format!("req-9{i}"), 0, 1)]);
+        let progress = Message::JobProgress(vec![job_progress(&format!("req-9{i}"), 0, 1)]);
         receive(&mut node, START, "n1", progress);
     }
     let is_kept = |i: &usize| node.progress(&format!("req-9{i}")) == Some((0, 1));
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -1,6 +1,6 @@
 //! Submissions that are malformed or can never run, and cancellations of jobs that have
-//! ended or never existed, at nodes with and without the machine types and with a store
-//! that fails.
+//! ended or never existed, at nodes that have or have not read the machine types, and while the
+//! store fails.
 
 mod common;
 
@@ -13,8 +13,8 @@
 const START: Micros = 1000 * SECOND;
 const JOB: &str = "req-1";
 
-/// A configuration with a quota of 4 CPUs for the team. Machines have 8 CPUs, 64 GB and no
-/// GPU, and are all in zone a.
+/// A configuration with a quota of 4 CPUs for the team. The machine types come from
+/// `SteppedNode`: 8 CPUs, 64 GB and no GPU, in zone a only.
 fn config() -> Config {
     let mut config = common::config_with_team();
     for team in &mut config.teams {
@@ -44,7 +44,7 @@
             Value::String(_) => Value::from(7),
             _ => Value::from("x"),
         };
-        // The zone is a string, and nil here.
+        // `room` (the zone) is nil in this job, which does not show its type.
         let wrong = if name == "room" {
             Value::from(7)
         } else {
@@ -99,7 +99,7 @@
     add("more CPUs than any machine", |s| s.cpus = 8.5);
     add("a GPU", |s| s.gpus = 1.0);
     add("more memory than any machine", |s| s.memory_gb = 64.5);
-    add("the greatest amount of memory that is parsed", |s| {
+    add("the largest memory that the parser accepts", |s| {
         s.memory_gb = 1e9
     });
     add("unknown type", |s| s.types = Some(vec!["no".into()]));
@@ -142,7 +142,8 @@
     panic!("no answer");
 }
 
-/// A node that has just started, and one that has read the machine types, which is `ready`.
+/// A node that has just started and one that has read the machine types. The flag says whether
+/// the node has read them.
 fn nodes() -> [(bool, SteppedNode); 2] {
     [
         (false, SteppedNode::new(config(), START)),
@@ -156,20 +157,20 @@
         (400, malformed_submissions()),
         (422, unschedulable_submissions()),
     ];
-    for (status_if_ready, (case, body)) in rejected
+    for (status_with_types, (case, body)) in rejected
         .iter()
         .flat_map(|(r, all)| all.iter().map(move |b| (*r, b)))
     {
-        for (ready, mut node) in nodes() {
+        for (has_types, mut node) in nodes() {
             let mut store = MemoryStore::default();
             let (status, _) = submit(&mut node, body, |call| Ok(store.execute(call)));
             // Without the machine types a node cannot check whether a job is schedulable.
-            let expected = if ready || status_if_ready == 400 {
-                status_if_ready
+            let expected = if has_types || status_with_types == 400 {
+                status_with_types
             } else {
                 503
             };
-            assert_eq!(status, expected, "{case}, ready: {ready}");
+            assert_eq!(status, expected, "{case}, has_types: {has_types}");
             assert!(store.rows.is_empty(), "{case}");
         }
     }
@@ -208,15 +209,15 @@
     ];
     for (case, body) in &all {
         for reply in &replies {
-            for (ready, mut node) in nodes() {
+            for (has_types, mut node) in nodes() {
                 let (status, _) = submit(&mut node, body, |_| reply.clone());
-                assert_eq!(status, 503, "{case}, {reply:?}, ready: {ready}");
+                assert_eq!(status, 503, "{case}, {reply:?}, has_types: {has_types}");
             }
         }
     }
 }
 
-/// Whatever the repetition contains, and also at a node that has just started.
+/// This holds for any content of the repeated submission, also at a node that has just started.
 #[test]
 fn repeated_submission_of_an_existing_job_returns_its_state() {
     let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
@@ -243,9 +244,9 @@
                 }
                 _ => {}
             }
-            for (ready, mut node) in nodes() {
+            for (has_types, mut node) in nodes() {
                 let answer = submit(&mut node, body, |call| Ok(store.execute(call)));
-                assert_eq!(answer, (200, Some(state)), "{case}, ready: {ready}");
+                assert_eq!(answer, (200, Some(state)), "{case}, has_types: {has_types}");
             }
         }
     }
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -1,6 +1,5 @@
-//! The budget of store calls for users' requests: requests over it are rejected at once,
-//! polls before submissions and cancellations, and nodes with more requests get a larger
-//! share.
+//! Users' requests have a budget of store calls. Requests over it are rejected at once, polls
+//! before submissions and cancellations. Nodes with more requests get a larger share.
 
 mod common;
 
@@ -59,7 +58,7 @@
     assert_eq!(send_requests(&mut node, at, "POST", "/abort"), (23, 977));
 }
 
-/// The load balancer may send every user to one node.
+/// The load balancer may send all requests to one node.
 #[test]
 fn node_gets_the_budget_of_peers_without_requests() {
     let mut node = common::single_zone_node();
@@ -88,6 +87,7 @@
     }
     at += SECOND;
     let (calls, _) = send_requests(&mut node, at, "POST", "/abort");
+    // All of the users' 140 calls a second, or almost all.
     assert!((135..=140).contains(&calls), "{calls}");
     // Unreachable peers may be using their shares.
     at += 10 * SECOND;
@@ -103,7 +103,8 @@
     assert!((45..=47).contains(&calls), "{calls}");
 }
 
-/// A submission that is rejected because the write budget is used up takes no call.
+/// A submission that is rejected because the write budget is used up does not count against the
+/// call budget.
 #[test]
 fn rejected_submissions_leave_their_calls_to_polls() {
     let mut node = SteppedNode::with_machine_types(common::config_with_team(), 1000 * SECOND);
--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -9,14 +9,16 @@
 use dillcleat_wire::user::{JobKind, JobSpec};
 
 /// Two jobs are submitted while there are no machines. Machines boot in a second, but
-/// replies to writes and scale-outs take seconds, and the cloud's list lags. The leader
-/// changes after `failover`. The workers check that no task starts twice.
-fn run_with_failover(failover: Micros, scale_out_lag: Micros, list_lag: Micros) {
+/// replies to writes and scale-outs take seconds, and the cloud's list lags. There
+/// is a failover after `failover_after`. `Fleet` fails the test if a task starts twice.
+fn run_with_failover(failover_after: Micros, scale_out_lag: Micros, list_lag: Micros) {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 99);
     (fleet.boot_time, fleet.write_lag) = (SECOND, 2 * SECOND);
     (fleet.scale_out_lag, fleet.list_lag) = (scale_out_lag, list_lag);
-    let case = format!("failover {failover}, scale-out lag {scale_out_lag}, list lag {list_lag}");
+    let case = format!(
+        "failover after {failover_after}, scale-out lag {scale_out_lag}, list lag {list_lag}"
+    );
     fleet.advance(3 * SECOND);
     for (id, tasks) in [("req-000001", 9), ("req-000002", 5)] {
         let spec = JobSpec::plain(id, JobKind::Batch, tasks, 1.0);
@@ -26,7 +28,7 @@
         });
         fleet.advance(2 * SECOND);
     }
-    fleet.advance(failover);
+    fleet.advance(failover_after);
     fleet.replace_leader();
     fleet.advance(30 * SECOND);
     assert_eq!(
@@ -56,10 +58,10 @@
 #[test]
 fn fast_booting_machines_are_neither_lost_nor_deleted_while_running_tasks() {
     for failover_ms in (0..12_000).step_by(300) {
-        for (rent_lag_s, list_lag_s) in [(0, 4), (4, 10)] {
+        for (scale_out_lag_s, list_lag_s) in [(0, 4), (4, 10)] {
             run_with_failover(
                 failover_ms * MILLISECOND,
-                rent_lag_s * SECOND,
+                scale_out_lag_s * SECOND,
                 list_lag_s * SECOND,
             );
         }
@@ -67,8 +69,8 @@
 }
 
 /// Submits a job without machines, lets the leader scale out machines with this boot time,
-/// and replaces it after each `term`.
-fn fleet_after_failovers(boot: Micros, term: Micros, terms: u32) -> Fleet {
+/// and replaces it after each `failover_interval`, `failovers` times.
+fn fleet_after_failovers(boot: Micros, failover_interval: Micros, failovers: u32) -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 1);
     fleet.boot_time = boot;
@@ -77,8 +79,8 @@
         spot: false,
         ..spec
     });
-    for _ in 0..terms {
-        fleet.advance(term);
+    for _ in 0..failovers {
+        fleet.advance(failover_interval);
         fleet.replace_leader();
     }
     fleet
@@ -92,7 +94,7 @@
     assert_eq!(fleet.deletions.len(), 1);
 }
 
-/// The new leader knows of the booting machine only from the cloud's list.
+/// The booting machine is only in the cloud's list, not in the store.
 #[test]
 fn new_leader_does_not_delete_a_slowly_booting_machine() {
     let mut fleet = fleet_after_failovers(25 * SECOND, 8 * SECOND, 1);
--- a/crates/controller/tests/slab.rs
+++ b/crates/controller/tests/slab.rs
@@ -16,7 +16,7 @@
         }
     }
     assert_eq!(s.remove("a"), Some(1));
-    // The index is reused before the changed ones are taken.
+    // The index is reused before `take_changed` is called.
     assert_eq!(s.insert("c".into(), 9), a);
     assert_eq!(s.take_changed(), [b, a]);
     assert_eq!(s.at(a).map(|(n, v)| (&**n, *v)), Some(("c", 9)));
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -1,5 +1,5 @@
 //! Polls, submissions and cancellations while a job starts and ends. An answer must not
-//! rest on a read that was sent before its request arrived.
+//! be based on a read that was sent before its request arrived.
 //!
 //! A comparison is a transaction without writes: it checks that the state records of cached
 //! jobs have not changed.
@@ -44,7 +44,7 @@
 
 type SendRequest = fn(&mut SteppedNode) -> u64;
 
-/// Every kind of request that looks a job up, with the answer for an open job.
+/// The kinds of request that look a job up without creating it, with the answer for an open job.
 const LOOKUPS: [(SendRequest, Answered); 3] = [
     (|n| n.poll(JOB), QUEUED),
     (malformed_submission, QUEUED),
@@ -92,8 +92,7 @@
     }
 }
 
-/// This includes a request that was sent before the acceptance: both may come from the same
-/// user.
+/// Not even for a request sent before the acceptance: both may come from the same user.
 #[test]
 fn accepted_job_is_not_reported_unknown_after_a_late_read() {
     for (send, open) in LOOKUPS {
@@ -131,8 +130,8 @@
     }
 }
 
-/// Of two comparisons the later one finds that the job has ended, and is answered first.
-/// The end stays in the cache: the next poll needs no read.
+/// A cancellation finds that the job has ended; an earlier comparison then conflicts. The end
+/// stays in the cache, so that the next poll needs no read.
 #[test]
 fn late_comparison_does_not_evict_an_ended_job() {
     let mut node = node();
@@ -196,7 +195,7 @@
 fn all_nodes_agree_when_a_cancellation_races_with_the_last_tasks_end() {
     for (done_first, expected) in [(true, DONE), (false, CANCELLED)] {
         let mut store = store_with_job();
-        // The first has the job in its cache, the second compares its version, and the third
+        // The first node has the job in its cache, the second compares its version, and the third
         // is reading the state record.
         let mut nodes = [node(), node(), node()];
         for node in &mut nodes[..2] {
@@ -280,7 +279,7 @@
             node.execute_all(&mut store);
         }
     }
-    // Three comparisons, as many as may be under way at once; the next one is for two jobs.
+    // At most three comparisons are under way at once, so that the next two jobs share one.
     for id in ["req-3", "req-4", "req-5"] {
         node.poll(id);
     }
--- a/crates/controller/tests/team_quota.rs
+++ b/crates/controller/tests/team_quota.rs
@@ -60,7 +60,11 @@
     suspension: Option<Micros>,
 ) -> (Micros, bool) {
     let machine = fleet.worker("m0");
-    (machine.hung, machine.heartbeats_lost, machine.inbound_lost) = match suspension {
+    (
+        machine.suspended,
+        machine.heartbeats_lost,
+        machine.inbound_lost,
+    ) = match suspension {
         Some(_) => (true, false, false),
         None => (false, true, true),
     };
@@ -79,7 +83,7 @@
         if suspension.is_some_and(|time| fleet.now >= from + time)
             && let Some(m) = fleet.workers.get_mut("m0")
         {
-            m.hung = false;
+            m.suspended = false;
         }
         fleet.advance(SECOND / 10);
     }
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -289,7 +289,7 @@
         ] {
             let mut fleet = fleet_of_two();
             let m = fleet.worker("m0");
-            (m.hung, m.commands_lost) = (true, fault == "commands lost");
+            (m.suspended, m.commands_lost) = (true, fault == "commands lost");
             let cancelled_at = fleet.now;
             assert_eq!(fleet.cancel("req-000001"), 200);
             fleet.advance(SECOND / 5);
@@ -299,7 +299,7 @@
             }
             fleet.advance(resumes_after_s * SECOND);
             let m = fleet.worker("m0");
-            (m.hung, m.heartbeats_lost, m.inbound_lost) =
+            (m.suspended, m.heartbeats_lost, m.inbound_lost) =
                 (false, fault == "heartbeats lost", fault == "inbound lost");
             let deadline = cancelled_at + fleet.config.cancel_deadline;
             while fleet.now < deadline + 40 * SECOND {
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -53,7 +53,7 @@
 }
 
 /// A leader with two machines, `m` and `n`. The test sends their heartbeats.
-struct Harness {
+struct Fixture {
     node: Node,
     env: Environment,
     machine_rows: Vec<KeyValue>,
@@ -62,17 +62,17 @@
     fencing_token: u64,
 }
 
-impl Harness {
+impl Fixture {
     /// A node that wins the election at its first tick, with `placed` tasks of the job on
     /// machine `m`.
-    fn new(config: Config, queue_rows: Vec<KeyValue>, placed: u32) -> Harness {
+    fn new(config: Config, queue_rows: Vec<KeyValue>, placed: u32) -> Fixture {
         let chunk = TaskChunk {
             placed: (0..placed)
                 .map(|i| (i, 1, "m".to_string(), 1).into())
                 .collect(),
             ..TaskChunk::default()
         };
-        Harness {
+        Fixture {
             node: Node::new(config),
             env: Environment {
                 queue_rows,
@@ -197,46 +197,47 @@
         teams: Vec::new(),
         ..config_with_team()
     };
-    let unknown_team = Harness::new(without_teams, vec![open_job_row(JOB, 2)], 1);
-    let unreadable_description = Harness::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
-    let mut unreadable_chunk = Harness::new(config_with_team(), vec![open_job_row(JOB, 2)], 1);
+    let unknown_team = Fixture::new(without_teams, vec![open_job_row(JOB, 2)], 1);
+    let unreadable_description = Fixture::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
+    let mut unreadable_chunk = Fixture::new(config_with_team(), vec![open_job_row(JOB, 2)], 1);
     unreadable_chunk.env.task_rows[0].value = encode_value(&"a later format");
-    for (case, mut harness) in [unknown_team, unreadable_description, unreadable_chunk]
-        .into_iter()
-        .enumerate()
-    {
-        harness.advance(0, 2 * SECOND);
-        assert_eq!(harness.node.leading(), Some(1));
+    for (case, mut fixture) in [
+        ("unknown team", unknown_team),
+        ("unreadable description", unreadable_description),
+        ("unreadable chunk", unreadable_chunk),
+    ] {
+        fixture.advance(0, 2 * SECOND);
+        assert_eq!(fixture.node.leading(), Some(1));
         let running = Some(TaskState::Running);
         assert_eq!(
-            harness.send_heartbeat(2 * SECOND, "m", running),
+            fixture.send_heartbeat(2 * SECOND, "m", running),
             Some(vec![]),
-            "case {case}"
+            "{case}"
         );
-        harness.advance(2 * SECOND, 8 * SECOND);
-        assert_eq!(harness.placed_count(JOB), 0, "case {case}");
+        fixture.advance(2 * SECOND, 8 * SECOND);
+        assert_eq!(fixture.placed_count(JOB), 0, "{case}");
         assert_eq!(
-            harness.node.scheduler_counters().passes,
+            fixture.node.scheduler_counters().passes,
             0,
-            "no job is in the queue"
+            "{case}: the job is not in the scheduler's queue"
         );
         assert_eq!(
-            harness.send_heartbeat(8 * SECOND, "m", running),
+            fixture.send_heartbeat(8 * SECOND, "m", running),
             Some(vec![]),
-            "case {case}"
+            "{case}"
         );
-        assert_eq!(harness.deleted_keys(), [""; 0], "case {case}");
+        assert_eq!(fixture.deleted_keys(), [""; 0], "{case}");
         let exited = Some(TaskState::Exited);
-        let answer = harness.send_heartbeat(9 * SECOND, "m", exited);
+        let commands = fixture.send_heartbeat(9 * SECOND, "m", exited);
         // A task is reaped only after its end is stored, which is impossible while the
-        // description or the chunk cannot be read.
-        assert_eq!(answer, Some(vec![]), "case {case}");
-        harness.advance(9 * SECOND, 10 * SECOND);
-        let answer = harness.send_heartbeat(10 * SECOND, "m", exited);
+        // description or the chunk cannot be read. A job of an unknown team has both.
+        assert_eq!(commands, Some(vec![]), "{case}");
+        fixture.advance(9 * SECOND, 10 * SECOND);
+        let commands = fixture.send_heartbeat(10 * SECOND, "m", exited);
         assert_eq!(
-            answer.is_some_and(|c| c.is_empty()),
-            case > 0,
-            "case {case}"
+            commands.is_some_and(|c| c.is_empty()),
+            case != "unknown team",
+            "{case}"
         );
     }
 }
@@ -248,8 +249,8 @@
         Some(RecordedState::Done),
         Some(RecordedState::Cancelled),
     ] {
-        let mut harness = Harness::new(config_with_team(), Vec::new(), 1);
-        harness.env.readable_row = state.map(|state| {
+        let mut fixture = Fixture::new(config_with_team(), Vec::new(), 1);
+        fixture.env.readable_row = state.map(|state| {
             row(
                 records::job_state_key(JOB),
                 &JobStateRecord {
@@ -258,13 +259,13 @@
                 },
             )
         });
-        harness.advance(0, 5 * SECOND);
+        fixture.advance(0, 5 * SECOND);
         let key = records::tasks_key(JOB, TaskRange::Chunk(0));
         assert_eq!(
-            harness.deleted_keys().contains(&key.as_str()),
+            fixture.deleted_keys().contains(&key.as_str()),
             state.is_some()
         );
-        let commands = harness.send_heartbeat(5 * SECOND, "m", Some(TaskState::Running));
+        let commands = fixture.send_heartbeat(5 * SECOND, "m", Some(TaskState::Running));
         let stopped = matches!(commands.as_deref(), Some([Command::Stop { .. }]));
         assert_eq!(stopped, state.is_some());
     }
@@ -278,7 +279,7 @@
     let mut open = dependent.decode_value::<OpenJob>().expect("a description");
     open.spec.depends_on = vec![JOB.into()];
     dependent.value = encode_value(&open);
-    let mut harness = Harness::new(
+    let mut fixture = Fixture::new(
         config_with_team(),
         vec![unreadable_job_row(JOB), dependent],
         1,
@@ -287,11 +288,11 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    harness.env.readable_row = Some(row(records::job_state_key(JOB), &state_record));
-    harness.advance(0, 5 * SECOND);
+    fixture.env.readable_row = Some(row(records::job_state_key(JOB), &state_record));
+    fixture.advance(0, 5 * SECOND);
     let key = records::open_job_key("req-000002");
     assert_eq!(
-        harness.deleted_keys(),
+        fixture.deleted_keys(),
         [key],
         "the dependent job is cancelled too"
     );
@@ -301,11 +302,11 @@
 #[test]
 fn cancellation_of_an_unreadable_job_stops_its_tasks() {
     let renewal_limit = config_with_team().heartbeat_answer_limit();
-    let mut harness = Harness::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
-    harness.env.cloud_up = false;
-    harness.advance(0, SECOND);
+    let mut fixture = Fixture::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
+    fixture.env.cloud_up = false;
+    fixture.advance(0, SECOND);
     let running = Some(TaskState::Running);
-    assert_eq!(harness.send_heartbeat(SECOND, "m", running), Some(vec![]));
+    assert_eq!(fixture.send_heartbeat(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
     let cancelled = row(
         records::cancelled_job_key(JOB),
@@ -318,31 +319,32 @@
         value: cancelled.value,
         version: 3,
     };
-    harness.answer_watches(SECOND, vec![event]);
-    let commands = harness
+    fixture.answer_watches(SECOND, vec![event]);
+    let commands = fixture
         .send_heartbeat(2 * SECOND, "m", running)
         .expect("a reply");
     assert!(matches!(&commands[..], [Command::Stop { .. }]));
     // No watch is answered for some time.
     for s in 2..10 {
-        harness.step(s * SECOND, Input::Tick);
-        harness.send_heartbeat(s * SECOND, "n", None);
+        fixture.step(s * SECOND, Input::Tick);
+        fixture.send_heartbeat(s * SECOND, "n", None);
     }
-    let commands = harness
+    let commands = fixture
         .send_heartbeat(10 * SECOND, "m", running)
         .expect("a reply");
     assert!(matches!(&commands[..], [Command::Stop { .. }]));
     let last = SECOND + renewal_limit;
-    harness.advance(10 * SECOND, last + SECOND);
-    assert_eq!(harness.send_heartbeat(last + SECOND, "m", running), None);
-    assert!(harness.send_heartbeat(last + SECOND, "n", None).is_some());
+    fixture.advance(10 * SECOND, last + SECOND);
+    assert_eq!(fixture.send_heartbeat(last + SECOND, "m", running), None);
+    assert!(fixture.send_heartbeat(last + SECOND, "n", None).is_some());
     assert!(
-        harness.send_heartbeat(last + SECOND, "m", None).is_some(),
+        fixture.send_heartbeat(last + SECOND, "m", None).is_some(),
         "the task is gone"
     );
 }
 
-/// A machine without the current fencing token may still start a task of the job.
+/// A machine without the current fencing token may still execute an earlier launch command for
+/// the job.
 #[test]
 fn lease_is_not_renewed_for_a_stale_token_after_a_cancellation() {
     let renewal_limit = config_with_team().heartbeat_answer_limit();
@@ -355,20 +357,22 @@
     );
     for readable in [true, false] {
         let queue_rows = vec![cancelled.clone(), unreadable_job_row(JOB)];
-        let mut harness = Harness::new(config_with_team(), queue_rows, 1);
+        let mut fixture = Fixture::new(config_with_team(), queue_rows, 1);
         if !readable {
-            harness.env.task_rows[0].value = encode_value(&"a later format");
+            fixture.env.task_rows[0].value = encode_value(&"a later format");
         }
-        harness.advance(0, SECOND);
-        harness.fencing_token = 0;
-        assert_eq!(harness.send_heartbeat(SECOND, "m", None), None);
+        fixture.advance(0, SECOND);
+        fixture.fencing_token = 0;
+        assert_eq!(fixture.send_heartbeat(SECOND, "m", None), None);
+        // Machine `o` has no placement: it may run the task only if the task records are
+        // unreadable.
         assert_eq!(
-            harness.send_heartbeat(SECOND, "o", None).is_some(),
+            fixture.send_heartbeat(SECOND, "o", None).is_some(),
             readable
         );
-        harness.fencing_token = 1;
+        fixture.fencing_token = 1;
         assert!(
-            harness.send_heartbeat(2 * SECOND, "m", None).is_some(),
+            fixture.send_heartbeat(2 * SECOND, "m", None).is_some(),
             "the machine has no task"
         );
     }
@@ -380,7 +384,7 @@
     config.teams[0].cpus_max = 4.0;
     let other = "req-000002";
     let queue_rows = vec![unreadable_job_row(JOB), open_job_row(other, 9)];
-    let mut harness = Harness::new(config, queue_rows, 3);
-    harness.advance(0, 4 * SECOND);
-    assert_eq!(harness.placed_count(other), 1);
+    let mut fixture = Fixture::new(config, queue_rows, 3);
+    fixture.advance(0, 4 * SECOND);
+    assert_eq!(fixture.placed_count(other), 1);
 }
--- a/crates/controller/tests/unresponsive_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -1,5 +1,5 @@
-//! A leader fails while a zone is partitioned: its successor has to take over for how long
-//! the machines there have been unresponsive.
+//! A leader fails while a zone is partitioned. Its successor must count the time for which the
+//! previous leader saw the zone's machines as unresponsive.
 
 mod common;
 
@@ -55,24 +55,24 @@
     deleted
 }
 
-/// Otherwise a change of leader would delay the replacement of the replicas in the
-/// partitioned zone.
+/// Guards against delaying the replacement of the replicas in the partitioned zone by a failover.
 #[test]
 fn new_leader_counts_unresponsive_time_seen_by_its_predecessor() {
     assert_eq!(
         deleted_machines(None, false),
         [],
-        "the partition is not known to it"
+        "the new leader has no report of the partition"
     );
     let deleted = deleted_machines(Some(12_000), false);
     assert_eq!(deleted.len(), 3, "{deleted:?}");
-    // A worker lease of 14 s and a heartbeat interval of 2 s end 4 s into the term.
+    // The machines were unresponsive for 12 s at the election, so that a worker lease of 14 s
+    // and a heartbeat interval of 2 s end 4 s later.
     let on_time = |(_, at): &(String, Micros)| (4 * SECOND..6 * SECOND).contains(at);
     assert!(deleted.iter().all(on_time), "{deleted:?}");
 }
 
-/// The partition may have ended when the leader failed: no machine is deleted before its next
-/// heartbeat was due.
+/// The partition may have ended since: a machine is deleted only after its next heartbeat was
+/// due.
 #[test]
 fn machine_reported_unresponsive_stays_if_it_sends_a_heartbeat() {
     let deleted = deleted_machines(Some(40_000), true);
--- a/crates/controller/tests/version_compatibility.rs
+++ b/crates/controller/tests/version_compatibility.rs
@@ -1,5 +1,5 @@
-//! Compatibility with the deployed version during a rolling upgrade: records and peer
-//! frames that it wrote, as bytes, are read, and copies of its types read new records.
+//! Compatibility with the deployed version during a rolling upgrade: bytes written by it are
+//! decoded, and its types, copied here, decode new records.
 
 use dillcleat_controller::records::{
     CancelledJob, JobStateRecord, MachineRecord, OpenJob, RecordedState, TaskChunk, TaskRange,
@@ -23,7 +23,8 @@
 const CANCELLED_JOB_HEX: &str = "81a2617407";
 const MACHINE_HEX: &str = "84a461646472ad31302e312e302e313a39303030ac6d616368696e655f74797065a26738a4\
     7a6f6e65a161a473706f74c3";
-/// Peer frames of the deployed version, in hexadecimal.
+/// Peer frames of the deployed version, in hexadecimal: hello, heartbeat, job progress,
+/// unresponsive zones and estimates.
 const PEER_FRAMES_HEX: [&str; 5] = [
     "00000006040100026e31",
     "00000011040200000000000000070101000000000c",
@@ -101,7 +102,7 @@
     }
 }
 
-/// The fields of an open job that the deployed version reads, with its attributes.
+/// The fields of an open job that the deployed version reads, with the same serde attributes.
 #[derive(Debug, Deserialize)]
 struct DeployedOpenJob {
     spec: DeployedJobSpec,
@@ -133,8 +134,8 @@
     assert!(old.at > 0);
 }
 
-/// The key of a part sorts between its chunk and the next one. The deployed version neither
-/// parses it as a chunk nor deletes it.
+/// The key of a part sorts between its chunk and the next one, and the deployed version does not
+/// parse it as the key of a chunk.
 #[test]
 fn part_keys_sort_after_their_chunk_key() {
     let part = |chunk, from, to| tasks_key("req-1", TaskRange::Part { chunk, from, to });
--- a/crates/controller/tests/zone_constraints.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -1,5 +1,5 @@
-//! Jobs that are constrained to one zone while it loses machines, and the priority of jobs
-//! over slow links to the workers.
+//! Jobs constrained to one zone that loses its machines, and job priority while replies of
+//! workers are late.
 
 mod common;
 
@@ -33,9 +33,9 @@
     fleet
 }
 
-/// Lost tasks wait for capacity in their zone as long as other tasks of the array run there.
+/// Lost tasks wait for capacity in their zone as long as other tasks of the job run there.
 #[test]
-fn single_zone_array_moves_to_another_zone_only_as_a_whole() {
+fn single_zone_job_moves_to_another_zone_only_as_a_whole() {
     let mut fleet = fleet_with_job_in_zone_a(JobSpec {
         single_zone: true,
         ..job_spec(8)
@@ -53,11 +53,11 @@
     assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
 }
 
-/// The array's last tasks in a zone run on a partitioned machine. A new leader knows of them
-/// only from the store.
+/// The job's last tasks in a zone run on a partitioned machine. A new leader has read of them
+/// only in the store.
 #[test]
-fn single_zone_array_does_not_move_while_partitioned_tasks_may_still_run() {
-    for new_leader in [false, true] {
+fn single_zone_job_does_not_move_while_partitioned_tasks_may_still_run() {
+    for failover in [false, true] {
         let mut fleet = fleet_with_job_in_zone_a(JobSpec {
             single_zone: true,
             ..job_spec(8)
@@ -66,7 +66,7 @@
         fleet.advance(10 * SECOND);
         let a1 = fleet.worker("a1");
         (a1.heartbeats_lost, a1.inbound_lost) = (true, true);
-        if new_leader {
+        if failover {
             fleet.replace_leader();
         }
         while !fleet.deletions.iter().any(|(_, name)| name == "a1") {
@@ -99,39 +99,43 @@
 }
 
 /// Replies to commands always arrive too late. The high-priority job must get all capacity
-/// that becomes free, no task may run twice, and the machines must be used fully.
+/// that becomes free, no task may run twice, and all tasks must be done within 80 s.
 #[test]
 fn high_priority_job_starts_first_over_slow_worker_links() {
-    let urgent = "req-000002";
+    let high_priority = "req-000002";
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     for name in ["m0", "m1"] {
         fleet.add_machine(name, "a", false).command_replies_late = true;
     }
-    for id in [JOB, urgent] {
+    for id in [JOB, high_priority] {
         fleet.task_durations.insert(id.into(), 3 * SECOND);
     }
     fleet.submit(job_spec(60));
     fleet.advance(15 * SECOND);
     let at = fleet.now;
     fleet.submit(JobSpec {
-        id: urgent.into(),
+        id: high_priority.into(),
         priority: Priority::High,
         ..job_spec(12)
     });
     fleet.advance(80 * SECOND);
     let start_times = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
-    let (urgent_starts, other_starts) = (start_times(urgent), start_times(JOB));
+    let (high_priority_starts, other_starts) = (start_times(high_priority), start_times(JOB));
     assert_eq!(
-        (urgent_starts.len(), other_starts.len()),
+        (high_priority_starts.len(), other_starts.len()),
         (12, 60),
         "each task starts once"
     );
-    let last = urgent_starts.iter().max().copied().unwrap_or(0);
+    let last = high_priority_starts.iter().max().copied().unwrap_or(0);
     assert!(last < at + 15 * SECOND, "{}", last - at);
     // Tasks that were placed before the submission may still start.
     let between = other_starts
         .iter()
         .filter(|t| (at + 3 * SECOND..last).contains(t));
     assert_eq!(between.count(), 0);
-    assert_eq!(fleet.cpus_used_by(&[JOB, urgent]), 0, "all tasks are done");
+    assert_eq!(
+        fleet.cpus_used_by(&[JOB, high_priority]),
+        0,
+        "all tasks are done"
+    );
 }
