--- a/crates/controller/tests/common/leader_fixture.rs
+++ b/crates/controller/tests/common/leader_fixture.rs
@@ -171,7 +171,7 @@
         for s in 0..90 {
             let at = from + s * SECOND;
             self.step(at, Input::Tick);
-            // The tick renews the leader lease, and the sibling's heartbeat has no later term.
+            // The tick renews the leader lease, and the peer's heartbeat has no later term.
             let message = Message::Heartbeat {
                 term: 1,
                 is_leader: false,
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// A node in zone `a` with one sibling each in zones `b` and `c`.
+/// A node in zone `a` with one peer each in zones `b` and `c`.
 pub fn three_zone_node() -> Node {
     let text = include_str!("../../../../deploy/example-node.toml");
     let platform = PlatformSettings::parse(text).expect("valid settings");
--- a/crates/controller/tests/isolated_leader.rs
+++ b/crates/controller/tests/isolated_leader.rs
@@ -25,8 +25,8 @@
     env: Environment,
     /// Whether the heartbeats of a machine, given by its number, arrive.
     sends_heartbeats: fn(usize) -> bool,
-    /// The siblings whose heartbeats arrive, and whether they can reach the store.
-    siblings: &'static [(&'static str, bool)],
+    /// The peers whose heartbeats arrive, and whether they can reach the store.
+    peers: &'static [(&'static str, bool)],
     deletions: Vec<(Micros, Vec<String>)>,
 }
 
@@ -39,7 +39,7 @@
             at: 0,
             env: Environment::default(),
             sends_heartbeats: |_| true,
-            siblings: &[("n1", true), ("n2", true)],
+            peers: &[("n1", true), ("n2", true)],
             deletions: Vec::new(),
         }
     }
@@ -77,7 +77,7 @@
                 self.step(Input::Store { id, reply });
             }
             if self.at.is_multiple_of(SECOND / 2) {
-                for (name, store_reachable) in self.siblings {
+                for (name, store_reachable) in self.peers {
                     let message = Message::Heartbeat {
                         term: 0,
                         is_leader: false,
@@ -114,7 +114,7 @@
     let mut fixture = Fixture::new(12);
     assert_eq!(fixture.advance(8), []);
     fixture.sends_heartbeats = |m| zone_of(m) == "a";
-    fixture.siblings = &[];
+    fixture.peers = &[];
     fixture.env.store_up = false;
     assert_eq!(fixture.node.leading(), Some(1));
     assert_eq!(fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 8), []);
@@ -131,34 +131,34 @@
 /// other zones.
 #[test]
 fn leader_without_contact_to_other_zones_deletes_no_machine() {
-    let deletions_with = |siblings| {
+    let deletions_with = |peers| {
         let mut fixture = Fixture::new(12);
         fixture.advance(8);
         fixture.sends_heartbeats = |m| zone_of(m) == "a";
-        fixture.siblings = siblings;
+        fixture.peers = peers;
         fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 8)
     };
     assert_eq!(deletions_with(&[]), []);
     let deletions = deletions_with(&[("n2", true)]);
     assert!(
         !deletions.is_empty(),
-        "a sibling in another zone is reachable, so the leader is not isolated"
+        "a peer in another zone is reachable, so the leader is not isolated"
     );
 }
 
-/// No machine is deleted for missing heartbeats while the store is down for all members.
+/// No machine is deleted for missing heartbeats while the store is down for all nodes.
 /// Afterwards the machines that are still unresponsive are deleted, few with each call.
 #[test]
 fn unresponsive_machines_are_deleted_in_small_batches_after_store_outage() {
     let mut fixture = Fixture::new(30);
     assert_eq!(fixture.advance(8), []);
     fixture.sends_heartbeats = |m| m >= 8;
-    fixture.siblings = &[("n1", false), ("n2", false)];
+    fixture.peers = &[("n1", false), ("n2", false)];
     fixture.env.store_up = false;
     assert_eq!(fixture.advance(25), []);
     fixture.sends_heartbeats = |m| m >= 7;
     assert_eq!(fixture.advance(3), []);
-    fixture.siblings = &[("n1", true), ("n2", true)];
+    fixture.peers = &[("n1", true), ("n2", true)];
     fixture.env.store_up = true;
     let deletions = fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 36);
     assert!(
@@ -192,10 +192,10 @@
 fn machines_with_refused_heartbeats_do_not_count_as_unresponsive() {
     let mut fixture = Fixture::new(12);
     assert_eq!(fixture.advance(4), []);
-    fixture.siblings = &[("n1", false), ("n2", false)];
+    fixture.peers = &[("n1", false), ("n2", false)];
     fixture.env.store_up = false;
     assert_eq!(fixture.advance(43), []);
-    fixture.siblings = &[("n1", true), ("n2", true)];
+    fixture.peers = &[("n1", true), ("n2", true)];
     fixture.env.store_up = true;
     assert_eq!(fixture.advance(Fixture::IDLE_DELETION_STARTS_S - 47), []);
 }
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -45,8 +45,8 @@
 /// The placements in the latest write of the task record.
 fn stored_placements(fixture: &LeaderFixture) -> Vec<PlacedTask> {
     let key = task_chunk_key();
-    let changes = fixture.env.transactions.iter().rev().flat_map(|t| &t.then);
-    let mut records = changes.filter_map(|c| match c {
+    let mutations = fixture.env.transactions.iter().rev().flat_map(|t| &t.then);
+    let mut records = mutations.filter_map(|c| match c {
         Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
         _ => None,
     });
@@ -55,8 +55,8 @@
 
 /// Whether any transaction deletes the key.
 fn deletes_key(fixture: &LeaderFixture, key: &str) -> bool {
-    let mut changes = fixture.env.transactions.iter().flat_map(|t| &t.then);
-    changes.any(|c| matches!(c, Mutation::Delete { key: k } if k == key))
+    let mut mutations = fixture.env.transactions.iter().flat_map(|t| &t.then);
+    mutations.any(|c| matches!(c, Mutation::Delete { key: k } if k == key))
 }
 
 fn is_single_stop(commands: Option<Vec<Command>>) -> bool {
@@ -436,7 +436,8 @@
     assert!(is_launch(fixture.send_heartbeat(9 * SECOND)));
 }
 
-/// Placing them would use capacity and the team's quota until the write fails.
+/// Placing tasks of a cancelled job would use capacity and the team's quota until the write
+/// fails.
 #[test]
 fn tasks_of_cancelled_job_are_not_placed() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -523,7 +524,7 @@
 #[test]
 fn watch_events_older_than_the_listing_are_ignored() {
     let mut fixture = LeaderFixture::elected();
-    // The leader steps down in favor of a sibling that workers can reach.
+    // The leader steps down in favor of a peer that workers can reach.
     let message = Message::Heartbeat {
         term: 7,
         is_leader: false,
--- a/crates/controller/tests/leader_without_heartbeats.rs
+++ b/crates/controller/tests/leader_without_heartbeats.rs
@@ -10,8 +10,8 @@
 use dillcleat_wire::store::KeyValue;
 use dillcleat_wire::worker::LeaderRedirect;
 
-/// A heartbeat of a sibling that reaches the store.
-fn sibling_heartbeat(term: u64, is_leader: bool, workers_reachable: bool) -> Input {
+/// A heartbeat of a peer that reaches the store.
+fn peer_heartbeat(term: u64, is_leader: bool, workers_reachable: bool) -> Input {
     Input::Peer {
         from: "n1".into(),
         message: Message::Heartbeat {
@@ -24,13 +24,13 @@
     }
 }
 
-/// How long a node with registered machines stays leader without worker heartbeats after the
-/// start. The sibling's heartbeats contain its term and whether workers reach it. After two
+/// How long a node with registered machines stays leader without worker heartbeats, or with one
+/// at the start if `heartbeat_at_start`. The peer's heartbeats contain its term and whether workers reach it. After two
 /// seconds the node is suspended for the time of `suspension`.
 fn time_as_leader(
     heartbeat_at_start: bool,
-    sibling_term: u64,
-    workers_reach_sibling: bool,
+    peer_term: u64,
+    workers_reach_peer: bool,
     suspension: Micros,
 ) -> Micros {
     let machines: Vec<KeyValue> = (0..3).map(|i| machine_row(&format!("m{i}"), "a")).collect();
@@ -50,7 +50,7 @@
         step(
             &mut node,
             start + at,
-            sibling_heartbeat(sibling_term, false, workers_reach_sibling),
+            peer_heartbeat(peer_term, false, workers_reach_peer),
             &machines,
         );
         step(&mut node, start + at, Input::Tick, &machines);
@@ -75,7 +75,7 @@
     );
 }
 
-/// A sibling that has seen this term redirects workers to the leader, so they should arrive
+/// A peer that has seen this term redirects workers to the leader, so they should arrive
 /// sooner.
 #[test]
 fn new_leader_steps_down_sooner_if_redirected_workers_do_not_arrive() {
@@ -85,7 +85,7 @@
 
 /// Guards against two followers that cannot reach the store and redirect workers to each other.
 #[test]
-fn workers_are_redirected_only_to_a_sibling_that_claims_to_be_leader() {
+fn workers_are_redirected_only_to_a_peer_that_claims_to_be_leader() {
     let mut node = common::single_zone_node();
     let now = Timestamp {
         monotonic: 1000 * SECOND,
@@ -106,20 +106,20 @@
     step(
         &mut node,
         now.monotonic,
-        sibling_heartbeat(1, false, true),
+        peer_heartbeat(1, false, true),
         &[],
     );
     assert_eq!(redirect_target(&mut node), None);
     step(
         &mut node,
         now.monotonic,
-        sibling_heartbeat(2, true, false),
+        peer_heartbeat(2, true, false),
         &[],
     );
     assert_eq!(redirect_target(&mut node).as_deref(), Some("n1"));
 }
 
-/// Workers do not reach the one sibling that the leader can reach; they may reach the other.
+/// Workers do not reach the one peer that the leader can reach; they may reach the other.
 #[test]
 fn leader_without_heartbeats_steps_down_before_worker_leases_expire() {
     let time_led = time_as_leader(true, 1, false, 0);
@@ -140,9 +140,9 @@
     assert!(time_as_leader(false, 0, true, shorter_than_lease) > 7 * SECOND);
 }
 
-/// How long a node that receives no worker heartbeats takes to be elected, while a sibling
+/// How long a node that receives no worker heartbeats takes to be elected, while a peer
 /// sends heartbeats with these two flags.
-fn elected_after(sibling_is_leader: bool, workers_reach_sibling: bool) -> Micros {
+fn elected_after(peer_is_leader: bool, workers_reach_peer: bool) -> Micros {
     let mut node = common::single_zone_node();
     let start = 1000 * SECOND;
     let mut times = (0..10 * SECOND).step_by(100 * MILLISECOND as usize);
@@ -150,7 +150,7 @@
         step(
             &mut node,
             start + at,
-            sibling_heartbeat(1, sibling_is_leader, workers_reach_sibling),
+            peer_heartbeat(1, peer_is_leader, workers_reach_peer),
             &[],
         );
         step(&mut node, start + at, Input::Tick, &[]);
@@ -162,10 +162,10 @@
 /// Guards against two nodes without worker heartbeats that lead in turn until the worker
 /// leases have expired.
 #[test]
-fn node_without_heartbeats_defers_election_to_sibling_with_workers() {
+fn node_without_heartbeats_defers_election_to_peer_with_workers() {
     let waited = elected_after(false, true);
     assert!((SECOND / 2..SECOND).contains(&waited), "{waited}");
     assert_eq!(elected_after(false, false), 0);
-    // A sibling that claims to lead, without a leader key in the store, causes no delay.
+    // A peer that claims to lead, without a leader key in the store, causes no delay.
     assert_eq!(elected_after(true, true), 0);
 }
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -10,7 +10,7 @@
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 const QUEUED: (u16, Option<JobState>) = (200, Some(JobState::Queued));
 const DONE: (u16, Option<JobState>) = (200, Some(JobState::Done));
 const CANCELLED: (u16, Option<JobState>) = (200, Some(JobState::Cancelled));
@@ -33,16 +33,19 @@
 fn leave_open(_: &mut MemoryStore) {}
 
 fn finish(store: &mut MemoryStore) {
-    store.record_done(JOB);
+    store.record_done(JOB_ID);
 }
 
 fn cancel(store: &mut MemoryStore) {
-    assert_eq!(request_at_other_node(store, |n| n.cancel(JOB)), CANCELLED);
+    assert_eq!(
+        request_at_other_node(store, |n| n.cancel(JOB_ID)),
+        CANCELLED
+    );
 }
 
 fn cancel_and_delete(store: &mut MemoryStore) {
     cancel(store);
-    store.delete_cancelled_records(JOB);
+    store.delete_cancelled_records(JOB_ID);
 }
 
 type Change = fn(&mut MemoryStore);
@@ -59,9 +62,12 @@
 fn retried_submission_returns_the_jobs_current_state() {
     for (change, expected) in CHANGES {
         let (mut node, mut store) = (node(), MemoryStore::default());
-        let submission = node.submit(&job_spec(JOB));
+        let submission = node.submit(&job_spec(JOB_ID));
         node.execute_and_lose_reply(&mut store);
-        assert_eq!(request_at_other_node(&mut store, |n| n.poll(JOB)), QUEUED);
+        assert_eq!(
+            request_at_other_node(&mut store, |n| n.poll(JOB_ID)),
+            QUEUED
+        );
         change(&mut store);
         let rows = store.rows.clone();
         node.execute_all(&mut store);
@@ -75,15 +81,15 @@
 #[test]
 fn late_reply_to_a_retry_does_not_reopen_a_done_job() {
     let (mut node, mut store) = (node(), MemoryStore::default());
-    let submission = node.submit(&job_spec(JOB));
+    let submission = node.submit(&job_spec(JOB_ID));
     let (first, call) = node.take_call();
     store.execute(&call);
     node.now += 100 * MILLISECOND;
     node.tick();
     let (second, call) = node.take_call();
     let second_reply = store.execute(&call);
-    store.record_done(JOB);
-    let poll = node.poll(JOB);
+    store.record_done(JOB_ID);
+    let poll = node.poll(JOB_ID);
     node.execute_all(&mut store);
     assert_eq!(node.answer(poll), Some(DONE));
     node.reply(first, Err(CallError::NoAnswer));
@@ -97,27 +103,27 @@
 fn retried_cancellation_finds_the_job_cancelled_or_done() {
     for (delete, cached) in [(false, false), (false, true), (true, false), (true, true)] {
         let (mut node, mut store) = (node(), MemoryStore::default());
-        request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
+        request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB_ID)));
         if cached {
-            node.poll(JOB);
+            node.poll(JOB_ID);
             node.execute_all(&mut store);
         }
-        let cancellation = node.cancel(JOB);
+        let cancellation = node.cancel(JOB_ID);
         if !cached {
             node.execute_next(&mut store);
         }
         node.execute_and_lose_reply(&mut store);
         assert_eq!(
-            request_at_other_node(&mut store, |n| n.poll(JOB)),
+            request_at_other_node(&mut store, |n| n.poll(JOB_ID)),
             CANCELLED
         );
         // The job can no longer become done.
         assert!(matches!(
-            store.record_done(JOB),
+            store.record_done(JOB_ID),
             StoreResponse::Conflict { .. }
         ));
         if delete {
-            store.delete_cancelled_records(JOB);
+            store.delete_cancelled_records(JOB_ID);
         }
         let rows = store.rows.clone();
         node.execute_all(&mut store);
@@ -126,12 +132,12 @@
     }
     // The job's last task ends before the first attempt is executed.
     let (mut node, mut store) = (node(), MemoryStore::default());
-    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
-    let cancellation = node.cancel(JOB);
+    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB_ID)));
+    let cancellation = node.cancel(JOB_ID);
     node.execute_next(&mut store);
-    store.record_done(JOB);
+    store.record_done(JOB_ID);
     node.execute_and_lose_reply(&mut store);
-    assert_eq!(request_at_other_node(&mut store, |n| n.poll(JOB)), DONE);
+    assert_eq!(request_at_other_node(&mut store, |n| n.poll(JOB_ID)), DONE);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
@@ -141,7 +147,7 @@
 fn submission_that_the_store_rejects_as_malformed_gets_400_only_if_the_job_is_unknown() {
     let (mut node, mut store) = (node(), MemoryStore::default());
     let submit_malformed = |node: &mut SteppedNode| {
-        let submission = node.submit(&job_spec(JOB));
+        let submission = node.submit(&job_spec(JOB_ID));
         let (id, _) = node.take_call();
         node.reply(id, Ok(StoreResponse::Malformed));
         submission
@@ -149,7 +155,7 @@
     let submission = submit_malformed(&mut node);
     node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some((400, None)));
-    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut store, |n| n.submit(&job_spec(JOB_ID)));
     let submission = submit_malformed(&mut node);
     node.execute_all(&mut store);
     assert_eq!(node.answer(submission), Some(QUEUED));
@@ -159,7 +165,7 @@
 #[test]
 fn retries_of_a_submission_stay_within_the_write_budget() {
     let mut node = node();
-    let submission = node.submit(&job_spec(JOB));
+    let submission = node.submit(&job_spec(JOB_ID));
     let mut attempts = 0;
     while node.answer(submission).is_none() {
         attempts += 1;
@@ -199,10 +205,10 @@
     ];
     let unknown = MemoryStore::default();
     let mut open = MemoryStore::default();
-    request_at_other_node(&mut open, |n| n.submit(&job_spec(JOB)));
+    request_at_other_node(&mut open, |n| n.submit(&job_spec(JOB_ID)));
     let mut done = MemoryStore::default();
-    request_at_other_node(&mut done, |n| n.submit(&job_spec(JOB)));
-    done.record_done(JOB);
+    request_at_other_node(&mut done, |n| n.submit(&job_spec(JOB_ID)));
+    done.record_done(JOB_ID);
     let stores = [unknown, open, done];
     let faults = [
         Err(CallError::NoAnswer),
@@ -220,7 +226,7 @@
             let mut store = MemoryStore::default();
             let rows = stores[store_index].rows.iter();
             store.rows = rows
-                .map(|(k, row)| (k.replace(JOB, &id), row.clone()))
+                .map(|(k, row)| (k.replace(JOB_ID, &id), row.clone()))
                 .collect();
             let request = send(&mut node, &id);
             let (mut calls, deadline) = (0, node.now + 10 * SECOND);
@@ -260,7 +266,7 @@
                 "case {case}"
             );
         }
-        let poll = node.poll(JOB);
+        let poll = node.poll(JOB_ID);
         node.execute_all(&mut store);
         assert_eq!(node.answer(poll), Some(QUEUED), "case {case}");
     }
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -142,8 +142,8 @@
     }
 }
 
-fn writes_tasks(change: &Mutation) -> bool {
-    matches!(change, Mutation::Put { key, .. } if key.starts_with(records::TASKS_PREFIX))
+fn writes_tasks(mutation: &Mutation) -> bool {
+    matches!(mutation, Mutation::Put { key, .. } if key.starts_with(records::TASKS_PREFIX))
 }
 
 fn rejected() -> Result<StoreResponse, CallError> {
@@ -157,8 +157,8 @@
     assert_eq!(fixture.launched_tasks.len(), TASK_COUNT as usize);
     let mut covered = 0;
     // The first write is the one that the store rejects.
-    for change in fixture.task_writes.iter().skip(1).flat_map(|txn| &txn.then) {
-        if let Mutation::Put { key, value, .. } = change
+    for mutation in fixture.task_writes.iter().skip(1).flat_map(|txn| &txn.then) {
+        if let Mutation::Put { key, value, .. } = mutation
             && let Some((_, TaskRange::Part { from, to, .. })) = parse_tasks_key(key)
         {
             assert!(json_size(value) <= LOWERED_VALUE_BYTES, "{key}");
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -16,7 +16,7 @@
 use dillcleat_wire::worker::{ExitReason, HEARTBEAT_PATH, Heartbeat, TaskState, TaskStatus};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 
 fn job_progress(job: &str, done: u32, running: u32) -> JobProgress {
     let job = job.into();
@@ -82,7 +82,7 @@
 fn leader() -> (Node, Micros, Environment) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
-        spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
+        spec: JobSpec::plain(JOB_ID, JobKind::Batch, 1, 1.0),
         submitted_at_us: START,
         tasks_per_chunk: 25,
         without_state_record: true,
@@ -92,9 +92,9 @@
         placed: vec![(0, 1, "m".to_string(), 1).into()],
         ..TaskChunk::default()
     };
-    let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
+    let tasks = records::tasks_key(JOB_ID, records::TaskRange::Chunk(0));
     let mut env = Environment {
-        queue_rows: vec![row(records::open_job_key(JOB), &open)],
+        queue_rows: vec![row(records::open_job_key(JOB_ID), &open)],
         task_rows: vec![row(tasks, &chunk)],
         ..Environment::default()
     };
@@ -118,7 +118,7 @@
     env: &mut Environment,
 ) {
     let task = TaskStatus {
-        task: format!("{JOB}/0").parse().expect("a task's name"),
+        task: format!("{JOB_ID}/0").parse().expect("a task's name"),
         attempt: 1,
         state,
         reason: (state == TaskState::Exited).then_some(ExitReason::Done),
@@ -151,7 +151,7 @@
 fn leader_sends_all_progress_again_to_a_peer_that_becomes_reachable() {
     let (mut node, mut at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
-    let running = [job_progress(JOB, 0, 1)];
+    let running = [job_progress(JOB_ID, 0, 1)];
     assert_eq!(
         run_and_collect_progress(&mut node, &mut at, &mut env),
         running
@@ -171,9 +171,9 @@
     send_heartbeat(&mut node, at, 2, TaskState::Exited, &mut env);
     assert_eq!(
         run_and_collect_progress(&mut node, &mut at, &mut env),
-        [job_progress(JOB, 0, 0)]
+        [job_progress(JOB_ID, 0, 0)]
     );
-    assert_eq!(node.progress(JOB), None);
+    assert_eq!(node.progress(JOB_ID), None);
 }
 
 /// A new leader broadcasts only changes, so it must reset the counts of jobs of which no machine
@@ -181,7 +181,7 @@
 #[test]
 fn new_leader_resets_outdated_progress_of_the_previous_leader() {
     let mut node = Node::new(config_with_team());
-    let previous = vec![job_progress(JOB, 0, 3), job_progress("req-2", 1, 1)];
+    let previous = vec![job_progress(JOB_ID, 0, 3), job_progress("req-2", 1, 1)];
     receive(&mut node, START, "n1", Message::JobProgress(previous));
     let (mut at, mut env) = (START, Environment::default());
     step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
@@ -192,13 +192,16 @@
     while at < START + 9 * SECOND {
         all.extend(run_and_collect_progress(&mut node, &mut at, &mut env));
     }
-    assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
+    assert_eq!((all, node.progress(JOB_ID)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
         receive(&mut node, at, "n1", peer_heartbeat(1, false));
         let more = run_and_collect_progress(&mut node, &mut at, &mut env);
         if !more.is_empty() {
-            assert_eq!(more, [job_progress(JOB, 0, 0), job_progress("req-2", 0, 0)]);
-            assert_eq!(node.progress(JOB), None);
+            assert_eq!(
+                more,
+                [job_progress(JOB_ID, 0, 0), job_progress("req-2", 0, 0)]
+            );
+            assert_eq!(node.progress(JOB_ID), None);
             return;
         }
     }
@@ -208,20 +211,20 @@
 #[test]
 fn progress_from_a_deposed_leader_is_ignored() {
     let mut node = Node::new(config_with_team());
-    let progress = |done, running| Message::JobProgress(vec![job_progress(JOB, done, running)]);
+    let progress = |done, running| Message::JobProgress(vec![job_progress(JOB_ID, done, running)]);
     receive(&mut node, START, "n1", peer_heartbeat(1, true));
     receive(&mut node, START, "n1", progress(0, 3));
-    assert_eq!(node.progress(JOB), Some((0, 3)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 3)));
     receive(&mut node, START, "n2", peer_heartbeat(2, true));
     receive(&mut node, START, "n2", progress(1, 2));
     receive(&mut node, START, "n1", progress(0, 3));
-    assert_eq!(node.progress(JOB), Some((1, 2)));
+    assert_eq!(node.progress(JOB_ID), Some((1, 2)));
     // The new leader ignores it, too.
     let (mut node, at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
     run_and_collect_progress(&mut node, &mut at.clone(), &mut env);
     receive(&mut node, at, "n1", progress(0, 0));
-    assert_eq!(node.progress(JOB), Some((0, 1)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 1)));
 }
 
 /// The number of entries is bounded.
@@ -234,7 +237,7 @@
         &mut node,
         START,
         "n1",
-        Message::JobProgress(vec![job_progress(JOB, 0, 3)]),
+        Message::JobProgress(vec![job_progress(JOB_ID, 0, 3)]),
     );
     let mut kept = 0;
     for i in 0..ENDED_JOBS {
@@ -245,7 +248,7 @@
     for i in 0..ENDED_JOBS {
         kept += usize::from(node.progress(&format!("req-9{i}")).is_some());
     }
-    assert_eq!(node.progress(JOB), Some((0, 3)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 3)));
     assert!(kept < MAX_ENTRIES, "{kept}");
 }
 
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -11,7 +11,7 @@
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 
 /// A configuration with a quota of 4 CPUs for the team. The machine types come from
 /// `SteppedNode`: 8 CPUs, 64 GB and no GPU, in zone a only.
@@ -25,7 +25,7 @@
 
 /// Malformed submissions, each with one wrong field and a description of it.
 fn malformed_submissions() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = encode_value(&job_spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&job_spec(JOB_ID)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
@@ -34,7 +34,7 @@
         let shown: String = shown.chars().take(40).collect();
         all.push((
             format!("{name} = {shown}"),
-            submission_with_field(JOB, name, field),
+            submission_with_field(JOB_ID, name, field),
         ));
     };
     for (name, valid) in &fields {
@@ -91,7 +91,7 @@
 fn unschedulable_submissions() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
     let mut add = |reason: &str, change: fn(&mut JobSpec)| {
-        let mut spec = job_spec(JOB);
+        let mut spec = job_spec(JOB_ID);
         change(&mut spec);
         all.push((reason.to_string(), dillcleat_wire::encode(&spec)));
     };
@@ -115,7 +115,7 @@
     add("depends on an unknown job", |s| {
         s.depends_on = vec!["req-404".into()]
     });
-    add("depends on itself", |s| s.depends_on = vec![JOB.into()]);
+    add("depends on itself", |s| s.depends_on = vec![JOB_ID.into()]);
     all
 }
 
@@ -185,7 +185,7 @@
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
-    let valid = dillcleat_wire::encode(&job_spec(JOB));
+    let valid = dillcleat_wire::encode(&job_spec(JOB_ID));
     let mut store = MemoryStore::default();
     let (status, _) = submit(&mut node, &valid, |call| Ok(store.execute(call)));
     assert_eq!(status, 503);
@@ -194,7 +194,10 @@
 /// The job may already exist, and a submission of an existing job must not be rejected.
 #[test]
 fn every_submission_gets_503_while_the_store_fails() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
+    let valid = (
+        "valid".to_string(),
+        dillcleat_wire::encode(&job_spec(JOB_ID)),
+    );
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -220,7 +223,10 @@
 /// This holds for any content of the repeated submission, also at a node that has just started.
 #[test]
 fn repeated_submission_of_an_existing_job_returns_its_state() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
+    let valid = (
+        "valid".to_string(),
+        dillcleat_wire::encode(&job_spec(JOB_ID)),
+    );
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -232,14 +238,14 @@
         for state in states {
             let mut store = MemoryStore::default();
             let mut other = SteppedNode::with_machine_types(config(), START);
-            other.submit(&job_spec(JOB));
+            other.submit(&job_spec(JOB_ID));
             other.execute_all(&mut store);
             match state {
                 JobState::Done => {
-                    store.record_done(JOB);
+                    store.record_done(JOB_ID);
                 }
                 JobState::Cancelled => {
-                    other.cancel(JOB);
+                    other.cancel(JOB_ID);
                     other.execute_all(&mut store);
                 }
                 _ => {}
@@ -262,19 +268,22 @@
         node.execute_all(store);
         node.answer(request)
     };
-    assert_eq!(cancel(&mut store, JOB), Some((404, None)));
+    assert_eq!(cancel(&mut store, JOB_ID), Some((404, None)));
     for id in ["req-", "req-1x", "job-1", "req-1%2f2"] {
         assert_eq!(cancel(&mut store, id), Some((404, None)), "{id}");
     }
     assert!(store.rows.is_empty());
     let mut other = SteppedNode::with_machine_types(config(), START);
-    other.submit(&job_spec(JOB));
+    other.submit(&job_spec(JOB_ID));
     other.execute_all(&mut store);
-    store.record_done(JOB);
+    store.record_done(JOB_ID);
     for _ in 0..2 {
-        assert_eq!(cancel(&mut store, JOB), Some((200, Some(JobState::Done))));
+        assert_eq!(
+            cancel(&mut store, JOB_ID),
+            Some((200, Some(JobState::Done)))
+        );
     }
-    assert_eq!(store.recorded_state(JOB), Some(RecordedState::Done));
-    let request = node.cancel(JOB);
+    assert_eq!(store.recorded_state(JOB_ID), Some(RecordedState::Done));
+    let request = node.cancel(JOB_ID);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -12,7 +12,7 @@
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 /// The status of an answer and the job state in it; None without an answer.
 type Answered = Option<(u16, Option<JobState>)>;
 
@@ -28,7 +28,7 @@
 fn store_with_job() -> MemoryStore {
     let mut store = MemoryStore::default();
     let mut other = node();
-    let request = other.submit(&job_spec(JOB));
+    let request = other.submit(&job_spec(JOB_ID));
     other.execute_all(&mut store);
     assert_eq!(other.answer(request).map(|a| a.0), Some(201));
     store
@@ -38,7 +38,7 @@
     node.request(
         "POST",
         JOBS_PATH.into(),
-        submission_with_field(JOB, "leaves", Some(Value::from(0))),
+        submission_with_field(JOB_ID, "leaves", Some(Value::from(0))),
     )
 }
 
@@ -46,9 +46,9 @@
 
 /// The kinds of request that look a job up without creating it, with the answer for an open job.
 const LOOKUPS: [(SendRequest, Answered); 3] = [
-    (|n| n.poll(JOB), QUEUED),
+    (|n| n.poll(JOB_ID), QUEUED),
     (malformed_submission, QUEUED),
-    (|n| n.cancel(JOB), CANCELLED),
+    (|n| n.cancel(JOB_ID), CANCELLED),
 ];
 
 /// The first read is executed before the job is accepted, and its reply arrives last.
@@ -56,7 +56,7 @@
 fn early_read_does_not_answer_a_later_request() {
     for (send, open) in LOOKUPS {
         let mut node = node();
-        let first = node.poll(JOB);
+        let first = node.poll(JOB_ID);
         let (early_id, call) = node.take_call();
         let absent = MemoryStore::default().execute(&call);
         let mut store = store_with_job();
@@ -77,12 +77,12 @@
     for (send, _) in LOOKUPS {
         let mut node = node();
         let mut store = MemoryStore::default();
-        let first = node.poll(JOB);
+        let first = node.poll(JOB_ID);
         node.execute_next(&mut store);
         let (early_id, call) = node.take_call();
         let absent = store.execute(&call);
         store = store_with_job();
-        store.record_done(JOB);
+        store.record_done(JOB_ID);
         let second = send(&mut node);
         node.execute_next(&mut store);
         node.execute_next(&mut store);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Not even for a request sent before the acceptance: both may come from the same user.
+/// This holds even for a request sent before the acceptance: both may come from the same user.
 #[test]
 fn accepted_job_is_not_reported_unknown_after_a_late_read() {
     for (send, open) in LOOKUPS {
@@ -102,7 +102,7 @@
         node.execute_next(&mut store);
         let (early_id, call) = node.take_call();
         let absent = store.execute(&call);
-        let second = node.submit(&job_spec(JOB));
+        let second = node.submit(&job_spec(JOB_ID));
         node.execute_all(&mut store);
         assert_eq!(node.answer(second), Some((201, Some(JobState::Queued))));
         node.reply(early_id, Ok(absent));
@@ -117,15 +117,15 @@
 fn late_reply_to_a_submission_does_not_reopen_a_cancelled_job() {
     for mut store in [MemoryStore::default(), store_with_job()] {
         let mut node = node();
-        let submission = node.submit(&job_spec(JOB));
+        let submission = node.submit(&job_spec(JOB_ID));
         let (late_id, call) = node.take_call();
         let reply = store.execute(&call);
-        let cancellation = node.cancel(JOB);
+        let cancellation = node.cancel(JOB_ID);
         node.execute_all(&mut store);
         assert_eq!(node.answer(cancellation), CANCELLED);
         node.reply(late_id, Ok(reply));
         assert_eq!(node.answer(submission), CANCELLED);
-        let poll = node.poll(JOB);
+        let poll = node.poll(JOB_ID);
         assert_eq!(node.answer(poll), CANCELLED);
     }
 }
@@ -136,21 +136,21 @@
 fn late_comparison_does_not_evict_an_ended_job() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     let (late_id, _) = node.take_call();
-    store.record_done(JOB);
-    let cancellation = node.cancel(JOB);
+    store.record_done(JOB_ID);
+    let cancellation = node.cancel(JOB_ID);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
     let conflict = StoreResponse::Conflict {
-        failed: vec![records::job_state_key(JOB)],
+        failed: vec![records::job_state_key(JOB_ID)],
         revision: 2,
     };
     node.reply(late_id, Ok(conflict));
     assert_eq!(node.answer(poll), DONE);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     assert_eq!(node.answer(poll), DONE);
 }
 
@@ -158,17 +158,17 @@
 fn comparison_does_not_answer_requests_that_arrive_after_it_was_sent() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let first = node.poll(JOB);
+    let first = node.poll(JOB_ID);
     let (early_id, call) = node.take_call();
     let equal = store.execute(&call);
-    store.record_done(JOB);
-    for send in [|n: &mut SteppedNode| n.poll(JOB), malformed_submission] {
+    store.record_done(JOB_ID);
+    for send in [|n: &mut SteppedNode| n.poll(JOB_ID), malformed_submission] {
         let later = send(&mut node);
         assert_eq!((node.answer(later), node.pending_calls.len()), (None, 0));
     }
-    let later = node.poll(JOB);
+    let later = node.poll(JOB_ID);
     node.reply(early_id, Ok(equal));
     assert_eq!((node.answer(first), node.answer(later)), (QUEUED, None));
     node.execute_all(&mut store);
@@ -180,9 +180,9 @@
 fn comparison_without_a_reply_is_sent_again() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     node.take_call();
     node.now += SECOND / 10;
     node.tick();
@@ -199,23 +199,23 @@
         // is reading the state record.
         let mut nodes = [node(), node(), node()];
         for node in &mut nodes[..2] {
-            node.poll(JOB);
+            node.poll(JOB_ID);
             node.execute_all(&mut store);
         }
-        nodes[1].poll(JOB);
-        nodes[2].poll(JOB);
+        nodes[1].poll(JOB_ID);
+        nodes[2].poll(JOB_ID);
         nodes[2].execute_next(&mut store);
-        let cancellation = nodes[0].cancel(JOB);
+        let cancellation = nodes[0].cancel(JOB_ID);
         let (id, call) = nodes[0].take_call();
-        let end = done_first.then(|| store.record_done(JOB));
+        let end = done_first.then(|| store.record_done(JOB_ID));
         let reply = store.execute(&call);
-        let end = end.unwrap_or_else(|| store.record_done(JOB));
+        let end = end.unwrap_or_else(|| store.record_done(JOB_ID));
         assert_eq!(matches!(end, StoreResponse::Committed { .. }), done_first);
         // The other nodes answer before the transaction's reply reaches the first.
         let requests: [SendRequest; 4] = [
-            |n| n.poll(JOB),
-            |n| n.submit(&job_spec(JOB)),
-            |n| n.cancel(JOB),
+            |n| n.poll(JOB_ID),
+            |n| n.submit(&job_spec(JOB_ID)),
+            |n| n.cancel(JOB_ID),
             malformed_submission,
         ];
         for send in requests {
@@ -231,7 +231,7 @@
         nodes[0].reply(id, Ok(reply));
         nodes[0].execute_all(&mut store);
         assert_eq!(nodes[0].answer(cancellation), expected);
-        let poll = nodes[0].poll(JOB);
+        let poll = nodes[0].poll(JOB_ID);
         assert_eq!(nodes[0].answer(poll), expected);
     }
 }
@@ -246,13 +246,13 @@
             let (mut other, mut node) = (node(), node());
             let request = send(&mut node);
             if cancel {
-                other.cancel(JOB);
+                other.cancel(JOB_ID);
                 other.execute_all(&mut store);
                 // The description is read, and deleted before the comparison.
                 node.execute_next(&mut store);
-                store.delete_cancelled_records(JOB);
+                store.delete_cancelled_records(JOB_ID);
             } else {
-                store.record_done(JOB);
+                store.record_done(JOB_ID);
             }
             node.execute_all(&mut store);
             assert_eq!(node.answer(request), expected);
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -216,8 +216,8 @@
     );
 }
 
-/// The reachable sibling cannot reach the store either, as in an outage, but an unreachable
-/// sibling may have been elected.
+/// The reachable peer cannot reach the store either, as in an outage, but an unreachable
+/// peer may have been elected.
 #[test]
 fn leader_without_leadership_proof_deletes_no_machine_for_a_cancellation() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -18,7 +18,7 @@
 };
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-000001";
+const JOB_ID: &str = "req-000001";
 
 fn open_job_row(id: &str, tasks: u32) -> KeyValue {
     let spec = JobSpec {
@@ -76,7 +76,7 @@
             node: Node::new(config),
             env: Environment {
                 queue_rows,
-                task_rows: vec![row(records::tasks_key(JOB, TaskRange::Chunk(0)), &chunk)],
+                task_rows: vec![row(records::tasks_key(JOB_ID, TaskRange::Chunk(0)), &chunk)],
                 machine_types: vec![machine_type(8.0)],
                 ..Environment::default()
             },
@@ -111,11 +111,11 @@
 
     fn answer_watches(&mut self, at: Micros, events: Vec<WatchEvent>) {
         for id in std::mem::take(&mut self.env.open_watches) {
-            let changes = WatchBatch {
+            let batch = WatchBatch {
                 revision: 3,
                 events: events.clone(),
             };
-            let reply = Ok(StoreResponse::WatchBatch(changes));
+            let reply = Ok(StoreResponse::WatchBatch(batch));
             self.step(at, Input::Store { id, reply });
         }
     }
@@ -130,7 +130,7 @@
     ) -> Option<Vec<Command>> {
         self.sequence += 1;
         let task = task_state.map(|state| TaskStatus {
-            task: format!("{JOB}/0").parse().expect("a task's name"),
+            task: format!("{JOB_ID}/0").parse().expect("a task's name"),
             attempt: 1,
             state,
             reason: (state == TaskState::Exited).then_some(ExitReason::Done),
@@ -167,8 +167,8 @@
 
     /// The keys that the leader has deleted, in order.
     fn deleted_keys(&self) -> Vec<&str> {
-        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
-        changes
+        let mutations = self.env.transactions.iter().flat_map(|t| &t.then);
+        mutations
             .filter_map(|c| match c {
                 Mutation::Delete { key } => Some(key.as_str()),
                 Mutation::Put { .. } => None,
@@ -179,8 +179,8 @@
     /// How many tasks of the job are placed according to the last write of its first chunk.
     fn placed_count(&self, id: &str) -> usize {
         let key = records::tasks_key(id, TaskRange::Chunk(0));
-        let changes = self.env.transactions.iter().flat_map(|t| &t.then);
-        let mut records = changes.filter_map(|c| match c {
+        let mutations = self.env.transactions.iter().flat_map(|t| &t.then);
+        let mut records = mutations.filter_map(|c| match c {
             Mutation::Put { key: k, value, .. } if *k == key => decode_value::<TaskChunk>(value),
             _ => None,
         });
@@ -197,9 +197,10 @@
         teams: Vec::new(),
         ..config_with_team()
     };
-    let unknown_team = Fixture::new(without_teams, vec![open_job_row(JOB, 2)], 1);
-    let unreadable_description = Fixture::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
-    let mut unreadable_chunk = Fixture::new(config_with_team(), vec![open_job_row(JOB, 2)], 1);
+    let unknown_team = Fixture::new(without_teams, vec![open_job_row(JOB_ID, 2)], 1);
+    let unreadable_description =
+        Fixture::new(config_with_team(), vec![unreadable_job_row(JOB_ID)], 1);
+    let mut unreadable_chunk = Fixture::new(config_with_team(), vec![open_job_row(JOB_ID, 2)], 1);
     unreadable_chunk.env.task_rows[0].value = encode_value(&"a later format");
     for (case, mut fixture) in [
         ("unknown team", unknown_team),
@@ -215,7 +216,7 @@
             "{case}"
         );
         fixture.advance(2 * SECOND, 8 * SECOND);
-        assert_eq!(fixture.placed_count(JOB), 0, "{case}");
+        assert_eq!(fixture.placed_count(JOB_ID), 0, "{case}");
         assert_eq!(
             fixture.node.scheduler_counters().passes,
             0,
@@ -252,7 +253,7 @@
         let mut fixture = Fixture::new(config_with_team(), Vec::new(), 1);
         fixture.env.readable_row = state.map(|state| {
             row(
-                records::job_state_key(JOB),
+                records::job_state_key(JOB_ID),
                 &JobStateRecord {
                     state,
                     task_count: 1,
@@ -260,7 +261,7 @@
             )
         });
         fixture.advance(0, 5 * SECOND);
-        let key = records::tasks_key(JOB, TaskRange::Chunk(0));
+        let key = records::tasks_key(JOB_ID, TaskRange::Chunk(0));
         assert_eq!(
             fixture.deleted_keys().contains(&key.as_str()),
             state.is_some()
@@ -277,18 +278,18 @@
 fn cancelled_job_keeps_its_task_records_while_its_description_exists() {
     let mut dependent = open_job_row("req-000002", 1);
     let mut open = dependent.decode_value::<OpenJob>().expect("a description");
-    open.spec.depends_on = vec![JOB.into()];
+    open.spec.depends_on = vec![JOB_ID.into()];
     dependent.value = encode_value(&open);
     let mut fixture = Fixture::new(
         config_with_team(),
-        vec![unreadable_job_row(JOB), dependent],
+        vec![unreadable_job_row(JOB_ID), dependent],
         1,
     );
     let state_record = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    fixture.env.readable_row = Some(row(records::job_state_key(JOB), &state_record));
+    fixture.env.readable_row = Some(row(records::job_state_key(JOB_ID), &state_record));
     fixture.advance(0, 5 * SECOND);
     let key = records::open_job_key("req-000002");
     assert_eq!(
@@ -302,14 +303,14 @@
 #[test]
 fn cancellation_of_an_unreadable_job_stops_its_tasks() {
     let renewal_limit = config_with_team().heartbeat_answer_limit();
-    let mut fixture = Fixture::new(config_with_team(), vec![unreadable_job_row(JOB)], 1);
+    let mut fixture = Fixture::new(config_with_team(), vec![unreadable_job_row(JOB_ID)], 1);
     fixture.env.cloud_up = false;
     fixture.advance(0, SECOND);
     let running = Some(TaskState::Running);
     assert_eq!(fixture.send_heartbeat(SECOND, "m", running), Some(vec![]));
     let at = START + SECOND;
     let cancelled = row(
-        records::cancelled_job_key(JOB),
+        records::cancelled_job_key(JOB_ID),
         &CancelledJob {
             cancelled_at_us: at,
         },
@@ -350,13 +351,13 @@
     let renewal_limit = config_with_team().heartbeat_answer_limit();
     let at = START - renewal_limit;
     let cancelled = row(
-        records::cancelled_job_key(JOB),
+        records::cancelled_job_key(JOB_ID),
         &CancelledJob {
             cancelled_at_us: at,
         },
     );
     for readable in [true, false] {
-        let queue_rows = vec![cancelled.clone(), unreadable_job_row(JOB)];
+        let queue_rows = vec![cancelled.clone(), unreadable_job_row(JOB_ID)];
         let mut fixture = Fixture::new(config_with_team(), queue_rows, 1);
         if !readable {
             fixture.env.task_rows[0].value = encode_value(&"a later format");
@@ -383,7 +384,7 @@
     let mut config = config_with_team();
     config.teams[0].cpus_max = 4.0;
     let other = "req-000002";
-    let queue_rows = vec![unreadable_job_row(JOB), open_job_row(other, 9)];
+    let queue_rows = vec![unreadable_job_row(JOB_ID), open_job_row(other, 9)];
     let mut fixture = Fixture::new(config, queue_rows, 3);
     fixture.advance(0, 4 * SECOND);
     assert_eq!(fixture.placed_count(other), 1);
--- a/crates/controller/tests/zone_constraints.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -8,12 +8,12 @@
 use dillcleat_controller::SECOND;
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 
-const JOB: &str = "req-000001";
+const JOB_ID: &str = "req-000001";
 
 fn job_spec(tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        ..JobSpec::plain(JOB, JobKind::Batch, tasks, 1.0)
+        ..JobSpec::plain(JOB_ID, JobKind::Batch, tasks, 1.0)
     }
 }
 
@@ -26,7 +26,7 @@
     fleet.add_machine("a1", "a", false);
     fleet.submit(spec);
     fleet.advance(5 * SECOND);
-    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
+    assert_eq!(fleet.cpus_used_by(&[JOB_ID]), 8);
     fleet.add_machine("b0", "b", false);
     fleet.add_machine("b1", "b", false);
     fleet.advance(5 * SECOND);
@@ -43,14 +43,14 @@
     fleet.workers.remove("a0");
     fleet.advance(20 * SECOND);
     assert_eq!(
-        fleet.machines_running(JOB),
+        fleet.machines_running(JOB_ID),
         ["a1"],
         "despite free capacity in zone b"
     );
     fleet.workers.remove("a1");
     fleet.advance(20 * SECOND);
-    assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
-    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
+    assert_eq!(fleet.machines_running(JOB_ID), ["b0", "b1"]);
+    assert_eq!(fleet.cpus_used_by(&[JOB_ID]), 8);
 }
 
 /// The job's last tasks in a zone run on a partitioned machine. A new leader has read of them
@@ -70,7 +70,7 @@
             fleet.replace_leader();
         }
         while !fleet.deletions.iter().any(|(_, name)| name == "a1") {
-            assert_eq!(fleet.machines_running(JOB), ["a1"]);
+            assert_eq!(fleet.machines_running(JOB_ID), ["a1"]);
             fleet.advance(SECOND / 10);
             assert!(
                 fleet.now < common::fleet::START + 60 * SECOND,
@@ -78,7 +78,7 @@
             );
         }
         fleet.advance(10 * SECOND);
-        assert_eq!(fleet.machines_running(JOB), ["b0", "b1"]);
+        assert_eq!(fleet.machines_running(JOB_ID), ["b0", "b1"]);
     }
 }
 
@@ -91,11 +91,11 @@
     fleet.workers.remove("a0");
     fleet.workers.remove("a1");
     fleet.advance(60 * SECOND);
-    assert_eq!(fleet.machines_running(JOB), Vec::<String>::new());
+    assert_eq!(fleet.machines_running(JOB_ID), Vec::<String>::new());
     fleet.scale_out_capacity.insert(("a".into(), false), 2);
     // A scale-out that found no capacity is retried after 15 s, and machines boot in 5 s.
     fleet.advance(25 * SECOND);
-    assert_eq!(fleet.cpus_used_by(&[JOB]), 8);
+    assert_eq!(fleet.cpus_used_by(&[JOB_ID]), 8);
 }
 
 /// Replies to commands always arrive too late. The high-priority job must get all capacity
@@ -107,7 +107,7 @@
     for name in ["m0", "m1"] {
         fleet.add_machine(name, "a", false).command_replies_late = true;
     }
-    for id in [JOB, high_priority] {
+    for id in [JOB_ID, high_priority] {
         fleet.task_durations.insert(id.into(), 3 * SECOND);
     }
     fleet.submit(job_spec(60));
@@ -120,7 +120,7 @@
     });
     fleet.advance(80 * SECOND);
     let start_times = |job| -> Vec<u64> { fleet.starts_of(job).iter().map(|s| s.0).collect() };
-    let (high_priority_starts, other_starts) = (start_times(high_priority), start_times(JOB));
+    let (high_priority_starts, other_starts) = (start_times(high_priority), start_times(JOB_ID));
     assert_eq!(
         (high_priority_starts.len(), other_starts.len()),
         (12, 60),
@@ -134,7 +134,7 @@
         .filter(|t| (at + 3 * SECOND..last).contains(t));
     assert_eq!(between.count(), 0);
     assert_eq!(
-        fleet.cpus_used_by(&[JOB, high_priority]),
+        fleet.cpus_used_by(&[JOB_ID, high_priority]),
         0,
         "all tasks are done"
     );
