--- a/crates/controller/tests/leader_without_heartbeats.rs
+++ b/crates/controller/tests/leader_without_heartbeats.rs
@@ -25,8 +25,8 @@
 }
 
 /// How long a node with registered machines stays leader without worker heartbeats, or with one
-/// at the start if `heartbeat_at_start`. The peer's heartbeats contain its term and whether workers reach it. After two
-/// seconds the node is suspended for the time of `suspension`.
+/// at the start if `heartbeat_at_start`. The peer's heartbeats contain its term and whether
+/// workers reach it. After two seconds the node is suspended for the time of `suspension`.
 fn time_as_leader(
     heartbeat_at_start: bool,
     peer_term: u64,
