--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -161,9 +161,9 @@
     /// is unreachable, because that time is too short compared to the lease. None if it cannot
     /// outlast it.
     pub fn cancel_time_excess(&self) -> Option<Micros> {
-        let shortfall =
+        let excess =
             MIN_HEARTBEAT_ANSWER_LIMIT.saturating_sub(self.time_before_lease_must_expire());
-        (shortfall > 0).then_some(shortfall)
+        (excess > 0).then_some(excess)
     }
 
     /// The number of tasks in each part of a chunk that is too large to be written as a
--- a/crates/controller/tests/unresponsive_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -1,9 +1,9 @@
-//! A leader fails while a zone is partitioned: its successor has to take over for how long
-//! the machines there have been unresponsive.
+//! A leader fails while a zone is partitioned. Its successor must count the time for which the
+//! previous leader saw the zone's machines as unresponsive.
 
 mod common;
 
-use common::{heartbeat_request, machine_row, step_and_cloud_calls};
+use common::{heartbeat_request, machine_row, step_returning_cloud_calls};
 use dillcleat_controller::{Input, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::{Message, UnresponsiveZone};
 use dillcleat_wire::cloud::CloudRequest;
@@ -29,12 +29,12 @@
             unresponsive_ms,
         }]);
         let from = "n1".into();
-        step_and_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
+        step_returning_cloud_calls(&mut node, START, Input::Peer { from, message }, &rows);
     }
     let mut deleted = Vec::new();
     for at in (0..20 * SECOND).step_by(100 * MILLISECOND as usize) {
         let now = START + at;
-        let (_, calls) = step_and_cloud_calls(&mut node, now, Input::Tick, &rows);
+        let (_, calls) = step_returning_cloud_calls(&mut node, now, Input::Tick, &rows);
         for call in calls {
             if let CloudRequest::Delete(names) = call {
                 deleted.extend(names.into_iter().map(|name| (name, at)));
@@ -44,7 +44,10 @@
             for machine in (0..9).filter(|m| *m > 2 || (*m == 0 && one_recovers)) {
                 let sequence = at / MILLISECOND + 1;
                 let input = heartbeat_request(&format!("m{machine}"), zone_of(machine), sequence);
-                assert_eq!(step_and_cloud_calls(&mut node, now, input, &rows).0, [200]);
+                assert_eq!(
+                    step_returning_cloud_calls(&mut node, now, input, &rows).0,
+                    [200]
+                );
             }
         }
     }
@@ -52,24 +55,24 @@
     deleted
 }
 
-/// Otherwise a change of leader would delay the replacement of the replicas in the
-/// partitioned zone.
+/// Guards against delaying the replacement of the replicas in the partitioned zone by a failover.
 #[test]
 fn new_leader_counts_unresponsive_time_seen_by_its_predecessor() {
     assert_eq!(
         deleted_machines(None, false),
         [],
-        "the partition is not known to it"
+        "the new leader has no report of the partition"
     );
     let deleted = deleted_machines(Some(12_000), false);
     assert_eq!(deleted.len(), 3, "{deleted:?}");
-    // A worker lease of 14 s and a heartbeat interval of 2 s end 4 s into the term.
+    // The machines were unresponsive for 12 s at the election, so that a worker lease of 14 s
+    // and a heartbeat interval of 2 s end 4 s later.
     let on_time = |(_, at): &(String, Micros)| (4 * SECOND..6 * SECOND).contains(at);
     assert!(deleted.iter().all(on_time), "{deleted:?}");
 }
 
-/// The partition may have ended when the leader failed: no machine is deleted before its next
-/// heartbeat was due.
+/// The partition may have ended since: a machine is deleted only after its next heartbeat was
+/// due.
 #[test]
 fn machine_reported_unresponsive_stays_if_it_sends_a_heartbeat() {
     let deleted = deleted_machines(Some(40_000), true);
