--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -181,7 +181,7 @@
             Err(bad) => {
                 let error = match bad {
                     RequestError::TooLarge => {
-                        StatusError::TooLarge(dillcleat_kube::api_server::BODY_LIMIT)
+                        StatusError::BodyTooLarge(dillcleat_kube::api_server::MAX_BODY_BYTES)
                     }
                     _ => StatusError::BadRequest("malformed request".into()),
                 };
--- a/crates/dillcleat/src/objects.rs
+++ b/crates/dillcleat/src/objects.rs
@@ -119,7 +119,8 @@
     pub fn run(self) -> Result<(), CliError> {
         let client = self.server.client()?;
         let bad = |e: String| CliError::Settings(self.filename.display().to_string(), e);
-        let objects = yaml::all(&read(&self.filename)?).map_err(|e| bad(e.to_string()))?;
+        let objects =
+            yaml::parse_documents(&read(&self.filename)?).map_err(|e| bad(e.to_string()))?;
         if objects.is_empty() {
             return Err(bad("no document".into()));
         }
@@ -346,7 +347,7 @@
                 if self.output == Form::Json {
                     println!("{shown:#}");
                 } else {
-                    print!("{}", yaml::write(&shown));
+                    print!("{}", yaml::to_text(&shown));
                 }
             }
         }
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -3,7 +3,7 @@
 use crate::error::CliError;
 use clap::Subcommand;
 use dillcleat_kube::SigningKey;
-use dillcleat_kube::names::{KEY_BYTES, hex};
+use dillcleat_kube::names::{MIN_KEY_BYTES, encode_hex};
 use dillcleat_kube::settings::Verb;
 use std::io::Read;
 use std::path::PathBuf;
@@ -31,12 +31,12 @@
 
 /// Bytes that nobody can guess, from the system.
 fn secret() -> Result<String, CliError> {
-    let mut bytes = [0u8; KEY_BYTES];
+    let mut bytes = [0u8; MIN_KEY_BYTES];
     let source = "/dev/urandom";
     std::fs::File::open(source)
         .and_then(|mut f| f.read_exact(&mut bytes))
         .map_err(|e| CliError::Settings(source.into(), e.to_string()))?;
-    Ok(hex(&bytes))
+    Ok(encode_hex(&bytes))
 }
 
 fn quoted(all: &[String]) -> String {
@@ -58,7 +58,7 @@
                 verbs,
             } => (key_file, name, namespaces, verbs),
         };
-        if let Some(verb) = verbs.iter().find(|v| !Verb::is_entry(v)) {
+        if let Some(verb) = verbs.iter().find(|v| !Verb::is_verb_or_wildcard(v)) {
             return Err(CliError::Usage(format!("there is no verb {verb:?}")));
         }
         let bad = |e: String| CliError::Settings(key_file.display().to_string(), e);
--- a/crates/kube/src/api_server/discovery.rs
+++ b/crates/kube/src/api_server/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery, and the namespaces: what is known without looking anything up.
+//! Discovery endpoints and namespaces, which are answered without the watch cache.
 
-use super::{Ctx, Request};
+use super::{Context, Request};
 use crate::status_error::StatusError;
-use crate::target::{About, Scope};
+use crate::target::{Discovery, Scope};
 use k8s_openapi::api::core::v1::{Namespace, NamespaceStatus};
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{
     APIGroup, APIGroupList, APIResource, APIResourceList, APIVersions, GroupVersionForDiscovery,
@@ -22,7 +22,7 @@
     }
 }
 
-fn batch() -> APIGroup {
+fn batch_group() -> APIGroup {
     let version = GroupVersionForDiscovery {
         group_version: "batch/v1".into(),
         version: "v1".into(),
@@ -35,27 +35,28 @@
     }
 }
 
-pub(super) fn about(about: About) -> Value {
-    match about {
-        About::Alive => json!("ok"),
-        About::Version => json!({
+/// The response of a discovery or health endpoint.
+pub(super) fn describe(endpoint: Discovery) -> Value {
+    match endpoint {
+        Discovery::Health => json!("ok"),
+        Discovery::Version => json!({
             "major": "1", "minor": "35",
             "gitVersion": concat!("v1.35.0+dillcleat.", env!("CARGO_PKG_VERSION")),
             "platform": std::env::consts::OS,
         }),
-        About::Core => json!(APIVersions {
+        Discovery::CoreVersions => json!(APIVersions {
             versions: vec!["v1".into()],
-            // Clients that come from anywhere stay where they are.
+            // An empty address makes clients keep the address that they have.
             server_address_by_client_cidrs: vec![ServerAddressByClientCIDR {
                 client_cidr: "0.0.0.0/0".into(),
                 server_address: String::new(),
             }],
         }),
-        About::Groups => json!(APIGroupList {
-            groups: vec![batch()],
+        Discovery::Groups => json!(APIGroupList {
+            groups: vec![batch_group()],
         }),
-        About::Batch => json!(batch()),
-        About::CoreResources => json!(APIResourceList {
+        Discovery::BatchGroup => json!(batch_group()),
+        Discovery::CoreResources => json!(APIResourceList {
             group_version: "v1".into(),
             resources: vec![resource(
                 "namespaces",
@@ -65,7 +66,7 @@
                 &["get", "list"]
             )],
         }),
-        About::BatchResources => json!(APIResourceList {
+        Discovery::BatchResources => json!(APIResourceList {
             group_version: "batch/v1".into(),
             resources: vec![
                 resource(
@@ -97,12 +98,12 @@
     })
 }
 
-/// The teams as namespaces, as far as the token sees them.
-pub(super) fn namespaces(ctx: &Ctx, request: &Request) -> Result<Value, StatusError> {
+/// The teams that the token may access, as namespaces.
+pub(super) fn namespaces(ctx: &Context, request: &Request) -> Result<Value, StatusError> {
     let teams = ctx.node.config().teams.iter();
-    let mut seen = teams.filter(|t| request.token.sees(&t.name));
+    let mut accessible = teams.filter(|t| request.token.may_access(&t.name));
     match &request.scope {
-        Scope::Namespace(name) => match seen.find(|t| t.name == *name) {
+        Scope::Namespace(name) => match accessible.find(|t| t.name == *name) {
             Some(team) => Ok(namespace(&team.name)),
             None => Err(StatusError::NotFound {
                 resource: "namespaces",
@@ -113,7 +114,7 @@
             "apiVersion": "v1",
             "kind": "NamespaceList",
             "metadata": {},
-            "items": seen.map(|t| namespace(&t.name)).collect::<Vec<_>>(),
+            "items": accessible.map(|t| namespace(&t.name)).collect::<Vec<_>>(),
         })),
     }
 }
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -1,22 +1,22 @@
-//! The API server as a state machine: requests of clients go in, responses and calls come out.
+//! The API server as a state machine: its inputs are requests of clients and responses of
+//! the store, its outputs are responses to clients and requests to the store.
 //!
-//! Whatever is read is at least as new as its request: a look at the store
-//! (a watch that is not held) brings the objects up to date for all requests that
-//! came before it. Whatever is written is one transaction that compares what it was
-//! decided on.
+//! A read returns a state at least as recent as its request: a refresh (a watch request of
+//! the store that returns at once) updates the watch cache for all requests that were
+//! received before it. A write is one transaction that compares the versions it is based on.
 
 mod discovery;
 mod read;
 mod write;
 
-use crate::patch::Form;
-use crate::reconciler::{Reconciler, Wish};
-use crate::record::{Gone, Kind, Name, OBJECTS, Object, Record};
+use crate::patch::PatchType;
+use crate::reconciler::{Reconciler, ReconcilerCall};
+use crate::record::{Kind, Name, OBJECTS, Object, Record, Tombstone};
 use crate::settings::{Rules, Token, Verb};
 use crate::status_error::StatusError;
-use crate::target::{Query, Scope, Since, Target, target};
-use crate::watch_cache::Cache;
-use crate::watches::{Filter, Sent, Watches};
+use crate::target::{Query, ResourceVersion, Scope, Target, parse_target};
+use crate::watch_cache::WatchCache;
+use crate::watches::{Filter, WatchOutput, Watches};
 use crate::{ApiRequest, ApiResponse, ControllerOutput, patch, reconciler, table, translate, view};
 use dillcleat_controller::calls::state_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
@@ -30,29 +30,29 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How long the watch of the store is held.
-const HOLD_MS: u64 = 20_000;
-const RETRY: Micros = 200 * MILLISECOND;
-/// How long a request may be tried.
-const PATIENCE: Micros = 4 * SECOND;
-/// Requests that may wait for a look, or for their transactions.
-const MAX_WAITING: usize = 1_000;
-const MAX_WRITES: usize = 256;
-/// The largest body, and the deepest and widest document, that is read.
-pub const BODY_LIMIT: usize = 64 * 1024;
-const DEPTH: usize = 24;
-const FIELDS: usize = 2_000;
-/// Ids of this module's calls have this bit; the node's have not.
-const OWN: u64 = 1 << 63;
-
-/// What a request works with while it is carried out.
-pub struct Ctx<'a> {
+/// How long the store may hold the long-running watch before it responds without changes.
+const WATCH_HOLD_MS: u64 = 20_000;
+/// The delay after a failed list or watch of the store.
+const RETRY_DELAY: Micros = 200 * MILLISECOND;
+/// How long a request may wait and be retried.
+const REQUEST_TIMEOUT: Micros = 4 * SECOND;
+/// The maximum number of requests that wait for a refresh.
+const MAX_WAITING_REQUESTS: usize = 1_000;
+const MAX_WRITES_IN_FLIGHT: usize = 256;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_DOCUMENT_DEPTH: usize = 24;
+const MAX_DOCUMENT_VALUES: usize = 2_000;
+/// Set in the ids of the API server's store requests and not in those of the node.
+const CALL_ID_BIT: u64 = 1 << 63;
+
+/// The environment in which an input is handled.
+pub struct Context<'a> {
     pub now: Timestamp,
     pub node: &'a mut Node,
     pub out: &'a mut Vec<ControllerOutput>,
 }
 
-/// A request that was admitted.
+/// A request that is authorized and has a valid body.
 #[derive(Debug, Clone)]
 struct Request {
     id: RequestId,
@@ -62,95 +62,105 @@
     query: Rc<Query>,
     table: bool,
     body: Option<Value>,
-    form: Option<Form>,
-    since: Micros,
-    /// Up to which revision the objects were known when it came in.
-    from: u64,
-    /// A transaction of it may have been carried out without our knowledge.
-    uncertain: bool,
-    /// The time that the object has which a create made, if it did.
-    made: Option<Micros>,
-    /// The uid of the object that a try without an answer was to delete.
-    deleted: Option<String>,
+    patch_type: Option<PatchType>,
+    received_at: Micros,
+    /// The revision of the watch cache when the request was received.
+    received_revision: u64,
+    /// A transaction of this request got no response, so it may have been committed.
+    outcome_unknown: bool,
+    /// The creation time in the object that this request tries to create.
+    created_at: Option<Micros>,
+    /// The uid of the object in a deletion that got no response.
+    deleted_uid: Option<String>,
 }
 
-/// Who waits for an answer of the store.
+/// A store request that awaits its response.
 #[derive(Debug)]
-enum Waiting {
-    Page {
+enum PendingCall {
+    /// A page of the list of all objects.
+    ListPage {
         first: bool,
     },
+    /// The long-running watch.
     Watch,
-    Look(Vec<Request>),
+    /// A refresh, with the requests that wait for it.
+    Refresh(Vec<Request>),
     Create(Box<write::Creation>),
-    /// How a name was used before.
-    Before(Box<write::Creation>),
+    /// Reads the tombstone of the name that is to be created.
+    ReadTombstone(Box<write::Creation>),
     Write(Box<write::Change>),
-    Keep(Name),
-    KeepLook(String),
+    /// An update by the reconciler.
+    ReconcilerUpdate(Name),
+    /// A read of the state of a job, for the reconciler.
+    ReadJobState(String),
 }
 
 #[derive(Debug)]
 pub struct ApiServer {
     rules: Rules,
-    cache: Cache,
-    calls: HashMap<CallId, Waiting>,
-    next: u64,
-    /// When the reading of everything goes on, and after which key.
-    load: Option<(Micros, Option<String>)>,
+    cache: WatchCache,
+    pending_calls: HashMap<CallId, PendingCall>,
+    last_call: u64,
+    /// When to request the next page of the list of all objects, and after which key.
+    next_page: Option<(Micros, Option<String>)>,
     watch_at: Option<Micros>,
-    /// Requests that wait for the next look.
+    /// Requests that wait for the next refresh.
     waiting: VecDeque<Request>,
-    looking: bool,
-    writes: usize,
+    refreshing: bool,
+    writes_in_flight: usize,
     watches: Watches,
-    keeper: Reconciler,
+    reconciler: Reconciler,
 }
 
-/// Whether a document is deeper or wider than what is read.
-fn too_complex(value: &Value, depth: usize, fields: &mut usize) -> bool {
-    *fields += 1;
+/// Whether a document exceeds the limits on depth and on the number of values. `count`
+/// counts the values visited.
+fn too_complex(value: &Value, depth: usize, count: &mut usize) -> bool {
+    *count += 1;
     let mut inner: Box<dyn Iterator<Item = &Value>> = match value {
         Value::Object(map) => Box::new(map.values()),
         Value::Array(items) => Box::new(items.iter()),
-        _ => return *fields > FIELDS,
+        _ => return *count > MAX_DOCUMENT_VALUES,
     };
-    depth == 0 || *fields > FIELDS || inner.any(|v| too_complex(v, depth - 1, fields))
+    depth == 0 || *count > MAX_DOCUMENT_VALUES || inner.any(|v| too_complex(v, depth - 1, count))
 }
 
-fn document(media: &str, body: &[u8]) -> Result<Value, StatusError> {
-    if body.len() > BODY_LIMIT {
-        return Err(StatusError::TooLarge(BODY_LIMIT));
+/// Parses the body of a request.
+fn parse_body(media_type: &str, body: &[u8]) -> Result<Value, StatusError> {
+    if body.len() > MAX_BODY_BYTES {
+        return Err(StatusError::BodyTooLarge(MAX_BODY_BYTES));
     }
-    let value: Value = match media {
+    let value: Value = match media_type {
         "application/yaml" => {
             let text =
                 std::str::from_utf8(body).map_err(|e| StatusError::BadRequest(e.to_string()))?;
-            crate::yaml::one(text).map_err(|e| StatusError::BadRequest(e.to_string()))?
+            crate::yaml::parse_document(text).map_err(|e| StatusError::BadRequest(e.to_string()))?
         }
-        json if matches!(json, "" | "application/json") || Form::of(json).is_some() => {
+        json if matches!(json, "" | "application/json")
+            || PatchType::from_media_type(json).is_some() =>
+        {
             serde_json::from_slice(body).map_err(|e| StatusError::BadRequest(e.to_string()))?
         }
         other => {
-            return Err(StatusError::MediaType(format!(
+            return Err(StatusError::UnsupportedMediaType(format!(
                 "the media type {other} is not served"
             )));
         }
     };
-    if too_complex(&value, DEPTH, &mut 0) {
-        let what = format!("deeper than {DEPTH} or of more than {FIELDS} values");
-        return Err(StatusError::BadRequest(what));
+    if too_complex(&value, MAX_DOCUMENT_DEPTH, &mut 0) {
+        return Err(StatusError::BadRequest(format!(
+            "deeper than {MAX_DOCUMENT_DEPTH} or of more than {MAX_DOCUMENT_VALUES} values"
+        )));
     }
     Ok(value)
 }
 
-/// The media type of a header, without its parameters.
-fn media(header: Option<&str>) -> String {
+/// The media type in a header, without its parameters.
+fn parse_media_type(header: Option<&str>) -> String {
     let first = header.unwrap_or_default().split(';').next();
     first.unwrap_or_default().trim().to_ascii_lowercase()
 }
 
-/// Whether the client wants tables; an error if it takes nothing that is spoken here.
+/// Whether the client prefers tables. An error if it accepts no supported media type.
 fn wants_table(accept: Option<&str>) -> Result<bool, StatusError> {
     let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
         return Ok(false);
@@ -165,11 +175,11 @@
         match parts.iter().find_map(|p| p.strip_prefix("as=")) {
             None => return Ok(false),
             Some("Table") if parts.contains(&"v=v1") => return Ok(true),
-            // Another form of it may come next.
+            // The client may accept another representation as well.
             Some(_) => {}
         }
     }
-    Err(StatusError::MediaType(format!(
+    Err(StatusError::UnsupportedMediaType(format!(
         "only JSON is spoken here, not {accept}"
     )))
 }
@@ -178,44 +188,44 @@
     pub fn new(rules: Rules) -> ApiServer {
         ApiServer {
             rules,
-            cache: Cache::default(),
-            calls: HashMap::new(),
-            next: 0,
-            load: Some((0, None)),
+            cache: WatchCache::default(),
+            pending_calls: HashMap::new(),
+            last_call: 0,
+            next_page: Some((0, None)),
             watch_at: None,
             waiting: VecDeque::new(),
-            looking: false,
-            writes: 0,
+            refreshing: false,
+            writes_in_flight: 0,
             watches: Watches::default(),
-            keeper: Reconciler::default(),
+            reconciler: Reconciler::default(),
         }
     }
 
-    /// Whether a call's answer is for this API server.
+    /// Whether a store request was made by this API server and not by the node.
     pub fn owns(id: CallId) -> bool {
-        id.0 & OWN != 0
+        id.0 & CALL_ID_BIT != 0
     }
 
-    /// Objects that are known here, and clients that watch.
+    /// The number of objects in the watch cache and of open watches.
     pub fn sizes(&self) -> (usize, usize) {
         (self.cache.len(), self.watches.count())
     }
 
-    /// The objects as known here, for rehearsals.
-    pub fn cache(&self) -> &Cache {
+    pub fn cache(&self) -> &WatchCache {
         &self.cache
     }
 
-    fn call(&mut self, ctx: &mut Ctx, call: StoreRequest, waiting: Waiting) {
-        self.next += 1;
-        let id = CallId(OWN | self.next);
+    /// Sends a request to the store; `pending` determines how its response is handled.
+    fn call(&mut self, ctx: &mut Context, call: StoreRequest, pending: PendingCall) {
+        self.last_call += 1;
+        let id = CallId(CALL_ID_BIT | self.last_call);
         let timeout = state_timeout(&call);
-        self.calls.insert(id, waiting);
+        self.pending_calls.insert(id, pending);
         ctx.out
             .push(ControllerOutput::Core(Output::Store { id, call, timeout }));
     }
 
-    fn reply(&self, ctx: &mut Ctx, id: RequestId, status: u16, body: &Value) {
+    fn reply(&self, ctx: &mut Context, id: RequestId, status: u16, body: &Value) {
         let reply = ApiResponse {
             status,
             body: body.to_string().into_bytes(),
@@ -224,59 +234,67 @@
         ctx.out.push(ControllerOutput::Reply { id, reply });
     }
 
-    fn refuse(&self, ctx: &mut Ctx, id: RequestId, fault: &StatusError) {
+    fn reply_error(&self, ctx: &mut Context, id: RequestId, error: &StatusError) {
         let reply = ApiResponse {
-            status: fault.code().0,
-            body: json!(fault.status()).to_string().into_bytes(),
-            retry_after: fault.retry_after(),
+            status: error.code().0,
+            body: json!(error.status()).to_string().into_bytes(),
+            retry_after: error.retry_after(),
         };
         ctx.out.push(ControllerOutput::Reply { id, reply });
     }
 
-    fn send(&self, ctx: &mut Ctx, sent: Vec<Sent>) {
-        ctx.out.extend(sent.into_iter().map(|s| match s {
-            Sent::Chunk(id, bytes) => ControllerOutput::Chunk { id, bytes },
-            Sent::End(id) => ControllerOutput::End { id },
-        }));
+    fn send(&self, ctx: &mut Context, outputs: Vec<WatchOutput>) {
+        ctx.out
+            .extend(outputs.into_iter().map(|output| match output {
+                WatchOutput::Chunk(id, bytes) => ControllerOutput::Chunk { id, bytes },
+                WatchOutput::End(id) => ControllerOutput::End { id },
+            }));
     }
 
-    /// A client's request.
-    pub fn ask(&mut self, ctx: &mut Ctx, id: RequestId, ask: ApiRequest) {
-        if let Err(fault) = self.admit(ctx, id, ask) {
-            self.refuse(ctx, id, &fault);
+    pub fn handle_request(&mut self, ctx: &mut Context, id: RequestId, request: ApiRequest) {
+        if let Err(error) = self.admit(ctx, id, request) {
+            self.reply_error(ctx, id, &error);
         }
     }
 
-    fn admit(&mut self, ctx: &mut Ctx, id: RequestId, ask: ApiRequest) -> Result<(), StatusError> {
-        let (path, query) = ask.target.split_once('?').unwrap_or((&ask.target, ""));
-        let secret = ask.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
-        let token = self.rules.token(secret).ok_or(StatusError::Unauthorized)?;
+    /// Authenticates, authorizes and parses a request, and starts to execute it.
+    fn admit(
+        &mut self,
+        ctx: &mut Context,
+        id: RequestId,
+        request: ApiRequest,
+    ) -> Result<(), StatusError> {
+        let target = request.target.as_str();
+        let (path, query) = target.split_once('?').unwrap_or((target, ""));
+        let secret = request.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
+        let token = self.rules.authenticate(secret);
+        let token = token.ok_or(StatusError::Unauthorized)?;
         let query = Query::parse(query)?;
-        let (verb, scope) = match target(&ask.method, path, query.watch)? {
-            Target::About(about) => {
-                self.reply(ctx, id, 200, &discovery::about(about));
+        let (verb, scope) = match parse_target(&request.method, path, query.watch)? {
+            Target::Discovery(endpoint) => {
+                self.reply(ctx, id, 200, &discovery::describe(endpoint));
                 return Ok(());
             }
             Target::Objects(verb, scope) => (verb, scope),
         };
-        let table = wants_table(ask.accept.as_deref())?;
+        let table = wants_table(request.accept.as_deref())?;
         let namespace = match &scope {
-            Scope::All(_, namespace) => namespace.as_ref(),
-            Scope::One(name) | Scope::Status(name) => Some(&name.namespace),
+            Scope::Collection(_, namespace) => namespace.as_ref(),
+            Scope::Object(name) | Scope::Status(name) => Some(&name.namespace),
             Scope::Namespace(name) => Some(name),
             Scope::Namespaces => None,
         };
-        if !token.may(verb) || namespace.is_some_and(|n| !token.sees(n)) {
-            let whole = "every namespace".to_string();
+        if !token.allows(verb) || namespace.is_some_and(|n| !token.may_access(n)) {
+            let all_namespaces = "every namespace".to_string();
             return Err(StatusError::Forbidden(format!(
                 "{} may not {} in {}",
                 token.name,
                 verb.name(),
-                namespace.unwrap_or(&whole),
+                namespace.unwrap_or(&all_namespaces),
             )));
         }
-        // To read and check a create costs four times a native one's time, and in a
-        // flood most are turned away.
+        // Under overload most creates are rejected, so they are rejected before the costly
+        // parsing of their bodies.
         if verb == Verb::Create
             && !ctx.node.has_budget(
                 StoreCost::transaction(1.0),
@@ -285,20 +303,24 @@
             )
         {
             ctx.node.count_request();
-            return Err(StatusError::TooMany);
+            return Err(StatusError::TooManyRequests);
         }
-        let media = media(ask.content_type.as_deref());
-        let form = Form::of(&media);
+        let media_type = parse_media_type(request.content_type.as_deref());
+        let patch_type = PatchType::from_media_type(&media_type);
         let body = match verb {
-            Verb::Create | Verb::Update | Verb::Patch => Some(document(&media, &ask.body)?),
-            Verb::Delete if !ask.body.is_empty() => Some(document(&media, &ask.body)?),
+            Verb::Create | Verb::Update | Verb::Patch => {
+                Some(parse_body(&media_type, &request.body)?)
+            }
+            Verb::Delete if !request.body.is_empty() => {
+                Some(parse_body(&media_type, &request.body)?)
+            }
             _ => None,
         };
-        if (verb == Verb::Patch) != form.is_some() {
-            let what = "a patch is a JSON merge patch or a strategic one, nothing else is";
-            return Err(StatusError::MediaType(what.into()));
+        if (verb == Verb::Patch) != patch_type.is_some() {
+            let message = "a patch is a JSON merge patch or a strategic one, nothing else is";
+            return Err(StatusError::UnsupportedMediaType(message.into()));
         }
-        // A watch costs the store nothing.
+        // A watch is served from the cache and makes no store request.
         if verb != Verb::Watch {
             ctx.node.count_request();
         }
@@ -310,110 +332,113 @@
             query: Rc::new(query),
             table,
             body,
-            form,
-            since: ctx.now.monotonic,
-            from: self.cache.revision().unwrap_or(0),
-            uncertain: false,
-            made: None,
-            deleted: None,
+            patch_type,
+            received_at: ctx.now.monotonic,
+            received_revision: self.cache.revision().unwrap_or(0),
+            outcome_unknown: false,
+            created_at: None,
+            deleted_uid: None,
         };
-        self.begin(ctx, request)
+        self.start(ctx, request)
     }
 
-    fn begin(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
+    /// Executes a request at once if it needs no refresh.
+    fn start(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         if let Scope::Namespaces | Scope::Namespace(_) = request.scope {
-            let shown = discovery::namespaces(ctx, &request)?;
-            self.reply(ctx, request.id, 200, &shown);
+            let body = discovery::namespaces(ctx, &request)?;
+            self.reply(ctx, request.id, 200, &body);
             return Ok(());
         }
         if self.cache.revision().is_none() {
             return Err(StatusError::Unavailable("the objects are not read yet"));
         }
-        let any = matches!(request.verb, Verb::Get | Verb::List)
-            && request.query.since == Since::Any
-            || request.verb == Verb::Watch && request.query.since != Since::Now;
-        if any {
+        let resource_version = request.query.resource_version;
+        let reads_cache = match request.verb {
+            Verb::Get | Verb::List => resource_version == ResourceVersion::Any,
+            Verb::Watch => resource_version != ResourceVersion::MostRecent,
+            _ => false,
+        };
+        if reads_cache {
             return self.read(ctx, request);
         }
         if request.verb == Verb::Create {
             return self.create(ctx, request);
         }
-        if self.waiting.len() >= MAX_WAITING {
-            return Err(StatusError::TooMany);
+        if self.waiting.len() >= MAX_WAITING_REQUESTS {
+            return Err(StatusError::TooManyRequests);
         }
-        self.wait(ctx, request);
+        self.wait_for_refresh(ctx, request);
         Ok(())
     }
 
-    /// Has a request wait until the objects are as new as it.
-    fn wait(&mut self, ctx: &mut Ctx, request: Request) {
+    /// Makes a request wait until the watch cache is as recent as the request.
+    fn wait_for_refresh(&mut self, ctx: &mut Context, request: Request) {
         self.waiting.push_back(request);
-        self.look(ctx);
+        self.refresh(ctx);
     }
 
-    /// Brings the objects up to date for those who wait, unless that is under way.
-    fn look(&mut self, ctx: &mut Ctx) {
+    /// Refreshes the watch cache for the waiting requests, unless a refresh is in flight.
+    fn refresh(&mut self, ctx: &mut Context) {
         let Some(after) = self.cache.revision() else {
             return;
         };
-        if self.looking || self.waiting.is_empty() {
+        if self.refreshing || self.waiting.is_empty() {
             return;
         }
-        // Whoever ends or changes something goes before those who only look.
-        let need = self.waiting.iter().map(|r| need(r.verb)).min();
+        // The refresh has the highest priority among the requests that wait for it.
+        let priority = self.waiting.iter().map(|r| request_priority(r.verb)).min();
         if !ctx.node.take_budget(
             StoreCost::READ,
-            need.unwrap_or(RequestPriority::Poll),
+            priority.unwrap_or(RequestPriority::Poll),
             ctx.now,
         ) {
             return;
         }
-        self.looking = true;
+        self.refreshing = true;
         let requests = std::mem::take(&mut self.waiting).into();
         let call = StoreRequest::Watch {
             prefix: OBJECTS.into(),
             after,
             hold_ms: 0,
         };
-        self.call(ctx, call, Waiting::Look(requests));
+        self.call(ctx, call, PendingCall::Refresh(requests));
     }
 
-    /// Goes on with a request for which the objects are new enough.
-    fn go_on(&mut self, ctx: &mut Ctx, request: Request) {
+    /// Resumes a request after a refresh.
+    fn resume(&mut self, ctx: &mut Context, request: Request) {
         let id = request.id;
-        let done = match request.verb {
+        let result = match request.verb {
             Verb::Get | Verb::List | Verb::Watch => self.read(ctx, request),
-            Verb::Create => self.create_again(ctx, request),
+            Verb::Create => self.resume_create(ctx, request),
             Verb::Update | Verb::Patch => self.update(ctx, request),
             Verb::Delete => self.delete(ctx, request),
         };
-        if let Err(fault) = done {
-            self.refuse(ctx, id, &fault);
+        if let Err(error) = result {
+            self.reply_error(ctx, id, &error);
         }
     }
 
-    /// The client of a request has gone, or reads too slowly.
-    pub fn gone(&mut self, id: RequestId) {
+    /// Closes the watch of a client that has disconnected or reads too slowly.
+    pub fn close_watch(&mut self, id: RequestId) {
         self.watches.close(id);
     }
 
-    /// The node of this process has learned something of a job.
-    pub fn told(&mut self, told: JobEvent) {
-        self.keeper.told(told, &self.cache);
+    pub fn handle_job_event(&mut self, event: JobEvent) {
+        self.reconciler.handle_job_event(event, &self.cache);
     }
 
-    pub fn tick(&mut self, ctx: &mut Ctx) {
+    pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if let Some((at, after)) = self.load.clone()
+        if let Some((at, after)) = self.next_page.clone()
             && now >= at
         {
-            self.load = None;
+            self.next_page = None;
             let first = after.is_none();
             let prefix = OBJECTS.to_string();
             self.call(
                 ctx,
                 StoreRequest::List { prefix, after },
-                Waiting::Page { first },
+                PendingCall::ListPage { first },
             );
         }
         if let (Some(at), Some(after)) = (self.watch_at, self.cache.revision())
@@ -423,140 +448,166 @@
             let call = StoreRequest::Watch {
                 prefix: OBJECTS.into(),
                 after,
-                hold_ms: HOLD_MS,
+                hold_ms: WATCH_HOLD_MS,
             };
-            self.call(ctx, call, Waiting::Watch);
+            self.call(ctx, call, PendingCall::Watch);
         }
-        let (late, waiting) = std::mem::take(&mut self.waiting)
+        let (timed_out, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|r| now >= r.since + PATIENCE);
+            .partition(|r| now >= r.received_at + REQUEST_TIMEOUT);
         self.waiting = waiting;
-        let late: VecDeque<Request> = late;
-        for request in late {
-            self.refuse(ctx, request.id, &StatusError::TooMany);
+        let timed_out: VecDeque<Request> = timed_out;
+        for request in timed_out {
+            self.reply_error(ctx, request.id, &StatusError::TooManyRequests);
         }
-        self.look(ctx);
-        let sent = self.watches.tick(now, self.cache.revision().unwrap_or(0));
-        self.send(ctx, sent);
-        self.keep(ctx);
+        self.refresh(ctx);
+        let revision = self.cache.revision().unwrap_or(0);
+        let outputs = self.watches.tick(now, revision);
+        self.send(ctx, outputs);
+        self.reconcile(ctx);
     }
 
-    fn keep(&mut self, ctx: &mut Ctx) {
+    /// Runs a pass of the reconciler if this node is the leader and the cache is loaded.
+    fn reconcile(&mut self, ctx: &mut Context) {
         let Some(fence) = ctx.node.fence().filter(|_| self.cache.revision().is_some()) else {
             return;
         };
         let times = (ctx.now.monotonic, ctx.now.wall);
-        let holds = |job: &str| ctx.node.holds(job);
-        for wish in self.keeper.turn(fence, &self.cache, holds, times) {
-            let changes = f64::from(u8::from(matches!(wish, Wish::Change(..))));
+        let is_open = |job: &str| ctx.node.holds(job);
+        let calls = self
+            .reconciler
+            .reconcile(fence, &self.cache, is_open, times);
+        for call in calls {
+            let changes = f64::from(u8::from(matches!(call, ReconcilerCall::Update(..))));
             if !ctx.node.take_budget(
                 StoreCost::transaction(changes),
                 RequestPriority::End,
                 ctx.now,
             ) {
-                self.keeper.put_off(wish);
+                self.reconciler.postpone(call);
                 continue;
             }
-            match wish {
-                Wish::Change(name, txn) => {
-                    self.call(ctx, StoreRequest::Transaction(txn), Waiting::Keep(name));
+            match call {
+                ReconcilerCall::Update(name, txn) => {
+                    let pending = PendingCall::ReconcilerUpdate(name);
+                    self.call(ctx, StoreRequest::Transaction(txn), pending);
                 }
-                Wish::Look(job) => self.look_at_job(ctx, job),
+                ReconcilerCall::ReadJobState(job) => self.read_job_state(ctx, job),
             }
         }
     }
 
-    fn look_at_job(&mut self, ctx: &mut Ctx, job: String) {
+    fn read_job_state(&mut self, ctx: &mut Context, job: String) {
         let key = records::job_key(&job);
-        self.call(ctx, StoreRequest::Get { key }, Waiting::KeepLook(job));
+        let pending = PendingCall::ReadJobState(job);
+        self.call(ctx, StoreRequest::Get { key }, pending);
     }
 
-    /// An answer of the store.
-    pub fn answered(&mut self, ctx: &mut Ctx, id: CallId, reply: Result<StoreResponse, CallError>) {
-        let Some(waiting) = self.calls.remove(&id) else {
+    pub fn handle_store_response(
+        &mut self,
+        ctx: &mut Context,
+        id: CallId,
+        reply: Result<StoreResponse, CallError>,
+    ) {
+        let Some(pending) = self.pending_calls.remove(&id) else {
             return;
         };
-        match waiting {
-            Waiting::Page { first } => self.paged(ctx, first, reply),
-            Waiting::Watch => match self.changed(ctx, reply) {
+        match pending {
+            PendingCall::ListPage { first } => self.handle_list_page(ctx, first, reply),
+            PendingCall::Watch => match self.handle_watch_batch(ctx, reply) {
                 true => self.watch_at = Some(ctx.now.monotonic),
-                false => self.watch_at = Some(ctx.now.monotonic + RETRY),
+                false => self.watch_at = Some(ctx.now.monotonic + RETRY_DELAY),
             },
-            Waiting::Look(requests) => {
-                self.looking = false;
-                let known = self.changed(ctx, reply) && self.cache.revision().is_some();
+            PendingCall::Refresh(requests) => {
+                self.refreshing = false;
+                let refreshed =
+                    self.handle_watch_batch(ctx, reply) && self.cache.revision().is_some();
                 for request in requests {
-                    if known {
-                        self.go_on(ctx, request);
+                    if refreshed {
+                        self.resume(ctx, request);
                     } else {
-                        let fault = StatusError::Unavailable("the state is out of reach");
-                        self.refuse(ctx, request.id, &fault);
+                        let error = StatusError::Unavailable("the state is out of reach");
+                        self.reply_error(ctx, request.id, &error);
                     }
                 }
-                self.look(ctx);
+                self.refresh(ctx);
             }
-            Waiting::Create(creation) => self.created(ctx, *creation, reply),
-            Waiting::Before(creation) => self.used_before(ctx, *creation, reply),
-            Waiting::Write(change) => self.written(ctx, *change, reply),
-            Waiting::Keep(name) => {
+            PendingCall::Create(creation) => self.handle_create_response(ctx, *creation, reply),
+            PendingCall::ReadTombstone(creation) => self.handle_tombstone(ctx, *creation, reply),
+            PendingCall::Write(change) => self.handle_write_response(ctx, *change, reply),
+            PendingCall::ReconcilerUpdate(name) => {
                 let committed = matches!(reply, Ok(StoreResponse::Committed { .. }));
-                self.keeper.changed(&name, committed, ctx.now.wall);
+                let wall = ctx.now.wall;
+                self.reconciler.handle_update_result(&name, committed, wall);
                 if let Ok(StoreResponse::Conflict { failed, .. }) = reply {
-                    // It ended by itself at that moment.
+                    // The job ended before the cancellation.
                     let job = failed.iter().find_map(|k| k.strip_prefix("j/"));
                     if let Some(job) = job {
-                        self.look_at_job(ctx, job.to_string());
+                        self.read_job_state(ctx, job.to_string());
                     }
                 }
             }
-            Waiting::KeepLook(job) => {
-                let mark = match reply {
+            PendingCall::ReadJobState(job) => {
+                let record = match reply {
                     Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>(),
                     _ => None,
                 };
-                let ended: Option<JobState> = mark.and_then(|m| m.state.ended());
-                self.keeper.looked(&job, ended, &self.cache);
+                let ended: Option<JobState> = record.and_then(|r| r.state.ended());
+                self.reconciler.handle_job_state(&job, ended, &self.cache);
             }
         }
-        self.keep(ctx);
+        self.reconcile(ctx);
     }
 
-    fn paged(&mut self, ctx: &mut Ctx, first: bool, reply: Result<StoreResponse, CallError>) {
+    fn handle_list_page(
+        &mut self,
+        ctx: &mut Context,
+        first: bool,
+        reply: Result<StoreResponse, CallError>,
+    ) {
         let now = ctx.now.monotonic;
         let Ok(StoreResponse::RangePage(page)) = reply else {
-            self.load = Some((now + RETRY, None));
+            self.next_page = Some((now + RETRY_DELAY, None));
             return;
         };
-        match self.cache.page(page, first) {
-            Some(after) => self.load = Some((now, Some(after))),
+        match self.cache.add_page(page, first) {
+            Some(after) => self.next_page = Some((now, Some(after))),
             None => {
-                log::info!("read {} objects", self.cache.len());
+                log::info!("watch cache loaded objects={}", self.cache.len());
                 self.watch_at = Some(now);
             }
         }
     }
 
-    /// Takes changes up and tells them on; false if there were none to be had.
-    fn changed(&mut self, ctx: &mut Ctx, reply: Result<StoreResponse, CallError>) -> bool {
-        // Only a leader's keeper works off what it is told.
-        let leads = ctx.node.fence().is_some();
+    /// Applies a batch of changes and forwards them to watches and the reconciler. Returns
+    /// false if the response is not a batch.
+    fn handle_watch_batch(
+        &mut self,
+        ctx: &mut Context,
+        reply: Result<StoreResponse, CallError>,
+    ) -> bool {
+        // The reconciler runs on the leader only; elsewhere its queue would only grow.
+        let is_leader = ctx.node.fence().is_some();
         match reply {
-            Ok(StoreResponse::WatchBatch(changes)) => {
-                for turn in self.cache.apply(changes) {
-                    let sent = self.watches.turned(&turn, ctx.now.wall);
-                    self.send(ctx, sent);
-                    if leads {
-                        self.keeper.turned(&turn);
+            Ok(StoreResponse::WatchBatch(batch)) => {
+                for change in self.cache.apply(batch) {
+                    let outputs = self.watches.broadcast(&change, ctx.now.wall);
+                    self.send(ctx, outputs);
+                    if is_leader {
+                        self.reconciler.handle_change(&change);
                     }
                 }
                 true
             }
             Ok(StoreResponse::Compacted) => {
-                log::info!("lost sight of the objects, reading them again");
-                let sent = self.watches.lost();
-                self.send(ctx, sent);
-                self.cache = Cache::default();
-                self.load = Some((ctx.now.monotonic, None));
+                log::info!(
+                    "watch revision compacted, listing all objects again revision={}",
+                    self.cache.revision().unwrap_or(0)
+                );
+                let outputs = self.watches.expire_all();
+                self.send(ctx, outputs);
+                self.cache = WatchCache::default();
+                self.next_page = Some((ctx.now.monotonic, None));
                 self.watch_at = None;
                 false
             }
@@ -565,8 +616,8 @@
     }
 }
 
-/// What is turned away first when there is too much.
-fn need(verb: Verb) -> RequestPriority {
+/// The priority of a request in the budget of store requests.
+fn request_priority(verb: Verb) -> RequestPriority {
     match verb {
         Verb::Get | Verb::List | Verb::Watch => RequestPriority::Poll,
         Verb::Create | Verb::Update | Verb::Patch => RequestPriority::Change,
--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -1,35 +1,40 @@
-//! Gets, lists and watches.
+//! Get, list and watch requests.
 
 use super::*;
 
 impl ApiServer {
-    pub(super) fn read(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
+    pub(super) fn read(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         match (&request.scope, request.verb) {
-            (Scope::All(kind, namespace), Verb::Watch) => {
+            (Scope::Collection(kind, namespace), Verb::Watch) => {
                 let filter = filter(&request, *kind, namespace.clone());
                 self.watch(ctx, &request, filter)
             }
-            (Scope::All(kind, namespace), _) => {
+            (Scope::Collection(kind, namespace), _) => {
                 let filter = filter(&request, *kind, namespace.clone());
-                let shown = self.list(ctx, &request, &filter)?;
-                self.reply(ctx, request.id, 200, &shown);
+                let body = self.list(ctx, &request, &filter)?;
+                self.reply(ctx, request.id, 200, &body);
                 Ok(())
             }
-            (Scope::One(name) | Scope::Status(name), _) => {
-                let object = self.cache.get(name).cloned().ok_or_else(|| missing(name))?;
-                let shown = self.shown(ctx, &request, &object);
-                self.reply(ctx, request.id, 200, &shown);
+            (Scope::Object(name) | Scope::Status(name), _) => {
+                let object = self
+                    .cache
+                    .get(name)
+                    .cloned()
+                    .ok_or_else(|| not_found(name))?;
+                let body = self.render(ctx, &request, &object);
+                self.reply(ctx, request.id, 200, &body);
                 Ok(())
             }
-            (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::NotAllowed),
+            (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::MethodNotAllowed),
         }
     }
 
-    pub(super) fn progress(&self, ctx: &Ctx, object: &Object) -> view::Progress {
+    pub(super) fn progress(&self, ctx: &Context, object: &Object) -> view::Progress {
         ctx.node.progress(object.record.state.job.as_deref()?)
     }
 
-    pub(super) fn shown(&self, ctx: &Ctx, request: &Request, object: &Object) -> Value {
+    /// Renders an object as the client of the request accepts it.
+    pub(super) fn render(&self, ctx: &Context, request: &Request, object: &Object) -> Value {
         let progress = self.progress(ctx, object);
         if !request.table {
             return view::object(object, progress);
@@ -38,35 +43,41 @@
         table::table(vec![table::row(object, progress, ctx.now.wall)], meta, true)
     }
 
-    fn list(&self, ctx: &Ctx, request: &Request, filter: &Filter) -> Result<Value, StatusError> {
+    fn list(
+        &self,
+        ctx: &Context,
+        request: &Request,
+        filter: &Filter,
+    ) -> Result<Value, StatusError> {
         let query = &request.query;
-        let now = self.cache.revision().unwrap_or(0);
-        if let Since::Version(wanted) = query.since
-            && wanted > now
+        let revision = self.cache.revision().unwrap_or(0);
+        if let ResourceVersion::AtLeast(version) = query.resource_version
+            && version > revision
         {
             return Err(StatusError::Unavailable("that version is not reached yet"));
         }
-        // Pages are of the objects as they are when each is asked for. All have the
-        // version of the first: a watch from there tells whatever has changed.
-        let version = query.after.as_ref().map_or(now, |(version, _)| *version);
-        if self.cache.since(version).is_none() {
-            let what = "the list has changed too much since its first page";
-            return Err(StatusError::Expired(what.into()));
+        // Each page shows the current objects, but has the version of the first page. A
+        // watch from this version delivers all changes made between the pages.
+        let continue_from = query.continue_from.as_ref();
+        let version = continue_from.map_or(revision, |(version, _)| *version);
+        if self.cache.changes_since(version).is_none() {
+            let message = "the list has changed too much since its first page";
+            return Err(StatusError::Expired(message.into()));
         }
-        let after = match &query.after {
+        let after = match &query.continue_from {
             None => None,
             Some((_, key)) => match Name::parse(key) {
                 Some(name) => Some(name),
                 None => return Err(StatusError::BadRequest("continue: not one of ours".into())),
             },
         };
-        let all = self
+        let objects = self
             .cache
-            .all(filter.kind, filter.namespace.as_deref(), after.as_ref());
-        let mut found = all.filter(|o| filter.takes(o)).peekable();
-        let page: Vec<&Rc<Object>> = found.by_ref().take(query.limit).collect();
+            .objects(filter.kind, filter.namespace.as_deref(), after.as_ref());
+        let mut matching = objects.filter(|o| filter.matches(o)).peekable();
+        let page: Vec<&Rc<Object>> = matching.by_ref().take(query.limit).collect();
         let mut meta = json!({"resourceVersion": version.to_string()});
-        if let Some(last) = page.last().filter(|_| found.peek().is_some()) {
+        if let Some(last) = page.last().filter(|_| matching.peek().is_some()) {
             meta["continue"] = json!(format!("{version}/{}", last.name.key()));
         }
         if request.table {
@@ -85,17 +96,17 @@
 
     fn watch(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: &Request,
         filter: Filter,
     ) -> Result<(), StatusError> {
         if self.watches.count() >= self.rules.settings.max_watches {
-            return Err(StatusError::TooMany);
+            return Err(StatusError::TooManyRequests);
         }
         let query = &request.query;
-        let from = match query.since {
-            Since::Now | Since::Any => None,
-            Since::Version(version) => Some(version),
+        let from = match query.resource_version {
+            ResourceVersion::MostRecent | ResourceVersion::Any => None,
+            ResourceVersion::AtLeast(version) => Some(version),
         };
         let now = ctx.now.monotonic;
         let times = (now, now.saturating_add(query.timeout), ctx.now.wall);
@@ -109,14 +120,14 @@
             &self.cache,
             times,
         );
-        let Some(sent) = opened else {
+        let Some(outputs) = opened else {
             return Err(StatusError::Expired(format!(
                 "too old resource version: {}",
                 from.unwrap_or(0)
             )));
         };
         ctx.out.push(ControllerOutput::Stream { id });
-        self.send(ctx, sent);
+        self.send(ctx, outputs);
         Ok(())
     }
 }
@@ -130,7 +141,7 @@
     }
 }
 
-pub(super) fn missing(name: &Name) -> StatusError {
+pub(super) fn not_found(name: &Name) -> StatusError {
     StatusError::NotFound {
         resource: name.kind.resource(),
         name: name.name.clone(),
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -1,41 +1,41 @@
-//! Creates, updates, patches and deletes.
+//! Create, update, patch and delete requests.
 //!
-//! An object and the job that it stands for are written in one transaction. It
-//! compares that neither the object, nor one of its name before it, nor any job of its
-//! reference is there, so one name gives one run whichever controllers it is given to.
+//! An object and its native job are written in one transaction. The transaction requires
+//! that the object and a job with this id do not exist and that the tombstone of the name
+//! is unchanged. So concurrent creates at several controllers start one job only.
 
-use super::read::missing;
+use super::read::not_found;
 use super::*;
-use crate::record::{JobState as Kept, Kind};
-use crate::status_error::{Cause, StatusReason};
-use crate::translate::{PREFIX, Wanted};
+use crate::record::{JobState as ObjectState, Kind};
+use crate::status_error::{Cause, CauseReason};
+use crate::translate::{ANNOTATION_PREFIX, TranslatedJob};
 use dillcleat_wire::store;
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{DeleteOptions, Status, StatusDetails};
 
-/// A create that is under way.
+/// A create request whose transaction is being executed.
 #[derive(Debug)]
 pub(super) struct Creation {
     request: Request,
-    wanted: Wanted,
+    translated: TranslatedJob,
     name: Name,
     record: Record,
     job: Option<OpenJob>,
-    /// The version of what an object of that name left.
-    before: u64,
+    /// The version of the tombstone of this name; 0 if there is none.
+    tombstone_version: u64,
 }
 
-/// Any other change that is under way.
+/// An update or deletion whose transaction is being executed.
 #[derive(Debug)]
 pub(super) struct Change {
     request: Request,
     name: Name,
-    /// What the object becomes; None if it is deleted.
+    /// The new record of the object; None if it is deleted.
     record: Option<Record>,
     uid: String,
 }
 
-/// Fields of the spec that may change once it is there.
-const MUTABLE: [&str; 4] = [
+/// The fields of the spec that may change after the object was created.
+const MUTABLE_SPEC_FIELDS: [&str; 4] = [
     "suspend",
     "backoffLimit",
     "activeDeadlineSeconds",
@@ -50,20 +50,21 @@
     }
 }
 
-fn conflict(name: &Name, why: impl Into<String>) -> StatusError {
+fn conflict(name: &Name, message: impl Into<String>) -> StatusError {
     StatusError::Conflict {
         resource: name.kind.resource(),
         name: name.name.clone(),
-        why: why.into(),
+        message: message.into(),
     }
 }
 
-/// Without what the server writes, which clients send back with the rest.
-fn written_by_client(mut object: Value) -> Value {
-    if let Some(notes) = object.pointer_mut("/metadata/annotations")
-        && let Some(notes) = notes.as_object_mut()
+/// Removes the status and the annotation that the server writes; clients send them back
+/// with the rest of an object.
+fn without_server_fields(mut object: Value) -> Value {
+    if let Some(annotations) = object.pointer_mut("/metadata/annotations")
+        && let Some(annotations) = annotations.as_object_mut()
     {
-        notes.remove(view::JOB);
+        annotations.remove(view::JOB_ANNOTATION);
     }
     if let Some(fields) = object.as_object_mut() {
         fields.remove("status");
@@ -76,8 +77,13 @@
 }
 
 impl ApiServer {
-    /// Reads the object of a request's body.
-    fn wanted(&self, kind: Kind, namespace: &str, object: &Value) -> Result<Wanted, StatusError> {
+    /// Translates the object in a request's body.
+    fn translate(
+        &self,
+        kind: Kind,
+        namespace: &str,
+        object: &Value,
+    ) -> Result<TranslatedJob, StatusError> {
         let (version, name) = (kind.api_version(), kind.name());
         if text(object, "/apiVersion").is_some_and(|v| v != version)
             || text(object, "/kind").is_some_and(|k| k != name)
@@ -87,10 +93,10 @@
             )));
         }
         if text(object, "/metadata/namespace").is_some_and(|n| n != namespace) {
-            let what = "the object's namespace is not the one of the request";
-            return Err(StatusError::BadRequest(what.into()));
+            let message = "the object's namespace is not the one of the request";
+            return Err(StatusError::BadRequest(message.into()));
         }
-        translate::job(&self.rules.settings, namespace, object).map_err(|causes| {
+        translate::translate_job(&self.rules.settings, namespace, object).map_err(|causes| {
             let name = text(object, "/metadata/name").unwrap_or_default();
             StatusError::Invalid {
                 kind: kind.name(),
@@ -100,15 +106,15 @@
         })
     }
 
-    /// The job that an object stands for, ready to be stored.
-    fn open(
+    /// Builds the record of the native job that runs an object.
+    fn build_job(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         name: &Name,
         uid: &str,
-        wanted: &Wanted,
+        translated: &TranslatedJob,
     ) -> Result<OpenJob, StatusError> {
-        let mut spec = wanted.job.clone();
+        let mut spec = translated.job.clone();
         spec.id = self.rules.key.job(&name.namespace, &name.name, uid);
         match ctx.node.check_schedulable(&spec) {
             None => {
@@ -119,44 +125,48 @@
             Some(Err(error)) => {
                 let cause = Cause::new(
                     "spec.template.spec",
-                    StatusReason::Invalid,
+                    CauseReason::Invalid,
                     error.to_string(),
                 );
                 return Err(invalid(name, vec![cause]));
             }
             Some(Ok(())) => {}
         }
-        Ok(ctx.node.open_job(spec, Some(wanted.at_most), ctx.now))
+        Ok(ctx
+            .node
+            .open_job(spec, Some(translated.parallelism), ctx.now))
     }
 
-    fn fits(
+    /// Checks that the records of an object and its job do not exceed the size limit.
+    fn check_size(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         name: &Name,
         record: &Record,
         job: Option<&OpenJob>,
     ) -> Result<(), StatusError> {
-        let most = ctx.node.config().value_bytes;
-        let job = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
-        let size = record.size().max(job);
-        if size <= most {
+        let limit = ctx.node.config().value_bytes;
+        let job_size = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
+        let size = record.stored_size().max(job_size);
+        if size <= limit {
             return Ok(());
         }
-        let what = format!("takes {size} bytes, and {most} are stored of one object");
+        let message = format!("takes {size} bytes, and {limit} are stored of one object");
         Err(invalid(
             name,
-            vec![Cause::new("", StatusReason::Invalid, what)],
+            vec![Cause::new("", CauseReason::Invalid, message)],
         ))
     }
 
-    /// What a create asks for: the object as its client wrote it, and as it is read.
-    fn asked_for(
+    /// Parses a create request: the object as the client wrote it, its name and its
+    /// translation.
+    fn parse_create(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         request: &Request,
-    ) -> Result<(Value, Name, Wanted), StatusError> {
-        let Scope::All(kind, Some(namespace)) = request.scope.clone() else {
-            return Err(StatusError::NotAllowed);
+    ) -> Result<(Value, Name, TranslatedJob), StatusError> {
+        let Scope::Collection(kind, Some(namespace)) = request.scope.clone() else {
+            return Err(StatusError::MethodNotAllowed);
         };
         if ctx.node.config().team(&namespace).is_none() {
             let resource = "namespaces";
@@ -165,127 +175,129 @@
                 name: namespace,
             });
         }
-        let object = written_by_client(request.body.clone().unwrap_or_default());
-        let wanted = self.wanted(kind, &namespace, &object)?;
+        let object = without_server_fields(request.body.clone().unwrap_or_default());
+        let translated = self.translate(kind, &namespace, &object)?;
         let name = Name {
             kind,
             namespace,
-            name: wanted.name.clone(),
+            name: translated.name.clone(),
         };
-        Ok((object, name, wanted))
+        Ok((object, name, translated))
     }
 
-    pub(super) fn create(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
-        let (object, name, wanted) = self.asked_for(ctx, &request)?;
+    pub(super) fn create(
+        &mut self,
+        ctx: &mut Context,
+        request: Request,
+    ) -> Result<(), StatusError> {
+        let (object, name, translated) = self.parse_create(ctx, &request)?;
         for field in ["resourceVersion", "uid"] {
             if text(&object, &format!("/metadata/{field}")).is_some_and(|v| !v.is_empty()) {
                 let path = format!("metadata.{field}");
                 let cause = Cause::new(
                     path,
-                    StatusReason::Forbidden,
+                    CauseReason::Forbidden,
                     "must not be set on a new object",
                 );
                 return Err(invalid(&name, vec![cause]));
             }
         }
         if self.cache.len() >= self.rules.settings.max_objects {
-            let most = self.rules.settings.max_objects;
+            let limit = self.rules.settings.max_objects;
             return Err(StatusError::Forbidden(format!(
-                "there are {most} objects, and no more are kept"
+                "there are {limit} objects, and no more are kept"
             )));
         }
-        let creation = self.prepare(ctx, request, wanted, name, (1, 0))?;
+        let creation = self.prepare(ctx, request, translated, name, (1, 0))?;
         if creation.request.query.dry_run {
-            // Whether there is one is said as of now.
-            self.wait(ctx, creation.request);
+            // A refresh finds out whether the object exists.
+            self.wait_for_refresh(ctx, creation.request);
             return Ok(());
         }
-        // One more change than a submission of the same job.
+        // The writes of the object and, unless it is suspended, of its job.
         let changes = 1.0 + f64::from(u8::from(creation.job.is_some()));
-        if self.writes >= MAX_WRITES
+        if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
             || !ctx.node.take_budget(
                 StoreCost::transaction(changes),
                 RequestPriority::Change,
                 ctx.now,
             )
         {
-            return Err(StatusError::TooMany);
+            return Err(StatusError::TooManyRequests);
         }
-        self.writes += 1;
+        self.writes_in_flight += 1;
         self.send_creation(ctx, creation);
         Ok(())
     }
 
-    /// `run` and `before`: which object of its name it is, and the version of what
-    /// the one before left.
+    /// Builds the records of a new object. `run` counts the objects that have had this
+    /// name; `tombstone_version` is the version of the name's tombstone, 0 if there is none.
     fn prepare(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         request: Request,
-        wanted: Wanted,
+        translated: TranslatedJob,
         name: Name,
-        (run, before): (u32, u64),
+        (run, tombstone_version): (u32, u64),
     ) -> Result<Creation, StatusError> {
-        let (namespace, own) = (&name.namespace, &name.name);
-        let uid = self
-            .rules
-            .key
-            .uid(name.kind.resource(), namespace, own, run);
-        let job = match wanted.suspend {
+        let resource = name.kind.resource();
+        let key = &self.rules.key;
+        let uid = key.uid(resource, &name.namespace, &name.name, run);
+        let job = match translated.suspend {
             true => None,
-            false => Some(self.open(ctx, &name, &uid, &wanted)?),
+            false => Some(self.build_job(ctx, &name, &uid, &translated)?),
         };
         let record = Record {
             uid,
             run,
             created: ctx.now.wall,
             generation: 1,
-            labels: wanted.labels.clone(),
-            annotations: wanted.annotations.clone(),
-            spec: wanted.spec.clone(),
-            state: Kept {
+            labels: translated.labels.clone(),
+            annotations: translated.annotations.clone(),
+            spec: translated.spec.clone(),
+            state: ObjectState {
                 started: job.as_ref().map(|job| job.submitted_at_us),
                 job: job.as_ref().map(|job| job.spec.id.clone()),
-                ..Kept::default()
+                ..ObjectState::default()
             },
         };
-        self.fits(ctx, &name, &record, job.as_ref())?;
+        self.check_size(ctx, &name, &record, job.as_ref())?;
         let request = Request {
-            made: Some(record.created),
+            created_at: Some(record.created),
             ..request
         };
         Ok(Creation {
             request,
-            wanted,
+            translated,
             name,
             record,
             job,
-            before,
+            tombstone_version,
         })
     }
 
-    fn send_creation(&mut self, ctx: &mut Ctx, creation: Creation) {
+    fn send_creation(&mut self, ctx: &mut Context, creation: Creation) {
         let mut txn = Transaction::default()
             .compare(creation.name.key(), 0)
-            .compare(creation.name.deleted_key(), creation.before)
+            .compare(creation.name.tombstone_key(), creation.tombstone_version)
             .put(creation.name.key(), &creation.record);
         if let Some(job) = &creation.job {
-            txn = submit(txn, job);
+            txn = add_submission(txn, job);
         }
-        let waiting = Waiting::Create(Box::new(creation));
-        self.call(ctx, StoreRequest::Transaction(txn), waiting);
+        let pending = PendingCall::Create(Box::new(creation));
+        self.call(ctx, StoreRequest::Transaction(txn), pending);
     }
 
-    pub(super) fn created(
+    pub(super) fn handle_create_response(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         mut creation: Creation,
         reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
-        let fault = match reply {
+        let error = match reply {
             Ok(StoreResponse::Committed { revision }) => {
-                self.writes -= 1;
+                self.writes_in_flight -= 1;
                 if let Some(job) = &creation.job {
                     ctx.node.record_admission(job);
                 }
@@ -295,162 +307,180 @@
                     record: creation.record,
                 };
                 log::info!(
-                    "{} {}: created by {}, for {}",
+                    "object created object={} uid={} token={} job={}",
                     object.name,
                     object.record.uid,
                     creation.request.token.name,
-                    object.record.state.job.as_deref().unwrap_or("no job yet"),
+                    object.record.state.job.as_deref().unwrap_or("none"),
                 );
-                let shown = self.shown(ctx, &creation.request, &object);
-                return self.reply(ctx, id, 201, &shown);
+                let body = self.render(ctx, &creation.request, &object);
+                return self.reply(ctx, id, 201, &body);
             }
             Ok(StoreResponse::Conflict { failed, .. }) => {
-                let hit = |key: String| failed.contains(&key);
-                if hit(creation.name.key()) {
-                    // It is there, perhaps by an earlier try of ours whose answer
-                    // was lost.
-                    self.writes -= 1;
-                    return self.wait(ctx, creation.request);
+                let conflicts = |key: String| failed.contains(&key);
+                if conflicts(creation.name.key()) {
+                    // The object exists. An earlier attempt of this request, whose
+                    // response was lost, may have created it.
+                    self.writes_in_flight -= 1;
+                    return self.wait_for_refresh(ctx, creation.request);
                 }
-                if hit(creation.name.deleted_key()) {
-                    let key = creation.name.deleted_key();
-                    let waiting = Waiting::Before(Box::new(creation));
-                    return self.call(ctx, StoreRequest::Get { key }, waiting);
+                if conflicts(creation.name.tombstone_key()) {
+                    let key = creation.name.tombstone_key();
+                    let pending = PendingCall::ReadTombstone(Box::new(creation));
+                    return self.call(ctx, StoreRequest::Get { key }, pending);
                 }
-                log::error!("{}: its reference belongs to another job", creation.name);
+                log::error!("job id belongs to another job object={}", creation.name);
                 conflict(&creation.name, "its reference belongs to another job")
             }
-            Err(e) if ctx.now.monotonic < creation.request.since + PATIENCE => {
-                // It may yet be carried out. The same transaction again settles it.
-                creation.request.uncertain |= e == CallError::NoAnswer;
+            Err(e) if ctx.now.monotonic < creation.request.received_at + REQUEST_TIMEOUT => {
+                // The transaction may still be executed. The same transaction again either
+                // commits or conflicts with it.
+                creation.request.outcome_unknown |= e == CallError::NoAnswer;
                 return self.send_creation(ctx, creation);
             }
-            Ok(StoreResponse::RateLimited) if !creation.request.uncertain => StatusError::TooMany,
+            Ok(StoreResponse::RateLimited) if !creation.request.outcome_unknown => {
+                StatusError::TooManyRequests
+            }
             Ok(StoreResponse::Malformed) => {
-                log::error!("{}: the state service calls it malformed", creation.name);
+                log::error!(
+                    "store rejected a transaction as malformed object={}",
+                    creation.name
+                );
                 StatusError::BadRequest("the object cannot be stored".into())
             }
             _ => StatusError::Unavailable("the state is out of reach"),
         };
-        self.writes -= 1;
-        self.refuse(ctx, id, &fault);
+        self.writes_in_flight -= 1;
+        self.reply_error(ctx, id, &error);
     }
 
-    /// The objects are as new as a create whose name was found taken.
-    pub(super) fn create_again(
+    /// Resumes a create after a refresh: a dry run, or a create whose name was in use.
+    pub(super) fn resume_create(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: Request,
     ) -> Result<(), StatusError> {
-        let (_, name, wanted) = self.asked_for(ctx, &request)?;
-        let Some(there) = self.cache.get(&name).cloned() else {
+        let (_, name, translated) = self.parse_create(ctx, &request)?;
+        let Some(existing) = self.cache.get(&name).cloned() else {
             if !request.query.dry_run {
                 return self.create(ctx, request);
             }
             let id = request.id;
-            let made = self.prepare(ctx, request, wanted, name, (1, 0))?;
+            let creation = self.prepare(ctx, request, translated, name, (1, 0))?;
             let object = Object {
-                name: made.name,
+                name: creation.name,
                 version: 0,
-                record: made.record,
+                record: creation.record,
             };
-            let shown = self.shown(ctx, &made.request, &object);
-            self.reply(ctx, id, 201, &shown);
+            let body = self.render(ctx, &creation.request, &object);
+            self.reply(ctx, id, 201, &body);
             return Ok(());
         };
-        // A try of this request was carried out without our hearing of it. That the
-        // object is the same says nothing: a second create of it is answered 409.
-        if request.uncertain && request.made == Some(there.record.created) {
-            let shown = self.shown(ctx, &request, &there);
-            self.reply(ctx, request.id, 201, &shown);
+        // An earlier attempt of this request created the object and its response was lost.
+        // The creation time identifies the attempt: a different create request of an equal
+        // object must get status 409.
+        if request.outcome_unknown && request.created_at == Some(existing.record.created) {
+            let body = self.render(ctx, &request, &existing);
+            self.reply(ctx, request.id, 201, &body);
             return Ok(());
         }
-        Err(StatusError::Exists {
+        Err(StatusError::AlreadyExists {
             resource: name.kind.resource(),
             name: name.name,
-            more: String::new(),
+            detail: String::new(),
         })
     }
 
-    /// A name that was used before: again, if its class allows it.
-    pub(super) fn used_before(
+    /// Handles the tombstone of a name that is to be used again, which the class of the
+    /// job must allow.
+    pub(super) fn handle_tombstone(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         creation: Creation,
         reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
-        self.writes -= 1;
-        let (gone, version) = match reply {
-            Ok(StoreResponse::Found(row)) => match row.decode_value::<Gone>() {
-                Some(gone) => (gone, row.version),
+        self.writes_in_flight -= 1;
+        let (tombstone, version) = match reply {
+            Ok(StoreResponse::Found(row)) => match row.decode_value::<Tombstone>() {
+                Some(tombstone) => (tombstone, row.version),
                 None => {
-                    log::error!("{}: not what an object leaves", row.key);
-                    let fault = StatusError::Unavailable("the name's record is unreadable");
-                    return self.refuse(ctx, id, &fault);
+                    log::error!("cannot decode tombstone key={}", row.key);
+                    let error = StatusError::Unavailable("the name's record is unreadable");
+                    return self.reply_error(ctx, id, &error);
                 }
             },
             _ => {
-                let fault = StatusError::Unavailable("the state is out of reach");
-                return self.refuse(ctx, id, &fault);
+                let error = StatusError::Unavailable("the state is out of reach");
+                return self.reply_error(ctx, id, &error);
             }
         };
-        // What was there may have been made by an earlier try of this request: whoever
-        // deleted it wants it gone, and it must not run again.
-        if creation.request.uncertain && version > creation.request.from {
-            let fault = StatusError::Exists {
+        // The deleted object may have been created by an earlier attempt of this request.
+        // It must not be created again, since its deletion was intended.
+        if creation.request.outcome_unknown && version > creation.request.received_revision {
+            let error = StatusError::AlreadyExists {
                 resource: creation.name.kind.resource(),
                 name: creation.name.name.clone(),
-                more: format!(": as {}, and was deleted in the meantime", gone.uid),
+                detail: format!(": as {}, and was deleted in the meantime", tombstone.uid),
             };
-            return self.refuse(ctx, id, &fault);
+            return self.reply_error(ctx, id, &error);
         }
-        let class = &creation.wanted.job.class;
-        if !self.rules.repeats(class) {
-            let job = gone.job.as_deref().unwrap_or("no job");
-            let fault = StatusError::Exists {
+        let class = &creation.translated.job.class;
+        if !self.rules.allows_name_reuse(class) {
+            let job = tombstone.job.as_deref().unwrap_or("no job");
+            let error = StatusError::AlreadyExists {
                 resource: creation.name.kind.resource(),
                 name: creation.name.name.clone(),
-                more: format!(
+                detail: format!(
                     ": it was there as {} ({job}), and in class {class} a name is used once",
-                    gone.uid
+                    tombstone.uid
                 ),
             };
-            return self.refuse(ctx, id, &fault);
+            return self.reply_error(ctx, id, &error);
         }
-        let run = (gone.run.saturating_add(1), version);
-        match self.prepare(ctx, creation.request, creation.wanted, creation.name, run) {
+        let run = (tombstone.run.saturating_add(1), version);
+        match self.prepare(
+            ctx,
+            creation.request,
+            creation.translated,
+            creation.name,
+            run,
+        ) {
             Ok(creation) => {
-                self.writes += 1;
+                self.writes_in_flight += 1;
                 self.send_creation(ctx, creation);
             }
-            Err(fault) => self.refuse(ctx, id, &fault),
+            Err(error) => self.reply_error(ctx, id, &error),
         }
     }
 
-    pub(super) fn update(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
-        let Scope::One(name) = request.scope.clone() else {
-            return Err(StatusError::NotAllowed);
+    pub(super) fn update(
+        &mut self,
+        ctx: &mut Context,
+        request: Request,
+    ) -> Result<(), StatusError> {
+        let Scope::Object(name) = request.scope.clone() else {
+            return Err(StatusError::MethodNotAllowed);
         };
         let object = self
             .cache
             .get(&name)
             .cloned()
-            .ok_or_else(|| missing(&name))?;
+            .ok_or_else(|| not_found(&name))?;
         let body = request.body.clone().unwrap_or_default();
-        let changed = match request.form {
+        let changed = match request.patch_type {
             None => body,
-            Some(form) => {
+            Some(patch_type) => {
                 let current = view::object(&object, None);
-                patch::apply(form, current, &body)
+                patch::apply(patch_type, current, &body)
                     .map_err(|e| StatusError::BadRequest(e.to_string()))?
             }
         };
-        let changed = written_by_client(changed);
-        let wanted = self.wanted(name.kind, &name.namespace, &changed)?;
-        if wanted.name != name.name {
-            let what = "the object's name is not the one of the request";
-            return Err(StatusError::BadRequest(what.into()));
+        let changed = without_server_fields(changed);
+        let translated = self.translate(name.kind, &name.namespace, &changed)?;
+        if translated.name != name.name {
+            let message = "the object's name is not the one of the request";
+            return Err(StatusError::BadRequest(message.into()));
         }
         let given = |field: &str| text(&changed, &format!("/metadata/{field}"));
         if given("uid").is_some_and(|uid| !uid.is_empty() && uid != object.record.uid) {
@@ -463,34 +493,34 @@
                 "it has been changed: apply your changes to the latest version",
             ));
         }
-        let (record, job) = self.turned_into(ctx, &object, &wanted)?;
-        self.fits(ctx, &name, &record, job.as_ref())?;
+        let (record, job) = self.updated_record(ctx, &object, &translated)?;
+        self.check_size(ctx, &name, &record, job.as_ref())?;
         if record == object.record || request.query.dry_run {
             let object = Object {
                 record,
                 ..(*object).clone()
             };
-            let shown = self.shown(ctx, &request, &object);
-            self.reply(ctx, request.id, 200, &shown);
+            let body = self.render(ctx, &request, &object);
+            self.reply(ctx, request.id, 200, &body);
             return Ok(());
         }
         let mut txn = Transaction::default()
             .compare(name.key(), object.version)
             .put(name.key(), &record);
         if let Some(job) = &job {
-            txn = submit(txn, job);
+            txn = add_submission(txn, job);
         }
         let changes = txn.then.len() as f64;
-        if self.writes >= MAX_WRITES
+        if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
             || !ctx.node.take_budget(
                 StoreCost::transaction(changes),
                 RequestPriority::Change,
                 ctx.now,
             )
         {
-            return Err(StatusError::TooMany);
+            return Err(StatusError::TooManyRequests);
         }
-        self.writes += 1;
+        self.writes_in_flight += 1;
         let change = Change {
             request,
             name,
@@ -500,102 +530,112 @@
         self.call(
             ctx,
             StoreRequest::Transaction(txn),
-            Waiting::Write(Box::new(change)),
+            PendingCall::Write(Box::new(change)),
         );
         Ok(())
     }
 
-    /// What an object becomes, and the job that begins with it.
-    fn turned_into(
+    /// The record of an updated object, and its job if the update starts the job.
+    fn updated_record(
         &self,
-        ctx: &Ctx,
+        ctx: &Context,
         object: &Object,
-        wanted: &Wanted,
+        translated: &TranslatedJob,
     ) -> Result<(Record, Option<OpenJob>), StatusError> {
         let old = &object.record;
-        let begun = old.state.job.is_some();
+        let started = old.state.job.is_some();
         let mut causes = Vec::new();
-        let none = serde_json::Map::new();
-        let fields = |spec: &Value| spec.as_object().unwrap_or(&none).clone();
-        let (before, after) = (fields(&old.spec), fields(&wanted.spec));
+        let empty = serde_json::Map::new();
+        let fields = |spec: &Value| spec.as_object().unwrap_or(&empty).clone();
+        let (before, after) = (fields(&old.spec), fields(&translated.spec));
         for key in before.keys().chain(after.keys()) {
-            if !MUTABLE.contains(&key.as_str()) && before.get(key) != after.get(key) {
+            let mutable = MUTABLE_SPEC_FIELDS.contains(&key.as_str());
+            if !mutable && before.get(key) != after.get(key) {
                 let path = format!("spec.{key}");
-                if causes.iter().all(|c: &Cause| c.path != path) {
-                    causes.push(Cause::new(
-                        path,
-                        StatusReason::Invalid,
-                        "field is immutable",
-                    ));
+                if causes.iter().all(|c: &Cause| c.field != path) {
+                    causes.push(Cause::new(path, CauseReason::Invalid, "field is immutable"));
                 }
             }
         }
-        if begun && wanted.suspend {
-            let what = "a job that has begun is not suspended: delete it";
-            causes.push(Cause::new("spec.suspend", StatusReason::NotSupported, what));
+        if started && translated.suspend {
+            let message = "a job that has begun is not suspended: delete it";
+            causes.push(Cause::new(
+                "spec.suspend",
+                CauseReason::NotSupported,
+                message,
+            ));
         }
-        let ours = |notes: &std::collections::BTreeMap<String, String>| {
-            let ours = notes.iter().filter(|(k, _)| k.starts_with(PREFIX));
-            ours.map(|(k, v)| (k.clone(), v.clone()))
-                .collect::<Vec<_>>()
+        let own_annotations = |annotations: &std::collections::BTreeMap<String, String>| {
+            let own = annotations
+                .iter()
+                .filter(|(k, _)| k.starts_with(ANNOTATION_PREFIX));
+            own.map(|(k, v)| (k.clone(), v.clone())).collect::<Vec<_>>()
         };
-        if begun && ours(&old.annotations) != ours(&wanted.annotations) {
-            let what = "what annotations of dillcleat's say is immutable once the job has begun";
+        if started && own_annotations(&old.annotations) != own_annotations(&translated.annotations)
+        {
+            let message = "what annotations of dillcleat's say is immutable once the job has begun";
             causes.push(Cause::new(
                 "metadata.annotations",
-                StatusReason::Invalid,
-                what,
+                CauseReason::Invalid,
+                message,
             ));
         }
         if !causes.is_empty() {
             return Err(invalid(&object.name, causes));
         }
         let mut record = Record {
-            labels: wanted.labels.clone(),
-            annotations: wanted.annotations.clone(),
-            spec: wanted.spec.clone(),
+            labels: translated.labels.clone(),
+            annotations: translated.annotations.clone(),
+            spec: translated.spec.clone(),
             ..old.clone()
         };
         if record.spec != old.spec {
             record.generation += 1;
         }
-        if begun || wanted.suspend {
+        if started || translated.suspend {
             return Ok((record, None));
         }
-        let job = self.open(ctx, &object.name, &old.uid, wanted)?;
+        let job = self.build_job(ctx, &object.name, &old.uid, translated)?;
         record.state.job = Some(job.spec.id.clone());
         record.state.started = Some(job.submitted_at_us);
         Ok((record, Some(job)))
     }
 
-    pub(super) fn delete(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
-        let Scope::One(name) = request.scope.clone() else {
-            return Err(StatusError::NotAllowed);
+    pub(super) fn delete(
+        &mut self,
+        ctx: &mut Context,
+        request: Request,
+    ) -> Result<(), StatusError> {
+        let Scope::Object(name) = request.scope.clone() else {
+            return Err(StatusError::MethodNotAllowed);
         };
-        let options = options(&request)?;
+        let options = delete_options(&request)?;
         let Some(object) = self.cache.get(&name).cloned() else {
-            if request.uncertain {
-                self.reply(ctx, request.id, 200, &deleted(&name, ""));
+            if request.outcome_unknown {
+                self.reply(ctx, request.id, 200, &deletion_status(&name, ""));
                 return Ok(());
             }
-            return Err(missing(&name));
+            return Err(not_found(&name));
         };
-        // An earlier try has deleted the object: one of its name that was made since is
-        // another.
-        if let Some(uid) = request.deleted.as_ref()
+        // An earlier attempt deleted the object; the current object of this name is another
+        // one and must not be deleted.
+        if let Some(uid) = request.deleted_uid.as_ref()
             && *uid != object.record.uid
         {
-            self.reply(ctx, request.id, 200, &deleted(&name, uid));
+            self.reply(ctx, request.id, 200, &deletion_status(&name, uid));
             return Ok(());
         }
-        let wants = options.preconditions.unwrap_or_default();
-        if wants.uid.is_some_and(|uid| uid != object.record.uid) {
+        let preconditions = options.preconditions.unwrap_or_default();
+        if preconditions
+            .uid
+            .is_some_and(|uid| uid != object.record.uid)
+        {
             return Err(conflict(
                 &name,
                 "its uid is not the one of the precondition",
             ));
         }
-        if wants
+        if preconditions
             .resource_version
             .is_some_and(|v| v != object.version.to_string())
         {
@@ -605,39 +645,41 @@
             ));
         }
         let uid = object.record.uid.clone();
-        let all = options.dry_run.unwrap_or_default();
-        if request.query.dry_run || all.iter().any(|d| d == "All") {
-            self.reply(ctx, request.id, 200, &deleted(&name, &uid));
+        let dry_run = options.dry_run.unwrap_or_default();
+        if request.query.dry_run || dry_run.iter().any(|d| d == "All") {
+            self.reply(ctx, request.id, 200, &deletion_status(&name, &uid));
             return Ok(());
         }
-        if self.writes >= MAX_WRITES * 2 {
-            return Err(StatusError::TooMany);
+        if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT * 2 {
+            return Err(StatusError::TooManyRequests);
         }
         self.send_delete(ctx, request, &object, true)
     }
 
-    /// `accepts_tasks`: unless something says otherwise its job is.
+    /// Sends the transaction that deletes an object. With `cancel_job` it also cancels the
+    /// object's job if the object does not record its end.
     fn send_delete(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: Request,
         object: &Object,
-        open: bool,
+        cancel_job: bool,
     ) -> Result<(), StatusError> {
         let state = &object.record.state;
         let mut txn = Transaction::default().compare(object.name.key(), object.version);
-        if let Some(job) = state.job.as_ref().filter(|_| open && state.end.is_none()) {
-            txn = reconciler::cancel(txn, object, job, ctx.now.wall);
+        let job = state.job.as_ref();
+        if let Some(job) = job.filter(|_| cancel_job && state.end.is_none()) {
+            txn = reconciler::add_cancellation(txn, object, job, ctx.now.wall);
         }
-        let txn = reconciler::delete(txn, object);
+        let txn = reconciler::add_deletion(txn, object);
         if !ctx.node.take_budget(
             StoreCost::transaction(txn.then.len() as f64),
             RequestPriority::End,
             ctx.now,
         ) {
-            return Err(StatusError::TooMany);
+            return Err(StatusError::TooManyRequests);
         }
-        self.writes += 1;
+        self.writes_in_flight += 1;
         let change = Change {
             request,
             name: object.name.clone(),
@@ -647,18 +689,18 @@
         self.call(
             ctx,
             StoreRequest::Transaction(txn),
-            Waiting::Write(Box::new(change)),
+            PendingCall::Write(Box::new(change)),
         );
         Ok(())
     }
 
-    pub(super) fn written(
+    pub(super) fn handle_write_response(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         change: Change,
         reply: Result<StoreResponse, CallError>,
     ) {
-        self.writes -= 1;
+        self.writes_in_flight -= 1;
         let Change {
             mut request,
             name,
@@ -666,87 +708,94 @@
             uid,
         } = change;
         let id = request.id;
-        let fault = match (reply, record) {
+        let error = match (reply, record) {
             (Ok(StoreResponse::Committed { revision }), Some(record)) => {
-                log::info!("{name} {uid}: changed by {}", request.token.name);
+                log::info!(
+                    "object updated object={name} uid={uid} token={}",
+                    request.token.name
+                );
                 let object = Object {
                     name,
                     version: revision,
                     record,
                 };
-                let shown = self.shown(ctx, &request, &object);
-                return self.reply(ctx, id, 200, &shown);
+                let body = self.render(ctx, &request, &object);
+                return self.reply(ctx, id, 200, &body);
             }
             (Ok(StoreResponse::Committed { .. }), None) => {
-                log::info!("{name} {uid}: deleted by {}", request.token.name);
-                return self.reply(ctx, id, 200, &deleted(&name, &uid));
+                log::info!(
+                    "object deleted object={name} uid={uid} token={}",
+                    request.token.name
+                );
+                return self.reply(ctx, id, 200, &deletion_status(&name, &uid));
             }
             (Ok(StoreResponse::Conflict { failed, .. }), record) => {
                 let object_changed = failed.contains(&name.key());
                 let object = self.cache.get(&name).cloned();
                 match (object, record) {
-                    // Its job ended in that moment: there is nothing to cancel.
+                    // The job ended before the cancellation: only the object is deleted.
                     (Some(object), None) if !object_changed => {
                         match self.send_delete(ctx, request, &object, false) {
                             Ok(()) => return,
-                            Err(fault) => fault,
+                            Err(error) => error,
                         }
                     }
                     (_, Some(_)) if !object_changed => {
-                        log::error!("{name}: its reference belongs to another job");
+                        log::error!("job id belongs to another job object={name}");
                         conflict(&name, "its reference belongs to another job")
                     }
-                    _ => return self.wait(ctx, request),
+                    _ => return self.wait_for_refresh(ctx, request),
                 }
             }
             (Err(e), record) => {
                 if e == CallError::NoAnswer {
-                    request.uncertain = true;
-                    request.deleted = record.is_none().then_some(uid);
+                    request.outcome_unknown = true;
+                    request.deleted_uid = record.is_none().then_some(uid);
                 }
-                return self.wait(ctx, request);
+                return self.wait_for_refresh(ctx, request);
             }
-            (Ok(StoreResponse::RateLimited), _) => StatusError::TooMany,
+            (Ok(StoreResponse::RateLimited), _) => StatusError::TooManyRequests,
             (Ok(StoreResponse::Malformed), _) => {
-                log::error!("{name}: the state service calls it malformed");
+                log::error!("store rejected a transaction as malformed object={name}");
                 StatusError::BadRequest("the object cannot be stored".into())
             }
             _ => StatusError::Unavailable("the state is out of reach"),
         };
-        self.refuse(ctx, id, &fault);
+        self.reply_error(ctx, id, &error);
     }
 }
 
-/// Adds a job's submission to a transaction.
-fn submit(txn: Transaction, job: &OpenJob) -> Transaction {
+/// Adds the submission of a job to a transaction.
+fn add_submission(txn: Transaction, job: &OpenJob) -> Transaction {
     let id = &job.spec.id;
     txn.compare(records::job_key(id), 0)
         .compare(records::open_key(id), 0)
         .put(records::open_key(id), job)
 }
 
-fn options(request: &Request) -> Result<DeleteOptions, StatusError> {
+fn delete_options(request: &Request) -> Result<DeleteOptions, StatusError> {
     let body = request.body.clone().unwrap_or_else(|| json!({}));
     let options: DeleteOptions = serde_json::from_value(body)
         .map_err(|e| StatusError::BadRequest(format!("DeleteOptions: {e}")))?;
     let given = options.propagation_policy.as_ref();
     let policy = given.or(request.query.propagation.as_ref());
     if policy.is_some_and(|p| p != "Background") || options.orphan_dependents == Some(true) {
-        let what = "only Background is served: the job is cancelled, its tasks end after it";
+        let message = "only Background is served: the job is cancelled, its tasks end after it";
         return Err(StatusError::Invalid {
             kind: "DeleteOptions",
             name: String::new(),
             causes: vec![Cause::new(
                 "propagationPolicy",
-                StatusReason::NotSupported,
-                what,
+                CauseReason::NotSupported,
+                message,
             )],
         });
     }
     Ok(options)
 }
 
-fn deleted(name: &Name, uid: &str) -> Value {
+/// The `Status` of a successful deletion.
+fn deletion_status(name: &Name, uid: &str) -> Value {
     let details = StatusDetails {
         kind: Some(name.kind.resource().into()),
         name: Some(name.name.clone()),
--- a/crates/kube/src/fields.rs
+++ b/crates/kube/src/fields.rs
@@ -1,128 +1,155 @@
-//! Which fields of an object are served. Whatever is not in the table is refused by
-//! its name: nothing a client writes is dropped without a word.
+//! The supported fields of objects. A request with any other field is rejected with the
+//! paths of these fields, so that nothing a client writes is dropped silently.
 
-use crate::status_error::{Cause, StatusReason};
+use crate::status_error::{Cause, CauseReason};
 use serde_json::Value;
 
-/// What becomes of a field that a client writes.
+/// How a field that a client sets is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
-    Served,
-    /// Taken, since clients send it with everything, and without effect here.
-    Meaningless,
-    /// The server writes it; what a client sends of it is not looked at.
-    Server,
+pub enum FieldUse {
+    Supported,
+    /// Accepted because clients set it by default; it has no effect.
+    Ignored,
+    /// Written by the server; the value that a client sends is ignored.
+    ServerManaged,
 }
 
-/// Fields by their paths: `[]` is each of a list, `*` any key, `**` all below.
-pub type Table = &'static [(&'static str, Use)];
+/// Fields by their paths: `[]` is each item of a list, `*` any key, `**` everything below.
+pub type FieldTable = &'static [(&'static str, FieldUse)];
 
-/// Of every kind.
-pub const COMMON: Table = &[
-    ("apiVersion", Use::Served),
-    ("kind", Use::Served),
-    ("metadata.name", Use::Served),
-    ("metadata.namespace", Use::Served),
-    ("metadata.labels.*", Use::Served),
-    ("metadata.annotations.*", Use::Served),
-    ("metadata.resourceVersion", Use::Served),
-    ("metadata.uid", Use::Served),
-    ("metadata.creationTimestamp", Use::Server),
-    ("metadata.generation", Use::Server),
-    ("metadata.managedFields.**", Use::Server),
-    ("metadata.selfLink", Use::Server),
-    ("status.**", Use::Server),
+/// The fields of every kind of object.
+pub const COMMON_FIELDS: FieldTable = &[
+    ("apiVersion", FieldUse::Supported),
+    ("kind", FieldUse::Supported),
+    ("metadata.name", FieldUse::Supported),
+    ("metadata.namespace", FieldUse::Supported),
+    ("metadata.labels.*", FieldUse::Supported),
+    ("metadata.annotations.*", FieldUse::Supported),
+    ("metadata.resourceVersion", FieldUse::Supported),
+    ("metadata.uid", FieldUse::Supported),
+    ("metadata.creationTimestamp", FieldUse::ServerManaged),
+    ("metadata.generation", FieldUse::ServerManaged),
+    ("metadata.managedFields.**", FieldUse::ServerManaged),
+    ("metadata.selfLink", FieldUse::ServerManaged),
+    ("status.**", FieldUse::ServerManaged),
 ];
 
-/// Of the template of a job's pods, below `spec.template`.
-pub const TEMPLATE: Table = &[
-    ("metadata.creationTimestamp", Use::Server),
-    ("metadata.labels.*", Use::Served),
-    ("metadata.annotations.*", Use::Served),
-    ("spec.containers[].name", Use::Served),
-    ("spec.containers[].image", Use::Served),
-    ("spec.containers[].imagePullPolicy", Use::Meaningless),
-    ("spec.containers[].resources.requests.*", Use::Served),
-    ("spec.containers[].resources.limits.*", Use::Served),
-    ("spec.containers[].terminationMessagePath", Use::Meaningless),
+/// The fields of a Job's pod template, below `spec.template`.
+pub const POD_TEMPLATE_FIELDS: FieldTable = &[
+    ("metadata.creationTimestamp", FieldUse::ServerManaged),
+    ("metadata.labels.*", FieldUse::Supported),
+    ("metadata.annotations.*", FieldUse::Supported),
+    ("spec.containers[].name", FieldUse::Supported),
+    ("spec.containers[].image", FieldUse::Supported),
+    ("spec.containers[].imagePullPolicy", FieldUse::Ignored),
+    (
+        "spec.containers[].resources.requests.*",
+        FieldUse::Supported,
+    ),
+    ("spec.containers[].resources.limits.*", FieldUse::Supported),
+    (
+        "spec.containers[].terminationMessagePath",
+        FieldUse::Ignored,
+    ),
     (
         "spec.containers[].terminationMessagePolicy",
-        Use::Meaningless,
+        FieldUse::Ignored,
     ),
-    ("spec.restartPolicy", Use::Served),
-    ("spec.priorityClassName", Use::Served),
-    ("spec.nodeSelector.*", Use::Served),
+    ("spec.restartPolicy", FieldUse::Supported),
+    ("spec.priorityClassName", FieldUse::Supported),
+    ("spec.nodeSelector.*", FieldUse::Supported),
     (
         "spec.affinity.nodeAffinity.requiredDuringSchedulingIgnoredDuringExecution.nodeSelectorTerms[].matchExpressions[].key",
-        Use::Served,
+        FieldUse::Supported,
     ),
     (
         "spec.affinity.nodeAffinity.requiredDuringSchedulingIgnoredDuringExecution.nodeSelectorTerms[].matchExpressions[].operator",
-        Use::Served,
+        FieldUse::Supported,
     ),
     (
         "spec.affinity.nodeAffinity.requiredDuringSchedulingIgnoredDuringExecution.nodeSelectorTerms[].matchExpressions[].values[]",
-        Use::Served,
+        FieldUse::Supported,
+    ),
+    (
+        "spec.topologySpreadConstraints[].maxSkew",
+        FieldUse::Supported,
+    ),
+    (
+        "spec.topologySpreadConstraints[].topologyKey",
+        FieldUse::Supported,
     ),
-    ("spec.topologySpreadConstraints[].maxSkew", Use::Served),
-    ("spec.topologySpreadConstraints[].topologyKey", Use::Served),
     (
         "spec.topologySpreadConstraints[].whenUnsatisfiable",
-        Use::Served,
+        FieldUse::Supported,
     ),
     (
         "spec.topologySpreadConstraints[].labelSelector.matchLabels.*",
-        Use::Served,
+        FieldUse::Supported,
     ),
-    ("spec.terminationGracePeriodSeconds", Use::Meaningless),
-    ("spec.dnsPolicy", Use::Meaningless),
-    ("spec.schedulerName", Use::Meaningless),
+    ("spec.terminationGracePeriodSeconds", FieldUse::Ignored),
+    ("spec.dnsPolicy", FieldUse::Ignored),
+    ("spec.schedulerName", FieldUse::Ignored),
 ];
 
-pub const JOB: Table = &[
-    ("spec.parallelism", Use::Served),
-    ("spec.completions", Use::Served),
-    ("spec.completionMode", Use::Served),
-    ("spec.backoffLimit", Use::Served),
-    ("spec.activeDeadlineSeconds", Use::Served),
-    ("spec.ttlSecondsAfterFinished", Use::Served),
-    ("spec.suspend", Use::Served),
+pub const JOB_SPEC_FIELDS: FieldTable = &[
+    ("spec.parallelism", FieldUse::Supported),
+    ("spec.completions", FieldUse::Supported),
+    ("spec.completionMode", FieldUse::Supported),
+    ("spec.backoffLimit", FieldUse::Supported),
+    ("spec.activeDeadlineSeconds", FieldUse::Supported),
+    ("spec.ttlSecondsAfterFinished", FieldUse::Supported),
+    ("spec.suspend", FieldUse::Supported),
 ];
 
-/// A table with the prefix of its paths.
-pub type Part = (&'static str, Table);
+/// A prefix and a table of the paths that follow it.
+pub type PrefixedTable = (&'static str, FieldTable);
 
-pub const OF_JOB: &[Part] = &[("", COMMON), ("", JOB), ("spec.template.", TEMPLATE)];
+/// All fields of a Job.
+pub const JOB_FIELDS: &[PrefixedTable] = &[
+    ("", COMMON_FIELDS),
+    ("", JOB_SPEC_FIELDS),
+    ("spec.template.", POD_TEMPLATE_FIELDS),
+];
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Found {
-    /// The field itself, with all below it.
-    Whole(Use),
-    /// It has served ones below it.
-    Inner,
-    No,
+enum Lookup {
+    /// The table has the field itself, with everything below it.
+    Found(FieldUse),
+    /// The table has fields below this one.
+    Parent,
+    NotFound,
 }
 
-fn find(parts: &[Part], path: &str) -> Found {
-    let mut inner = false;
-    for (prefix, table) in parts {
-        let below = prefix.starts_with(path) && prefix[path.len()..].starts_with('.');
-        inner |= below;
+fn find(tables: &[PrefixedTable], path: &str) -> Lookup {
+    let mut parent = false;
+    for (prefix, table) in tables {
+        parent |= prefix.starts_with(path) && prefix[path.len()..].starts_with('.');
         let Some(rest) = path.strip_prefix(prefix) else {
             continue;
         };
-        for (entry, used) in *table {
+        for (entry, field_use) in *table {
             match entry.strip_prefix(rest) {
-                Some("" | ".*" | ".**") => return Found::Whole(*used),
-                Some(more) => inner |= more.starts_with('.') || more.starts_with("[]"),
+                Some("" | ".*" | ".**") => return Lookup::Found(*field_use),
+                Some(more) => parent |= more.starts_with('.') || more.starts_with("[]"),
                 None => {}
             }
         }
     }
-    if inner { Found::Inner } else { Found::No }
+    match parent {
+        true => Lookup::Parent,
+        false => Lookup::NotFound,
+    }
 }
 
-fn walk(parts: &[Part], value: &Value, pattern: &str, path: &str, causes: &mut Vec<Cause>) {
+/// Adds a cause for each unsupported field of `value`. `path` is the path of `value` in
+/// the object; `pattern` is the same path in the form that tables have.
+fn collect_unsupported(
+    tables: &[PrefixedTable],
+    value: &Value,
+    pattern: &str,
+    path: &str,
+    causes: &mut Vec<Cause>,
+) {
     let join = |base: &str, key: &str| {
         if base.is_empty() {
             key.to_string()
@@ -134,18 +161,18 @@
         Value::Object(fields) => {
             for (key, value) in fields.iter().filter(|(_, v)| !v.is_null()) {
                 let (pattern, path) = (join(pattern, key), join(path, key));
-                // A key with a dot in it would read as a path.
-                let found = match key.contains(['.', '[']) {
-                    true => Found::No,
-                    false => find(parts, &pattern),
+                // A key with a dot or bracket could be mistaken for a path.
+                let lookup = match key.contains(['.', '[']) {
+                    true => Lookup::NotFound,
+                    false => find(tables, &pattern),
                 };
-                match found {
-                    Found::Whole(_) => {}
-                    Found::Inner => walk(parts, value, &pattern, &path, causes),
-                    Found::No => {
+                match lookup {
+                    Lookup::Found(_) => {}
+                    Lookup::Parent => collect_unsupported(tables, value, &pattern, &path, causes),
+                    Lookup::NotFound => {
                         causes.push(Cause::new(
                             path,
-                            StatusReason::NotSupported,
+                            CauseReason::NotSupported,
                             "not served by dillcleat",
                         ));
                     }
@@ -155,18 +182,18 @@
         Value::Array(items) => {
             let pattern = format!("{pattern}[]");
             for (i, item) in items.iter().enumerate() {
-                walk(parts, item, &pattern, &format!("{path}[{i}]"), causes);
+                collect_unsupported(tables, item, &pattern, &format!("{path}[{i}]"), causes);
             }
         }
-        // That it is of another type is said by whoever reads it.
+        // A value of a wrong type is reported when the object is deserialized.
         _ => {}
     }
 }
 
-/// What of an object is not served.
-pub fn unserved(parts: &[Part], object: &Value) -> Vec<Cause> {
+/// Reports the unsupported fields of an object.
+pub fn unsupported_fields(tables: &[PrefixedTable], object: &Value) -> Vec<Cause> {
     let mut causes = Vec::new();
-    walk(parts, object, "", "", &mut causes);
+    collect_unsupported(tables, object, "", "", &mut causes);
     causes
 }
 
@@ -176,7 +203,7 @@
     use serde_json::json;
 
     #[test]
-    fn what_is_not_served_is_named() {
+    fn unsupported_fields_are_reported_by_path() {
         let job = json!({
             "apiVersion": "batch/v1", "kind": "Job",
             "metadata": {"name": "a", "labels": {"x.y/z": "1"}, "finalizers": ["f"], "deletionTimestamp": null,
@@ -189,8 +216,8 @@
                         "resources": {"requests": {"cpu": "1"}, "claims": []}}]}}},
             "status": {"active": 1},
         });
-        let causes = unserved(OF_JOB, &job);
-        let paths: Vec<&str> = causes.iter().map(|c| c.path.as_str()).collect();
+        let causes = unsupported_fields(JOB_FIELDS, &job);
+        let paths: Vec<&str> = causes.iter().map(|c| c.field.as_str()).collect();
         assert_eq!(
             paths,
             [
@@ -204,14 +231,16 @@
         );
     }
 
-    /// The operators' page tells of every field.
     #[test]
-    fn the_page_names_every_field() {
-        let page = include_str!("../../../docs/kubernetes.md");
-        for (prefix, table) in OF_JOB {
+    fn documentation_lists_every_field() {
+        let documentation = include_str!("../../../docs/kubernetes.md");
+        for (prefix, table) in JOB_FIELDS {
             for (path, _) in *table {
                 let path = format!("`{prefix}{path}`");
-                assert!(page.contains(&path), "{path} is not in docs/kubernetes.md");
+                assert!(
+                    documentation.contains(&path),
+                    "{path} is not in docs/kubernetes.md"
+                );
             }
         }
     }
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -1,8 +1,9 @@
-//! Kubernetes-shaped clients of dillcleat.
+//! An API server for Kubernetes clients.
 //!
-//! A [`Controller`] is a [`Node`], with a [`ApiServer`] beside it where the operators want
-//! one, as a state machine without I/O: an ordinary Kubernetes client's requests go in, answers, lines of watches and
-//! calls of the store come out. docs/kubernetes.md says what is served.
+//! A [`Controller`] is a [`Node`] with an optional [`ApiServer`]. It is a state machine
+//! without I/O: its inputs are those of the node and the requests of Kubernetes clients;
+//! its outputs are those of the node, responses, watch events and requests to the store.
+//! docs/kubernetes.md lists the supported API.
 
 pub mod api_server;
 pub mod fields;
@@ -29,7 +30,7 @@
 use dillcleat_controller::{Input, Node, Output, RequestId, Timestamp};
 use std::rc::Rc;
 
-/// A client's request.
+/// The HTTP request of a Kubernetes client.
 #[derive(Debug, Clone, Default)]
 pub struct ApiRequest {
     pub method: String,
@@ -41,24 +42,24 @@
     pub body: Vec<u8>,
 }
 
-/// An answer, in JSON.
+/// The response to a Kubernetes client, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiResponse {
     pub status: u16,
     pub body: Vec<u8>,
-    /// Seconds after which it is worth asking again.
+    /// Seconds after which the client should retry.
     pub retry_after: Option<u32>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerOutput {
-    /// What the node wants; calls of the API server are among it.
+    /// An output of the node, or a store request of the API server.
     Core(Output),
     Reply {
         id: RequestId,
         reply: ApiResponse,
     },
-    /// A watch is open: its lines follow.
+    /// A watch is open; its events follow.
     Stream {
         id: RequestId,
     },
@@ -66,13 +67,13 @@
         id: RequestId,
         bytes: Rc<[u8]>,
     },
-    /// A watch is over.
+    /// A watch has ended.
     End {
         id: RequestId,
     },
 }
 
-/// A node, and what Kubernetes-shaped clients talk to if they may.
+/// A node and its optional API server.
 #[derive(Debug)]
 pub struct Controller {
     pub node: Node,
@@ -80,7 +81,7 @@
 }
 
 impl Controller {
-    /// Without rules for it there is no API server: no call and no memory is spent on it.
+    /// Creates a controller; without `rules` it has no API server.
     pub fn new(node: Node, rules: Option<Rules>) -> Controller {
         Controller {
             node,
@@ -92,9 +93,9 @@
         &mut self,
         now: Timestamp,
         out: &mut Vec<ControllerOutput>,
-        act: impl FnOnce(&mut ApiServer, &mut api_server::Ctx),
+        act: impl FnOnce(&mut ApiServer, &mut api_server::Context),
     ) {
-        let mut ctx = api_server::Ctx {
+        let mut ctx = api_server::Context {
             now,
             node: &mut self.node,
             out,
@@ -113,16 +114,16 @@
         match input {
             Input::Store { id, reply } if ApiServer::owns(id) => {
                 self.with_api_server(now, &mut out, |api_server, ctx| {
-                    api_server.answered(ctx, id, reply)
+                    api_server.handle_store_response(ctx, id, reply)
                 });
             }
             input => {
                 let tick = matches!(input, Input::Tick);
                 for output in self.node.handle(now, input) {
                     match output {
-                        Output::JobEvent(told) => {
+                        Output::JobEvent(event) => {
                             if let Some(api_server) = &mut self.api_server {
-                                api_server.told(told);
+                                api_server.handle_job_event(event);
                             }
                         }
                         other => out.push(ControllerOutput::Core(other)),
@@ -136,19 +137,24 @@
         out
     }
 
-    /// A client's request.
-    pub fn ask(&mut self, now: Timestamp, id: RequestId, ask: ApiRequest) -> Vec<ControllerOutput> {
+    /// Handles the request of a Kubernetes client.
+    pub fn ask(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        request: ApiRequest,
+    ) -> Vec<ControllerOutput> {
         let mut out = Vec::new();
         self.with_api_server(now, &mut out, |api_server, ctx| {
-            api_server.ask(ctx, id, ask)
+            api_server.handle_request(ctx, id, request)
         });
         out
     }
 
-    /// The client of a watch has gone, or does not keep up.
+    /// Closes the watch of a client that has disconnected or reads too slowly.
     pub fn gone(&mut self, id: RequestId) {
         if let Some(api_server) = &mut self.api_server {
-            api_server.gone(id);
+            api_server.close_watch(id);
         }
     }
 }
--- a/crates/kube/src/names.rs
+++ b/crates/kube/src/names.rs
@@ -1,23 +1,23 @@
-//! References and identities that follow from an object's name.
+//! Job ids and uids that are derived from an object's name with the operators' key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The shortest key of the operators that is taken, in bytes.
-pub const KEY_BYTES: usize = 32;
-/// Decimal digits of a reference; 10^32 is just above 2^106.
-const DIGITS: u32 = 32;
+/// The minimum length of the operators' key, in bytes.
+pub const MIN_KEY_BYTES: usize = 32;
+/// Decimal digits in a job id; 10^32 is just above 2^106.
+const JOB_ID_DIGITS: u32 = 32;
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     #[error("a key is hexadecimal digits")]
     NotHex,
-    #[error("a key has at least {KEY_BYTES} bytes")]
-    Short,
+    #[error("a key has at least {MIN_KEY_BYTES} bytes")]
+    TooShort,
 }
 
-/// Reads hexadecimal digits; None if they are not.
-pub fn unhex(text: &str) -> Option<Vec<u8>> {
+/// Decodes hexadecimal digits; None if the text has anything else.
+pub fn decode_hex(text: &str) -> Option<Vec<u8>> {
     if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return None;
     }
@@ -27,11 +27,11 @@
         .collect()
 }
 
-pub fn hex(bytes: &[u8]) -> String {
+pub fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The operators' key. It never appears in a log.
+/// The operators' key. Its `Debug` form does not show the key.
 #[derive(Clone)]
 pub struct SigningKey(Vec<u8>);
 
@@ -42,17 +42,17 @@
 }
 
 impl SigningKey {
-    /// From a file's text.
+    /// Reads the text of a key file.
     pub fn parse(text: &str) -> Result<SigningKey, KeyError> {
-        let bytes = unhex(text.trim()).ok_or(KeyError::NotHex)?;
-        if bytes.len() < KEY_BYTES {
-            return Err(KeyError::Short);
+        let bytes = decode_hex(text.trim()).ok_or(KeyError::NotHex)?;
+        if bytes.len() < MIN_KEY_BYTES {
+            return Err(KeyError::TooShort);
         }
         Ok(SigningKey(bytes))
     }
 
-    /// A MAC over parts, each after its length, so that no two lists of parts are
-    /// taken for each other.
+    /// A MAC over parts. Each part is preceded by its length, so that different lists of
+    /// parts never give the same input.
     fn mac(&self, parts: &[&str]) -> Option<Hmac<Sha256>> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).ok()?;
         for part in parts {
@@ -62,30 +62,30 @@
         Some(mac)
     }
 
-    fn number(&self, parts: &[&str]) -> u128 {
-        // A MAC of this kind takes keys of any length.
+    /// The first 128 bits of the MAC over `parts`.
+    fn mac_number(&self, parts: &[&str]) -> u128 {
+        // HMAC accepts keys of any length, so `mac` never fails.
         let mac = self.mac(parts).map(|m| m.finalize().into_bytes());
         let bytes = mac.and_then(|m| m.first_chunk::<16>().copied());
         u128::from_be_bytes(bytes.unwrap_or_default())
     }
 
-    /// What is kept of a token instead of it.
+    /// The MAC of a token, which the settings contain instead of the token.
     pub fn token(&self, secret: &str) -> String {
         let mac = self.mac(&["token", secret]);
-        mac.map_or(String::new(), |m| hex(&m.finalize().into_bytes()))
+        mac.map_or(String::new(), |m| encode_hex(&m.finalize().into_bytes()))
     }
 
-    /// Whether a token is the one of which `kept` was made, in the same time
-    /// whatever they have in common.
-    pub fn is_token(&self, secret: &str, kept: &[u8]) -> bool {
+    /// Whether `token_mac` is the MAC of a token. The comparison takes constant time.
+    pub fn is_token(&self, secret: &str, token_mac: &[u8]) -> bool {
         let mac = self.mac(&["token", secret]);
-        mac.is_some_and(|m| m.verify_slice(kept).is_ok())
+        mac.is_some_and(|m| m.verify_slice(token_mac).is_ok())
     }
 
-    /// The identity of the `run`-th object of this name.
+    /// The uid of the `run`-th object of this name.
     pub fn uid(&self, resource: &str, namespace: &str, name: &str, run: u32) -> String {
-        let n = self.number(&["uid", resource, namespace, name, &run.to_string()]);
-        // Version 8 (its own kind) and variant, as RFC 9562 has them.
+        let n = self.mac_number(&["uid", resource, namespace, name, &run.to_string()]);
+        // Sets version 8 (custom) and the variant of RFC 9562.
         let n = n & !(0xf << 76) & !(0x3 << 62) | 8 << 76 | 2 << 62;
         let h = format!("{n:032x}");
         format!(
@@ -98,10 +98,9 @@
         )
     }
 
-    /// The reference of the job that an object stands for: it follows from
-    /// namespace, name and uid.
+    /// The id of the native job that runs an object.
     pub fn job(&self, namespace: &str, name: &str, uid: &str) -> String {
-        let n = self.number(&["job", namespace, name, uid]) % 10u128.pow(DIGITS);
+        let n = self.mac_number(&["job", namespace, name, uid]) % 10u128.pow(JOB_ID_DIGITS);
         format!("req-{n:032}")
     }
 }
@@ -111,7 +110,7 @@
     use super::*;
 
     #[test]
-    fn names_give_references() {
+    fn uids_and_job_ids_are_valid_and_differ_between_objects() {
         let key = SigningKey::parse(&"0b".repeat(32)).expect("a key");
         let uid = key.uid("jobs", "books", "merge", 1);
         assert_eq!(uid.len(), 36);
@@ -119,20 +118,20 @@
         assert!(matches!(&uid[19..20], "8" | "9" | "a" | "b"), "{uid}");
         let job = key.job("books", "merge", &uid);
         assert!(dillcleat_wire::user::is_job_id(&job), "{job}");
-        // Neither a later run nor names that only read alike are the same.
+        // Another run, or parts that concatenate to the same text, give other ids.
         assert_ne!(uid, key.uid("jobs", "books", "merge", 2));
         assert_ne!(job, key.job("book", "smerge", &uid));
         assert_eq!(format!("{key:?}"), "Key");
     }
 
     #[test]
-    fn tokens_are_known_by_their_macs() {
+    fn a_token_is_verified_by_its_mac_and_short_keys_are_rejected() {
         let key = SigningKey::parse(&"0b".repeat(32)).expect("a key");
-        let kept = unhex(&key.token("secret")).expect("hex");
+        let kept = decode_hex(&key.token("secret")).expect("hex");
         assert!(key.is_token("secret", &kept));
         assert!(!key.is_token("secrex", &kept));
         assert!(!key.is_token("secret", &kept[1..]));
-        assert!(matches!(SigningKey::parse("0b"), Err(KeyError::Short)));
+        assert!(matches!(SigningKey::parse("0b"), Err(KeyError::TooShort)));
         assert!(matches!(SigningKey::parse("xy"), Err(KeyError::NotHex)));
     }
 }
--- a/crates/kube/src/patch.rs
+++ b/crates/kube/src/patch.rs
@@ -1,19 +1,19 @@
-//! Patches: JSON merge (RFC 7386) and Kubernetes' strategic merge.
+//! Applies patches: JSON merge patch (RFC 7386) and Kubernetes strategic merge patch.
 
 use serde_json::{Map, Value};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum PatchType {
     Merge,
     Strategic,
 }
 
-impl Form {
-    /// By the media type of the body.
-    pub fn of(media: &str) -> Option<Form> {
-        match media {
-            "application/merge-patch+json" => Some(Form::Merge),
-            "application/strategic-merge-patch+json" => Some(Form::Strategic),
+impl PatchType {
+    /// The patch type of a request body's media type.
+    pub fn from_media_type(media_type: &str) -> Option<PatchType> {
+        match media_type {
+            "application/merge-patch+json" => Some(PatchType::Merge),
+            "application/strategic-merge-patch+json" => Some(PatchType::Strategic),
             _ => None,
         }
     }
@@ -22,16 +22,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PatchError {
     #[error("a patch is an object")]
-    Form,
+    NotAnObject,
+    /// The path of a list, and the merge key that one of its items lacks.
     #[error("{0}: an item without {1:?}, by which items are told apart")]
-    Key(String, &'static str),
+    MissingKey(String, &'static str),
+    /// The path of the directive, and the directive.
     #[error("{0}: no directive {1:?}")]
-    Directive(String, String),
+    UnknownDirective(String, String),
 }
 
-/// By which field the items of a list are told apart; lists that are not here are
-/// replaced as a whole.
-const KEYS: [(&str, &str); 2] = [
+/// The merge key of each list whose items a strategic merge patch merges one by one.
+/// Other lists are replaced as a whole.
+const LIST_MERGE_KEYS: [(&str, &str); 2] = [
     ("spec.template.spec.containers", "name"),
     (
         "spec.template.spec.topologySpreadConstraints",
@@ -39,18 +41,22 @@
     ),
 ];
 
-pub fn apply(form: Form, mut object: Value, patch: &Value) -> Result<Value, PatchError> {
+pub fn apply(patch_type: PatchType, mut object: Value, patch: &Value) -> Result<Value, PatchError> {
     let Value::Object(fields) = patch else {
-        return Err(PatchError::Form);
+        return Err(PatchError::NotAnObject);
     };
-    match form {
-        Form::Merge => json_patch::merge(&mut object, patch),
-        Form::Strategic => merge(&mut object, fields, "")?,
+    match patch_type {
+        PatchType::Merge => json_patch::merge(&mut object, patch),
+        PatchType::Strategic => strategic_merge(&mut object, fields, "")?,
     }
     Ok(object)
 }
 
-fn merge(object: &mut Value, patch: &Map<String, Value>, path: &str) -> Result<(), PatchError> {
+fn strategic_merge(
+    object: &mut Value,
+    patch: &Map<String, Value>,
+    path: &str,
+) -> Result<(), PatchError> {
     if let Some(directive) = patch.get("$patch") {
         let rest = patch.iter().filter(|(k, _)| *k != "$patch");
         *object = match directive.as_str() {
@@ -58,7 +64,7 @@
             Some("delete") => Value::Null,
             other => {
                 let other = other.unwrap_or_default().to_string();
-                return Err(PatchError::Directive(path.to_string(), other));
+                return Err(PatchError::UnknownDirective(path.to_string(), other));
             }
         };
         return Ok(());
@@ -76,9 +82,9 @@
             format!("{path}.{key}")
         };
         if let Some(directive) = key.strip_prefix('$') {
-            // Those of element order say nothing here: lists keep theirs.
+            // Directives on element order are ignored: lists keep their order.
             if !directive.starts_with("setElementOrder/") {
-                return Err(PatchError::Directive(path, key.clone()));
+                return Err(PatchError::UnknownDirective(path, key.clone()));
             }
             continue;
         }
@@ -88,16 +94,16 @@
             }
             Value::Object(change) => {
                 let field = fields.entry(key.clone()).or_insert(Value::Null);
-                merge(field, change, &path)?;
+                strategic_merge(field, change, &path)?;
                 if field.is_null() {
                     fields.remove(key);
                 }
             }
             Value::Array(items) => {
-                let by = KEYS.iter().find(|(list, _)| *list == path);
-                match (by, fields.get_mut(key)) {
-                    (Some((_, by)), Some(Value::Array(kept))) => {
-                        merge_items(kept, items, &path, by)?
+                let merge_key = LIST_MERGE_KEYS.iter().find(|(list, _)| *list == path);
+                match (merge_key, fields.get_mut(key)) {
+                    (Some((_, merge_key)), Some(Value::Array(current))) => {
+                        merge_items(current, items, &path, merge_key)?
                     }
                     _ => {
                         fields.insert(key.clone(), change.clone());
@@ -113,24 +119,24 @@
 }
 
 fn merge_items(
-    kept: &mut Vec<Value>,
+    current: &mut Vec<Value>,
     items: &[Value],
     path: &str,
-    by: &'static str,
+    merge_key: &'static str,
 ) -> Result<(), PatchError> {
     for item in items {
-        let (Some(fields), Some(id)) = (item.as_object(), item.get(by)) else {
-            return Err(PatchError::Key(path.to_string(), by));
+        let (Some(fields), Some(id)) = (item.as_object(), item.get(merge_key)) else {
+            return Err(PatchError::MissingKey(path.to_string(), merge_key));
         };
-        let found = kept.iter().position(|k| k.get(by) == Some(id));
+        let found = current.iter().position(|c| c.get(merge_key) == Some(id));
         let delete = fields.get("$patch").is_some_and(|d| d == "delete");
         match found {
             Some(i) if delete => {
-                kept.remove(i);
+                current.remove(i);
             }
-            Some(i) => merge(&mut kept[i], fields, path)?,
+            Some(i) => strategic_merge(&mut current[i], fields, path)?,
             None if delete => {}
-            None => kept.push(item.clone()),
+            None => current.push(item.clone()),
         }
     }
     Ok(())
@@ -148,18 +154,18 @@
     }
 
     #[test]
-    fn merges() {
+    fn merge_patch_replaces_lists_and_strategic_merge_patch_merges_them_by_key() {
         let patch = json!({"metadata": {"labels": {"a": null, "c": "3"}}, "spec": {"suspend": false,
             "template": {"spec": {"containers": [{"name": "y", "image": "i3"}]}}}});
-        let merged = apply(Form::Merge, job(), &patch).expect("merge");
+        let merged = apply(PatchType::Merge, job(), &patch).expect("merge");
         assert_eq!(merged["metadata"]["labels"], json!({"b": "2", "c": "3"}));
         let containers = "/spec/template/spec/containers";
         assert_eq!(
             merged.pointer(containers),
             Some(&json!([{"name": "y", "image": "i3"}]))
         );
-        // Strategic: items of a list are told apart by their names.
-        let merged = apply(Form::Strategic, job(), &patch).expect("merge");
+        // A strategic merge patch identifies containers by their names.
+        let merged = apply(PatchType::Strategic, job(), &patch).expect("merge");
         assert_eq!(merged["spec"]["suspend"], json!(false));
         assert_eq!(
             merged.pointer(containers),
@@ -168,23 +174,27 @@
     }
 
     #[test]
-    fn directives() {
+    fn strategic_merge_applies_known_directives_and_rejects_others() {
         let patch = json!({"metadata": {"labels": {"$patch": "replace", "z": "9"}},
             "spec": {"template": {"spec": {"$setElementOrder/containers": [{"name": "y"}],
                 "containers": [{"name": "x", "$patch": "delete"}]}}}});
-        let merged = apply(Form::Strategic, job(), &patch).expect("merge");
+        let merged = apply(PatchType::Strategic, job(), &patch).expect("merge");
         assert_eq!(merged["metadata"]["labels"], json!({"z": "9"}));
         assert_eq!(
             merged.pointer("/spec/template/spec/containers"),
             Some(&json!([{"name": "y", "image": "i2"}]))
         );
-        let refused = |patch: Value| apply(Form::Strategic, job(), &patch).expect_err("refused");
-        assert_eq!(refused(json!([1])), PatchError::Form);
+        let refused =
+            |patch: Value| apply(PatchType::Strategic, job(), &patch).expect_err("refused");
+        assert_eq!(refused(json!([1])), PatchError::NotAnObject);
         let unnamed = json!({"spec": {"template": {"spec": {"containers": [{"image": "q"}]}}}});
-        assert!(matches!(refused(unnamed), PatchError::Key(_, "name")));
+        assert!(matches!(
+            refused(unnamed),
+            PatchError::MissingKey(_, "name")
+        ));
         assert!(matches!(
             refused(json!({"spec": {"$retainKeys": ["a"]}})),
-            PatchError::Directive(..)
+            PatchError::UnknownDirective(..)
         ));
     }
 }
--- a/crates/kube/src/quantity.rs
+++ b/crates/kube/src/quantity.rs
@@ -1,6 +1,6 @@
-//! Amounts as Kubernetes writes them: `500m`, `1.5Gi`, `2e3`.
+//! Parses Kubernetes resource quantities such as `500m`, `1.5Gi` and `2e3`.
 
-/// The amount as a number; None if it is not one, or is negative.
+/// Parses a quantity; None if it is malformed or negative.
 pub fn parse(text: &str) -> Option<f64> {
     let split = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -37,7 +37,7 @@
     use super::parse;
 
     #[test]
-    fn amounts() {
+    fn valid_quantities_parse_and_malformed_ones_are_rejected() {
         for (text, amount) in [
             ("4", 4.0),
             ("500m", 0.5),
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -1,12 +1,13 @@
-//! What the leader does for objects by itself: it tells their ends, counts failed
-//! attempts, stops what is over its time and deletes what has outlived its use.
+//! The leader's reconciler of objects. It records the end and the failed attempts of
+//! their native jobs, cancels jobs that exceed `backoffLimit` or `activeDeadlineSeconds`,
+//! and deletes objects after `ttlSecondsAfterFinished`.
 //!
-//! Every change is one transaction that compares the leader's term and the object's
-//! version, so neither a leader that was followed nor a client is written over.
+//! Every update is one transaction that compares the leader's term and the object's
+//! version, so that it fails if another leader or a client has written in the meantime.
 
-use crate::record::{End, Ending, Gone, Name, Object, Record};
+use crate::record::{EndReason, JobEnd, Name, Object, Record, Tombstone};
 use crate::view::completions;
-use crate::watch_cache::{Cache, Turn};
+use crate::watch_cache::{ObjectChange, WatchCache};
 use dillcleat_controller::records::{self, CancelledJob, JobStateRecord, RecordedState};
 use dillcleat_controller::{JobEvent, Micros, SECOND};
 use dillcleat_wire::store::Transaction;
@@ -14,94 +15,104 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 
-/// Changes and looks that may be under way at once.
-const AT_ONCE: usize = 8;
-/// Jobs of which what was told is kept until an object shows up that asks.
-const FACTS: usize = 4_096;
-/// How often every object is looked over, in case something was not heard.
-const SWEEP: Micros = 20 * SECOND;
-/// Objects that one turn of that looks at.
-const SWEEP_STEP: usize = 32;
-/// Objects that one turn decides on.
-const TURN: usize = 64;
-/// After a change that did not come about.
-const AGAIN: Micros = SECOND;
+/// The maximum spec_number of updates in flight, and of reads of job states.
+const MAX_IN_FLIGHT: usize = 8;
+/// The maximum spec_number of jobs whose events are kept. Events may arrive before the object
+/// of their job is in the watch cache.
+const MAX_OBSERVED_JOBS: usize = 4_096;
+/// How often all objects are checked for ended jobs, in case an event was missed.
+const RESYNC_INTERVAL: Micros = 20 * SECOND;
+/// The spec_number of objects that one pass of a resync checks.
+const RESYNC_BATCH_OBJECTS: usize = 32;
+/// The maximum spec_number of queued objects that one pass handles.
+const MAX_OBJECTS_PER_PASS: usize = 64;
+const RETRY_DELAY: Micros = SECOND;
 
-/// What is known of a job that an object stands for.
+/// The observed events of a native job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct ObservedJob {
     ended: Option<JobState>,
+    /// The failed attempts, as pairs of task and attempt.
     failed: BTreeSet<(u32, u64)>,
 }
 
-/// What an object wants.
+/// The update that an object needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Step {
+enum Action {
     Nothing,
-    /// Its job has ended: say so.
-    Tell(Ending),
-    /// Attempts have failed.
-    Count(Vec<(u32, u64)>),
-    /// It is to end: its job is cancelled.
-    Stop(Ending, Vec<(u32, u64)>),
-    /// It is over for as long as it was to be kept.
-    Expire,
+    /// Record the end of the job.
+    RecordEnd(EndReason),
+    /// Record the failed attempts.
+    RecordFailures(Vec<(u32, u64)>),
+    /// Cancel the job, and record its end and its failed attempts.
+    CancelJob(EndReason, Vec<(u32, u64)>),
+    /// Delete the object, whose `ttlSecondsAfterFinished` has passed.
+    Delete,
 }
 
-fn number(object: &Object, field: &str) -> Option<u64> {
+fn spec_number(object: &Object, field: &str) -> Option<u64> {
     object.record.spec[field].as_u64()
 }
 
-/// The time of day at which an object wants something by itself, in microseconds.
-fn due(object: &Object) -> Option<Micros> {
+/// The time of day, in microseconds, at which the object's active deadline or its time to
+/// live ends.
+fn next_deadline(object: &Object) -> Option<Micros> {
     let state = &object.record.state;
     let (since, field) = match state.end {
         Some(end) => (end.at, "ttlSecondsAfterFinished"),
         None => (state.started?, "activeDeadlineSeconds"),
     };
-    Some(since.saturating_add(number(object, field)?.saturating_mul(SECOND)))
+    Some(since.saturating_add(spec_number(object, field)?.saturating_mul(SECOND)))
 }
 
-fn decide(object: &Object, facts: Option<&Facts>, wall: Micros) -> Step {
+fn decide(object: &Object, observed: Option<&ObservedJob>, wall: Micros) -> Action {
     let state = &object.record.state;
-    let over = due(object).is_some_and(|at| wall >= at);
+    let deadline_passed = next_deadline(object).is_some_and(|at| wall >= at);
     if state.end.is_some() {
-        return if over { Step::Expire } else { Step::Nothing };
+        return match deadline_passed {
+            true => Action::Delete,
+            false => Action::Nothing,
+        };
     }
     if state.job.is_none() {
-        return Step::Nothing;
+        return Action::Nothing;
     }
-    match facts.and_then(|f| f.ended) {
-        Some(JobState::Done) => return Step::Tell(Ending::Complete),
-        Some(_) => return Step::Tell(Ending::Cancelled),
+    match observed.and_then(|o| o.ended) {
+        Some(JobState::Done) => return Action::RecordEnd(EndReason::Complete),
+        Some(_) => return Action::RecordEnd(EndReason::Cancelled),
         None => {}
     }
-    let told = facts.iter().flat_map(|f| &f.failed);
-    let new: Vec<(u32, u64)> = told
+    let observed_failures = observed.iter().flat_map(|o| &o.failed);
+    let new: Vec<(u32, u64)> = observed_failures
         .filter(|a| !state.failed.contains(a))
         .copied()
         .collect();
     let failed = [state.failed.as_slice(), &new].concat();
-    let limit = number(object, "backoffLimit").unwrap_or(u64::MAX);
+    let limit = spec_number(object, "backoffLimit").unwrap_or(u64::MAX);
     if failed.len() as u64 > limit {
-        Step::Stop(Ending::BackoffLimit, failed)
-    } else if over {
-        Step::Stop(Ending::Deadline, failed)
+        Action::CancelJob(EndReason::BackoffLimit, failed)
+    } else if deadline_passed {
+        Action::CancelJob(EndReason::Deadline, failed)
     } else if new.is_empty() {
-        Step::Nothing
+        Action::Nothing
     } else {
-        Step::Count(failed)
+        Action::RecordFailures(failed)
     }
 }
 
-/// Cancels the job of an object in the same transaction as something else.
-pub(crate) fn cancel(txn: Transaction, object: &Object, job: &str, wall: Micros) -> Transaction {
-    let mark = JobStateRecord {
+/// Adds the cancellation of an object's job to a transaction.
+pub(crate) fn add_cancellation(
+    txn: Transaction,
+    object: &Object,
+    job: &str,
+    wall: Micros,
+) -> Transaction {
+    let state = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: completions(object),
     };
     txn.compare(records::job_key(job), 0)
-        .put(records::job_key(job), &mark)
+        .put(records::job_key(job), &state)
         .put(
             records::cancelled_key(job),
             &CancelledJob {
@@ -110,35 +121,35 @@
         )
 }
 
-/// Deletes an object and keeps what its name needs.
-pub(crate) fn delete(txn: Transaction, object: &Object) -> Transaction {
-    let gone = Gone {
+/// Adds the deletion of an object to a transaction, and writes its tombstone.
+pub(crate) fn add_deletion(txn: Transaction, object: &Object) -> Transaction {
+    let tombstone = Tombstone {
         uid: object.record.uid.clone(),
         run: object.record.run,
         job: object.record.state.job.clone(),
     };
     txn.delete(object.name.key())
-        .put(object.name.deleted_key(), &gone)
+        .put(object.name.tombstone_key(), &tombstone)
 }
 
-impl Step {
-    /// The transaction that does it; None if there is nothing to do.
-    fn txn(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
+impl Action {
+    /// The transaction that carries out the action; None if there is nothing to do.
+    fn transaction(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
         let key = object.name.key();
         let mut txn = Transaction::default()
             .compare(records::TERM, fence)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
-            Step::Nothing => return None,
-            Step::Expire => return Some(delete(txn, object)),
-            Step::Tell(why) => state.end = Some(End { at: wall, why }),
-            Step::Count(failed) => state.failed = failed,
-            Step::Stop(why, failed) => {
+            Action::Nothing => return None,
+            Action::Delete => return Some(add_deletion(txn, object)),
+            Action::RecordEnd(reason) => state.end = Some(JobEnd { at: wall, reason }),
+            Action::RecordFailures(failed) => state.failed = failed,
+            Action::CancelJob(reason, failed) => {
                 state.failed = failed;
-                state.end = Some(End { at: wall, why });
+                state.end = Some(JobEnd { at: wall, reason });
                 let job = state.job.as_deref().unwrap_or_default();
-                txn = cancel(txn, object, job, wall);
+                txn = add_cancellation(txn, object, job, wall);
             }
         }
         let record = Record {
@@ -149,198 +160,225 @@
     }
 }
 
-/// A call that the keeper wants made.
+/// A store request of the reconciler.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Wish {
-    Change(Name, Transaction),
-    /// Read whether this job has ended.
-    Look(String),
+pub enum ReconcilerCall {
+    /// Update an object.
+    Update(Name, Transaction),
+    /// Read the state of a job, to find out whether it has ended.
+    ReadJobState(String),
 }
 
 #[derive(Debug, Default)]
 pub struct Reconciler {
     term: u64,
-    dirty: BTreeSet<Name>,
-    due: BinaryHeap<Reverse<(Micros, Name)>>,
-    facts: HashMap<String, Facts>,
-    told: VecDeque<String>,
-    /// Objects whose change is under way, or is not yet seen.
-    busy: HashSet<Name>,
-    /// Looks under way.
-    looks: HashSet<String>,
-    /// After which object the sweep goes on; None between two.
-    swept: Option<Name>,
-    sweeping: bool,
-    sweep_at: Micros,
+    /// Objects that may need an update.
+    queue: BTreeSet<Name>,
+    /// The times of day at which objects are put into the queue.
+    timers: BinaryHeap<Reverse<(Micros, Name)>>,
+    observed_jobs: HashMap<String, ObservedJob>,
+    /// The jobs in `observed_jobs`, oldest first.
+    observed_order: VecDeque<String>,
+    /// Objects whose update is in flight or not yet in the watch cache.
+    updating: HashSet<Name>,
+    /// Jobs whose state is being read.
+    reading: HashSet<String>,
+    /// The last object that the current resync has checked.
+    resync_position: Option<Name>,
+    resyncing: bool,
+    next_resync: Micros,
 }
 
 impl Reconciler {
-    /// An object has changed.
-    pub fn turned(&mut self, turn: &Turn) {
-        let Some(object) = turn.new.as_deref() else {
-            if let Some(old) = &turn.old {
-                self.busy.remove(&old.name);
+    /// Handles a change in the watch cache.
+    pub fn handle_change(&mut self, change: &ObjectChange) {
+        let Some(object) = change.new.as_deref() else {
+            if let Some(old) = &change.old {
+                self.updating.remove(&old.name);
                 if let Some(job) = &old.record.state.job {
-                    self.facts.remove(job);
+                    self.observed_jobs.remove(job);
                 }
             }
             return;
         };
-        self.busy.remove(&object.name);
-        self.wants(object);
+        self.updating.remove(&object.name);
+        self.enqueue(object);
     }
 
-    fn wants(&mut self, object: &Object) {
-        self.dirty.insert(object.name.clone());
-        if let Some(at) = due(object) {
-            self.due.push(Reverse((at, object.name.clone())));
+    /// Queues an object for the next pass, and again for its next deadline.
+    fn enqueue(&mut self, object: &Object) {
+        self.queue.insert(object.name.clone());
+        if let Some(at) = next_deadline(object) {
+            self.timers.push(Reverse((at, object.name.clone())));
         }
     }
 
-    /// The leader of this process has learned something.
-    pub fn told(&mut self, told: JobEvent, cache: &Cache) {
-        match told {
+    /// Handles an event that this process observed as the leader.
+    pub fn handle_job_event(&mut self, event: JobEvent, cache: &WatchCache) {
+        match event {
             JobEvent::Ended { job, state } => {
-                self.fact(&job, cache).ended = Some(state);
+                self.observed_job(&job, cache).ended = Some(state);
             }
             JobEvent::Failed { job, task, attempt } => {
-                self.fact(&job, cache).failed.insert((task, attempt));
+                self.observed_job(&job, cache)
+                    .failed
+                    .insert((task, attempt));
             }
         }
     }
 
-    fn fact(&mut self, job: &str, cache: &Cache) -> &mut Facts {
-        if let Some(object) = cache.of_job(job) {
-            self.dirty.insert(object.name.clone());
+    /// The observed events of a job, to add another one. Queues the job's object.
+    fn observed_job(&mut self, job: &str, cache: &WatchCache) -> &mut ObservedJob {
+        if let Some(object) = cache.by_job(job) {
+            self.queue.insert(object.name.clone());
         }
-        if !self.facts.contains_key(job) {
-            // Of most jobs, which have no object, nobody ever asks.
-            self.told.push_back(job.to_string());
-            if self.told.len() > FACTS
-                && let Some(oldest) = self.told.pop_front()
+        if !self.observed_jobs.contains_key(job) {
+            // Most jobs have no object, so their events are dropped without any use.
+            self.observed_order.push_back(job.to_string());
+            if self.observed_order.len() > MAX_OBSERVED_JOBS
+                && let Some(oldest) = self.observed_order.pop_front()
             {
-                self.facts.remove(&oldest);
+                self.observed_jobs.remove(&oldest);
             }
         }
-        self.facts.entry(job.to_string()).or_default()
+        self.observed_jobs.entry(job.to_string()).or_default()
     }
 
-    /// A change came about, and will be seen; or it did not, and is tried again unless
-    /// it is not wanted any more.
-    pub fn changed(&mut self, name: &Name, committed: bool, wall: Micros) {
+    /// Handles the result of an update. A committed update arrives in the watch cache;
+    /// after a failed one the object is queued again.
+    pub fn handle_update_result(&mut self, name: &Name, committed: bool, wall: Micros) {
         if !committed {
-            self.busy.remove(name);
-            self.due.push(Reverse((wall + AGAIN, name.clone())));
+            self.updating.remove(name);
+            self.timers
+                .push(Reverse((wall + RETRY_DELAY, name.clone())));
         }
     }
 
-    /// A look has shown how a job ended, or that it has not.
-    pub fn looked(&mut self, job: &str, ended: Option<JobState>, cache: &Cache) {
-        self.looks.remove(job);
+    /// Handles the result of reading a job's state; `ended` is None if it has not ended.
+    pub fn handle_job_state(&mut self, job: &str, ended: Option<JobState>, cache: &WatchCache) {
+        self.reading.remove(job);
         if ended.is_some() {
-            self.fact(job, cache).ended = ended;
+            self.observed_job(job, cache).ended = ended;
         }
     }
 
-    fn sweep(&mut self, cache: &Cache, holds: impl Fn(&str) -> bool, now: Micros) -> Vec<String> {
-        if !self.sweeping {
-            if now < self.sweep_at {
+    /// Checks the next batch of objects if a resync is due or in progress. Returns the
+    /// jobs that the objects regard as running although the leader does not.
+    fn resync(
+        &mut self,
+        cache: &WatchCache,
+        is_open: impl Fn(&str) -> bool,
+        now: Micros,
+    ) -> Vec<String> {
+        if !self.resyncing {
+            if now < self.next_resync {
                 return Vec::new();
             }
-            self.sweeping = true;
-            self.swept = None;
+            self.resyncing = true;
+            self.resync_position = None;
         }
-        let mut looks = Vec::new();
-        let mut seen = 0;
-        let after = self.swept.clone();
-        let all = crate::record::Kind::ALL.into_iter();
-        for object in all.flat_map(|k| cache.all(k, None, after.as_ref())) {
-            seen += 1;
+        let mut jobs = Vec::new();
+        let mut checked = 0;
+        let after = self.resync_position.clone();
+        let kinds = crate::record::Kind::ALL.into_iter();
+        for object in kinds.flat_map(|k| cache.objects(k, None, after.as_ref())) {
+            checked += 1;
             let state = &object.record.state;
             if let Some(job) = state
                 .job
                 .as_ref()
-                .filter(|j| state.end.is_none() && !holds(j))
+                .filter(|j| state.end.is_none() && !is_open(j))
             {
-                looks.push(job.clone());
+                jobs.push(job.clone());
             }
-            self.swept = Some(object.name.clone());
-            if seen == SWEEP_STEP {
-                return looks;
+            self.resync_position = Some(object.name.clone());
+            if checked == RESYNC_BATCH_OBJECTS {
+                return jobs;
             }
         }
-        self.sweeping = false;
-        self.sweep_at = now + SWEEP;
-        looks
+        self.resyncing = false;
+        self.next_resync = now + RESYNC_INTERVAL;
+        jobs
     }
 
-    /// What is to be done now, by the leader of `term` whose record has version
-    /// `fence`. `fits`: whether a job is open at it.
-    pub fn turn(
+    /// Runs one pass and returns the requests to make, for the leader of `term` whose
+    /// fencing token is `fence`. `is_open` tells whether the leader has a job as open.
+    pub fn reconcile(
         &mut self,
         (term, fence): (u64, u64),
-        cache: &Cache,
-        holds: impl Fn(&str) -> bool,
+        cache: &WatchCache,
+        is_open: impl Fn(&str) -> bool,
         (now, wall): (Micros, Micros),
-    ) -> Vec<Wish> {
+    ) -> Vec<ReconcilerCall> {
+        // Events are kept from the previous term: they remain valid.
         if self.term != term {
             *self = Reconciler {
                 term,
-                facts: std::mem::take(&mut self.facts),
-                told: std::mem::take(&mut self.told),
+                observed_jobs: std::mem::take(&mut self.observed_jobs),
+                observed_order: std::mem::take(&mut self.observed_order),
                 ..Reconciler::default()
             };
             for kind in crate::record::Kind::ALL {
-                for object in cache.all(kind, None, None) {
-                    self.wants(object);
+                for object in cache.objects(kind, None, None) {
+                    self.enqueue(object);
                 }
             }
-            log::info!("keeps {} objects in term {term}", cache.len());
+            log::info!("reconciling objects term={term} objects={}", cache.len());
         }
-        while self.due.peek().is_some_and(|Reverse((at, _))| wall >= *at) {
-            if let Some(Reverse((_, name))) = self.due.pop() {
-                self.dirty.insert(name);
+        while self
+            .timers
+            .peek()
+            .is_some_and(|Reverse((at, _))| wall >= *at)
+        {
+            if let Some(Reverse((_, name))) = self.timers.pop() {
+                self.queue.insert(name);
             }
         }
-        let mut wishes = Vec::new();
-        if self.looks.len() < AT_ONCE {
-            for job in self.sweep(cache, holds, now) {
-                if self.looks.insert(job.clone()) {
-                    wishes.push(Wish::Look(job));
+        let mut calls = Vec::new();
+        if self.reading.len() < MAX_IN_FLIGHT {
+            for job in self.resync(cache, is_open, now) {
+                if self.reading.insert(job.clone()) {
+                    calls.push(ReconcilerCall::ReadJobState(job));
                 }
             }
         }
-        let names: Vec<Name> = self.dirty.iter().take(TURN).cloned().collect();
+        let names: Vec<Name> = self
+            .queue
+            .iter()
+            .take(MAX_OBJECTS_PER_PASS)
+            .cloned()
+            .collect();
         for name in names {
-            if self.busy.len() >= AT_ONCE {
+            if self.updating.len() >= MAX_IN_FLIGHT {
                 break;
             }
-            self.dirty.remove(&name);
+            self.queue.remove(&name);
             if let Some(object) = cache.get(&name)
-                && !self.busy.contains(&name)
+                && !self.updating.contains(&name)
             {
                 let job = object.record.state.job.as_ref();
-                let facts = job.and_then(|job| self.facts.get(job));
-                if let Some(txn) = decide(object, facts, wall).txn(object, fence, wall) {
-                    self.busy.insert(name.clone());
-                    wishes.push(Wish::Change(name, txn));
+                let observed = job.and_then(|job| self.observed_jobs.get(job));
+                let action = decide(object, observed, wall);
+                if let Some(txn) = action.transaction(object, fence, wall) {
+                    self.updating.insert(name.clone());
+                    calls.push(ReconcilerCall::Update(name, txn));
                 }
             }
         }
-        wishes
+        calls
     }
 
-    /// A wish that was not granted.
-    pub fn put_off(&mut self, wish: Wish) {
-        match wish {
-            Wish::Change(name, _) => {
-                self.busy.remove(&name);
-                self.dirty.insert(name);
+    /// Takes back a request for which there is no budget now.
+    pub fn postpone(&mut self, call: ReconcilerCall) {
+        match call {
+            ReconcilerCall::Update(name, _) => {
+                self.updating.remove(&name);
+                self.queue.insert(name);
             }
-            Wish::Look(job) => {
-                self.looks.remove(&job);
-                // The next sweep comes upon it again.
-                self.sweep_at = 0;
+            ReconcilerCall::ReadJobState(job) => {
+                self.reading.remove(&job);
+                // The next resync returns the job again.
+                self.next_resync = 0;
             }
         }
     }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -1,7 +1,7 @@
-//! What is kept of an object in the store.
+//! The records of objects in the store.
 //!
-//! - `k/o/RESOURCE/NAMESPACE/NAME`: an object, as long as there is one;
-//! - `k/d/RESOURCE/NAMESPACE/NAME`: that there was one of this name, and its run.
+//! - `k/o/RESOURCE/NAMESPACE/NAME`: an existing object ([`Record`]);
+//! - `k/d/RESOURCE/NAMESPACE/NAME`: the last deleted object of this name ([`Tombstone`]).
 
 use dillcleat_controller::Micros;
 use dillcleat_wire::store::{self, Value as StateValue};
@@ -10,10 +10,11 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// The key prefix of objects.
 pub const OBJECTS: &str = "k/o/";
-const DELETED: &str = "k/d/";
+const TOMBSTONE_PREFIX: &str = "k/d/";
 
-/// The kinds that are kept.
+/// The kinds of objects that are stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     Job,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Which object. Ordered as its key in the store is.
+/// Identifies an object. Names are ordered like their keys in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name {
     pub kind: Kind,
@@ -65,9 +66,9 @@
         format!("{OBJECTS}{self}")
     }
 
-    /// Of the record that an object leaves when it is deleted.
-    pub fn deleted_key(&self) -> String {
-        format!("{DELETED}{self}")
+    /// The key of the [`Tombstone`] that is written when an object is deleted.
+    pub fn tombstone_key(&self) -> String {
+        format!("{TOMBSTONE_PREFIX}{self}")
     }
 
     pub fn parse(key: &str) -> Option<Name> {
@@ -80,9 +81,9 @@
     }
 }
 
-/// Why a job is over.
+/// Why the Job of an object has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum EndReason {
     #[serde(rename = "c")]
     Complete,
     /// More attempts failed than `backoffLimit`.
@@ -91,45 +92,45 @@
     /// `activeDeadlineSeconds` have passed.
     #[serde(rename = "d")]
     Deadline,
-    /// It was cancelled as the job that it stands for.
+    /// The native job was cancelled through the native API.
     #[serde(rename = "x")]
     Cancelled,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct JobEnd {
     /// Time of day, in microseconds.
     #[serde(rename = "at")]
     pub at: Micros,
     #[serde(rename = "why")]
-    pub why: Ending,
+    pub reason: EndReason,
 }
 
-/// What stays of a kept object besides what its clients wrote.
+/// The part of an object's record that the controllers write, unlike its clients' part.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct JobState {
-    /// The reference of the job that it stands for; none while it is suspended.
+    /// The id of the native job that runs this object; None while the object is suspended.
     #[serde(rename = "j")]
     pub job: Option<String>,
     /// Time of day of the job's submission, in microseconds.
     #[serde(rename = "s")]
     pub started: Option<Micros>,
-    /// Attempts that ended with an error: task and attempt. Attempts are kept, not
-    /// a number, so that one that a second leader hears of counts once.
+    /// The failed attempts, as pairs of task and attempt. They are stored one by one so
+    /// that an attempt that two leaders observe counts once.
     #[serde(rename = "f")]
     pub failed: Vec<(u32, u64)>,
     #[serde(rename = "e")]
-    pub end: Option<End>,
+    pub end: Option<JobEnd>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     #[serde(rename = "uid")]
     pub uid: String,
-    /// Which object of its name it is, from 1 on.
+    /// Counts the objects that have had this name, from 1.
     #[serde(rename = "run")]
     pub run: u32,
-    /// Time of day of its creation, in microseconds.
+    /// Time of day of the object's creation, in microseconds.
     #[serde(rename = "at")]
     pub created: Micros,
     #[serde(rename = "gen")]
@@ -138,7 +139,7 @@
     pub labels: BTreeMap<String, String>,
     #[serde(rename = "notes")]
     pub annotations: BTreeMap<String, String>,
-    /// As the client wrote it, with the defaults filled in.
+    /// The spec that the client wrote, with defaults filled in.
     #[serde(rename = "spec")]
     pub spec: Value,
     #[serde(rename = "st")]
@@ -146,19 +147,19 @@
 }
 
 impl Record {
-    /// Its size in the store, in bytes of the JSON form.
-    pub fn size(&self) -> usize {
+    /// The size of the record in the store, in bytes of its JSON encoding.
+    pub fn stored_size(&self) -> usize {
         store::json_size(&store::encode_value(self))
     }
 
-    pub fn read(value: &StateValue) -> Option<Record> {
+    pub fn decode(value: &StateValue) -> Option<Record> {
         store::decode_value(value)
     }
 }
 
-/// What stays of a name whose object is deleted: the next run's number follows.
+/// The record of a deleted object. It gives the next object of this name its `run` number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gone {
+pub struct Tombstone {
     #[serde(rename = "uid")]
     pub uid: String,
     #[serde(rename = "run")]
@@ -167,7 +168,7 @@
     pub job: Option<String>,
 }
 
-/// An object with the version of its record.
+/// An object with its name and the version of its record in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Object {
     pub name: Name,
--- a/crates/kube/src/selector.rs
+++ b/crates/kube/src/selector.rs
@@ -9,28 +9,28 @@
 #[grammar = "select.pest"]
 struct Grammar;
 
-/// Why a selector is none: it names the column.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SelectorError {
+    /// The column of the error, and the text of the selector.
     #[error("not a selector, at column {0}: {1:?}")]
     Syntax(usize, String),
     #[error("no selection by the field {0:?}")]
-    Field(String),
+    UnknownField(String),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Test {
+enum Operator {
     Present,
     Absent,
     In(Vec<String>),
     NotIn(Vec<String>),
 }
 
-/// What an object must be like, by labels or by fields. The empty one takes any.
+/// Requirements on the labels or fields of objects. The empty selector matches every object.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Selector(Vec<(String, Test)>);
+pub struct Selector(Vec<(String, Operator)>);
 
-fn syntax(text: &str, e: &pest::error::Error<Rule>) -> SelectorError {
+fn syntax_error(text: &str, e: &pest::error::Error<Rule>) -> SelectorError {
     let column = match e.line_col {
         pest::error::LineColLocation::Pos((_, column))
         | pest::error::LineColLocation::Span((_, column), _) => column,
@@ -38,30 +38,30 @@
     SelectorError::Syntax(column, text.to_string())
 }
 
-fn requirement(pair: Pair<Rule>) -> Option<(String, Test)> {
+fn requirement(pair: Pair<Rule>) -> Option<(String, Operator)> {
     let rule = pair.as_rule();
     let mut parts = pair.into_inner().map(|p| p.as_str().to_string());
     let key = parts.next()?;
-    let test = match rule {
-        Rule::absent => Test::Absent,
-        Rule::present => Test::Present,
+    let operator = match rule {
+        Rule::absent => Operator::Absent,
+        Rule::present => Operator::Present,
         _ => {
             let negative = matches!(parts.next()?.as_str(), "!=" | "notin");
             let values = parts.collect();
             if negative {
-                Test::NotIn(values)
+                Operator::NotIn(values)
             } else {
-                Test::In(values)
+                Operator::In(values)
             }
         }
     };
-    Some((key, test))
+    Some((key, operator))
 }
 
 fn parse(rule: Rule, text: &str) -> Result<Selector, SelectorError> {
-    let pairs = Grammar::parse(rule, text).map_err(|e| syntax(text, &e))?;
-    let all = pairs.flat_map(Pair::into_inner);
-    let terms = all.filter(|p| p.as_rule() != Rule::EOI);
+    let pairs = Grammar::parse(rule, text).map_err(|e| syntax_error(text, &e))?;
+    let inner = pairs.flat_map(Pair::into_inner);
+    let terms = inner.filter(|p| p.as_rule() != Rule::EOI);
     Ok(Selector(terms.filter_map(requirement).collect()))
 }
 
@@ -70,7 +70,7 @@
         parse(Rule::labels, text)
     }
 
-    /// By fields, of which only those in `known` may be named.
+    /// Parses a field selector, which may only use the fields in `known`.
     pub fn fields(text: &str, known: &[&str]) -> Result<Selector, SelectorError> {
         let selector = parse(Rule::fields, text)?;
         match selector
@@ -78,30 +78,31 @@
             .iter()
             .find(|(k, _)| !known.contains(&k.as_str()))
         {
-            Some((key, _)) => Err(SelectorError::Field(key.clone())),
+            Some((key, _)) => Err(SelectorError::UnknownField(key.clone())),
             None => Ok(selector),
         }
     }
 
-    fn holds(&self, value: impl Fn(&str) -> Option<String>) -> bool {
-        self.0.iter().all(|(key, test)| {
+    /// Whether `value`, which looks up the value of a key, meets all requirements.
+    fn matches(&self, value: impl Fn(&str) -> Option<String>) -> bool {
+        self.0.iter().all(|(key, operator)| {
             let value = value(key);
-            match test {
-                Test::Present => value.is_some(),
-                Test::Absent => value.is_none(),
-                Test::In(all) => value.is_some_and(|v| all.contains(&v)),
-                // What has no such label is not in any set either.
-                Test::NotIn(all) => value.is_none_or(|v| !all.contains(&v)),
+            match operator {
+                Operator::Present => value.is_some(),
+                Operator::Absent => value.is_none(),
+                Operator::In(set) => value.is_some_and(|v| set.contains(&v)),
+                // An object without the label matches, as in Kubernetes.
+                Operator::NotIn(set) => value.is_none_or(|v| !set.contains(&v)),
             }
         })
     }
 
-    pub fn takes_labels(&self, labels: &BTreeMap<String, String>) -> bool {
-        self.holds(|key| labels.get(key).cloned())
+    pub fn matches_labels(&self, labels: &BTreeMap<String, String>) -> bool {
+        self.matches(|key| labels.get(key).cloned())
     }
 
-    pub fn takes_fields(&self, field: impl Fn(&str) -> String) -> bool {
-        self.holds(|key| Some(field(key)))
+    pub fn matches_fields(&self, field: impl Fn(&str) -> String) -> bool {
+        self.matches(|key| Some(field(key)))
     }
 }
 
@@ -109,15 +110,15 @@
 mod tests {
     use super::*;
 
-    fn takes(selector: &str, labels: &[(&str, &str)]) -> bool {
+    fn label_selector_matches(selector: &str, labels: &[(&str, &str)]) -> bool {
         let labels = labels.iter().map(|(k, v)| (k.to_string(), v.to_string()));
         let selector = Selector::labels(selector).expect(selector);
-        selector.takes_labels(&labels.collect())
+        selector.matches_labels(&labels.collect())
     }
 
     #[test]
-    fn labels_are_selected() {
-        let of = [("app", "merge"), ("shop", "a.b"), ("inside", "x")];
+    fn label_selectors_match_by_operator() {
+        let labels = [("app", "merge"), ("shop", "a.b"), ("inside", "x")];
         for (selector, wanted) in [
             ("", true),
             ("app=merge", true),
@@ -135,12 +136,16 @@
             ("inside", true),
             ("team/app=merge", false),
         ] {
-            assert_eq!(takes(selector, &of), wanted, "{selector:?}");
+            assert_eq!(
+                label_selector_matches(selector, &labels),
+                wanted,
+                "{selector:?}"
+            );
         }
     }
 
     #[test]
-    fn what_is_wrong_is_pointed_at() {
+    fn selector_errors_give_the_column_or_the_field() {
         for (selector, column) in [
             ("app=merge,,x", 11),
             ("app in merge", 5),
@@ -156,7 +161,7 @@
         assert!(Selector::fields("metadata.name=x", &known).is_ok());
         assert_eq!(
             Selector::fields("spec.x=1", &known),
-            Err(SelectorError::Field("spec.x".into()))
+            Err(SelectorError::UnknownField("spec.x".into()))
         );
     }
 }
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -1,38 +1,38 @@
-//! What operators set for this API server, and who may use it.
+//! The operators' settings of the API server, and the authentication of its clients.
 
-use crate::names::{SigningKey, unhex};
+use crate::names::{SigningKey, decode_hex};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The table `[kube]` of the operators' settings.
+/// The table `[kube]` of the operators' settings file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens, IP:PORT. Without `tls` only a loopback address is taken.
+    /// The address to listen on, IP:PORT. It must be a loopback address unless `tls` is set.
     #[serde(rename = "listen")]
     pub listen: SocketAddr,
-    /// Certificate and key, as PEM files. Read again when they change.
+    /// The certificate and key files, in PEM format. They are reloaded when they change.
     #[serde(rename = "tls", default)]
     pub tls: Option<Tls>,
-    /// A file of at least 64 hexadecimal digits, the same at every controller. Names
-    /// of jobs and the kept form of tokens follow from it: it does not change.
+    /// A file of at least 64 hexadecimal digits, the same at every controller. Job ids and
+    /// the MACs of tokens are derived from this key, so it must never change.
     #[serde(rename = "key_file")]
     pub key_file: PathBuf,
-    /// The class of jobs that name none.
+    /// The class of Jobs without the annotation `dillcleat/class`.
     #[serde(rename = "class", default)]
     pub class: Option<String>,
-    /// Classes in which a name may be used again after its object was deleted.
+    /// Classes of Jobs whose name allows be used again after the object was deleted.
     #[serde(rename = "repeats", default)]
     pub repeats: Vec<String>,
-    /// How clients call accelerators among the resources.
+    /// The resource name of accelerators in requests and limits.
     #[serde(rename = "accelerator", default = "accelerator")]
     pub accelerator: String,
-    /// The most objects. Every controller holds all of them.
+    /// The maximum number of objects. Every controller has all of them in memory.
     #[serde(rename = "max_objects", default = "max_objects")]
     pub max_objects: usize,
-    /// The most clients that may watch at one controller.
+    /// The maximum number of open watches at one controller.
     #[serde(rename = "max_watches", default = "max_watches")]
     pub max_watches: usize,
     #[serde(rename = "tokens", default)]
@@ -60,25 +60,26 @@
     pub key: PathBuf,
 }
 
-/// Whom a token admits, and to what. The token itself is kept nowhere.
+/// The permissions of a bearer token. The token itself is not stored.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// Whom it was given to, for the log.
+    /// The holder's name, for the log.
     #[serde(rename = "name")]
     pub name: String,
-    /// Its MAC under the operators' key, in hexadecimal digits.
+    /// The MAC of the token under the operators' key, in hexadecimal digits.
     #[serde(rename = "mac")]
     pub mac: String,
-    /// Namespaces, or `*`.
+    /// The namespaces that the token allows access, or `*`.
     #[serde(rename = "namespaces")]
     pub namespaces: Vec<String>,
-    /// Of `get`, `list`, `watch`, `create`, `update`, `patch` and `delete`, or `*`.
+    /// The verbs that the token allows: `get`, `list`, `watch`, `create`, `update`, `patch`
+    /// and `delete`, or `*`.
     #[serde(rename = "verbs")]
     pub verbs: Vec<String>,
 }
 
-/// What is asked for, as a token's verbs call it.
+/// The verb of a request, as in Kubernetes authorization rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verb {
     Get,
@@ -101,8 +102,8 @@
         Verb::Delete,
     ];
 
-    /// Whether a token's entry may name this: a verb, or `*` for all.
-    pub fn is_entry(text: &str) -> bool {
+    /// Whether `text` is valid among the verbs of a token: a verb, or `*` for all.
+    pub fn is_verb_or_wildcard(text: &str) -> bool {
         text == "*" || Verb::ALL.iter().any(|verb| verb.name() == text)
     }
 
@@ -120,12 +121,12 @@
 }
 
 impl Token {
-    pub fn sees(&self, namespace: &str) -> bool {
+    pub fn may_access(&self, namespace: &str) -> bool {
         let all = self.namespaces.iter();
         all.into_iter().any(|n| n == "*" || n == namespace)
     }
 
-    pub fn may(&self, verb: Verb) -> bool {
+    pub fn allows(&self, verb: Verb) -> bool {
         self.verbs.iter().any(|v| v == "*" || v == verb.name())
     }
 }
@@ -133,67 +134,68 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     #[error("kube: {0}")]
-    Form(String),
+    Syntax(String),
     #[error("kube.listen: {0} is not a loopback address, so kube.tls is needed")]
-    Plain(SocketAddr),
+    TlsRequired(SocketAddr),
     #[error("kube.tokens.{0}.mac: not 64 hexadecimal digits")]
-    Mac(String),
+    InvalidMac(String),
     #[error("kube.tokens.{0}.verbs: no verb {1:?}")]
-    Verb(String, String),
+    UnknownVerb(String, String),
     #[error("kube.{0}: must be from {1} to {2}, is {3}")]
-    Range(&'static str, usize, usize, usize),
+    OutOfRange(&'static str, usize, usize, usize),
 }
 
 impl Settings {
     pub fn read(table: toml::Value) -> Result<Settings, SettingsError> {
         let settings: Settings = table.try_into().map_err(|e: toml::de::Error| {
-            SettingsError::Form(dillcleat_wire::settings::one_line(&e.to_string()))
+            SettingsError::Syntax(dillcleat_wire::settings::one_line(&e.to_string()))
         })?;
         if settings.tls.is_none() && !settings.listen.ip().is_loopback() {
-            return Err(SettingsError::Plain(settings.listen));
+            return Err(SettingsError::TlsRequired(settings.listen));
         }
-        for (name, value, most) in [
+        for (name, value, max) in [
             ("max_objects", settings.max_objects, 1_000_000),
             ("max_watches", settings.max_watches, 100_000),
         ] {
-            if !(1..=most).contains(&value) {
-                return Err(SettingsError::Range(name, 1, most, value));
+            if !(1..=max).contains(&value) {
+                return Err(SettingsError::OutOfRange(name, 1, max, value));
             }
         }
         for token in &settings.tokens {
-            if unhex(&token.mac).is_none_or(|m| m.len() != 32) {
-                return Err(SettingsError::Mac(token.name.clone()));
+            if decode_hex(&token.mac).is_none_or(|m| m.len() != 32) {
+                return Err(SettingsError::InvalidMac(token.name.clone()));
             }
-            if let Some(verb) = token.verbs.iter().find(|v| !Verb::is_entry(v)) {
-                return Err(SettingsError::Verb(token.name.clone(), verb.clone()));
+            if let Some(verb) = token.verbs.iter().find(|v| !Verb::is_verb_or_wildcard(v)) {
+                return Err(SettingsError::UnknownVerb(token.name.clone(), verb.clone()));
             }
         }
         Ok(settings)
     }
 }
 
-/// The settings with the key that they name.
+/// The settings together with the key that `key_file` contains.
 #[derive(Debug, Clone)]
 pub struct Rules {
     pub settings: Settings,
     pub key: SigningKey,
-    /// Tokens with their MACs.
+    /// Tokens with their decoded MACs.
     tokens: Vec<(Vec<u8>, Rc<Token>)>,
 }
 
 impl Rules {
     pub fn new(settings: Settings, key: SigningKey) -> Rules {
         let tokens = settings.tokens.iter();
-        let read = |t: &Token| (unhex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
+        let decode = |t: &Token| (decode_hex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
         Rules {
-            tokens: tokens.map(read).collect(),
+            tokens: tokens.map(decode).collect(),
             settings,
             key,
         }
     }
 
-    /// The token that this is. Looks at every one, so that the time tells nothing.
-    pub fn token(&self, secret: &str) -> Option<Rc<Token>> {
+    /// The permissions of a bearer token; None if it is unknown. Every known token is
+    /// compared, so that the time taken does not reveal which one matched.
+    pub fn authenticate(&self, secret: &str) -> Option<Rc<Token>> {
         let mut found = None;
         for (mac, token) in &self.tokens {
             if self.key.is_token(secret, mac) {
@@ -203,7 +205,8 @@
         found
     }
 
-    pub fn repeats(&self, class: &str) -> bool {
+    /// Whether a name may be used again after its object was deleted.
+    pub fn allows_name_reuse(&self, class: &str) -> bool {
         self.settings.repeats.iter().any(|c| c == class)
     }
 }
@@ -218,7 +221,7 @@
     }
 
     #[test]
-    fn settings_are_checked() {
+    fn invalid_settings_are_rejected_with_the_key_in_the_error() {
         let good = "listen = \"127.0.0.1:6443\"\nkey_file = \"k\"\n";
         assert_eq!(read(good).map(|s| s.max_objects), Ok(5_000));
         let refused = |more: &str, what: &str| {
@@ -238,6 +241,6 @@
             "no verb \"erase\"",
         );
         let open = "listen = \"10.0.0.1:6443\"\nkey_file = \"k\"\n";
-        assert!(matches!(read(open), Err(SettingsError::Plain(_))));
+        assert!(matches!(read(open), Err(SettingsError::TlsRequired(_))));
     }
 }
--- a/crates/kube/src/status_error.rs
+++ b/crates/kube/src/status_error.rs
@@ -1,42 +1,43 @@
-//! What a client is told when its request is not carried out.
+//! Errors that clients receive, as Kubernetes `Status` objects.
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{Status, StatusCause, StatusDetails};
 
-/// Why a field is not taken, by the names of Kubernetes.
+/// Why a field is rejected; each has a reason in a Kubernetes `StatusCause`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StatusReason {
+pub enum CauseReason {
     Required,
     Invalid,
-    /// A value, or a field, that is right there but not served here.
+    /// A field or a value that is valid in Kubernetes but not supported here.
     NotSupported,
     Forbidden,
 }
 
-impl StatusReason {
-    fn reason(self) -> &'static str {
+impl CauseReason {
+    fn name(self) -> &'static str {
         match self {
-            StatusReason::Required => "FieldValueRequired",
-            StatusReason::Invalid => "FieldValueInvalid",
-            StatusReason::NotSupported => "FieldValueNotSupported",
-            StatusReason::Forbidden => "FieldValueForbidden",
+            CauseReason::Required => "FieldValueRequired",
+            CauseReason::Invalid => "FieldValueInvalid",
+            CauseReason::NotSupported => "FieldValueNotSupported",
+            CauseReason::Forbidden => "FieldValueForbidden",
         }
     }
 }
 
-/// What is wrong with one field.
+/// The error in one field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cause {
-    pub path: String,
-    pub why: StatusReason,
-    pub what: String,
+    /// The path of the field.
+    pub field: String,
+    pub reason: CauseReason,
+    pub message: String,
 }
 
 impl Cause {
-    pub fn new(path: impl Into<String>, why: StatusReason, what: impl Into<String>) -> Cause {
+    pub fn new(field: impl Into<String>, reason: CauseReason, message: impl Into<String>) -> Cause {
         Cause {
-            path: path.into(),
-            why,
-            what: what.into(),
+            field: field.into(),
+            reason,
+            message: message.into(),
         }
     }
 }
@@ -57,81 +58,87 @@
         name: String,
     },
     #[error("the method is not served here")]
-    NotAllowed,
-    #[error("{resource} {name:?} already exists{more}")]
-    Exists {
+    MethodNotAllowed,
+    #[error("{resource} {name:?} already exists{detail}")]
+    AlreadyExists {
         resource: &'static str,
         name: String,
-        /// What else there is to say of it, beginning with a colon.
-        more: String,
+        /// Empty, or a colon and an explanation.
+        detail: String,
     },
-    #[error("{resource} {name:?}: {why}")]
+    #[error("{resource} {name:?}: {message}")]
     Conflict {
         resource: &'static str,
         name: String,
-        why: String,
+        message: String,
     },
     #[error("{0}")]
     Expired(String),
     #[error("the body is larger than {0} bytes")]
-    TooLarge(usize),
+    BodyTooLarge(usize),
     #[error("{0}")]
-    MediaType(String),
-    #[error("{kind} {name:?} is invalid: {}", list(causes))]
+    UnsupportedMediaType(String),
+    #[error("{kind} {name:?} is invalid: {}", join_causes(causes))]
     Invalid {
         kind: &'static str,
         name: String,
         causes: Vec<Cause>,
     },
     #[error("too many requests")]
-    TooMany,
+    TooManyRequests,
     #[error("{0}")]
     Unavailable(&'static str),
 }
 
-fn list(causes: &[Cause]) -> String {
-    let each = causes.iter().map(|c| format!("{}: {}", c.path, c.what));
+fn join_causes(causes: &[Cause]) -> String {
+    let each = causes.iter().map(|c| format!("{}: {}", c.field, c.message));
     each.collect::<Vec<_>>().join("; ")
 }
 
 impl StatusError {
-    /// Status code and reason.
+    /// The HTTP status code and the `reason` of the `Status` object.
     pub fn code(&self) -> (u16, &'static str) {
         match self {
             StatusError::BadRequest(_) => (400, "BadRequest"),
             StatusError::Unauthorized => (401, "Unauthorized"),
             StatusError::Forbidden(_) => (403, "Forbidden"),
             StatusError::NoSuchPath | StatusError::NotFound { .. } => (404, "NotFound"),
-            StatusError::NotAllowed => (405, "MethodNotAllowed"),
-            StatusError::Exists { .. } => (409, "AlreadyExists"),
+            StatusError::MethodNotAllowed => (405, "MethodNotAllowed"),
+            StatusError::AlreadyExists { .. } => (409, "AlreadyExists"),
             StatusError::Conflict { .. } => (409, "Conflict"),
             StatusError::Expired(_) => (410, "Expired"),
-            StatusError::TooLarge(_) => (413, "RequestEntityTooLarge"),
-            StatusError::MediaType(_) => (415, "UnsupportedMediaType"),
+            StatusError::BodyTooLarge(_) => (413, "RequestEntityTooLarge"),
+            StatusError::UnsupportedMediaType(_) => (415, "UnsupportedMediaType"),
             StatusError::Invalid { .. } => (422, "Invalid"),
-            StatusError::TooMany => (429, "TooManyRequests"),
+            StatusError::TooManyRequests => (429, "TooManyRequests"),
             StatusError::Unavailable(_) => (503, "ServiceUnavailable"),
         }
     }
 
-    /// Seconds after which it is worth asking again.
+    /// Seconds after which the client should retry.
     pub fn retry_after(&self) -> Option<u32> {
-        matches!(self, StatusError::TooMany | StatusError::Unavailable(_)).then_some(1)
+        matches!(
+            self,
+            StatusError::TooManyRequests | StatusError::Unavailable(_)
+        )
+        .then_some(1)
     }
 
     fn details(&self) -> Option<StatusDetails> {
         let (kind, name, causes) = match self {
             StatusError::Invalid { kind, name, causes } => (*kind, name.clone(), causes.as_slice()),
             StatusError::NotFound { resource, name }
-            | StatusError::Exists { resource, name, .. }
+            | StatusError::AlreadyExists { resource, name, .. }
             | StatusError::Conflict { resource, name, .. } => (*resource, name.clone(), &[][..]),
-            StatusError::TooMany | StatusError::Unavailable(_) => ("", String::new(), &[][..]),
+            StatusError::TooManyRequests | StatusError::Unavailable(_) => {
+                ("", String::new(), &[][..])
+            }
             _ => return None,
         };
         let causes = causes.iter().map(|c| StatusCause {
-            field: Some(c.path.clone()),
-            message: Some(c.what.clone()),
-            reason: Some(c.why.reason().into()),
+            field: Some(c.field.clone()),
+            message: Some(c.message.clone()),
+            reason: Some(c.reason.name().into()),
         });
         Some(StatusDetails {
             kind: Some(kind.into()).filter(|k: &String| !k.is_empty()),
--- a/crates/kube/src/table.rs
+++ b/crates/kube/src/table.rs
@@ -1,12 +1,12 @@
-//! Lists as tables, which is what `get` of an ordinary client asks for.
+//! Renders objects as `Table` responses, which `get` commands of Kubernetes clients request.
 
 use crate::record::Object;
 use crate::view::{self, Progress};
 use dillcleat_controller::Micros;
 use serde_json::{Value, json};
 
-/// A span of time as Kubernetes' clients write it: `45s`, `5m30s`, `3h`, `2d`.
-pub fn span(time: Micros) -> String {
+/// Formats a duration as Kubernetes clients do: `45s`, `5m30s`, `3h`, `2d`.
+pub fn format_duration(time: Micros) -> String {
     let s = time / 1_000_000;
     match s {
         0..120 => format!("{s}s"),
@@ -38,26 +38,28 @@
 
 pub fn row(object: &Object, progress: Progress, wall: Micros) -> Value {
     let (record, state) = (&object.record, &object.record.state);
-    let all = view::completions(object);
-    let done = match view::word(object) {
-        "Complete" => all,
+    let completions = view::completions(object);
+    let done = match view::status_word(object) {
+        "Complete" => completions,
         _ => progress.map_or(0, |(done, _)| done),
     };
     let until = state.end.map_or(wall, |e| e.at);
-    let duration = state.started.map(|at| span(until.saturating_sub(at)));
+    let duration = state
+        .started
+        .map(|at| format_duration(until.saturating_sub(at)));
     json!({
         "cells": [
             object.name.name,
-            view::word(object),
-            format!("{done}/{all}"),
+            view::status_word(object),
+            format!("{done}/{completions}"),
             duration.unwrap_or_default(),
-            span(wall.saturating_sub(record.created)),
+            format_duration(wall.saturating_sub(record.created)),
         ],
-        "object": view::partial(object),
+        "object": view::partial_metadata(object),
     })
 }
 
-/// Rows with their columns; those of a watch's later events go without.
+/// A table of rows. Only the first table of a watch has column definitions.
 pub fn table(rows: Vec<Value>, metadata: Value, with_columns: bool) -> Value {
     let columns = if with_columns { columns() } else { json!([]) };
     json!({
@@ -71,10 +73,10 @@
 
 #[cfg(test)]
 mod tests {
-    use super::span;
+    use super::format_duration;
 
     #[test]
-    fn spans() {
+    fn durations_are_formatted_like_kubernetes_clients_do() {
         for (s, text) in [
             (0, "0s"),
             (119, "119s"),
@@ -85,7 +87,7 @@
             (10_800, "3h"),
             (200_000, "2d"),
         ] {
-            assert_eq!(span(s * 1_000_000), text);
+            assert_eq!(format_duration(s * 1_000_000), text);
         }
     }
 }
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -1,4 +1,4 @@
-//! What a request is for, by its method, path and query.
+//! Parses the method, path and query of requests.
 
 use crate::record::{Kind, Name};
 use crate::selector::Selector;
@@ -6,29 +6,29 @@
 use crate::status_error::StatusError;
 use dillcleat_controller::{Micros, SECOND};
 
-/// Discovery and such: answered without any object.
+/// The discovery and health endpoints, which are answered without objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum About {
+pub enum Discovery {
     Version,
     /// `/api`
-    Core,
+    CoreVersions,
     /// `/apis`
     Groups,
     /// `/apis/batch`
-    Batch,
+    BatchGroup,
     /// `/api/v1`
     CoreResources,
     /// `/apis/batch/v1`
     BatchResources,
-    Alive,
+    Health,
 }
 
-/// The objects that a request is about.
+/// The objects that a request addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Scope {
-    /// Kept objects of one namespace, or of all that the token sees.
-    All(Kind, Option<String>),
-    One(Name),
+    /// The objects of one namespace, or of all namespaces that the token may access.
+    Collection(Kind, Option<String>),
+    Object(Name),
     Status(Name),
     Namespaces,
     Namespace(String),
@@ -36,47 +36,47 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
-    About(About),
+    Discovery(Discovery),
     Objects(Verb, Scope),
 }
 
-fn objects(method: &str, scope: Scope, watch: bool) -> Result<Target, StatusError> {
+fn object_target(method: &str, scope: Scope, watch: bool) -> Result<Target, StatusError> {
     let verb = match (method, &scope) {
-        ("GET", Scope::All(..) | Scope::Namespaces) if watch => Verb::Watch,
-        ("GET", Scope::All(..) | Scope::Namespaces) => Verb::List,
+        ("GET", Scope::Collection(..) | Scope::Namespaces) if watch => Verb::Watch,
+        ("GET", Scope::Collection(..) | Scope::Namespaces) => Verb::List,
         ("GET", _) => Verb::Get,
-        ("POST", Scope::All(_, Some(_))) => Verb::Create,
-        ("PUT", Scope::One(_)) => Verb::Update,
-        ("PATCH", Scope::One(_)) => Verb::Patch,
-        ("DELETE", Scope::One(_)) => Verb::Delete,
-        _ => return Err(StatusError::NotAllowed),
+        ("POST", Scope::Collection(_, Some(_))) => Verb::Create,
+        ("PUT", Scope::Object(_)) => Verb::Update,
+        ("PATCH", Scope::Object(_)) => Verb::Patch,
+        ("DELETE", Scope::Object(_)) => Verb::Delete,
+        _ => return Err(StatusError::MethodNotAllowed),
     };
     Ok(Target::Objects(verb, scope))
 }
 
-/// Tells what a request is for. `watch`: its query asks for one.
-pub fn target(method: &str, path: &str, watch: bool) -> Result<Target, StatusError> {
+/// Parses the method and path of a request. `watch` is the query parameter of this name.
+pub fn parse_target(method: &str, path: &str, watch: bool) -> Result<Target, StatusError> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let about = match parts.as_slice() {
-        ["version"] => Some(About::Version),
-        ["livez" | "readyz" | "healthz"] => Some(About::Alive),
-        ["api"] => Some(About::Core),
-        ["apis"] => Some(About::Groups),
-        ["apis", "batch"] => Some(About::Batch),
-        ["api", "v1"] => Some(About::CoreResources),
-        ["apis", "batch", "v1"] => Some(About::BatchResources),
+    let discovery = match parts.as_slice() {
+        ["version"] => Some(Discovery::Version),
+        ["livez" | "readyz" | "healthz"] => Some(Discovery::Health),
+        ["api"] => Some(Discovery::CoreVersions),
+        ["apis"] => Some(Discovery::Groups),
+        ["apis", "batch"] => Some(Discovery::BatchGroup),
+        ["api", "v1"] => Some(Discovery::CoreResources),
+        ["apis", "batch", "v1"] => Some(Discovery::BatchResources),
         _ => None,
     };
-    if let Some(about) = about {
+    if let Some(discovery) = discovery {
         return match method {
-            "GET" => Ok(Target::About(about)),
-            _ => Err(StatusError::NotAllowed),
+            "GET" => Ok(Target::Discovery(discovery)),
+            _ => Err(StatusError::MethodNotAllowed),
         };
     }
     let scope = match parts.as_slice() {
         ["api", "v1", "namespaces"] => Scope::Namespaces,
         ["api", "v1", "namespaces", name] => Scope::Namespace(name.to_string()),
-        ["apis", "batch", "v1", "jobs"] => Scope::All(Kind::Job, None),
+        ["apis", "batch", "v1", "jobs"] => Scope::Collection(Kind::Job, None),
         [
             "apis",
             "batch",
@@ -94,53 +94,54 @@
                 name: name.to_string(),
             };
             match rest {
-                [] => Scope::All(kind, Some(namespace)),
-                [one] => Scope::One(name(one)),
+                [] => Scope::Collection(kind, Some(namespace)),
+                [one] => Scope::Object(name(one)),
                 [one, "status"] => Scope::Status(name(one)),
                 _ => return Err(StatusError::NoSuchPath),
             }
         }
         _ => return Err(StatusError::NoSuchPath),
     };
-    objects(method, scope, watch)
+    object_target(method, scope, watch)
 }
 
-/// How much of the past a list or watch may show.
+/// How recent the result of a list or the start of a watch must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Since {
-    /// Nothing older than the request.
-    Now,
-    /// Whatever is at hand.
+pub enum ResourceVersion {
+    /// At least as recent as the request.
+    MostRecent,
+    /// The current state of the cache.
     Any,
-    /// From this version on.
-    Version(u64),
+    /// A list at least as recent as this version, or a watch that starts at it.
+    AtLeast(u64),
 }
 
-/// A request's query.
+/// The query parameters of a request.
 #[derive(Debug, Clone)]
 pub struct Query {
     pub labels: Selector,
     pub fields: Selector,
     pub limit: usize,
-    /// The version that the first page had, and the last key of the page before.
-    pub after: Option<(u64, String)>,
+    /// The decoded `continue` parameter: the version of the first page, and the last key of
+    /// the previous page.
+    pub continue_from: Option<(u64, String)>,
     pub watch: bool,
     pub bookmarks: bool,
-    pub since: Since,
+    pub resource_version: ResourceVersion,
     pub timeout: Micros,
     pub dry_run: bool,
     pub propagation: Option<String>,
 }
 
-/// Fields by which objects are selected.
-const FIELDS: [&str; 3] = ["metadata.name", "metadata.namespace", "status.successful"];
-/// The longest that a client may watch without asking again.
-const WATCH: Micros = 1_800 * SECOND;
-/// The most objects of a page. The next is asked for by `continue`, also by who gave
-/// no limit: ten thousand objects at once are a tenth of a controller's memory.
-const PAGE: usize = 500;
+/// The fields that field selectors may use.
+const SELECTABLE_FIELDS: [&str; 3] = ["metadata.name", "metadata.namespace", "status.successful"];
+/// The maximum and default duration of a watch.
+const MAX_WATCH_DURATION: Micros = 1_800 * SECOND;
+/// The maximum number of objects in one page of a list. Lists without a limit are paged as
+/// well, to bound the memory that one response takes.
+const MAX_PAGE_OBJECTS: usize = 500;
 
-fn truth(value: &str) -> bool {
+fn parse_bool(value: &str) -> bool {
     matches!(value, "1" | "true")
 }
 
@@ -149,16 +150,16 @@
         let mut q = Query {
             labels: Selector::default(),
             fields: Selector::default(),
-            limit: PAGE,
-            after: None,
+            limit: MAX_PAGE_OBJECTS,
+            continue_from: None,
             watch: false,
             bookmarks: false,
-            since: Since::Now,
-            timeout: WATCH,
+            resource_version: ResourceVersion::MostRecent,
+            timeout: MAX_WATCH_DURATION,
             dry_run: false,
             propagation: None,
         };
-        let bad = |name: &str, value: &str| {
+        let invalid = |name: &str, value: &str| {
             StatusError::BadRequest(format!("{name}: not one: {value:?}"))
         };
         for (name, value) in form_urlencoded::parse(text.as_bytes()) {
@@ -169,54 +170,64 @@
                         .map_err(|e| StatusError::BadRequest(e.to_string()))?;
                 }
                 "fieldSelector" => {
-                    q.fields = Selector::fields(value, &FIELDS)
+                    q.fields = Selector::fields(value, &SELECTABLE_FIELDS)
                         .map_err(|e| StatusError::BadRequest(e.to_string()))?;
                 }
                 "limit" => {
-                    let limit: usize = value.parse().map_err(|_| bad("limit", value))?;
-                    // None, and more than a page, are as much as a page holds.
-                    q.limit = if limit == 0 { PAGE } else { limit.min(PAGE) };
+                    let limit: usize = value.parse().map_err(|_| invalid("limit", value))?;
+                    // A limit of 0 means no limit.
+                    q.limit = if limit == 0 {
+                        MAX_PAGE_OBJECTS
+                    } else {
+                        limit.min(MAX_PAGE_OBJECTS)
+                    };
                 }
                 "continue" if !value.is_empty() => {
                     let (version, key) = value
                         .split_once('/')
-                        .ok_or_else(|| bad("continue", value))?;
-                    let version = version.parse().map_err(|_| bad("continue", value))?;
-                    q.after = Some((version, key.to_string()));
+                        .ok_or_else(|| invalid("continue", value))?;
+                    let version = version.parse().map_err(|_| invalid("continue", value))?;
+                    q.continue_from = Some((version, key.to_string()));
                 }
-                "watch" => q.watch = truth(value),
-                "allowWatchBookmarks" => q.bookmarks = truth(value),
+                "watch" => q.watch = parse_bool(value),
+                "allowWatchBookmarks" => q.bookmarks = parse_bool(value),
                 "resourceVersion" => {
-                    q.since = match value {
-                        "" => Since::Now,
-                        "0" => Since::Any,
-                        _ => Since::Version(
-                            value.parse().map_err(|_| bad("resourceVersion", value))?,
+                    q.resource_version = match value {
+                        "" => ResourceVersion::MostRecent,
+                        "0" => ResourceVersion::Any,
+                        _ => ResourceVersion::AtLeast(
+                            value
+                                .parse()
+                                .map_err(|_| invalid("resourceVersion", value))?,
                         ),
                     };
                 }
                 "timeoutSeconds" => {
-                    let seconds: u64 = value.parse().map_err(|_| bad("timeoutSeconds", value))?;
-                    q.timeout = seconds.saturating_mul(SECOND).clamp(SECOND, WATCH);
+                    let seconds: u64 = value
+                        .parse()
+                        .map_err(|_| invalid("timeoutSeconds", value))?;
+                    q.timeout = seconds
+                        .saturating_mul(SECOND)
+                        .clamp(SECOND, MAX_WATCH_DURATION);
                 }
                 "dryRun" => match value {
                     "All" => q.dry_run = true,
-                    _ => return Err(bad("dryRun", value)),
+                    _ => return Err(invalid("dryRun", value)),
                 },
                 "propagationPolicy" => q.propagation = Some(value.to_string()),
-                "sendInitialEvents" if truth(value) => {
-                    // Clients that try it list and watch when it is refused.
-                    let why = "sendInitialEvents is not served: list, then watch";
-                    return Err(StatusError::BadRequest(why.into()));
+                "sendInitialEvents" if parse_bool(value) => {
+                    // Clients fall back to list and watch when this is refused.
+                    let message = "sendInitialEvents is not served: list, then watch";
+                    return Err(StatusError::BadRequest(message.into()));
                 }
-                // What asks for a form of the answer, or for stricter checks than
-                // none: every field is checked in any case.
+                // These have no effect: they concern the format of the response, or the
+                // validation of fields, which is always strict.
                 "fieldValidation" | "fieldManager" | "pretty" | "continue"
                 | "sendInitialEvents" | "timeout" => {}
                 "resourceVersionMatch" if value != "Exact" => {}
                 other => {
-                    let what = format!("the parameter {other:?} is not served");
-                    return Err(StatusError::BadRequest(what));
+                    let message = format!("the parameter {other:?} is not served");
+                    return Err(StatusError::BadRequest(message));
                 }
             }
         }
