--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -1,27 +1,28 @@
-//! From a Kubernetes Job to the job that it stands for.
+//! Translates a Kubernetes Job into the specification of a native job.
 
-use crate::fields::{self, OF_JOB};
+use crate::fields::{self, JOB_FIELDS};
 use crate::quantity;
 use crate::settings::Settings;
-use crate::status_error::{Cause, StatusReason};
+use crate::status_error::{Cause, CauseReason};
 use dillcleat_wire::user::{self, JobKind, JobSpec, Priority};
 use k8s_openapi::api::batch::v1::Job;
 use k8s_openapi::api::core::v1::{Affinity, Container, PodSpec, PodTemplateSpec};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// What annotations of ours begin with.
-pub const PREFIX: &str = "dillcleat/";
-pub const ZONE: &str = "topology.kubernetes.io/zone";
-pub const TYPE: &str = "node.kubernetes.io/instance-type";
-/// Of either kind, as Kubernetes has it for what becomes a label.
-const MAX_NAME: usize = 63;
-/// Failed attempts are kept one by one.
-const MAX_BACKOFF: i32 = 100;
-const BACKOFF: i32 = 6;
-const YEAR_S: i64 = 366 * 86_400;
+/// The prefix of dillcleat's annotations.
+pub const ANNOTATION_PREFIX: &str = "dillcleat/";
+const ZONE_LABEL: &str = "topology.kubernetes.io/zone";
+const INSTANCE_TYPE_LABEL: &str = "node.kubernetes.io/instance-type";
+/// The maximum length of the names of objects and containers, as for DNS labels.
+const MAX_NAME_BYTES: usize = 63;
+/// The record of an object lists its failed attempts, so their number is bounded.
+const MAX_BACKOFF_LIMIT: i32 = 100;
+const DEFAULT_BACKOFF_LIMIT: i32 = 6;
+/// One year, the upper bound of times in the spec.
+const MAX_SPEC_SECONDS: i64 = 366 * 86_400;
 
-/// The annotations that say what Kubernetes has no field for.
+/// Annotations for the properties of a job that have no Kubernetes field.
 pub const ANNOTATIONS: [(&str, &str); 8] = [
     ("dillcleat/class", "class of jobs that it belongs to"),
     (
@@ -39,22 +40,23 @@
     ("dillcleat/save-seconds", "how long that takes"),
 ];
 
-/// A Job that can be served.
+/// A valid Job, and its translation.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wanted {
+pub struct TranslatedJob {
     pub name: String,
     pub labels: BTreeMap<String, String>,
     pub annotations: BTreeMap<String, String>,
-    /// Its spec with the defaults filled in.
+    /// The spec of the Job with defaults filled in.
     pub spec: Value,
-    /// The job that it stands for, but for its reference.
+    /// The native job, with an empty id.
     pub job: JobSpec,
-    pub at_most: u32,
+    /// The maximum number of tasks that run at a time.
+    pub parallelism: u32,
     pub suspend: bool,
 }
 
-/// Collects what is wrong with an object.
-struct Reader<'a> {
+/// Translates the parts of a Job and collects the errors in its fields.
+struct Translator<'a> {
     settings: &'a Settings,
     causes: Vec<Cause>,
 }
@@ -62,35 +64,42 @@
 fn is_label(text: &str) -> bool {
     let inner = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !text.is_empty()
-        && text.len() <= MAX_NAME
+        && text.len() <= MAX_NAME_BYTES
         && text.bytes().all(inner)
         && !text.starts_with('-')
         && !text.ends_with('-')
 }
 
-impl Reader<'_> {
-    fn bad(&mut self, path: &str, why: StatusReason, what: impl Into<String>) {
-        self.causes.push(Cause::new(path, why, what));
+impl Translator<'_> {
+    /// Records an error in a field.
+    fn reject(&mut self, path: &str, reason: CauseReason, message: impl Into<String>) {
+        self.causes.push(Cause::new(path, reason, message));
     }
 
+    /// The value of a field, or its default if it is not set.
     fn number(&mut self, path: &str, value: Option<i64>, default: i64, low: i64, high: i64) -> i64 {
         let value = value.unwrap_or(default);
         if !(low..=high).contains(&value) {
-            let what = format!("must be from {low} to {high}, is {value}");
-            self.bad(path, StatusReason::Invalid, what);
+            let message = format!("must be from {low} to {high}, is {value}");
+            self.reject(path, CauseReason::Invalid, message);
         }
         value
     }
 
-    fn seconds(&mut self, notes: &BTreeMap<String, String>, key: &str) -> Option<f64> {
-        let value = notes.get(key)?;
+    /// The value of an annotation that is a non-negative number.
+    fn number_annotation(
+        &mut self,
+        annotations: &BTreeMap<String, String>,
+        key: &str,
+    ) -> Option<f64> {
+        let value = annotations.get(key)?;
         match value.parse::<f64>() {
             Ok(v) if v.is_finite() && (0.0..=1e9).contains(&v) => Some(v),
             _ => {
                 let path = format!("metadata.annotations[{key}]");
-                self.bad(
+                self.reject(
                     &path,
-                    StatusReason::Invalid,
+                    CauseReason::Invalid,
                     format!("not an amount: {value:?}"),
                 );
                 None
@@ -98,15 +107,16 @@
         }
     }
 
-    fn flag(&mut self, notes: &BTreeMap<String, String>, key: &str) -> bool {
-        match notes.get(key).map(String::as_str) {
+    /// The value of an annotation that is `true` or `false`.
+    fn bool_annotation(&mut self, annotations: &BTreeMap<String, String>, key: &str) -> bool {
+        match annotations.get(key).map(String::as_str) {
             None | Some("false") => false,
             Some("true") => true,
             Some(other) => {
                 let path = format!("metadata.annotations[{key}]");
-                self.bad(
+                self.reject(
                     &path,
-                    StatusReason::Invalid,
+                    CauseReason::Invalid,
                     format!("must be true or false, is {other:?}"),
                 );
                 false
@@ -114,80 +124,81 @@
         }
     }
 
-    fn amount(&mut self, container: &Container, resource: &str, needed: bool) -> f64 {
-        const AT: &str = "spec.template.spec.containers[0].resources";
-        let all = container.resources.as_ref();
-        let of = |map: Option<&BTreeMap<String, _>>| -> Option<String> {
+    /// The requested amount of a resource. A limit counts as the request if there is none.
+    fn resource_amount(&mut self, container: &Container, resource: &str, required: bool) -> f64 {
+        const RESOURCES: &str = "spec.template.spec.containers[0].resources";
+        let resources = container.resources.as_ref();
+        let quantity_text = |map: Option<&BTreeMap<String, _>>| -> Option<String> {
             let q: &k8s_openapi::apimachinery::pkg::api::resource::Quantity =
                 map.and_then(|m| m.get(resource))?;
             Some(q.0.clone())
         };
-        let request = of(all.and_then(|r| r.requests.as_ref()));
-        let limit = of(all.and_then(|r| r.limits.as_ref()));
-        let path = |which: &str| format!("{AT}.{which}[{resource}]");
-        let mut read = |which: &str, text: Option<String>| {
+        let request = quantity_text(resources.and_then(|r| r.requests.as_ref()));
+        let limit = quantity_text(resources.and_then(|r| r.limits.as_ref()));
+        let path = |which: &str| format!("{RESOURCES}.{which}[{resource}]");
+        let mut parse = |which: &str, text: Option<String>| {
             let text = text?;
             let amount = quantity::parse(&text);
             if amount.is_none() {
-                self.bad(
+                self.reject(
                     &path(which),
-                    StatusReason::Invalid,
+                    CauseReason::Invalid,
                     format!("not an amount: {text:?}"),
                 );
             }
             amount
         };
-        let (request, limit) = (read("requests", request), read("limits", limit));
+        let (request, limit) = (parse("requests", request), parse("limits", limit));
         match (request, limit) {
             (Some(r), Some(l)) if (r - l).abs() > 1e-9 * l.abs() => {
-                let what = "must equal the request: a task has what it asks for, no more";
-                self.bad(&path("limits"), StatusReason::NotSupported, what);
+                let message = "must equal the request: a task has what it asks for, no more";
+                self.reject(&path("limits"), CauseReason::NotSupported, message);
                 r
             }
             (Some(amount), _) | (None, Some(amount)) => amount,
             (None, None) => {
-                if needed {
-                    self.bad(&path("requests"), StatusReason::Required, "must be given");
+                if required {
+                    self.reject(&path("requests"), CauseReason::Required, "must be given");
                 }
                 0.0
             }
         }
     }
 
+    /// The requested CPUs, memory in GB and accelerators.
     fn resources(&mut self, container: &Container) -> (f64, f64, f64) {
         let accelerator = self.settings.accelerator.clone();
-        let all = container.resources.iter();
-        let given = all.flat_map(|r| {
+        let maps = container.resources.iter().flat_map(|r| {
             let maps = [("requests", &r.requests), ("limits", &r.limits)];
             maps.into_iter()
                 .filter_map(|(which, m)| Some((which, m.as_ref()?)))
         });
-        for (which, map) in given {
+        for (which, map) in maps {
             for key in map.keys() {
                 if !["cpu", "memory", accelerator.as_str()].contains(&key.as_str()) {
                     let path = format!("spec.template.spec.containers[0].resources.{which}[{key}]");
-                    self.bad(&path, StatusReason::NotSupported, "not a resource here");
+                    self.reject(&path, CauseReason::NotSupported, "not a resource here");
                 }
             }
         }
-        let cpus = self.amount(container, "cpu", true);
-        let memory = self.amount(container, "memory", true);
-        let gpus = self.amount(container, &accelerator, false);
+        let cpus = self.resource_amount(container, "cpu", true);
+        let memory = self.resource_amount(container, "memory", true);
+        let gpus = self.resource_amount(container, &accelerator, false);
         (cpus, memory / 1e9, gpus)
     }
 
-    /// Allowed machine types and the only zone, if there is one.
-    fn place(&mut self, pod: &PodSpec) -> (Option<Vec<String>>, Option<String>) {
+    /// The allowed machine types and the only allowed zone; None where nothing is selected.
+    fn machine_types_and_zone(&mut self, pod: &PodSpec) -> (Option<Vec<String>>, Option<String>) {
         let (mut types, mut zone) = (None, None);
         for (key, value) in pod.node_selector.iter().flatten() {
             match key.as_str() {
-                ZONE => zone = Some(value.clone()),
-                TYPE => types = Some(vec![value.clone()]),
+                ZONE_LABEL => zone = Some(value.clone()),
+                INSTANCE_TYPE_LABEL => types = Some(vec![value.clone()]),
                 _ => {
                     let path = format!("spec.template.spec.nodeSelector[{key}]");
-                    self.bad(
+                    self.reject(
                         &path,
-                        StatusReason::NotSupported,
+                        CauseReason::NotSupported,
                         "only zone and instance type are selected by",
                     );
                 }
@@ -205,7 +216,7 @@
         types: &mut Option<Vec<String>>,
         zone: &mut Option<String>,
     ) {
-        const AT: &str = "spec.template.spec.affinity.nodeAffinity.requiredDuringSchedulingIgnoredDuringExecution.nodeSelectorTerms";
+        const TERMS: &str = "spec.template.spec.affinity.nodeAffinity.requiredDuringSchedulingIgnoredDuringExecution.nodeSelectorTerms";
         let node = affinity.node_affinity.as_ref();
         let required = node.and_then(|n| {
             n.required_during_scheduling_ignored_during_execution
@@ -213,46 +224,46 @@
         });
         let terms = required.map_or(&[][..], |r| r.node_selector_terms.as_slice());
         if terms.len() > 1 {
-            self.bad(AT, StatusReason::NotSupported, "one term is served");
+            self.reject(TERMS, CauseReason::NotSupported, "one term is served");
         }
         let expressions = terms.first().and_then(|t| t.match_expressions.as_ref());
         for (i, e) in expressions.into_iter().flatten().enumerate() {
-            let path = format!("{AT}[0].matchExpressions[{i}]");
+            let path = format!("{TERMS}[0].matchExpressions[{i}]");
             let values = e.values.clone().unwrap_or_default();
             if e.operator != "In" {
-                self.bad(
+                self.reject(
                     &format!("{path}.operator"),
-                    StatusReason::NotSupported,
+                    CauseReason::NotSupported,
                     "only In is served",
                 );
             }
             match e.key.as_str() {
-                TYPE if types.is_some() => {
-                    self.bad(
+                INSTANCE_TYPE_LABEL if types.is_some() => {
+                    self.reject(
                         &path,
-                        StatusReason::NotSupported,
+                        CauseReason::NotSupported,
                         "the instance type is selected twice",
                     );
                 }
-                TYPE => *types = Some(values),
-                ZONE => match values.as_slice() {
+                INSTANCE_TYPE_LABEL => *types = Some(values),
+                ZONE_LABEL => match values.as_slice() {
                     [one] if zone.as_ref().is_none_or(|z| z == one) => *zone = Some(one.clone()),
-                    _ => self.bad(
+                    _ => self.reject(
                         &format!("{path}.values"),
-                        StatusReason::NotSupported,
+                        CauseReason::NotSupported,
                         "one zone is served, or any",
                     ),
                 },
-                _ => self.bad(
+                _ => self.reject(
                     &format!("{path}.key"),
-                    StatusReason::NotSupported,
+                    CauseReason::NotSupported,
                     "only zone and instance type are selected by",
                 ),
             }
         }
     }
 
-    /// Whether at most half of the tasks may be in one zone.
+    /// Whether the job spreads over zones: at most half of its tasks are in one zone.
     fn spread(&mut self, pod: &PodSpec, labels: &BTreeMap<String, String>) -> bool {
         let constraints = pod
             .topology_spread_constraints
@@ -260,26 +271,26 @@
             .unwrap_or_default();
         for (i, c) in constraints.iter().enumerate() {
             let path = format!("spec.template.spec.topologySpreadConstraints[{i}]");
-            if c.topology_key != ZONE {
-                let what = format!("only {ZONE} is served");
-                self.bad(
+            if c.topology_key != ZONE_LABEL {
+                let message = format!("only {ZONE_LABEL} is served");
+                self.reject(
                     &format!("{path}.topologyKey"),
-                    StatusReason::NotSupported,
-                    what,
+                    CauseReason::NotSupported,
+                    message,
                 );
             }
             if c.when_unsatisfiable != "DoNotSchedule" {
-                let what = "only DoNotSchedule is served";
-                self.bad(
+                let message = "only DoNotSchedule is served";
+                self.reject(
                     &format!("{path}.whenUnsatisfiable"),
-                    StatusReason::NotSupported,
-                    what,
+                    CauseReason::NotSupported,
+                    message,
                 );
             }
             if c.max_skew < 1 {
-                self.bad(
+                self.reject(
                     &format!("{path}.maxSkew"),
-                    StatusReason::Invalid,
+                    CauseReason::Invalid,
                     "must be at least 1",
                 );
             }
@@ -290,9 +301,9 @@
             for (key, value) in selector.into_iter().flatten() {
                 if labels.get(key) != Some(value) {
                     let path = format!("{path}.labelSelector.matchLabels[{key}]");
-                    self.bad(
+                    self.reject(
                         &path,
-                        StatusReason::NotSupported,
+                        CauseReason::NotSupported,
                         "must be a label of the template",
                     );
                 }
@@ -308,36 +319,39 @@
             Some("high") => Priority::High,
             Some("best-effort") => Priority::BestEffort,
             Some(_) => {
-                let what = "must be production, high, normal or best-effort";
-                self.bad(
+                let message = "must be production, high, normal or best-effort";
+                self.reject(
                     "spec.template.spec.priorityClassName",
-                    StatusReason::NotSupported,
-                    what,
+                    CauseReason::NotSupported,
+                    message,
                 );
                 Priority::Normal
             }
         }
     }
 
-    fn class(&mut self, notes: &BTreeMap<String, String>) -> String {
-        for key in notes.keys().filter(|k| k.starts_with(PREFIX)) {
+    fn class(&mut self, annotations: &BTreeMap<String, String>) -> String {
+        for key in annotations
+            .keys()
+            .filter(|k| k.starts_with(ANNOTATION_PREFIX))
+        {
             if !ANNOTATIONS.iter().any(|(known, _)| known == key) {
                 let path = format!("metadata.annotations[{key}]");
-                self.bad(
+                self.reject(
                     &path,
-                    StatusReason::NotSupported,
+                    CauseReason::NotSupported,
                     "no such annotation of dillcleat's",
                 );
             }
         }
-        let class = notes.get("dillcleat/class");
+        let class = annotations.get("dillcleat/class");
         match class.or(self.settings.class.as_ref()) {
             Some(class) => class.clone(),
             None => {
                 let path = "metadata.annotations[dillcleat/class]";
-                self.bad(
+                self.reject(
                     path,
-                    StatusReason::Required,
+                    CauseReason::Required,
                     "no class is set for jobs that name none",
                 );
                 String::new()
@@ -345,58 +359,56 @@
         }
     }
 
-    /// The job of a template, with what its annotations say.
+    /// Translates a pod template and the annotations of its Job.
     fn job(
         &mut self,
         team: &str,
         tasks: u32,
         template: &PodTemplateSpec,
-        notes: &BTreeMap<String, String>,
+        annotations: &BTreeMap<String, String>,
     ) -> Option<JobSpec> {
         let Some(pod) = &template.spec else {
-            self.bad(
-                "spec.template.spec",
-                StatusReason::Required,
-                "must be given",
-            );
+            self.reject("spec.template.spec", CauseReason::Required, "must be given");
             return None;
         };
         let [container] = pod.containers.as_slice() else {
-            let what = format!("one container is served, not {}", pod.containers.len());
-            self.bad(
+            let message = format!("one container is served, not {}", pod.containers.len());
+            self.reject(
                 "spec.template.spec.containers",
-                StatusReason::NotSupported,
-                what,
+                CauseReason::NotSupported,
+                message,
             );
             return None;
         };
         if !is_label(&container.name) {
-            let what = "must be lower-case letters, digits and dashes";
-            self.bad(
+            let message = "must be lower-case letters, digits and dashes";
+            self.reject(
                 "spec.template.spec.containers[0].name",
-                StatusReason::Invalid,
-                what,
+                CauseReason::Invalid,
+                message,
             );
         }
         let image = container.image.clone().unwrap_or_default();
         if image.is_empty() {
-            self.bad(
+            self.reject(
                 "spec.template.spec.containers[0].image",
-                StatusReason::Required,
+                CauseReason::Required,
                 "must be given",
             );
         }
-        let none = BTreeMap::new();
-        let meta = template.metadata.as_ref();
-        let labels = meta.and_then(|m| m.labels.as_ref()).unwrap_or(&none);
+        let no_labels = BTreeMap::new();
+        let metadata = template.metadata.as_ref();
+        let labels = metadata
+            .and_then(|m| m.labels.as_ref())
+            .unwrap_or(&no_labels);
         let (cpus, memory_gb, gpus) = self.resources(container);
-        let (types, zone) = self.place(pod);
+        let (types, zone) = self.machine_types_and_zone(pod);
         let spread = self.spread(pod, labels);
-        let one_zone = self.flag(notes, "dillcleat/one-zone");
+        let one_zone = self.bool_annotation(annotations, "dillcleat/one-zone");
         Some(JobSpec {
-            // Known once the object's identity is.
+            // The id is derived from the uid of the object, which is not known yet.
             id: String::new(),
-            class: self.class(notes),
+            class: self.class(annotations),
             team: team.to_string(),
             kind: JobKind::Batch,
             priority: self.priority(pod),
@@ -405,27 +417,31 @@
             gpus,
             memory_gb,
             image,
-            image_gb: self.seconds(notes, "dillcleat/image-gb").unwrap_or(0.0),
+            image_gb: self
+                .number_annotation(annotations, "dillcleat/image-gb")
+                .unwrap_or(0.0),
             types,
             zone,
             single_zone: one_zone,
             spread,
-            spot: self.flag(notes, "dillcleat/spot"),
+            spot: self.bool_annotation(annotations, "dillcleat/spot"),
             estimate_s: self
-                .seconds(notes, "dillcleat/estimate-seconds")
+                .number_annotation(annotations, "dillcleat/estimate-seconds")
                 .unwrap_or(0.0),
             checkpoint_s: self
-                .seconds(notes, "dillcleat/checkpoint-seconds")
+                .number_annotation(annotations, "dillcleat/checkpoint-seconds")
+                .unwrap_or(0.0),
+            save_s: self
+                .number_annotation(annotations, "dillcleat/save-seconds")
                 .unwrap_or(0.0),
-            save_s: self.seconds(notes, "dillcleat/save-seconds").unwrap_or(0.0),
-            deadline_s: self.seconds(notes, "dillcleat/deadline-seconds"),
+            deadline_s: self.number_annotation(annotations, "dillcleat/deadline-seconds"),
             depends_on: Vec::new(),
         })
     }
 }
 
-/// What the native API server would not take of the job.
-fn refused(job: &JobSpec) -> Option<String> {
+/// The error with which the native API would reject the job, if any.
+fn native_api_error(job: &JobSpec) -> Option<String> {
     let id = "req-0".to_string();
     let body = dillcleat_wire::encode(&JobSpec { id, ..job.clone() });
     user::parse_submission(&body)
@@ -434,48 +450,53 @@
         .map(|e| e.to_string())
 }
 
-/// Reads a Job of `namespace` as a client wrote it.
-pub fn job(settings: &Settings, namespace: &str, object: &Value) -> Result<Wanted, Vec<Cause>> {
-    let causes = fields::unserved(OF_JOB, object);
-    let mut reader = Reader { settings, causes };
+/// Translates the Job that a client has written in `namespace`.
+pub fn translate_job(
+    settings: &Settings,
+    namespace: &str,
+    object: &Value,
+) -> Result<TranslatedJob, Vec<Cause>> {
+    let causes = fields::unsupported_fields(JOB_FIELDS, object);
+    let mut translator = Translator { settings, causes };
     let job: Job = match serde_json::from_value(object.clone()) {
         Ok(job) => job,
         Err(e) => {
-            // Its own message names the field's type, not the path.
-            reader.bad(
+            // The error gives the type of the field but not its path.
+            translator.reject(
                 "",
-                StatusReason::Invalid,
+                CauseReason::Invalid,
                 format!("not a Job of batch/v1: {e}"),
             );
-            return Err(reader.causes);
+            return Err(translator.causes);
         }
     };
     let name = job.metadata.name.unwrap_or_default();
     if !is_label(&name) {
-        let what = "must be 1 to 63 lower-case letters, digits and dashes";
-        reader.bad("metadata.name", StatusReason::Invalid, what);
+        let message = "must be 1 to 63 lower-case letters, digits and dashes";
+        translator.reject("metadata.name", CauseReason::Invalid, message);
     }
     let annotations = job.metadata.annotations.unwrap_or_default();
     let Some(spec) = job.spec else {
-        reader.bad("spec", StatusReason::Required, "must be given");
-        return Err(reader.causes);
+        translator.reject("spec", CauseReason::Required, "must be given");
+        return Err(translator.causes);
     };
     if spec.completions.is_none() && spec.parallelism.unwrap_or(1) > 1 {
-        let what = "must be given: a queue that its pods empty is not served";
-        reader.bad("spec.completions", StatusReason::Required, what);
+        let message = "must be given: a queue that its pods empty is not served";
+        translator.reject("spec.completions", CauseReason::Required, message);
     }
-    let most = i64::from(user::MAX_TASKS);
+    let max_tasks = i64::from(user::MAX_TASKS);
     let completions = spec.completions.map(i64::from);
-    let tasks = reader.number("spec.completions", completions, 1, 1, most);
+    let tasks = translator.number("spec.completions", completions, 1, 1, max_tasks);
     let parallelism = spec.parallelism.map(i64::from);
-    let at_most = reader.number("spec.parallelism", parallelism, 1, 1, i64::from(i32::MAX));
-    let limit = spec.backoff_limit.map(i64::from);
-    let limit = reader.number(
+    let max_parallelism = i64::from(i32::MAX);
+    let parallelism = translator.number("spec.parallelism", parallelism, 1, 1, max_parallelism);
+    let backoff_limit = spec.backoff_limit.map(i64::from);
+    let backoff_limit = translator.number(
         "spec.backoffLimit",
-        limit,
-        BACKOFF.into(),
+        backoff_limit,
+        DEFAULT_BACKOFF_LIMIT.into(),
         0,
-        MAX_BACKOFF.into(),
+        MAX_BACKOFF_LIMIT.into(),
     );
     for (path, value, low) in [
         (
@@ -490,13 +511,13 @@
         ),
     ] {
         if value.is_some() {
-            reader.number(path, value, 0, low, YEAR_S);
+            translator.number(path, value, 0, low, MAX_SPEC_SECONDS);
         }
     }
     let mode = spec.completion_mode.unwrap_or_else(|| "NonIndexed".into());
     if !["NonIndexed", "Indexed"].contains(&mode.as_str()) {
-        let what = "must be NonIndexed or Indexed";
-        reader.bad("spec.completionMode", StatusReason::NotSupported, what);
+        let message = "must be NonIndexed or Indexed";
+        translator.reject("spec.completionMode", CauseReason::NotSupported, message);
     }
     let policy = spec
         .template
@@ -504,46 +525,46 @@
         .as_ref()
         .and_then(|p| p.restart_policy.as_deref());
     if !matches!(policy, Some("Never" | "OnFailure")) {
-        let what = "must be Never or OnFailure";
-        reader.bad(
+        let message = "must be Never or OnFailure";
+        translator.reject(
             "spec.template.spec.restartPolicy",
-            StatusReason::NotSupported,
-            what,
+            CauseReason::NotSupported,
+            message,
         );
     }
     let suspend = spec.suspend.unwrap_or(false);
     let tasks = u32::try_from(tasks).unwrap_or(1);
-    let made = reader.job(namespace, tasks, &spec.template, &annotations);
-    if reader.causes.is_empty()
-        && let Some(what) = made.as_ref().and_then(refused)
+    let native_job = translator.job(namespace, tasks, &spec.template, &annotations);
+    if translator.causes.is_empty()
+        && let Some(message) = native_job.as_ref().and_then(native_api_error)
     {
-        reader.bad("spec", StatusReason::Invalid, what);
+        translator.reject("spec", CauseReason::Invalid, message);
     }
-    let (Some(made), true) = (made, reader.causes.is_empty()) else {
-        return Err(reader.causes);
+    let (Some(native_job), true) = (native_job, translator.causes.is_empty()) else {
+        return Err(translator.causes);
     };
-    let mut filled = object["spec"].clone();
+    let mut completed_spec = object["spec"].clone();
     for (key, value) in [
         ("completions", json!(tasks)),
-        ("parallelism", json!(at_most)),
-        ("backoffLimit", json!(limit)),
+        ("parallelism", json!(parallelism)),
+        ("backoffLimit", json!(backoff_limit)),
         ("completionMode", json!(mode)),
         ("suspend", json!(suspend)),
     ] {
-        filled[key] = value;
+        completed_spec[key] = value;
     }
-    Ok(Wanted {
+    Ok(TranslatedJob {
         name,
         labels: job.metadata.labels.unwrap_or_default(),
         annotations,
-        spec: without_nulls(filled),
-        job: made,
-        at_most: u32::try_from(at_most).unwrap_or(u32::MAX),
+        spec: without_nulls(completed_spec),
+        job: native_job,
+        parallelism: u32::try_from(parallelism).unwrap_or(u32::MAX),
         suspend,
     })
 }
 
-/// Null is as good as absent, and shorter.
+/// Removes fields that are null, which mean the same as absent ones.
 fn without_nulls(value: Value) -> Value {
     match value {
         Value::Object(fields) => {
--- a/crates/kube/src/view.rs
+++ b/crates/kube/src/view.rs
@@ -1,25 +1,25 @@
-//! Kept objects as clients see them.
+//! Renders stored objects in the form that clients receive.
 
-use crate::record::{End, Ending, Kind, Object};
+use crate::record::{EndReason, JobEnd, Kind, Object};
 use dillcleat_controller::Micros;
 use k8s_openapi::api::batch::v1::{Job, JobCondition, JobStatus};
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{ObjectMeta, Time};
 use k8s_openapi::jiff::Timestamp;
 use serde_json::{Value, json};
 
-/// The annotation that tells which job an object stands for. The server writes it.
-pub const JOB: &str = "dillcleat/job";
+/// The annotation with the id of the native job that runs an object. The server sets it.
+pub const JOB_ANNOTATION: &str = "dillcleat/job";
 
-/// Tasks of the job that are done and that run, as last heard.
+/// The number of done and of running tasks, as last broadcast by the leader.
 pub type Progress = Option<(u32, u32)>;
 
-/// A time of day in microseconds; what is beyond every calendar has none.
+/// Converts a time of day in microseconds; None if it is out of range.
 pub fn time(at: Micros) -> Option<Time> {
     let at = i64::try_from(at).ok()?;
     Timestamp::from_microsecond(at).ok().map(Time)
 }
 
-fn count(n: u32) -> Option<i32> {
+fn to_i32(n: u32) -> Option<i32> {
     i32::try_from(n).ok()
 }
 
@@ -28,20 +28,20 @@
     n.and_then(|n| u32::try_from(n).ok()).unwrap_or(1)
 }
 
-fn condition(end: End) -> JobCondition {
-    let (type_, reason, message) = match end.why {
-        Ending::Complete => ("Complete", "CompletionsReached", "All tasks are done"),
-        Ending::BackoffLimit => (
+fn condition(end: JobEnd) -> JobCondition {
+    let (type_, reason, message) = match end.reason {
+        EndReason::Complete => ("Complete", "CompletionsReached", "All tasks are done"),
+        EndReason::BackoffLimit => (
             "Failed",
             "BackoffLimitExceeded",
             "More attempts failed than backoffLimit",
         ),
-        Ending::Deadline => (
+        EndReason::Deadline => (
             "Failed",
             "DeadlineExceeded",
             "It was active for longer than activeDeadlineSeconds",
         ),
-        Ending::Cancelled => (
+        EndReason::Cancelled => (
             "Failed",
             "Cancelled",
             "The job was cancelled by its reference",
@@ -61,8 +61,8 @@
     let state = &object.record.state;
     let (done, running) = progress.unwrap_or((0, 0));
     let (done, running) = match state.end {
-        Some(End {
-            why: Ending::Complete,
+        Some(JobEnd {
+            reason: EndReason::Complete,
             ..
         }) => (completions(object), 0),
         Some(_) => (done, 0),
@@ -82,11 +82,11 @@
         .into_iter()
         .chain(suspended)
         .collect();
-    let complete = state.end.filter(|e| e.why == Ending::Complete);
+    let complete = state.end.filter(|e| e.reason == EndReason::Complete);
     JobStatus {
-        active: count(running),
-        ready: count(running),
-        succeeded: count(done),
+        active: to_i32(running),
+        ready: to_i32(running),
+        succeeded: to_i32(done),
         failed: i32::try_from(state.failed.len()).ok(),
         start_time: state.started.and_then(time),
         completion_time: complete.and_then(|e| time(e.at)),
@@ -99,7 +99,7 @@
     let record = &object.record;
     let mut annotations = record.annotations.clone();
     if let Some(job) = &record.state.job {
-        annotations.insert(JOB.into(), job.clone());
+        annotations.insert(JOB_ANNOTATION.into(), job.clone());
     }
     ObjectMeta {
         name: Some(object.name.name.clone()),
@@ -114,25 +114,25 @@
     }
 }
 
-/// The object in full.
+/// The object with its metadata, spec and status.
 pub fn object(object: &Object, progress: Progress) -> Value {
     match object.name.kind {
         Kind::Job => {
-            let shell = Job {
+            let job = Job {
                 metadata: metadata(object),
                 spec: None,
                 status: Some(status(object, progress)),
             };
-            // Its spec is kept as the client wrote it.
-            let mut value = json!(shell);
+            // The stored spec is added as JSON, so that it stays as the client wrote it.
+            let mut value = json!(job);
             value["spec"] = object.record.spec.clone();
             value
         }
     }
 }
 
-/// Only what says which object it is, for rows of tables.
-pub fn partial(object: &Object) -> Value {
+/// The object's metadata only, for the rows of tables.
+pub fn partial_metadata(object: &Object) -> Value {
     json!({
         "apiVersion": "meta.k8s.io/v1",
         "kind": "PartialObjectMetadata",
@@ -140,12 +140,12 @@
     })
 }
 
-/// The state of a job in a word, as tables show it.
-pub fn word(object: &Object) -> &'static str {
+/// The state of a Job in one word, for tables and field selectors.
+pub fn status_word(object: &Object) -> &'static str {
     let state = &object.record.state;
     match state.end {
-        Some(End {
-            why: Ending::Complete,
+        Some(JobEnd {
+            reason: EndReason::Complete,
             ..
         }) => "Complete",
         Some(_) => "Failed",
--- a/crates/kube/src/watch_cache.rs
+++ b/crates/kube/src/watch_cache.rs
@@ -1,50 +1,51 @@
-//! All objects as the store has them, and their latest changes.
+//! A cache of all objects in the store and of their latest changes.
 //!
-//! Every controller keeps them up to date by one watch of the store, however
-//! many clients read and watch.
+//! Each controller keeps its cache up to date with a single watch of the store, and serves
+//! the reads and watches of all its clients from it.
 
 use crate::record::{Kind, Name, OBJECTS, Object, Record};
 use dillcleat_wire::store::{RangePage, Value, WatchBatch, WatchEvent};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Changes that a client's watch may go back.
-const KEPT: usize = 4_096;
+/// The maximum number of changes that are kept for watches that start in the past.
+const MAX_CHANGES: usize = 4_096;
 
-/// A change of one object: what it was and what it is.
+/// The change of one object: its state before and after.
 #[derive(Debug, Clone)]
-pub struct Turn {
+pub struct ObjectChange {
     pub version: u64,
     pub old: Option<Rc<Object>>,
     pub new: Option<Rc<Object>>,
 }
 
 #[derive(Debug, Default)]
-pub struct Cache {
+pub struct WatchCache {
     objects: BTreeMap<Name, Rc<Object>>,
     by_job: HashMap<String, Name>,
-    turns: VecDeque<Turn>,
-    /// The latest change that is no longer among the turns.
-    forgotten: u64,
-    /// Up to which revision of the store the objects are known; None before
-    /// all of them were read.
+    changes: VecDeque<ObjectChange>,
+    /// Changes up to this revision are no longer in `changes`.
+    compacted_revision: u64,
+    /// The revision of the store that the cache has reached; None until all objects have
+    /// been listed.
     revision: Option<u64>,
     loading: Option<Loading>,
 }
 
-/// A reading of all objects, page by page.
+/// A list of all objects in progress, page by page.
 #[derive(Debug)]
 struct Loading {
+    /// The revision of the first page.
     revision: u64,
-    read: BTreeMap<Name, Rc<Object>>,
+    objects: BTreeMap<Name, Rc<Object>>,
 }
 
-fn object(key: &str, value: &Value, version: u64) -> Option<Object> {
-    let made = Name::parse(key).zip(Record::read(value));
-    if made.is_none() {
-        log::error!("{key}: not an object");
+fn decode_object(key: &str, value: &Value, version: u64) -> Option<Object> {
+    let decoded = Name::parse(key).zip(Record::decode(value));
+    if decoded.is_none() {
+        log::error!("cannot decode stored object key={key}");
     }
-    let (name, record) = made?;
+    let (name, record) = decoded?;
     Some(Object {
         name,
         version,
@@ -52,7 +53,7 @@
     })
 }
 
-impl Cache {
+impl WatchCache {
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
@@ -69,12 +70,13 @@
         self.objects.get(name)
     }
 
-    pub fn of_job(&self, job: &str) -> Option<&Rc<Object>> {
+    /// The object that the native job `job` runs.
+    pub fn by_job(&self, job: &str) -> Option<&Rc<Object>> {
         self.objects.get(self.by_job.get(job)?)
     }
 
-    /// In the order of their names, those after `after`.
-    pub fn all<'a>(
+    /// The objects with names after `after`, ordered by name.
+    pub fn objects<'a>(
         &'a self,
         kind: Kind,
         namespace: Option<&'a str>,
@@ -96,53 +98,53 @@
         })
     }
 
-    /// The changes after a version; None if they are not known any more.
-    pub fn since(&self, version: u64) -> Option<impl Iterator<Item = &Turn>> {
-        if version < self.forgotten {
+    /// The changes after a version; None if some of them are no longer kept.
+    pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = &ObjectChange>> {
+        if version < self.compacted_revision {
             return None;
         }
-        let first = self.turns.partition_point(|t| t.version <= version);
-        Some(self.turns.range(first..))
+        let first = self.changes.partition_point(|t| t.version <= version);
+        Some(self.changes.range(first..))
     }
 
-    /// A page of the reading of everything. When it was the last one, the objects are
-    /// known as of the first: what came in between is in the changes from there on.
-    /// Returns the key after which the next page begins.
-    pub fn page(&mut self, page: RangePage, first: bool) -> Option<String> {
+    /// Adds a page of the list of all objects. After the last page the cache is at the
+    /// revision of the first; the watch from there delivers all changes made since.
+    /// Returns the key after which the next page begins, or None after the last page.
+    pub fn add_page(&mut self, page: RangePage, first: bool) -> Option<String> {
         if first {
             self.loading = None;
         }
         let loading = self.loading.get_or_insert_with(|| Loading {
             revision: page.revision,
-            read: BTreeMap::new(),
+            objects: BTreeMap::new(),
         });
         let last = page.rows.last().map(|row| row.key.clone());
         for row in &page.rows {
-            if let Some(o) = object(&row.key, &row.value, row.version) {
-                loading.read.insert(o.name.clone(), Rc::new(o));
+            if let Some(object) = decode_object(&row.key, &row.value, row.version) {
+                loading.objects.insert(object.name.clone(), Rc::new(object));
             }
         }
         if page.more && last.is_some() {
             return last;
         }
         let loaded = self.loading.take()?;
-        self.objects = loaded.read;
+        self.objects = loaded.objects;
         self.by_job = self
             .objects
             .values()
-            .filter_map(|o| Some((job(o)?, o.name.clone())))
+            .filter_map(|o| Some((job_id(o)?, o.name.clone())))
             .collect();
-        self.turns.clear();
-        self.forgotten = loaded.revision;
+        self.changes.clear();
+        self.compacted_revision = loaded.revision;
         self.revision = Some(loaded.revision);
         None
     }
 
-    /// Takes changes up; returns those that are new here. The same may come twice, by
-    /// the watch and by a look.
-    pub fn apply(&mut self, changes: WatchBatch) -> Vec<Turn> {
-        let mut new = Vec::new();
-        for event in changes.events {
+    /// Applies a batch of changes and returns those that the cache did not have yet. The
+    /// long-running watch and a refresh may both deliver the same change.
+    pub fn apply(&mut self, batch: WatchBatch) -> Vec<ObjectChange> {
+        let mut applied = Vec::new();
+        for event in batch.events {
             let (key, version) = match &event {
                 WatchEvent::Put { key, version, .. } | WatchEvent::Delete { key, version } => {
                     (key, *version)
@@ -154,50 +156,46 @@
             let Some(name) = Name::parse(key) else {
                 continue;
             };
-            let made = match &event {
-                WatchEvent::Put { value, .. } => object(key, value, version).map(Rc::new),
+            let new = match &event {
+                WatchEvent::Put { value, .. } => decode_object(key, value, version).map(Rc::new),
                 WatchEvent::Delete { .. } => None,
             };
-            let old = match &made {
+            let old = match &new {
                 Some(o) => self.objects.insert(name.clone(), o.clone()),
                 None => self.objects.remove(&name),
             };
-            // Its page may have been read after the change.
+            // The list of all objects may have read the object after this change.
             if old.as_ref().is_some_and(|o| o.version >= version) {
                 if let Some(old) = old {
                     self.objects.insert(name, old);
                 }
                 continue;
             }
-            if let Some(job) = old.as_deref().and_then(job) {
+            if let Some(job) = old.as_deref().and_then(job_id) {
                 self.by_job.remove(&job);
             }
-            if let Some(job) = made.as_deref().and_then(job) {
+            if let Some(job) = new.as_deref().and_then(job_id) {
                 self.by_job.insert(job, name);
             }
-            if old.is_none() && made.is_none() {
+            if old.is_none() && new.is_none() {
                 continue;
             }
-            let turn = Turn {
-                version,
-                old,
-                new: made,
-            };
-            self.turns.push_back(turn.clone());
-            new.push(turn);
+            let change = ObjectChange { version, old, new };
+            self.changes.push_back(change.clone());
+            applied.push(change);
         }
-        while self.turns.len() > KEPT {
-            if let Some(turn) = self.turns.pop_front() {
-                self.forgotten = turn.version;
+        while self.changes.len() > MAX_CHANGES {
+            if let Some(change) = self.changes.pop_front() {
+                self.compacted_revision = change.version;
             }
         }
         if let Some(revision) = &mut self.revision {
-            *revision = changes.revision.max(*revision);
+            *revision = batch.revision.max(*revision);
         }
-        new
+        applied
     }
 }
 
-fn job(object: &Object) -> Option<String> {
+fn job_id(object: &Object) -> Option<String> {
     object.record.state.job.clone()
 }
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -1,19 +1,18 @@
-//! Clients that watch.
+//! The open watches of clients, and the events that they are sent.
 
 use crate::record::{Kind, Object};
 use crate::settings::Token;
 use crate::target::Query;
-use crate::watch_cache::{Cache, Turn};
+use crate::watch_cache::{ObjectChange, WatchCache};
 use crate::{table, view};
 use dillcleat_controller::{Micros, RequestId, SECOND};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How often a watch is told up to which version it has seen everything.
-const BOOKMARK: Micros = 20 * SECOND;
+const BOOKMARK_INTERVAL: Micros = 20 * SECOND;
 
-/// What a client sees of the objects.
+/// Selects the objects that a request is about and that its token may access.
 #[derive(Debug, Clone)]
 pub struct Filter {
     pub kind: Kind,
@@ -23,39 +22,38 @@
 }
 
 impl Filter {
-    pub fn takes(&self, object: &Object) -> bool {
+    pub fn matches(&self, object: &Object) -> bool {
         let name = &object.name;
         let field = |field: &str| match field {
             "metadata.name" => name.name.clone(),
             "metadata.namespace" => name.namespace.clone(),
-            _ => u32::from(view::word(object) == "Complete").to_string(),
+            _ => u32::from(view::status_word(object) == "Complete").to_string(),
         };
         name.kind == self.kind
             && self.namespace.as_ref().is_none_or(|n| *n == name.namespace)
-            && self.token.sees(&name.namespace)
-            && self.query.labels.takes_labels(&object.record.labels)
-            && self.query.fields.takes_fields(field)
+            && self.token.may_access(&name.namespace)
+            && self.query.labels.matches_labels(&object.record.labels)
+            && self.query.fields.matches_fields(field)
     }
 }
 
 #[derive(Debug)]
 struct Watch {
     filter: Filter,
-    table: bool,
+    as_table: bool,
     bookmarks: bool,
-    /// Up to which version the client knows everything. It may know more than this
-    /// controller, which then catches up: what is no news to it was once told again
-    /// (seed 1291).
+    /// The version up to which the client has seen all changes. The watch cache may be
+    /// behind it; changes up to this version are not sent again.
     after: u64,
     until: Micros,
     bookmark_at: Micros,
-    /// Rows of tables are told their columns once.
-    headed: bool,
+    /// Whether a table with column definitions has been sent.
+    columns_sent: bool,
 }
 
-/// What goes out to a client.
+/// Output to the client of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Sent {
+pub enum WatchOutput {
     Chunk(RequestId, Rc<[u8]>),
     End(RequestId),
 }
@@ -65,64 +63,68 @@
     open: BTreeMap<RequestId, Watch>,
 }
 
-fn line(kind: &str, object: Value) -> Rc<[u8]> {
-    let mut bytes = json!({"type": kind, "object": object})
+fn event_line(event_type: &str, object: Value) -> Rc<[u8]> {
+    let mut bytes = json!({"type": event_type, "object": object})
         .to_string()
         .into_bytes();
     bytes.push(b'\n');
     bytes.into()
 }
 
-/// One change, written once for all who see it.
-struct Written<'a> {
-    turn: &'a Turn,
+/// Encodes the events of one change. Each encoding is made once and shared by all watches
+/// that need it.
+struct EventEncoder<'a> {
+    change: &'a ObjectChange,
     wall: Micros,
-    made: BTreeMap<(&'static str, bool, bool), Rc<[u8]>>,
+    /// Encodings by event type, and by `as_table` and `columns_sent` of the watch.
+    encoded: BTreeMap<(&'static str, bool, bool), Rc<[u8]>>,
 }
 
-impl Written<'_> {
-    /// What the change is to this filter.
-    fn kind(&self, filter: &Filter) -> Option<(&'static str, &Rc<Object>)> {
-        let seen = |o: &Option<Rc<Object>>| o.as_ref().is_some_and(|o| filter.takes(o));
-        match (seen(&self.turn.old), seen(&self.turn.new)) {
-            (false, true) => Some(("ADDED", self.turn.new.as_ref()?)),
-            (true, true) => Some(("MODIFIED", self.turn.new.as_ref()?)),
-            (true, false) => Some(("DELETED", self.turn.old.as_ref()?)),
+impl EventEncoder<'_> {
+    /// The type and object of the event that a watch with this filter receives.
+    fn event(&self, filter: &Filter) -> Option<(&'static str, &Rc<Object>)> {
+        let matches = |o: &Option<Rc<Object>>| o.as_ref().is_some_and(|o| filter.matches(o));
+        match (matches(&self.change.old), matches(&self.change.new)) {
+            (false, true) => Some(("ADDED", self.change.new.as_ref()?)),
+            (true, true) => Some(("MODIFIED", self.change.new.as_ref()?)),
+            (true, false) => Some(("DELETED", self.change.old.as_ref()?)),
             (false, false) => None,
         }
     }
 
-    fn bytes(&mut self, watch: &mut Watch) -> Option<Rc<[u8]>> {
-        if self.turn.version <= watch.after {
+    /// The event line for a watch; None if the change does not concern it.
+    fn encode(&mut self, watch: &mut Watch) -> Option<Rc<[u8]>> {
+        if self.change.version <= watch.after {
             return None;
         }
-        let (kind, object) = self.kind(&watch.filter)?;
+        let (event_type, object) = self.event(&watch.filter)?;
         let object = object.clone();
         let key = (
-            kind,
-            watch.table,
-            std::mem::replace(&mut watch.headed, true),
+            event_type,
+            watch.as_table,
+            std::mem::replace(&mut watch.columns_sent, true),
         );
-        if let Some(bytes) = self.made.get(&key) {
+        if let Some(bytes) = self.encoded.get(&key) {
             return Some(bytes.clone());
         }
-        // What is deleted is shown as it was last, under the version of its end.
+        // A deleted object is sent in its last state, with the version of the deletion.
         let object = Object {
-            version: self.turn.version,
+            version: self.change.version,
             ..(*object).clone()
         };
-        let bytes = line(kind, shown(&object, watch.table, key.2, self.wall));
-        self.made.insert(key, bytes.clone());
+        let body = render(&object, watch.as_table, key.2, self.wall);
+        let bytes = event_line(event_type, body);
+        self.encoded.insert(key, bytes.clone());
         Some(bytes)
     }
 }
 
-fn shown(object: &Object, as_table: bool, headed: bool, wall: Micros) -> Value {
+fn render(object: &Object, as_table: bool, columns_sent: bool, wall: Micros) -> Value {
     if !as_table {
         return view::object(object, None);
     }
     let meta = json!({"resourceVersion": object.version.to_string()});
-    table::table(vec![table::row(object, None, wall)], meta, !headed)
+    table::table(vec![table::row(object, None, wall)], meta, !columns_sent)
 }
 
 impl Watches {
@@ -130,10 +132,13 @@
         self.open.len()
     }
 
-    /// Opens a watch. `from`: the version up to which the client knows everything, or
-    /// None if it knows nothing and is told what there is first. Returns None if that
-    /// version is too old.
-    #[expect(clippy::too_many_arguments, reason = "each is one thing a client says")]
+    /// Opens a watch. `from` is the version up to which the client has seen all changes;
+    /// with None the watch starts with an event for each existing object. Returns None if
+    /// `from` is older than the changes that the cache keeps.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "each is one parameter of a request"
+    )]
     pub fn open(
         &mut self,
         id: RequestId,
@@ -141,88 +146,98 @@
         as_table: bool,
         bookmarks: bool,
         from: Option<u64>,
-        cache: &Cache,
+        cache: &WatchCache,
         (now, until, wall): (Micros, Micros, Micros),
-    ) -> Option<Vec<Sent>> {
-        let mut sent = Vec::new();
+    ) -> Option<Vec<WatchOutput>> {
+        let mut outputs = Vec::new();
         let mut watch = Watch {
             filter,
-            table: as_table,
+            as_table,
             bookmarks,
             after: from.unwrap_or(0),
             until,
-            bookmark_at: now + BOOKMARK,
-            headed: false,
+            bookmark_at: now + BOOKMARK_INTERVAL,
+            columns_sent: false,
         };
         match from {
             Some(version) => {
-                for turn in cache.since(version)? {
-                    let made = BTreeMap::new();
-                    let bytes = Written { turn, wall, made }.bytes(&mut watch);
-                    sent.extend(bytes.map(|b| Sent::Chunk(id, b)));
+                for change in cache.changes_since(version)? {
+                    let encoded = BTreeMap::new();
+                    let mut encoder = EventEncoder {
+                        change,
+                        wall,
+                        encoded,
+                    };
+                    let bytes = encoder.encode(&mut watch);
+                    outputs.extend(bytes.map(|b| WatchOutput::Chunk(id, b)));
                 }
             }
             None => {
                 let namespace = watch.filter.namespace.clone();
-                for object in cache.all(watch.filter.kind, namespace.as_deref(), None) {
-                    if watch.filter.takes(object) {
-                        let shown = shown(object, as_table, watch.headed, wall);
-                        watch.headed = true;
-                        sent.push(Sent::Chunk(id, line("ADDED", shown)));
+                for object in cache.objects(watch.filter.kind, namespace.as_deref(), None) {
+                    if watch.filter.matches(object) {
+                        let body = render(object, as_table, watch.columns_sent, wall);
+                        watch.columns_sent = true;
+                        outputs.push(WatchOutput::Chunk(id, event_line("ADDED", body)));
                     }
                 }
             }
         }
         self.open.insert(id, watch);
-        Some(sent)
+        Some(outputs)
     }
 
     pub fn close(&mut self, id: RequestId) {
         self.open.remove(&id);
     }
 
-    /// Tells a change to everybody who sees it.
-    pub fn turned(&mut self, turn: &Turn, wall: Micros) -> Vec<Sent> {
-        let made = BTreeMap::new();
-        let mut written = Written { turn, wall, made };
-        let mut sent = Vec::new();
+    /// Sends a change to all watches whose filter matches the object.
+    pub fn broadcast(&mut self, change: &ObjectChange, wall: Micros) -> Vec<WatchOutput> {
+        let encoded = BTreeMap::new();
+        let mut encoder = EventEncoder {
+            change,
+            wall,
+            encoded,
+        };
+        let mut outputs = Vec::new();
         for (id, watch) in &mut self.open {
-            sent.extend(written.bytes(watch).map(|b| Sent::Chunk(*id, b)));
+            let bytes = encoder.encode(watch);
+            outputs.extend(bytes.map(|b| WatchOutput::Chunk(*id, b)));
         }
-        sent
+        outputs
     }
 
-    /// Ends what is over and tells those who want to know where they are.
-    pub fn tick(&mut self, now: Micros, revision: u64) -> Vec<Sent> {
-        let mut sent = Vec::new();
+    /// Ends watches whose time is over and sends the bookmarks that are due.
+    pub fn tick(&mut self, now: Micros, revision: u64) -> Vec<WatchOutput> {
+        let mut outputs = Vec::new();
         let mut bookmark: Option<Rc<[u8]>> = None;
         self.open.retain(|id, watch| {
             if now >= watch.until {
-                sent.push(Sent::End(*id));
+                outputs.push(WatchOutput::End(*id));
                 return false;
             }
             if watch.bookmarks && revision >= watch.after && now >= watch.bookmark_at {
-                watch.bookmark_at = now + BOOKMARK;
+                watch.bookmark_at = now + BOOKMARK_INTERVAL;
                 let kind = watch.filter.kind;
                 let bytes = bookmark.get_or_insert_with(|| {
                     let meta = json!({"resourceVersion": revision.to_string()});
                     let object = json!({"kind": kind.name(), "apiVersion": kind.api_version(), "metadata": meta});
-                    line("BOOKMARK", object)
+                    event_line("BOOKMARK", object)
                 });
-                sent.push(Sent::Chunk(*id, bytes.clone()));
+                outputs.push(WatchOutput::Chunk(*id, bytes.clone()));
             }
             true
         });
-        sent
+        outputs
     }
 
-    /// Ends all, since what they have missed is not known: 410, in its form for those
-    /// who watch already.
-    pub fn lost(&mut self) -> Vec<Sent> {
-        let fault = crate::status_error::StatusError::Expired("too old resource version".into());
-        let bytes = line("ERROR", json!(fault.status()));
+    /// Ends all watches with an `ERROR` event of status 410, because the changes that they
+    /// have missed are unknown.
+    pub fn expire_all(&mut self) -> Vec<WatchOutput> {
+        let error = crate::status_error::StatusError::Expired("too old resource version".into());
+        let bytes = event_line("ERROR", json!(error.status()));
         let ids = std::mem::take(&mut self.open).into_keys();
-        ids.flat_map(|id| [Sent::Chunk(id, bytes.clone()), Sent::End(id)])
+        ids.flat_map(|id| [WatchOutput::Chunk(id, bytes.clone()), WatchOutput::End(id)])
             .collect()
     }
 }
--- a/crates/kube/src/yaml.rs
+++ b/crates/kube/src/yaml.rs
@@ -1,44 +1,47 @@
-//! Documents as people write them.
+//! Reads and writes YAML documents.
 
 use serde_json::Value;
 
-/// The most documents of one file.
-const DOCUMENTS: usize = 1_000;
+/// The maximum number of documents in one file.
+const MAX_DOCUMENTS: usize = 1_000;
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum YamlError {
     #[error("not YAML: {0}")]
-    Form(String),
+    Syntax(String),
     #[error("one document is taken, there are {0}")]
-    Several(usize),
-    #[error("more than {DOCUMENTS} documents")]
-    TooMany,
+    NotOneDocument(usize),
+    #[error("more than {MAX_DOCUMENTS} documents")]
+    TooManyDocuments,
 }
 
-/// All documents of a text; JSON is one as well. Empty ones are left out. The library
-/// bounds depth, nodes and what aliases may repeat.
-pub fn all(text: &str) -> Result<Vec<Value>, YamlError> {
+/// Reads all documents of a YAML or JSON text and skips empty ones. The YAML library
+/// limits depth, the number of nodes and the expansion of aliases.
+pub fn parse_documents(text: &str) -> Result<Vec<Value>, YamlError> {
     let read: Vec<Value> = serde_saphyr::from_multiple(text).map_err(|e| {
         let message = e.to_string();
-        YamlError::Form(message.lines().next().unwrap_or_default().to_string())
+        YamlError::Syntax(message.lines().next().unwrap_or_default().to_string())
     })?;
-    if read.len() > DOCUMENTS {
-        return Err(YamlError::TooMany);
+    if read.len() > MAX_DOCUMENTS {
+        return Err(YamlError::TooManyDocuments);
     }
     Ok(read.into_iter().filter(|v| !v.is_null()).collect())
 }
 
-/// Writes a document.
-pub fn write(value: &Value) -> String {
-    // Values of JSON have nothing that YAML has not.
+/// Writes a value as a YAML document.
+pub fn to_text(value: &Value) -> String {
+    // Every JSON value can be written as YAML.
     serde_saphyr::to_string(value).unwrap_or_default()
 }
 
-pub fn one(text: &str) -> Result<Value, YamlError> {
-    let mut all = all(text)?;
-    match all.pop() {
-        Some(value) if all.is_empty() => Ok(value),
-        rest => Err(YamlError::Several(all.len() + usize::from(rest.is_some()))),
+/// Reads a text that has exactly one document.
+pub fn parse_document(text: &str) -> Result<Value, YamlError> {
+    let mut documents = parse_documents(text)?;
+    match documents.pop() {
+        Some(value) if documents.is_empty() => Ok(value),
+        rest => Err(YamlError::NotOneDocument(
+            documents.len() + usize::from(rest.is_some()),
+        )),
     }
 }
 
@@ -48,26 +51,29 @@
     use serde_json::json;
 
     #[test]
-    fn documents() {
+    fn documents_are_read_in_order_and_empty_ones_are_skipped() {
         let text = "a: 1\n---\n# nothing\n---\nb: [x, 'y']\n";
         assert_eq!(
-            all(text),
+            parse_documents(text),
             Ok(vec![json!({"a": 1}), json!({"b": ["x", "y"]})])
         );
-        assert_eq!(one("{\"a\": {\"b\": null}}"), Ok(json!({"a": {"b": null}})));
-        assert_eq!(one(text), Err(YamlError::Several(2)));
-        assert_eq!(one(""), Err(YamlError::Several(0)));
-        assert!(matches!(one("a: [1"), Err(YamlError::Form(_))));
+        assert_eq!(
+            parse_document("{\"a\": {\"b\": null}}"),
+            Ok(json!({"a": {"b": null}}))
+        );
+        assert_eq!(parse_document(text), Err(YamlError::NotOneDocument(2)));
+        assert_eq!(parse_document(""), Err(YamlError::NotOneDocument(0)));
+        assert!(matches!(parse_document("a: [1"), Err(YamlError::Syntax(_))));
     }
 
-    /// Nine aliases of nine aliases of nine ... are a document of a few lines.
+    /// Guards against a short document that nested aliases expand exponentially.
     #[test]
-    fn aliases_do_not_grow_without_bound() {
+    fn a_document_of_nested_aliases_is_rejected() {
         let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x]\n".to_string();
         for i in 1..12 {
             let more = format!("*a{}, ", i - 1).repeat(9);
             text += &format!("a{i}: &a{i} [{}]\n", more.trim_end_matches(", "));
         }
-        assert!(matches!(one(&text), Err(YamlError::Form(_))));
+        assert!(matches!(parse_document(&text), Err(YamlError::Syntax(_))));
     }
 }
--- a/crates/kube/tests/golden_records.rs
+++ b/crates/kube/tests/golden_records.rs
@@ -1,8 +1,8 @@
-//! The keys and records of kept objects in the state service, and the names that follow
-//! from the operators' key, as version 84a8104 reads and writes them.
+//! The stored form of objects stays the same: their keys, the bytes of their records, and
+//! the names that are derived from the operators' key.
 
-use dillcleat_kube::names::{SigningKey, unhex};
-use dillcleat_kube::record::{End, Ending, Gone, JobState, Kind, Name, OBJECTS, Record};
+use dillcleat_kube::names::{SigningKey, decode_hex};
+use dillcleat_kube::record::{EndReason, JobEnd, JobState, Kind, Name, OBJECTS, Record, Tombstone};
 use dillcleat_wire::store::{self, Value};
 use serde::Serialize;
 use serde_json::json;
@@ -12,20 +12,20 @@
     dillcleat_wire::decode(bytes).expect("a map")
 }
 
-/// Asserts that `record` is written as `bytes`.
-fn assert_written<T: Serialize + std::fmt::Debug>(bytes: &[u8], record: &T) {
-    let written = dillcleat_wire::encode(&store::encode_value(record));
+/// Asserts that `record` is encoded as `bytes`.
+fn assert_encoded<T: Serialize + std::fmt::Debug>(bytes: &[u8], record: &T) {
+    let encoded = dillcleat_wire::encode(&store::encode_value(record));
     assert_eq!(
-        written.escape_ascii().to_string(),
+        encoded.escape_ascii().to_string(),
         bytes.escape_ascii().to_string(),
         "{record:?}"
     );
 }
 
-/// Asserts that `bytes` are read as `record`, and that `record` is written as `bytes`.
-fn assert_keeps(bytes: &[u8], record: &Record) {
-    assert_eq!(Record::read(&stored(bytes)).as_ref(), Some(record));
-    assert_written(bytes, record);
+/// Asserts that `bytes` are decoded as `record`, and that `record` is encoded as `bytes`.
+fn assert_round_trip(bytes: &[u8], record: &Record) {
+    assert_eq!(Record::decode(&stored(bytes)).as_ref(), Some(record));
+    assert_encoded(bytes, record);
 }
 
 fn name() -> Name {
@@ -37,11 +37,11 @@
 }
 
 #[test]
-fn every_key_stays_as_it_is() {
+fn every_stored_key_stays_the_same() {
     assert_eq!(OBJECTS, "k/o/");
     assert_eq!(name().to_string(), "jobs/books/merge-1");
     assert_eq!(name().key(), "k/o/jobs/books/merge-1");
-    assert_eq!(name().deleted_key(), "k/d/jobs/books/merge-1");
+    assert_eq!(name().tombstone_key(), "k/d/jobs/books/merge-1");
     assert_eq!(Name::parse("k/o/jobs/books/merge-1"), Some(name()));
     assert_eq!(Name::parse("k/o/pods/books/merge-1"), None);
     assert_eq!(Name::parse("k/d/jobs/books/merge-1"), None);
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_record_keeps_its_bytes() {
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x81\xa3app\xa5merge\xa5notes\x81\xafdillcleat/class\xa5match\xa4spec\x83\
@@ -105,7 +105,7 @@
         spec: json!({}),
         ..record(suspended)
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x80\xa5notes\x80\xa4spec\x80\xa2st\x84\xa1j\xc0\xa1s\xc0\xa1f\x90\
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn every_ending_keeps_its_bytes() {
-    let ended = |why| {
-        let end = Some(End { at: 8, why });
+fn every_end_reason_keeps_its_bytes() {
+    let ended = |reason| {
+        let end = Some(JobEnd { at: 8, reason });
         record(JobState { end, ..running() })
     };
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x81\xa3app\xa5merge\xa5notes\x81\xafdillcleat/class\xa5match\xa4spec\x83\
@@ -128,9 +128,9 @@
             \xa5ratio\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa2st\x84\xa1j\xa5req-1\
             \xa1s\xcf\x00\x06\x0a\x24\x18\x1e\x40\x05\xa1f\x91\x92\x06\x07\xa1e\x82\xa2at\x08\
             \xa3why\xa1c",
-        &ended(Ending::Complete),
+        &ended(EndReason::Complete),
     );
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x81\xa3app\xa5merge\xa5notes\x81\xafdillcleat/class\xa5match\xa4spec\x83\
@@ -138,9 +138,9 @@
             \xa5ratio\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa2st\x84\xa1j\xa5req-1\
             \xa1s\xcf\x00\x06\x0a\x24\x18\x1e\x40\x05\xa1f\x91\x92\x06\x07\xa1e\x82\xa2at\x08\
             \xa3why\xa1b",
-        &ended(Ending::BackoffLimit),
+        &ended(EndReason::BackoffLimit),
     );
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x81\xa3app\xa5merge\xa5notes\x81\xafdillcleat/class\xa5match\xa4spec\x83\
@@ -148,9 +148,9 @@
             \xa5ratio\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa2st\x84\xa1j\xa5req-1\
             \xa1s\xcf\x00\x06\x0a\x24\x18\x1e\x40\x05\xa1f\x91\x92\x06\x07\xa1e\x82\xa2at\x08\
             \xa3why\xa1d",
-        &ended(Ending::Deadline),
+        &ended(EndReason::Deadline),
     );
-    assert_keeps(
+    assert_round_trip(
         b"\
             \x88\xa3uid\xa3u-1\xa3run\x02\xa2at\xcf\x00\x06\x0a\x24\x18\x1e\x40\x00\xa3gen\x03\
             \xa6labels\x81\xa3app\xa5merge\xa5notes\x81\xafdillcleat/class\xa5match\xa4spec\x83\
@@ -158,30 +158,30 @@
             \xa5ratio\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xa2st\x84\xa1j\xa5req-1\
             \xa1s\xcf\x00\x06\x0a\x24\x18\x1e\x40\x05\xa1f\x91\x92\x06\x07\xa1e\x82\xa2at\x08\
             \xa3why\xa1x",
-        &ended(Ending::Cancelled),
+        &ended(EndReason::Cancelled),
     );
 }
 
 #[test]
-fn what_stays_of_a_deleted_object_keeps_its_bytes() {
-    let keeps = |bytes: &[u8], gone: Gone| {
+fn a_tombstone_keeps_its_bytes() {
+    let assert_tombstone = |bytes: &[u8], tombstone: Tombstone| {
         assert_eq!(
-            store::decode_value::<Gone>(&stored(bytes)).as_ref(),
-            Some(&gone)
+            store::decode_value::<Tombstone>(&stored(bytes)).as_ref(),
+            Some(&tombstone)
         );
-        assert_written(bytes, &gone);
+        assert_encoded(bytes, &tombstone);
     };
-    keeps(
+    assert_tombstone(
         b"\x83\xa3uid\xa3u-1\xa3run\x02\xa3job\xa5req-1",
-        Gone {
+        Tombstone {
             uid: "u-1".into(),
             run: 2,
             job: Some("req-1".into()),
         },
     );
-    keeps(
+    assert_tombstone(
         b"\x83\xa3uid\xa3u-1\xa3run\x02\xa3job\xc0",
-        Gone {
+        Tombstone {
             uid: "u-1".into(),
             run: 2,
             job: None,
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn names_that_follow_from_the_key_stay_as_they_are() {
+fn names_derived_from_the_signing_key_stay_the_same() {
     let key = SigningKey::parse("0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b")
         .expect("a key");
     let uid = "a3ca4763-af43-84e2-b6c2-8232c2806fad";
@@ -201,5 +201,5 @@
     );
     let kept = "60a44900b6a40505937d4c502b3cff2eff4dc69f2cfc2e9a4c3fb9376f2d6636";
     assert_eq!(key.token("secret"), kept);
-    assert!(key.is_token("secret", &unhex(kept).expect("hex")));
+    assert!(key.is_token("secret", &decode_hex(kept).expect("hex")));
 }
--- a/crates/kube/tests/golden_settings.rs
+++ b/crates/kube/tests/golden_settings.rs
@@ -1,5 +1,5 @@
-//! The table `[kube]` of the operators' settings with every key, as version 84a8104
-//! reads it.
+//! The table `[kube]` of the operators' settings stays readable: every key keeps its name,
+//! and optional keys keep their defaults.
 
 use dillcleat_kube::settings::{Settings, SettingsError, Tls, Token, Verb};
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_may_be_missing_has_its_default() {
+fn missing_optional_keys_have_their_defaults() {
     let short = Settings {
         listen: "127.0.0.1:6443".parse().expect("an address"),
         tls: None,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_missing_key_is_named() {
+fn a_missing_required_key_is_an_error_with_its_name() {
     for key in ["listen", "key_file", "name", "mac", "namespaces", "verbs"] {
         let without = without_line(FULL, key);
         let error = read(&without).expect_err(key).to_string();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_the_names_of_all() {
+fn an_unknown_key_is_an_error_with_the_valid_keys() {
     let refused = |text: &str, keys: &[&str]| {
         let error = read(text).expect_err(text).to_string();
         assert!(error.contains("unknown field `colour`"), "{error}");
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -1,11 +1,11 @@
-//! A change is carried out and its answer is lost, and somebody else changes the object
-//! before the controller tries again.
+//! A transaction is committed but its response is lost, and another client changes the
+//! object before the API server retries.
 
 use dillcleat_controller::records::{self, MachineTypesRecord};
 use dillcleat_controller::{
     CallError, CallId, Config, Input, Node, Output, RequestId, SECOND, Timestamp, Tuning,
 };
-use dillcleat_kube::record::{Gone, Kind, Name, Record};
+use dillcleat_kube::record::{Kind, Name, Record, Tombstone};
 use dillcleat_kube::{ApiRequest, Controller, ControllerOutput, Rules, Settings, SigningKey};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::settings::PlatformSettings;
@@ -18,7 +18,7 @@
 const TOKEN: &str = "a-token-for-tests";
 const JOBS: &str = "/apis/batch/v1/namespaces/books/jobs";
 
-/// Names of the class `merge`, which is every job's here, may be used again.
+/// Settings under which names may be used again: all Jobs here are of the class `merge`.
 fn rules() -> Rules {
     let key = SigningKey::parse(&"5c".repeat(32)).expect("a key");
     let text = format!(
@@ -40,45 +40,48 @@
     }
 }
 
-struct Driven {
+struct TestController {
     controller: Controller,
+    /// The transactions sent to the store, oldest first.
     txns: Vec<(CallId, Transaction)>,
-    gets: Vec<CallId>,
-    /// Looks at what has changed.
-    looks: Vec<CallId>,
+    pending_gets: Vec<CallId>,
+    /// Watch requests that refresh the watch cache.
+    pending_refreshes: Vec<CallId>,
+    /// The status codes of the responses to the client.
     replies: Vec<u16>,
 }
 
-impl Driven {
-    /// A controller that knows the machine types, and of no object as of revision 5.
-    fn new() -> Driven {
+impl TestController {
+    /// A controller that has read the machine types, and an empty list of objects at
+    /// revision 5.
+    fn new() -> TestController {
         let text = include_str!("../../../deploy/example-node.toml");
         let platform = PlatformSettings::parse(text).expect("good settings");
         let node = Node::new(Config::new(&platform, Tuning::default()));
-        let mut driven = Driven {
+        let mut controller = TestController {
             controller: Controller::new(node, Some(rules())),
             txns: Vec::new(),
-            gets: Vec::new(),
-            looks: Vec::new(),
+            pending_gets: Vec::new(),
+            pending_refreshes: Vec::new(),
             replies: Vec::new(),
         };
-        driven.feed(Input::Tick);
-        driven
+        controller.handle(Input::Tick);
+        controller
     }
 
-    fn feed(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let out = self.controller.handle(now(), input);
-        self.take(out);
+        self.take_outputs(out);
     }
 
-    fn take(&mut self, out: Vec<ControllerOutput>) {
+    fn take_outputs(&mut self, out: Vec<ControllerOutput>) {
         for out in out {
             match out {
                 ControllerOutput::Reply { reply, .. } => self.replies.push(reply.status),
                 ControllerOutput::Core(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
-                            records::SHARED => vec![types()],
+                            records::SHARED => vec![machine_types_row()],
                             _ => Vec::new(),
                         };
                         let reply = StoreResponse::RangePage(RangePage {
@@ -86,11 +89,11 @@
                             more: false,
                             revision: 5,
                         });
-                        self.answer(id, Ok(reply));
+                        self.answer_call(id, Ok(reply));
                     }
                     StoreRequest::Transaction(txn) => self.txns.push((id, txn)),
-                    StoreRequest::Get { .. } => self.gets.push(id),
-                    StoreRequest::Watch { hold_ms: 0, .. } => self.looks.push(id),
+                    StoreRequest::Get { .. } => self.pending_gets.push(id),
+                    StoreRequest::Watch { hold_ms: 0, .. } => self.pending_refreshes.push(id),
                     _ => {}
                 },
                 _ => {}
@@ -98,20 +101,20 @@
         }
     }
 
-    fn ask(&mut self, ask: ApiRequest) {
-        let out = self.controller.ask(now(), RequestId(1), ask);
-        self.take(out);
+    fn request(&mut self, request: ApiRequest) {
+        let out = self.controller.ask(now(), RequestId(1), request);
+        self.take_outputs(out);
     }
 
-    /// The oldest look finds these changes.
-    fn look(&mut self, revision: u64, events: Vec<WatchEvent>) {
-        let id = self.looks.remove(0);
+    /// Answers the oldest refresh with these changes.
+    fn answer_refresh(&mut self, revision: u64, events: Vec<WatchEvent>) {
+        let id = self.pending_refreshes.remove(0);
         let changes = WatchBatch { revision, events };
-        self.answer(id, Ok(StoreResponse::WatchBatch(changes)));
+        self.answer_call(id, Ok(StoreResponse::WatchBatch(changes)));
     }
 
-    fn answer(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
-        self.feed(Input::Store { id, reply });
+    fn answer_call(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
+        self.handle(Input::Store { id, reply });
     }
 }
 
@@ -122,7 +125,7 @@
     }
 }
 
-fn types() -> KeyValue {
+fn machine_types_row() -> KeyValue {
     let types = vec![MachineType {
         name: "t".into(),
         cpus: 8.0,
@@ -150,8 +153,8 @@
     }
 }
 
-/// Asks for an object; returns the transaction that is sent.
-fn created(driven: &mut Driven) -> (CallId, Transaction) {
+/// Requests to create an object, and returns the transaction that the controller sends.
+fn request_create(controller: &mut TestController) -> (CallId, Transaction) {
     let requests = json!({"cpu": "1", "memory": "1G"});
     let container = json!({"name": "main", "image": "i", "resources": {"requests": requests}});
     let body = json!({
@@ -162,91 +165,107 @@
         "spec": {"completions": 1, "parallelism": 1,
             "template": {"spec": {"restartPolicy": "Never", "containers": [container]}}},
     });
-    let ask = ApiRequest {
+    let request = ApiRequest {
         method: "POST".into(),
         target: JOBS.into(),
         bearer: Some(TOKEN.into()),
         body: body.to_string().into_bytes(),
         ..ApiRequest::default()
     };
-    driven.ask(ask);
-    assert!(driven.replies.is_empty(), "{:?}", driven.replies);
-    driven.txns.last().cloned().expect("it is sent")
+    controller.request(request);
+    assert!(controller.replies.is_empty(), "{:?}", controller.replies);
+    controller
+        .txns
+        .last()
+        .cloned()
+        .expect("a transaction is sent")
 }
 
-/// A create whose first answer is lost, and whose name has left a record of this version
-/// when it is tried again. Returns what the client is told, and how many transactions
-/// were sent.
-fn create(lost: bool, left: u64) -> (Vec<u16>, usize) {
-    let mut driven = Driven::new();
-    let (first, _) = created(&mut driven);
+/// Creates an object whose name has a tombstone of the given version. With `lost` the
+/// response to the first transaction is lost and the controller retries. Returns the status
+/// codes that the client received and the number of transactions sent.
+fn create_over_tombstone(lost: bool, tombstone_version: u64) -> (Vec<u16>, usize) {
+    let mut controller = TestController::new();
+    let (first, _) = request_create(&mut controller);
     if lost {
-        driven.answer(first, Err(CallError::NoAnswer));
+        controller.answer_call(first, Err(CallError::NoAnswer));
     }
-    let (id, _) = driven.txns.last().cloned().expect("it is tried again");
+    let (id, _) = controller
+        .txns
+        .last()
+        .cloned()
+        .expect("the transaction is sent again");
     let conflict = StoreResponse::Conflict {
-        failed: vec![name().deleted_key()],
+        failed: vec![name().tombstone_key()],
         revision: 9,
     };
-    driven.answer(id, Ok(conflict));
-    let gone = Gone {
+    controller.answer_call(id, Ok(conflict));
+    let tombstone = Tombstone {
         uid: "u".into(),
         run: 1,
         job: Some("req-1".into()),
     };
-    let get = driven.gets.pop().expect("what it left is read");
-    let found = StoreResponse::Found(row(name().deleted_key(), encode_value(&gone), left));
-    driven.answer(get, Ok(found));
-    (driven.replies, driven.txns.len())
+    let get = controller
+        .pending_gets
+        .pop()
+        .expect("the tombstone is read");
+    let value = encode_value(&tombstone);
+    let found = StoreResponse::Found(row(name().tombstone_key(), value, tombstone_version));
+    controller.answer_call(get, Ok(found));
+    (controller.replies, controller.txns.len())
 }
 
-/// The object may be ours, and whoever saw it has deleted it: made again, it ran again.
+/// Guards against running a job twice: the first attempt may have created the object that
+/// was deleted before the retry.
 #[test]
-fn an_object_deleted_while_its_create_was_tried_is_not_made_again() {
-    assert_eq!(create(true, 8), (vec![409], 2));
-    // It was deleted before the request came: the name is used again.
-    assert_eq!(create(true, 4), (vec![], 3));
-    // No earlier try of this request can have made it.
-    assert_eq!(create(false, 8), (vec![], 2));
+fn a_retried_create_is_refused_if_the_object_was_deleted_since_the_request() {
+    assert_eq!(create_over_tombstone(true, 8), (vec![409], 2));
+    // The object was deleted before the request was received: the name may be used again.
+    assert_eq!(create_over_tombstone(true, 4), (vec![], 3));
+    // No earlier attempt of this request can have created the deleted object.
+    assert_eq!(create_over_tombstone(false, 8), (vec![], 2));
 }
 
-/// The first try deleted the object, and another one of its name was made before the
-/// second: that one is nobody's wish to delete.
+/// Guards against deleting the wrong object: the first attempt deleted the object, and
+/// another one of the same name was created before the retry.
 #[test]
-fn a_delete_that_is_tried_again_deletes_no_other_object() {
+fn a_retried_delete_does_not_delete_a_new_object_of_the_same_name() {
     for replaced in [false, true] {
-        let mut driven = Driven::new();
-        let (_, txn) = created(&mut driven);
+        let mut controller = TestController::new();
+        let (_, txn) = request_create(&mut controller);
         let put = txn.then.into_iter().find_map(|c| match c {
             Mutation::Put { key, value, .. } if key == name().key() => Some(value),
             _ => None,
         });
-        let record = put.as_ref().and_then(Record::read).expect("an object");
-        let made = |record: &Record, version| WatchEvent::Put {
+        let record = put.as_ref().and_then(Record::decode).expect("an object");
+        let put_event = |record: &Record, version| WatchEvent::Put {
             key: name().key(),
             value: encode_value(record),
             version,
         };
-        driven.txns.clear();
-        driven.ask(ApiRequest {
+        controller.txns.clear();
+        controller.request(ApiRequest {
             method: "DELETE".into(),
             target: format!("{JOBS}/one"),
             bearer: Some(TOKEN.into()),
             ..ApiRequest::default()
         });
-        driven.look(6, vec![made(&record, 6)]);
-        let (id, _) = driven.txns[0].clone();
-        driven.answer(id, Err(CallError::NoAnswer));
+        controller.answer_refresh(6, vec![put_event(&record, 6)]);
+        let (id, _) = controller.txns[0].clone();
+        controller.answer_call(id, Err(CallError::NoAnswer));
         let next = Record {
             uid: "another".into(),
             run: 2,
             ..record
         };
         let key = name().key();
-        let between = vec![WatchEvent::Delete { key, version: 7 }, made(&next, 8)];
-        driven.look(8, if replaced { between } else { Vec::new() });
-        let told = if replaced { vec![200] } else { vec![] };
-        let sent = if replaced { 1 } else { 2 };
-        assert_eq!((driven.replies, driven.txns.len()), (told, sent));
+        let replacement = vec![WatchEvent::Delete { key, version: 7 }, put_event(&next, 8)];
+        controller.answer_refresh(8, if replaced { replacement } else { Vec::new() });
+        let replies = if replaced { vec![200] } else { vec![] };
+        let transactions = if replaced { 1 } else { 2 };
+        assert_eq!(
+            (controller.replies, controller.txns.len()),
+            (replies, transactions)
+        );
     }
 }
