--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -21,7 +21,7 @@
     arg_required_else_help = true
 )]
 pub struct Cli {
-    /// Serve as a controller with the platform's settings file
+    /// Run as a controller with the platform's settings file
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// The operator's own settings (TOML); also DILLCLEAT_TUNING
@@ -42,18 +42,18 @@
     Apply(objects::Apply),
     /// Show Kubernetes Jobs, or the namespaces
     Get(objects::Get),
-    /// Show everything of one Kubernetes Job
-    Describe(objects::One),
+    /// Show the details of one Kubernetes Job
+    Describe(objects::ObjectArgs),
     /// Delete a Kubernetes Job
-    Delete(objects::One),
-    /// Make keys and tokens for Kubernetes-shaped clients
+    Delete(objects::ObjectArgs),
+    /// Generate keys and tokens for Kubernetes clients
     #[command(subcommand)]
     Token(Token),
-    /// Print completions for a shell
+    /// Print the completion script of a shell
     Completions { shell: clap_complete::Shell },
     /// Submit a job
     Submit(Box<Submit>),
-    /// Show how a job is
+    /// Show the state of a job
     Status {
         #[command(flatten)]
         server: Server,
@@ -69,13 +69,13 @@
     },
 }
 
-/// Whom a command asks, and for how long.
+/// The server that a command sends its requests to.
 #[derive(Args)]
 struct Server {
-    /// A controller's or load balancer's address, IP:PORT
+    /// Address of a controller or load balancer, IP:PORT
     #[arg(long, value_name = "ADDR")]
     server: String,
-    /// For how many seconds it is tried
+    /// Number of seconds after which the command gives up
     #[arg(long, value_name = "SECONDS", default_value_t = 60)]
     timeout: u64,
 }
@@ -89,7 +89,7 @@
     /// Class of jobs that it belongs to
     #[arg(long)]
     class: String,
-    /// Team whose guarantee and limit apply
+    /// Team whose quota applies
     #[arg(long)]
     team: String,
     /// Run replicas until the job is cancelled instead of tasks to completion
@@ -137,8 +137,8 @@
     /// When the job should be complete, in seconds from now
     #[arg(long)]
     deadline_s: Option<f64>,
-    /// A job that has to be done before any task of this one starts; may be given
-    /// several times
+    /// A job that must be done before any task of this one starts; may be given several
+    /// times
     #[arg(long, value_name = "REF", value_parser = parse_ref)]
     after: Vec<String>,
 }
@@ -161,59 +161,60 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, CliError> {
+fn read_file(path: &Path) -> Result<String, CliError> {
     std::fs::read_to_string(path)
         .map_err(|e| CliError::Settings(path.display().to_string(), e.to_string()))
 }
 
-/// What a controller is started with.
-struct Start {
+/// The settings of a controller.
+struct ControllerSettings {
     platform: PlatformSettings,
     config: Config,
-    /// For Kubernetes-shaped clients, if they are served.
+    /// The settings of the API server, if there is one.
     rules: Option<Rules>,
 }
 
-/// The operators' own file: the tuning, and the table of the clients' API server.
-fn operators(path: &Path) -> Result<(Tuning, Option<Rules>), CliError> {
-    let bad = |e: String| CliError::Settings(path.display().to_string(), e);
+/// Reads the operators' settings file: the tuning, and the table `kube` of the API server.
+fn operator_settings(path: &Path) -> Result<(Tuning, Option<Rules>), CliError> {
+    let file_error = |e: String| CliError::Settings(path.display().to_string(), e);
     let mut table: toml::Table =
-        toml::from_str(&read(path)?).map_err(|e| bad(one_line(&e.to_string())))?;
+        toml::from_str(&read_file(path)?).map_err(|e| file_error(one_line(&e.to_string())))?;
     let rules = match table.remove("kube") {
         None => None,
         Some(kube) => {
-            let settings = Settings::read(kube).map_err(|e| bad(e.to_string()))?;
-            let key = read(&settings.key_file)?;
+            let settings = Settings::read(kube).map_err(|e| file_error(e.to_string()))?;
+            let key = read_file(&settings.key_file)?;
             let key = SigningKey::parse(&key).map_err(|e| {
                 CliError::Settings(settings.key_file.display().to_string(), e.to_string())
             })?;
             Some(Rules::new(settings, key))
         }
     };
-    let tuning = Tuning::read(table).map_err(|e| bad(e.to_string()))?;
+    let tuning = Tuning::read(table).map_err(|e| file_error(e.to_string()))?;
     Ok((tuning, rules))
 }
 
-fn settings(file: &Path, tuning: Option<&Path>) -> Result<Start, CliError> {
-    let platform = PlatformSettings::parse(&read(file)?)
+fn controller_settings(file: &Path, tuning: Option<&Path>) -> Result<ControllerSettings, CliError> {
+    let platform = PlatformSettings::parse(&read_file(file)?)
         .map_err(|e| CliError::Settings(file.display().to_string(), e.to_string()))?;
     let from_env = std::env::var_os("DILLCLEAT_TUNING").map(PathBuf::from);
     let (tuning, rules) = match tuning.map(Path::to_path_buf).or(from_env) {
         None => (Tuning::default(), None),
-        Some(path) => operators(&path)?,
+        Some(path) => operator_settings(&path)?,
     };
     let config = Config::new(&platform, tuning);
-    Ok(Start {
+    Ok(ControllerSettings {
         platform,
         config,
         rules,
     })
 }
 
-/// The objectives from which no decision follows, by kind and class.
-fn unused(platform: &PlatformSettings) -> Vec<String> {
-    let all = platform.cluster.objectives.iter();
-    all.filter(|o| !o.affects_scheduling())
+/// The objectives that do not affect scheduling, by kind and class.
+fn objectives_without_effect(platform: &PlatformSettings) -> Vec<String> {
+    let objectives = platform.cluster.objectives.iter();
+    objectives
+        .filter(|o| !o.affects_scheduling())
         .map(|o| match &o.class {
             Some(class) => format!("{} of {class}", o.kind),
             None => o.kind.clone(),
@@ -226,27 +227,27 @@
         let tuning = self.tuning.as_deref();
         match (self.config, self.command) {
             (Some(file), None) => {
-                let start = settings(&file, tuning)?;
-                for objective in unused(&start.platform) {
-                    log::info!("no decision follows from the objective {objective}");
+                let settings = controller_settings(&file, tuning)?;
+                for objective in objectives_without_effect(&settings.platform) {
+                    log::info!("objective has no effect on scheduling objective={objective:?}");
                 }
-                server::run(&start.platform, start.config, start.rules)
+                server::run(&settings.platform, settings.config, settings.rules)
             }
             (None, Some(Command::Check { file })) => {
-                let Start {
+                let ControllerSettings {
                     platform,
                     config,
                     rules,
-                } = settings(&file, tuning)?;
+                } = controller_settings(&file, tuning)?;
                 println!(
                     "{}: settings of {} are good",
                     file.display(),
                     platform.member
                 );
-                for objective in unused(&platform) {
+                for objective in objectives_without_effect(&platform) {
                     println!("no decision follows from the objective {objective}");
                 }
-                if let Some(warning) = server::short_of_time(&config) {
+                if let Some(warning) = server::cancel_shortfall_warning(&config) {
                     println!("{warning}");
                 }
                 if let Some(rules) = rules {
@@ -270,11 +271,11 @@
             (None, Some(Command::Submit(s))) => s.run(),
             (None, Some(Command::Status { server, job })) => {
                 let path = user::poll_path(checked_id(&job)?);
-                show(&ask(&server, "GET", &path, &[])?)
+                print_status(&call(&server, "GET", &path, &[])?)
             }
             (None, Some(Command::Abort { server, job })) => {
                 let path = user::cancel_path(checked_id(&job)?);
-                show(&ask(&server, "POST", &path, &[])?)
+                print_status(&call(&server, "POST", &path, &[])?)
             }
             _ => Err(CliError::Usage(
                 "give --config FILE to serve, or a command; see --help".into(),
@@ -323,14 +324,15 @@
             depends_on: self.after,
         };
         let body = dillcleat_wire::encode(&spec);
-        show(&ask(&self.server, "POST", user::JOBS_PATH, &body)?)
+        print_status(&call(&self.server, "POST", user::JOBS_PATH, &body)?)
     }
 }
 
-/// Asks until there is a final answer, as any client does.
-fn ask(asked: &Server, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CliError> {
-    let server = asked.server.as_str();
-    let patience = Duration::from_secs(asked.timeout);
+/// Sends a request and retries it until there is a final response or the timeout has
+/// passed. Returns the body of the response.
+fn call(args: &Server, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CliError> {
+    let server = args.server.as_str();
+    let timeout = Duration::from_secs(args.timeout);
     if server.parse::<std::net::SocketAddr>().is_err() {
         return Err(CliError::Usage(format!(
             "--server must be IP:PORT, is {server:?}"
@@ -339,8 +341,8 @@
     smol::block_on(async {
         let pool = http::ConnectionPool::new(1, 1);
         let start = Instant::now();
-        let mut said = false;
-        while start.elapsed() < patience {
+        let mut reported = false;
+        while start.elapsed() < timeout {
             let reply = pool
                 .call(server, method, path, body, Duration::from_secs(5))
                 .await;
@@ -352,23 +354,24 @@
                     return Err(CliError::Refused(cause));
                 }
                 other => {
-                    let why = match other {
+                    let cause = match other {
                         Ok((status, _)) => format!("answered {status}"),
                         Err(CallError::NotSent) => "no connection".to_string(),
                         Err(CallError::NoAnswer) => "no answer".to_string(),
                     };
-                    if !std::mem::replace(&mut said, true) {
-                        eprintln!("{server}: {why}; trying again for {} s", asked.timeout);
+                    if !std::mem::replace(&mut reported, true) {
+                        eprintln!("{server}: {cause}; trying again for {} s", args.timeout);
                     }
                     Timer::after(Duration::from_secs(1)).await;
                 }
             }
         }
-        Err(CliError::NoAnswer(server.to_string(), asked.timeout))
+        Err(CliError::NoAnswer(server.to_string(), args.timeout))
     })
 }
 
-fn show(body: &[u8]) -> Result<(), CliError> {
+/// Prints the state of a job.
+fn print_status(body: &[u8]) -> Result<(), CliError> {
     let status: JobStatus =
         dillcleat_wire::decode(body).map_err(|e| CliError::Refused(e.to_string()))?;
     let state = match status.state {
--- a/crates/dillcleat/src/client.rs
+++ b/crates/dillcleat/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the API server, for the commands that people use.
+//! The HTTP client of the commands on Kubernetes objects.
 
 use crate::error::CliError;
 use clap::Args;
@@ -14,22 +14,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The longest answer that is read.
-const REPLY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 #[derive(Args, Clone)]
 pub struct Server {
-    /// Where the API server is: https://HOST:PORT, or http://HOST:PORT on loopback; also
+    /// URL of the API server: https://HOST:PORT, or http://HOST:PORT on loopback; also
     /// DILLCLEAT_SERVER
     #[arg(long, value_name = "URL")]
     server: Option<String>,
-    /// A file with the bearer token; also DILLCLEAT_TOKEN_FILE
+    /// File with the bearer token; also DILLCLEAT_TOKEN_FILE
     #[arg(long, value_name = "FILE")]
     token_file: Option<PathBuf>,
-    /// Certificates (PEM) that sign the server's
+    /// File with the CA certificates (PEM) that the server's certificate is checked against
     #[arg(long, value_name = "FILE")]
     ca: Option<PathBuf>,
-    /// For how many seconds it is tried
+    /// Number of seconds after which the command gives up
     #[arg(long, value_name = "SECONDS", default_value_t = 60)]
     timeout: u64,
 }
@@ -37,22 +36,22 @@
 trait Stream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> Stream for T {}
 
-/// A server with what is needed to speak to it.
+/// A client of one API server.
 pub struct Client {
     url: String,
     host: String,
     addr: String,
     tls: Option<TlsConnector>,
     token: String,
-    patience: Duration,
+    /// How long a request is retried.
+    timeout: Duration,
 }
 
-/// What is sent.
 pub struct Request<'a> {
     pub method: &'a str,
     pub target: &'a str,
     pub accept: &'a str,
-    pub media: &'a str,
+    pub media_type: &'a str,
     pub body: &'a [u8],
 }
 
@@ -62,7 +61,7 @@
             method: "GET",
             target,
             accept: "application/json",
-            media: "application/json",
+            media_type: "application/json",
             body: &[],
         }
     }
@@ -70,7 +69,7 @@
 
 impl Server {
     pub fn client(&self) -> Result<Client, CliError> {
-        let usage = |what: String| CliError::Usage(what);
+        let usage = |message: String| CliError::Usage(message);
         let url = self.server.clone();
         let url = url.or_else(|| std::env::var("DILLCLEAT_SERVER").ok());
         let url = url.ok_or_else(|| usage("give --server URL".into()))?;
@@ -108,7 +107,7 @@
             url,
             tls: connector,
             token: token.trim().to_string(),
-            patience: Duration::from_secs(self.timeout),
+            timeout: Duration::from_secs(self.timeout),
         })
     }
 
@@ -116,12 +115,12 @@
         let Some(file) = &self.ca else {
             return Err(CliError::Usage("give --ca FILE for an https server".into()));
         };
-        let bad = |e: String| CliError::Settings(file.display().to_string(), e);
+        let file_error = |e: String| CliError::Settings(file.display().to_string(), e);
         let mut roots = RootCertStore::empty();
-        let certs = CertificateDer::pem_file_iter(file).map_err(|e| bad(e.to_string()))?;
+        let certs = CertificateDer::pem_file_iter(file).map_err(|e| file_error(e.to_string()))?;
         for cert in certs {
-            let cert = cert.map_err(|e| bad(e.to_string()))?;
-            roots.add(cert).map_err(|e| bad(e.to_string()))?;
+            let cert = cert.map_err(|e| file_error(e.to_string()))?;
+            roots.add(cert).map_err(|e| file_error(e.to_string()))?;
         }
         let config = ClientConfig::builder()
             .with_root_certificates(roots)
@@ -130,16 +129,16 @@
     }
 }
 
-/// An answer whose body has yet to be read.
-struct Answer {
+/// A response whose head has been read.
+struct Response {
     stream: Box<dyn Stream>,
     status: u16,
-    /// Length of the body; None if it comes in chunks.
+    /// The length of the body; None if the body is chunked.
     length: Option<usize>,
     buffer: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     async fn fill(&mut self) -> std::io::Result<()> {
         let mut chunk = [0u8; 8192];
         match self.stream.read(&mut chunk).await? {
@@ -152,7 +151,7 @@
     }
 
     async fn body(&mut self) -> std::io::Result<Vec<u8>> {
-        let Some(length) = self.length.filter(|n| *n <= REPLY_LIMIT) else {
+        let Some(length) = self.length.filter(|n| *n <= MAX_RESPONSE_BYTES) else {
             return Err(std::io::ErrorKind::InvalidData.into());
         };
         while self.buffer.len() < length {
@@ -161,13 +160,13 @@
         Ok(self.buffer[..length].to_vec())
     }
 
-    /// The next chunk of a body that comes in chunks; None after the last.
+    /// The next chunk of a chunked body; None after the last.
     async fn chunk(&mut self) -> std::io::Result<Option<Vec<u8>>> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((head, size))) => {
                     let size = usize::try_from(size).unwrap_or(usize::MAX);
-                    if size > REPLY_LIMIT {
+                    if size > MAX_RESPONSE_BYTES {
                         return Err(std::io::ErrorKind::InvalidData.into());
                     }
                     while self.buffer.len() < head + size + 2 {
@@ -195,7 +194,8 @@
         Ok(Box::new(tls.connect(name, tcp).await?))
     }
 
-    async fn open(&self, request: &Request<'_>) -> std::io::Result<Answer> {
+    /// Sends a request on a new connection and reads the head of the response.
+    async fn send(&self, request: &Request<'_>) -> std::io::Result<Response> {
         let mut stream = self.connect().await?;
         let mut bytes = format!(
             "{} {} HTTP/1.1\r\nHost: {}\r\nAuthorization: Bearer {}\r\nAccept: {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -204,14 +204,14 @@
             self.addr,
             self.token,
             request.accept,
-            request.media,
+            request.media_type,
             request.body.len()
         )
         .into_bytes();
         bytes.extend_from_slice(request.body);
         stream.write_all(&bytes).await?;
         stream.flush().await?;
-        let mut answer = Answer {
+        let mut response = Response {
             stream,
             status: 0,
             length: None,
@@ -219,109 +219,111 @@
         };
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 32];
-            let mut response = httparse::Response::new(&mut headers);
-            match response.parse(&answer.buffer) {
+            let mut parsed = httparse::Response::new(&mut headers);
+            match parsed.parse(&response.buffer) {
                 Ok(httparse::Status::Complete(head)) => {
-                    answer.status = response.code.unwrap_or(0);
-                    let mut all = response.headers.iter();
-                    let length = all.find(|h| h.name.eq_ignore_ascii_case("content-length"));
-                    answer.length =
+                    response.status = parsed.code.unwrap_or(0);
+                    let mut headers = parsed.headers.iter();
+                    let length = headers.find(|h| h.name.eq_ignore_ascii_case("content-length"));
+                    response.length =
                         length.and_then(|h| std::str::from_utf8(h.value).ok()?.parse().ok());
-                    answer.buffer.drain(..head);
-                    return Ok(answer);
+                    response.buffer.drain(..head);
+                    return Ok(response);
                 }
-                Ok(httparse::Status::Partial) => answer.fill().await?,
+                Ok(httparse::Status::Partial) => response.fill().await?,
                 Err(_) => return Err(std::io::ErrorKind::InvalidData.into()),
             }
         }
     }
 
-    /// Asks until there is a final answer. What is tried again, and until when, is
-    /// said at once on standard error.
+    /// Retries a request until it gets a final response or the timeout has passed. The
+    /// first failure is reported on standard error. An attempt returns an inner error if
+    /// the response asks for a retry.
     fn retry<T>(
         &self,
         mut attempt: impl AsyncFnMut() -> std::io::Result<Result<T, String>>,
     ) -> Result<T, CliError> {
-        let end = Instant::now() + self.patience;
-        let mut said = false;
+        let deadline = Instant::now() + self.timeout;
+        let mut reported = false;
         smol::block_on(async {
             loop {
-                let limit = async {
-                    Timer::at(end + Duration::from_millis(1)).await;
+                let timeout = async {
+                    Timer::at(deadline + Duration::from_millis(1)).await;
                     Err(std::io::ErrorKind::TimedOut.into())
                 };
-                let why = match attempt().or(limit).await {
-                    Ok(Ok(done)) => return Ok(done),
-                    Ok(Err(why)) => why,
+                let cause = match attempt().or(timeout).await {
+                    Ok(Ok(result)) => return Ok(result),
+                    Ok(Err(cause)) => cause,
                     Err(e) if e.kind() == std::io::ErrorKind::InvalidData => {
                         return Err(CliError::Refused(format!("{}: {e}", self.url)));
                     }
                     Err(e) => e.to_string(),
                 };
-                if Instant::now() + Duration::from_secs(1) >= end {
-                    let what = format!("{}: {why}", self.url);
-                    return Err(CliError::NoAnswer(what, self.patience.as_secs()));
+                if Instant::now() + Duration::from_secs(1) >= deadline {
+                    let message = format!("{}: {cause}", self.url);
+                    return Err(CliError::NoAnswer(message, self.timeout.as_secs()));
                 }
-                if !std::mem::replace(&mut said, true) {
-                    let left = self.patience.as_secs();
-                    eprintln!("{}: {why}; trying again for {left} s", self.url);
+                if !std::mem::replace(&mut reported, true) {
+                    let seconds = self.timeout.as_secs();
+                    eprintln!("{}: {cause}; trying again for {seconds} s", self.url);
                 }
                 Timer::after(Duration::from_secs(1)).await;
             }
         })
     }
 
-    /// One request and its answer: status and body.
+    /// Sends a request and returns the status and body of the response.
     pub fn call(&self, request: &Request) -> Result<(u16, Value), CliError> {
         self.retry(async || {
-            let mut answer = self.open(request).await?;
-            let body = answer.body().await?;
+            let mut response = self.send(request).await?;
+            let body = response.body().await?;
             let value: Value = serde_json::from_slice(&body).unwrap_or_default();
-            match answer.status {
+            match response.status {
                 status @ (429 | 503) => Ok(Err(format!("{status} {}", message(&value)))),
                 status => Ok(Ok((status, value))),
             }
         })
     }
 
-    /// Follows a watch, line by line, until it ends or `seen` has seen enough. Tells
-    /// whether it is the latter.
+    /// Passes the events of a watch to `handle_event` until it returns true or the watch
+    /// ends. Returns whether `handle_event` returned true.
     pub fn follow(
         &self,
         request: &Request,
-        mut seen: impl FnMut(&Value) -> Result<bool, CliError>,
+        mut handle_event: impl FnMut(&Value) -> Result<bool, CliError>,
     ) -> Result<bool, CliError> {
-        let mut answer = self.retry(async || {
-            let mut answer = self.open(request).await?;
-            match answer.status {
+        let mut response = self.retry(async || {
+            let mut response = self.send(request).await?;
+            match response.status {
                 status @ (429 | 503) => Ok(Err(status.to_string())),
-                200 => Ok(Ok(answer)),
+                200 => Ok(Ok(response)),
                 _ => {
-                    let body = answer.body().await?;
+                    let body = response.body().await?;
                     let value: Value = serde_json::from_slice(&body).unwrap_or_default();
-                    let what = message(&value);
-                    Err(std::io::Error::new(std::io::ErrorKind::InvalidData, what))
+                    let error = message(&value);
+                    Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error))
                 }
             }
         })?;
         loop {
-            match smol::block_on(answer.chunk()) {
+            match smol::block_on(response.chunk()) {
                 Ok(Some(chunk)) => {
                     for line in chunk.split(|b| *b == b'\n').filter(|l| !l.is_empty()) {
                         let value: Value = serde_json::from_slice(line).unwrap_or_default();
-                        if seen(&value)? {
+                        if handle_event(&value)? {
                             return Ok(true);
                         }
                     }
                 }
-                // It ended, or was cut off: whoever wants to goes on from its version.
+                // The watch ended or the connection broke. The caller may watch again from
+                // the last version.
                 Ok(None) | Err(_) => return Ok(false),
             }
         }
     }
 }
 
-/// What a refusal says.
+/// The message of a `Status` object.
 pub fn message(status: &Value) -> String {
     status["message"]
         .as_str()
--- a/crates/dillcleat/src/error.rs
+++ b/crates/dillcleat/src/error.rs
@@ -1,7 +1,8 @@
-//! Why a command failed, and with which exit code.
+//! Errors of the commands, and their exit codes.
 
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
+    /// A file that cannot be read or is invalid, and the error in it.
     #[error("{0}: {1}")]
     Settings(String, String),
     #[error("cannot listen on {0}: {1}")]
@@ -10,13 +11,13 @@
     Usage(String),
     #[error("{0}")]
     Refused(String),
-    /// From whom, and for how many seconds it was tried.
+    /// The server, and the timeout in seconds.
     #[error("no answer from {0} in {1} s")]
     NoAnswer(String, u64),
 }
 
 impl CliError {
-    /// 2: what was given is wrong; 1: it was right and did not work.
+    /// The exit code: 2 for invalid arguments or files, 1 for a failure at run time.
     pub fn code(&self) -> u8 {
         match self {
             CliError::Settings(..) | CliError::Usage(_) => 2,
--- a/crates/dillcleat/src/objects.rs
+++ b/crates/dillcleat/src/objects.rs
@@ -1,4 +1,4 @@
-//! Commands on Kubernetes-shaped objects: apply, get, delete.
+//! The commands `apply`, `get`, `describe` and `delete` for Kubernetes objects.
 
 use crate::client::{Client, Request, Server, message};
 use crate::error::CliError;
@@ -8,10 +8,11 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-const TABLE: &str = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json";
+/// The `Accept` header of requests for tables.
+const ACCEPT_TABLE: &str = "application/json;as=Table;v=v1;g=meta.k8s.io,application/json";
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+pub enum OutputFormat {
     Table,
     Json,
     Yaml,
@@ -22,16 +23,16 @@
 pub struct Apply {
     #[command(flatten)]
     server: Server,
-    /// A file of YAML or JSON documents; - for standard input
+    /// File with YAML or JSON documents, or - for standard input
     #[arg(short, long, value_name = "FILE")]
     filename: PathBuf,
-    /// The namespace of objects that name none
+    /// Namespace of objects that do not specify one
     #[arg(short, long)]
     namespace: Option<String>,
-    /// Check everything and change nothing
+    /// Validate the objects without changing anything
     #[arg(long)]
     dry_run: bool,
-    /// Wait until each Job is Complete; exit code 1 if one fails
+    /// Wait until every Job is Complete; the exit code is 1 if one fails
     #[arg(long)]
     wait: bool,
 }
@@ -40,29 +41,29 @@
 pub struct Get {
     #[command(flatten)]
     server: Server,
-    /// jobs or namespaces
+    /// Kind of objects: jobs or namespaces
     resource: Resource,
-    /// Only this one
+    /// Show only the object with this name
     name: Option<String>,
-    /// Only of this namespace; of all that the token sees without it
+    /// Show only this namespace; by default all that the token may access
     #[arg(short, long)]
     namespace: Option<String>,
-    /// Labels that are wanted, such as app=merge,shop!=7
+    /// Label selector, such as app=merge,shop!=7
     #[arg(short = 'l', long, value_name = "SELECTOR")]
     selector: Option<String>,
     #[arg(short, long, value_enum, default_value = "table")]
-    output: Form,
-    /// Show what changes from now on, too
+    output: OutputFormat,
+    /// Show changes as they happen after the list
     #[arg(short, long)]
     watch: bool,
 }
 
-/// One object by its name.
+/// The arguments of commands that address one object.
 #[derive(Args)]
-pub struct One {
+pub struct ObjectArgs {
     #[command(flatten)]
     server: Server,
-    /// jobs
+    /// Kind of the object: jobs
     resource: Resource,
     name: String,
     #[arg(short, long)]
@@ -77,15 +78,17 @@
     Namespaces,
 }
 
-fn jobs(namespace: Option<&str>) -> String {
+/// The path of the Jobs of one namespace, or of all namespaces.
+fn jobs_path(namespace: Option<&str>) -> String {
     match namespace {
         Some(namespace) => format!("/apis/batch/v1/namespaces/{namespace}/jobs"),
         None => "/apis/batch/v1/jobs".into(),
     }
 }
 
-fn refused(status: u16, answer: &Value) -> CliError {
-    CliError::Refused(format!("{status}: {}", message(answer)))
+/// The error for a response with an unexpected status.
+fn response_error(status: u16, response: &Value) -> CliError {
+    CliError::Refused(format!("{status}: {}", message(response)))
 }
 
 fn text<'a>(value: &'a Value, pointer: &str) -> &'a str {
@@ -96,123 +99,125 @@
 }
 
 fn read(path: &Path) -> Result<String, CliError> {
-    let bad = |e: std::io::Error| CliError::Settings(path.display().to_string(), e.to_string());
+    let error = |e: std::io::Error| CliError::Settings(path.display().to_string(), e.to_string());
     if path != Path::new("-") {
-        return std::fs::read_to_string(path).map_err(bad);
+        return std::fs::read_to_string(path).map_err(error);
     }
     let mut text = String::new();
-    std::io::stdin().read_to_string(&mut text).map_err(bad)?;
+    std::io::stdin().read_to_string(&mut text).map_err(error)?;
     Ok(text)
 }
 
-/// How a Job is over, if it is.
-fn end(job: &Value) -> Option<(&str, &str)> {
+/// The type and reason of the condition that ends a Job; None if it has not ended.
+fn final_condition(job: &Value) -> Option<(&str, &str)> {
     let conditions = job.pointer("/status/conditions")?.as_array()?;
-    let mut over = conditions.iter().filter_map(|c| {
+    let mut final_conditions = conditions.iter().filter_map(|c| {
         let kind = c["type"].as_str()?;
         Some((kind, c["reason"].as_str()?)).filter(|_| matches!(kind, "Complete" | "Failed"))
     });
-    over.next()
+    final_conditions.next()
 }
 
 impl Apply {
     pub fn run(self) -> Result<(), CliError> {
         let client = self.server.client()?;
-        let bad = |e: String| CliError::Settings(self.filename.display().to_string(), e);
+        let file_error = |e: String| CliError::Settings(self.filename.display().to_string(), e);
         let objects =
-            yaml::parse_documents(&read(&self.filename)?).map_err(|e| bad(e.to_string()))?;
+            yaml::parse_documents(&read(&self.filename)?).map_err(|e| file_error(e.to_string()))?;
         if objects.is_empty() {
-            return Err(bad("no document".into()));
+            return Err(file_error("no document".into()));
         }
-        let mut wait = Vec::new();
+        let mut applied = Vec::new();
         for (i, object) in objects.iter().enumerate() {
             let (version, kind) = (text(object, "/apiVersion"), text(object, "/kind"));
             if (version, kind) != ("batch/v1", "Job") {
-                let what = format!("document {}: {version} {kind} is not served", i + 1);
-                return Err(bad(what));
+                let message = format!("document {}: {version} {kind} is not served", i + 1);
+                return Err(file_error(message));
             }
             let namespace = match text(object, "/metadata/namespace") {
                 "" => self.namespace.as_deref(),
                 own => Some(own),
             };
             let Some(namespace) = namespace else {
-                return Err(bad(format!("document {}: no namespace", i + 1)));
+                return Err(file_error(format!("document {}: no namespace", i + 1)));
             };
             let name = text(object, "/metadata/name");
-            let what = self.one(&client, namespace, name, object)?;
-            println!("job.batch/{name} {what}");
-            wait.push((namespace.to_string(), name.to_string()));
+            let outcome = self.apply_object(&client, namespace, name, object)?;
+            println!("job.batch/{name} {outcome}");
+            applied.push((namespace.to_string(), name.to_string()));
         }
         if self.wait && !self.dry_run {
-            for (namespace, name) in wait {
-                finish(&client, &namespace, &name)?;
+            for (namespace, name) in applied {
+                wait_until_complete(&client, &namespace, &name)?;
             }
         }
         Ok(())
     }
 
-    /// Creates an object, or changes the one that is there; tells which.
-    fn one(
+    /// Creates an object or patches the existing one. Returns the word for the outcome:
+    /// created, configured or unchanged.
+    fn apply_object(
         &self,
         client: &Client,
         namespace: &str,
         name: &str,
         object: &Value,
     ) -> Result<&'static str, CliError> {
-        let dry = if self.dry_run { "?dryRun=All" } else { "" };
-        let own = format!("{}/{name}", jobs(Some(namespace)));
-        let (status, before) = client.call(&Request::get(&own))?;
+        let query = if self.dry_run { "?dryRun=All" } else { "" };
+        let path = format!("{}/{name}", jobs_path(Some(namespace)));
+        let (status, before) = client.call(&Request::get(&path))?;
         let body = object.to_string();
-        let (method, target, media, done) = match status {
+        let (method, target, media_type, outcome) = match status {
             404 => (
                 "POST",
-                format!("{}{dry}", jobs(Some(namespace))),
+                format!("{}{query}", jobs_path(Some(namespace))),
                 "application/json",
                 "created",
             ),
             200 => (
                 "PATCH",
-                format!("{own}{dry}"),
+                format!("{path}{query}"),
                 "application/merge-patch+json",
                 "configured",
             ),
-            _ => return Err(refused(status, &before)),
+            _ => return Err(response_error(status, &before)),
         };
         let request = Request {
             method,
             target: &target,
             accept: "application/json",
-            media,
+            media_type,
             body: body.as_bytes(),
         };
         let (status, after) = client.call(&request)?;
         let version = "/metadata/resourceVersion";
         match status {
-            201 => Ok(done),
+            201 => Ok(outcome),
             200 if text(&before, version) == text(&after, version) => Ok("unchanged"),
-            200 => Ok(done),
-            _ => Err(refused(status, &after)),
+            200 => Ok(outcome),
+            _ => Err(response_error(status, &after)),
         }
     }
 }
 
-/// Waits for a Job's end by watching it.
-fn finish(client: &Client, namespace: &str, name: &str) -> Result<(), CliError> {
+/// Watches a Job until it is Complete; an error if it fails or is deleted.
+fn wait_until_complete(client: &Client, namespace: &str, name: &str) -> Result<(), CliError> {
     let target = format!(
         "{}?watch=true&allowWatchBookmarks=true&fieldSelector=metadata.name%3D{name}",
-        jobs(Some(namespace))
+        jobs_path(Some(namespace))
     );
-    let mut over = None;
-    while over.is_none() {
+    let mut condition = None;
+    while condition.is_none() {
         client.follow(&Request::get(&target), |line| {
             if line["type"] == "DELETED" {
                 return Err(CliError::Refused(format!("{name} was deleted")));
             }
-            over = end(&line["object"]).map(|(k, r)| (k.to_string(), r.to_string()));
-            Ok(over.is_some())
+            condition =
+                final_condition(&line["object"]).map(|(k, r)| (k.to_string(), r.to_string()));
+            Ok(condition.is_some())
         })?;
     }
-    match over {
+    match condition {
         Some((kind, reason)) if kind == "Failed" => Err(CliError::Refused(format!(
             "job.batch/{name} failed: {reason}"
         ))),
@@ -223,8 +228,8 @@
     }
 }
 
-/// Prints rows under their columns.
-fn print(columns: &[String], rows: &[Vec<String>]) {
+/// Prints a table, with the columns padded to equal width.
+fn print_table(columns: &[String], rows: &[Vec<String>]) {
     let width = |i: usize| {
         let cells = rows.iter().map(|r| r.get(i).map_or(0, String::len));
         cells.chain([columns[i].len()]).max().unwrap_or(0)
@@ -238,6 +243,7 @@
     rows.iter().for_each(|r| line(r));
 }
 
+/// The rows of a table, each with the object's namespace as the first cell.
 fn cells(table: &Value) -> Vec<Vec<String>> {
     let rows = table["rows"].as_array().into_iter().flatten();
     rows.map(|row| {
@@ -256,20 +262,21 @@
 }
 
 impl Get {
-    fn target(&self, more: &[(&str, &str)]) -> String {
+    /// The request target, with query parameters in addition to the label selector.
+    fn target(&self, parameters: &[(&str, &str)]) -> String {
         let base = match (self.resource, &self.name) {
             (Resource::Namespaces, None) => "/api/v1/namespaces".to_string(),
             (Resource::Namespaces, Some(name)) => format!("/api/v1/namespaces/{name}"),
-            (Resource::Jobs, None) => jobs(self.namespace.as_deref()),
+            (Resource::Jobs, None) => jobs_path(self.namespace.as_deref()),
             (Resource::Jobs, Some(name)) => {
-                format!("{}/{name}", jobs(self.namespace.as_deref()))
+                format!("{}/{name}", jobs_path(self.namespace.as_deref()))
             }
         };
         let mut query = form_urlencoded::Serializer::new(String::new());
         if let Some(selector) = &self.selector {
             query.append_pair("labelSelector", selector);
         }
-        let query = query.extend_pairs(more).finish();
+        let query = query.extend_pairs(parameters).finish();
         if query.is_empty() {
             return base;
         }
@@ -284,24 +291,31 @@
             return Err(CliError::Usage("--watch is for lists of jobs".into()));
         }
         let client = self.server.client()?;
-        // Namespaces have no table of their own.
-        let table = self.output == Form::Table && self.resource == Resource::Jobs;
-        let mut after = String::new();
+        // The server does not render namespaces as tables.
+        let table = self.output == OutputFormat::Table && self.resource == Resource::Jobs;
+        let mut continue_token = String::new();
         let mut pages: Vec<Value> = Vec::new();
         loop {
-            let more = [("continue", after.as_str())];
-            let target = self.target(if after.is_empty() { &[] } else { &more });
+            let parameters = [("continue", continue_token.as_str())];
+            let target = self.target(match continue_token.as_str() {
+                "" => &[],
+                _ => &parameters,
+            });
             let request = Request {
-                accept: if table { TABLE } else { "application/json" },
+                accept: if table {
+                    ACCEPT_TABLE
+                } else {
+                    "application/json"
+                },
                 ..Request::get(&target)
             };
             let (status, page) = client.call(&request)?;
             if status != 200 {
-                return Err(refused(status, &page));
+                return Err(response_error(status, &page));
             }
-            after = text(&page, "/metadata/continue").to_string();
+            continue_token = text(&page, "/metadata/continue").to_string();
             pages.push(page);
-            if after.is_empty() {
+            if continue_token.is_empty() {
                 break;
             }
         }
@@ -322,29 +336,29 @@
         };
         let all: Vec<Value> = pages.iter().flat_map(items).collect();
         match self.output {
-            Form::Table if self.resource == Resource::Jobs => {
+            OutputFormat::Table if self.resource == Resource::Jobs => {
                 let rows: Vec<Vec<String>> = pages.iter().flat_map(cells).collect();
                 match pages.first() {
-                    Some(first) if !rows.is_empty() => print(&columns(first), &rows),
+                    Some(first) if !rows.is_empty() => print_table(&columns(first), &rows),
                     _ => println!("no jobs"),
                 }
             }
-            Form::Table | Form::Name => {
-                let of = match self.resource {
+            OutputFormat::Table | OutputFormat::Name => {
+                let prefix = match self.resource {
                     Resource::Jobs => "job.batch/",
-                    Resource::Namespaces if self.output == Form::Name => "namespace/",
+                    Resource::Namespaces if self.output == OutputFormat::Name => "namespace/",
                     Resource::Namespaces => "",
                 };
                 for item in &all {
-                    println!("{of}{}", text(item, "/metadata/name"));
+                    println!("{prefix}{}", text(item, "/metadata/name"));
                 }
             }
-            Form::Json | Form::Yaml => {
+            OutputFormat::Json | OutputFormat::Yaml => {
                 let shown = match all.as_slice() {
                     [one] if self.name.is_some() => one.clone(),
                     _ => json!({"apiVersion": "v1", "kind": "List", "items": all}),
                 };
-                if self.output == Form::Json {
+                if self.output == OutputFormat::Json {
                     println!("{shown:#}");
                 } else {
                     print!("{}", yaml::to_text(&shown));
@@ -353,26 +367,26 @@
         }
     }
 
-    /// Shows changes, watch after watch.
+    /// Prints changes. When a watch ends, the next one continues at the last version.
     fn follow(&self, client: &Client, mut version: String) -> Result<(), CliError> {
         loop {
-            let more = [
+            let parameters = [
                 ("watch", "true"),
                 ("allowWatchBookmarks", "true"),
                 ("resourceVersion", &version),
             ];
-            let target = self.target(&more);
+            let target = self.target(&parameters);
             let mut latest = version.clone();
             client.follow(&Request::get(&target), |line| {
                 if line["type"] == "ERROR" {
-                    return Err(refused(410, &line["object"]));
+                    return Err(response_error(410, &line["object"]));
                 }
                 let object = &line["object"];
                 latest = text(object, "/metadata/resourceVersion").to_string();
                 if line["type"] != "BOOKMARK" {
-                    let how = end(object).map_or("open", |(kind, _)| kind);
+                    let state = final_condition(object).map_or("open", |(kind, _)| kind);
                     println!(
-                        "{:<9} {}/{} {how}",
+                        "{:<9} {}/{} {state}",
                         line["type"].as_str().unwrap_or_default(),
                         text(object, "/metadata/namespace"),
                         text(object, "/metadata/name"),
@@ -385,36 +399,36 @@
     }
 }
 
-/// The path of one job.
-fn own(resource: Resource, namespace: &str, name: &str) -> Result<String, CliError> {
+/// The path of one Job.
+fn job_path(resource: Resource, namespace: &str, name: &str) -> Result<String, CliError> {
     match resource {
-        Resource::Jobs => Ok(format!("{}/{name}", jobs(Some(namespace)))),
+        Resource::Jobs => Ok(format!("{}/{name}", jobs_path(Some(namespace)))),
         Resource::Namespaces => Err(CliError::Usage("this is for jobs".into())),
     }
 }
 
-/// A value on one line: text as it is, maps as their entries.
-fn line(value: &Value) -> String {
+/// Formats a value on one line; an object as `key=value, ...`.
+fn one_line(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
         Value::Object(fields) => {
-            let all = fields.iter().map(|(k, v)| format!("{k}={}", line(v)));
+            let all = fields.iter().map(|(k, v)| format!("{k}={}", one_line(v)));
             all.collect::<Vec<_>>().join(", ")
         }
         other => other.to_string(),
     }
 }
 
-impl One {
+impl ObjectArgs {
     pub fn describe(self) -> Result<(), CliError> {
-        let target = own(self.resource, &self.namespace, &self.name)?;
+        let target = job_path(self.resource, &self.namespace, &self.name)?;
         let (status, job) = self.server.client()?.call(&Request::get(&target))?;
         if status != 200 {
-            return Err(refused(status, &job));
+            return Err(response_error(status, &job));
         }
-        let at = |pointer: &str| job.pointer(pointer).map_or("-".into(), line);
-        for (what, pointer) in [
+        let field = |pointer: &str| job.pointer(pointer).map_or("-".into(), one_line);
+        for (label, pointer) in [
             ("Name", "/metadata/name"),
             ("Namespace", "/metadata/namespace"),
             ("Uid", "/metadata/uid"),
@@ -432,36 +446,36 @@
             ("Started", "/status/startTime"),
             ("Completed", "/status/completionTime"),
         ] {
-            println!("{what:<14} {}", at(pointer));
+            println!("{label:<14} {}", field(pointer));
         }
         println!(
             "{:<14} {} running, {} done, {} failed attempts",
             "Tasks",
-            at("/status/active"),
-            at("/status/succeeded"),
-            at("/status/failed")
+            field("/status/active"),
+            field("/status/succeeded"),
+            field("/status/failed")
         );
         let conditions = job.pointer("/status/conditions").and_then(Value::as_array);
         for c in conditions.into_iter().flatten() {
-            let (kind, reason) = (line(&c["type"]), line(&c["reason"]));
+            let (kind, reason) = (one_line(&c["type"]), one_line(&c["reason"]));
             println!(
                 "{:<14} {kind}: {reason}, {}",
                 "Condition",
-                line(&c["message"])
+                one_line(&c["message"])
             );
         }
         Ok(())
     }
 
     pub fn delete(self) -> Result<(), CliError> {
-        let target = own(self.resource, &self.namespace, &self.name)?;
+        let target = job_path(self.resource, &self.namespace, &self.name)?;
         let request = Request {
             method: "DELETE",
             ..Request::get(&target)
         };
-        let (status, answer) = self.server.client()?.call(&request)?;
+        let (status, response) = self.server.client()?.call(&request)?;
         if status != 200 {
-            return Err(refused(status, &answer));
+            return Err(response_error(status, &response));
         }
         println!("job.batch/{} deleted", self.name);
         Ok(())
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -80,7 +80,7 @@
 
 /// What doesn't hold with settings under which `cancel_s` leaves no time beside the
 /// lease; None with all others.
-pub fn short_of_time(config: &Config) -> Option<String> {
+pub fn cancel_shortfall_warning(config: &Config) -> Option<String> {
     let short = seconds(config.cancel_shortfall()?);
     Some(format!(
         "cluster.workers.cancel_s leaves no time beside lease_s: while the state service is out \
@@ -166,7 +166,7 @@
         config.member,
         platform.client_listen
     );
-    if let Some(warning) = short_of_time(&config) {
+    if let Some(warning) = cancel_shortfall_warning(&config) {
         log::error!("{warning}");
     }
     let controller = Controller::new(Node::new(config), rules);
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -1,4 +1,4 @@
-//! Keys and tokens for the API server.
+//! The command `token`, which generates keys and bearer tokens for the API server.
 
 use crate::error::CliError;
 use clap::Subcommand;
@@ -14,23 +14,23 @@
     Key,
     /// Print a new token, and on standard error its entry for the settings
     New {
-        /// The operators' key
+        /// File with the operators' key
         #[arg(long, value_name = "FILE")]
         key_file: PathBuf,
-        /// Whom it is for, as the log names them
+        /// Name of the token's holder, for the log
         #[arg(long)]
         name: String,
-        /// Namespaces that it sees, or *
+        /// Namespaces that the token may access, or *
         #[arg(long, value_delimiter = ',', required = true)]
         namespaces: Vec<String>,
-        /// What it may do: get, list, watch, create, update, patch, delete, or *
+        /// Verbs that the token allows: get, list, watch, create, update, patch, delete, or *
         #[arg(long, value_delimiter = ',', required = true)]
         verbs: Vec<String>,
     },
 }
 
-/// Bytes that nobody can guess, from the system.
-fn secret() -> Result<String, CliError> {
+/// Random bytes from the operating system, in hexadecimal digits.
+fn random_secret() -> Result<String, CliError> {
     let mut bytes = [0u8; MIN_KEY_BYTES];
     let source = "/dev/urandom";
     std::fs::File::open(source)
@@ -48,7 +48,7 @@
     pub fn run(self) -> Result<(), CliError> {
         let (key_file, name, namespaces, verbs) = match self {
             Token::Key => {
-                println!("{}", secret()?);
+                println!("{}", random_secret()?);
                 return Ok(());
             }
             Token::New {
@@ -61,10 +61,10 @@
         if let Some(verb) = verbs.iter().find(|v| !Verb::is_verb_or_wildcard(v)) {
             return Err(CliError::Usage(format!("there is no verb {verb:?}")));
         }
-        let bad = |e: String| CliError::Settings(key_file.display().to_string(), e);
-        let text = std::fs::read_to_string(&key_file).map_err(|e| bad(e.to_string()))?;
-        let key = SigningKey::parse(&text).map_err(|e| bad(e.to_string()))?;
-        let token = secret()?;
+        let file_error = |e: String| CliError::Settings(key_file.display().to_string(), e);
+        let text = std::fs::read_to_string(&key_file).map_err(|e| file_error(e.to_string()))?;
+        let key = SigningKey::parse(&text).map_err(|e| file_error(e.to_string()))?;
+        let token = random_secret()?;
         println!("{token}");
         eprintln!(
             "[[kube.tokens]]\nname = {name:?}\nmac = \"{}\"\nnamespaces = [{}]\nverbs = [{}]",
