--- a/crates/dillcleat/src/connections.rs
+++ b/crates/dillcleat/src/connections.rs
@@ -1,10 +1,10 @@
-//! Bounds the connections that clients hold open to this controller.
+//! Limits the number of connections that clients have open to this controller.
 //!
-//! Workers and users keep their connections open between requests. While there are
-//! fewer than the high-water mark, nothing is closed. Above it answers carry
-//! `Connection: close`, and once no socket is left, the least recently used idle
-//! connection is closed for a new one. Both spare users while they hold no more than
-//! their share, so a large fleet of workers does not shut them out.
+//! Workers and users keep their connections open between requests. Below the high-water
+//! mark no connection is closed. Above it responses have `Connection: close`, and at the
+//! limit a new connection replaces the least recently used idle one. Both apply to users
+//! only if users have more than their share of the connections, so a large number of
+//! workers does not lock users out.
 
 use crate::http::{Connection, Request, RequestError};
 use futures_lite::future::{or, poll_fn, yield_now};
@@ -14,15 +14,15 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// The part of the limit above the high-water mark: one in so many.
-const SPARE_PART: usize = 8;
-/// The users' share of the connections below the high-water mark: one in so many.
-const USER_PART: usize = 4;
+/// The high-water mark is below the limit by `1 / RESERVE_DIVISOR` of the limit.
+const RESERVE_DIVISOR: usize = 8;
+/// The users' share is `1 / USER_SHARE_DIVISOR` of the high-water mark.
+const USER_SHARE_DIVISOR: usize = 4;
 
-/// Who is at the other end, by the last request.
+/// The kind of the client, according to its last request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Peer {
-    /// Has sent no request yet.
+pub enum ClientKind {
+    /// The client has not sent a request yet.
     Unknown,
     Worker,
     User,
@@ -30,14 +30,14 @@
 
 /// The state of one open connection.
 struct Entry {
-    peer: Cell<Peer>,
+    client_kind: Cell<ClientKind>,
     evicted: Cell<bool>,
     /// Wakes the task that waits for the next request.
     waker: RefCell<Option<Waker>>,
 }
 
 impl Entry {
-    /// Completes once the connection is to be closed for another one.
+    /// Completes when the connection has been evicted.
     async fn eviction(&self) {
         poll_fn(|context| {
             if self.evicted.get() {
@@ -57,10 +57,11 @@
     }
 }
 
-/// Idle connections by when they became idle, the least recently used one first.
+/// Idle connections by the sequence number at which they became idle, so that the least
+/// recently used one is first.
 type IdleByAge = BTreeMap<u64, Rc<Entry>>;
 
-/// All connections that clients hold open.
+/// All open connections of clients.
 pub struct ClientConnections {
     limit: usize,
     open: Cell<usize>,
@@ -82,39 +83,40 @@
         }
     }
 
-    /// The most connections that may be open.
+    /// The maximum number of open connections.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
     fn high_water(&self) -> usize {
-        self.limit - self.limit.div_ceil(SPARE_PART)
+        self.limit - self.limit.div_ceil(RESERVE_DIVISOR)
     }
 
     fn users_exceed_share(&self) -> bool {
-        self.users.get() > self.high_water() / USER_PART
+        self.users.get() > self.high_water() / USER_SHARE_DIVISOR
     }
 
-    /// Counts a new connection, for which an idle one is closed if none is left; None
-    /// if no connection is idle either.
+    /// Admits a new connection. At the limit an idle connection is evicted for it; returns
+    /// None if no connection is idle.
     pub async fn admit(self: &Rc<Self>) -> Option<Admitted> {
         while self.open.get() >= self.limit {
             self.evict_idle()?;
-            // Its task closes it, or serves a request that has come meanwhile.
+            // The task of the evicted connection runs: it closes the connection, or serves a
+            // request that has arrived in the meantime.
             yield_now().await;
         }
         self.open.set(self.open.get() + 1);
         Some(Admitted {
             connections: self.clone(),
             entry: Rc::new(Entry {
-                peer: Cell::new(Peer::Unknown),
+                client_kind: Cell::new(ClientKind::Unknown),
                 evicted: Cell::new(false),
                 waker: RefCell::default(),
             }),
         })
     }
 
-    /// Lets the least recently used idle connection be closed; None if there is none.
+    /// Evicts the least recently used idle connection; None if there is none.
     fn evict_idle(&self) -> Option<()> {
         let (first, second) = if self.users_exceed_share() {
             (&self.idle_users, &self.idle_workers)
@@ -127,95 +129,96 @@
         Some(())
     }
 
-    fn idle_with(&self, peer: Peer) -> &RefCell<IdleByAge> {
-        match peer {
-            Peer::Worker => &self.idle_workers,
-            Peer::User | Peer::Unknown => &self.idle_users,
+    fn idle_of(&self, client_kind: ClientKind) -> &RefCell<IdleByAge> {
+        match client_kind {
+            ClientKind::Worker => &self.idle_workers,
+            ClientKind::User | ClientKind::Unknown => &self.idle_users,
         }
     }
 }
 
-/// An idle connection, for as long as it can be closed for another one.
+/// Removes a connection from the idle ones when it is dropped.
 struct IdleGuard<'a> {
     idle: &'a RefCell<IdleByAge>,
-    since: u64,
+    sequence: u64,
 }
 
 impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
-        self.idle.borrow_mut().remove(&self.since);
+        self.idle.borrow_mut().remove(&self.sequence);
     }
 }
 
-/// An open connection, which is counted for as long as this lives.
+/// An open connection, which is counted until this is dropped.
 pub struct Admitted {
     connections: Rc<ClientConnections>,
     entry: Rc<Entry>,
 }
 
 impl Admitted {
-    /// Waits for the next request. Between an answer and the next request the
-    /// connection is idle: closed for another one, it is gone.
+    /// Reads the next request. Until its first bytes arrive the connection is idle and may
+    /// be evicted, which returns [`RequestError::Closed`].
     pub async fn next_request<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut Connection<S>,
     ) -> Result<Request, RequestError> {
-        let begins = connection.request_begins();
-        match self.entry.peer.get() {
-            Peer::Unknown => begins.await?,
-            peer => self.idle_until(peer, begins).await?,
+        let request_start = connection.request_start();
+        match self.entry.client_kind.get() {
+            ClientKind::Unknown => request_start.await?,
+            client_kind => self.idle_until(client_kind, request_start).await?,
         }
         connection.request().await
     }
 
-    /// Waits as an idle connection. What has come counts before an eviction.
+    /// Waits as an idle connection for a request or for eviction. A request that has
+    /// arrived takes precedence over an eviction.
     async fn idle_until(
         &self,
-        peer: Peer,
-        begins: impl Future<Output = Result<(), RequestError>>,
+        client_kind: ClientKind,
+        request_start: impl Future<Output = Result<(), RequestError>>,
     ) -> Result<(), RequestError> {
-        let since = self.connections.next_idle.get();
-        self.connections.next_idle.set(since + 1);
-        let idle = self.connections.idle_with(peer);
-        idle.borrow_mut().insert(since, self.entry.clone());
-        let _guard = IdleGuard { idle, since };
+        let sequence = self.connections.next_idle.get();
+        self.connections.next_idle.set(sequence + 1);
+        let idle = self.connections.idle_of(client_kind);
+        idle.borrow_mut().insert(sequence, self.entry.clone());
+        let _guard = IdleGuard { idle, sequence };
         let evicted = async {
             self.entry.eviction().await;
-            Err(RequestError::Gone)
+            Err(RequestError::Closed)
         };
-        let outcome = or(begins, evicted).await;
+        let outcome = or(request_start, evicted).await;
         self.entry.evicted.set(false);
         outcome
     }
 
-    /// Notes whose request the connection carries.
-    pub fn carries(&self, peer: Peer) {
-        let before = self.entry.peer.replace(peer);
+    /// Sets the kind of the client that sent the current request.
+    pub fn set_client_kind(&self, client_kind: ClientKind) {
+        let before = self.entry.client_kind.replace(client_kind);
         let users = &self.connections.users;
-        if before == Peer::User {
+        if before == ClientKind::User {
             users.set(users.get() - 1);
         }
-        if peer == Peer::User {
+        if client_kind == ClientKind::User {
             users.set(users.get() + 1);
         }
     }
 
-    /// Whether the connection is to be closed after the answer that is due now.
-    pub fn closes_after_answer(&self) -> bool {
+    /// Whether the connection is to be closed after the response to the current request.
+    pub fn closes_after_response(&self) -> bool {
         let connections = &self.connections;
         if connections.open.get() <= connections.high_water() {
             return false;
         }
-        match self.entry.peer.get() {
-            Peer::Worker => true,
-            Peer::User | Peer::Unknown => connections.users_exceed_share(),
+        match self.entry.client_kind.get() {
+            ClientKind::Worker => true,
+            ClientKind::User | ClientKind::Unknown => connections.users_exceed_share(),
         }
     }
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.carries(Peer::Unknown);
+        self.set_client_kind(ClientKind::Unknown);
         let open = &self.connections.open;
         open.set(open.get() - 1);
     }
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as the protocols use it: small bodies, no pipelining, connections
-//! kept open. Parsing of heads is `httparse`'s.
+//! The subset of HTTP/1.1 that the protocols need: small bodies, persistent connections,
+//! no pipelining and no chunked requests. Heads are parsed by `httparse`.
 
 use dillcleat_controller::{Answer, CallError};
 use dillcleat_wire::MAX_BODY_BYTES;
@@ -12,72 +12,75 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// Bound of a request's head.
-const HEAD_LIMIT: usize = 8 * 1024;
+/// The maximum size of the head of a request or response.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_HEADERS: usize = 48;
-/// Bound of an answer's body. Watches have no limit of their own; the store
-/// keeps 10,000 changes.
-const REPLY_LIMIT: usize = 16 * 1024 * 1024;
-/// How long a connection may take to get a whole request across.
-const REQUEST_TIME: Duration = Duration::from_secs(5);
-/// How long a connection may idle between two requests.
-const IDLE_TIME: Duration = Duration::from_secs(40);
-/// How long an unused connection of ours is kept.
-const KEEP: Duration = Duration::from_secs(20);
+/// The maximum size of a response's body. A watch of the store may return all the changes
+/// that the store keeps.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// How long a client may take to send a request or to receive a response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a client's connection may be idle between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
+/// How long a pool keeps an idle connection.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Debug)]
 pub struct Request {
     pub method: String,
     pub target: String,
     pub body: Vec<u8>,
+    /// Whether the client closes the connection after the response.
     pub close: bool,
-    /// Of those that were asked for, by their places.
+    /// The values of the connection's `header_names`, in the same order.
     pub headers: Vec<Option<String>>,
 }
 
-/// Why no request came of a connection.
+/// Why no request was read from a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestError {
-    /// Closed, timed out or broken: nothing to answer.
-    Gone,
-    /// Not HTTP, or its head is past the bound.
+    /// The connection was closed, timed out or broke.
+    Closed,
+    /// The head is not valid HTTP or exceeds the limit.
     Malformed,
+    /// The body exceeds the limit.
     TooLarge,
 }
 
-/// Closes connections of clients that take longer than they may.
+/// Closes connections of clients that exceed a timeout.
 ///
-/// A timer of its own for every request would cost each report several system
-/// calls, with hundreds of workers reporting; one look over all connections a
-/// second costs next to nothing, and nobody minds a second.
+/// All connections are checked periodically, which takes fewer system calls than a timer
+/// for each request.
 #[derive(Default)]
 pub struct Watchdog {
     guarded: RefCell<Vec<Weak<Guard>>>,
 }
 
+/// The deadline of a connection.
 struct Guard {
     stream: TcpStream,
-    until: Cell<Instant>,
+    deadline: Cell<Instant>,
 }
 
 impl Watchdog {
     fn guard(&self, stream: &TcpStream) -> Rc<Guard> {
         let guard = Rc::new(Guard {
             stream: stream.clone(),
-            until: Cell::new(Instant::now() + IDLE_TIME),
+            deadline: Cell::new(Instant::now() + IDLE_TIMEOUT),
         });
         self.guarded.borrow_mut().push(Rc::downgrade(&guard));
         guard
     }
 
-    /// Closes what is overdue: whoever reads or writes there sees the end.
+    /// Closes connections that have passed their deadline. Tasks that read or write on them
+    /// get an error.
     pub fn sweep(&self) {
         let now = Instant::now();
         self.guarded.borrow_mut().retain(|guard| {
             let Some(guard) = guard.upgrade() else {
                 return false;
             };
-            if guard.until.get() > now {
+            if guard.deadline.get() > now {
                 return true;
             }
             let _ = guard.stream.shutdown(Shutdown::Both);
@@ -92,6 +95,7 @@
     close: bool,
 }
 
+/// The length of the body, and whether the connection is closed after it.
 fn body_headers(headers: &[httparse::Header]) -> Option<(usize, bool)> {
     let mut body = 0;
     let mut close = false;
@@ -100,7 +104,7 @@
         if h.name.eq_ignore_ascii_case("content-length") {
             body = value.parse().ok()?;
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            // Nobody in these protocols sends chunks.
+            // No client of these protocols sends chunked bodies.
             return None;
         } else if h.name.eq_ignore_ascii_case("connection") {
             close = value.eq_ignore_ascii_case("close");
@@ -109,13 +113,13 @@
     Some((body, close))
 }
 
-/// The server's side of a connection.
+/// A connection of a client, on the server's side.
 pub struct Connection<S = TcpStream> {
     stream: S,
     guard: Rc<Guard>,
     buffer: Vec<u8>,
-    /// Headers that are of use to whoever serves it.
-    wanted: &'static [&'static str],
+    /// The headers whose values each request returns.
+    header_names: &'static [&'static str],
 }
 
 impl Connection {
@@ -124,45 +128,46 @@
             guard: watchdog.guard(&stream),
             stream,
             buffer: Vec::new(),
-            wanted: &[],
+            header_names: &[],
         }
     }
 }
 
-/// A connection on which nothing may take longer than a request.
-pub struct Guarded(Rc<Guard>);
+/// Closes a TCP connection at its deadline, for [`Connection::over`].
+pub struct ConnectionGuard(Rc<Guard>);
 
 impl Watchdog {
-    /// Guards a connection on which something else than a request is said first.
-    pub fn watch(&self, raw: &TcpStream) -> Guarded {
-        let guard = self.guard(raw);
-        guard.until.set(Instant::now() + REQUEST_TIME);
-        Guarded(guard)
+    /// Guards a connection that starts with a TLS handshake instead of a request.
+    pub fn guard_handshake(&self, tcp: &TcpStream) -> ConnectionGuard {
+        let guard = self.guard(tcp);
+        guard.deadline.set(Instant::now() + REQUEST_TIMEOUT);
+        ConnectionGuard(guard)
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
-    /// Over a stream of another kind, whose TCP connection is guarded already.
-    pub fn over(stream: S, guarded: Guarded, wanted: &'static [&'static str]) -> Self {
+    /// A connection over a stream, such as TLS, whose TCP connection is already guarded.
+    pub fn over(stream: S, guard: ConnectionGuard, header_names: &'static [&'static str]) -> Self {
         Connection {
-            guard: guarded.0,
+            guard: guard.0,
             stream,
             buffer: Vec::new(),
-            wanted,
+            header_names,
         }
     }
 
-    /// Writes bytes that are an answer, or a part of one.
-    pub async fn send(&mut self, bytes: &[u8], rest: Duration) -> std::io::Result<()> {
-        self.may_take(REQUEST_TIME);
+    /// Writes a response or a part of one. `idle_timeout` is the time until the next send or
+    /// request.
+    pub async fn send(&mut self, bytes: &[u8], idle_timeout: Duration) -> std::io::Result<()> {
+        self.set_timeout(REQUEST_TIMEOUT);
         self.stream.write_all(bytes).await?;
         self.stream.flush().await?;
-        self.may_take(rest);
+        self.set_timeout(idle_timeout);
         Ok(())
     }
 
-    fn may_take(&self, time: Duration) {
-        self.guard.until.set(Instant::now() + time);
+    fn set_timeout(&self, timeout: Duration) {
+        self.guard.deadline.set(Instant::now() + timeout);
     }
 
     async fn fill(&mut self) -> std::io::Result<()> {
@@ -177,21 +182,21 @@
     }
 
     /// Waits for the first bytes of the next request.
-    pub async fn request_begins(&mut self) -> Result<(), RequestError> {
+    pub async fn request_start(&mut self) -> Result<(), RequestError> {
         if self.buffer.is_empty() {
-            self.may_take(IDLE_TIME);
-            self.fill().await.map_err(|_| RequestError::Gone)?;
+            self.set_timeout(IDLE_TIMEOUT);
+            self.fill().await.map_err(|_| RequestError::Closed)?;
         }
         Ok(())
     }
 
-    /// Waits for the next request.
+    /// Reads the next request.
     pub async fn request(&mut self) -> Result<Request, RequestError> {
-        self.request_begins().await?;
-        self.may_take(REQUEST_TIME);
+        self.request_start().await?;
+        self.set_timeout(REQUEST_TIMEOUT);
         let request = self.read_request().await;
-        // How long its answer takes is not the client's doing.
-        self.may_take(IDLE_TIME);
+        // The time to process the request does not count against the client.
+        self.set_timeout(IDLE_TIMEOUT);
         request
     }
 
@@ -204,27 +209,27 @@
                     let (body, close) = body_headers(r.headers).ok_or(RequestError::Malformed)?;
                     let head = Head { len, body, close };
                     let method = r.method.unwrap_or_default().to_string();
-                    let wanted = self.wanted.iter().map(|name| {
+                    let values = self.header_names.iter().map(|name| {
                         let mut all = r.headers.iter();
                         let found = all.find(|h| h.name.eq_ignore_ascii_case(name))?;
                         Some(String::from_utf8_lossy(found.value).trim().to_string())
                     });
-                    let wanted = wanted.collect();
-                    break (head, method, r.path.unwrap_or_default().to_string(), wanted);
+                    let values = values.collect();
+                    break (head, method, r.path.unwrap_or_default().to_string(), values);
                 }
-                Ok(httparse::Status::Partial) if self.buffer.len() < HEAD_LIMIT => {}
+                Ok(httparse::Status::Partial) if self.buffer.len() < MAX_HEAD_BYTES => {}
                 _ => return Err(RequestError::Malformed),
             }
-            self.fill().await.map_err(|_| RequestError::Gone)?;
+            self.fill().await.map_err(|_| RequestError::Closed)?;
         };
-        if head.len > HEAD_LIMIT {
+        if head.len > MAX_HEAD_BYTES {
             return Err(RequestError::Malformed);
         }
         if head.body > MAX_BODY_BYTES {
             return Err(RequestError::TooLarge);
         }
         while self.buffer.len() < head.len + head.body {
-            self.fill().await.map_err(|_| RequestError::Gone)?;
+            self.fill().await.map_err(|_| RequestError::Closed)?;
         }
         let rest = self.buffer.split_off(head.len + head.body);
         let body = self.buffer.split_off(head.len);
@@ -254,11 +259,12 @@
         head += "\r\n";
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&answer.body);
-        self.may_take(REQUEST_TIME);
+        self.set_timeout(REQUEST_TIMEOUT);
         self.stream.write_all(&bytes).await
     }
 }
 
+/// The reason phrase of a status code.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -280,84 +286,84 @@
     }
 }
 
-/// An unused connection and since when.
-type Idle = (TcpStream, Instant);
+/// An idle connection, and the time since when it has been idle.
+type IdleConnection = (TcpStream, Instant);
 
-/// How long a call may take.
+/// The time limits of a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    /// Until it is given up.
-    pub time: Duration,
-    /// Not to be sent after this.
+pub struct TimeLimits {
+    /// The time after which the call fails.
+    pub timeout: Duration,
+    /// The time after which the request is no longer sent.
     pub send_by: Option<Instant>,
 }
 
-impl From<Duration> for Limits {
-    fn from(time: Duration) -> Self {
-        Limits {
-            time,
+impl From<Duration> for TimeLimits {
+    fn from(timeout: Duration) -> Self {
+        TimeLimits {
+            timeout,
             send_by: None,
         }
     }
 }
 
-/// Connections of ours to other services, kept open between calls.
+/// Connections to other services, which are kept open between calls.
 #[derive(Clone)]
 pub struct ConnectionPool {
-    idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
-    per_address: usize,
-    /// Unused connections to all addresses together.
-    limit: usize,
-    /// Those together with the calls under way.
-    total: usize,
-    under_way: Rc<Cell<usize>>,
+    /// The idle connections by address.
+    idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
+    max_idle_per_address: usize,
+    max_idle: usize,
+    /// The maximum number of idle connections and calls in flight together.
+    max_open: usize,
+    calls_in_flight: Rc<Cell<usize>>,
 }
 
-/// Counts a call for as long as it is under way.
-struct UnderWay(Rc<Cell<usize>>);
+/// Counts a call while it is in flight.
+struct CallInFlight(Rc<Cell<usize>>);
 
-impl UnderWay {
+impl CallInFlight {
     fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
-        UnderWay(count.clone())
+        CallInFlight(count.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for CallInFlight {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl ConnectionPool {
-    pub fn new(per_address: usize, limit: usize) -> Self {
-        ConnectionPool::bounded(per_address, limit, usize::MAX)
+    pub fn new(max_idle_per_address: usize, max_idle: usize) -> Self {
+        ConnectionPool::bounded(max_idle_per_address, max_idle, usize::MAX)
     }
 
-    /// With a bound for the unused connections and the calls under way together.
-    pub fn bounded(per_address: usize, limit: usize, total: usize) -> Self {
+    /// A pool that also bounds the idle connections and calls in flight together.
+    pub fn bounded(max_idle_per_address: usize, max_idle: usize, max_open: usize) -> Self {
         ConnectionPool {
             idle: Rc::new(RefCell::new(HashMap::new())),
-            per_address,
-            limit,
-            total,
-            under_way: Rc::default(),
+            max_idle_per_address,
+            max_idle,
+            max_open,
+            calls_in_flight: Rc::default(),
         }
     }
 
-    /// How many unused connections may be kept now.
+    /// The number of idle connections that may be kept with the current calls in flight.
     fn idle_limit(&self) -> usize {
-        let free = self.total.saturating_sub(self.under_way.get());
-        free.min(self.limit)
+        let free = self.max_open.saturating_sub(self.calls_in_flight.get());
+        free.min(self.max_idle)
     }
 
     fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes the unused connections to one address if a new one would exceed the bound.
-    fn make_room(&self) {
-        if self.idle_limit() == self.limit || self.idle_count() <= self.idle_limit() {
+    /// Closes the idle connections to one address if the pool exceeds `max_open`.
+    fn evict_idle(&self) {
+        if self.idle_limit() == self.max_idle || self.idle_count() <= self.idle_limit() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
@@ -366,53 +372,54 @@
         }
     }
 
-    /// Closes what has not been used for a while.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         for streams in idle.values_mut() {
-            streams.retain(|(_, since)| since.elapsed() < KEEP);
+            streams.retain(|(_, since)| since.elapsed() < POOL_IDLE_TIMEOUT);
         }
         idle.retain(|_, s| !s.is_empty());
     }
 
+    /// Takes an idle connection to an address.
     fn take(&self, addr: &str) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_mut(addr)?;
         while let Some((stream, since)) = streams.pop() {
-            if since.elapsed() < KEEP {
+            if since.elapsed() < POOL_IDLE_TIMEOUT {
                 return Some(stream);
             }
         }
         None
     }
 
-    /// One request and its answer: status and body.
+    /// Sends a request and returns the status and body of the response.
     pub async fn call(
         &self,
         addr: &str,
         method: &str,
         target: &str,
         body: &[u8],
-        limits: impl Into<Limits>,
+        limits: impl Into<TimeLimits>,
     ) -> Result<(u16, Vec<u8>), CallError> {
-        let limits: Limits = limits.into();
-        let _under_way = UnderWay::new(&self.under_way);
+        let limits: TimeLimits = limits.into();
+        let _in_flight = CallInFlight::new(&self.calls_in_flight);
         let sent = std::cell::Cell::new(false);
-        let work = async {
+        let exchange = async {
             let mut stream = match self.take(addr) {
                 Some(stream) => stream,
                 None => {
-                    self.make_room();
+                    self.evict_idle();
                     let stream = TcpStream::connect(addr)
                         .await
                         .map_err(|_| CallError::NotSent)?;
-                    // Small messages that must not wait for each other.
+                    // Small messages are sent without delay.
                     let _ = stream.set_nodelay(true);
                     stream
                 }
             };
-            // A connection may come about seconds after it was asked for, when a cut
-            // ends: whoever asked may have no leave any more for what it wants done.
+            // After a network partition the connection may be established late. By then the
+            // controller may no longer be entitled to send the request.
             if limits.send_by.is_some_and(|by| Instant::now() >= by) {
                 return Err(CallError::NotSent);
             }
@@ -427,31 +434,36 @@
                 .write_all(&bytes)
                 .await
                 .map_err(|_| CallError::NoAnswer)?;
-            let (status, body, keep) = read_reply(&mut stream).await.ok_or(CallError::NoAnswer)?;
-            if keep {
+            let (status, body, reusable) = read_response(&mut stream)
+                .await
+                .ok_or(CallError::NoAnswer)?;
+            if reusable {
                 let has_room = self.idle_count() < self.idle_limit();
                 let mut idle = self.idle.borrow_mut();
                 let streams = idle.entry(addr.to_string()).or_default();
-                if streams.len() < self.per_address && has_room {
+                if streams.len() < self.max_idle_per_address && has_room {
                     streams.push((stream, Instant::now()));
                 }
             }
             Ok((status, body))
         };
-        work.or(async {
-            Timer::after(limits.time).await;
-            // A connection that did not come about never will.
-            Err(if sent.get() {
-                CallError::NoAnswer
-            } else {
-                CallError::NotSent
+        exchange
+            .or(async {
+                Timer::after(limits.timeout).await;
+                // Without a connection the request was certainly not sent: dropping the future
+                // abandons the attempt to connect.
+                Err(if sent.get() {
+                    CallError::NoAnswer
+                } else {
+                    CallError::NotSent
+                })
             })
-        })
-        .await
+            .await
     }
 }
 
-async fn read_reply(stream: &mut TcpStream) -> Option<(u16, Vec<u8>, bool)> {
+/// Reads a response: its status, its body, and whether the connection can be reused.
+async fn read_response(stream: &mut TcpStream) -> Option<(u16, Vec<u8>, bool)> {
     let mut buffer = Vec::new();
     let mut chunk = [0u8; 8192];
     let (head, status) = loop {
@@ -462,7 +474,7 @@
                 let (body, close) = body_headers(r.headers)?;
                 break (Head { len, body, close }, r.code?);
             }
-            Ok(httparse::Status::Partial) if buffer.len() < HEAD_LIMIT => {}
+            Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => {}
             _ => return None,
         }
         match stream.read(&mut chunk).await {
@@ -470,7 +482,7 @@
             _ => return None,
         }
     };
-    if head.body > REPLY_LIMIT {
+    if head.body > MAX_RESPONSE_BYTES {
         return None;
     }
     while buffer.len() < head.len + head.body {
@@ -479,10 +491,10 @@
             _ => return None,
         }
     }
-    let clean = buffer.len() == head.len + head.body;
+    let no_extra_bytes = buffer.len() == head.len + head.body;
     let mut body = buffer.split_off(head.len);
     body.truncate(head.body);
-    Some((status, body, clean && !head.close))
+    Some((status, body, no_extra_bytes && !head.close))
 }
 
 #[cfg(test)]
--- a/crates/dillcleat/src/http/tests.rs
+++ b/crates/dillcleat/src/http/tests.rs
@@ -1,18 +1,17 @@
-//! Tests of calls to other services.
+//! Tests of the connection pool.
 
 use super::*;
 use smol::net::TcpListener;
 
-/// A connection that comes about too late carries nothing: a deletion was once sent
-/// when a cut ended, by a leader that had lost the lead (incident late-deletion).
+/// Guards against a former leader that deletes machines when a network partition ends.
 #[test]
-fn what_is_not_sent_in_time_is_not_sent() {
+fn a_request_is_not_sent_if_the_connection_opens_after_send_by() {
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("its address").to_string();
         let pool = ConnectionPool::new(1, 1);
-        let limits = Limits {
-            time: Duration::from_secs(5),
+        let limits = TimeLimits {
+            timeout: Duration::from_secs(5),
             send_by: Some(Instant::now()),
         };
         let sent = pool
@@ -34,13 +33,13 @@
     stream.write_all(answer).await.expect("an answer is sent");
 }
 
-/// Orders under way and connections kept for later ones once took more sockets together
-/// than are reserved for them.
+/// Guards against using more sockets than reserved: calls in flight and idle connections
+/// share one limit.
 #[test]
-fn calls_under_way_count_against_idle_connections() {
-    const TOTAL: usize = 2;
+fn calls_in_flight_reduce_the_number_of_idle_connections() {
+    const MAX_OPEN: usize = 2;
     smol::block_on(async {
-        let pool = ConnectionPool::bounded(1, 2, TOTAL);
+        let pool = ConnectionPool::bounded(1, 2, MAX_OPEN);
         let time = Duration::from_secs(5);
         let mut listeners = Vec::new();
         for _ in 0..3 {
@@ -59,7 +58,7 @@
         let (first, mut kept) = smol::future::zip(call(0), serve(0)).await;
         assert!(first.is_ok());
         assert_eq!(pool.idle_count(), 1);
-        // One more beside it is within the bound, which a second one is not.
+        // One call in flight beside the idle connection is within the limit, two are not.
         let outer = async {
             let (inner, _stream) = smol::future::zip(call(2), serve(2)).await;
             assert!(inner.is_ok());
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -1,8 +1,8 @@
-//! The listener for Kubernetes-shaped clients.
+//! The listener for Kubernetes clients.
 
 mod tls;
 
-use crate::connections::{Admitted, Peer};
+use crate::connections::{Admitted, ClientKind};
 use crate::error::CliError;
 use crate::http::{Connection, RequestError, reason};
 use crate::server::{ConnectionCount, Executor, ServerState, bind};
@@ -16,51 +16,58 @@
 use std::time::Duration;
 use tls::Tls;
 
-/// Lines that may be queued for the reader of a watch. A client that is further behind
-/// is disconnected; it resumes by resource version.
-const MAX_QUEUED_LINES: usize = 256;
-/// A watch may be silent for as long as a bookmark takes, and longer without them.
-const SILENCE: Duration = Duration::from_secs(2_000);
-const HEADERS: &[&str] = &["authorization", "accept", "content-type"];
+/// The capacity of the queue of outputs for one connection. A client that exceeds it is
+/// disconnected; it can resume its watch at the last resource version.
+const MAX_QUEUED_OUTPUTS: usize = 256;
+/// How long the connection of a client may be idle between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
+/// How long a watch may be silent. A watch without bookmarks may have no events until it
+/// ends, so this is longer than the maximum duration of a watch.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(2_000);
+const HEADER_NAMES: &[&str] = &["authorization", "accept", "content-type"];
 
-/// What the controller is handed: its own inputs and those of Kubernetes-shaped clients.
+/// An input of the controller or of its API server.
 pub enum ServerInput {
-    /// An input of the controller itself.
+    /// An input of the controller.
     Controller(Input),
-    /// A request of a Kubernetes-shaped client.
+    /// A request of a Kubernetes client.
     ApiRequest(RequestId, ApiRequest),
-    /// The client of a watch has gone.
-    ClientGone(RequestId),
+    /// The client of a watch has disconnected.
+    ClientDisconnected(RequestId),
 }
 
-/// What the connection of a client is sent.
-pub enum WatchLine {
-    Reply(ApiResponse),
+/// An output of the API server to the connection of a client.
+pub enum ClientOutput {
+    /// A complete response.
+    Response(ApiResponse),
+    /// The start of a watch.
     Stream,
+    /// An event of a watch.
     Chunk(Rc<[u8]>),
+    /// The end of a watch.
     End,
 }
 
-/// Hands an output to the connection that waits for it. Returns the request of a client
-/// that does not keep up, whose watch is to be closed.
-pub fn carry_out(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
-    let (id, line) = match out {
-        ControllerOutput::Reply { id, reply } => (id, WatchLine::Reply(reply)),
-        ControllerOutput::Stream { id } => (id, WatchLine::Stream),
-        ControllerOutput::Chunk { id, bytes } => (id, WatchLine::Chunk(bytes)),
-        ControllerOutput::End { id } => (id, WatchLine::End),
+/// Forwards an output to the task of its connection. Returns the request if its client
+/// reads too slowly, so that the watch must be closed.
+pub fn forward(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
+    let (id, output) = match out {
+        ControllerOutput::Reply { id, reply } => (id, ClientOutput::Response(reply)),
+        ControllerOutput::Stream { id } => (id, ClientOutput::Stream),
+        ControllerOutput::Chunk { id, bytes } => (id, ClientOutput::Chunk(bytes)),
+        ControllerOutput::End { id } => (id, ClientOutput::End),
         ControllerOutput::Core(_) => return None,
     };
-    let mut lines = shared.watch_lines.borrow_mut();
-    let last = matches!(line, WatchLine::Reply(_) | WatchLine::End);
-    let sent = lines.get(&id)?.try_send(line).is_ok();
+    let mut outputs = shared.client_outputs.borrow_mut();
+    let last = matches!(output, ClientOutput::Response(_) | ClientOutput::End);
+    let sent = outputs.get(&id)?.try_send(output).is_ok();
     if last || !sent {
-        lines.remove(&id);
+        outputs.remove(&id);
     }
     (!sent).then_some(id)
 }
 
-/// Opens the listener.
+/// Opens the listener and starts to accept connections.
 pub async fn open(
     executor: &Executor,
     shared: &Rc<ServerState>,
@@ -72,7 +79,9 @@
         Some(files) => Some(Rc::new(Tls::load(files)?)),
     };
     if let Some(tls) = tls.clone() {
-        executor.spawn(async move { tls.keep_up().await }).detach();
+        executor
+            .spawn(async move { tls.reload_on_change().await })
+            .detach();
     }
     log::info!("serving Kubernetes clients address={}", settings.listen);
     executor
@@ -81,8 +90,8 @@
     Ok(())
 }
 
-/// Whether another Kubernetes-shaped client may connect: half of the clients' sockets
-/// are kept for users and workers.
+/// Whether another Kubernetes client may connect. Half of the clients' connections are
+/// reserved for users and workers.
 fn accepts_more_clients(shared: &ServerState) -> bool {
     (shared.kube_clients.get() as usize) < shared.clients.limit() / 2
 }
@@ -108,7 +117,7 @@
             }
             Ok(_) => log::debug!("Kubernetes connection refused: too many connections"),
             Err(e) => {
-                log::error!("cannot accept a Kubernetes connection: error={e}");
+                log::error!("cannot accept a Kubernetes connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
@@ -123,18 +132,18 @@
 ) {
     let _counted = ConnectionCount::new(&shared, |s| &s.kube_clients);
     let _ = stream.set_nodelay(true);
-    let guarded = shared.watchdog.watch(&stream);
+    let guard = shared.watchdog.guard_handshake(&stream);
     match tls {
         None => {
-            let connection = Connection::over(stream, guarded, HEADERS);
-            client(&shared, &admitted, connection).await;
+            let connection = Connection::over(stream, guard, HEADER_NAMES);
+            serve_client(&shared, &admitted, connection).await;
         }
         Some(tls) => match tls.accept(stream).await {
             Ok(stream) => {
-                let connection = Connection::over(stream, guarded, HEADERS);
-                client(&shared, &admitted, connection).await;
+                let connection = Connection::over(stream, guard, HEADER_NAMES);
+                serve_client(&shared, &admitted, connection).await;
             }
-            Err(e) => log::debug!("TLS handshake failed: error={e}"),
+            Err(e) => log::debug!("TLS handshake failed error={e}"),
         },
     }
 }
@@ -160,7 +169,7 @@
     bytes
 }
 
-fn refusal(error: &StatusError) -> ApiResponse {
+fn error_response(error: &StatusError) -> ApiResponse {
     ApiResponse {
         status: error.code().0,
         body: serde_json::to_vec(&error.status()).unwrap_or_default(),
@@ -168,16 +177,15 @@
     }
 }
 
-async fn client<S: AsyncRead + AsyncWrite + Unpin>(
+async fn serve_client<S: AsyncRead + AsyncWrite + Unpin>(
     shared: &ServerState,
     admitted: &Admitted,
     mut connection: Connection<S>,
 ) {
-    const IDLE: Duration = Duration::from_secs(40);
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(request) => request,
-            Err(RequestError::Gone) => return,
+            Err(RequestError::Closed) => return,
             Err(bad) => {
                 let error = match bad {
                     RequestError::TooLarge => {
@@ -186,19 +194,19 @@
                     _ => StatusError::BadRequest("malformed request".into()),
                 };
                 let _ = connection
-                    .send(&response_bytes(&refusal(&error), true), IDLE)
+                    .send(&response_bytes(&error_response(&error), true), IDLE_TIMEOUT)
                     .await;
                 return;
             }
         };
-        admitted.carries(Peer::User);
+        admitted.set_client_kind(ClientKind::User);
         let id = RequestId(shared.next_request.get());
         shared.next_request.set(id.0 + 1);
-        let (tx, lines) = smol::channel::bounded(MAX_QUEUED_LINES);
-        shared.watch_lines.borrow_mut().insert(id, tx);
+        let (tx, outputs) = smol::channel::bounded(MAX_QUEUED_OUTPUTS);
+        shared.client_outputs.borrow_mut().insert(id, tx);
         let mut headers = request.headers.into_iter();
         let authorization = headers.next().flatten();
-        let ask = ApiRequest {
+        let api_request = ApiRequest {
             method: request.method,
             target: request.target,
             bearer: authorization.and_then(|a| Some(a.strip_prefix("Bearer ")?.trim().to_string())),
@@ -208,22 +216,27 @@
         };
         if shared
             .api_requests
-            .send(ServerInput::ApiRequest(id, ask))
+            .send(ServerInput::ApiRequest(id, api_request))
             .await
             .is_err()
         {
             return;
         }
         let mut close = request.close;
-        let sent = match lines.recv().await {
-            Ok(WatchLine::Reply(reply)) => {
-                close |= admitted.closes_after_answer();
-                connection.send(&response_bytes(&reply, close), IDLE).await
+        let sent = match outputs.recv().await {
+            Ok(ClientOutput::Response(reply)) => {
+                close |= admitted.closes_after_response();
+                connection
+                    .send(&response_bytes(&reply, close), IDLE_TIMEOUT)
+                    .await
             }
-            Ok(WatchLine::Stream) => {
-                let sent = stream(&mut connection, &lines).await;
-                shared.watch_lines.borrow_mut().remove(&id);
-                let _ = shared.api_requests.send(ServerInput::ClientGone(id)).await;
+            Ok(ClientOutput::Stream) => {
+                let sent = send_watch(&mut connection, &outputs).await;
+                shared.client_outputs.borrow_mut().remove(&id);
+                let _ = shared
+                    .api_requests
+                    .send(ServerInput::ClientDisconnected(id))
+                    .await;
                 sent
             }
             _ => return,
@@ -234,25 +247,28 @@
     }
 }
 
-/// Sends the lines of a watch until it ends.
-async fn stream<S: AsyncRead + AsyncWrite + Unpin>(
+/// Sends the events of a watch until it ends.
+async fn send_watch<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut Connection<S>,
-    lines: &smol::channel::Receiver<WatchLine>,
+    outputs: &smol::channel::Receiver<ClientOutput>,
 ) -> std::io::Result<()> {
     let start = response_head(200, "Transfer-Encoding: chunked\r\n", false);
-    connection.send(start.as_bytes(), SILENCE).await?;
+    connection
+        .send(start.as_bytes(), WATCH_IDLE_TIMEOUT)
+        .await?;
     loop {
-        match lines.recv().await {
-            Ok(WatchLine::Chunk(bytes)) => {
+        match outputs.recv().await {
+            Ok(ClientOutput::Chunk(bytes)) => {
                 let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
                 chunk.extend_from_slice(&bytes);
                 chunk.extend_from_slice(b"\r\n");
-                connection.send(&chunk, SILENCE).await?;
+                connection.send(&chunk, WATCH_IDLE_TIMEOUT).await?;
             }
-            Ok(WatchLine::End) => {
-                return connection.send(b"0\r\n\r\n", Duration::from_secs(40)).await;
+            Ok(ClientOutput::End) => {
+                return connection.send(b"0\r\n\r\n", IDLE_TIMEOUT).await;
             }
-            // Cut off for not keeping up: without the last chunk it is seen to be.
+            // The client reads too slowly. Closing the connection without the last chunk
+            // shows it that the watch is incomplete.
             _ => return Err(std::io::ErrorKind::TimedOut.into()),
         }
     }
--- a/crates/dillcleat/src/kube_server/tls.rs
+++ b/crates/dillcleat/src/kube_server/tls.rs
@@ -1,4 +1,4 @@
-//! TLS for the listener: a certificate and a key from files, read again when they
+//! TLS for the listener, with a certificate and key that are reloaded when their files
 //! change.
 
 use crate::error::CliError;
@@ -15,73 +15,77 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// How often the files are looked at.
-const LOOK: Duration = Duration::from_secs(2);
+/// How often the files are checked for changes.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When both files were written last.
-type Written = [Option<SystemTime>; 2];
+/// The modification times of the certificate and the key file.
+type ModificationTimes = [Option<SystemTime>; 2];
 
 pub struct Tls {
     files: settings::Tls,
-    now: RefCell<(TlsAcceptor, Written)>,
+    /// The current acceptor, and the modification times of the files it was loaded from.
+    current: RefCell<(TlsAcceptor, ModificationTimes)>,
 }
 
-fn written(files: &settings::Tls) -> Written {
-    let of = |path: &Path| std::fs::metadata(path).and_then(|m| m.modified()).ok();
-    [of(&files.cert), of(&files.key)]
+fn modification_times(files: &settings::Tls) -> ModificationTimes {
+    let modified = |path: &Path| std::fs::metadata(path).and_then(|m| m.modified()).ok();
+    [modified(&files.cert), modified(&files.key)]
 }
 
-/// What is wrong is told by the file's name and the cause, never by its content.
-fn read(files: &settings::Tls) -> Result<TlsAcceptor, CliError> {
-    let bad = |path: &Path, e: String| CliError::Settings(path.display().to_string(), e);
+/// Loads the files. Errors contain a file's name and the cause, never its content.
+fn load_acceptor(files: &settings::Tls) -> Result<TlsAcceptor, CliError> {
+    let file_error = |path: &Path, e: String| CliError::Settings(path.display().to_string(), e);
     let certs = CertificateDer::pem_file_iter(&files.cert)
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
-        .map_err(|e| bad(&files.cert, format!("no certificate: {e}")))?;
+        .map_err(|e| file_error(&files.cert, format!("no certificate: {e}")))?;
     if certs.is_empty() {
-        return Err(bad(&files.cert, "no certificate".into()));
+        return Err(file_error(&files.cert, "no certificate".into()));
     }
     let key = PrivateKeyDer::from_pem_file(&files.key)
-        .map_err(|_| bad(&files.key, "no private key".into()))?;
+        .map_err(|_| file_error(&files.key, "no private key".into()))?;
     let config = ServerConfig::builder()
         .with_no_client_auth()
         .with_single_cert(certs, key)
-        .map_err(|e| bad(&files.cert, e.to_string()))?;
+        .map_err(|e| file_error(&files.cert, e.to_string()))?;
     Ok(TlsAcceptor::from(Arc::new(config)))
 }
 
 impl Tls {
     pub fn load(files: &settings::Tls) -> Result<Tls, CliError> {
-        let when = written(files);
+        let modified = modification_times(files);
         Ok(Tls {
-            now: RefCell::new((read(files)?, when)),
+            current: RefCell::new((load_acceptor(files)?, modified)),
             files: files.clone(),
         })
     }
 
-    /// Takes up the files whenever they have changed. What cannot be used is said, and
-    /// what was there before stays.
-    pub async fn keep_up(&self) {
+    /// Reloads the files whenever they change. If they are invalid, the previous certificate
+    /// stays in use.
+    pub async fn reload_on_change(&self) {
         loop {
-            Timer::after(LOOK).await;
-            let when = written(&self.files);
-            if self.now.borrow().1 == when {
+            Timer::after(CHECK_INTERVAL).await;
+            let modified = modification_times(&self.files);
+            if self.current.borrow().1 == modified {
                 continue;
             }
-            match read(&self.files) {
+            match load_acceptor(&self.files) {
                 Ok(acceptor) => {
-                    log::info!("{}: taken up", self.files.cert.display());
-                    *self.now.borrow_mut() = (acceptor, when);
+                    let file = self.files.cert.display();
+                    log::info!("TLS certificate reloaded file={file}");
+                    *self.current.borrow_mut() = (acceptor, modified);
                 }
                 Err(e) => {
-                    log::error!("{e}; the certificate before stays");
-                    self.now.borrow_mut().1 = when;
+                    log::error!(
+                        "cannot reload the TLS certificate, keeping the previous error={e}"
+                    );
+                    self.current.borrow_mut().1 = modified;
                 }
             }
         }
     }
 
     pub async fn accept(&self, stream: TcpStream) -> std::io::Result<TlsStream<TcpStream>> {
-        let acceptor = self.now.borrow().0.clone();
+        let acceptor = self.current.borrow().0.clone();
         acceptor.accept(stream).await
     }
 }
--- a/crates/dillcleat/src/main.rs
+++ b/crates/dillcleat/src/main.rs
@@ -1,4 +1,4 @@
-//! dillcleat: a cluster scheduler.
+//! The program `dillcleat`: a controller of the cluster scheduler, and its command line.
 
 mod cli;
 mod client;
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -1,9 +1,9 @@
-//! The controller process: sockets and timers around a [`Node`], on one thread.
+//! The controller process: runs a [`Controller`] with sockets and timers on one thread.
 
-use crate::connections::{Admitted, ClientConnections, Peer};
+use crate::connections::{Admitted, ClientConnections, ClientKind};
 use crate::error::CliError;
-use crate::http::{Connection, ConnectionPool, Limits, RequestError, Watchdog};
-use crate::kube_server::{self, ServerInput, WatchLine};
+use crate::http::{Connection, ConnectionPool, RequestError, TimeLimits, Watchdog};
+use crate::kube_server::{self, ClientOutput, ServerInput};
 use crate::peer_connections;
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
@@ -25,31 +25,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const TICK: Duration = Duration::from_millis(50);
-/// Inputs of one kind that may be queued for the controller.
-const MAX_INPUTS: usize = 4096;
-/// Inputs that are handled before other tasks run: replies leave the process only then.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The capacity of each queue of inputs for the controller.
+const MAX_QUEUED_INPUTS: usize = 4096;
+/// The number of inputs that are handled before other tasks run, such as those that write
+/// responses.
 const INPUTS_PER_TURN: u32 = 8;
-/// Messages that may be queued for one peer.
-const MAX_MESSAGES: usize = 256;
-/// Connections that peers may hold open to this process.
+/// The capacity of the queue of messages for one peer.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// The maximum number of connections that peers may have open to this process.
 const MAX_PEER_CONNECTIONS: u32 = 16;
 
 pub(crate) struct ServerState {
     inputs: Sender<Input>,
-    /// Heartbeats have a queue of their own: after a pause hundreds arrive at once, and
-    /// users' requests and lease renewals must not queue behind them.
+    /// Heartbeats have their own queue, so that requests of users and responses of the store
+    /// do not wait behind a burst of them.
     heartbeats: Sender<Input>,
+    /// Where the answer to each request goes.
     answers: RefCell<HashMap<RequestId, Sender<Answer>>>,
     pub next_request: Cell<u64>,
-    /// Connections of users, workers and Kubernetes-shaped clients.
+    /// Connections of users, workers and Kubernetes clients.
     pub clients: Rc<ClientConnections>,
-    /// The number of connections of Kubernetes-shaped clients.
+    /// The number of connections of Kubernetes clients.
     pub kube_clients: Cell<u32>,
-    /// Requests of Kubernetes-shaped clients.
+    /// Requests of Kubernetes clients.
     pub api_requests: Sender<ServerInput>,
-    /// Where the lines of each open watch go.
-    pub watch_lines: RefCell<HashMap<RequestId, Sender<WatchLine>>>,
+    /// Where the outputs for each request of a Kubernetes client go.
+    pub client_outputs: RefCell<HashMap<RequestId, Sender<ClientOutput>>>,
     open_peer_connections: Cell<u32>,
     pub watchdog: Watchdog,
     store: ConnectionPool,
@@ -61,7 +63,7 @@
 
 pub(crate) type Executor = Rc<LocalExecutor<'static>>;
 
-/// Runs the controller until its process is ended.
+/// Runs the controller until the process is terminated.
 ///
 /// # Errors
 /// When a listener cannot be opened.
@@ -78,13 +80,13 @@
     )
 }
 
-/// What doesn't hold with settings under which `cancel_s` leaves no time beside the
-/// lease; None with all others.
+/// A warning if `cancel_s` is too short beside the lease for cancelled tasks to end in time
+/// while the store is unavailable.
 pub fn cancel_shortfall_warning(config: &Config) -> Option<String> {
-    let short = seconds(config.cancel_shortfall()?);
+    let shortfall_s = seconds(config.cancel_shortfall()?);
     Some(format!(
         "cluster.workers.cancel_s leaves no time beside lease_s: while the state service is out \
-         of reach, cancelled tasks may run up to {short} s longer than cancel_s"
+         of reach, cancelled tasks may run up to {shortfall_s} s longer than cancel_s"
     ))
 }
 
@@ -102,10 +104,14 @@
 ) -> Result<(), CliError> {
     let clients = bind(&platform.client_listen).await?;
     let peers = bind(&platform.peer_listen).await?;
-    let (inputs, input_queue) = smol::channel::bounded(MAX_INPUTS);
-    let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_INPUTS);
-    // Such a queue allocates its capacity at once, and without the listener nothing is queued.
-    let request_capacity = if rules.is_some() { MAX_INPUTS } else { 1 };
+    let (inputs, input_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
+    let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
+    // The queue allocates its capacity at once; without an API server it stays empty.
+    let request_capacity = if rules.is_some() {
+        MAX_QUEUED_INPUTS
+    } else {
+        1
+    };
     let (api_requests, api_request_queue) = smol::channel::bounded(request_capacity);
     let max = platform.cluster.quota.max_connections;
     let shared = Rc::new(ServerState {
@@ -113,18 +119,18 @@
         heartbeats,
         answers: RefCell::default(),
         next_request: Cell::new(0),
-        // The rest is for the store, the cloud, commands to workers, and peers.
+        // A quarter, at least 24, is reserved for connections to the store, the cloud, workers
+        // and peers.
         clients: Rc::new(ClientConnections::new((max - (max / 4).max(24)) as usize)),
         kube_clients: Cell::new(0),
         api_requests,
-        watch_lines: RefCell::default(),
+        client_outputs: RefCell::default(),
         open_peer_connections: Cell::new(0),
         watchdog: Watchdog::default(),
         store: ConnectionPool::new(8, 8),
         cloud: ConnectionPool::new(2, 2),
-        // A fleet may have more machines than there are sockets: with one kept to each,
-        // a controller would have none left for its users. Idle ones count against
-        // the commands that may be in flight.
+        // A cluster may have more machines than the controller has sockets, so only some
+        // connections to workers are kept.
         workers: ConnectionPool::bounded(
             1,
             (max / 16).max(4) as usize,
@@ -135,7 +141,7 @@
     });
     let mut peer_senders = Vec::new();
     for peer in &platform.peers {
-        let (tx, rx) = smol::channel::bounded(MAX_MESSAGES);
+        let (tx, rx) = smol::channel::bounded(MAX_QUEUED_MESSAGES);
         peer_senders.push(tx);
         executor
             .spawn(peer_connections::send_messages(
@@ -186,7 +192,7 @@
 async fn tick(shared: Rc<ServerState>) {
     let mut ticks = 0u32;
     loop {
-        // A full queue holds later ticks back, not the process.
+        // If the queue is full, the next tick is delayed.
         if shared.inputs.send(Input::Tick).await.is_err() {
             return;
         }
@@ -199,7 +205,7 @@
             shared.store.sweep();
             shared.cloud.sweep();
         }
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
 }
 
@@ -235,10 +241,10 @@
             inputs_in_turn = 0;
             smol::future::yield_now().await;
         }
-        let begun = Instant::now();
+        let decided_at = Instant::now();
         let now = Timestamp {
-            // Zero would look like "never" to what compares times.
-            monotonic: (begun - start).as_micros() as Micros + 1_000_000_000,
+            // An offset, because the controller treats a time of zero as "never".
+            monotonic: (decided_at - start).as_micros() as Micros + 1_000_000_000,
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros),
@@ -246,7 +252,7 @@
         let outputs = match input {
             ServerInput::Controller(input) => controller.handle(now, input),
             ServerInput::ApiRequest(id, request) => controller.ask(now, id, request),
-            ServerInput::ClientGone(id) => {
+            ServerInput::ClientDisconnected(id) => {
                 controller.gone(id);
                 continue;
             }
@@ -254,11 +260,11 @@
         for output in outputs {
             match output {
                 ControllerOutput::Core(output) => {
-                    carry_out(&executor, &shared, &peer_senders, begun, output)
+                    execute(&executor, &shared, &peer_senders, decided_at, output)
                 }
                 other => {
-                    if let Some(slow) = kube_server::carry_out(&shared, other) {
-                        controller.gone(slow);
+                    if let Some(slow_client) = kube_server::forward(&shared, other) {
+                        controller.gone(slow_client);
                     }
                 }
             }
@@ -266,18 +272,18 @@
     }
 }
 
-/// Carries out an output that the controller decided on at `begun`.
-fn carry_out(
+/// Executes an output that the controller decided on at `decided_at`.
+fn execute(
     executor: &Executor,
     shared: &Rc<ServerState>,
     peer_senders: &[Sender<Message>],
-    begun: Instant,
+    decided_at: Instant,
     output: Output,
 ) {
     match output {
         Output::Answer { id, answer } => {
             if let Some(tx) = shared.answers.borrow_mut().remove(&id) {
-                // The client may have gone meanwhile.
+                // The client may have disconnected in the meantime.
                 let _ = tx.try_send(answer);
             }
         }
@@ -292,9 +298,9 @@
             timeout,
             within,
         } => {
-            let limits = Limits {
-                time: Duration::from_micros(timeout),
-                send_by: begun.checked_add(Duration::from_micros(within)),
+            let limits = TimeLimits {
+                timeout: Duration::from_micros(timeout),
+                send_by: decided_at.checked_add(Duration::from_micros(within)),
             };
             executor
                 .spawn(cloud_call(shared.clone(), id, call, limits))
@@ -303,17 +309,17 @@
         Output::Commands {
             id,
             addr,
-            commands: orders,
+            commands,
             timeout,
         } => {
             executor
-                .spawn(command_call(shared.clone(), id, addr, orders, timeout))
+                .spawn(command_call(shared.clone(), id, addr, commands, timeout))
                 .detach();
         }
         Output::JobEvent(_) => {}
         Output::Peer { message } => {
             for sender in peer_senders {
-                // A peer that does not keep up misses hints only.
+                // If the queue of a peer is full, the message is dropped: messages are hints.
                 let _ = sender.try_send(message.clone());
             }
         }
@@ -326,10 +332,10 @@
         target,
         body,
     } = call.to_http();
-    let time = Duration::from_micros(timeout);
+    let timeout = Duration::from_micros(timeout);
     let reply = shared
         .store
-        .call(&shared.store_addr, method, &target, &body, time)
+        .call(&shared.store_addr, method, &target, &body, timeout)
         .await
         .and_then(|(status, body)| {
             call.parse_response(status, &body).map_err(|e| {
@@ -346,6 +352,7 @@
     let _ = shared.inputs.send(Input::Store { id, reply }).await;
 }
 
+/// The outcome of a request, for the log.
 fn outcome<T>(reply: &Result<T, CallError>) -> String {
     match reply {
         Ok(_) => "answered".into(),
@@ -353,7 +360,7 @@
     }
 }
 
-async fn cloud_call(shared: Rc<ServerState>, id: CallId, call: CloudRequest, limits: Limits) {
+async fn cloud_call(shared: Rc<ServerState>, id: CallId, call: CloudRequest, limits: TimeLimits) {
     let HttpRequest {
         method,
         target,
@@ -382,26 +389,26 @@
     shared: Rc<ServerState>,
     id: CallId,
     addr: String,
-    orders: CommandBatch,
+    commands: CommandBatch,
     timeout: Micros,
 ) {
-    let body = dillcleat_wire::encode(&orders);
-    let time = Duration::from_micros(timeout);
+    let body = dillcleat_wire::encode(&commands);
+    let timeout = Duration::from_micros(timeout);
     let reply = shared
         .workers
-        .call(&addr, "POST", COMMANDS_PATH, &body, time)
+        .call(&addr, "POST", COMMANDS_PATH, &body, timeout)
         .await;
     log::debug!("commands sent address={addr} outcome={}", outcome(&reply));
     let _ = shared.inputs.send(Input::Commands { id, reply }).await;
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection until this is dropped.
 pub(crate) struct ConnectionCount<F: Fn(&ServerState) -> &Cell<u32>>(Rc<ServerState>, F);
 
 impl<F: Fn(&ServerState) -> &Cell<u32>> ConnectionCount<F> {
-    pub fn new(shared: &Rc<ServerState>, of: F) -> Self {
-        of(shared).set(of(shared).get() + 1);
-        ConnectionCount(shared.clone(), of)
+    pub fn new(shared: &Rc<ServerState>, counter: F) -> Self {
+        counter(shared).set(counter(shared).get() + 1);
+        ConnectionCount(shared.clone(), counter)
     }
 }
 
@@ -417,27 +424,27 @@
         match listener.accept().await {
             Ok((stream, _)) => match shared.clients.admit().await {
                 Some(admitted) => executor
-                    .spawn(client(shared.clone(), stream, admitted))
+                    .spawn(serve_client(shared.clone(), stream, admitted))
                     .detach(),
-                // Beyond the bound the connection is closed at once: the load
-                // balancer and the workers go to another node.
+                // The connection is closed at once; load balancers and workers try another
+                // controller.
                 None => log::debug!("connection refused: too many connections"),
             },
             Err(e) => {
-                log::error!("cannot accept a connection: error={e}");
+                log::error!("cannot accept a connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
     }
 }
 
-async fn client(shared: Rc<ServerState>, stream: TcpStream, admitted: Admitted) {
+async fn serve_client(shared: Rc<ServerState>, stream: TcpStream, admitted: Admitted) {
     let _ = stream.set_nodelay(true);
     let mut connection = Connection::new(stream, &shared.watchdog);
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(r) => r,
-            Err(RequestError::Gone) => return,
+            Err(RequestError::Closed) => return,
             Err(bad) => {
                 let answer = match bad {
                     RequestError::TooLarge => Answer::refusal(413, "the body is too large"),
@@ -451,11 +458,11 @@
         shared.next_request.set(id.0 + 1);
         let (tx, rx) = smol::channel::bounded(1);
         shared.answers.borrow_mut().insert(id, tx);
-        let (peer, queue) = match request.target.as_str() {
-            HEARTBEAT_PATH => (Peer::Worker, &shared.heartbeats),
-            _ => (Peer::User, &shared.inputs),
+        let (client_kind, queue) = match request.target.as_str() {
+            HEARTBEAT_PATH => (ClientKind::Worker, &shared.heartbeats),
+            _ => (ClientKind::User, &shared.inputs),
         };
-        admitted.carries(peer);
+        admitted.set_client_kind(client_kind);
         let input = Input::Request {
             id,
             method: request.method,
@@ -468,7 +475,7 @@
         let Ok(answer) = rx.recv().await else {
             return;
         };
-        let close = request.close || admitted.closes_after_answer();
+        let close = request.close || admitted.closes_after_response();
         if connection.answer(&answer, close).await.is_err() || close {
             return;
         }
@@ -499,7 +506,7 @@
             }
             Ok(_) => log::error!("peer connection refused: too many connections"),
             Err(e) => {
-                log::error!("cannot accept a peer connection: error={e}");
+                log::error!("cannot accept a peer connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
