--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -10,9 +10,9 @@
 
 #[derive(Subcommand)]
 pub enum Token {
-    /// Print a new key, for the file that `kube.key_file` names
+    /// Print a new key for the file that `kube.key_file` specifies
     Key,
-    /// Print a new token, and on standard error its entry for the settings
+    /// Print a new token, and on standard error the settings entry for it
     New {
         /// File with the operators' key
         #[arg(long, value_name = "FILE")]
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Fewer sockets than workers, over the loopback interface: workers keep their
-//! connections open, and each report is answered nevertheless.
+//! Controllers with fewer sockets than workers, on the loopback interface. Workers keep
+//! their connections open, and every heartbeat must be answered.
 
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
@@ -17,42 +17,42 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dillcleat");
 const CONTROLLERS: usize = 3;
 const MAX_CONNECTIONS: usize = 64;
-/// So many connections of clients a controller accepts with these.
+/// The number of connections of clients that a controller accepts with `MAX_CONNECTIONS`.
 const CLIENT_LIMIT: usize = 40;
-/// Above so many, answers to reports close their connection.
+/// The high-water mark: with more connections, answers to heartbeats close their connection.
 const HIGH_WATER: usize = 35;
 const WORKERS: usize = 100;
 const USERS: usize = 4;
 const ROUNDS: usize = 4;
-const UP: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
-const PATIENCE: Duration = Duration::from_secs(4);
+const UP_REQUEST: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
+const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One cluster runs at a time: another test's connections may take the ports that the
-/// controllers of this one are about to listen on.
-static ONE_CLUSTER: Mutex<()> = Mutex::new(());
+/// Serializes the tests: the connections of another test could take the ports on which the
+/// controllers of this one are about to listen.
+static CLUSTER_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_CLUSTER.lock().unwrap_or_else(|e| e.into_inner())
+fn lock_cluster() -> MutexGuard<'static, ()> {
+    CLUSTER_LOCK.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Controllers over stand-ins, all with few sockets.
+/// Controllers with few sockets, and simulated services.
 struct Cluster {
     clients: Vec<SocketAddr>,
     _processes: Vec<Process>,
-    _alone: MutexGuard<'static, ()>,
+    _lock: MutexGuard<'static, ()>,
 }
 
 impl Cluster {
     fn start() -> Cluster {
-        let alone = alone();
+        let lock = lock_cluster();
         let (addrs, held) = processes::free_addrs(2 * CONTROLLERS).expect("free ports");
         let (clients, mesh) = addrs.split_at(CONTROLLERS);
         let names = clients.iter().enumerate();
         let names = names.map(|(i, addr)| (format!("n{i}"), *addr)).collect();
-        let world = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
+        let services = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
         let files: Vec<PathBuf> = (0..CONTROLLERS)
             .map(|i| {
-                let settings = processes::settings(i, clients, mesh, Some(&world), "t");
+                let settings = processes::settings(i, clients, mesh, Some(&services), "t");
                 settings_file(clients[i], &settings)
             })
             .collect();
@@ -62,18 +62,18 @@
         Cluster {
             clients: clients.to_vec(),
             _processes: started.expect("the program starts"),
-            _alone: alone,
+            _lock: lock,
         }
     }
 
-    /// The controller that answers reports with 200, once it serves users as well.
+    /// Waits until a controller accepts heartbeats and serves users, and returns it.
     fn leader(&self) -> SocketAddr {
         let mut leader = None;
-        until("a controller takes reports", || {
+        until("a controller accepts heartbeats", || {
             leader = self.clients.iter().copied().find(|addr| {
-                let answer = post(*addr, HEARTBEAT_PATH, &report("probe"));
+                let answer = post(*addr, HEARTBEAT_PATH, &heartbeat_body("probe"));
                 let leads = answer.is_some_and(|(status, _)| status == 200);
-                leads && exchange(*addr, UP).is_some_and(|(status, _)| status == 200)
+                leads && exchange(*addr, UP_REQUEST).is_some_and(|(status, _)| status == 200)
             });
             leader.is_some()
         });
@@ -82,28 +82,28 @@
 }
 
 fn settings_file(addr: SocketAddr, settings: &str) -> PathBuf {
-    let few = format!("max_connections = {MAX_CONNECTIONS}");
-    let settings = settings.replacen("max_connections = 200", &few, 1);
-    assert!(settings.contains(&few));
+    let max_connections = format!("max_connections = {MAX_CONNECTIONS}");
+    let settings = settings.replacen("max_connections = 200", &max_connections, 1);
+    assert!(settings.contains(&max_connections));
     let name = format!("{}-connections-{}.toml", std::process::id(), addr.port());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, settings).expect("a file in the target folder");
     path
 }
 
-fn report(machine: &str) -> Vec<u8> {
-    let place = MachineIdentity {
+fn heartbeat_body(machine: &str) -> Vec<u8> {
+    let identity = MachineIdentity {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
     };
-    let mut report = Worker::new(place, 8.0, 0.0, SECOND, 0).report(SECOND);
-    report.addr = "127.0.0.1:9".into();
-    encode(&report)
+    let mut heartbeat = Worker::new(identity, 8.0, 0.0, SECOND, 0).report(SECOND);
+    heartbeat.addr = "127.0.0.1:9".into();
+    encode(&heartbeat)
 }
 
-/// A client that keeps its connection for as long as the controller does.
+/// A client that keeps its connection open until the controller closes it.
 struct Client {
     addr: SocketAddr,
     request: Vec<u8>,
@@ -113,7 +113,7 @@
 
 impl Client {
     fn worker(addr: SocketAddr, i: usize) -> Client {
-        let body = report(&format!("machine-{i}"));
+        let body = heartbeat_body(&format!("machine-{i}"));
         let head = format!(
             "POST {HEARTBEAT_PATH} HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
             body.len()
@@ -122,7 +122,7 @@
     }
 
     fn user(addr: SocketAddr) -> Client {
-        Client::new(addr, UP.to_vec())
+        Client::new(addr, UP_REQUEST.to_vec())
     }
 
     fn new(addr: SocketAddr, request: Vec<u8>) -> Client {
@@ -135,27 +135,27 @@
     }
 
     /// The connection of the last request, unless the controller has closed it.
-    fn kept(&mut self) -> Option<TcpStream> {
+    fn take_open_connection(&mut self) -> Option<TcpStream> {
         let stream = self.stream.take()?;
         stream.set_nonblocking(true).expect("a mode");
-        let seen = stream.peek(&mut [0]);
+        let peeked = stream.peek(&mut [0]);
         stream.set_nonblocking(false).expect("a mode");
-        match seen {
+        match peeked {
             Err(e) if e.kind() == ErrorKind::WouldBlock => Some(stream),
             _ => None,
         }
     }
 
     /// Sends a request and returns the status of the answer.
-    fn ask(&mut self) -> Option<u16> {
-        let mut stream = match self.kept() {
+    fn request(&mut self) -> Option<u16> {
+        let mut stream = match self.take_open_connection() {
             Some(stream) => stream,
             None => {
                 self.connects += 1;
-                TcpStream::connect_timeout(&self.addr, PATIENCE).ok()?
+                TcpStream::connect_timeout(&self.addr, TIMEOUT).ok()?
             }
         };
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TIMEOUT)).ok()?;
         stream.write_all(&self.request).ok()?;
         let (status, close) = read_answer(&mut stream)?;
         self.stream = (!close).then_some(stream);
@@ -188,20 +188,20 @@
 }
 
 #[test]
-fn every_report_is_answered_with_fewer_sockets_than_workers() {
+fn every_heartbeat_is_answered_with_fewer_sockets_than_workers() {
     let cluster = Cluster::start();
     let leader = cluster.leader();
     let mut users: Vec<Client> = (0..USERS).map(|_| Client::user(leader)).collect();
     let mut workers: Vec<Client> = (0..WORKERS).map(|i| Client::worker(leader, i)).collect();
     for round in 0..ROUNDS {
         for (i, user) in users.iter_mut().enumerate() {
-            assert_eq!(user.ask(), Some(200), "user {i}, round {round}");
+            assert_eq!(user.request(), Some(200), "user {i}, round {round}");
         }
         for (i, worker) in workers.iter_mut().enumerate() {
-            assert_eq!(worker.ask(), Some(200), "worker {i}, round {round}");
+            assert_eq!(worker.request(), Some(200), "worker {i}, round {round}");
         }
     }
-    // Users hold no more than their share, so they keep their connections.
+    // Users have no more than their share, so their connections stay open.
     let connects: Vec<usize> = users.iter().map(|u| u.connects).collect();
     assert_eq!(connects, [1; USERS]);
     let kept = workers.iter().filter(|w| w.connects == 1).count();
@@ -209,36 +209,38 @@
 }
 
 #[test]
-fn connections_are_kept_while_sockets_suffice() {
-    const FEW: usize = 20;
+fn connections_stay_open_below_the_high_water_mark() {
+    const FEW_WORKERS: usize = 20;
     let cluster = Cluster::start();
     let leader = cluster.leader();
-    let mut workers: Vec<Client> = (0..FEW).map(|i| Client::worker(leader, i)).collect();
+    let mut workers: Vec<Client> = (0..FEW_WORKERS)
+        .map(|i| Client::worker(leader, i))
+        .collect();
     for _ in 0..ROUNDS {
         for worker in &mut workers {
-            assert_eq!(worker.ask(), Some(200));
+            assert_eq!(worker.request(), Some(200));
         }
     }
     assert!(workers.iter().all(|w| w.connects == 1));
 }
 
 #[test]
-fn the_least_recently_used_idle_connection_makes_room() {
+fn at_the_limit_a_new_connection_evicts_the_least_recently_used_idle_one() {
     let cluster = Cluster::start();
     let leader = cluster.leader();
     let mut workers: Vec<Client> = (0..HIGH_WATER).map(|i| Client::worker(leader, i)).collect();
     for worker in &mut workers {
-        assert_eq!(worker.ask(), Some(200));
+        assert_eq!(worker.request(), Some(200));
     }
-    assert_eq!(workers[0].ask(), Some(200));
-    // Connections that have yet to send a request take what is left.
+    assert_eq!(workers[0].request(), Some(200));
+    // Connections without a request fill up the limit.
     let silent = (HIGH_WATER..CLIENT_LIMIT).map(|_| TcpStream::connect(leader));
     let silent = silent.collect::<std::io::Result<Vec<_>>>();
-    let mut late = Client::worker(leader, HIGH_WATER);
-    assert_eq!(late.ask(), Some(200));
+    let mut additional = Client::worker(leader, HIGH_WATER);
+    assert_eq!(additional.request(), Some(200));
     let mut closed = Vec::new();
     for (i, worker) in workers.iter_mut().enumerate() {
-        if worker.kept().is_none() {
+        if worker.take_open_connection().is_none() {
             closed.push(i);
         }
     }
@@ -247,41 +249,42 @@
 }
 
 #[test]
-fn idle_connections_of_users_make_room_for_reports() {
+fn idle_connections_of_users_are_evicted_for_heartbeats() {
     let cluster = Cluster::start();
     let leader = cluster.leader();
-    // More than the controller accepts, which all ask once and stay open.
+    // More users than the controller accepts connections; each makes one request and keeps
+    // its connection open.
     let mut users: Vec<Client> = (0..WORKERS).map(|_| Client::user(leader)).collect();
     for user in &mut users {
-        assert_eq!(user.ask(), Some(200));
+        assert_eq!(user.request(), Some(200));
     }
     let mut workers: Vec<Client> = (0..WORKERS).map(|i| Client::worker(leader, i)).collect();
     for worker in &mut workers {
-        assert_eq!(worker.ask(), Some(200));
+        assert_eq!(worker.request(), Some(200));
     }
-    assert!(exchange(leader, UP).is_some_and(|(s, _)| s == 200));
+    assert!(exchange(leader, UP_REQUEST).is_some_and(|(s, _)| s == 200));
 }
 
-/// With its 200 sockets a controller accepts 150 connections of clients, of which
-/// Kubernetes-shaped ones may have half.
+/// With 200 sockets a controller accepts 150 connections of clients; Kubernetes clients may
+/// have half of them.
 #[test]
-fn connections_of_workers_do_not_shut_out_kubernetes_clients() {
-    let _alone = alone();
-    let name = format!("{}-connections-door", std::process::id());
+fn workers_connections_do_not_lock_out_kubernetes_clients() {
+    let _lock = lock_cluster();
+    let name = format!("{}-connections-kube", std::process::id());
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     let key = dir.join("kube.key");
     std::fs::write(&key, "0".repeat(64)).expect("a file");
     let kube = format!("key_file = {key:?}\n");
-    let trio = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
+    let controllers = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     until("a controller serves", || {
-        exchange(trio.clients[0], UP).is_some_and(|(status, _)| status == 200)
+        exchange(controllers.clients[0], UP_REQUEST).is_some_and(|(status, _)| status == 200)
     });
-    let worker = |i| Client::worker(trio.clients[0], i);
+    let worker = |i| Client::worker(controllers.clients[0], i);
     let mut workers: Vec<Client> = (0..2 * WORKERS).map(worker).collect();
     for worker in &mut workers {
-        assert!(worker.ask().is_some());
+        assert!(worker.request().is_some());
     }
-    let answer = exchange(trio.doors[0], b"GET /version HTTP/1.1\r\n\r\n");
+    let answer = exchange(controllers.doors[0], b"GET /version HTTP/1.1\r\n\r\n");
     assert_eq!(answer.map(|(status, _)| status), Some(401));
 }
--- a/crates/dillcleat/tests/kube_server.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -1,9 +1,9 @@
-//! Kubernetes-shaped clients against three real processes, with TLS and tokens, while
-//! controllers are killed.
+//! The command line for Kubernetes objects against three controller processes, with TLS and
+//! tokens. Controllers are killed and restarted.
 
 mod common;
 
-use common::{KEY, certificate, folder, install};
+use common::{KEY, generate_certificate, install_certificate, test_dir};
 use dillcleat_kube::SigningKey;
 use dillcleat_simulator::loopback::exchange;
 use dillcleat_simulator::processes::{ThreeProcesses, until};
@@ -12,6 +12,8 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dillcleat");
+
+/// Runs the command line with a server and a token.
 struct Client {
     dir: PathBuf,
     server: String,
@@ -21,7 +23,7 @@
 impl Client {
     fn command(&self, args: &[&str]) -> Command {
         let token = self.dir.join(self.token);
-        std::fs::write(&token, self.token).expect("a token's file");
+        std::fs::write(&token, self.token).expect("a token file");
         let mut command = Command::new(PROGRAM);
         command
             .args(args)
@@ -36,7 +38,8 @@
         self.command(args).output().expect("the program runs")
     }
 
-    fn says(&self, args: &[&str]) -> String {
+    /// Runs a command that must succeed, and returns its standard output.
+    fn succeed(&self, args: &[&str]) -> String {
         let o = self.run(args);
         let (out, err) = (
             String::from_utf8_lossy(&o.stdout),
@@ -46,17 +49,19 @@
         out.trim().to_string()
     }
 
-    fn refused(&self, args: &[&str]) -> String {
+    /// Runs a command that must fail, and returns its standard error.
+    fn fail(&self, args: &[&str]) -> String {
         let o = self.run(args);
         assert_eq!(o.status.code(), Some(1), "{args:?}");
         String::from_utf8_lossy(&o.stderr).trim().to_string()
     }
 }
 
-fn job(dir: &Path, name: &str, more: &str) -> String {
+/// Writes the manifest of a Job with additional lines in its spec, and returns its path.
+fn write_manifest(dir: &Path, name: &str, spec_lines: &str) -> String {
     let text = format!(
         "apiVersion: batch/v1\nkind: Job\nmetadata: {{name: {name}, namespace: books, labels: {{app: {name}}},\n  \
-         annotations: {{dillcleat/estimate-seconds: '1'}}}}\nspec:\n  completions: 4\n  parallelism: 4\n{more}  \
+         annotations: {{dillcleat/estimate-seconds: '1'}}}}\nspec:\n  completions: 4\n  parallelism: 4\n{spec_lines}  \
          template:\n    spec:\n      restartPolicy: Never\n      containers:\n      - {{name: main, image: i,\n        \
          resources: {{requests: {{cpu: '1', memory: 1G}}}}}}\n"
     );
@@ -65,10 +70,10 @@
     path.to_str().expect("a path of text").to_string()
 }
 
-/// Waits for the end of a child.
-fn ends(mut child: Child) -> bool {
+/// Waits until a command exits, and returns whether it succeeded.
+fn wait_for_success(mut child: Child) -> bool {
     let mut status = None;
-    until("a command ends", || {
+    until("a command exits", || {
         status = child.try_wait().expect("a child");
         status.is_some()
     });
@@ -76,12 +81,12 @@
 }
 
 #[test]
-fn jobs_through_tls_while_controllers_are_killed() {
-    let dir = folder("door");
-    let made = certificate();
-    // What the server shows, and what its clients trust.
-    install(&dir, &made);
-    std::fs::write(dir.join("tls.crt"), made.cert.pem()).expect("a file");
+fn commands_work_over_tls_while_controllers_are_killed() {
+    let dir = test_dir("commands");
+    let certificate = generate_certificate();
+    install_certificate(&dir, &certificate);
+    // The certificate that the clients trust.
+    std::fs::write(dir.join("tls.crt"), certificate.cert.pem()).expect("a file");
     let key = SigningKey::parse(KEY).expect("a key");
     let entry = |token: &str, verbs: &str| {
         format!(
@@ -97,77 +102,85 @@
         entry("all", "\"*\""),
         entry("reader", "\"get\", \"list\", \"watch\""),
     );
-    let mut trio = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
+    let mut controllers =
+        ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     let client = |i: usize, token| Client {
         dir: dir.clone(),
-        server: format!("https://{}", trio.doors[i]),
+        server: format!("https://{}", controllers.doors[i]),
         token,
     };
     let clients: Vec<Client> = (0..3).map(|i| client(i, "all")).collect();
-    let (reader, stranger) = (client(0, "reader"), client(0, "stranger"));
+    let (reader, unknown) = (client(0, "reader"), client(0, "stranger"));
 
-    // Created at one, waited for at it, while each of the others is killed.
-    let first = job(&dir, "first", "");
+    // A Job is created and awaited at one controller while each of the others is killed.
+    let first = write_manifest(&dir, "first", "");
     let apply = ["apply", "-f", &first, "--wait"];
     let waiting = clients[0]
         .command(&apply)
         .stdout(Stdio::null())
         .spawn()
         .expect("it runs");
-    until("the job is there", || {
+    until("the job exists", || {
         clients[1]
             .run(&["get", "job", "first", "-n", "books"])
             .status
             .success()
     });
     for i in [1, 2] {
-        trio.kill(i);
+        controllers.kill(i);
         std::thread::sleep(Duration::from_millis(500));
-        trio.restart(i).expect("it starts again");
+        controllers.restart(i).expect("it starts again");
     }
-    assert!(ends(waiting), "the job is not complete");
+    assert!(wait_for_success(waiting), "the job is not complete");
     for c in &clients {
-        let table = c.says(&["get", "jobs"]);
+        let table = c.succeed(&["get", "jobs"]);
         assert!(
             table.contains("first") && table.contains("Complete") && table.contains("4/4"),
             "{table}"
         );
     }
-    let shown = clients[2].says(&["describe", "job", "first", "-n", "books"]);
+    let description = clients[2].succeed(&["describe", "job", "first", "-n", "books"]);
     for line in [
         "Stands for     req-",
         "4 done",
         "Complete: CompletionsReached",
     ] {
-        assert!(shown.contains(line), "{shown}");
+        assert!(description.contains(line), "{description}");
     }
-    // The same again changes nothing; a label does; an image may not.
+    // Applying the same manifest changes nothing, a new label is accepted, and a new image is
+    // rejected.
     assert_eq!(
-        clients[1].says(&["apply", "-f", &first]),
+        clients[1].succeed(&["apply", "-f", &first]),
         "job.batch/first unchanged"
     );
     let text = std::fs::read_to_string(&first).expect("the manifest");
     std::fs::write(&first, text.replace("app: first", "app: other")).expect("a manifest");
     assert_eq!(
-        clients[2].says(&["apply", "-f", &first]),
+        clients[2].succeed(&["apply", "-f", &first]),
         "job.batch/first configured"
     );
     assert_eq!(
-        clients[0].says(&["get", "jobs", "-l", "app=other", "-o", "name"]),
+        clients[0].succeed(&["get", "jobs", "-l", "app=other", "-o", "name"]),
         "job.batch/first"
     );
     std::fs::write(&first, text.replace("image: i", "image: k")).expect("a manifest");
-    let why = clients[0].refused(&["apply", "-f", &first]);
-    assert!(why.contains("spec.template: field is immutable"), "{why}");
+    let error = clients[0].fail(&["apply", "-f", &first]);
+    assert!(
+        error.contains("spec.template: field is immutable"),
+        "{error}"
+    );
 
-    // Whatever is not served is named by its path.
-    let odd = job(&dir, "odd", "  podFailurePolicy: {rules: []}\n");
-    let why = clients[0].refused(&["apply", "-f", &odd]);
-    assert!(why.contains("spec.podFailurePolicy: not served"), "{why}");
+    // Unsupported fields are rejected with their path.
+    let odd = write_manifest(&dir, "odd", "  podFailurePolicy: {rules: []}\n");
+    let error = clients[0].fail(&["apply", "-f", &odd]);
+    assert!(
+        error.contains("spec.podFailurePolicy: not served"),
+        "{error}"
+    );
 
-    // Two controllers are given the same name at once: one run.
-    let both = job(&dir, "both", "");
-    let tries: Vec<Child> = clients[..2]
+    // Two controllers receive the same Job at the same time and create one object.
+    let both = write_manifest(&dir, "both", "");
+    let attempts: Vec<Child> = clients[..2]
         .iter()
         .map(|c| {
             let mut command = c.command(&["apply", "-f", &both]);
@@ -178,59 +191,67 @@
                 .expect("it runs")
         })
         .collect();
-    assert!(tries.into_iter().map(ends).filter(|ok| *ok).count() >= 1);
+    assert!(
+        attempts
+            .into_iter()
+            .map(wait_for_success)
+            .filter(|ok| *ok)
+            .count()
+            >= 1
+    );
     assert_eq!(
-        clients[2].says(&["get", "jobs", "-l", "app=both", "-o", "name"]),
+        clients[2].succeed(&["get", "jobs", "-l", "app=both", "-o", "name"]),
         "job.batch/both"
     );
 
-    // Deleted at one, gone at the others, and its name is not used again.
+    // An object deleted at one controller is deleted at the others, and its name cannot be
+    // used again.
     assert_eq!(
-        clients[1].says(&["delete", "job", "both", "-n", "books"]),
+        clients[1].succeed(&["delete", "job", "both", "-n", "books"]),
         "job.batch/both deleted"
     );
     assert!(
         clients[2]
-            .refused(&["get", "job", "both", "-n", "books"])
+            .fail(&["get", "job", "both", "-n", "books"])
             .contains("404")
     );
-    let why = clients[0].refused(&["apply", "-f", &both]);
-    assert!(why.contains("it was there as"), "{why}");
+    let error = clients[0].fail(&["apply", "-f", &both]);
+    assert!(error.contains("it was there as"), "{error}");
 
-    // Who may.
-    assert!(reader.says(&["get", "jobs"]).contains("first"));
+    // Authorization.
+    assert!(reader.succeed(&["get", "jobs"]).contains("first"));
     assert!(
         reader
-            .refused(&["delete", "job", "first", "-n", "books"])
+            .fail(&["delete", "job", "first", "-n", "books"])
             .contains("403")
     );
-    assert!(stranger.refused(&["get", "jobs"]).contains("401"));
+    assert!(unknown.fail(&["get", "jobs"]).contains("401"));
     assert!(
         clients[0]
-            .refused(&["get", "job", "x", "-n", "others"])
+            .fail(&["get", "job", "x", "-n", "others"])
             .contains("403")
     );
-    // A certificate that cannot be used leaves the old one; a new one is taken up.
+    // An invalid certificate file leaves the old certificate in use; a valid one is loaded.
     std::fs::write(dir.join("server.crt"), "nonsense").expect("a file");
     std::thread::sleep(Duration::from_secs(3));
-    assert!(clients[0].says(&["get", "jobs"]).contains("first"));
-    let renewed = certificate();
-    install(&dir, &renewed);
+    assert!(clients[0].succeed(&["get", "jobs"]).contains("first"));
+    let renewed = generate_certificate();
+    install_certificate(&dir, &renewed);
     std::fs::write(dir.join("tls.crt"), renewed.cert.pem()).expect("a file");
-    until("the new certificate is taken up", || {
+    until("the new certificate is loaded", || {
         let mut command = clients[0].command(&["get", "jobs", "--timeout", "1"]);
         command.output().is_ok_and(|o| o.status.success())
     });
-    // Nobody is spoken to without TLS.
+    // Requests without TLS get no response.
     assert_eq!(
-        exchange(trio.doors[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
+        exchange(controllers.doors[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
         None
     );
 }
 
 #[test]
-fn settings_of_the_door_are_checked() {
-    let dir = folder("check");
+fn invalid_api_server_settings_are_rejected() {
+    let dir = test_dir("check");
     let node = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example-node.toml");
     let check = |kube: &str| {
         let file = dir.join("operators.toml");
@@ -252,22 +273,25 @@
         "[kube]\nlisten = \"127.0.0.1:6443\"\nkey_file = {:?}\n",
         dir.join("kube.key")
     );
-    let (code, said) = check(&good);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("served on 127.0.0.1:6443"), "{said}");
+    let (code, output) = check(&good);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.contains("served on 127.0.0.1:6443"), "{output}");
     for (from, to, what) in [
         ("127.0.0.1:6443", "10.0.0.1:6443", "kube.tls is needed"),
         ("kube.key", "none.key", "none.key"),
         ("[kube]", "[kube]\ncolour = 1", "colour"),
         ("[kube]", "idle_ss = 1\n[kube]", "idle_ss"),
     ] {
-        let (code, said) = check(&good.replacen(from, to, 1));
-        assert_eq!(code, Some(2), "{to}: {said}");
-        assert!(said.contains(what) && !said.contains(KEY), "{to}: {said}");
+        let (code, output) = check(&good.replacen(from, to, 1));
+        assert_eq!(code, Some(2), "{to}: {output}");
+        assert!(
+            output.contains(what) && !output.contains(KEY),
+            "{to}: {output}"
+        );
     }
-    // The files that are shipped are good, but for the key that each makes.
+    // The shipped settings are valid once the key file exists.
     let shipped = include_str!("../../../deploy/product.toml");
     let key = format!("{:?}", dir.join("kube.key"));
-    let (code, said) = check(&shipped.replace("\"deploy/kube.key\"", &key));
-    assert_eq!(code, Some(0), "{said}");
+    let (code, output) = check(&shipped.replace("\"deploy/kube.key\"", &key));
+    assert_eq!(code, Some(0), "{output}");
 }
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Whole processes on the loopback interface: three controllers, the command
-//! line, stand-ins for everything else, and a leader that is killed.
+//! Three controller processes and the command line on the loopback interface, with
+//! simulated workers, store and cloud. Controllers are killed and restarted.
 
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
@@ -12,7 +12,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_dillcleat");
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = dir.join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("a file in the target folder");
@@ -23,12 +23,12 @@
     i: usize,
     clients: &[SocketAddr],
     mesh: &[SocketAddr],
-    world: Option<&Loopback>,
+    services: Option<&Loopback>,
 ) -> String {
-    processes::settings(i, clients, mesh, world, "t")
+    processes::settings(i, clients, mesh, services, "t")
 }
 
-fn serve(path: &Path) -> Process {
+fn start_controller(path: &Path) -> Process {
     Process::serve(Path::new(PROGRAM), path, None).expect("the program starts")
 }
 
@@ -39,6 +39,7 @@
         .expect("the program runs")
 }
 
+/// Runs a command that must succeed, and returns its standard output.
 fn stdout(args: &[&str]) -> String {
     let o = run(args);
     assert!(
@@ -49,24 +50,25 @@
     String::from_utf8_lossy(&o.stdout).trim().to_string()
 }
 
-/// Submits a job as a user would, with more arguments.
-fn submit(server: &str, id: &str, more: &[&str]) -> Output {
+/// Submits a job through the command line, with additional arguments.
+fn submit(server: &str, id: &str, arguments: &[&str]) -> Output {
     let job = [
         "submit", "--server", server, id, "--class", "c", "--team", "t", "--image", "img",
     ];
-    run(&[&job, more].concat())
+    run(&[&job, arguments].concat())
 }
 
-fn said(o: &Output) -> String {
-    let said = if o.status.success() {
+/// The standard output of a command that succeeded, the standard error of one that failed.
+fn output_text(o: &Output) -> String {
+    let bytes = if o.status.success() {
         &o.stdout
     } else {
         &o.stderr
     };
-    String::from_utf8_lossy(said).trim().to_string()
+    String::from_utf8_lossy(bytes).trim().to_string()
 }
 
-fn play(id: &str, kind: JobKind) -> TaskBehaviour {
+fn task_behaviour(id: &str, kind: JobKind) -> TaskBehaviour {
     TaskBehaviour {
         spec: JobSpec {
             image: "img".into(),
@@ -80,28 +82,28 @@
 }
 
 #[test]
-fn jobs_run_through_three_processes_and_a_killed_leader() {
+fn jobs_complete_while_each_of_three_controllers_is_killed() {
     let (addrs, held) = processes::free_addrs(6).expect("free ports");
     let (clients, mesh) = (addrs[..3].to_vec(), addrs[3..].to_vec());
     let names = (0..3).map(|i| (format!("n{i}"), clients[i])).collect();
-    let world = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
-    world.knows(play("req-1", JobKind::Batch));
-    world.knows(play("req-2", JobKind::Service));
-    world.knows(TaskBehaviour {
+    let services = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
+    services.knows(task_behaviour("req-1", JobKind::Batch));
+    services.knows(task_behaviour("req-2", JobKind::Service));
+    services.knows(TaskBehaviour {
         run: 8 * SECOND,
-        ..play("req-3", JobKind::Batch)
+        ..task_behaviour("req-3", JobKind::Batch)
     });
-    world.knows(play("req-4", JobKind::Batch));
+    services.knows(task_behaviour("req-4", JobKind::Batch));
     let files: Vec<PathBuf> = (0..3)
         .map(|i| {
-            file(
+            write_file(
                 &format!("n{i}.toml"),
-                &settings(i, &clients, &mesh, Some(&world)),
+                &settings(i, &clients, &mesh, Some(&services)),
             )
         })
         .collect();
     drop(held);
-    let mut nodes: Vec<Option<Process>> = files.iter().map(|f| Some(serve(f))).collect();
+    let mut nodes: Vec<Option<Process>> = files.iter().map(|f| Some(start_controller(f))).collect();
     let server = clients.map_to_string();
     until("a job is accepted", || {
         submit(&server[0], "req-1", &["--tasks", "2"])
@@ -109,7 +111,7 @@
             .success()
     });
     let service = submit(&server[1], "req-2", &["--tasks", "2", "--service"]);
-    assert_eq!(said(&service), "req-2 pending");
+    assert_eq!(output_text(&service), "req-2 pending");
     until("the job is done", || {
         stdout(&["status", "--server", &server[2], "req-1"])
             == "req-1 done, 2 tasks done, 0 running"
@@ -117,7 +119,7 @@
     until("the service runs", || {
         stdout(&["status", "--server", &server[0], "req-2"]).starts_with("req-2 running")
     });
-    // A retry of what is over is answered as over, whatever it holds.
+    // Submitting a job again that is done returns its state, whatever the specification.
     let again = run(&[
         "submit", "--server", &server[1], "req-1", "--class", "c", "--team", "nobody", "--image",
         "x",
@@ -126,32 +128,35 @@
         String::from_utf8_lossy(&again.stdout).trim(),
         "req-1 done, 2 tasks done, 0 running"
     );
-    // A line of three jobs, of which the second waits while leaders end.
-    let long = ["--tasks", "2", "--after", "req-1"];
-    assert_eq!(said(&submit(&server[0], "req-3", &long)), "req-3 pending");
+    // A chain of jobs, of which the last waits while controllers are killed.
+    let third = ["--tasks", "2", "--after", "req-1"];
+    assert_eq!(
+        output_text(&submit(&server[0], "req-3", &third)),
+        "req-3 pending"
+    );
     let next = submit(
         &server[1],
         "req-4",
         &["--after", "req-3", "--after", "req-1"],
     );
-    assert_eq!(said(&next), "req-4 pending");
+    assert_eq!(output_text(&next), "req-4 pending");
     let never = submit(&server[2], "req-5", &["--after", "req-88"]);
     assert_eq!(never.status.code(), Some(1));
     assert_eq!(
-        said(&never).lines().last(),
+        output_text(&never).lines().last(),
         Some("dillcleat: awaits req-88, which was never accepted")
     );
-    // Every node in turn, so the leader for sure.
+    // Each controller is killed and restarted in turn, so the leader is as well.
     for i in 0..3 {
         nodes[i] = None;
         let other = &server[(i + 1) % 3];
         assert!(stdout(&["status", "--server", other, "req-1"]).starts_with("req-1 done"));
-        nodes[i] = Some(serve(&files[i]));
+        nodes[i] = Some(start_controller(&files[i]));
         until("the node is back", || {
             exchange(clients[i], b"GET /up HTTP/1.1\r\n\r\n").is_some_and(|(s, _)| s == 200)
         });
     }
-    until("the line of jobs is done", || {
+    until("the chain of jobs is done", || {
         stdout(&["status", "--server", &server[1], "req-4"])
             == "req-4 done, 1 tasks done, 0 running"
     });
@@ -160,12 +165,12 @@
     for s in &server {
         assert!(stdout(&["status", "--server", s, "req-2"]).starts_with("req-2 aborted"));
     }
-    bad_requests(clients[0]);
+    check_invalid_requests(clients[0]);
     let unknown = run(&["status", "--server", &server[0], "req-77"]);
     assert_eq!(unknown.status.code(), Some(1));
-    // A controller that cannot tell yet is asked again, which is said before.
-    let said = String::from_utf8_lossy(&unknown.stderr).to_string();
-    assert_eq!(said.trim().lines().last(), Some("dillcleat: no such job"));
+    // The client may report retries before the final error.
+    let stderr = String::from_utf8_lossy(&unknown.stderr).to_string();
+    assert_eq!(stderr.trim().lines().last(), Some("dillcleat: no such job"));
 }
 
 trait MapToString {
@@ -178,8 +183,8 @@
     }
 }
 
-/// What must be refused at the door, by bytes.
-fn bad_requests(addr: SocketAddr) {
+/// Checks the status codes of malformed and unsupported requests.
+fn check_invalid_requests(addr: SocketAddr) {
     let status = |bytes: &[u8]| exchange(addr, bytes).map(|(s, _)| s);
     assert_eq!(status(b"nonsense\r\n\r\n"), Some(400));
     assert_eq!(status(b"GET /nowhere HTTP/1.1\r\n\r\n"), Some(404));
@@ -199,27 +204,35 @@
 }
 
 #[test]
-fn settings_are_checked_before_any_socket_opens() {
+fn invalid_settings_are_rejected_by_check_and_by_start() {
     let (addrs, _) = processes::free_addrs(3).expect("free ports");
     let good = settings(0, &addrs, &addrs, None);
-    let path = file("good.toml", &good);
+    let path = write_file("good.toml", &good);
     let path = path.to_str().expect("a path of text");
     assert!(run(&["check", path]).status.success());
-    let odd = format!(
+    let without_effect = format!(
         "{good}\n[[cluster.objectives]]\nkind = \"finished\"\nclass = \"probes\"\nwithin_s = 9.0\n"
     );
-    let o = run(&["check", file("odd.toml", &odd).to_str().expect("text")]);
-    let said = String::from_utf8_lossy(&o.stdout).to_string();
+    let o = run(&[
+        "check",
+        write_file("odd.toml", &without_effect)
+            .to_str()
+            .expect("text"),
+    ]);
+    let output = String::from_utf8_lossy(&o.stdout).to_string();
     assert!(
-        o.status.success() && said.contains("finished of probes"),
-        "{said}"
+        o.status.success() && output.contains("finished of probes"),
+        "{output}"
     );
     let short = good.replacen("lease_s = 14.0", "lease_s = 43.0", 1);
-    let o = run(&["check", file("short.toml", &short).to_str().expect("text")]);
-    let said = String::from_utf8_lossy(&o.stdout).to_string();
+    let o = run(&[
+        "check",
+        write_file("short.toml", &short).to_str().expect("text"),
+    ]);
+    let output = String::from_utf8_lossy(&o.stdout).to_string();
     assert!(
-        o.status.success() && said.contains("cancel_s leaves no time"),
-        "{said}"
+        o.status.success() && output.contains("cancel_s leaves no time"),
+        "{output}"
     );
     for (from, to, key) in [
         ("lease_s = 14.0", "lease_s = -1.0", "lease_s"),
@@ -229,16 +242,16 @@
         ("cpus_max = 8.0", "cpus_max = nan", "cpus_max"),
         ("member = \"n0\"", "", "member"),
     ] {
-        let bad = file("bad.toml", &good.replacen(from, to, 1));
+        let bad = write_file("bad.toml", &good.replacen(from, to, 1));
         let o = run(&["--config", bad.to_str().expect("text")]);
-        let said = String::from_utf8_lossy(&o.stderr).to_string();
-        assert_eq!(o.status.code(), Some(2), "{key}: {said}");
+        let output = String::from_utf8_lossy(&o.stderr).to_string();
+        assert_eq!(o.status.code(), Some(2), "{key}: {output}");
         assert!(
-            said.contains(key) && said.trim().lines().count() == 1,
-            "{key}: {said}"
+            output.contains(key) && output.trim().lines().count() == 1,
+            "{key}: {output}"
         );
     }
-    let tuning = file("tuning.toml", "idle_s = 5.0\ntypo = 1\n");
+    let tuning = write_file("tuning.toml", "idle_s = 5.0\ntypo = 1\n");
     let o = run(&["check", path, "--tuning", tuning.to_str().expect("text")]);
     assert_eq!(o.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&o.stderr).contains("typo"));
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -15,16 +15,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 
-/// The maximum spec_number of updates in flight, and of reads of job states.
+/// The maximum number of updates in flight, and of reads of job states.
 const MAX_IN_FLIGHT: usize = 8;
-/// The maximum spec_number of jobs whose events are kept. Events may arrive before the object
+/// The maximum number of jobs whose events are kept. Events may arrive before the object
 /// of their job is in the watch cache.
 const MAX_OBSERVED_JOBS: usize = 4_096;
 /// How often all objects are checked for ended jobs, in case an event was missed.
 const RESYNC_INTERVAL: Micros = 20 * SECOND;
-/// The spec_number of objects that one pass of a resync checks.
+/// The number of objects that one pass of a resync checks.
 const RESYNC_BATCH_OBJECTS: usize = 32;
-/// The maximum spec_number of queued objects that one pass handles.
+/// The maximum number of queued objects that one pass handles.
 const MAX_OBJECTS_PER_PASS: usize = 64;
 const RETRY_DELAY: Micros = SECOND;
 
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -23,7 +23,7 @@
     /// The class of Jobs without the annotation `dillcleat/class`.
     #[serde(rename = "class", default)]
     pub class: Option<String>,
-    /// Classes of Jobs whose name allows be used again after the object was deleted.
+    /// Classes of Jobs whose name may be used again after the object was deleted.
     #[serde(rename = "repeats", default)]
     pub repeats: Vec<String>,
     /// The resource name of accelerators in requests and limits.
@@ -70,7 +70,7 @@
     /// The MAC of the token under the operators' key, in hexadecimal digits.
     #[serde(rename = "mac")]
     pub mac: String,
-    /// The namespaces that the token allows access, or `*`.
+    /// The namespaces that the token may access, or `*`.
     #[serde(rename = "namespaces")]
     pub namespaces: Vec<String>,
     /// The verbs that the token allows: `get`, `list`, `watch`, `create`, `update`, `patch`
