--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -6,7 +6,7 @@
 use crate::{http, server};
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use dillcleat_controller::{CallError, Config, Tuning};
-use dillcleat_kube::{Rules, Settings, SigningKey};
+use dillcleat_kube::{ApiServerConfig, Settings, SigningKey};
 use dillcleat_wire::settings::{PlatformSettings, one_line};
 use dillcleat_wire::user::{self, ErrorReply, JobKind, JobSpec, JobStatus, Priority};
 use smol::Timer;
@@ -171,15 +171,15 @@
     platform: PlatformSettings,
     config: Config,
     /// The settings of the API server, if there is one.
-    rules: Option<Rules>,
+    api_server: Option<ApiServerConfig>,
 }
 
 /// Reads the operators' settings file: the tuning, and the table `kube` of the API server.
-fn operator_settings(path: &Path) -> Result<(Tuning, Option<Rules>), CliError> {
+fn operator_settings(path: &Path) -> Result<(Tuning, Option<ApiServerConfig>), CliError> {
     let file_error = |e: String| CliError::Settings(path.display().to_string(), e);
     let mut table: toml::Table =
         toml::from_str(&read_file(path)?).map_err(|e| file_error(one_line(&e.to_string())))?;
-    let rules = match table.remove("kube") {
+    let api_server = match table.remove("kube") {
         None => None,
         Some(kube) => {
             let settings = Settings::read(kube).map_err(|e| file_error(e.to_string()))?;
@@ -187,18 +187,18 @@
             let key = SigningKey::parse(&key).map_err(|e| {
                 CliError::Settings(settings.key_file.display().to_string(), e.to_string())
             })?;
-            Some(Rules::new(settings, key))
+            Some(ApiServerConfig::new(settings, key))
         }
     };
     let tuning = Tuning::read(table).map_err(|e| file_error(e.to_string()))?;
-    Ok((tuning, rules))
+    Ok((tuning, api_server))
 }
 
 fn controller_settings(file: &Path, tuning: Option<&Path>) -> Result<ControllerSettings, CliError> {
     let platform = PlatformSettings::parse(&read_file(file)?)
         .map_err(|e| CliError::Settings(file.display().to_string(), e.to_string()))?;
     let from_env = std::env::var_os("DILLCLEAT_TUNING").map(PathBuf::from);
-    let (tuning, rules) = match tuning.map(Path::to_path_buf).or(from_env) {
+    let (tuning, api_server) = match tuning.map(Path::to_path_buf).or(from_env) {
         None => (Tuning::default(), None),
         Some(path) => operator_settings(&path)?,
     };
@@ -206,7 +206,7 @@
     Ok(ControllerSettings {
         platform,
         config,
-        rules,
+        api_server,
     })
 }
 
@@ -231,13 +231,13 @@
                 for objective in objectives_without_effect(&settings.platform) {
                     log::info!("objective has no effect on scheduling objective={objective:?}");
                 }
-                server::run(&settings.platform, settings.config, settings.rules)
+                server::run(&settings.platform, settings.config, settings.api_server)
             }
             (None, Some(Command::Check { file })) => {
                 let ControllerSettings {
                     platform,
                     config,
-                    rules,
+                    api_server,
                 } = controller_settings(&file, tuning)?;
                 println!(
                     "{}: settings of {} are good",
@@ -250,10 +250,10 @@
                 if let Some(warning) = server::cancel_shortfall_warning(&config) {
                     println!("{warning}");
                 }
-                if let Some(rules) = rules {
+                if let Some(api_server) = api_server {
                     println!(
                         "Kubernetes-shaped clients are served on {}",
-                        rules.settings.listen
+                        api_server.settings.listen
                     );
                 }
                 Ok(())
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -40,26 +40,23 @@
 pub enum ClientOutput {
     /// A complete response.
     Response(ApiResponse),
-    /// The start of a watch.
-    Stream,
-    /// An event of a watch.
-    Chunk(Rc<[u8]>),
-    /// The end of a watch.
-    End,
+    WatchStarted,
+    WatchEvent(Rc<[u8]>),
+    WatchEnded,
 }
 
 /// Forwards an output to the task of its connection. Returns the request if its client
 /// reads too slowly, so that the watch must be closed.
 pub fn forward(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
     let (id, output) = match out {
-        ControllerOutput::Reply { id, reply } => (id, ClientOutput::Response(reply)),
-        ControllerOutput::Stream { id } => (id, ClientOutput::Stream),
-        ControllerOutput::Chunk { id, bytes } => (id, ClientOutput::Chunk(bytes)),
-        ControllerOutput::End { id } => (id, ClientOutput::End),
-        ControllerOutput::Core(_) => return None,
+        ControllerOutput::Response { id, response } => (id, ClientOutput::Response(response)),
+        ControllerOutput::WatchStarted { id } => (id, ClientOutput::WatchStarted),
+        ControllerOutput::WatchEvent { id, bytes } => (id, ClientOutput::WatchEvent(bytes)),
+        ControllerOutput::WatchEnded { id } => (id, ClientOutput::WatchEnded),
+        ControllerOutput::Node(_) => return None,
     };
     let mut outputs = shared.client_outputs.borrow_mut();
-    let last = matches!(output, ClientOutput::Response(_) | ClientOutput::End);
+    let last = matches!(output, ClientOutput::Response(_) | ClientOutput::WatchEnded);
     let sent = outputs.get(&id)?.try_send(output).is_ok();
     if last || !sent {
         outputs.remove(&id);
@@ -230,7 +227,7 @@
                     .send(&response_bytes(&reply, close), IDLE_TIMEOUT)
                     .await
             }
-            Ok(ClientOutput::Stream) => {
+            Ok(ClientOutput::WatchStarted) => {
                 let sent = send_watch(&mut connection, &outputs).await;
                 shared.client_outputs.borrow_mut().remove(&id);
                 let _ = shared
@@ -258,13 +255,13 @@
         .await?;
     loop {
         match outputs.recv().await {
-            Ok(ClientOutput::Chunk(bytes)) => {
+            Ok(ClientOutput::WatchEvent(bytes)) => {
                 let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
                 chunk.extend_from_slice(&bytes);
                 chunk.extend_from_slice(b"\r\n");
                 connection.send(&chunk, WATCH_IDLE_TIMEOUT).await?;
             }
-            Ok(ClientOutput::End) => {
+            Ok(ClientOutput::WatchEnded) => {
                 return connection.send(b"0\r\n\r\n", IDLE_TIMEOUT).await;
             }
             // The client reads too slowly. Closing the connection without the last chunk
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -8,7 +8,7 @@
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
 };
-use dillcleat_kube::{Controller, ControllerOutput, Rules};
+use dillcleat_kube::{ApiServerConfig, Controller, ControllerOutput};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::HttpRequest;
 use dillcleat_wire::cloud::CloudRequest;
@@ -70,13 +70,13 @@
 pub fn run(
     platform: &PlatformSettings,
     config: Config,
-    rules: Option<Rules>,
+    api_server: Option<ApiServerConfig>,
 ) -> Result<(), CliError> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     smol::block_on(
         executor
             .clone()
-            .run(serve(executor, platform, config, rules)),
+            .run(serve(executor, platform, config, api_server)),
     )
 }
 
@@ -100,14 +100,14 @@
     executor: Executor,
     platform: &PlatformSettings,
     config: Config,
-    rules: Option<Rules>,
+    api_server: Option<ApiServerConfig>,
 ) -> Result<(), CliError> {
     let clients = bind(&platform.client_listen).await?;
     let peers = bind(&platform.peer_listen).await?;
     let (inputs, input_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
     let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
     // The queue allocates its capacity at once; without an API server it stays empty.
-    let request_capacity = if rules.is_some() {
+    let request_capacity = if api_server.is_some() {
         MAX_QUEUED_INPUTS
     } else {
         1
@@ -163,8 +163,8 @@
             peer_names,
         ))
         .detach();
-    if let Some(rules) = &rules {
-        kube_server::open(&executor, &shared, &rules.settings).await?;
+    if let Some(api_server) = &api_server {
+        kube_server::open(&executor, &shared, &api_server.settings).await?;
     }
     executor.spawn(tick(shared.clone())).detach();
     log::info!(
@@ -175,7 +175,7 @@
     if let Some(warning) = cancel_shortfall_warning(&config) {
         log::error!("{warning}");
     }
-    let controller = Controller::new(Node::new(config), rules);
+    let controller = Controller::new(Node::new(config), api_server);
     let inputs = [input_queue, heartbeat_queue];
     run_controller(
         executor,
@@ -251,20 +251,20 @@
         };
         let outputs = match input {
             ServerInput::Controller(input) => controller.handle(now, input),
-            ServerInput::ApiRequest(id, request) => controller.ask(now, id, request),
+            ServerInput::ApiRequest(id, request) => controller.handle_request(now, id, request),
             ServerInput::ClientDisconnected(id) => {
-                controller.gone(id);
+                controller.close_watch(id);
                 continue;
             }
         };
         for output in outputs {
             match output {
-                ControllerOutput::Core(output) => {
+                ControllerOutput::Node(output) => {
                     execute(&executor, &shared, &peer_senders, decided_at, output)
                 }
                 other => {
                     if let Some(slow_client) = kube_server::forward(&shared, other) {
-                        controller.gone(slow_client);
+                        controller.close_watch(slow_client);
                     }
                 }
             }
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -12,7 +12,7 @@
 use crate::patch::PatchType;
 use crate::reconciler::{Reconciler, ReconcilerCall};
 use crate::record::{Kind, Name, OBJECTS, Object, Record, Tombstone};
-use crate::settings::{Rules, Token, Verb};
+use crate::settings::{ApiServerConfig, Token, Verb};
 use crate::status_error::StatusError;
 use crate::target::{Query, ResourceVersion, Scope, Target, parse_target};
 use crate::watch_cache::WatchCache;
@@ -97,7 +97,7 @@
 
 #[derive(Debug)]
 pub struct ApiServer {
-    rules: Rules,
+    config: ApiServerConfig,
     cache: WatchCache,
     pending_calls: HashMap<CallId, PendingCall>,
     last_call: u64,
@@ -185,9 +185,9 @@
 }
 
 impl ApiServer {
-    pub fn new(rules: Rules) -> ApiServer {
+    pub fn new(config: ApiServerConfig) -> ApiServer {
         ApiServer {
-            rules,
+            config,
             cache: WatchCache::default(),
             pending_calls: HashMap::new(),
             last_call: 0,
@@ -202,12 +202,12 @@
     }
 
     /// Whether a store request was made by this API server and not by the node.
-    pub fn owns(id: CallId) -> bool {
+    pub fn is_own_call(id: CallId) -> bool {
         id.0 & CALL_ID_BIT != 0
     }
 
     /// The number of objects in the watch cache and of open watches.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn object_and_watch_counts(&self) -> (usize, usize) {
         (self.cache.len(), self.watches.count())
     }
 
@@ -222,32 +222,32 @@
         let timeout = state_timeout(&call);
         self.pending_calls.insert(id, pending);
         ctx.out
-            .push(ControllerOutput::Core(Output::Store { id, call, timeout }));
+            .push(ControllerOutput::Node(Output::Store { id, call, timeout }));
     }
 
     fn reply(&self, ctx: &mut Context, id: RequestId, status: u16, body: &Value) {
-        let reply = ApiResponse {
+        let response = ApiResponse {
             status,
             body: body.to_string().into_bytes(),
             retry_after: None,
         };
-        ctx.out.push(ControllerOutput::Reply { id, reply });
+        ctx.out.push(ControllerOutput::Response { id, response });
     }
 
     fn reply_error(&self, ctx: &mut Context, id: RequestId, error: &StatusError) {
-        let reply = ApiResponse {
+        let response = ApiResponse {
             status: error.code().0,
             body: json!(error.status()).to_string().into_bytes(),
             retry_after: error.retry_after(),
         };
-        ctx.out.push(ControllerOutput::Reply { id, reply });
+        ctx.out.push(ControllerOutput::Response { id, response });
     }
 
     fn send(&self, ctx: &mut Context, outputs: Vec<WatchOutput>) {
         ctx.out
             .extend(outputs.into_iter().map(|output| match output {
-                WatchOutput::Chunk(id, bytes) => ControllerOutput::Chunk { id, bytes },
-                WatchOutput::End(id) => ControllerOutput::End { id },
+                WatchOutput::Chunk(id, bytes) => ControllerOutput::WatchEvent { id, bytes },
+                WatchOutput::End(id) => ControllerOutput::WatchEnded { id },
             }));
     }
 
@@ -267,7 +267,7 @@
         let target = request.target.as_str();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let secret = request.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
-        let token = self.rules.authenticate(secret);
+        let token = self.config.authenticate(secret);
         let token = token.ok_or(StatusError::Unauthorized)?;
         let query = Query::parse(query)?;
         let (verb, scope) = match parse_target(&request.method, path, query.watch)? {
--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -100,7 +100,7 @@
         request: &Request,
         filter: Filter,
     ) -> Result<(), StatusError> {
-        if self.watches.count() >= self.rules.settings.max_watches {
+        if self.watches.count() >= self.config.settings.max_watches {
             return Err(StatusError::TooManyRequests);
         }
         let query = &request.query;
@@ -126,7 +126,7 @@
                 from.unwrap_or(0)
             )));
         };
-        ctx.out.push(ControllerOutput::Stream { id });
+        ctx.out.push(ControllerOutput::WatchStarted { id });
         self.send(ctx, outputs);
         Ok(())
     }
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -6,7 +6,7 @@
 
 use super::read::not_found;
 use super::*;
-use crate::record::{JobState as ObjectState, Kind};
+use crate::record::{Kind, ObjectState};
 use crate::status_error::{Cause, CauseReason};
 use crate::translate::{ANNOTATION_PREFIX, TranslatedJob};
 use dillcleat_wire::store;
@@ -96,7 +96,7 @@
             let message = "the object's namespace is not the one of the request";
             return Err(StatusError::BadRequest(message.into()));
         }
-        translate::translate_job(&self.rules.settings, namespace, object).map_err(|causes| {
+        translate::translate_job(&self.config.settings, namespace, object).map_err(|causes| {
             let name = text(object, "/metadata/name").unwrap_or_default();
             StatusError::Invalid {
                 kind: kind.name(),
@@ -115,7 +115,7 @@
         translated: &TranslatedJob,
     ) -> Result<OpenJob, StatusError> {
         let mut spec = translated.job.clone();
-        spec.id = self.rules.key.job(&name.namespace, &name.name, uid);
+        spec.id = self.config.key.job(&name.namespace, &name.name, uid);
         match ctx.node.check_schedulable(&spec) {
             None => {
                 return Err(StatusError::Unavailable(
@@ -202,8 +202,8 @@
                 return Err(invalid(&name, vec![cause]));
             }
         }
-        if self.cache.len() >= self.rules.settings.max_objects {
-            let limit = self.rules.settings.max_objects;
+        if self.cache.len() >= self.config.settings.max_objects {
+            let limit = self.config.settings.max_objects;
             return Err(StatusError::Forbidden(format!(
                 "there are {limit} objects, and no more are kept"
             )));
@@ -241,7 +241,7 @@
         (run, tombstone_version): (u32, u64),
     ) -> Result<Creation, StatusError> {
         let resource = name.kind.resource();
-        let key = &self.rules.key;
+        let key = &self.config.key;
         let uid = key.uid(resource, &name.namespace, &name.name, run);
         let job = match translated.suspend {
             true => None,
@@ -426,7 +426,7 @@
             return self.reply_error(ctx, id, &error);
         }
         let class = &creation.translated.job.class;
-        if !self.rules.allows_name_reuse(class) {
+        if !self.config.allows_name_reuse(class) {
             let job = tombstone.job.as_deref().unwrap_or("no job");
             let error = StatusError::AlreadyExists {
                 resource: creation.name.kind.resource(),
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use api_server::ApiServer;
 pub use names::SigningKey;
-pub use settings::{Rules, Settings};
+pub use settings::{ApiServerConfig, Settings};
 
 use dillcleat_controller::{Input, Node, Output, RequestId, Timestamp};
 use std::rc::Rc;
@@ -54,21 +54,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerOutput {
     /// An output of the node, or a store request of the API server.
-    Core(Output),
-    Reply {
+    Node(Output),
+    Response {
         id: RequestId,
-        reply: ApiResponse,
+        response: ApiResponse,
     },
-    /// A watch is open; its events follow.
-    Stream {
+    /// The response to a watch request starts; events follow.
+    WatchStarted {
         id: RequestId,
     },
-    Chunk {
+    WatchEvent {
         id: RequestId,
         bytes: Rc<[u8]>,
     },
-    /// A watch has ended.
-    End {
+    WatchEnded {
         id: RequestId,
     },
 }
@@ -81,11 +80,11 @@
 }
 
 impl Controller {
-    /// Creates a controller; without `rules` it has no API server.
-    pub fn new(node: Node, rules: Option<Rules>) -> Controller {
+    /// Creates a controller; without `config` it has no API server.
+    pub fn new(node: Node, config: Option<ApiServerConfig>) -> Controller {
         Controller {
             node,
-            api_server: rules.map(ApiServer::new),
+            api_server: config.map(ApiServer::new),
         }
     }
 
@@ -108,11 +107,11 @@
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<ControllerOutput> {
         if self.api_server.is_none() {
             let outputs = self.node.handle(now, input).into_iter();
-            return outputs.map(ControllerOutput::Core).collect();
+            return outputs.map(ControllerOutput::Node).collect();
         }
         let mut out = Vec::new();
         match input {
-            Input::Store { id, reply } if ApiServer::owns(id) => {
+            Input::Store { id, reply } if ApiServer::is_own_call(id) => {
                 self.with_api_server(now, &mut out, |api_server, ctx| {
                     api_server.handle_store_response(ctx, id, reply)
                 });
@@ -126,7 +125,7 @@
                                 api_server.handle_job_event(event);
                             }
                         }
-                        other => out.push(ControllerOutput::Core(other)),
+                        other => out.push(ControllerOutput::Node(other)),
                     }
                 }
                 if tick {
@@ -138,7 +137,7 @@
     }
 
     /// Handles the request of a Kubernetes client.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -152,7 +151,7 @@
     }
 
     /// Closes the watch of a client that has disconnected or reads too slowly.
-    pub fn gone(&mut self, id: RequestId) {
+    pub fn close_watch(&mut self, id: RequestId) {
         if let Some(api_server) = &mut self.api_server {
             api_server.close_watch(id);
         }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -108,7 +108,7 @@
 
 /// The part of an object's record that the controllers write, unlike its clients' part.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct JobState {
+pub struct ObjectState {
     /// The id of the native job that runs this object; None while the object is suspended.
     #[serde(rename = "j")]
     pub job: Option<String>,
@@ -143,7 +143,7 @@
     #[serde(rename = "spec")]
     pub spec: Value,
     #[serde(rename = "st")]
-    pub state: JobState,
+    pub state: ObjectState,
 }
 
 impl Record {
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -175,18 +175,18 @@
 
 /// The settings together with the key that `key_file` contains.
 #[derive(Debug, Clone)]
-pub struct Rules {
+pub struct ApiServerConfig {
     pub settings: Settings,
     pub key: SigningKey,
     /// Tokens with their decoded MACs.
     tokens: Vec<(Vec<u8>, Rc<Token>)>,
 }
 
-impl Rules {
-    pub fn new(settings: Settings, key: SigningKey) -> Rules {
+impl ApiServerConfig {
+    pub fn new(settings: Settings, key: SigningKey) -> ApiServerConfig {
         let tokens = settings.tokens.iter();
         let decode = |t: &Token| (decode_hex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
-        Rules {
+        ApiServerConfig {
             tokens: tokens.map(decode).collect(),
             settings,
             key,
--- a/crates/kube/tests/golden_records.rs
+++ b/crates/kube/tests/golden_records.rs
@@ -2,7 +2,9 @@
 //! the names that are derived from the operators' key.
 
 use dillcleat_kube::names::{SigningKey, decode_hex};
-use dillcleat_kube::record::{EndReason, JobEnd, JobState, Kind, Name, OBJECTS, Record, Tombstone};
+use dillcleat_kube::record::{
+    EndReason, JobEnd, Kind, Name, OBJECTS, ObjectState, Record, Tombstone,
+};
 use dillcleat_wire::store::{self, Value};
 use serde::Serialize;
 use serde_json::json;
@@ -56,7 +58,7 @@
     assert_eq!(Kind::of_resource("jobs"), Some(Kind::Job));
 }
 
-fn record(state: JobState) -> Record {
+fn record(state: ObjectState) -> Record {
     Record {
         uid: "u-1".into(),
         run: 2,
@@ -69,8 +71,8 @@
     }
 }
 
-fn running() -> JobState {
-    JobState {
+fn running() -> ObjectState {
+    ObjectState {
         job: Some("req-1".into()),
         started: Some(1_700_000_000_000_005),
         failed: vec![(6, 7)],
@@ -93,7 +95,7 @@
 
 #[test]
 fn a_record_without_optional_fields_keeps_its_bytes() {
-    let suspended = JobState {
+    let suspended = ObjectState {
         job: None,
         started: None,
         failed: Vec::new(),
@@ -118,7 +120,7 @@
 fn every_end_reason_keeps_its_bytes() {
     let ended = |reason| {
         let end = Some(JobEnd { at: 8, reason });
-        record(JobState { end, ..running() })
+        record(ObjectState { end, ..running() })
     };
     assert_round_trip(
         b"\
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -6,7 +6,9 @@
     CallError, CallId, Config, Input, Node, Output, RequestId, SECOND, Timestamp, Tuning,
 };
 use dillcleat_kube::record::{Kind, Name, Record, Tombstone};
-use dillcleat_kube::{ApiRequest, Controller, ControllerOutput, Rules, Settings, SigningKey};
+use dillcleat_kube::{
+    ApiRequest, ApiServerConfig, Controller, ControllerOutput, Settings, SigningKey,
+};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::settings::PlatformSettings;
 use dillcleat_wire::store::{
@@ -18,8 +20,8 @@
 const TOKEN: &str = "a-token-for-tests";
 const JOBS: &str = "/apis/batch/v1/namespaces/books/jobs";
 
-/// Settings under which names may be used again: all Jobs here are of the class `merge`.
-fn rules() -> Rules {
+/// A configuration under which names may be used again: all Jobs here are of the class `merge`.
+fn api_server_config() -> ApiServerConfig {
     let key = SigningKey::parse(&"5c".repeat(32)).expect("a key");
     let text = format!(
         "listen = \"127.0.0.1:1\"\nkey_file = \"none\"\nclass = \"merge\"\nrepeats = [\"merge\"]\n\
@@ -28,7 +30,7 @@
     );
     let table: toml::Table = toml::from_str(&text).expect("toml");
     let settings = Settings::read(toml::Value::Table(table)).expect("good settings");
-    Rules::new(settings, key)
+    ApiServerConfig::new(settings, key)
 }
 
 fn row(key: String, value: Value, version: u64) -> KeyValue {
@@ -59,7 +61,7 @@
         let platform = PlatformSettings::parse(text).expect("good settings");
         let node = Node::new(Config::new(&platform, Tuning::default()));
         let mut controller = TestController {
-            controller: Controller::new(node, Some(rules())),
+            controller: Controller::new(node, Some(api_server_config())),
             txns: Vec::new(),
             pending_gets: Vec::new(),
             pending_refreshes: Vec::new(),
@@ -77,8 +79,8 @@
     fn take_outputs(&mut self, out: Vec<ControllerOutput>) {
         for out in out {
             match out {
-                ControllerOutput::Reply { reply, .. } => self.replies.push(reply.status),
-                ControllerOutput::Core(Output::Store { id, call, .. }) => match call {
+                ControllerOutput::Response { response, .. } => self.replies.push(response.status),
+                ControllerOutput::Node(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
                             records::SHARED => vec![machine_types_row()],
@@ -102,7 +104,7 @@
     }
 
     fn request(&mut self, request: ApiRequest) {
-        let out = self.controller.ask(now(), RequestId(1), request);
+        let out = self.controller.handle_request(now(), RequestId(1), request);
         self.take_outputs(out);
     }
 
--- a/crates/simulator/examples/api_equivalence.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -7,7 +7,7 @@
 
 use clap::{Parser, Subcommand};
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
-use dillcleat_kube::record::{JobState, Kind, Name, Record};
+use dillcleat_kube::record::{Kind, Name, ObjectState, Record};
 use dillcleat_simulator::objects::rules_for;
 use dillcleat_simulator::simulation::config;
 use dillcleat_simulator::single_node::{Ev, SingleNode, WALL, ask};
@@ -167,7 +167,7 @@
             annotations: BTreeMap::new(),
             spec: manifest["spec"].clone(),
             // Suspended: what they would run is not what is measured.
-            state: JobState::default(),
+            state: ObjectState::default(),
         };
         let name = Name {
             kind: Kind::Job,
@@ -184,7 +184,7 @@
         .controller
         .api_server
         .as_ref()
-        .map_or((0, 0), |d| d.sizes());
+        .map_or((0, 0), |d| d.object_and_watch_counts());
     println!("{known} objects: {:.1} MB", (held() - before) as f64 / 1e6);
     let before = held();
     let version = bench
@@ -203,7 +203,7 @@
         .controller
         .api_server
         .as_ref()
-        .map_or((0, 0), |d| d.sizes());
+        .map_or((0, 0), |d| d.object_and_watch_counts());
     println!(
         "{watching} watchers: {:.2} MB",
         (held() - before) as f64 / 1e6
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -38,17 +38,17 @@
         self.number(now);
         self.number(node as u64);
         match output {
-            ControllerOutput::Core(output) => self.record_core(output),
-            ControllerOutput::Reply { id, reply } => {
-                self.answer(Kind::ObjectReply, id.0, reply.status, &reply.body);
-                self.number(u64::from(reply.retry_after.unwrap_or(0)));
+            ControllerOutput::Node(output) => self.record_core(output),
+            ControllerOutput::Response { id, response } => {
+                self.answer(Kind::ObjectReply, id.0, response.status, &response.body);
+                self.number(u64::from(response.retry_after.unwrap_or(0)));
             }
-            ControllerOutput::Stream { id } => self.kind(Kind::WatchOpened, id.0),
-            ControllerOutput::Chunk { id, bytes } => {
+            ControllerOutput::WatchStarted { id } => self.kind(Kind::WatchOpened, id.0),
+            ControllerOutput::WatchEvent { id, bytes } => {
                 self.kind(Kind::WatchLines, id.0);
                 self.bytes(bytes);
             }
-            ControllerOutput::End { id } => self.kind(Kind::WatchClosed, id.0),
+            ControllerOutput::WatchEnded { id } => self.kind(Kind::WatchClosed, id.0),
         }
     }
 
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -2,7 +2,7 @@
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_kube::record::{Kind, Name};
-use dillcleat_kube::{Rules, Settings, SigningKey};
+use dillcleat_kube::{ApiServerConfig, Settings, SigningKey};
 use dillcleat_wire::user::{JobSpec, JobState, Priority};
 use fastrand::Rng;
 use serde_json::{Value, json};
@@ -18,12 +18,12 @@
 }
 
 /// The rules of a rehearsal's doors.
-pub fn rules() -> Rules {
+pub fn rules() -> ApiServerConfig {
     rules_for(5_000, 500)
 }
 
-/// Rules with one token for everything and one, `TOKEN` and `-r`, that may only read.
-pub fn rules_for(objects: usize, watches: usize) -> Rules {
+/// A configuration with one token for everything and one, `TOKEN` and `-r`, that may only read.
+pub fn rules_for(objects: usize, watches: usize) -> ApiServerConfig {
     let key = key();
     let token = |name: &str, secret: &str, verbs: &str| {
         let mac = key.token(secret);
@@ -44,7 +44,7 @@
     // What is made here cannot be refused.
     let table: toml::Table = toml::from_str(&text).unwrap_or_else(|e| panic!("{e}"));
     let settings = Settings::read(toml::Value::Table(table)).unwrap_or_else(|e| panic!("{e}"));
-    Rules::new(settings, key)
+    ApiServerConfig::new(settings, key)
 }
 
 /// What a client asks of its object.
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -767,7 +767,7 @@
         let now = self.clocks(node);
         let epoch = self.nodes[node].epoch;
         if let Some(n) = self.nodes[node].node.as_mut() {
-            for out in n.ask(now, RequestId(request), ask) {
+            for out in n.handle_request(now, RequestId(request), ask) {
                 self.carry(node, epoch, out);
             }
         }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -171,18 +171,18 @@
     pub(super) fn carry(&mut self, node: usize, epoch: u32, out: ControllerOutput) {
         self.history.record(self.now, node, &out);
         match out {
-            ControllerOutput::Core(output) => self.carry_core(node, epoch, output),
-            ControllerOutput::Reply { id, reply } => match self.asked.remove(&id.0) {
+            ControllerOutput::Node(output) => self.carry_core(node, epoch, output),
+            ControllerOutput::Response { id, response } => match self.asked.remove(&id.0) {
                 Some((Requester::Object { job, what }, _)) => {
-                    self.object_answer(job, what, reply.status, &reply.body);
+                    self.object_answer(job, what, response.status, &response.body);
                 }
                 // The watch was refused.
-                Some((Requester::Watcher, _)) => self.watch_refused(reply.status),
+                Some((Requester::Watcher, _)) => self.watch_refused(response.status),
                 _ => {}
             },
-            ControllerOutput::Stream { .. } => {}
-            ControllerOutput::Chunk { id, bytes } => self.watched(id.0, &bytes),
-            ControllerOutput::End { id } => self.watch_ends(id.0),
+            ControllerOutput::WatchStarted { .. } => {}
+            ControllerOutput::WatchEvent { id, bytes } => self.watched(id.0, &bytes),
+            ControllerOutput::WatchEnded { id } => self.watch_ends(id.0),
         }
     }
 
@@ -191,7 +191,7 @@
             Output::Answer { id, answer } => self.answer(node, id.0, answer),
             Output::Store { id, call, timeout } => {
                 let held = self.nodes[node].state_cut;
-                let aside = ApiServer::owns(id) && !submits(&call);
+                let aside = ApiServer::is_own_call(id) && !submits(&call);
                 if let Some((at, caller)) = self.call_to(None, node, epoch, id, held, aside) {
                     let call = Box::new(call);
                     self.at(at, Event::State { caller, call });
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -7,7 +7,7 @@
 use crate::store::{PageLimit, SimulatedStore, Watches};
 use dillcleat_controller::{CallId, Config, Input, MILLISECOND, Micros, Node, Output, Timestamp};
 use dillcleat_controller::{RequestId, SECOND};
-use dillcleat_kube::{ApiRequest, ApiResponse, Controller, ControllerOutput, Rules};
+use dillcleat_kube::{ApiRequest, ApiResponse, ApiServerConfig, Controller, ControllerOutput};
 use dillcleat_wire::store::StoreResponse;
 use serde_json::Value;
 use std::cmp::Reverse;
@@ -63,7 +63,7 @@
 }
 
 impl SingleNode {
-    pub fn new(config: Config, rules: Rules, state: SimulatedStore) -> SingleNode {
+    pub fn new(config: Config, rules: ApiServerConfig, state: SimulatedStore) -> SingleNode {
         SingleNode {
             now: SECOND,
             order: 0,
@@ -109,7 +109,7 @@
             let begun = Instant::now();
             let outs = match ev {
                 Ev::Input(input) => self.controller.handle(now, input),
-                Ev::Ask(id, ask) => self.controller.ask(now, id, ask),
+                Ev::Ask(id, ask) => self.controller.handle_request(now, id, ask),
                 Ev::WatchEnds(watch) => {
                     if let Some((id, changes)) = self.watches.end(watch, &self.state) {
                         let reply = Ok(StoreResponse::WatchBatch(changes));
@@ -128,7 +128,7 @@
 
     fn carry(&mut self, out: ControllerOutput) {
         match out {
-            ControllerOutput::Core(Output::Store { id, call, .. }) => {
+            ControllerOutput::Node(Output::Store { id, call, .. }) => {
                 self.calls += 1;
                 let at = self.now + STATE_TIME;
                 match self.state.call(&call, self.now) {
@@ -150,7 +150,7 @@
                     self.at(at, Ev::Input(Input::Store { id, reply }));
                 }
             }
-            ControllerOutput::Core(Output::Cloud { id, call, .. }) => {
+            ControllerOutput::Node(Output::Cloud { id, call, .. }) => {
                 let (reply, _, _) = self.cloud.call(&call, self.now, |_| None);
                 let at = self.now + 10 * MILLISECOND;
                 self.at(
@@ -161,7 +161,7 @@
                     }),
                 );
             }
-            ControllerOutput::Core(Output::Answer { id, answer }) => {
+            ControllerOutput::Node(Output::Answer { id, answer }) => {
                 let reply = ApiResponse {
                     status: answer.status,
                     body: answer.body,
@@ -169,11 +169,11 @@
                 };
                 self.answers.push((id, reply));
             }
-            ControllerOutput::Reply { id, reply } => self.answers.push((id, reply)),
-            ControllerOutput::Chunk { .. } => self.chunks += 1,
-            ControllerOutput::Core(_)
-            | ControllerOutput::Stream { .. }
-            | ControllerOutput::End { .. } => {}
+            ControllerOutput::Response { id, response } => self.answers.push((id, response)),
+            ControllerOutput::WatchEvent { .. } => self.chunks += 1,
+            ControllerOutput::Node(_)
+            | ControllerOutput::WatchStarted { .. }
+            | ControllerOutput::WatchEnded { .. } => {}
         }
     }
 
