--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -17,7 +17,7 @@
 #[command(
     name = "dillcleat",
     version,
-    about = "A cluster scheduler: three controllers, rented machines, one small state service",
+    about = "A cluster scheduler: three controllers, cloud machines, one small key-value store",
     arg_required_else_help = true
 )]
 pub struct Cli {
@@ -86,7 +86,7 @@
     server: Server,
     /// The job's id, such as req-000412
     job: String,
-    /// Class of jobs that it belongs to
+    /// Class of the job
     #[arg(long)]
     class: String,
     /// Team whose quota applies
--- a/crates/dillcleat/src/client.rs
+++ b/crates/dillcleat/src/client.rs
@@ -173,8 +173,8 @@
                         self.fill().await?;
                     }
                     let rest = self.buffer.split_off(head + size + 2);
-                    let whole = std::mem::replace(&mut self.buffer, rest);
-                    return Ok((size > 0).then(|| whole[head..head + size].to_vec()));
+                    let chunk = std::mem::replace(&mut self.buffer, rest);
+                    return Ok((size > 0).then(|| chunk[head..head + size].to_vec()));
                 }
                 Ok(httparse::Status::Partial) => self.fill().await?,
                 Err(_) => return Err(std::io::ErrorKind::InvalidData.into()),
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Closes a TCP connection at its deadline, for [`Connection::over`].
+/// Closes a TCP connection at its deadline, for [`Connection::from_stream`].
 pub struct ConnectionGuard(Rc<Guard>);
 
 impl Watchdog {
@@ -147,7 +147,11 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
     /// A connection over a stream, such as TLS, whose TCP connection is already guarded.
-    pub fn over(stream: S, guard: ConnectionGuard, header_names: &'static [&'static str]) -> Self {
+    pub fn from_stream(
+        stream: S,
+        guard: ConnectionGuard,
+        header_names: &'static [&'static str],
+    ) -> Self {
         Connection {
             guard: guard.0,
             stream,
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -132,12 +132,12 @@
     let guard = shared.watchdog.guard_handshake(&stream);
     match tls {
         None => {
-            let connection = Connection::over(stream, guard, HEADER_NAMES);
+            let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
             serve_client(&shared, &admitted, connection).await;
         }
         Some(tls) => match tls.accept(stream).await {
             Ok(stream) => {
-                let connection = Connection::over(stream, guard, HEADER_NAMES);
+                let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
                 serve_client(&shared, &admitted, connection).await;
             }
             Err(e) => log::debug!("TLS handshake failed error={e}"),
@@ -183,8 +183,8 @@
         let request = match admitted.next_request(&mut connection).await {
             Ok(request) => request,
             Err(RequestError::Closed) => return,
-            Err(bad) => {
-                let error = match bad {
+            Err(error) => {
+                let error = match error {
                     RequestError::TooLarge => {
                         StatusError::BodyTooLarge(dillcleat_kube::api_server::MAX_BODY_BYTES)
                     }
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -445,8 +445,8 @@
         let request = match admitted.next_request(&mut connection).await {
             Ok(r) => r,
             Err(RequestError::Closed) => return,
-            Err(bad) => {
-                let answer = match bad {
+            Err(error) => {
+                let answer = match error {
                     RequestError::TooLarge => Answer::refusal(413, "the body is too large"),
                     _ => Answer::refusal(400, "malformed request"),
                 };
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -482,12 +482,12 @@
             let message = "the object's name is not the one of the request";
             return Err(StatusError::BadRequest(message.into()));
         }
-        let given = |field: &str| text(&changed, &format!("/metadata/{field}"));
-        if given("uid").is_some_and(|uid| !uid.is_empty() && uid != object.record.uid) {
+        let metadata = |field: &str| text(&changed, &format!("/metadata/{field}"));
+        if metadata("uid").is_some_and(|uid| !uid.is_empty() && uid != object.record.uid) {
             return Err(conflict(&name, "its uid is another"));
         }
         let version = object.version.to_string();
-        if given("resourceVersion").is_some_and(|v| !v.is_empty() && v != version) {
+        if metadata("resourceVersion").is_some_and(|v| !v.is_empty() && v != version) {
             return Err(conflict(
                 &name,
                 "it has been changed: apply your changes to the latest version",
@@ -777,8 +777,8 @@
     let body = request.body.clone().unwrap_or_else(|| json!({}));
     let options: DeleteOptions = serde_json::from_value(body)
         .map_err(|e| StatusError::BadRequest(format!("DeleteOptions: {e}")))?;
-    let given = options.propagation_policy.as_ref();
-    let policy = given.or(request.query.propagation.as_ref());
+    let policy = options.propagation_policy.as_ref();
+    let policy = policy.or(request.query.propagation.as_ref());
     if policy.is_some_and(|p| p != "Background") || options.orphan_dependents == Some(true) {
         let message = "only Background is served: the job is cancelled, its tasks end after it";
         return Err(StatusError::Invalid {
--- a/crates/kube/src/selector.rs
+++ b/crates/kube/src/selector.rs
@@ -119,7 +119,7 @@
     #[test]
     fn label_selectors_match_by_operator() {
         let labels = [("app", "merge"), ("shop", "a.b"), ("inside", "x")];
-        for (selector, wanted) in [
+        for (selector, expected) in [
             ("", true),
             ("app=merge", true),
             ("app == merge , shop!=c", true),
@@ -138,7 +138,7 @@
         ] {
             assert_eq!(
                 label_selector_matches(selector, &labels),
-                wanted,
+                expected,
                 "{selector:?}"
             );
         }
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -224,19 +224,21 @@
     fn invalid_settings_are_rejected_with_the_key_in_the_error() {
         let good = "listen = \"127.0.0.1:6443\"\nkey_file = \"k\"\n";
         assert_eq!(read(good).map(|s| s.max_objects), Ok(5_000));
-        let refused = |more: &str, what: &str| {
-            let e = read(&format!("{good}{more}")).expect_err(more).to_string();
-            assert!(e.contains(what), "{more}: {e}");
+        let assert_rejected = |lines: &str, expected: &str| {
+            let e = read(&format!("{good}{lines}"))
+                .expect_err(lines)
+                .to_string();
+            assert!(e.contains(expected), "{lines}: {e}");
         };
-        refused("max_objects = 0\n", "kube.max_objects: must be from 1");
-        refused("colour = 1\n", "colour");
+        assert_rejected("max_objects = 0\n", "kube.max_objects: must be from 1");
+        assert_rejected("colour = 1\n", "colour");
         let token = "[[tokens]]\nname = \"a\"\nnamespaces = [\"*\"]\n";
-        refused(
+        assert_rejected(
             &format!("{token}mac = \"12\"\nverbs = []\n"),
             "kube.tokens.a.mac",
         );
         let mac = "00".repeat(32);
-        refused(
+        assert_rejected(
             &format!("{token}mac = \"{mac}\"\nverbs = [\"erase\"]\n"),
             "no verb \"erase\"",
         );
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -45,8 +45,8 @@
     /// The version up to which the client has seen all changes. The watch cache may be
     /// behind it; changes up to this version are not sent again.
     after: u64,
-    until: Micros,
-    bookmark_at: Micros,
+    ends_at: Micros,
+    next_bookmark: Micros,
     /// Whether a table with column definitions has been sent.
     columns_sent: bool,
 }
@@ -147,7 +147,7 @@
         bookmarks: bool,
         from: Option<u64>,
         cache: &WatchCache,
-        (now, until, wall): (Micros, Micros, Micros),
+        (now, ends_at, wall): (Micros, Micros, Micros),
     ) -> Option<Vec<WatchOutput>> {
         let mut outputs = Vec::new();
         let mut watch = Watch {
@@ -155,8 +155,8 @@
             as_table,
             bookmarks,
             after: from.unwrap_or(0),
-            until,
-            bookmark_at: now + BOOKMARK_INTERVAL,
+            ends_at,
+            next_bookmark: now + BOOKMARK_INTERVAL,
             columns_sent: false,
         };
         match from {
@@ -212,12 +212,12 @@
         let mut outputs = Vec::new();
         let mut bookmark: Option<Rc<[u8]>> = None;
         self.open.retain(|id, watch| {
-            if now >= watch.until {
+            if now >= watch.ends_at {
                 outputs.push(WatchOutput::End(*id));
                 return false;
             }
-            if watch.bookmarks && revision >= watch.after && now >= watch.bookmark_at {
-                watch.bookmark_at = now + BOOKMARK_INTERVAL;
+            if watch.bookmarks && revision >= watch.after && now >= watch.next_bookmark {
+                watch.next_bookmark = now + BOOKMARK_INTERVAL;
                 let kind = watch.filter.kind;
                 let bytes = bookmark.get_or_insert_with(|| {
                     let meta = json!({"resourceVersion": revision.to_string()});
