--- a/crates/kube/src/fields.rs
+++ b/crates/kube/src/fields.rs
@@ -1,10 +1,11 @@
-//! The supported fields of objects. A request with any other field is rejected with the
-//! paths of these fields, so that nothing a client writes is dropped silently.
+//! The fields of objects that requests may contain. A request with any other field is
+//! rejected, and the error lists the paths of the unsupported fields.
 
 use crate::status_error::{Cause, CauseReason};
 use serde_json::Value;
 
-/// How a field that a client sets is handled.
+/// How a field that a client sets is handled. For documentation only: validation accepts
+/// all three.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldUse {
     Supported,
@@ -14,7 +15,8 @@
     ServerManaged,
 }
 
-/// Fields by their paths: `[]` is each item of a list, `*` any key, `**` everything below.
+/// Fields by their paths: `[]` is each item of a list; `.*` and `.**` accept everything
+/// below the field.
 pub type FieldTable = &'static [(&'static str, FieldUse)];
 
 /// The fields of every kind of object.
@@ -113,7 +115,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Lookup {
-    /// The table has the field itself, with everything below it.
+    /// The field is in a table; nothing below it is checked.
     Found(FieldUse),
     /// The table has fields below this one.
     Parent,
--- a/crates/kube/src/lib.rs
+++ b/crates/kube/src/lib.rs
@@ -92,7 +92,7 @@
         &mut self,
         now: Timestamp,
         out: &mut Vec<ControllerOutput>,
-        act: impl FnOnce(&mut ApiServer, &mut api_server::Context),
+        operation: impl FnOnce(&mut ApiServer, &mut api_server::Context),
     ) {
         let mut ctx = api_server::Context {
             now,
@@ -100,10 +100,12 @@
             out,
         };
         if let Some(api_server) = &mut self.api_server {
-            act(api_server, &mut ctx);
+            operation(api_server, &mut ctx);
         }
     }
 
+    /// Handles an input of the node or a store response of the API server. Job events go to
+    /// the API server; a tick drives both.
     pub fn handle(&mut self, now: Timestamp, input: Input) -> Vec<ControllerOutput> {
         if self.api_server.is_none() {
             let outputs = self.node.handle(now, input).into_iter();
--- a/crates/kube/src/patch.rs
+++ b/crates/kube/src/patch.rs
@@ -52,6 +52,8 @@
     Ok(object)
 }
 
+/// Merges `patch` into `object`. `path` is the path of `object`, for errors and for
+/// `LIST_MERGE_KEYS`.
 fn strategic_merge(
     object: &mut Value,
     patch: &Map<String, Value>,
@@ -184,16 +186,16 @@
             merged.pointer("/spec/template/spec/containers"),
             Some(&json!([{"name": "y", "image": "i2"}]))
         );
-        let refused =
-            |patch: Value| apply(PatchType::Strategic, job(), &patch).expect_err("refused");
-        assert_eq!(refused(json!([1])), PatchError::NotAnObject);
+        let rejected =
+            |patch: Value| apply(PatchType::Strategic, job(), &patch).expect_err("rejected");
+        assert_eq!(rejected(json!([1])), PatchError::NotAnObject);
         let unnamed = json!({"spec": {"template": {"spec": {"containers": [{"image": "q"}]}}}});
         assert!(matches!(
-            refused(unnamed),
+            rejected(unnamed),
             PatchError::MissingKey(_, "name")
         ));
         assert!(matches!(
-            refused(json!({"spec": {"$retainKeys": ["a"]}})),
+            rejected(json!({"spec": {"$retainKeys": ["a"]}})),
             PatchError::UnknownDirective(..)
         ));
     }
--- a/crates/kube/src/quantity.rs
+++ b/crates/kube/src/quantity.rs
@@ -1,6 +1,7 @@
 //! Parses Kubernetes resource quantities such as `500m`, `1.5Gi` and `2e3`.
 
-/// Parses a quantity; None if it is malformed or negative.
+/// Parses a quantity; None if it is malformed or negative, or if its exponent is out
+/// of range.
 pub fn parse(text: &str) -> Option<f64> {
     let split = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
--- a/crates/kube/src/selector.rs
+++ b/crates/kube/src/selector.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Operator {
+enum Requirement {
     Present,
     Absent,
     In(Vec<String>),
@@ -28,7 +28,7 @@
 
 /// Requirements on the labels or fields of objects. The empty selector matches every object.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Selector(Vec<(String, Operator)>);
+pub struct Selector(Vec<(String, Requirement)>);
 
 fn syntax_error(text: &str, e: &pest::error::Error<Rule>) -> SelectorError {
     let column = match e.line_col {
@@ -38,31 +38,31 @@
     SelectorError::Syntax(column, text.to_string())
 }
 
-fn requirement(pair: Pair<Rule>) -> Option<(String, Operator)> {
+fn parse_requirement(pair: Pair<Rule>) -> Option<(String, Requirement)> {
     let rule = pair.as_rule();
     let mut parts = pair.into_inner().map(|p| p.as_str().to_string());
     let key = parts.next()?;
-    let operator = match rule {
-        Rule::absent => Operator::Absent,
-        Rule::present => Operator::Present,
+    let requirement = match rule {
+        Rule::absent => Requirement::Absent,
+        Rule::present => Requirement::Present,
         _ => {
             let negative = matches!(parts.next()?.as_str(), "!=" | "notin");
             let values = parts.collect();
             if negative {
-                Operator::NotIn(values)
+                Requirement::NotIn(values)
             } else {
-                Operator::In(values)
+                Requirement::In(values)
             }
         }
     };
-    Some((key, operator))
+    Some((key, requirement))
 }
 
 fn parse(rule: Rule, text: &str) -> Result<Selector, SelectorError> {
     let pairs = Grammar::parse(rule, text).map_err(|e| syntax_error(text, &e))?;
     let inner = pairs.flat_map(Pair::into_inner);
     let terms = inner.filter(|p| p.as_rule() != Rule::EOI);
-    Ok(Selector(terms.filter_map(requirement).collect()))
+    Ok(Selector(terms.filter_map(parse_requirement).collect()))
 }
 
 impl Selector {
@@ -83,16 +83,16 @@
         }
     }
 
-    /// Whether `value`, which looks up the value of a key, meets all requirements.
-    fn matches(&self, value: impl Fn(&str) -> Option<String>) -> bool {
-        self.0.iter().all(|(key, operator)| {
-            let value = value(key);
-            match operator {
-                Operator::Present => value.is_some(),
-                Operator::Absent => value.is_none(),
-                Operator::In(set) => value.is_some_and(|v| set.contains(&v)),
+    /// Whether all requirements are met by the values that `lookup` returns for their keys.
+    fn matches(&self, lookup: impl Fn(&str) -> Option<String>) -> bool {
+        self.0.iter().all(|(key, requirement)| {
+            let value = lookup(key);
+            match requirement {
+                Requirement::Present => value.is_some(),
+                Requirement::Absent => value.is_none(),
+                Requirement::In(set) => value.is_some_and(|v| set.contains(&v)),
                 // An object without the label matches, as in Kubernetes.
-                Operator::NotIn(set) => value.is_none_or(|v| !set.contains(&v)),
+                Requirement::NotIn(set) => value.is_none_or(|v| !set.contains(&v)),
             }
         })
     }
@@ -117,7 +117,7 @@
     }
 
     #[test]
-    fn label_selectors_match_by_operator() {
+    fn a_label_selector_matches_if_all_requirements_are_met() {
         let labels = [("app", "merge"), ("shop", "a.b"), ("inside", "x")];
         for (selector, expected) in [
             ("", true),
--- a/crates/kube/src/yaml.rs
+++ b/crates/kube/src/yaml.rs
@@ -1,4 +1,4 @@
-//! Reads and writes YAML documents.
+//! Parses and writes YAML documents.
 
 use serde_json::Value;
 
@@ -15,17 +15,17 @@
     TooManyDocuments,
 }
 
-/// Reads all documents of a YAML or JSON text and skips empty ones. The YAML library
+/// Parses all documents of a YAML or JSON text and skips empty ones. The YAML library
 /// limits depth, the number of nodes and the expansion of aliases.
 pub fn parse_documents(text: &str) -> Result<Vec<Value>, YamlError> {
-    let read: Vec<Value> = serde_saphyr::from_multiple(text).map_err(|e| {
+    let parsed: Vec<Value> = serde_saphyr::from_multiple(text).map_err(|e| {
         let message = e.to_string();
         YamlError::Syntax(message.lines().next().unwrap_or_default().to_string())
     })?;
-    if read.len() > MAX_DOCUMENTS {
+    if parsed.len() > MAX_DOCUMENTS {
         return Err(YamlError::TooManyDocuments);
     }
-    Ok(read.into_iter().filter(|v| !v.is_null()).collect())
+    Ok(parsed.into_iter().filter(|v| !v.is_null()).collect())
 }
 
 /// Writes a value as a YAML document.
