--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -168,7 +168,7 @@
 
 fn error_response(error: &StatusError) -> ApiResponse {
     ApiResponse {
-        status: error.code().0,
+        status: error.code_and_reason().0,
         body: serde_json::to_vec(&error.status()).unwrap_or_default(),
         retry_after: error.retry_after(),
     }
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -1,9 +1,10 @@
 //! The API server as a state machine: its inputs are requests of clients and responses of
 //! the store, its outputs are responses to clients and requests to the store.
 //!
-//! A read returns a state at least as recent as its request: a refresh (a watch request of
-//! the store that returns at once) updates the watch cache for all requests that were
-//! received before it. A write is one transaction that compares the versions it is based on.
+//! A read or watch without a resource version is at least as recent as the request: it
+//! waits for a refresh, a non-blocking watch request to the store that brings the watch
+//! cache up to date. With `resourceVersion=0` it is served from the cache as it is. A write
+//! is one transaction that compares the versions it is based on.
 
 mod discovery;
 mod read;
@@ -12,7 +13,7 @@
 use crate::patch::PatchType;
 use crate::reconciler::{Reconciler, ReconcilerCall};
 use crate::record::{Kind, Name, OBJECTS, Object, Record, Tombstone};
-use crate::settings::{ApiServerConfig, Token, Verb};
+use crate::settings::{ApiServerConfig, TokenGrant, Verb};
 use crate::status_error::StatusError;
 use crate::target::{Query, ResourceVersion, Scope, Target, parse_target};
 use crate::watch_cache::WatchCache;
@@ -30,22 +31,25 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How long the store may hold the long-running watch before it responds without changes.
-const WATCH_HOLD_MS: u64 = 20_000;
+/// The time after which the store answers a long poll without changes.
+const LONG_POLL_TIMEOUT_MS: u64 = 20_000;
 /// The delay after a failed list or watch of the store.
 const RETRY_DELAY: Micros = 200 * MILLISECOND;
-/// How long a request may wait and be retried.
-const REQUEST_TIMEOUT: Micros = 4 * SECOND;
+/// The time after which a waiting request is answered with status 429 and a store
+/// transaction is no longer retried.
+const STORE_RETRY_TIMEOUT: Micros = 4 * SECOND;
 /// The maximum number of requests that wait for a refresh.
 const MAX_WAITING_REQUESTS: usize = 1_000;
 const MAX_WRITES_IN_FLIGHT: usize = 256;
+/// Deletions may exceed the limit of other writes, so that they succeed under overload.
+const MAX_WRITES_IN_FLIGHT_FOR_DELETION: usize = 2 * MAX_WRITES_IN_FLIGHT;
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-const MAX_DOCUMENT_DEPTH: usize = 24;
-const MAX_DOCUMENT_VALUES: usize = 2_000;
+const MAX_BODY_DEPTH: usize = 24;
+const MAX_BODY_VALUES: usize = 2_000;
 /// Set in the ids of the API server's store requests and not in those of the node.
 const CALL_ID_BIT: u64 = 1 << 63;
 
-/// The environment in which an input is handled.
+/// The time, the node and the output queue for handling one input.
 pub struct Context<'a> {
     pub now: Timestamp,
     pub node: &'a mut Node,
@@ -56,7 +60,7 @@
 #[derive(Debug, Clone)]
 struct Request {
     id: RequestId,
-    token: Rc<Token>,
+    token: Rc<TokenGrant>,
     verb: Verb,
     scope: Scope,
     query: Rc<Query>,
@@ -81,14 +85,14 @@
     ListPage {
         first: bool,
     },
-    /// The long-running watch.
+    /// The long poll for changes.
     Watch,
     /// A refresh, with the requests that wait for it.
     Refresh(Vec<Request>),
-    Create(Box<write::Creation>),
+    Create(Box<write::PendingCreate>),
     /// Reads the tombstone of the name that is to be created.
-    ReadTombstone(Box<write::Creation>),
-    Write(Box<write::Change>),
+    ReadTombstone(Box<write::PendingCreate>),
+    Write(Box<write::PendingWrite>),
     /// An update by the reconciler.
     ReconcilerUpdate(Name),
     /// A read of the state of a job, for the reconciler.
@@ -103,6 +107,8 @@
     last_call: u64,
     /// When to request the next page of the list of all objects, and after which key.
     next_page: Option<(Micros, Option<String>)>,
+    /// When to send the next long poll to the store; None while one is in flight or before
+    /// the objects are listed.
     watch_at: Option<Micros>,
     /// Requests that wait for the next refresh.
     waiting: VecDeque<Request>,
@@ -112,16 +118,16 @@
     reconciler: Reconciler,
 }
 
-/// Whether a document exceeds the limits on depth and on the number of values. `count`
+/// Whether a body exceeds the limits on depth and on the number of values. `count`
 /// counts the values visited.
 fn too_complex(value: &Value, depth: usize, count: &mut usize) -> bool {
     *count += 1;
     let mut inner: Box<dyn Iterator<Item = &Value>> = match value {
         Value::Object(map) => Box::new(map.values()),
         Value::Array(items) => Box::new(items.iter()),
-        _ => return *count > MAX_DOCUMENT_VALUES,
+        _ => return *count > MAX_BODY_VALUES,
     };
-    depth == 0 || *count > MAX_DOCUMENT_VALUES || inner.any(|v| too_complex(v, depth - 1, count))
+    depth == 0 || *count > MAX_BODY_VALUES || inner.any(|v| too_complex(v, depth - 1, count))
 }
 
 /// Parses the body of a request.
@@ -146,9 +152,9 @@
             )));
         }
     };
-    if too_complex(&value, MAX_DOCUMENT_DEPTH, &mut 0) {
+    if too_complex(&value, MAX_BODY_DEPTH, &mut 0) {
         return Err(StatusError::BadRequest(format!(
-            "deeper than {MAX_DOCUMENT_DEPTH} or of more than {MAX_DOCUMENT_VALUES} values"
+            "deeper than {MAX_BODY_DEPTH} or of more than {MAX_BODY_VALUES} values"
         )));
     }
     Ok(value)
@@ -161,7 +167,7 @@
 }
 
 /// Whether the client prefers tables. An error if it accepts no supported media type.
-fn wants_table(accept: Option<&str>) -> Result<bool, StatusError> {
+fn prefers_table(accept: Option<&str>) -> Result<bool, StatusError> {
     let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
         return Ok(false);
     };
@@ -236,7 +242,7 @@
 
     fn reply_error(&self, ctx: &mut Context, id: RequestId, error: &StatusError) {
         let response = ApiResponse {
-            status: error.code().0,
+            status: error.code_and_reason().0,
             body: json!(error.status()).to_string().into_bytes(),
             retry_after: error.retry_after(),
         };
@@ -252,13 +258,13 @@
     }
 
     pub fn handle_request(&mut self, ctx: &mut Context, id: RequestId, request: ApiRequest) {
-        if let Err(error) = self.admit(ctx, id, request) {
+        if let Err(error) = self.authorize_and_start(ctx, id, request) {
             self.reply_error(ctx, id, &error);
         }
     }
 
     /// Authenticates, authorizes and parses a request, and starts to execute it.
-    fn admit(
+    fn authorize_and_start(
         &mut self,
         ctx: &mut Context,
         id: RequestId,
@@ -266,8 +272,8 @@
     ) -> Result<(), StatusError> {
         let target = request.target.as_str();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let secret = request.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
-        let token = self.config.authenticate(secret);
+        let bearer = request.bearer.as_deref().ok_or(StatusError::Unauthorized)?;
+        let token = self.config.authenticate(bearer);
         let token = token.ok_or(StatusError::Unauthorized)?;
         let query = Query::parse(query)?;
         let (verb, scope) = match parse_target(&request.method, path, query.watch)? {
@@ -277,7 +283,7 @@
             }
             Target::Objects(verb, scope) => (verb, scope),
         };
-        let table = wants_table(request.accept.as_deref())?;
+        let table = prefers_table(request.accept.as_deref())?;
         let namespace = match &scope {
             Scope::Collection(_, namespace) => namespace.as_ref(),
             Scope::Object(name) | Scope::Status(name) => Some(&name.namespace),
@@ -342,7 +348,7 @@
         self.start(ctx, request)
     }
 
-    /// Executes a request at once if it needs no refresh.
+    /// Executes a request that needs no refresh; any other waits for the next refresh.
     fn start(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         if let Scope::Namespaces | Scope::Namespace(_) = request.scope {
             let body = discovery::namespaces(ctx, &request)?;
@@ -385,7 +391,7 @@
         if self.refreshing || self.waiting.is_empty() {
             return;
         }
-        // The refresh has the highest priority among the requests that wait for it.
+        // The refresh takes the highest priority (the lowest value) of the waiting requests.
         let priority = self.waiting.iter().map(|r| request_priority(r.verb)).min();
         if !ctx.node.take_budget(
             StoreCost::READ,
@@ -448,13 +454,13 @@
             let call = StoreRequest::Watch {
                 prefix: OBJECTS.into(),
                 after,
-                hold_ms: WATCH_HOLD_MS,
+                hold_ms: LONG_POLL_TIMEOUT_MS,
             };
             self.call(ctx, call, PendingCall::Watch);
         }
         let (timed_out, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
-            .partition(|r| now >= r.received_at + REQUEST_TIMEOUT);
+            .partition(|r| now >= r.received_at + STORE_RETRY_TIMEOUT);
         self.waiting = waiting;
         let timed_out: VecDeque<Request> = timed_out;
         for request in timed_out {
@@ -469,22 +475,26 @@
 
     /// Runs a pass of the reconciler if this node is the leader and the cache is loaded.
     fn reconcile(&mut self, ctx: &mut Context) {
-        let Some(fence) = ctx.node.fence().filter(|_| self.cache.revision().is_some()) else {
+        let Some(leadership) = ctx.node.fence().filter(|_| self.cache.revision().is_some()) else {
             return;
         };
         let times = (ctx.now.monotonic, ctx.now.wall);
         let is_open = |job: &str| ctx.node.holds(job);
         let calls = self
             .reconciler
-            .reconcile(fence, &self.cache, is_open, times);
+            .reconcile(leadership, &self.cache, is_open, times);
         for call in calls {
-            let changes = f64::from(u8::from(matches!(call, ReconcilerCall::Update(..))));
+            let writes = if matches!(call, ReconcilerCall::Update(..)) {
+                1.0
+            } else {
+                0.0
+            };
             if !ctx.node.take_budget(
-                StoreCost::transaction(changes),
+                StoreCost::transaction(writes),
                 RequestPriority::End,
                 ctx.now,
             ) {
-                self.reconciler.postpone(call);
+                self.reconciler.requeue(call);
                 continue;
             }
             match call {
@@ -534,13 +544,14 @@
             }
             PendingCall::Create(creation) => self.handle_create_response(ctx, *creation, reply),
             PendingCall::ReadTombstone(creation) => self.handle_tombstone(ctx, *creation, reply),
-            PendingCall::Write(change) => self.handle_write_response(ctx, *change, reply),
+            PendingCall::Write(write) => self.handle_write_response(ctx, *write, reply),
             PendingCall::ReconcilerUpdate(name) => {
                 let committed = matches!(reply, Ok(StoreResponse::Committed { .. }));
                 let wall = ctx.now.wall;
                 self.reconciler.handle_update_result(&name, committed, wall);
                 if let Ok(StoreResponse::Conflict { failed, .. }) = reply {
-                    // The job ended before the cancellation.
+                    // A conflicting job record shows that the job ended before the cancellation:
+                    // its final state is read.
                     let job = failed.iter().find_map(|k| k.strip_prefix("j/"));
                     if let Some(job) = job {
                         self.read_job_state(ctx, job.to_string());
@@ -580,7 +591,8 @@
     }
 
     /// Applies a batch of changes and forwards them to watches and the reconciler. Returns
-    /// false if the response is not a batch.
+    /// false if the response is not a batch. If the store has compacted the revision, ends
+    /// all watches and lists all objects again.
     fn handle_watch_batch(
         &mut self,
         ctx: &mut Context,
@@ -591,7 +603,7 @@
         match reply {
             Ok(StoreResponse::WatchBatch(batch)) => {
                 for change in self.cache.apply(batch) {
-                    let outputs = self.watches.broadcast(&change, ctx.now.wall);
+                    let outputs = self.watches.events_for(&change, ctx.now.wall);
                     self.send(ctx, outputs);
                     if is_leader {
                         self.reconciler.handle_change(&change);
--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -60,13 +60,15 @@
         // watch from this version delivers all changes made between the pages.
         let continue_from = query.continue_from.as_ref();
         let version = continue_from.map_or(revision, |(version, _)| *version);
+        // The changes since the first page must still be kept, so that a watch can start at its
+        // version.
         if self.cache.changes_since(version).is_none() {
             let message = "the list has changed too much since its first page";
             return Err(StatusError::Expired(message.into()));
         }
         let after = match &query.continue_from {
             None => None,
-            Some((_, key)) => match Name::parse(key) {
+            Some((_, key)) => match Name::from_store_key(key) {
                 Some(name) => Some(name),
                 None => return Err(StatusError::BadRequest("continue: not one of ours".into())),
             },
@@ -109,7 +111,7 @@
             ResourceVersion::AtLeast(version) => Some(version),
         };
         let now = ctx.now.monotonic;
-        let times = (now, now.saturating_add(query.timeout), ctx.now.wall);
+        let times = (now, now.saturating_add(query.watch_timeout), ctx.now.wall);
         let (id, bookmarks) = (request.id, query.bookmarks);
         let opened = self.watches.open(
             id,
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -1,8 +1,8 @@
 //! Create, update, patch and delete requests.
 //!
 //! An object and its native job are written in one transaction. The transaction requires
-//! that the object and a job with this id do not exist and that the tombstone of the name
-//! is unchanged. So concurrent creates at several controllers start one job only.
+//! that neither the object nor a job with this id exists and that the tombstone of the name
+//! is unchanged. So concurrent creates at several controllers start at most one job.
 
 use super::read::not_found;
 use super::*;
@@ -14,7 +14,7 @@
 
 /// A create request whose transaction is being executed.
 #[derive(Debug)]
-pub(super) struct Creation {
+pub(super) struct PendingCreate {
     request: Request,
     translated: TranslatedJob,
     name: Name,
@@ -26,7 +26,7 @@
 
 /// An update or deletion whose transaction is being executed.
 #[derive(Debug)]
-pub(super) struct Change {
+pub(super) struct PendingWrite {
     request: Request,
     name: Name,
     /// The new record of the object; None if it is deleted.
@@ -72,7 +72,7 @@
     object
 }
 
-fn text<'a>(object: &'a Value, pointer: &str) -> Option<&'a str> {
+fn str_at<'a>(object: &'a Value, pointer: &str) -> Option<&'a str> {
     object.pointer(pointer).and_then(Value::as_str)
 }
 
@@ -85,19 +85,19 @@
         object: &Value,
     ) -> Result<TranslatedJob, StatusError> {
         let (version, name) = (kind.api_version(), kind.name());
-        if text(object, "/apiVersion").is_some_and(|v| v != version)
-            || text(object, "/kind").is_some_and(|k| k != name)
+        if str_at(object, "/apiVersion").is_some_and(|v| v != version)
+            || str_at(object, "/kind").is_some_and(|k| k != name)
         {
             return Err(StatusError::BadRequest(format!(
                 "a {name} of {version} is taken here"
             )));
         }
-        if text(object, "/metadata/namespace").is_some_and(|n| n != namespace) {
+        if str_at(object, "/metadata/namespace").is_some_and(|n| n != namespace) {
             let message = "the object's namespace is not the one of the request";
             return Err(StatusError::BadRequest(message.into()));
         }
         translate::translate_job(&self.config.settings, namespace, object).map_err(|causes| {
-            let name = text(object, "/metadata/name").unwrap_or_default();
+            let name = str_at(object, "/metadata/name").unwrap_or_default();
             StatusError::Invalid {
                 kind: kind.name(),
                 name: name.to_string(),
@@ -114,7 +114,7 @@
         uid: &str,
         translated: &TranslatedJob,
     ) -> Result<OpenJob, StatusError> {
-        let mut spec = translated.job.clone();
+        let mut spec = translated.native_job.clone();
         spec.id = self.config.key.job(&name.namespace, &name.name, uid);
         match ctx.node.check_schedulable(&spec) {
             None => {
@@ -192,7 +192,7 @@
     ) -> Result<(), StatusError> {
         let (object, name, translated) = self.parse_create(ctx, &request)?;
         for field in ["resourceVersion", "uid"] {
-            if text(&object, &format!("/metadata/{field}")).is_some_and(|v| !v.is_empty()) {
+            if str_at(&object, &format!("/metadata/{field}")).is_some_and(|v| !v.is_empty()) {
                 let path = format!("metadata.{field}");
                 let cause = Cause::new(
                     path,
@@ -208,17 +208,17 @@
                 "there are {limit} objects, and no more are kept"
             )));
         }
-        let creation = self.prepare(ctx, request, translated, name, (1, 0))?;
+        let creation = self.build_creation(ctx, request, translated, name, (1, 0))?;
         if creation.request.query.dry_run {
-            // A refresh finds out whether the object exists.
+            // The name is checked against the cache after a refresh.
             self.wait_for_refresh(ctx, creation.request);
             return Ok(());
         }
         // The writes of the object and, unless it is suspended, of its job.
-        let changes = 1.0 + f64::from(u8::from(creation.job.is_some()));
+        let writes = 1.0 + f64::from(u8::from(creation.job.is_some()));
         if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
             || !ctx.node.take_budget(
-                StoreCost::transaction(changes),
+                StoreCost::transaction(writes),
                 RequestPriority::Change,
                 ctx.now,
             )
@@ -232,14 +232,14 @@
 
     /// Builds the records of a new object. `run` counts the objects that have had this
     /// name; `tombstone_version` is the version of the name's tombstone, 0 if there is none.
-    fn prepare(
+    fn build_creation(
         &self,
         ctx: &Context,
         request: Request,
         translated: TranslatedJob,
         name: Name,
         (run, tombstone_version): (u32, u64),
-    ) -> Result<Creation, StatusError> {
+    ) -> Result<PendingCreate, StatusError> {
         let resource = name.kind.resource();
         let key = &self.config.key;
         let uid = key.uid(resource, &name.namespace, &name.name, run);
@@ -266,7 +266,7 @@
             created_at: Some(record.created),
             ..request
         };
-        Ok(Creation {
+        Ok(PendingCreate {
             request,
             translated,
             name,
@@ -276,7 +276,7 @@
         })
     }
 
-    fn send_creation(&mut self, ctx: &mut Context, creation: Creation) {
+    fn send_creation(&mut self, ctx: &mut Context, creation: PendingCreate) {
         let mut txn = Transaction::default()
             .compare(creation.name.key(), 0)
             .compare(creation.name.tombstone_key(), creation.tombstone_version)
@@ -291,7 +291,7 @@
     pub(super) fn handle_create_response(
         &mut self,
         ctx: &mut Context,
-        mut creation: Creation,
+        mut creation: PendingCreate,
         reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
@@ -332,9 +332,9 @@
                 log::error!("job id belongs to another job object={}", creation.name);
                 conflict(&creation.name, "its reference belongs to another job")
             }
-            Err(e) if ctx.now.monotonic < creation.request.received_at + REQUEST_TIMEOUT => {
-                // The transaction may still be executed. The same transaction again either
-                // commits or conflicts with it.
+            Err(e) if ctx.now.monotonic < creation.request.received_at + STORE_RETRY_TIMEOUT => {
+                // Resends the same transaction: if an earlier one was committed, this one
+                // fails with a conflict.
                 creation.request.outcome_unknown |= e == CallError::NoAnswer;
                 return self.send_creation(ctx, creation);
             }
@@ -366,7 +366,7 @@
                 return self.create(ctx, request);
             }
             let id = request.id;
-            let creation = self.prepare(ctx, request, translated, name, (1, 0))?;
+            let creation = self.build_creation(ctx, request, translated, name, (1, 0))?;
             let object = Object {
                 name: creation.name,
                 version: 0,
@@ -391,12 +391,12 @@
         })
     }
 
-    /// Handles the tombstone of a name that is to be used again, which the class of the
-    /// job must allow.
+    /// Handles the tombstone of a new object's name. The name may be reused only if the
+    /// job's class allows it.
     pub(super) fn handle_tombstone(
         &mut self,
         ctx: &mut Context,
-        creation: Creation,
+        creation: PendingCreate,
         reply: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
@@ -425,7 +425,7 @@
             };
             return self.reply_error(ctx, id, &error);
         }
-        let class = &creation.translated.job.class;
+        let class = &creation.translated.native_job.class;
         if !self.config.allows_name_reuse(class) {
             let job = tombstone.job.as_deref().unwrap_or("no job");
             let error = StatusError::AlreadyExists {
@@ -439,7 +439,7 @@
             return self.reply_error(ctx, id, &error);
         }
         let run = (tombstone.run.saturating_add(1), version);
-        match self.prepare(
+        match self.build_creation(
             ctx,
             creation.request,
             creation.translated,
@@ -482,7 +482,7 @@
             let message = "the object's name is not the one of the request";
             return Err(StatusError::BadRequest(message.into()));
         }
-        let metadata = |field: &str| text(&changed, &format!("/metadata/{field}"));
+        let metadata = |field: &str| str_at(&changed, &format!("/metadata/{field}"));
         if metadata("uid").is_some_and(|uid| !uid.is_empty() && uid != object.record.uid) {
             return Err(conflict(&name, "its uid is another"));
         }
@@ -510,10 +510,10 @@
         if let Some(job) = &job {
             txn = add_submission(txn, job);
         }
-        let changes = txn.then.len() as f64;
+        let writes = txn.then.len() as f64;
         if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT
             || !ctx.node.take_budget(
-                StoreCost::transaction(changes),
+                StoreCost::transaction(writes),
                 RequestPriority::Change,
                 ctx.now,
             )
@@ -521,7 +521,7 @@
             return Err(StatusError::TooManyRequests);
         }
         self.writes_in_flight += 1;
-        let change = Change {
+        let write = PendingWrite {
             request,
             name,
             uid: record.uid.clone(),
@@ -530,7 +530,7 @@
         self.call(
             ctx,
             StoreRequest::Transaction(txn),
-            PendingCall::Write(Box::new(change)),
+            PendingCall::Write(Box::new(write)),
         );
         Ok(())
     }
@@ -650,14 +650,14 @@
             self.reply(ctx, request.id, 200, &deletion_status(&name, &uid));
             return Ok(());
         }
-        if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT * 2 {
+        if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT_FOR_DELETION {
             return Err(StatusError::TooManyRequests);
         }
         self.send_delete(ctx, request, &object, true)
     }
 
     /// Sends the transaction that deletes an object. With `cancel_job` it also cancels the
-    /// object's job if the object does not record its end.
+    /// object's job unless the record shows that the job has ended.
     fn send_delete(
         &mut self,
         ctx: &mut Context,
@@ -680,7 +680,7 @@
             return Err(StatusError::TooManyRequests);
         }
         self.writes_in_flight += 1;
-        let change = Change {
+        let write = PendingWrite {
             request,
             name: object.name.clone(),
             record: None,
@@ -689,7 +689,7 @@
         self.call(
             ctx,
             StoreRequest::Transaction(txn),
-            PendingCall::Write(Box::new(change)),
+            PendingCall::Write(Box::new(write)),
         );
         Ok(())
     }
@@ -697,16 +697,16 @@
     pub(super) fn handle_write_response(
         &mut self,
         ctx: &mut Context,
-        change: Change,
+        write: PendingWrite,
         reply: Result<StoreResponse, CallError>,
     ) {
         self.writes_in_flight -= 1;
-        let Change {
+        let PendingWrite {
             mut request,
             name,
             record,
             uid,
-        } = change;
+        } = write;
         let id = request.id;
         let error = match (reply, record) {
             (Ok(StoreResponse::Committed { revision }), Some(record)) => {
--- a/crates/kube/src/names.rs
+++ b/crates/kube/src/names.rs
@@ -1,11 +1,11 @@
-//! Job ids and uids that are derived from an object's name with the operators' key.
+//! Derives job ids, uids and token MACs from the operators' key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
 /// The minimum length of the operators' key, in bytes.
 pub const MIN_KEY_BYTES: usize = 32;
-/// Decimal digits in a job id; 10^32 is just above 2^106.
+/// The number of decimal digits in a job id. 32 digits keep about 106 bits of the MAC.
 const JOB_ID_DIGITS: u32 = 32;
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -77,12 +77,12 @@
     }
 
     /// Whether `token_mac` is the MAC of a token. The comparison takes constant time.
-    pub fn is_token(&self, secret: &str, token_mac: &[u8]) -> bool {
+    pub fn verify_token(&self, secret: &str, token_mac: &[u8]) -> bool {
         let mac = self.mac(&["token", secret]);
         mac.is_some_and(|m| m.verify_slice(token_mac).is_ok())
     }
 
-    /// The uid of the `run`-th object of this name.
+    /// The uid of an object; `run` counts the objects that have had this name.
     pub fn uid(&self, resource: &str, namespace: &str, name: &str, run: u32) -> String {
         let n = self.mac_number(&["uid", resource, namespace, name, &run.to_string()]);
         // Sets version 8 (custom) and the variant of RFC 9562.
@@ -118,7 +118,7 @@
         assert!(matches!(&uid[19..20], "8" | "9" | "a" | "b"), "{uid}");
         let job = key.job("books", "merge", &uid);
         assert!(dillcleat_wire::user::is_job_id(&job), "{job}");
-        // Another run, or parts that concatenate to the same text, give other ids.
+        // Another `run`, or parts that concatenate to the same text, give other ids.
         assert_ne!(uid, key.uid("jobs", "books", "merge", 2));
         assert_ne!(job, key.job("book", "smerge", &uid));
         assert_eq!(format!("{key:?}"), "Key");
@@ -127,10 +127,10 @@
     #[test]
     fn a_token_is_verified_by_its_mac_and_short_keys_are_rejected() {
         let key = SigningKey::parse(&"0b".repeat(32)).expect("a key");
-        let kept = decode_hex(&key.token("secret")).expect("hex");
-        assert!(key.is_token("secret", &kept));
-        assert!(!key.is_token("secrex", &kept));
-        assert!(!key.is_token("secret", &kept[1..]));
+        let stored_mac = decode_hex(&key.token("secret")).expect("hex");
+        assert!(key.verify_token("secret", &stored_mac));
+        assert!(!key.verify_token("secrex", &stored_mac));
+        assert!(!key.verify_token("secret", &stored_mac[1..]));
         assert!(matches!(SigningKey::parse("0b"), Err(KeyError::TooShort)));
         assert!(matches!(SigningKey::parse("xy"), Err(KeyError::NotHex)));
     }
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -2,8 +2,9 @@
 //! their native jobs, cancels jobs that exceed `backoffLimit` or `activeDeadlineSeconds`,
 //! and deletes objects after `ttlSecondsAfterFinished`.
 //!
-//! Every update is one transaction that compares the leader's term and the object's
-//! version, so that it fails if another leader or a client has written in the meantime.
+//! Every update is one transaction that compares the fencing token (the version of the
+//! term's record) and the object's version, so that it fails if another leader or a client
+//! has written in the meantime.
 
 use crate::record::{EndReason, JobEnd, Name, Object, Record, Tombstone};
 use crate::view::completions;
@@ -15,7 +16,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 
-/// The maximum number of updates in flight, and of reads of job states.
+/// The maximum number of objects in `updating`. No new batch of reads is started while this
+/// many reads of job states are in flight.
 const MAX_IN_FLIGHT: usize = 8;
 /// The maximum number of jobs whose events are kept. Events may arrive before the object
 /// of their job is in the watch cache.
@@ -65,9 +67,10 @@
     Some(since.saturating_add(spec_number(object, field)?.saturating_mul(SECOND)))
 }
 
-fn decide(object: &Object, observed: Option<&ObservedJob>, wall: Micros) -> Action {
+/// Returns the update that an object needs, given its job's observed events.
+fn required_action(object: &Object, observed: Option<&ObservedJob>, wall_time: Micros) -> Action {
     let state = &object.record.state;
-    let deadline_passed = next_deadline(object).is_some_and(|at| wall >= at);
+    let deadline_passed = next_deadline(object).is_some_and(|at| wall_time >= at);
     if state.end.is_some() {
         return match deadline_passed {
             true => Action::Delete,
@@ -105,7 +108,7 @@
     txn: Transaction,
     object: &Object,
     job: &str,
-    wall: Micros,
+    wall_time: Micros,
 ) -> Transaction {
     let state = JobStateRecord {
         state: RecordedState::Cancelled,
@@ -116,7 +119,7 @@
         .put(
             records::cancelled_key(job),
             &CancelledJob {
-                cancelled_at_us: wall,
+                cancelled_at_us: wall_time,
             },
         )
 }
@@ -134,22 +137,35 @@
 
 impl Action {
     /// The transaction that carries out the action; None if there is nothing to do.
-    fn transaction(self, object: &Object, fence: u64, wall: Micros) -> Option<Transaction> {
+    fn transaction(
+        self,
+        object: &Object,
+        fencing_token: u64,
+        wall_time: Micros,
+    ) -> Option<Transaction> {
         let key = object.name.key();
         let mut txn = Transaction::default()
-            .compare(records::TERM, fence)
+            .compare(records::TERM, fencing_token)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
             Action::Nothing => return None,
             Action::Delete => return Some(add_deletion(txn, object)),
-            Action::RecordEnd(reason) => state.end = Some(JobEnd { at: wall, reason }),
+            Action::RecordEnd(reason) => {
+                state.end = Some(JobEnd {
+                    at: wall_time,
+                    reason,
+                })
+            }
             Action::RecordFailures(failed) => state.failed = failed,
             Action::CancelJob(reason, failed) => {
                 state.failed = failed;
-                state.end = Some(JobEnd { at: wall, reason });
+                state.end = Some(JobEnd {
+                    at: wall_time,
+                    reason,
+                });
                 let job = state.job.as_deref().unwrap_or_default();
-                txn = add_cancellation(txn, object, job, wall);
+                txn = add_cancellation(txn, object, job, wall_time);
             }
         }
         let record = Record {
@@ -177,7 +193,8 @@
     /// The times of day at which objects are put into the queue.
     timers: BinaryHeap<Reverse<(Micros, Name)>>,
     observed_jobs: HashMap<String, ObservedJob>,
-    /// The jobs in `observed_jobs`, oldest first.
+    /// Jobs in the order of their first event, including some that are no longer in
+    /// `observed_jobs`.
     observed_order: VecDeque<String>,
     /// Objects whose update is in flight or not yet in the watch cache.
     updating: HashSet<Name>,
@@ -217,23 +234,24 @@
     pub fn handle_job_event(&mut self, event: JobEvent, cache: &WatchCache) {
         match event {
             JobEvent::Ended { job, state } => {
-                self.observed_job(&job, cache).ended = Some(state);
+                self.events_of_job(&job, cache).ended = Some(state);
             }
             JobEvent::Failed { job, task, attempt } => {
-                self.observed_job(&job, cache)
+                self.events_of_job(&job, cache)
                     .failed
                     .insert((task, attempt));
             }
         }
     }
 
-    /// The observed events of a job, to add another one. Queues the job's object.
-    fn observed_job(&mut self, job: &str, cache: &WatchCache) -> &mut ObservedJob {
+    /// Returns the entry for a job's events, creating it if needed, and queues the job's
+    /// object.
+    fn events_of_job(&mut self, job: &str, cache: &WatchCache) -> &mut ObservedJob {
         if let Some(object) = cache.by_job(job) {
             self.queue.insert(object.name.clone());
         }
         if !self.observed_jobs.contains_key(job) {
-            // Most jobs have no object, so their events are dropped without any use.
+            // Most jobs belong to no object; the size limit evicts their events.
             self.observed_order.push_back(job.to_string());
             if self.observed_order.len() > MAX_OBSERVED_JOBS
                 && let Some(oldest) = self.observed_order.pop_front()
@@ -245,12 +263,12 @@
     }
 
     /// Handles the result of an update. A committed update arrives in the watch cache;
-    /// after a failed one the object is queued again.
-    pub fn handle_update_result(&mut self, name: &Name, committed: bool, wall: Micros) {
+    /// after a failed one the object is queued again once `RETRY_DELAY` has passed.
+    pub fn handle_update_result(&mut self, name: &Name, committed: bool, wall_time: Micros) {
         if !committed {
             self.updating.remove(name);
             self.timers
-                .push(Reverse((wall + RETRY_DELAY, name.clone())));
+                .push(Reverse((wall_time + RETRY_DELAY, name.clone())));
         }
     }
 
@@ -258,12 +276,12 @@
     pub fn handle_job_state(&mut self, job: &str, ended: Option<JobState>, cache: &WatchCache) {
         self.reading.remove(job);
         if ended.is_some() {
-            self.observed_job(job, cache).ended = ended;
+            self.events_of_job(job, cache).ended = ended;
         }
     }
 
     /// Checks the next batch of objects if a resync is due or in progress. Returns the
-    /// jobs that the objects regard as running although the leader does not.
+    /// jobs that are recorded as running but are not open at the leader.
     fn resync(
         &mut self,
         cache: &WatchCache,
@@ -301,14 +319,14 @@
         jobs
     }
 
-    /// Runs one pass and returns the requests to make, for the leader of `term` whose
-    /// fencing token is `fence`. `is_open` tells whether the leader has a job as open.
+    /// Runs one pass and returns the requests to make, for the leader of `term`. `is_open`
+    /// returns whether a job is open at the leader.
     pub fn reconcile(
         &mut self,
-        (term, fence): (u64, u64),
+        (term, fencing_token): (u64, u64),
         cache: &WatchCache,
         is_open: impl Fn(&str) -> bool,
-        (now, wall): (Micros, Micros),
+        (now, wall_time): (Micros, Micros),
     ) -> Vec<ReconcilerCall> {
         // Events are kept from the previous term: they remain valid.
         if self.term != term {
@@ -328,7 +346,7 @@
         while self
             .timers
             .peek()
-            .is_some_and(|Reverse((at, _))| wall >= *at)
+            .is_some_and(|Reverse((at, _))| wall_time >= *at)
         {
             if let Some(Reverse((_, name))) = self.timers.pop() {
                 self.queue.insert(name);
@@ -358,8 +376,8 @@
             {
                 let job = object.record.state.job.as_ref();
                 let observed = job.and_then(|job| self.observed_jobs.get(job));
-                let action = decide(object, observed, wall);
-                if let Some(txn) = action.transaction(object, fence, wall) {
+                let action = required_action(object, observed, wall_time);
+                if let Some(txn) = action.transaction(object, fencing_token, wall_time) {
                     self.updating.insert(name.clone());
                     calls.push(ReconcilerCall::Update(name, txn));
                 }
@@ -368,8 +386,9 @@
         calls
     }
 
-    /// Takes back a request for which there is no budget now.
-    pub fn postpone(&mut self, call: ReconcilerCall) {
+    /// Queues a request again that was not sent because the store request budget is
+    /// exhausted.
+    pub fn requeue(&mut self, call: ReconcilerCall) {
         match call {
             ReconcilerCall::Update(name, _) => {
                 self.updating.remove(&name);
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -4,7 +4,7 @@
 //! - `k/d/RESOURCE/NAMESPACE/NAME`: the last deleted object of this name ([`Tombstone`]).
 
 use dillcleat_controller::Micros;
-use dillcleat_wire::store::{self, Value as StateValue};
+use dillcleat_wire::store::{self, Value as StoreValue};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -71,7 +71,7 @@
         format!("{TOMBSTONE_PREFIX}{self}")
     }
 
-    pub fn parse(key: &str) -> Option<Name> {
+    pub fn from_store_key(key: &str) -> Option<Name> {
         let mut parts = key.strip_prefix(OBJECTS)?.splitn(3, '/');
         Some(Name {
             kind: Kind::of_resource(parts.next()?)?,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Why the Job of an object has ended.
+/// Why a Job has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndReason {
     #[serde(rename = "c")]
@@ -106,10 +106,10 @@
     pub reason: EndReason,
 }
 
-/// The part of an object's record that the controllers write, unlike its clients' part.
+/// The part of an object's record that only the controllers write.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ObjectState {
-    /// The id of the native job that runs this object; None while the object is suspended.
+    /// The id of the native job that executes this Job; None while the object is suspended.
     #[serde(rename = "j")]
     pub job: Option<String>,
     /// Time of day of the job's submission, in microseconds.
@@ -152,7 +152,7 @@
         store::json_size(&store::encode_value(self))
     }
 
-    pub fn decode(value: &StateValue) -> Option<Record> {
+    pub fn decode(value: &StoreValue) -> Option<Record> {
         store::decode_value(value)
     }
 }
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -16,8 +16,8 @@
     /// The certificate and key files, in PEM format. They are reloaded when they change.
     #[serde(rename = "tls", default)]
     pub tls: Option<Tls>,
-    /// A file of at least 64 hexadecimal digits, the same at every controller. Job ids and
-    /// the MACs of tokens are derived from this key, so it must never change.
+    /// A file of at least 64 hexadecimal digits, the same at every controller. Job ids,
+    /// uids and the MACs of tokens are derived from this key, so it must never change.
     #[serde(rename = "key_file")]
     pub key_file: PathBuf,
     /// The class of Jobs without the annotation `dillcleat/class`.
@@ -25,29 +25,29 @@
     pub class: Option<String>,
     /// Classes of Jobs whose name may be used again after the object was deleted.
     #[serde(rename = "repeats", default)]
-    pub repeats: Vec<String>,
+    pub name_reuse_classes: Vec<String>,
     /// The resource name of accelerators in requests and limits.
-    #[serde(rename = "accelerator", default = "accelerator")]
+    #[serde(rename = "accelerator", default = "default_accelerator")]
     pub accelerator: String,
     /// The maximum number of objects. Every controller has all of them in memory.
-    #[serde(rename = "max_objects", default = "max_objects")]
+    #[serde(rename = "max_objects", default = "default_max_objects")]
     pub max_objects: usize,
     /// The maximum number of open watches at one controller.
-    #[serde(rename = "max_watches", default = "max_watches")]
+    #[serde(rename = "max_watches", default = "default_max_watches")]
     pub max_watches: usize,
     #[serde(rename = "tokens", default)]
-    pub tokens: Vec<Token>,
+    pub tokens: Vec<TokenGrant>,
 }
 
-fn accelerator() -> String {
+fn default_accelerator() -> String {
     "nvidia.com/gpu".into()
 }
 
-fn max_objects() -> usize {
+fn default_max_objects() -> usize {
     5_000
 }
 
-fn max_watches() -> usize {
+fn default_max_watches() -> usize {
     500
 }
 
@@ -62,8 +62,8 @@
 
 /// The permissions of a bearer token. The token itself is not stored.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Token {
+#[serde(deny_unknown_fields, expecting = "struct Token")]
+pub struct TokenGrant {
     /// The holder's name, for the log.
     #[serde(rename = "name")]
     pub name: String,
@@ -120,7 +120,7 @@
     }
 }
 
-impl Token {
+impl TokenGrant {
     pub fn may_access(&self, namespace: &str) -> bool {
         let all = self.namespaces.iter();
         all.into_iter().any(|n| n == "*" || n == namespace)
@@ -179,13 +179,13 @@
     pub settings: Settings,
     pub key: SigningKey,
     /// Tokens with their decoded MACs.
-    tokens: Vec<(Vec<u8>, Rc<Token>)>,
+    tokens: Vec<(Vec<u8>, Rc<TokenGrant>)>,
 }
 
 impl ApiServerConfig {
     pub fn new(settings: Settings, key: SigningKey) -> ApiServerConfig {
         let tokens = settings.tokens.iter();
-        let decode = |t: &Token| (decode_hex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
+        let decode = |t: &TokenGrant| (decode_hex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
         ApiServerConfig {
             tokens: tokens.map(decode).collect(),
             settings,
@@ -195,10 +195,10 @@
 
     /// The permissions of a bearer token; None if it is unknown. Every known token is
     /// compared, so that the time taken does not reveal which one matched.
-    pub fn authenticate(&self, secret: &str) -> Option<Rc<Token>> {
+    pub fn authenticate(&self, secret: &str) -> Option<Rc<TokenGrant>> {
         let mut found = None;
         for (mac, token) in &self.tokens {
-            if self.key.is_token(secret, mac) {
+            if self.key.verify_token(secret, mac) {
                 found = Some(token.clone());
             }
         }
@@ -207,7 +207,7 @@
 
     /// Whether a name may be used again after its object was deleted.
     pub fn allows_name_reuse(&self, class: &str) -> bool {
-        self.settings.repeats.iter().any(|c| c == class)
+        self.settings.name_reuse_classes.iter().any(|c| c == class)
     }
 }
 
--- a/crates/kube/src/status_error.rs
+++ b/crates/kube/src/status_error.rs
@@ -97,7 +97,7 @@
 
 impl StatusError {
     /// The HTTP status code and the `reason` of the `Status` object.
-    pub fn code(&self) -> (u16, &'static str) {
+    pub fn code_and_reason(&self) -> (u16, &'static str) {
         match self {
             StatusError::BadRequest(_) => (400, "BadRequest"),
             StatusError::Unauthorized => (401, "Unauthorized"),
@@ -150,7 +150,7 @@
     }
 
     pub fn status(&self) -> Status {
-        let (code, reason) = self.code();
+        let (code, reason) = self.code_and_reason();
         Status {
             code: Some(i32::from(code)),
             reason: Some(reason.into()),
--- a/crates/kube/src/table.rs
+++ b/crates/kube/src/table.rs
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 
 /// Formats a duration as Kubernetes clients do: `45s`, `5m30s`, `3h`, `2d`.
-pub fn format_duration(time: Micros) -> String {
-    let s = time / 1_000_000;
+pub fn format_duration(duration: Micros) -> String {
+    let s = duration / 1_000_000;
     match s {
         0..120 => format!("{s}s"),
         120..600 if !s.is_multiple_of(60) => format!("{}m{}s", s / 60, s % 60),
@@ -39,7 +39,7 @@
 pub fn row(object: &Object, progress: Progress, wall: Micros) -> Value {
     let (record, state) = (&object.record, &object.record.state);
     let completions = view::completions(object);
-    let done = match view::status_word(object) {
+    let done = match view::phase(object) {
         "Complete" => completions,
         _ => progress.map_or(0, |(done, _)| done),
     };
@@ -50,7 +50,7 @@
     json!({
         "cells": [
             object.name.name,
-            view::status_word(object),
+            view::phase(object),
             format!("{done}/{completions}"),
             duration.unwrap_or_default(),
             format_duration(wall.saturating_sub(record.created)),
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -6,7 +6,7 @@
 use crate::status_error::StatusError;
 use dillcleat_controller::{Micros, SECOND};
 
-/// The discovery and health endpoints, which are answered without objects.
+/// The discovery and health endpoints, which are answered without the watch cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
     Version,
@@ -128,7 +128,7 @@
     pub watch: bool,
     pub bookmarks: bool,
     pub resource_version: ResourceVersion,
-    pub timeout: Micros,
+    pub watch_timeout: Micros,
     pub dry_run: bool,
     pub propagation: Option<String>,
 }
@@ -155,7 +155,7 @@
             watch: false,
             bookmarks: false,
             resource_version: ResourceVersion::MostRecent,
-            timeout: MAX_WATCH_DURATION,
+            watch_timeout: MAX_WATCH_DURATION,
             dry_run: false,
             propagation: None,
         };
@@ -206,7 +206,7 @@
                     let seconds: u64 = value
                         .parse()
                         .map_err(|_| invalid("timeoutSeconds", value))?;
-                    q.timeout = seconds
+                    q.watch_timeout = seconds
                         .saturating_mul(SECOND)
                         .clamp(SECOND, MAX_WATCH_DURATION);
                 }
@@ -220,8 +220,7 @@
                     let message = "sendInitialEvents is not served: list, then watch";
                     return Err(StatusError::BadRequest(message.into()));
                 }
-                // These have no effect: they concern the format of the response, or the
-                // validation of fields, which is always strict.
+                // These parameters, or these values of them, have no effect.
                 "fieldValidation" | "fieldManager" | "pretty" | "continue"
                 | "sendInitialEvents" | "timeout" => {}
                 "resourceVersionMatch" if value != "Exact" => {}
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -24,10 +24,10 @@
 
 /// Annotations for the properties of a job that have no Kubernetes field.
 pub const ANNOTATIONS: [(&str, &str); 8] = [
-    ("dillcleat/class", "class of jobs that it belongs to"),
+    ("dillcleat/class", "class of the job"),
     (
         "dillcleat/deadline-seconds",
-        "when it should be complete, from its submission on",
+        "deadline, in seconds after submission",
     ),
     ("dillcleat/estimate-seconds", "estimated run time of a task"),
     ("dillcleat/image-gb", "size of the image"),
@@ -35,9 +35,12 @@
     ("dillcleat/one-zone", "`true`: all tasks in one zone"),
     (
         "dillcleat/checkpoint-seconds",
-        "how often a task saves its work",
+        "interval between checkpoints, in seconds",
+    ),
+    (
+        "dillcleat/save-seconds",
+        "time that one checkpoint takes, in seconds",
     ),
-    ("dillcleat/save-seconds", "how long that takes"),
 ];
 
 /// A valid Job, and its translation.
@@ -49,7 +52,7 @@
     /// The spec of the Job with defaults filled in.
     pub spec: Value,
     /// The native job, with an empty id.
-    pub job: JobSpec,
+    pub native_job: JobSpec,
     /// The maximum number of tasks that run at a time.
     pub parallelism: u32,
     pub suspend: bool,
@@ -61,7 +64,7 @@
     causes: Vec<Cause>,
 }
 
-fn is_label(text: &str) -> bool {
+fn is_dns_label(text: &str) -> bool {
     let inner = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
@@ -76,8 +79,15 @@
         self.causes.push(Cause::new(path, reason, message));
     }
 
-    /// The value of a field, or its default if it is not set.
-    fn number(&mut self, path: &str, value: Option<i64>, default: i64, low: i64, high: i64) -> i64 {
+    /// Returns the value or its default, and records an error if it is out of range.
+    fn number_in_range(
+        &mut self,
+        path: &str,
+        value: Option<i64>,
+        default: i64,
+        low: i64,
+        high: i64,
+    ) -> i64 {
         let value = value.unwrap_or(default);
         if !(low..=high).contains(&value) {
             let message = format!("must be from {low} to {high}, is {value}");
@@ -86,7 +96,7 @@
         value
     }
 
-    /// The value of an annotation that is a non-negative number.
+    /// The value of an annotation that is a number from 0 to 1e9.
     fn number_annotation(
         &mut self,
         annotations: &BTreeMap<String, String>,
@@ -210,6 +220,7 @@
         (types, zone)
     }
 
+    /// Applies required node affinity to the machine types and the zone.
     fn affinity(
         &mut self,
         affinity: &Affinity,
@@ -263,7 +274,9 @@
         }
     }
 
-    /// Whether the job spreads over zones: at most half of its tasks are in one zone.
+    /// Validates the topology spread constraints and returns whether there are any. Any
+    /// constraint sets `spread`, whatever its `maxSkew`: at most half of the tasks run in one
+    /// zone.
     fn spread(&mut self, pod: &PodSpec, labels: &BTreeMap<String, String>) -> bool {
         let constraints = pod
             .topology_spread_constraints
@@ -330,6 +343,7 @@
         }
     }
 
+    /// Rejects unknown annotations of dillcleat and returns the class of the job.
     fn class(&mut self, annotations: &BTreeMap<String, String>) -> String {
         for key in annotations
             .keys()
@@ -360,7 +374,7 @@
     }
 
     /// Translates a pod template and the annotations of its Job.
-    fn job(
+    fn native_job_spec(
         &mut self,
         team: &str,
         tasks: u32,
@@ -380,7 +394,7 @@
             );
             return None;
         };
-        if !is_label(&container.name) {
+        if !is_dns_label(&container.name) {
             let message = "must be lower-case letters, digits and dashes";
             self.reject(
                 "spec.template.spec.containers[0].name",
@@ -450,7 +464,8 @@
         .map(|e| e.to_string())
 }
 
-/// Translates the Job that a client has written in `namespace`.
+/// Validates the Job that a client has written in `namespace`, fills in its defaults and
+/// translates it. Returns all errors in its fields.
 pub fn translate_job(
     settings: &Settings,
     namespace: &str,
@@ -471,7 +486,7 @@
         }
     };
     let name = job.metadata.name.unwrap_or_default();
-    if !is_label(&name) {
+    if !is_dns_label(&name) {
         let message = "must be 1 to 63 lower-case letters, digits and dashes";
         translator.reject("metadata.name", CauseReason::Invalid, message);
     }
@@ -486,12 +501,13 @@
     }
     let max_tasks = i64::from(user::MAX_TASKS);
     let completions = spec.completions.map(i64::from);
-    let tasks = translator.number("spec.completions", completions, 1, 1, max_tasks);
+    let tasks = translator.number_in_range("spec.completions", completions, 1, 1, max_tasks);
     let parallelism = spec.parallelism.map(i64::from);
     let max_parallelism = i64::from(i32::MAX);
-    let parallelism = translator.number("spec.parallelism", parallelism, 1, 1, max_parallelism);
+    let parallelism =
+        translator.number_in_range("spec.parallelism", parallelism, 1, 1, max_parallelism);
     let backoff_limit = spec.backoff_limit.map(i64::from);
-    let backoff_limit = translator.number(
+    let backoff_limit = translator.number_in_range(
         "spec.backoffLimit",
         backoff_limit,
         DEFAULT_BACKOFF_LIMIT.into(),
@@ -511,7 +527,7 @@
         ),
     ] {
         if value.is_some() {
-            translator.number(path, value, 0, low, MAX_SPEC_SECONDS);
+            translator.number_in_range(path, value, 0, low, MAX_SPEC_SECONDS);
         }
     }
     let mode = spec.completion_mode.unwrap_or_else(|| "NonIndexed".into());
@@ -534,7 +550,7 @@
     }
     let suspend = spec.suspend.unwrap_or(false);
     let tasks = u32::try_from(tasks).unwrap_or(1);
-    let native_job = translator.job(namespace, tasks, &spec.template, &annotations);
+    let native_job = translator.native_job_spec(namespace, tasks, &spec.template, &annotations);
     if translator.causes.is_empty()
         && let Some(message) = native_job.as_ref().and_then(native_api_error)
     {
@@ -558,7 +574,7 @@
         labels: job.metadata.labels.unwrap_or_default(),
         annotations,
         spec: without_nulls(completed_spec),
-        job: native_job,
+        native_job,
         parallelism: u32::try_from(parallelism).unwrap_or(u32::MAX),
         suspend,
     })
--- a/crates/kube/src/view.rs
+++ b/crates/kube/src/view.rs
@@ -140,8 +140,8 @@
     })
 }
 
-/// The state of a Job in one word, for tables and field selectors.
-pub fn status_word(object: &Object) -> &'static str {
+/// The phase of a Job, for tables and field selectors.
+pub fn phase(object: &Object) -> &'static str {
     let state = &object.record.state;
     match state.end {
         Some(JobEnd {
--- a/crates/kube/src/watch_cache.rs
+++ b/crates/kube/src/watch_cache.rs
@@ -1,4 +1,5 @@
-//! A cache of all objects in the store and of their latest changes.
+//! A cache of all objects in the store and of their latest changes. The version of an object
+//! is the store revision at which it was last written.
 //!
 //! Each controller keeps its cache up to date with a single watch of the store, and serves
 //! the reads and watches of all its clients from it.
@@ -32,7 +33,7 @@
     loading: Option<Loading>,
 }
 
-/// A list of all objects in progress, page by page.
+/// The pages of an unfinished list of all objects.
 #[derive(Debug)]
 struct Loading {
     /// The revision of the first page.
@@ -41,7 +42,7 @@
 }
 
 fn decode_object(key: &str, value: &Value, version: u64) -> Option<Object> {
-    let decoded = Name::parse(key).zip(Record::decode(value));
+    let decoded = Name::from_store_key(key).zip(Record::decode(value));
     if decoded.is_none() {
         log::error!("cannot decode stored object key={key}");
     }
@@ -75,7 +76,8 @@
         self.objects.get(self.by_job.get(job)?)
     }
 
-    /// The objects with names after `after`, ordered by name.
+    /// The objects of a kind, in one namespace or in all, whose names follow `after`, ordered
+    /// by name.
     pub fn objects<'a>(
         &'a self,
         kind: Kind,
@@ -103,7 +105,7 @@
         if version < self.compacted_revision {
             return None;
         }
-        let first = self.changes.partition_point(|t| t.version <= version);
+        let first = self.changes.partition_point(|c| c.version <= version);
         Some(self.changes.range(first..))
     }
 
@@ -141,7 +143,7 @@
     }
 
     /// Applies a batch of changes and returns those that the cache did not have yet. The
-    /// long-running watch and a refresh may both deliver the same change.
+    /// long poll and a refresh may both deliver the same change.
     pub fn apply(&mut self, batch: WatchBatch) -> Vec<ObjectChange> {
         let mut applied = Vec::new();
         for event in batch.events {
@@ -153,7 +155,7 @@
             if !key.starts_with(OBJECTS) || version <= self.revision.unwrap_or(0) {
                 continue;
             }
-            let Some(name) = Name::parse(key) else {
+            let Some(name) = Name::from_store_key(key) else {
                 continue;
             };
             let new = match &event {
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -1,7 +1,7 @@
 //! The open watches of clients, and the events that they are sent.
 
 use crate::record::{Kind, Object};
-use crate::settings::Token;
+use crate::settings::TokenGrant;
 use crate::target::Query;
 use crate::watch_cache::{ObjectChange, WatchCache};
 use crate::{table, view};
@@ -18,7 +18,7 @@
     pub kind: Kind,
     pub namespace: Option<String>,
     pub query: Rc<Query>,
-    pub token: Rc<Token>,
+    pub token: Rc<TokenGrant>,
 }
 
 impl Filter {
@@ -27,7 +27,8 @@
         let field = |field: &str| match field {
             "metadata.name" => name.name.clone(),
             "metadata.namespace" => name.namespace.clone(),
-            _ => u32::from(view::status_word(object) == "Complete").to_string(),
+            // `status.successful`: 1 if the Job is complete, else 0.
+            _ => u32::from(view::phase(object) == "Complete").to_string(),
         };
         name.kind == self.kind
             && self.namespace.as_ref().is_none_or(|n| *n == name.namespace)
@@ -44,7 +45,7 @@
     bookmarks: bool,
     /// The version up to which the client has seen all changes. The watch cache may be
     /// behind it; changes up to this version are not sent again.
-    after: u64,
+    seen_version: u64,
     ends_at: Micros,
     next_bookmark: Micros,
     /// Whether a table with column definitions has been sent.
@@ -75,7 +76,7 @@
 /// that need it.
 struct EventEncoder<'a> {
     change: &'a ObjectChange,
-    wall: Micros,
+    wall_time: Micros,
     /// Encodings by event type, and by `as_table` and `columns_sent` of the watch.
     encoded: BTreeMap<(&'static str, bool, bool), Rc<[u8]>>,
 }
@@ -92,9 +93,10 @@
         }
     }
 
-    /// The event line for a watch; None if the change does not concern it.
+    /// Encodes the event for a watch and marks its column definitions as sent; None if the
+    /// change does not concern it.
     fn encode(&mut self, watch: &mut Watch) -> Option<Rc<[u8]>> {
-        if self.change.version <= watch.after {
+        if self.change.version <= watch.seen_version {
             return None;
         }
         let (event_type, object) = self.event(&watch.filter)?;
@@ -112,19 +114,23 @@
             version: self.change.version,
             ..(*object).clone()
         };
-        let body = render(&object, watch.as_table, key.2, self.wall);
+        let body = render(&object, watch.as_table, key.2, self.wall_time);
         let bytes = event_line(event_type, body);
         self.encoded.insert(key, bytes.clone());
         Some(bytes)
     }
 }
 
-fn render(object: &Object, as_table: bool, columns_sent: bool, wall: Micros) -> Value {
+fn render(object: &Object, as_table: bool, columns_sent: bool, wall_time: Micros) -> Value {
     if !as_table {
         return view::object(object, None);
     }
     let meta = json!({"resourceVersion": object.version.to_string()});
-    table::table(vec![table::row(object, None, wall)], meta, !columns_sent)
+    table::table(
+        vec![table::row(object, None, wall_time)],
+        meta,
+        !columns_sent,
+    )
 }
 
 impl Watches {
@@ -132,40 +138,37 @@
         self.open.len()
     }
 
-    /// Opens a watch. `from` is the version up to which the client has seen all changes;
+    /// Opens a watch. `seen_version` is the version up to which the client has seen all changes;
     /// with None the watch starts with an event for each existing object. Returns None if
-    /// `from` is older than the changes that the cache keeps.
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "each is one parameter of a request"
-    )]
+    /// `seen_version` is older than the changes that the cache keeps.
+    #[expect(clippy::too_many_arguments, reason = "all are needed to open a watch")]
     pub fn open(
         &mut self,
         id: RequestId,
         filter: Filter,
         as_table: bool,
         bookmarks: bool,
-        from: Option<u64>,
+        seen_version: Option<u64>,
         cache: &WatchCache,
-        (now, ends_at, wall): (Micros, Micros, Micros),
+        (now, ends_at, wall_time): (Micros, Micros, Micros),
     ) -> Option<Vec<WatchOutput>> {
         let mut outputs = Vec::new();
         let mut watch = Watch {
             filter,
             as_table,
             bookmarks,
-            after: from.unwrap_or(0),
+            seen_version: seen_version.unwrap_or(0),
             ends_at,
             next_bookmark: now + BOOKMARK_INTERVAL,
             columns_sent: false,
         };
-        match from {
+        match seen_version {
             Some(version) => {
                 for change in cache.changes_since(version)? {
                     let encoded = BTreeMap::new();
                     let mut encoder = EventEncoder {
                         change,
-                        wall,
+                        wall_time,
                         encoded,
                     };
                     let bytes = encoder.encode(&mut watch);
@@ -176,7 +179,7 @@
                 let namespace = watch.filter.namespace.clone();
                 for object in cache.objects(watch.filter.kind, namespace.as_deref(), None) {
                     if watch.filter.matches(object) {
-                        let body = render(object, as_table, watch.columns_sent, wall);
+                        let body = render(object, as_table, watch.columns_sent, wall_time);
                         watch.columns_sent = true;
                         outputs.push(WatchOutput::Chunk(id, event_line("ADDED", body)));
                     }
@@ -191,12 +194,13 @@
         self.open.remove(&id);
     }
 
-    /// Sends a change to all watches whose filter matches the object.
-    pub fn broadcast(&mut self, change: &ObjectChange, wall: Micros) -> Vec<WatchOutput> {
+    /// Returns the events of a change for all watches whose filter matches the object before
+    /// or after it.
+    pub fn events_for(&mut self, change: &ObjectChange, wall_time: Micros) -> Vec<WatchOutput> {
         let encoded = BTreeMap::new();
         let mut encoder = EventEncoder {
             change,
-            wall,
+            wall_time,
             encoded,
         };
         let mut outputs = Vec::new();
@@ -216,7 +220,7 @@
                 outputs.push(WatchOutput::End(*id));
                 return false;
             }
-            if watch.bookmarks && revision >= watch.after && now >= watch.next_bookmark {
+            if watch.bookmarks && revision >= watch.seen_version && now >= watch.next_bookmark {
                 watch.next_bookmark = now + BOOKMARK_INTERVAL;
                 let kind = watch.filter.kind;
                 let bytes = bookmark.get_or_insert_with(|| {
--- a/crates/kube/tests/golden_records.rs
+++ b/crates/kube/tests/golden_records.rs
@@ -44,9 +44,9 @@
     assert_eq!(name().to_string(), "jobs/books/merge-1");
     assert_eq!(name().key(), "k/o/jobs/books/merge-1");
     assert_eq!(name().tombstone_key(), "k/d/jobs/books/merge-1");
-    assert_eq!(Name::parse("k/o/jobs/books/merge-1"), Some(name()));
-    assert_eq!(Name::parse("k/o/pods/books/merge-1"), None);
-    assert_eq!(Name::parse("k/d/jobs/books/merge-1"), None);
+    assert_eq!(Name::from_store_key("k/o/jobs/books/merge-1"), Some(name()));
+    assert_eq!(Name::from_store_key("k/o/pods/books/merge-1"), None);
+    assert_eq!(Name::from_store_key("k/d/jobs/books/merge-1"), None);
 }
 
 #[test]
@@ -201,7 +201,7 @@
         key.job("books", "merge", uid),
         "req-00469982358830472419521543838395"
     );
-    let kept = "60a44900b6a40505937d4c502b3cff2eff4dc69f2cfc2e9a4c3fb9376f2d6636";
-    assert_eq!(key.token("secret"), kept);
-    assert!(key.is_token("secret", &decode_hex(kept).expect("hex")));
+    let stored_mac = "60a44900b6a40505937d4c502b3cff2eff4dc69f2cfc2e9a4c3fb9376f2d6636";
+    assert_eq!(key.token("secret"), stored_mac);
+    assert!(key.verify_token("secret", &decode_hex(stored_mac).expect("hex")));
 }
--- a/crates/kube/tests/golden_settings.rs
+++ b/crates/kube/tests/golden_settings.rs
@@ -1,7 +1,7 @@
 //! The table `[kube]` of the operators' settings stays readable: every key keeps its name,
 //! and optional keys keep their defaults.
 
-use dillcleat_kube::settings::{Settings, SettingsError, Tls, Token, Verb};
+use dillcleat_kube::settings::{Settings, SettingsError, Tls, TokenGrant, Verb};
 
 const FULL: &str = r#"
 listen = "10.0.0.1:6443"
@@ -39,11 +39,11 @@
         }),
         key_file: "deploy/kube.key".into(),
         class: Some("merge".into()),
-        repeats: vec!["match".into()],
+        name_reuse_classes: vec!["match".into()],
         accelerator: "example.com/gpu".into(),
         max_objects: 400,
         max_watches: 30,
-        tokens: vec![Token {
+        tokens: vec![TokenGrant {
             name: "merge-scripts".into(),
             mac: "0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b".into(),
             namespaces: vec!["books".into()],
@@ -64,7 +64,7 @@
         tls: None,
         key_file: "deploy/kube.key".into(),
         class: None,
-        repeats: Vec::new(),
+        name_reuse_classes: Vec::new(),
         accelerator: "nvidia.com/gpu".into(),
         max_objects: 5_000,
         max_watches: 500,
--- a/crates/kube/tests/lost_answers.rs
+++ b/crates/kube/tests/lost_answers.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// Requests to create an object, and returns the transaction that the controller sends.
+/// Sends a create request and returns the transaction that the controller sends.
 fn request_create(controller: &mut TestController) -> (CallId, Transaction) {
     let requests = json!({"cpu": "1", "memory": "1G"});
     let container = json!({"name": "main", "image": "i", "resources": {"requests": requests}});
@@ -220,7 +220,7 @@
 /// Guards against running a job twice: the first attempt may have created the object that
 /// was deleted before the retry.
 #[test]
-fn a_retried_create_is_refused_if_the_object_was_deleted_since_the_request() {
+fn a_retried_create_is_rejected_only_if_the_object_was_deleted_after_the_request() {
     assert_eq!(create_over_tombstone(true, 8), (vec![409], 2));
     // The object was deleted before the request was received: the name may be used again.
     assert_eq!(create_over_tombstone(true, 4), (vec![], 3));
