--- a/crates/dillcleat/src/connections.rs
+++ b/crates/dillcleat/src/connections.rs
@@ -2,9 +2,10 @@
 //!
 //! Workers and users keep their connections open between requests. Below the high-water
 //! mark no connection is closed. Above it responses have `Connection: close`, and at the
-//! limit a new connection replaces the least recently used idle one. Both apply to users
-//! only if users have more than their share of the connections, so a large number of
-//! workers does not lock users out.
+//! limit a new connection replaces the least recently used idle one. Responses to users have
+//! the header only if users exceed their share of the connections. Idle connections of
+//! workers are evicted first, or those of users if users exceed their share. So many workers
+//! cannot use up the connections for users.
 
 use crate::http::{Connection, Request, RequestError};
 use futures_lite::future::{or, poll_fn, yield_now};
@@ -14,7 +15,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// The high-water mark is below the limit by `1 / RESERVE_DIVISOR` of the limit.
+/// `1 / RESERVE_DIVISOR` of the limit lies above the high-water mark.
 const RESERVE_DIVISOR: usize = 8;
 /// The users' share is `1 / USER_SHARE_DIVISOR` of the high-water mark.
 const USER_SHARE_DIVISOR: usize = 4;
@@ -25,6 +26,7 @@
     /// The client has not sent a request yet.
     Unknown,
     Worker,
+    /// A user of the native API, or a Kubernetes client.
     User,
 }
 
@@ -98,15 +100,15 @@
 
     /// Admits a new connection. At the limit an idle connection is evicted for it; returns
     /// None if no connection is idle.
-    pub async fn admit(self: &Rc<Self>) -> Option<Admitted> {
+    pub async fn admit(self: &Rc<Self>) -> Option<ClientConnection> {
         while self.open.get() >= self.limit {
             self.evict_idle()?;
-            // The task of the evicted connection runs: it closes the connection, or serves a
-            // request that has arrived in the meantime.
+            // Lets the task of the evicted connection run, which closes the connection or
+            // serves a request that has arrived in the meantime.
             yield_now().await;
         }
         self.open.set(self.open.get() + 1);
-        Some(Admitted {
+        Some(ClientConnection {
             connections: self.clone(),
             entry: Rc::new(Entry {
                 client_kind: Cell::new(ClientKind::Unknown),
@@ -150,29 +152,29 @@
 }
 
 /// An open connection, which is counted until this is dropped.
-pub struct Admitted {
+pub struct ClientConnection {
     connections: Rc<ClientConnections>,
     entry: Rc<Entry>,
 }
 
-impl Admitted {
+impl ClientConnection {
     /// Reads the next request. Until its first bytes arrive the connection is idle and may
     /// be evicted, which returns [`RequestError::Closed`].
     pub async fn next_request<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connection: &mut Connection<S>,
     ) -> Result<Request, RequestError> {
-        let request_start = connection.request_start();
+        let request_start = connection.wait_for_request();
         match self.entry.client_kind.get() {
             ClientKind::Unknown => request_start.await?,
-            client_kind => self.idle_until(client_kind, request_start).await?,
+            client_kind => self.wait_while_idle(client_kind, request_start).await?,
         }
-        connection.request().await
+        connection.next_request().await
     }
 
     /// Waits as an idle connection for a request or for eviction. A request that has
     /// arrived takes precedence over an eviction.
-    async fn idle_until(
+    async fn wait_while_idle(
         &self,
         client_kind: ClientKind,
         request_start: impl Future<Output = Result<(), RequestError>>,
@@ -216,7 +218,7 @@
     }
 }
 
-impl Drop for Admitted {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         self.set_client_kind(ClientKind::Unknown);
         let open = &self.connections.open;
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -21,7 +21,7 @@
 /// How long a client may take to send a request or to receive a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a client's connection may be idle between two requests.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
 /// How long a pool keeps an idle connection.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -30,7 +30,7 @@
     pub method: String,
     pub target: String,
     pub body: Vec<u8>,
-    /// Whether the client closes the connection after the response.
+    /// Whether the client asked to close the connection after the response.
     pub close: bool,
     /// The values of the connection's `header_names`, in the same order.
     pub headers: Vec<Option<String>>,
@@ -53,18 +53,18 @@
 /// for each request.
 #[derive(Default)]
 pub struct Watchdog {
-    guarded: RefCell<Vec<Weak<Guard>>>,
+    guarded: RefCell<Vec<Weak<ConnectionDeadline>>>,
 }
 
-/// The deadline of a connection.
-struct Guard {
+/// The deadline of a connection, after which the watchdog closes it.
+struct ConnectionDeadline {
     stream: TcpStream,
     deadline: Cell<Instant>,
 }
 
 impl Watchdog {
-    fn guard(&self, stream: &TcpStream) -> Rc<Guard> {
-        let guard = Rc::new(Guard {
+    fn guard(&self, stream: &TcpStream) -> Rc<ConnectionDeadline> {
+        let guard = Rc::new(ConnectionDeadline {
             stream: stream.clone(),
             deadline: Cell::new(Instant::now() + IDLE_TIMEOUT),
         });
@@ -90,33 +90,33 @@
 }
 
 struct Head {
-    len: usize,
-    body: usize,
+    head_len: usize,
+    body_len: usize,
     close: bool,
 }
 
 /// The length of the body, and whether the connection is closed after it.
 fn body_headers(headers: &[httparse::Header]) -> Option<(usize, bool)> {
-    let mut body = 0;
+    let mut body_len = 0;
     let mut close = false;
     for h in headers {
         let value = std::str::from_utf8(h.value).ok()?.trim();
         if h.name.eq_ignore_ascii_case("content-length") {
-            body = value.parse().ok()?;
+            body_len = value.parse().ok()?;
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            // No client of these protocols sends chunked bodies.
+            // The protocols have no chunked bodies.
             return None;
         } else if h.name.eq_ignore_ascii_case("connection") {
             close = value.eq_ignore_ascii_case("close");
         }
     }
-    Some((body, close))
+    Some((body_len, close))
 }
 
 /// A connection of a client, on the server's side.
 pub struct Connection<S = TcpStream> {
     stream: S,
-    guard: Rc<Guard>,
+    guard: Rc<ConnectionDeadline>,
     buffer: Vec<u8>,
     /// The headers whose values each request returns.
     header_names: &'static [&'static str],
@@ -133,12 +133,14 @@
     }
 }
 
-/// Closes a TCP connection at its deadline, for [`Connection::from_stream`].
-pub struct ConnectionGuard(Rc<Guard>);
+/// Keeps a TCP connection under the supervision of the watchdog, for
+/// [`Connection::from_stream`].
+pub struct ConnectionGuard(Rc<ConnectionDeadline>);
 
 impl Watchdog {
-    /// Guards a connection that starts with a TLS handshake instead of a request.
-    pub fn guard_handshake(&self, tcp: &TcpStream) -> ConnectionGuard {
+    /// Guards a new connection, with `REQUEST_TIMEOUT` until the first request or TLS
+    /// handshake.
+    pub fn guard_new_connection(&self, tcp: &TcpStream) -> ConnectionGuard {
         let guard = self.guard(tcp);
         guard.deadline.set(Instant::now() + REQUEST_TIMEOUT);
         ConnectionGuard(guard)
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Writes a response or a part of one. `idle_timeout` is the time until the next send or
-    /// request.
+    /// Writes a response or a part of one. `idle_timeout` is the maximum time until the
+    /// next send or request.
     pub async fn send(&mut self, bytes: &[u8], idle_timeout: Duration) -> std::io::Result<()> {
         self.set_timeout(REQUEST_TIMEOUT);
         self.stream.write_all(bytes).await?;
@@ -186,7 +188,7 @@
     }
 
     /// Waits for the first bytes of the next request.
-    pub async fn request_start(&mut self) -> Result<(), RequestError> {
+    pub async fn wait_for_request(&mut self) -> Result<(), RequestError> {
         if self.buffer.is_empty() {
             self.set_timeout(IDLE_TIMEOUT);
             self.fill().await.map_err(|_| RequestError::Closed)?;
@@ -195,23 +197,28 @@
     }
 
     /// Reads the next request.
-    pub async fn request(&mut self) -> Result<Request, RequestError> {
-        self.request_start().await?;
+    pub async fn next_request(&mut self) -> Result<Request, RequestError> {
+        self.wait_for_request().await?;
         self.set_timeout(REQUEST_TIMEOUT);
-        let request = self.read_request().await;
+        let request = self.parse_request().await;
         // The time to process the request does not count against the client.
         self.set_timeout(IDLE_TIMEOUT);
         request
     }
 
-    async fn read_request(&mut self) -> Result<Request, RequestError> {
+    async fn parse_request(&mut self) -> Result<Request, RequestError> {
         let (head, method, target, headers) = loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut r = httparse::Request::new(&mut headers);
             match r.parse(&self.buffer) {
-                Ok(httparse::Status::Complete(len)) => {
-                    let (body, close) = body_headers(r.headers).ok_or(RequestError::Malformed)?;
-                    let head = Head { len, body, close };
+                Ok(httparse::Status::Complete(head_len)) => {
+                    let (body_len, close) =
+                        body_headers(r.headers).ok_or(RequestError::Malformed)?;
+                    let head = Head {
+                        head_len,
+                        body_len,
+                        close,
+                    };
                     let method = r.method.unwrap_or_default().to_string();
                     let values = self.header_names.iter().map(|name| {
                         let mut all = r.headers.iter();
@@ -226,17 +233,17 @@
             }
             self.fill().await.map_err(|_| RequestError::Closed)?;
         };
-        if head.len > MAX_HEAD_BYTES {
+        if head.head_len > MAX_HEAD_BYTES {
             return Err(RequestError::Malformed);
         }
-        if head.body > MAX_BODY_BYTES {
+        if head.body_len > MAX_BODY_BYTES {
             return Err(RequestError::TooLarge);
         }
-        while self.buffer.len() < head.len + head.body {
+        while self.buffer.len() < head.head_len + head.body_len {
             self.fill().await.map_err(|_| RequestError::Closed)?;
         }
-        let rest = self.buffer.split_off(head.len + head.body);
-        let body = self.buffer.split_off(head.len);
+        let rest = self.buffer.split_off(head.head_len + head.body_len);
+        let body = self.buffer.split_off(head.head_len);
         self.buffer = rest;
         Ok(Request {
             method,
@@ -247,7 +254,7 @@
         })
     }
 
-    pub async fn answer(&mut self, answer: &Answer, close: bool) -> std::io::Result<()> {
+    pub async fn send_answer(&mut self, answer: &Answer, close: bool) -> std::io::Result<()> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
             answer.status,
@@ -296,9 +303,9 @@
 /// The time limits of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeLimits {
-    /// The time after which the call fails.
+    /// The maximum duration of the call.
     pub timeout: Duration,
-    /// The time after which the request is no longer sent.
+    /// The instant after which the request must not be sent.
     pub send_by: Option<Instant>,
 }
 
@@ -423,7 +430,7 @@
                 }
             };
             // After a network partition the connection may be established late. By then the
-            // controller may no longer be entitled to send the request.
+            // controller may no longer be the leader.
             if limits.send_by.is_some_and(|by| Instant::now() >= by) {
                 return Err(CallError::NotSent);
             }
@@ -442,10 +449,10 @@
                 .await
                 .ok_or(CallError::NoAnswer)?;
             if reusable {
-                let has_room = self.idle_count() < self.idle_limit();
+                let below_limit = self.idle_count() < self.idle_limit();
                 let mut idle = self.idle.borrow_mut();
                 let streams = idle.entry(addr.to_string()).or_default();
-                if streams.len() < self.max_idle_per_address && has_room {
+                if streams.len() < self.max_idle_per_address && below_limit {
                     streams.push((stream, Instant::now()));
                 }
             }
@@ -474,9 +481,14 @@
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut r = httparse::Response::new(&mut headers);
         match r.parse(&buffer) {
-            Ok(httparse::Status::Complete(len)) => {
-                let (body, close) = body_headers(r.headers)?;
-                break (Head { len, body, close }, r.code?);
+            Ok(httparse::Status::Complete(head_len)) => {
+                let (body_len, close) = body_headers(r.headers)?;
+                let head = Head {
+                    head_len,
+                    body_len,
+                    close,
+                };
+                break (head, r.code?);
             }
             Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => {}
             _ => return None,
@@ -486,18 +498,18 @@
             _ => return None,
         }
     };
-    if head.body > MAX_RESPONSE_BYTES {
+    if head.body_len > MAX_RESPONSE_BYTES {
         return None;
     }
-    while buffer.len() < head.len + head.body {
+    while buffer.len() < head.head_len + head.body_len {
         match stream.read(&mut chunk).await {
             Ok(n) if n > 0 => buffer.extend_from_slice(&chunk[..n]),
             _ => return None,
         }
     }
-    let no_extra_bytes = buffer.len() == head.len + head.body;
-    let mut body = buffer.split_off(head.len);
-    body.truncate(head.body);
+    let no_extra_bytes = buffer.len() == head.head_len + head.body_len;
+    let mut body = buffer.split_off(head.head_len);
+    body.truncate(head.body_len);
     Some((status, body, no_extra_bytes && !head.close))
 }
 
--- a/crates/dillcleat/src/http/tests.rs
+++ b/crates/dillcleat/src/http/tests.rs
@@ -58,7 +58,7 @@
         let (first, mut kept) = smol::future::zip(call(0), serve(0)).await;
         assert!(first.is_ok());
         assert_eq!(pool.idle_count(), 1);
-        // One call in flight beside the idle connection is within the limit, two are not.
+        // With one call in flight the idle connection is kept; a second call evicts it.
         let outer = async {
             let (inner, _stream) = smol::future::zip(call(2), serve(2)).await;
             assert!(inner.is_ok());
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -2,11 +2,11 @@
 
 mod tls;
 
-use crate::connections::{Admitted, ClientKind};
+use crate::connections::{ClientConnection, ClientKind};
 use crate::error::CliError;
-use crate::http::{Connection, RequestError, reason};
-use crate::server::{ConnectionCount, Executor, ServerState, bind};
-use dillcleat_controller::{Input, RequestId};
+use crate::http::{Connection, IDLE_TIMEOUT, RequestError, reason};
+use crate::server::{ConnectionCount, Executor, ServerInput, ServerState, bind};
+use dillcleat_controller::RequestId;
 use dillcleat_kube::status_error::StatusError;
 use dillcleat_kube::{ApiRequest, ApiResponse, ControllerOutput, Settings};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -19,23 +19,12 @@
 /// The capacity of the queue of outputs for one connection. A client that exceeds it is
 /// disconnected; it can resume its watch at the last resource version.
 const MAX_QUEUED_OUTPUTS: usize = 256;
-/// How long the connection of a client may be idle between two requests.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
-/// How long a watch may be silent. A watch without bookmarks may have no events until it
-/// ends, so this is longer than the maximum duration of a watch.
+/// Idle timeout of a connection with an open watch. A watch without bookmarks may have no
+/// events until it ends, so this is longer than the maximum duration of a watch.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(2_000);
+/// In the order in which `serve_client` takes the values.
 const HEADER_NAMES: &[&str] = &["authorization", "accept", "content-type"];
 
-/// An input of the controller or of its API server.
-pub enum ServerInput {
-    /// An input of the controller.
-    Controller(Input),
-    /// A request of a Kubernetes client.
-    ApiRequest(RequestId, ApiRequest),
-    /// The client of a watch has disconnected.
-    ClientDisconnected(RequestId),
-}
-
 /// An output of the API server to the connection of a client.
 pub enum ClientOutput {
     /// A complete response.
@@ -45,9 +34,10 @@
     WatchEnded,
 }
 
-/// Forwards an output to the task of its connection. Returns the request if its client
-/// reads too slowly, so that the watch must be closed.
-pub fn forward(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
+/// Forwards an output to the task of its connection. Returns the request if its output could
+/// not be queued, because the client reads too slowly or has disconnected; its watch must be
+/// closed.
+pub fn forward(state: &ServerState, out: ControllerOutput) -> Option<RequestId> {
     let (id, output) = match out {
         ControllerOutput::Response { id, response } => (id, ClientOutput::Response(response)),
         ControllerOutput::WatchStarted { id } => (id, ClientOutput::WatchStarted),
@@ -55,7 +45,7 @@
         ControllerOutput::WatchEnded { id } => (id, ClientOutput::WatchEnded),
         ControllerOutput::Node(_) => return None,
     };
-    let mut outputs = shared.client_outputs.borrow_mut();
+    let mut outputs = state.client_outputs.borrow_mut();
     let last = matches!(output, ClientOutput::Response(_) | ClientOutput::WatchEnded);
     let sent = outputs.get(&id)?.try_send(output).is_ok();
     if last || !sent {
@@ -67,7 +57,7 @@
 /// Opens the listener and starts to accept connections.
 pub async fn open(
     executor: &Executor,
-    shared: &Rc<ServerState>,
+    state: &Rc<ServerState>,
     settings: &Settings,
 ) -> Result<(), CliError> {
     let listener = bind(&settings.listen.to_string()).await?;
@@ -82,37 +72,37 @@
     }
     log::info!("serving Kubernetes clients address={}", settings.listen);
     executor
-        .spawn(accept(executor.clone(), shared.clone(), listener, tls))
+        .spawn(accept(executor.clone(), state.clone(), listener, tls))
         .detach();
     Ok(())
 }
 
 /// Whether another Kubernetes client may connect. Half of the clients' connections are
 /// reserved for users and workers.
-fn accepts_more_clients(shared: &ServerState) -> bool {
-    (shared.kube_clients.get() as usize) < shared.clients.limit() / 2
+fn accepts_more_clients(state: &ServerState) -> bool {
+    (state.kube_clients.get() as usize) < state.client_connections.limit() / 2
 }
 
 async fn accept(
     executor: Executor,
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     listener: TcpListener,
     tls: Option<Rc<Tls>>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if accepts_more_clients(&shared) => {
-                match shared.clients.admit().await {
+            Ok((stream, _)) if accepts_more_clients(&state) => {
+                match state.client_connections.admit().await {
                     Some(admitted) => {
-                        let (shared, tls) = (shared.clone(), tls.clone());
-                        executor
-                            .spawn(serve(shared, stream, admitted, tls))
-                            .detach();
+                        let (state, tls) = (state.clone(), tls.clone());
+                        executor.spawn(serve(state, stream, admitted, tls)).detach();
                     }
-                    None => log::debug!("Kubernetes connection refused: too many connections"),
+                    None => log::debug!("Kubernetes connection closed: connection limit reached"),
                 }
             }
-            Ok(_) => log::debug!("Kubernetes connection refused: too many connections"),
+            Ok(_) => {
+                log::debug!("Kubernetes connection closed: limit of Kubernetes clients reached")
+            }
             Err(e) => {
                 log::error!("cannot accept a Kubernetes connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
@@ -122,47 +112,47 @@
 }
 
 async fn serve(
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     stream: TcpStream,
-    admitted: Admitted,
+    admitted: ClientConnection,
     tls: Option<Rc<Tls>>,
 ) {
-    let _counted = ConnectionCount::new(&shared, |s| &s.kube_clients);
+    let _counted = ConnectionCount::new(&state, |s| &s.kube_clients);
     let _ = stream.set_nodelay(true);
-    let guard = shared.watchdog.guard_handshake(&stream);
+    let guard = state.watchdog.guard_new_connection(&stream);
     match tls {
         None => {
             let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
-            serve_client(&shared, &admitted, connection).await;
+            serve_client(&state, &admitted, connection).await;
         }
         Some(tls) => match tls.accept(stream).await {
             Ok(stream) => {
                 let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
-                serve_client(&shared, &admitted, connection).await;
+                serve_client(&state, &admitted, connection).await;
             }
             Err(e) => log::debug!("TLS handshake failed error={e}"),
         },
     }
 }
 
-fn response_head(status: u16, more: &str, close: bool) -> String {
+fn response_head(status: u16, extra_headers: &str, close: bool) -> String {
     let close = if close { "Connection: close\r\n" } else { "" };
     format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{more}{close}\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{extra_headers}{close}\r\n",
         reason(status)
     )
 }
 
-fn response_bytes(reply: &ApiResponse, close: bool) -> Vec<u8> {
-    let mut more = format!("Content-Length: {}\r\n", reply.body.len());
-    if let Some(s) = reply.retry_after {
-        more += &format!("Retry-After: {s}\r\n");
+fn response_bytes(response: &ApiResponse, close: bool) -> Vec<u8> {
+    let mut extra_headers = format!("Content-Length: {}\r\n", response.body.len());
+    if let Some(s) = response.retry_after {
+        extra_headers += &format!("Retry-After: {s}\r\n");
     }
-    if reply.status == 401 {
-        more += "WWW-Authenticate: Bearer\r\n";
+    if response.status == 401 {
+        extra_headers += "WWW-Authenticate: Bearer\r\n";
     }
-    let mut bytes = response_head(reply.status, &more, close).into_bytes();
-    bytes.extend_from_slice(&reply.body);
+    let mut bytes = response_head(response.status, &extra_headers, close).into_bytes();
+    bytes.extend_from_slice(&response.body);
     bytes
 }
 
@@ -175,8 +165,8 @@
 }
 
 async fn serve_client<S: AsyncRead + AsyncWrite + Unpin>(
-    shared: &ServerState,
-    admitted: &Admitted,
+    state: &ServerState,
+    admitted: &ClientConnection,
     mut connection: Connection<S>,
 ) {
     loop {
@@ -186,7 +176,7 @@
             Err(error) => {
                 let error = match error {
                     RequestError::TooLarge => {
-                        StatusError::BodyTooLarge(dillcleat_kube::api_server::MAX_BODY_BYTES)
+                        StatusError::BodyTooLarge(dillcleat_wire::MAX_BODY_BYTES)
                     }
                     _ => StatusError::BadRequest("malformed request".into()),
                 };
@@ -197,10 +187,10 @@
             }
         };
         admitted.set_client_kind(ClientKind::User);
-        let id = RequestId(shared.next_request.get());
-        shared.next_request.set(id.0 + 1);
+        let id = RequestId(state.next_request.get());
+        state.next_request.set(id.0 + 1);
         let (tx, outputs) = smol::channel::bounded(MAX_QUEUED_OUTPUTS);
-        shared.client_outputs.borrow_mut().insert(id, tx);
+        state.client_outputs.borrow_mut().insert(id, tx);
         let mut headers = request.headers.into_iter();
         let authorization = headers.next().flatten();
         let api_request = ApiRequest {
@@ -211,7 +201,7 @@
             content_type: headers.next().flatten(),
             body: request.body,
         };
-        if shared
+        if state
             .api_requests
             .send(ServerInput::ApiRequest(id, api_request))
             .await
@@ -221,19 +211,16 @@
         }
         let mut close = request.close;
         let sent = match outputs.recv().await {
-            Ok(ClientOutput::Response(reply)) => {
+            Ok(ClientOutput::Response(response)) => {
                 close |= admitted.closes_after_response();
                 connection
-                    .send(&response_bytes(&reply, close), IDLE_TIMEOUT)
+                    .send(&response_bytes(&response, close), IDLE_TIMEOUT)
                     .await
             }
             Ok(ClientOutput::WatchStarted) => {
                 let sent = send_watch(&mut connection, &outputs).await;
-                shared.client_outputs.borrow_mut().remove(&id);
-                let _ = shared
-                    .api_requests
-                    .send(ServerInput::ClientDisconnected(id))
-                    .await;
+                state.client_outputs.borrow_mut().remove(&id);
+                let _ = state.api_requests.send(ServerInput::WatchClosed(id)).await;
                 sent
             }
             _ => return,
--- a/crates/dillcleat/src/kube_server/tls.rs
+++ b/crates/dillcleat/src/kube_server/tls.rs
@@ -34,7 +34,7 @@
 
 /// Loads the files. Errors contain a file's name and the cause, never its content.
 fn load_acceptor(files: &settings::Tls) -> Result<TlsAcceptor, CliError> {
-    let file_error = |path: &Path, e: String| CliError::Settings(path.display().to_string(), e);
+    let file_error = |path: &Path, e: String| CliError::File(path.display().to_string(), e);
     let certs = CertificateDer::pem_file_iter(&files.cert)
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
         .map_err(|e| file_error(&files.cert, format!("no certificate: {e}")))?;
--- a/crates/dillcleat/src/peer_connections.rs
+++ b/crates/dillcleat/src/peer_connections.rs
@@ -15,9 +15,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a connection is used before it is replaced. The peer never responds on it, so
-/// the sender does not notice a connection that the peer has lost.
+/// the sender does not notice a connection that is broken at the peer's end.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(5);
-/// How long a connection may be silent before it is closed. Peers send a heartbeat twice a
+/// Idle timeout of an accepted connection. Peers send a heartbeat twice a
 /// second.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
@@ -75,12 +75,12 @@
 
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
-    #[error("closed or silent")]
+    #[error("connection closed or idle timeout exceeded")]
     Closed,
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error("the first frame is not a hello of a known peer")]
-    NoHello,
+    MissingHello,
 }
 
 /// Reads messages from one accepted connection until it closes or violates the protocol.
@@ -113,7 +113,7 @@
         .ok_or(ReceiveError::Closed)?;
         match (Message::decode(&frame)?, &from) {
             (Message::Hello { member }, None) if peers.contains(&member) => from = Some(member),
-            (_, None) => return Err(ReceiveError::NoHello),
+            (_, None) => return Err(ReceiveError::MissingHello),
             (message, Some(from)) => {
                 let input = Input::Peer {
                     from: from.clone(),
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -1,14 +1,15 @@
 //! The controller process: runs a [`Controller`] with sockets and timers on one thread.
 
-use crate::connections::{Admitted, ClientConnections, ClientKind};
+use crate::connections::{ClientConnection, ClientConnections, ClientKind};
 use crate::error::CliError;
 use crate::http::{Connection, ConnectionPool, RequestError, TimeLimits, Watchdog};
-use crate::kube_server::{self, ClientOutput, ServerInput};
+use crate::kube_server::{self, ClientOutput};
 use crate::peer_connections;
 use dillcleat_controller::{
-    Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, Timestamp, seconds,
+    Answer, CallError, CallId, Config, Input, Micros, Node, Output, RequestId, SECOND, Timestamp,
+    seconds,
 };
-use dillcleat_kube::{ApiServerConfig, Controller, ControllerOutput};
+use dillcleat_kube::{ApiRequest, ApiServerConfig, Controller, ControllerOutput};
 use dillcleat_peer_protocol::Message;
 use dillcleat_wire::HttpRequest;
 use dillcleat_wire::cloud::CloudRequest;
@@ -26,6 +27,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of ticks between two checks of the deadlines of connections: one second.
+const TICKS_PER_WATCHDOG_SWEEP: u32 = 20;
+/// The number of ticks between two checks for expired idle connections: five seconds.
+const TICKS_PER_POOL_SWEEP: u32 = 100;
+/// Added to the monotonic time, because the controller treats a time of zero as "never".
+const MONOTONIC_OFFSET: Micros = 1_000 * SECOND;
 /// The capacity of each queue of inputs for the controller.
 const MAX_QUEUED_INPUTS: usize = 4096;
 /// The number of inputs that are handled before other tasks run, such as those that write
@@ -41,16 +48,16 @@
     /// Heartbeats have their own queue, so that requests of users and responses of the store
     /// do not wait behind a burst of them.
     heartbeats: Sender<Input>,
-    /// Where the answer to each request goes.
+    /// The channel to the task that awaits the answer to each request.
     answers: RefCell<HashMap<RequestId, Sender<Answer>>>,
     pub next_request: Cell<u64>,
     /// Connections of users, workers and Kubernetes clients.
-    pub clients: Rc<ClientConnections>,
+    pub client_connections: Rc<ClientConnections>,
     /// The number of connections of Kubernetes clients.
     pub kube_clients: Cell<u32>,
     /// Requests of Kubernetes clients.
     pub api_requests: Sender<ServerInput>,
-    /// Where the outputs for each request of a Kubernetes client go.
+    /// The channel to the task that sends the outputs for each request of a Kubernetes client.
     pub client_outputs: RefCell<HashMap<RequestId, Sender<ClientOutput>>>,
     open_peer_connections: Cell<u32>,
     pub watchdog: Watchdog,
@@ -61,12 +68,22 @@
     cloud_addr: String,
 }
 
+/// An input of the controller process.
+pub(crate) enum ServerInput {
+    /// An input of the controller.
+    Controller(Input),
+    /// A request of a Kubernetes client.
+    ApiRequest(RequestId, ApiRequest),
+    /// The connection no longer sends the events of a watch.
+    WatchClosed(RequestId),
+}
+
 pub(crate) type Executor = Rc<LocalExecutor<'static>>;
 
 /// Runs the controller until the process is terminated.
 ///
 /// # Errors
-/// When a listener cannot be opened.
+/// If a listener cannot be opened or the TLS certificate cannot be loaded.
 pub fn run(
     platform: &PlatformSettings,
     config: Config,
@@ -80,8 +97,8 @@
     )
 }
 
-/// A warning if `cancel_s` is too short beside the lease for cancelled tasks to end in time
-/// while the store is unavailable.
+/// A warning if cancelled tasks may run longer than `cancel_s` while the store is
+/// unavailable, because `cancel_s` is too short for the worker lease.
 pub fn cancel_shortfall_warning(config: &Config) -> Option<String> {
     let shortfall_s = seconds(config.cancel_shortfall()?);
     Some(format!(
@@ -102,8 +119,8 @@
     config: Config,
     api_server: Option<ApiServerConfig>,
 ) -> Result<(), CliError> {
-    let clients = bind(&platform.client_listen).await?;
-    let peers = bind(&platform.peer_listen).await?;
+    let client_listener = bind(&platform.client_listen).await?;
+    let peer_listener = bind(&platform.peer_listen).await?;
     let (inputs, input_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
     let (heartbeats, heartbeat_queue) = smol::channel::bounded(MAX_QUEUED_INPUTS);
     // The queue allocates its capacity at once; without an API server it stays empty.
@@ -114,14 +131,14 @@
     };
     let (api_requests, api_request_queue) = smol::channel::bounded(request_capacity);
     let max = platform.cluster.quota.max_connections;
-    let shared = Rc::new(ServerState {
+    let state = Rc::new(ServerState {
         inputs,
         heartbeats,
         answers: RefCell::default(),
         next_request: Cell::new(0),
         // A quarter, at least 24, is reserved for connections to the store, the cloud, workers
         // and peers.
-        clients: Rc::new(ClientConnections::new((max - (max / 4).max(24)) as usize)),
+        client_connections: Rc::new(ClientConnections::new((max - (max / 4).max(24)) as usize)),
         kube_clients: Cell::new(0),
         api_requests,
         client_outputs: RefCell::default(),
@@ -153,22 +170,26 @@
     }
     let peer_names: Rc<[String]> = config.peers.clone().into();
     executor
-        .spawn(accept_clients(executor.clone(), shared.clone(), clients))
+        .spawn(accept_clients(
+            executor.clone(),
+            state.clone(),
+            client_listener,
+        ))
         .detach();
     executor
         .spawn(accept_peers(
             executor.clone(),
-            shared.clone(),
-            peers,
+            state.clone(),
+            peer_listener,
             peer_names,
         ))
         .detach();
     if let Some(api_server) = &api_server {
-        kube_server::open(&executor, &shared, &api_server.settings).await?;
+        kube_server::open(&executor, &state, &api_server.settings).await?;
     }
-    executor.spawn(tick(shared.clone())).detach();
+    executor.spawn(tick(state.clone())).detach();
     log::info!(
-        "serving member={} address={}",
+        "listening for clients member={} address={}",
         config.member,
         platform.client_listen
     );
@@ -179,7 +200,7 @@
     let inputs = [input_queue, heartbeat_queue];
     run_controller(
         executor,
-        shared,
+        state,
         controller,
         inputs,
         api_request_queue,
@@ -189,29 +210,31 @@
     Ok(())
 }
 
-async fn tick(shared: Rc<ServerState>) {
+async fn tick(state: Rc<ServerState>) {
     let mut ticks = 0u32;
     loop {
         // If the queue is full, the next tick is delayed.
-        if shared.inputs.send(Input::Tick).await.is_err() {
+        if state.inputs.send(Input::Tick).await.is_err() {
             return;
         }
         ticks = ticks.wrapping_add(1);
-        if ticks.is_multiple_of(20) {
-            shared.watchdog.sweep();
+        if ticks.is_multiple_of(TICKS_PER_WATCHDOG_SWEEP) {
+            state.watchdog.sweep();
         }
-        if ticks.is_multiple_of(100) {
-            shared.workers.sweep();
-            shared.store.sweep();
-            shared.cloud.sweep();
+        if ticks.is_multiple_of(TICKS_PER_POOL_SWEEP) {
+            state.workers.sweep();
+            state.store.sweep();
+            state.cloud.sweep();
         }
         Timer::after(TICK_INTERVAL).await;
     }
 }
 
+/// Passes queued inputs to the controller and executes its outputs. Inputs go before
+/// heartbeats, and both before requests of Kubernetes clients.
 async fn run_controller(
     executor: Executor,
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     mut controller: Controller,
     [inputs, heartbeats]: [Receiver<Input>; 2],
     api_requests: Receiver<ServerInput>,
@@ -243,8 +266,7 @@
         }
         let decided_at = Instant::now();
         let now = Timestamp {
-            // An offset, because the controller treats a time of zero as "never".
-            monotonic: (decided_at - start).as_micros() as Micros + 1_000_000_000,
+            monotonic: (decided_at - start).as_micros() as Micros + MONOTONIC_OFFSET,
             wall: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_micros() as Micros),
@@ -252,7 +274,7 @@
         let outputs = match input {
             ServerInput::Controller(input) => controller.handle(now, input),
             ServerInput::ApiRequest(id, request) => controller.handle_request(now, id, request),
-            ServerInput::ClientDisconnected(id) => {
+            ServerInput::WatchClosed(id) => {
                 controller.close_watch(id);
                 continue;
             }
@@ -260,10 +282,10 @@
         for output in outputs {
             match output {
                 ControllerOutput::Node(output) => {
-                    execute(&executor, &shared, &peer_senders, decided_at, output)
+                    execute(&executor, &state, &peer_senders, decided_at, output)
                 }
                 other => {
-                    if let Some(slow_client) = kube_server::forward(&shared, other) {
+                    if let Some(slow_client) = kube_server::forward(&state, other) {
                         controller.close_watch(slow_client);
                     }
                 }
@@ -275,35 +297,35 @@
 /// Executes an output that the controller decided on at `decided_at`.
 fn execute(
     executor: &Executor,
-    shared: &Rc<ServerState>,
+    state: &Rc<ServerState>,
     peer_senders: &[Sender<Message>],
     decided_at: Instant,
     output: Output,
 ) {
     match output {
         Output::Answer { id, answer } => {
-            if let Some(tx) = shared.answers.borrow_mut().remove(&id) {
+            if let Some(tx) = state.answers.borrow_mut().remove(&id) {
                 // The client may have disconnected in the meantime.
                 let _ = tx.try_send(answer);
             }
         }
         Output::Store { id, call, timeout } => {
             executor
-                .spawn(store_call(shared.clone(), id, call, timeout))
+                .spawn(store_call(state.clone(), id, call, timeout))
                 .detach();
         }
         Output::Cloud {
             id,
             call,
             timeout,
-            within,
+            within: send_within,
         } => {
             let limits = TimeLimits {
                 timeout: Duration::from_micros(timeout),
-                send_by: decided_at.checked_add(Duration::from_micros(within)),
+                send_by: decided_at.checked_add(Duration::from_micros(send_within)),
             };
             executor
-                .spawn(cloud_call(shared.clone(), id, call, limits))
+                .spawn(cloud_call(state.clone(), id, call, limits))
                 .detach();
         }
         Output::Commands {
@@ -313,80 +335,93 @@
             timeout,
         } => {
             executor
-                .spawn(command_call(shared.clone(), id, addr, commands, timeout))
+                .spawn(command_call(state.clone(), id, addr, commands, timeout))
                 .detach();
         }
         Output::JobEvent(_) => {}
         Output::Peer { message } => {
             for sender in peer_senders {
-                // If the queue of a peer is full, the message is dropped: messages are hints.
+                // If the queue of a peer is full, the message is dropped: messages
+                // between controllers are best-effort.
                 let _ = sender.try_send(message.clone());
             }
         }
     }
 }
 
-async fn store_call(shared: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
+async fn store_call(state: Rc<ServerState>, id: CallId, call: StoreRequest, timeout: Micros) {
     let HttpRequest {
         method,
         target,
         body,
     } = call.to_http();
     let timeout = Duration::from_micros(timeout);
-    let reply = shared
+    let response = state
         .store
-        .call(&shared.store_addr, method, &target, &body, timeout)
+        .call(&state.store_addr, method, &target, &body, timeout)
         .await
         .and_then(|(status, body)| {
             call.parse_response(status, &body).map_err(|e| {
                 log::error!(
-                    "unreadable response of the store method={method} target={target} error={e}"
+                    "cannot decode response of the store method={method} target={target} error={e}"
                 );
                 CallError::NoAnswer
             })
         });
     log::debug!(
         "store request method={method} target={target} outcome={}",
-        outcome(&reply)
+        outcome(&response)
     );
-    let _ = shared.inputs.send(Input::Store { id, reply }).await;
+    let _ = state
+        .inputs
+        .send(Input::Store {
+            id,
+            reply: response,
+        })
+        .await;
 }
 
 /// The outcome of a request, for the log.
-fn outcome<T>(reply: &Result<T, CallError>) -> String {
-    match reply {
+fn outcome<T>(response: &Result<T, CallError>) -> String {
+    match response {
         Ok(_) => "answered".into(),
         Err(e) => e.to_string(),
     }
 }
 
-async fn cloud_call(shared: Rc<ServerState>, id: CallId, call: CloudRequest, limits: TimeLimits) {
+async fn cloud_call(state: Rc<ServerState>, id: CallId, call: CloudRequest, limits: TimeLimits) {
     let HttpRequest {
         method,
         target,
         body,
     } = call.to_http();
-    let reply = shared
+    let response = state
         .cloud
-        .call(&shared.cloud_addr, method, &target, &body, limits)
+        .call(&state.cloud_addr, method, &target, &body, limits)
         .await
         .and_then(|(status, body)| {
             call.parse_response(status, &body).map_err(|e| {
                 log::error!(
-                    "unreadable response of the cloud method={method} target={target} error={e}"
+                    "cannot decode response of the cloud method={method} target={target} error={e}"
                 );
                 CallError::NoAnswer
             })
         });
     log::debug!(
         "cloud request method={method} target={target} outcome={}",
-        outcome(&reply)
+        outcome(&response)
     );
-    let _ = shared.inputs.send(Input::Cloud { id, reply }).await;
+    let _ = state
+        .inputs
+        .send(Input::Cloud {
+            id,
+            reply: response,
+        })
+        .await;
 }
 
 async fn command_call(
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     id: CallId,
     addr: String,
     commands: CommandBatch,
@@ -394,21 +429,30 @@
 ) {
     let body = dillcleat_wire::encode(&commands);
     let timeout = Duration::from_micros(timeout);
-    let reply = shared
+    let response = state
         .workers
         .call(&addr, "POST", COMMANDS_PATH, &body, timeout)
         .await;
-    log::debug!("commands sent address={addr} outcome={}", outcome(&reply));
-    let _ = shared.inputs.send(Input::Commands { id, reply }).await;
+    log::debug!(
+        "command request address={addr} outcome={}",
+        outcome(&response)
+    );
+    let _ = state
+        .inputs
+        .send(Input::Commands {
+            id,
+            reply: response,
+        })
+        .await;
 }
 
 /// Counts a connection until this is dropped.
 pub(crate) struct ConnectionCount<F: Fn(&ServerState) -> &Cell<u32>>(Rc<ServerState>, F);
 
 impl<F: Fn(&ServerState) -> &Cell<u32>> ConnectionCount<F> {
-    pub fn new(shared: &Rc<ServerState>, counter: F) -> Self {
-        counter(shared).set(counter(shared).get() + 1);
-        ConnectionCount(shared.clone(), counter)
+    pub fn new(state: &Rc<ServerState>, counter: F) -> Self {
+        counter(state).set(counter(state).get() + 1);
+        ConnectionCount(state.clone(), counter)
     }
 }
 
@@ -419,16 +463,16 @@
     }
 }
 
-async fn accept_clients(executor: Executor, shared: Rc<ServerState>, listener: TcpListener) {
+async fn accept_clients(executor: Executor, state: Rc<ServerState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => match shared.clients.admit().await {
+            Ok((stream, _)) => match state.client_connections.admit().await {
                 Some(admitted) => executor
-                    .spawn(serve_client(shared.clone(), stream, admitted))
+                    .spawn(serve_client(state.clone(), stream, admitted))
                     .detach(),
                 // The connection is closed at once; load balancers and workers try another
                 // controller.
-                None => log::debug!("connection refused: too many connections"),
+                None => log::debug!("client connection closed: connection limit reached"),
             },
             Err(e) => {
                 log::error!("cannot accept a connection error={e}");
@@ -438,9 +482,9 @@
     }
 }
 
-async fn serve_client(shared: Rc<ServerState>, stream: TcpStream, admitted: Admitted) {
+async fn serve_client(state: Rc<ServerState>, stream: TcpStream, admitted: ClientConnection) {
     let _ = stream.set_nodelay(true);
-    let mut connection = Connection::new(stream, &shared.watchdog);
+    let mut connection = Connection::new(stream, &state.watchdog);
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(r) => r,
@@ -450,17 +494,17 @@
                     RequestError::TooLarge => Answer::refusal(413, "the body is too large"),
                     _ => Answer::refusal(400, "malformed request"),
                 };
-                let _ = connection.answer(&answer, true).await;
+                let _ = connection.send_answer(&answer, true).await;
                 return;
             }
         };
-        let id = RequestId(shared.next_request.get());
-        shared.next_request.set(id.0 + 1);
+        let id = RequestId(state.next_request.get());
+        state.next_request.set(id.0 + 1);
         let (tx, rx) = smol::channel::bounded(1);
-        shared.answers.borrow_mut().insert(id, tx);
+        state.answers.borrow_mut().insert(id, tx);
         let (client_kind, queue) = match request.target.as_str() {
-            HEARTBEAT_PATH => (ClientKind::Worker, &shared.heartbeats),
-            _ => (ClientKind::User, &shared.inputs),
+            HEARTBEAT_PATH => (ClientKind::Worker, &state.heartbeats),
+            _ => (ClientKind::User, &state.inputs),
         };
         admitted.set_client_kind(client_kind);
         let input = Input::Request {
@@ -476,7 +520,7 @@
             return;
         };
         let close = request.close || admitted.closes_after_response();
-        if connection.answer(&answer, close).await.is_err() || close {
+        if connection.send_answer(&answer, close).await.is_err() || close {
             return;
         }
     }
@@ -484,27 +528,27 @@
 
 async fn accept_peers(
     executor: Executor,
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     listener: TcpListener,
     peer_names: Rc<[String]>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if shared.open_peer_connections.get() < MAX_PEER_CONNECTIONS => {
-                let (shared, peer_names) = (shared.clone(), peer_names.clone());
+            Ok((stream, _)) if state.open_peer_connections.get() < MAX_PEER_CONNECTIONS => {
+                let (state, peer_names) = (state.clone(), peer_names.clone());
                 executor
                     .spawn(async move {
-                        let _counted = ConnectionCount::new(&shared, |s| &s.open_peer_connections);
+                        let _counted = ConnectionCount::new(&state, |s| &s.open_peer_connections);
                         peer_connections::receive_messages(
                             stream,
                             &peer_names,
-                            shared.inputs.clone(),
+                            state.inputs.clone(),
                         )
                         .await;
                     })
                     .detach();
             }
-            Ok(_) => log::error!("peer connection refused: too many connections"),
+            Ok(_) => log::error!("peer connection closed: connection limit reached"),
             Err(e) => {
                 log::error!("cannot accept a peer connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
