--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -24,7 +24,7 @@
     /// Run as a controller with the platform's settings file
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operator's own settings (TOML); also DILLCLEAT_TUNING
+    /// The operators' settings file (TOML); also DILLCLEAT_TUNING
     #[arg(long, value_name = "FILE", global = true)]
     tuning: Option<PathBuf>,
     #[command(subcommand)]
@@ -56,14 +56,14 @@
     /// Show the state of a job
     Status {
         #[command(flatten)]
-        server: Server,
+        server: ControllerArgs,
         /// The job's id, such as req-000412
         job: String,
     },
     /// Cancel a job
     Abort {
         #[command(flatten)]
-        server: Server,
+        server: ControllerArgs,
         /// The job's id, such as req-000412
         job: String,
     },
@@ -71,7 +71,7 @@
 
 /// The server that a command sends its requests to.
 #[derive(Args)]
-struct Server {
+struct ControllerArgs {
     /// Address of a controller or load balancer, IP:PORT
     #[arg(long, value_name = "ADDR")]
     server: String,
@@ -83,7 +83,7 @@
 #[derive(Parser)]
 struct Submit {
     #[command(flatten)]
-    server: Server,
+    server: ControllerArgs,
     /// The job's id, such as req-000412
     job: String,
     /// Class of the job
@@ -95,7 +95,7 @@
     /// Run replicas until the job is cancelled instead of tasks to completion
     #[arg(long)]
     service: bool,
-    /// production, high, normal or best-effort
+    /// Priority: production, high, normal or best-effort
     #[arg(long, default_value = "normal", value_parser = parse_priority)]
     priority: Priority,
     /// Number of tasks
@@ -139,11 +139,11 @@
     deadline_s: Option<f64>,
     /// A job that must be done before any task of this one starts; may be given several
     /// times
-    #[arg(long, value_name = "REF", value_parser = parse_ref)]
+    #[arg(long, value_name = "REF", value_parser = parse_job_id)]
     after: Vec<String>,
 }
 
-fn parse_ref(s: &str) -> Result<String, String> {
+fn parse_job_id(s: &str) -> Result<String, String> {
     if user::is_job_id(s) {
         Ok(s.to_string())
     } else {
@@ -163,7 +163,7 @@
 
 fn read_file(path: &Path) -> Result<String, CliError> {
     std::fs::read_to_string(path)
-        .map_err(|e| CliError::Settings(path.display().to_string(), e.to_string()))
+        .map_err(|e| CliError::File(path.display().to_string(), e.to_string()))
 }
 
 /// The settings of a controller.
@@ -176,7 +176,7 @@
 
 /// Reads the operators' settings file: the tuning, and the table `kube` of the API server.
 fn operator_settings(path: &Path) -> Result<(Tuning, Option<ApiServerConfig>), CliError> {
-    let file_error = |e: String| CliError::Settings(path.display().to_string(), e);
+    let file_error = |e: String| CliError::File(path.display().to_string(), e);
     let mut table: toml::Table =
         toml::from_str(&read_file(path)?).map_err(|e| file_error(one_line(&e.to_string())))?;
     let api_server = match table.remove("kube") {
@@ -185,7 +185,7 @@
             let settings = Settings::read(kube).map_err(|e| file_error(e.to_string()))?;
             let key = read_file(&settings.key_file)?;
             let key = SigningKey::parse(&key).map_err(|e| {
-                CliError::Settings(settings.key_file.display().to_string(), e.to_string())
+                CliError::File(settings.key_file.display().to_string(), e.to_string())
             })?;
             Some(ApiServerConfig::new(settings, key))
         }
@@ -196,7 +196,7 @@
 
 fn controller_settings(file: &Path, tuning: Option<&Path>) -> Result<ControllerSettings, CliError> {
     let platform = PlatformSettings::parse(&read_file(file)?)
-        .map_err(|e| CliError::Settings(file.display().to_string(), e.to_string()))?;
+        .map_err(|e| CliError::File(file.display().to_string(), e.to_string()))?;
     let from_env = std::env::var_os("DILLCLEAT_TUNING").map(PathBuf::from);
     let (tuning, api_server) = match tuning.map(Path::to_path_buf).or(from_env) {
         None => (Tuning::default(), None),
@@ -330,7 +330,7 @@
 
 /// Sends a request and retries it until there is a final response or the timeout has
 /// passed. Returns the body of the response.
-fn call(args: &Server, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CliError> {
+fn call(args: &ControllerArgs, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CliError> {
     let server = args.server.as_str();
     let timeout = Duration::from_secs(args.timeout);
     if server.parse::<std::net::SocketAddr>().is_err() {
@@ -351,7 +351,7 @@
                 Ok((status @ (400 | 404 | 405 | 413 | 422), body)) => {
                     let cause = dillcleat_wire::decode::<ErrorReply>(&body)
                         .map_or_else(|_| format!("status {status}"), |r| r.error);
-                    return Err(CliError::Refused(cause));
+                    return Err(CliError::Failed(cause));
                 }
                 other => {
                     let cause = match other {
@@ -373,7 +373,7 @@
 /// Prints the state of a job.
 fn print_status(body: &[u8]) -> Result<(), CliError> {
     let status: JobStatus =
-        dillcleat_wire::decode(body).map_err(|e| CliError::Refused(e.to_string()))?;
+        dillcleat_wire::decode(body).map_err(|e| CliError::Failed(e.to_string()))?;
     let state = match status.state {
         user::JobState::Queued => "pending",
         user::JobState::Running => "running",
--- a/crates/dillcleat/src/client.rs
+++ b/crates/dillcleat/src/client.rs
@@ -17,7 +17,7 @@
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 #[derive(Args, Clone)]
-pub struct Server {
+pub struct ApiServerArgs {
     /// URL of the API server: https://HOST:PORT, or http://HOST:PORT on loopback; also
     /// DILLCLEAT_SERVER
     #[arg(long, value_name = "URL")]
@@ -67,7 +67,7 @@
     }
 }
 
-impl Server {
+impl ApiServerArgs {
     pub fn client(&self) -> Result<Client, CliError> {
         let usage = |message: String| CliError::Usage(message);
         let url = self.server.clone();
@@ -96,7 +96,7 @@
         let file = file.or_else(|| std::env::var_os("DILLCLEAT_TOKEN_FILE").map(PathBuf::from));
         let file = file.ok_or_else(|| usage("give --token-file FILE".into()))?;
         let token = std::fs::read_to_string(&file)
-            .map_err(|e| CliError::Settings(file.display().to_string(), e.to_string()))?;
+            .map_err(|e| CliError::File(file.display().to_string(), e.to_string()))?;
         let connector = match tls {
             false => None,
             true => Some(self.connector()?),
@@ -115,7 +115,7 @@
         let Some(file) = &self.ca else {
             return Err(CliError::Usage("give --ca FILE for an https server".into()));
         };
-        let file_error = |e: String| CliError::Settings(file.display().to_string(), e);
+        let file_error = |e: String| CliError::File(file.display().to_string(), e);
         let mut roots = RootCertStore::empty();
         let certs = CertificateDer::pem_file_iter(file).map_err(|e| file_error(e.to_string()))?;
         for cert in certs {
@@ -238,7 +238,7 @@
 
     /// Retries a request until it gets a final response or the timeout has passed. The
     /// first failure is reported on standard error. An attempt returns an inner error if
-    /// the response asks for a retry.
+    /// the response asks for a retry, and an `InvalidData` error if it must not be retried.
     fn retry<T>(
         &self,
         mut attempt: impl AsyncFnMut() -> std::io::Result<Result<T, String>>,
@@ -255,7 +255,7 @@
                     Ok(Ok(result)) => return Ok(result),
                     Ok(Err(cause)) => cause,
                     Err(e) if e.kind() == std::io::ErrorKind::InvalidData => {
-                        return Err(CliError::Refused(format!("{}: {e}", self.url)));
+                        return Err(CliError::Failed(format!("{}: {e}", self.url)));
                     }
                     Err(e) => e.to_string(),
                 };
@@ -279,7 +279,7 @@
             let body = response.body().await?;
             let value: Value = serde_json::from_slice(&body).unwrap_or_default();
             match response.status {
-                status @ (429 | 503) => Ok(Err(format!("{status} {}", message(&value)))),
+                status @ (429 | 503) => Ok(Err(format!("{status} {}", status_message(&value)))),
                 status => Ok(Ok((status, value))),
             }
         })
@@ -300,7 +300,7 @@
                 _ => {
                     let body = response.body().await?;
                     let value: Value = serde_json::from_slice(&body).unwrap_or_default();
-                    let error = message(&value);
+                    let error = status_message(&value);
                     Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error))
                 }
             }
@@ -315,8 +315,8 @@
                         }
                     }
                 }
-                // The watch ended or the connection broke. The caller may watch again from
-                // the last version.
+                // The watch ended or the connection broke. The caller may open
+                // another watch.
                 Ok(None) | Err(_) => return Ok(false),
             }
         }
@@ -324,7 +324,7 @@
 }
 
 /// The message of a `Status` object.
-pub fn message(status: &Value) -> String {
+pub fn status_message(status: &Value) -> String {
     status["message"]
         .as_str()
         .unwrap_or("no message")
--- a/crates/dillcleat/src/main.rs
+++ b/crates/dillcleat/src/main.rs
@@ -27,7 +27,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("dillcleat: {e}");
-            ExitCode::from(e.code())
+            ExitCode::from(e.exit_code())
         }
     }
 }
--- a/crates/dillcleat/src/objects.rs
+++ b/crates/dillcleat/src/objects.rs
@@ -1,6 +1,6 @@
 //! The commands `apply`, `get`, `describe` and `delete` for Kubernetes objects.
 
-use crate::client::{Client, Request, Server, message};
+use crate::client::{ApiServerArgs, Client, Request, status_message};
 use crate::error::CliError;
 use clap::{Args, ValueEnum};
 use dillcleat_kube::yaml;
@@ -22,7 +22,7 @@
 #[derive(Args)]
 pub struct Apply {
     #[command(flatten)]
-    server: Server,
+    server: ApiServerArgs,
     /// File with YAML or JSON documents, or - for standard input
     #[arg(short, long, value_name = "FILE")]
     filename: PathBuf,
@@ -40,7 +40,7 @@
 #[derive(Args)]
 pub struct Get {
     #[command(flatten)]
-    server: Server,
+    server: ApiServerArgs,
     /// Kind of objects: jobs or namespaces
     resource: Resource,
     /// Show only the object with this name
@@ -62,7 +62,7 @@
 #[derive(Args)]
 pub struct ObjectArgs {
     #[command(flatten)]
-    server: Server,
+    server: ApiServerArgs,
     /// Kind of the object: jobs
     resource: Resource,
     name: String,
@@ -79,7 +79,7 @@
 }
 
 /// The path of the Jobs of one namespace, or of all namespaces.
-fn jobs_path(namespace: Option<&str>) -> String {
+fn collection_path(namespace: Option<&str>) -> String {
     match namespace {
         Some(namespace) => format!("/apis/batch/v1/namespaces/{namespace}/jobs"),
         None => "/apis/batch/v1/jobs".into(),
@@ -88,7 +88,7 @@
 
 /// The error for a response with an unexpected status.
 fn response_error(status: u16, response: &Value) -> CliError {
-    CliError::Refused(format!("{status}: {}", message(response)))
+    CliError::Failed(format!("{status}: {}", status_message(response)))
 }
 
 fn text<'a>(value: &'a Value, pointer: &str) -> &'a str {
@@ -98,8 +98,8 @@
         .unwrap_or_default()
 }
 
-fn read(path: &Path) -> Result<String, CliError> {
-    let error = |e: std::io::Error| CliError::Settings(path.display().to_string(), e.to_string());
+fn read_file_or_stdin(path: &Path) -> Result<String, CliError> {
+    let error = |e: std::io::Error| CliError::File(path.display().to_string(), e.to_string());
     if path != Path::new("-") {
         return std::fs::read_to_string(path).map_err(error);
     }
@@ -121,9 +121,9 @@
 impl Apply {
     pub fn run(self) -> Result<(), CliError> {
         let client = self.server.client()?;
-        let file_error = |e: String| CliError::Settings(self.filename.display().to_string(), e);
-        let objects =
-            yaml::parse_documents(&read(&self.filename)?).map_err(|e| file_error(e.to_string()))?;
+        let file_error = |e: String| CliError::File(self.filename.display().to_string(), e);
+        let objects = yaml::parse_documents(&read_file_or_stdin(&self.filename)?)
+            .map_err(|e| file_error(e.to_string()))?;
         if objects.is_empty() {
             return Err(file_error("no document".into()));
         }
@@ -164,13 +164,13 @@
         object: &Value,
     ) -> Result<&'static str, CliError> {
         let query = if self.dry_run { "?dryRun=All" } else { "" };
-        let path = format!("{}/{name}", jobs_path(Some(namespace)));
+        let path = format!("{}/{name}", collection_path(Some(namespace)));
         let (status, before) = client.call(&Request::get(&path))?;
         let body = object.to_string();
         let (method, target, media_type, outcome) = match status {
             404 => (
                 "POST",
-                format!("{}{query}", jobs_path(Some(namespace))),
+                format!("{}{query}", collection_path(Some(namespace))),
                 "application/json",
                 "created",
             ),
@@ -204,13 +204,13 @@
 fn wait_until_complete(client: &Client, namespace: &str, name: &str) -> Result<(), CliError> {
     let target = format!(
         "{}?watch=true&allowWatchBookmarks=true&fieldSelector=metadata.name%3D{name}",
-        jobs_path(Some(namespace))
+        collection_path(Some(namespace))
     );
     let mut condition = None;
     while condition.is_none() {
         client.follow(&Request::get(&target), |line| {
             if line["type"] == "DELETED" {
-                return Err(CliError::Refused(format!("{name} was deleted")));
+                return Err(CliError::Failed(format!("{name} was deleted")));
             }
             condition =
                 final_condition(&line["object"]).map(|(k, r)| (k.to_string(), r.to_string()));
@@ -218,7 +218,7 @@
         })?;
     }
     match condition {
-        Some((kind, reason)) if kind == "Failed" => Err(CliError::Refused(format!(
+        Some((kind, reason)) if kind == "Failed" => Err(CliError::Failed(format!(
             "job.batch/{name} failed: {reason}"
         ))),
         _ => {
@@ -244,7 +244,7 @@
 }
 
 /// The rows of a table, each with the object's namespace as the first cell.
-fn cells(table: &Value) -> Vec<Vec<String>> {
+fn table_rows(table: &Value) -> Vec<Vec<String>> {
     let rows = table["rows"].as_array().into_iter().flatten();
     rows.map(|row| {
         let cells = row["cells"].as_array().into_iter().flatten();
@@ -255,7 +255,7 @@
     .collect()
 }
 
-fn columns(table: &Value) -> Vec<String> {
+fn table_columns(table: &Value) -> Vec<String> {
     let named = table["columnDefinitions"].as_array().into_iter().flatten();
     let names = named.map(|c| c["name"].as_str().unwrap_or_default().to_uppercase());
     ["NAMESPACE".to_string()].into_iter().chain(names).collect()
@@ -267,9 +267,9 @@
         let base = match (self.resource, &self.name) {
             (Resource::Namespaces, None) => "/api/v1/namespaces".to_string(),
             (Resource::Namespaces, Some(name)) => format!("/api/v1/namespaces/{name}"),
-            (Resource::Jobs, None) => jobs_path(self.namespace.as_deref()),
+            (Resource::Jobs, None) => collection_path(self.namespace.as_deref()),
             (Resource::Jobs, Some(name)) => {
-                format!("{}/{name}", jobs_path(self.namespace.as_deref()))
+                format!("{}/{name}", collection_path(self.namespace.as_deref()))
             }
         };
         let mut query = form_urlencoded::Serializer::new(String::new());
@@ -337,9 +337,9 @@
         let all: Vec<Value> = pages.iter().flat_map(items).collect();
         match self.output {
             OutputFormat::Table if self.resource == Resource::Jobs => {
-                let rows: Vec<Vec<String>> = pages.iter().flat_map(cells).collect();
+                let rows: Vec<Vec<String>> = pages.iter().flat_map(table_rows).collect();
                 match pages.first() {
-                    Some(first) if !rows.is_empty() => print_table(&columns(first), &rows),
+                    Some(first) if !rows.is_empty() => print_table(&table_columns(first), &rows),
                     _ => println!("no jobs"),
                 }
             }
@@ -399,10 +399,10 @@
     }
 }
 
-/// The path of one Job.
-fn job_path(resource: Resource, namespace: &str, name: &str) -> Result<String, CliError> {
+/// The path of one Job; an error if the resource is not jobs.
+fn object_path(resource: Resource, namespace: &str, name: &str) -> Result<String, CliError> {
     match resource {
-        Resource::Jobs => Ok(format!("{}/{name}", jobs_path(Some(namespace)))),
+        Resource::Jobs => Ok(format!("{}/{name}", collection_path(Some(namespace)))),
         Resource::Namespaces => Err(CliError::Usage("this is for jobs".into())),
     }
 }
@@ -422,7 +422,7 @@
 
 impl ObjectArgs {
     pub fn describe(self) -> Result<(), CliError> {
-        let target = job_path(self.resource, &self.namespace, &self.name)?;
+        let target = object_path(self.resource, &self.namespace, &self.name)?;
         let (status, job) = self.server.client()?.call(&Request::get(&target))?;
         if status != 200 {
             return Err(response_error(status, &job));
@@ -468,7 +468,7 @@
     }
 
     pub fn delete(self) -> Result<(), CliError> {
-        let target = job_path(self.resource, &self.namespace, &self.name)?;
+        let target = object_path(self.resource, &self.namespace, &self.name)?;
         let request = Request {
             method: "DELETE",
             ..Request::get(&target)
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -35,7 +35,7 @@
     let source = "/dev/urandom";
     std::fs::File::open(source)
         .and_then(|mut f| f.read_exact(&mut bytes))
-        .map_err(|e| CliError::Settings(source.into(), e.to_string()))?;
+        .map_err(|e| CliError::File(source.into(), e.to_string()))?;
     Ok(encode_hex(&bytes))
 }
 
@@ -61,7 +61,7 @@
         if let Some(verb) = verbs.iter().find(|v| !Verb::is_verb_or_wildcard(v)) {
             return Err(CliError::Usage(format!("there is no verb {verb:?}")));
         }
-        let file_error = |e: String| CliError::Settings(key_file.display().to_string(), e);
+        let file_error = |e: String| CliError::File(key_file.display().to_string(), e);
         let text = std::fs::read_to_string(&key_file).map_err(|e| file_error(e.to_string()))?;
         let key = SigningKey::parse(&text).map_err(|e| file_error(e.to_string()))?;
         let token = random_secret()?;
