--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -45,18 +45,19 @@
 impl Cluster {
     fn start() -> Cluster {
         let lock = lock_cluster();
-        let (addrs, held) = processes::free_addrs(2 * CONTROLLERS).expect("free ports");
-        let (clients, mesh) = addrs.split_at(CONTROLLERS);
+        let (addrs, reserved_ports) = processes::free_addrs(2 * CONTROLLERS).expect("free ports");
+        let (clients, peer_addrs) = addrs.split_at(CONTROLLERS);
         let names = clients.iter().enumerate();
         let names = names.map(|(i, addr)| (format!("n{i}"), *addr)).collect();
-        let services = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
+        let services = Loopback::start(vec![processes::machine(8.0)], names)
+            .expect("simulated services start");
         let files: Vec<PathBuf> = (0..CONTROLLERS)
             .map(|i| {
-                let settings = processes::settings(i, clients, mesh, Some(&services), "t");
+                let settings = processes::settings(i, clients, peer_addrs, Some(&services), "t");
                 settings_file(clients[i], &settings)
             })
             .collect();
-        drop(held);
+        drop(reserved_ports);
         let start = |file: &PathBuf| Process::serve(Path::new(PROGRAM), file, None);
         let started = files.iter().map(start).collect::<std::io::Result<Vec<_>>>();
         Cluster {
@@ -72,8 +73,9 @@
         until("a controller accepts heartbeats", || {
             leader = self.clients.iter().copied().find(|addr| {
                 let answer = post(*addr, HEARTBEAT_PATH, &heartbeat_body("probe"));
-                let leads = answer.is_some_and(|(status, _)| status == 200);
-                leads && exchange(*addr, UP_REQUEST).is_some_and(|(status, _)| status == 200)
+                let accepts_heartbeats = answer.is_some_and(|(status, _)| status == 200);
+                accepts_heartbeats
+                    && exchange(*addr, UP_REQUEST).is_some_and(|(status, _)| status == 200)
             });
             leader.is_some()
         });
@@ -204,6 +206,8 @@
     // Users have no more than their share, so their connections stay open.
     let connects: Vec<usize> = users.iter().map(|u| u.connects).collect();
     assert_eq!(connects, [1; USERS]);
+    // Above the high-water mark responses close the connections of workers, but at least a
+    // fifth of the workers keep theirs.
     let kept = workers.iter().filter(|w| w.connects == 1).count();
     assert!(kept >= WORKERS / 5, "{kept} workers kept their connection");
 }
@@ -234,8 +238,8 @@
     }
     assert_eq!(workers[0].request(), Some(200));
     // Connections without a request fill up the limit.
-    let silent = (HIGH_WATER..CLIENT_LIMIT).map(|_| TcpStream::connect(leader));
-    let silent = silent.collect::<std::io::Result<Vec<_>>>();
+    let without_request = (HIGH_WATER..CLIENT_LIMIT).map(|_| TcpStream::connect(leader));
+    let without_request = without_request.collect::<std::io::Result<Vec<_>>>();
     let mut additional = Client::worker(leader, HIGH_WATER);
     assert_eq!(additional.request(), Some(200));
     let mut closed = Vec::new();
@@ -245,7 +249,7 @@
         }
     }
     assert_eq!(closed, [1]);
-    drop(silent.expect("connections"));
+    drop(without_request.expect("connections"));
 }
 
 #[test]
--- a/crates/dillcleat/tests/kube_server.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -80,8 +80,10 @@
     status.is_some_and(|s| s.success())
 }
 
+/// Also covers tables, rejected changes, reuse of a name after deletion, authorization and
+/// certificates: an invalid file leaves the old certificate in use, a renewed one is loaded.
 #[test]
-fn commands_work_over_tls_while_controllers_are_killed() {
+fn apply_over_tls_waits_until_a_job_is_complete_while_other_controllers_are_killed() {
     let dir = test_dir("commands");
     let certificate = generate_certificate();
     install_certificate(&dir, &certificate);
@@ -233,6 +235,7 @@
     );
     // An invalid certificate file leaves the old certificate in use; a valid one is loaded.
     std::fs::write(dir.join("server.crt"), "nonsense").expect("a file");
+    // Longer than the interval at which the files are checked.
     std::thread::sleep(Duration::from_secs(3));
     assert!(clients[0].succeed(&["get", "jobs"]).contains("first"));
     let renewed = generate_certificate();
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -219,8 +219,9 @@
     );
 }
 
+/// Also covers discovery, creation, resumption, updates, lists and deletion.
 #[test]
-fn a_kubernetes_client_library_works_while_controllers_are_killed() {
+fn watches_of_a_kubernetes_client_library_see_jobs_complete_while_other_controllers_are_killed() {
     let dir = test_dir("library");
     let certificate = generate_certificate();
     install_certificate(&dir, &certificate);
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -22,10 +22,10 @@
 fn settings(
     i: usize,
     clients: &[SocketAddr],
-    mesh: &[SocketAddr],
+    peer_addrs: &[SocketAddr],
     services: Option<&Loopback>,
 ) -> String {
-    processes::settings(i, clients, mesh, services, "t")
+    processes::settings(i, clients, peer_addrs, services, "t")
 }
 
 fn start_controller(path: &Path) -> Process {
@@ -81,12 +81,14 @@
     }
 }
 
+/// Also covers resubmission, dependencies, cancellation and malformed requests.
 #[test]
 fn jobs_complete_while_each_of_three_controllers_is_killed() {
-    let (addrs, held) = processes::free_addrs(6).expect("free ports");
-    let (clients, mesh) = (addrs[..3].to_vec(), addrs[3..].to_vec());
+    let (addrs, reserved_ports) = processes::free_addrs(6).expect("free ports");
+    let (clients, peer_addrs) = (addrs[..3].to_vec(), addrs[3..].to_vec());
     let names = (0..3).map(|i| (format!("n{i}"), clients[i])).collect();
-    let services = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
+    let services =
+        Loopback::start(vec![processes::machine(8.0)], names).expect("simulated services start");
     services.knows(task_behaviour("req-1", JobKind::Batch));
     services.knows(task_behaviour("req-2", JobKind::Service));
     services.knows(TaskBehaviour {
@@ -98,12 +100,13 @@
         .map(|i| {
             write_file(
                 &format!("n{i}.toml"),
-                &settings(i, &clients, &mesh, Some(&services)),
+                &settings(i, &clients, &peer_addrs, Some(&services)),
             )
         })
         .collect();
-    drop(held);
-    let mut nodes: Vec<Option<Process>> = files.iter().map(|f| Some(start_controller(f))).collect();
+    drop(reserved_ports);
+    let mut controllers: Vec<Option<Process>> =
+        files.iter().map(|f| Some(start_controller(f))).collect();
     let server = clients.map_to_string();
     until("a job is accepted", || {
         submit(&server[0], "req-1", &["--tasks", "2"])
@@ -148,11 +151,11 @@
     );
     // Each controller is killed and restarted in turn, so the leader is as well.
     for i in 0..3 {
-        nodes[i] = None;
+        controllers[i] = None;
         let other = &server[(i + 1) % 3];
         assert!(stdout(&["status", "--server", other, "req-1"]).starts_with("req-1 done"));
-        nodes[i] = Some(start_controller(&files[i]));
-        until("the node is back", || {
+        controllers[i] = Some(start_controller(&files[i]));
+        until("the controller is back", || {
             exchange(clients[i], b"GET /up HTTP/1.1\r\n\r\n").is_some_and(|(s, _)| s == 200)
         });
     }
@@ -203,13 +206,15 @@
     }
 }
 
-#[test]
-fn invalid_settings_are_rejected_by_check_and_by_start() {
+/// Valid settings of a controller.
+fn valid_settings() -> String {
     let (addrs, _) = processes::free_addrs(3).expect("free ports");
-    let good = settings(0, &addrs, &addrs, None);
-    let path = write_file("good.toml", &good);
-    let path = path.to_str().expect("a path of text");
-    assert!(run(&["check", path]).status.success());
+    settings(0, &addrs, &addrs, None)
+}
+
+#[test]
+fn check_warns_about_settings_without_effect_and_a_short_cancel_deadline() {
+    let good = valid_settings();
     let without_effect = format!(
         "{good}\n[[cluster.objectives]]\nkind = \"finished\"\nclass = \"probes\"\nwithin_s = 9.0\n"
     );
@@ -234,6 +239,11 @@
         o.status.success() && output.contains("cancel_s leaves no time"),
         "{output}"
     );
+}
+
+#[test]
+fn start_with_invalid_settings_and_commands_with_invalid_arguments_exit_with_code_2() {
+    let good = valid_settings();
     for (from, to, key) in [
         ("lease_s = 14.0", "lease_s = -1.0", "lease_s"),
         ("lease_s = 14.0", "lease_s = 60.0", "cancel_s"),
@@ -251,13 +261,20 @@
             "{key}: {output}"
         );
     }
-    let tuning = write_file("tuning.toml", "idle_s = 5.0\ntypo = 1\n");
-    let o = run(&["check", path, "--tuning", tuning.to_str().expect("text")]);
-    assert_eq!(o.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&o.stderr).contains("typo"));
     assert_eq!(run(&[]).status.code(), Some(2));
     assert_eq!(
         run(&["status", "--server", "x", "req-1"]).status.code(),
         Some(2)
     );
 }
+
+#[test]
+fn check_accepts_valid_settings_and_rejects_unknown_tuning_keys() {
+    let path = write_file("good.toml", &valid_settings());
+    let path = path.to_str().expect("a path of text");
+    assert!(run(&["check", path]).status.success());
+    let tuning = write_file("tuning.toml", "idle_s = 5.0\ntypo = 1\n");
+    let o = run(&["check", path, "--tuning", tuning.to_str().expect("text")]);
+    assert_eq!(o.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&o.stderr).contains("typo"));
+}
