--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -11,7 +11,7 @@
 mod write;
 
 use crate::patch::PatchType;
-use crate::reconciler::{Reconciler, ReconcilerCall};
+use crate::reconciler::{Reconciler, ReconcilerRequest};
 use crate::record::{Kind, Name, OBJECTS, Object, Record, Tombstone};
 use crate::settings::{ApiServerConfig, TokenGrant, Verb};
 use crate::status_error::StatusError;
@@ -64,7 +64,7 @@
     verb: Verb,
     scope: Scope,
     query: Rc<Query>,
-    table: bool,
+    as_table: bool,
     body: Option<Value>,
     patch_type: Option<PatchType>,
     received_at: Micros,
@@ -80,7 +80,7 @@
 
 /// A store request that awaits its response.
 #[derive(Debug)]
-enum PendingCall {
+enum PendingStoreRequest {
     /// A page of the list of all objects.
     ListPage {
         first: bool,
@@ -99,14 +99,32 @@
     ReadJobState(String),
 }
 
+/// A page of the list of all objects that is to be requested.
+#[derive(Debug)]
+struct NextPage {
+    /// When to request it.
+    at: Micros,
+    /// The last key of the previous page; None for the first page.
+    after_key: Option<String>,
+}
+
+impl NextPage {
+    fn first(at: Micros) -> Option<NextPage> {
+        Some(NextPage {
+            at,
+            after_key: None,
+        })
+    }
+}
+
 #[derive(Debug)]
 pub struct ApiServer {
     config: ApiServerConfig,
     cache: WatchCache,
-    pending_calls: HashMap<CallId, PendingCall>,
-    last_call: u64,
-    /// When to request the next page of the list of all objects, and after which key.
-    next_page: Option<(Micros, Option<String>)>,
+    pending_requests: HashMap<CallId, PendingStoreRequest>,
+    last_store_request: u64,
+    /// The next page of the list of all objects to request, if any.
+    next_page: Option<NextPage>,
     /// When to send the next long poll to the store; None while one is in flight or before
     /// the objects are listed.
     watch_at: Option<Micros>,
@@ -195,9 +213,9 @@
         ApiServer {
             config,
             cache: WatchCache::default(),
-            pending_calls: HashMap::new(),
-            last_call: 0,
-            next_page: Some((0, None)),
+            pending_requests: HashMap::new(),
+            last_store_request: 0,
+            next_page: NextPage::first(0),
             watch_at: None,
             waiting: VecDeque::new(),
             refreshing: false,
@@ -222,16 +240,24 @@
     }
 
     /// Sends a request to the store; `pending` determines how its response is handled.
-    fn call(&mut self, ctx: &mut Context, call: StoreRequest, pending: PendingCall) {
-        self.last_call += 1;
-        let id = CallId(CALL_ID_BIT | self.last_call);
-        let timeout = state_timeout(&call);
-        self.pending_calls.insert(id, pending);
-        ctx.out
-            .push(ControllerOutput::Node(Output::Store { id, call, timeout }));
+    fn send_store_request(
+        &mut self,
+        ctx: &mut Context,
+        request: StoreRequest,
+        pending: PendingStoreRequest,
+    ) {
+        self.last_store_request += 1;
+        let id = CallId(CALL_ID_BIT | self.last_store_request);
+        let timeout = state_timeout(&request);
+        self.pending_requests.insert(id, pending);
+        ctx.out.push(ControllerOutput::Node(Output::Store {
+            id,
+            call: request,
+            timeout,
+        }));
     }
 
-    fn reply(&self, ctx: &mut Context, id: RequestId, status: u16, body: &Value) {
+    fn respond(&self, ctx: &mut Context, id: RequestId, status: u16, body: &Value) {
         let response = ApiResponse {
             status,
             body: body.to_string().into_bytes(),
@@ -240,7 +266,7 @@
         ctx.out.push(ControllerOutput::Response { id, response });
     }
 
-    fn reply_error(&self, ctx: &mut Context, id: RequestId, error: &StatusError) {
+    fn respond_error(&self, ctx: &mut Context, id: RequestId, error: &StatusError) {
         let response = ApiResponse {
             status: error.code_and_reason().0,
             body: json!(error.status()).to_string().into_bytes(),
@@ -259,7 +285,7 @@
 
     pub fn handle_request(&mut self, ctx: &mut Context, id: RequestId, request: ApiRequest) {
         if let Err(error) = self.authorize_and_start(ctx, id, request) {
-            self.reply_error(ctx, id, &error);
+            self.respond_error(ctx, id, &error);
         }
     }
 
@@ -278,12 +304,12 @@
         let query = Query::parse(query)?;
         let (verb, scope) = match parse_target(&request.method, path, query.watch)? {
             Target::Discovery(endpoint) => {
-                self.reply(ctx, id, 200, &discovery::describe(endpoint));
+                self.respond(ctx, id, 200, &discovery::describe(endpoint));
                 return Ok(());
             }
-            Target::Objects(verb, scope) => (verb, scope),
+            Target::Resource(verb, scope) => (verb, scope),
         };
-        let table = prefers_table(request.accept.as_deref())?;
+        let as_table = prefers_table(request.accept.as_deref())?;
         let namespace = match &scope {
             Scope::Collection(_, namespace) => namespace.as_ref(),
             Scope::Object(name) | Scope::Status(name) => Some(&name.namespace),
@@ -336,7 +362,7 @@
             verb,
             scope,
             query: Rc::new(query),
-            table,
+            as_table,
             body,
             patch_type,
             received_at: ctx.now.monotonic,
@@ -352,7 +378,7 @@
     fn start(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         if let Scope::Namespaces | Scope::Namespace(_) = request.scope {
             let body = discovery::namespaces(ctx, &request)?;
-            self.reply(ctx, request.id, 200, &body);
+            self.respond(ctx, request.id, 200, &body);
             return Ok(());
         }
         if self.cache.revision().is_none() {
@@ -402,12 +428,12 @@
         }
         self.refreshing = true;
         let requests = std::mem::take(&mut self.waiting).into();
-        let call = StoreRequest::Watch {
+        let request = StoreRequest::Watch {
             prefix: OBJECTS.into(),
             after,
             hold_ms: 0,
         };
-        self.call(ctx, call, PendingCall::Refresh(requests));
+        self.send_store_request(ctx, request, PendingStoreRequest::Refresh(requests));
     }
 
     /// Resumes a request after a refresh.
@@ -420,7 +446,7 @@
             Verb::Delete => self.delete(ctx, request),
         };
         if let Err(error) = result {
-            self.reply_error(ctx, id, &error);
+            self.respond_error(ctx, id, &error);
         }
     }
 
@@ -435,28 +461,26 @@
 
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
-        if let Some((at, after)) = self.next_page.clone()
-            && now >= at
-        {
-            self.next_page = None;
+        if let Some(page) = self.next_page.take_if(|page| now >= page.at) {
+            let after = page.after_key;
             let first = after.is_none();
             let prefix = OBJECTS.to_string();
-            self.call(
+            self.send_store_request(
                 ctx,
                 StoreRequest::List { prefix, after },
-                PendingCall::ListPage { first },
+                PendingStoreRequest::ListPage { first },
             );
         }
         if let (Some(at), Some(after)) = (self.watch_at, self.cache.revision())
             && now >= at
         {
             self.watch_at = None;
-            let call = StoreRequest::Watch {
+            let request = StoreRequest::Watch {
                 prefix: OBJECTS.into(),
                 after,
                 hold_ms: LONG_POLL_TIMEOUT_MS,
             };
-            self.call(ctx, call, PendingCall::Watch);
+            self.send_store_request(ctx, request, PendingStoreRequest::Watch);
         }
         let (timed_out, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -464,7 +488,7 @@
         self.waiting = waiting;
         let timed_out: VecDeque<Request> = timed_out;
         for request in timed_out {
-            self.reply_error(ctx, request.id, &StatusError::TooManyRequests);
+            self.respond_error(ctx, request.id, &StatusError::TooManyRequests);
         }
         self.refresh(ctx);
         let revision = self.cache.revision().unwrap_or(0);
@@ -480,11 +504,11 @@
         };
         let times = (ctx.now.monotonic, ctx.now.wall);
         let is_open = |job: &str| ctx.node.holds(job);
-        let calls = self
+        let requests = self
             .reconciler
             .reconcile(leadership, &self.cache, is_open, times);
-        for call in calls {
-            let writes = if matches!(call, ReconcilerCall::Update(..)) {
+        for request in requests {
+            let writes = if matches!(request, ReconcilerRequest::Update(..)) {
                 1.0
             } else {
                 0.0
@@ -494,62 +518,66 @@
                 RequestPriority::End,
                 ctx.now,
             ) {
-                self.reconciler.requeue(call);
+                self.reconciler.requeue(request);
                 continue;
             }
-            match call {
-                ReconcilerCall::Update(name, txn) => {
-                    let pending = PendingCall::ReconcilerUpdate(name);
-                    self.call(ctx, StoreRequest::Transaction(txn), pending);
+            match request {
+                ReconcilerRequest::Update(name, txn) => {
+                    let pending = PendingStoreRequest::ReconcilerUpdate(name);
+                    self.send_store_request(ctx, StoreRequest::Transaction(txn), pending);
                 }
-                ReconcilerCall::ReadJobState(job) => self.read_job_state(ctx, job),
+                ReconcilerRequest::ReadJobState(job) => self.read_job_state(ctx, job),
             }
         }
     }
 
     fn read_job_state(&mut self, ctx: &mut Context, job: String) {
         let key = records::job_key(&job);
-        let pending = PendingCall::ReadJobState(job);
-        self.call(ctx, StoreRequest::Get { key }, pending);
+        let pending = PendingStoreRequest::ReadJobState(job);
+        self.send_store_request(ctx, StoreRequest::Get { key }, pending);
     }
 
     pub fn handle_store_response(
         &mut self,
         ctx: &mut Context,
         id: CallId,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) {
-        let Some(pending) = self.pending_calls.remove(&id) else {
+        let Some(pending) = self.pending_requests.remove(&id) else {
             return;
         };
         match pending {
-            PendingCall::ListPage { first } => self.handle_list_page(ctx, first, reply),
-            PendingCall::Watch => match self.handle_watch_batch(ctx, reply) {
+            PendingStoreRequest::ListPage { first } => self.handle_list_page(ctx, first, response),
+            PendingStoreRequest::Watch => match self.handle_watch_batch(ctx, response) {
                 true => self.watch_at = Some(ctx.now.monotonic),
                 false => self.watch_at = Some(ctx.now.monotonic + RETRY_DELAY),
             },
-            PendingCall::Refresh(requests) => {
+            PendingStoreRequest::Refresh(requests) => {
                 self.refreshing = false;
                 let refreshed =
-                    self.handle_watch_batch(ctx, reply) && self.cache.revision().is_some();
+                    self.handle_watch_batch(ctx, response) && self.cache.revision().is_some();
                 for request in requests {
                     if refreshed {
                         self.resume(ctx, request);
                     } else {
                         let error = StatusError::Unavailable("the state is out of reach");
-                        self.reply_error(ctx, request.id, &error);
+                        self.respond_error(ctx, request.id, &error);
                     }
                 }
                 self.refresh(ctx);
             }
-            PendingCall::Create(creation) => self.handle_create_response(ctx, *creation, reply),
-            PendingCall::ReadTombstone(creation) => self.handle_tombstone(ctx, *creation, reply),
-            PendingCall::Write(write) => self.handle_write_response(ctx, *write, reply),
-            PendingCall::ReconcilerUpdate(name) => {
-                let committed = matches!(reply, Ok(StoreResponse::Committed { .. }));
+            PendingStoreRequest::Create(creation) => {
+                self.handle_create_response(ctx, *creation, response)
+            }
+            PendingStoreRequest::ReadTombstone(creation) => {
+                self.handle_tombstone(ctx, *creation, response)
+            }
+            PendingStoreRequest::Write(write) => self.handle_write_response(ctx, *write, response),
+            PendingStoreRequest::ReconcilerUpdate(name) => {
+                let committed = matches!(response, Ok(StoreResponse::Committed { .. }));
                 let wall = ctx.now.wall;
                 self.reconciler.handle_update_result(&name, committed, wall);
-                if let Ok(StoreResponse::Conflict { failed, .. }) = reply {
+                if let Ok(StoreResponse::Conflict { failed, .. }) = response {
                     // A conflicting job record shows that the job ended before the cancellation:
                     // its final state is read.
                     let job = failed.iter().find_map(|k| k.strip_prefix("j/"));
@@ -558,8 +586,8 @@
                     }
                 }
             }
-            PendingCall::ReadJobState(job) => {
-                let record = match reply {
+            PendingStoreRequest::ReadJobState(job) => {
+                let record = match response {
                     Ok(StoreResponse::Found(row)) => row.decode_value::<JobStateRecord>(),
                     _ => None,
                 };
@@ -574,15 +602,20 @@
         &mut self,
         ctx: &mut Context,
         first: bool,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) {
         let now = ctx.now.monotonic;
-        let Ok(StoreResponse::RangePage(page)) = reply else {
-            self.next_page = Some((now + RETRY_DELAY, None));
+        let Ok(StoreResponse::RangePage(page)) = response else {
+            self.next_page = NextPage::first(now + RETRY_DELAY);
             return;
         };
         match self.cache.add_page(page, first) {
-            Some(after) => self.next_page = Some((now, Some(after))),
+            Some(after_key) => {
+                self.next_page = Some(NextPage {
+                    at: now,
+                    after_key: Some(after_key),
+                });
+            }
             None => {
                 log::info!("watch cache loaded objects={}", self.cache.len());
                 self.watch_at = Some(now);
@@ -596,11 +629,11 @@
     fn handle_watch_batch(
         &mut self,
         ctx: &mut Context,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) -> bool {
         // The reconciler runs on the leader only; elsewhere its queue would only grow.
         let is_leader = ctx.node.fence().is_some();
-        match reply {
+        match response {
             Ok(StoreResponse::WatchBatch(batch)) => {
                 for change in self.cache.apply(batch) {
                     let outputs = self.watches.events_for(&change, ctx.now.wall);
@@ -619,7 +652,7 @@
                 let outputs = self.watches.expire_all();
                 self.send(ctx, outputs);
                 self.cache = WatchCache::default();
-                self.next_page = Some((ctx.now.monotonic, None));
+                self.next_page = NextPage::first(ctx.now.monotonic);
                 self.watch_at = None;
                 false
             }
--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -6,13 +6,13 @@
     pub(super) fn read(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         match (&request.scope, request.verb) {
             (Scope::Collection(kind, namespace), Verb::Watch) => {
-                let filter = filter(&request, *kind, namespace.clone());
+                let filter = request_filter(&request, *kind, namespace.clone());
                 self.watch(ctx, &request, filter)
             }
             (Scope::Collection(kind, namespace), _) => {
-                let filter = filter(&request, *kind, namespace.clone());
+                let filter = request_filter(&request, *kind, namespace.clone());
                 let body = self.list(ctx, &request, &filter)?;
-                self.reply(ctx, request.id, 200, &body);
+                self.respond(ctx, request.id, 200, &body);
                 Ok(())
             }
             (Scope::Object(name) | Scope::Status(name), _) => {
@@ -22,7 +22,7 @@
                     .cloned()
                     .ok_or_else(|| not_found(name))?;
                 let body = self.render(ctx, &request, &object);
-                self.reply(ctx, request.id, 200, &body);
+                self.respond(ctx, request.id, 200, &body);
                 Ok(())
             }
             (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::MethodNotAllowed),
@@ -36,8 +36,8 @@
     /// Renders an object as the client of the request accepts it.
     pub(super) fn render(&self, ctx: &Context, request: &Request, object: &Object) -> Value {
         let progress = self.progress(ctx, object);
-        if !request.table {
-            return view::object(object, progress);
+        if !request.as_table {
+            return view::to_json(object, progress);
         }
         let meta = json!({"resourceVersion": object.version.to_string()});
         table::table(vec![table::row(object, progress, ctx.now.wall)], meta, true)
@@ -82,12 +82,12 @@
         if let Some(last) = page.last().filter(|_| matching.peek().is_some()) {
             meta["continue"] = json!(format!("{version}/{}", last.name.key()));
         }
-        if request.table {
+        if request.as_table {
             let rows = page.iter();
             let rows = rows.map(|o| table::row(o, self.progress(ctx, o), ctx.now.wall));
             return Ok(table::table(rows.collect(), meta, true));
         }
-        let items = page.iter().map(|o| view::object(o, self.progress(ctx, o)));
+        let items = page.iter().map(|o| view::to_json(o, self.progress(ctx, o)));
         Ok(json!({
             "apiVersion": filter.kind.api_version(),
             "kind": format!("{}List", filter.kind.name()),
@@ -116,7 +116,7 @@
         let opened = self.watches.open(
             id,
             filter,
-            request.table,
+            request.as_table,
             bookmarks,
             from,
             &self.cache,
@@ -134,7 +134,7 @@
     }
 }
 
-fn filter(request: &Request, kind: Kind, namespace: Option<String>) -> Filter {
+fn request_filter(request: &Request, kind: Kind, namespace: Option<String>) -> Filter {
     Filter {
         kind,
         namespace,
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -284,18 +284,18 @@
         if let Some(job) = &creation.job {
             txn = add_submission(txn, job);
         }
-        let pending = PendingCall::Create(Box::new(creation));
-        self.call(ctx, StoreRequest::Transaction(txn), pending);
+        let pending = PendingStoreRequest::Create(Box::new(creation));
+        self.send_store_request(ctx, StoreRequest::Transaction(txn), pending);
     }
 
     pub(super) fn handle_create_response(
         &mut self,
         ctx: &mut Context,
         mut creation: PendingCreate,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
-        let error = match reply {
+        let error = match response {
             Ok(StoreResponse::Committed { revision }) => {
                 self.writes_in_flight -= 1;
                 if let Some(job) = &creation.job {
@@ -314,7 +314,7 @@
                     object.record.state.job.as_deref().unwrap_or("none"),
                 );
                 let body = self.render(ctx, &creation.request, &object);
-                return self.reply(ctx, id, 201, &body);
+                return self.respond(ctx, id, 201, &body);
             }
             Ok(StoreResponse::Conflict { failed, .. }) => {
                 let conflicts = |key: String| failed.contains(&key);
@@ -326,8 +326,8 @@
                 }
                 if conflicts(creation.name.tombstone_key()) {
                     let key = creation.name.tombstone_key();
-                    let pending = PendingCall::ReadTombstone(Box::new(creation));
-                    return self.call(ctx, StoreRequest::Get { key }, pending);
+                    let pending = PendingStoreRequest::ReadTombstone(Box::new(creation));
+                    return self.send_store_request(ctx, StoreRequest::Get { key }, pending);
                 }
                 log::error!("job id belongs to another job object={}", creation.name);
                 conflict(&creation.name, "its reference belongs to another job")
@@ -351,7 +351,7 @@
             _ => StatusError::Unavailable("the state is out of reach"),
         };
         self.writes_in_flight -= 1;
-        self.reply_error(ctx, id, &error);
+        self.respond_error(ctx, id, &error);
     }
 
     /// Resumes a create after a refresh: a dry run, or a create whose name was in use.
@@ -373,7 +373,7 @@
                 record: creation.record,
             };
             let body = self.render(ctx, &creation.request, &object);
-            self.reply(ctx, id, 201, &body);
+            self.respond(ctx, id, 201, &body);
             return Ok(());
         };
         // An earlier attempt of this request created the object and its response was lost.
@@ -381,7 +381,7 @@
         // object must get status 409.
         if request.outcome_unknown && request.created_at == Some(existing.record.created) {
             let body = self.render(ctx, &request, &existing);
-            self.reply(ctx, request.id, 201, &body);
+            self.respond(ctx, request.id, 201, &body);
             return Ok(());
         }
         Err(StatusError::AlreadyExists {
@@ -397,22 +397,22 @@
         &mut self,
         ctx: &mut Context,
         creation: PendingCreate,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) {
         let id = creation.request.id;
         self.writes_in_flight -= 1;
-        let (tombstone, version) = match reply {
+        let (tombstone, version) = match response {
             Ok(StoreResponse::Found(row)) => match row.decode_value::<Tombstone>() {
                 Some(tombstone) => (tombstone, row.version),
                 None => {
                     log::error!("cannot decode tombstone key={}", row.key);
                     let error = StatusError::Unavailable("the name's record is unreadable");
-                    return self.reply_error(ctx, id, &error);
+                    return self.respond_error(ctx, id, &error);
                 }
             },
             _ => {
                 let error = StatusError::Unavailable("the state is out of reach");
-                return self.reply_error(ctx, id, &error);
+                return self.respond_error(ctx, id, &error);
             }
         };
         // The deleted object may have been created by an earlier attempt of this request.
@@ -423,7 +423,7 @@
                 name: creation.name.name.clone(),
                 detail: format!(": as {}, and was deleted in the meantime", tombstone.uid),
             };
-            return self.reply_error(ctx, id, &error);
+            return self.respond_error(ctx, id, &error);
         }
         let class = &creation.translated.native_job.class;
         if !self.config.allows_name_reuse(class) {
@@ -436,7 +436,7 @@
                     tombstone.uid
                 ),
             };
-            return self.reply_error(ctx, id, &error);
+            return self.respond_error(ctx, id, &error);
         }
         let run = (tombstone.run.saturating_add(1), version);
         match self.build_creation(
@@ -450,7 +450,7 @@
                 self.writes_in_flight += 1;
                 self.send_creation(ctx, creation);
             }
-            Err(error) => self.reply_error(ctx, id, &error),
+            Err(error) => self.respond_error(ctx, id, &error),
         }
     }
 
@@ -471,7 +471,7 @@
         let changed = match request.patch_type {
             None => body,
             Some(patch_type) => {
-                let current = view::object(&object, None);
+                let current = view::to_json(&object, None);
                 patch::apply(patch_type, current, &body)
                     .map_err(|e| StatusError::BadRequest(e.to_string()))?
             }
@@ -501,7 +501,7 @@
                 ..(*object).clone()
             };
             let body = self.render(ctx, &request, &object);
-            self.reply(ctx, request.id, 200, &body);
+            self.respond(ctx, request.id, 200, &body);
             return Ok(());
         }
         let mut txn = Transaction::default()
@@ -527,10 +527,10 @@
             uid: record.uid.clone(),
             record: Some(record),
         };
-        self.call(
+        self.send_store_request(
             ctx,
             StoreRequest::Transaction(txn),
-            PendingCall::Write(Box::new(write)),
+            PendingStoreRequest::Write(Box::new(write)),
         );
         Ok(())
     }
@@ -612,7 +612,7 @@
         let options = delete_options(&request)?;
         let Some(object) = self.cache.get(&name).cloned() else {
             if request.outcome_unknown {
-                self.reply(ctx, request.id, 200, &deletion_status(&name, ""));
+                self.respond(ctx, request.id, 200, &deletion_status(&name, ""));
                 return Ok(());
             }
             return Err(not_found(&name));
@@ -622,7 +622,7 @@
         if let Some(uid) = request.deleted_uid.as_ref()
             && *uid != object.record.uid
         {
-            self.reply(ctx, request.id, 200, &deletion_status(&name, uid));
+            self.respond(ctx, request.id, 200, &deletion_status(&name, uid));
             return Ok(());
         }
         let preconditions = options.preconditions.unwrap_or_default();
@@ -647,7 +647,7 @@
         let uid = object.record.uid.clone();
         let dry_run = options.dry_run.unwrap_or_default();
         if request.query.dry_run || dry_run.iter().any(|d| d == "All") {
-            self.reply(ctx, request.id, 200, &deletion_status(&name, &uid));
+            self.respond(ctx, request.id, 200, &deletion_status(&name, &uid));
             return Ok(());
         }
         if self.writes_in_flight >= MAX_WRITES_IN_FLIGHT_FOR_DELETION {
@@ -686,10 +686,10 @@
             record: None,
             uid: object.record.uid.clone(),
         };
-        self.call(
+        self.send_store_request(
             ctx,
             StoreRequest::Transaction(txn),
-            PendingCall::Write(Box::new(write)),
+            PendingStoreRequest::Write(Box::new(write)),
         );
         Ok(())
     }
@@ -698,7 +698,7 @@
         &mut self,
         ctx: &mut Context,
         write: PendingWrite,
-        reply: Result<StoreResponse, CallError>,
+        response: Result<StoreResponse, CallError>,
     ) {
         self.writes_in_flight -= 1;
         let PendingWrite {
@@ -708,7 +708,7 @@
             uid,
         } = write;
         let id = request.id;
-        let error = match (reply, record) {
+        let error = match (response, record) {
             (Ok(StoreResponse::Committed { revision }), Some(record)) => {
                 log::info!(
                     "object updated object={name} uid={uid} token={}",
@@ -720,14 +720,14 @@
                     record,
                 };
                 let body = self.render(ctx, &request, &object);
-                return self.reply(ctx, id, 200, &body);
+                return self.respond(ctx, id, 200, &body);
             }
             (Ok(StoreResponse::Committed { .. }), None) => {
                 log::info!(
                     "object deleted object={name} uid={uid} token={}",
                     request.token.name
                 );
-                return self.reply(ctx, id, 200, &deletion_status(&name, &uid));
+                return self.respond(ctx, id, 200, &deletion_status(&name, &uid));
             }
             (Ok(StoreResponse::Conflict { failed, .. }), record) => {
                 let object_changed = failed.contains(&name.key());
@@ -761,7 +761,7 @@
             }
             _ => StatusError::Unavailable("the state is out of reach"),
         };
-        self.reply_error(ctx, id, &error);
+        self.respond_error(ctx, id, &error);
     }
 }
 
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -178,7 +178,7 @@
 
 /// A store request of the reconciler.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReconcilerCall {
+pub enum ReconcilerRequest {
     /// Update an object.
     Update(Name, Transaction),
     /// Read the state of a job, to find out whether it has ended.
@@ -327,7 +327,7 @@
         cache: &WatchCache,
         is_open: impl Fn(&str) -> bool,
         (now, wall_time): (Micros, Micros),
-    ) -> Vec<ReconcilerCall> {
+    ) -> Vec<ReconcilerRequest> {
         // Events are kept from the previous term: they remain valid.
         if self.term != term {
             *self = Reconciler {
@@ -352,11 +352,11 @@
                 self.queue.insert(name);
             }
         }
-        let mut calls = Vec::new();
+        let mut requests = Vec::new();
         if self.reading.len() < MAX_IN_FLIGHT {
             for job in self.resync(cache, is_open, now) {
                 if self.reading.insert(job.clone()) {
-                    calls.push(ReconcilerCall::ReadJobState(job));
+                    requests.push(ReconcilerRequest::ReadJobState(job));
                 }
             }
         }
@@ -379,22 +379,22 @@
                 let action = required_action(object, observed, wall_time);
                 if let Some(txn) = action.transaction(object, fencing_token, wall_time) {
                     self.updating.insert(name.clone());
-                    calls.push(ReconcilerCall::Update(name, txn));
+                    requests.push(ReconcilerRequest::Update(name, txn));
                 }
             }
         }
-        calls
+        requests
     }
 
     /// Queues a request again that was not sent because the store request budget is
     /// exhausted.
-    pub fn requeue(&mut self, call: ReconcilerCall) {
-        match call {
-            ReconcilerCall::Update(name, _) => {
+    pub fn requeue(&mut self, request: ReconcilerRequest) {
+        match request {
+            ReconcilerRequest::Update(name, _) => {
                 self.updating.remove(&name);
                 self.queue.insert(name);
             }
-            ReconcilerCall::ReadJobState(job) => {
+            ReconcilerRequest::ReadJobState(job) => {
                 self.reading.remove(&job);
                 // The next resync returns the job again.
                 self.next_resync = 0;
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -23,7 +23,7 @@
     Health,
 }
 
-/// The objects that a request addresses.
+/// The objects or namespaces that a request addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Scope {
     /// The objects of one namespace, or of all namespaces that the token may access.
@@ -37,10 +37,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     Discovery(Discovery),
-    Objects(Verb, Scope),
+    Resource(Verb, Scope),
 }
 
-fn object_target(method: &str, scope: Scope, watch: bool) -> Result<Target, StatusError> {
+fn resource_target(method: &str, scope: Scope, watch: bool) -> Result<Target, StatusError> {
     let verb = match (method, &scope) {
         ("GET", Scope::Collection(..) | Scope::Namespaces) if watch => Verb::Watch,
         ("GET", Scope::Collection(..) | Scope::Namespaces) => Verb::List,
@@ -51,7 +51,7 @@
         ("DELETE", Scope::Object(_)) => Verb::Delete,
         _ => return Err(StatusError::MethodNotAllowed),
     };
-    Ok(Target::Objects(verb, scope))
+    Ok(Target::Resource(verb, scope))
 }
 
 /// Parses the method and path of a request. `watch` is the query parameter of this name.
@@ -102,7 +102,7 @@
         }
         _ => return Err(StatusError::NoSuchPath),
     };
-    object_target(method, scope, watch)
+    resource_target(method, scope, watch)
 }
 
 /// How recent the result of a list or the start of a watch must be.
--- a/crates/kube/src/view.rs
+++ b/crates/kube/src/view.rs
@@ -14,7 +14,7 @@
 pub type Progress = Option<(u32, u32)>;
 
 /// Converts a time of day in microseconds; None if it is out of range.
-pub fn time(at: Micros) -> Option<Time> {
+pub fn to_kubernetes_time(at: Micros) -> Option<Time> {
     let at = i64::try_from(at).ok()?;
     Timestamp::from_microsecond(at).ok().map(Time)
 }
@@ -52,8 +52,8 @@
         status: "True".into(),
         reason: Some(reason.into()),
         message: Some(message.into()),
-        last_probe_time: time(end.at),
-        last_transition_time: time(end.at),
+        last_probe_time: to_kubernetes_time(end.at),
+        last_transition_time: to_kubernetes_time(end.at),
     }
 }
 
@@ -73,8 +73,8 @@
         status: "True".into(),
         reason: Some("JobSuspended".into()),
         message: Some("It has not been started".into()),
-        last_probe_time: time(object.record.created),
-        last_transition_time: time(object.record.created),
+        last_probe_time: to_kubernetes_time(object.record.created),
+        last_transition_time: to_kubernetes_time(object.record.created),
     });
     let conditions: Vec<JobCondition> = state
         .end
@@ -88,8 +88,8 @@
         ready: to_i32(running),
         succeeded: to_i32(done),
         failed: i32::try_from(state.failed.len()).ok(),
-        start_time: state.started.and_then(time),
-        completion_time: complete.and_then(|e| time(e.at)),
+        start_time: state.started.and_then(to_kubernetes_time),
+        completion_time: complete.and_then(|e| to_kubernetes_time(e.at)),
         conditions: Some(conditions).filter(|c| !c.is_empty()),
         ..JobStatus::default()
     }
@@ -107,7 +107,7 @@
         uid: Some(record.uid.clone()),
         resource_version: Some(object.version.to_string()),
         generation: Some(record.generation.into()),
-        creation_timestamp: time(record.created),
+        creation_timestamp: to_kubernetes_time(record.created),
         labels: Some(record.labels.clone()).filter(|l| !l.is_empty()),
         annotations: Some(annotations).filter(|a| !a.is_empty()),
         ..ObjectMeta::default()
@@ -115,7 +115,7 @@
 }
 
 /// The object with its metadata, spec and status.
-pub fn object(object: &Object, progress: Progress) -> Value {
+pub fn to_json(object: &Object, progress: Progress) -> Value {
     match object.name.kind {
         Kind::Job => {
             let job = Job {
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -123,7 +123,7 @@
 
 fn render(object: &Object, as_table: bool, columns_sent: bool, wall_time: Micros) -> Value {
     if !as_table {
-        return view::object(object, None);
+        return view::to_json(object, None);
     }
     let meta = json!({"resourceVersion": object.version.to_string()});
     table::table(
