--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -29,8 +29,9 @@
         }
     }
 
-    pub(super) fn progress(&self, ctx: &Context, object: &Object) -> view::Progress {
-        ctx.node.progress(object.record.state.job.as_deref()?)
+    pub(super) fn progress(&self, ctx: &Context, object: &Object) -> Option<view::Progress> {
+        let (done, running) = ctx.node.progress(object.record.state.job.as_deref()?)?;
+        Some(view::Progress { done, running })
     }
 
     /// Renders an object as the client of the request accepts it.
--- a/crates/kube/src/names.rs
+++ b/crates/kube/src/names.rs
@@ -1,9 +1,9 @@
-//! Derives job ids, uids and token MACs from the operators' key.
+//! Derives job ids, uids and token MACs from the operators' signing key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The minimum length of the operators' key, in bytes.
+/// The minimum length of the signing key, in bytes.
 pub const MIN_KEY_BYTES: usize = 32;
 /// The number of decimal digits in a job id. 32 digits keep about 106 bits of the MAC.
 const JOB_ID_DIGITS: u32 = 32;
@@ -31,7 +31,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The operators' key. Its `Debug` form does not show the key.
+/// The operators' signing key. Its `Debug` form does not show the key.
 #[derive(Clone)]
 pub struct SigningKey(Vec<u8>);
 
@@ -71,14 +71,14 @@
     }
 
     /// The MAC of a token, which the settings contain instead of the token.
-    pub fn token(&self, secret: &str) -> String {
-        let mac = self.mac(&["token", secret]);
+    pub fn token(&self, token: &str) -> String {
+        let mac = self.mac(&["token", token]);
         mac.map_or(String::new(), |m| encode_hex(&m.finalize().into_bytes()))
     }
 
     /// Whether `token_mac` is the MAC of a token. The comparison takes constant time.
-    pub fn verify_token(&self, secret: &str, token_mac: &[u8]) -> bool {
-        let mac = self.mac(&["token", secret]);
+    pub fn verify_token(&self, token: &str, token_mac: &[u8]) -> bool {
+        let mac = self.mac(&["token", token]);
         mac.is_some_and(|m| m.verify_slice(token_mac).is_ok())
     }
 
--- a/crates/kube/src/settings.rs
+++ b/crates/kube/src/settings.rs
@@ -67,7 +67,7 @@
     /// The holder's name, for the log.
     #[serde(rename = "name")]
     pub name: String,
-    /// The MAC of the token under the operators' key, in hexadecimal digits.
+    /// The MAC of the token under the signing key, in hexadecimal digits.
     #[serde(rename = "mac")]
     pub mac: String,
     /// The namespaces that the token may access, or `*`.
@@ -178,8 +178,8 @@
 pub struct ApiServerConfig {
     pub settings: Settings,
     pub key: SigningKey,
-    /// Tokens with their decoded MACs.
-    tokens: Vec<(Vec<u8>, Rc<TokenGrant>)>,
+    /// The permissions of tokens, with the decoded MACs of the tokens.
+    grants: Vec<(Vec<u8>, Rc<TokenGrant>)>,
 }
 
 impl ApiServerConfig {
@@ -187,7 +187,7 @@
         let tokens = settings.tokens.iter();
         let decode = |t: &TokenGrant| (decode_hex(&t.mac).unwrap_or_default(), Rc::new(t.clone()));
         ApiServerConfig {
-            tokens: tokens.map(decode).collect(),
+            grants: tokens.map(decode).collect(),
             settings,
             key,
         }
@@ -195,11 +195,11 @@
 
     /// The permissions of a bearer token; None if it is unknown. Every known token is
     /// compared, so that the time taken does not reveal which one matched.
-    pub fn authenticate(&self, secret: &str) -> Option<Rc<TokenGrant>> {
+    pub fn authenticate(&self, token: &str) -> Option<Rc<TokenGrant>> {
         let mut found = None;
-        for (mac, token) in &self.tokens {
-            if self.key.verify_token(secret, mac) {
-                found = Some(token.clone());
+        for (mac, grant) in &self.grants {
+            if self.key.verify_token(token, mac) {
+                found = Some(grant.clone());
             }
         }
         found
--- a/crates/kube/src/table.rs
+++ b/crates/kube/src/table.rs
@@ -36,14 +36,14 @@
     ])
 }
 
-pub fn row(object: &Object, progress: Progress, wall: Micros) -> Value {
+pub fn row(object: &Object, progress: Option<Progress>, wall_time: Micros) -> Value {
     let (record, state) = (&object.record, &object.record.state);
     let completions = view::completions(object);
     let done = match view::phase(object) {
         "Complete" => completions,
-        _ => progress.map_or(0, |(done, _)| done),
+        _ => progress.map_or(0, |p| p.done),
     };
-    let until = state.end.map_or(wall, |e| e.at);
+    let until = state.end.map_or(wall_time, |e| e.at);
     let duration = state
         .started
         .map(|at| format_duration(until.saturating_sub(at)));
@@ -53,7 +53,7 @@
             view::phase(object),
             format!("{done}/{completions}"),
             duration.unwrap_or_default(),
-            format_duration(wall.saturating_sub(record.created)),
+            format_duration(wall_time.saturating_sub(record.created)),
         ],
         "object": view::partial_metadata(object),
     })
--- a/crates/kube/src/target.rs
+++ b/crates/kube/src/target.rs
@@ -216,7 +216,7 @@
                 },
                 "propagationPolicy" => q.propagation = Some(value.to_string()),
                 "sendInitialEvents" if parse_bool(value) => {
-                    // Clients fall back to list and watch when this is refused.
+                    // Clients fall back to list and watch when this is rejected.
                     let message = "sendInitialEvents is not served: list, then watch";
                     return Err(StatusError::BadRequest(message.into()));
                 }
--- a/crates/kube/src/view.rs
+++ b/crates/kube/src/view.rs
@@ -10,8 +10,14 @@
 /// The annotation with the id of the native job that runs an object. The server sets it.
 pub const JOB_ANNOTATION: &str = "dillcleat/job";
 
-/// The number of done and of running tasks, as last broadcast by the leader.
-pub type Progress = Option<(u32, u32)>;
+/// The progress of a job, as last broadcast by the leader.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Progress {
+    /// The number of tasks that are done.
+    pub done: u32,
+    /// The number of tasks that are running.
+    pub running: u32,
+}
 
 /// Converts a time of day in microseconds; None if it is out of range.
 pub fn to_kubernetes_time(at: Micros) -> Option<Time> {
@@ -57,9 +63,9 @@
     }
 }
 
-fn status(object: &Object, progress: Progress) -> JobStatus {
+fn status(object: &Object, progress: Option<Progress>) -> JobStatus {
     let state = &object.record.state;
-    let (done, running) = progress.unwrap_or((0, 0));
+    let Progress { done, running } = progress.unwrap_or_default();
     let (done, running) = match state.end {
         Some(JobEnd {
             reason: EndReason::Complete,
@@ -115,7 +121,7 @@
 }
 
 /// The object with its metadata, spec and status.
-pub fn to_json(object: &Object, progress: Progress) -> Value {
+pub fn to_json(object: &Object, progress: Option<Progress>) -> Value {
     match object.name.kind {
         Kind::Job => {
             let job = Job {
--- a/crates/kube/src/yaml.rs
+++ b/crates/kube/src/yaml.rs
@@ -51,7 +51,7 @@
     use serde_json::json;
 
     #[test]
-    fn documents_are_read_in_order_and_empty_ones_are_skipped() {
+    fn documents_are_parsed_in_order_and_empty_ones_are_skipped() {
         let text = "a: 1\n---\n# nothing\n---\nb: [x, 'y']\n";
         assert_eq!(
             parse_documents(text),
--- a/crates/kube/tests/golden_settings.rs
+++ b/crates/kube/tests/golden_settings.rs
@@ -99,14 +99,14 @@
 
 #[test]
 fn an_unknown_key_is_an_error_with_the_valid_keys() {
-    let refused = |text: &str, keys: &[&str]| {
+    let assert_rejected = |text: &str, keys: &[&str]| {
         let error = read(text).expect_err(text).to_string();
         assert!(error.contains("unknown field `colour`"), "{error}");
         for key in keys {
             assert!(error.contains(&format!("`{key}`")), "{key}: {error}");
         }
     };
-    refused(
+    assert_rejected(
         &format!("colour = 1\n{SHORT}"),
         &[
             "listen",
@@ -120,11 +120,11 @@
             "tokens",
         ],
     );
-    refused(
+    assert_rejected(
         &format!("{SHORT}tls = {{ colour = 1 }}\n"),
         &["cert", "key"],
     );
-    refused(
+    assert_rejected(
         &format!("{SHORT}[[tokens]]\ncolour = 1\n"),
         &["name", "mac", "namespaces", "verbs"],
     );
--- a/crates/kube/tests/lost_responses.rs
+++ b/crates/kube/tests/lost_responses.rs
@@ -50,7 +50,7 @@
     /// Watch requests that refresh the watch cache.
     pending_refreshes: Vec<CallId>,
     /// The status codes of the responses to the client.
-    replies: Vec<u16>,
+    responses: Vec<u16>,
 }
 
 impl TestController {
@@ -65,7 +65,7 @@
             txns: Vec::new(),
             pending_gets: Vec::new(),
             pending_refreshes: Vec::new(),
-            replies: Vec::new(),
+            responses: Vec::new(),
         };
         controller.handle(Input::Tick);
         controller
@@ -79,19 +79,19 @@
     fn take_outputs(&mut self, out: Vec<ControllerOutput>) {
         for out in out {
             match out {
-                ControllerOutput::Response { response, .. } => self.replies.push(response.status),
+                ControllerOutput::Response { response, .. } => self.responses.push(response.status),
                 ControllerOutput::Node(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
                             records::SHARED => vec![machine_types_row()],
                             _ => Vec::new(),
                         };
-                        let reply = StoreResponse::RangePage(RangePage {
+                        let response = StoreResponse::RangePage(RangePage {
                             rows,
                             more: false,
                             revision: 5,
                         });
-                        self.answer_call(id, Ok(reply));
+                        self.answer_call(id, Ok(response));
                     }
                     StoreRequest::Transaction(txn) => self.txns.push((id, txn)),
                     StoreRequest::Get { .. } => self.pending_gets.push(id),
@@ -115,8 +115,11 @@
         self.answer_call(id, Ok(StoreResponse::WatchBatch(changes)));
     }
 
-    fn answer_call(&mut self, id: CallId, reply: Result<StoreResponse, CallError>) {
-        self.handle(Input::Store { id, reply });
+    fn answer_call(&mut self, id: CallId, response: Result<StoreResponse, CallError>) {
+        self.handle(Input::Store {
+            id,
+            reply: response,
+        });
     }
 }
 
@@ -175,7 +178,11 @@
         ..ApiRequest::default()
     };
     controller.request(request);
-    assert!(controller.replies.is_empty(), "{:?}", controller.replies);
+    assert!(
+        controller.responses.is_empty(),
+        "{:?}",
+        controller.responses
+    );
     controller
         .txns
         .last()
@@ -214,7 +221,7 @@
     let value = encode_value(&tombstone);
     let found = StoreResponse::Found(row(name().tombstone_key(), value, tombstone_version));
     controller.answer_call(get, Ok(found));
-    (controller.replies, controller.txns.len())
+    (controller.responses, controller.txns.len())
 }
 
 /// Guards against running a job twice: the first attempt may have created the object that
@@ -263,11 +270,11 @@
         let key = name().key();
         let replacement = vec![WatchEvent::Delete { key, version: 7 }, put_event(&next, 8)];
         controller.answer_refresh(8, if replaced { replacement } else { Vec::new() });
-        let replies = if replaced { vec![200] } else { vec![] };
+        let responses = if replaced { vec![200] } else { vec![] };
         let transactions = if replaced { 1 } else { 2 };
         assert_eq!(
-            (controller.replies, controller.txns.len()),
-            (replies, transactions)
+            (controller.responses, controller.txns.len()),
+            (responses, transactions)
         );
     }
 }
