--- a/crates/dillcleat/src/cli.rs
+++ b/crates/dillcleat/src/cli.rs
@@ -343,10 +343,10 @@
         let start = Instant::now();
         let mut reported = false;
         while start.elapsed() < timeout {
-            let reply = pool
+            let response = pool
                 .call(server, method, path, body, Duration::from_secs(5))
                 .await;
-            match reply {
+            match response {
                 Ok((200 | 201, body)) => return Ok(body),
                 Ok((status @ (400 | 404 | 405 | 413 | 422), body)) => {
                     let cause = dillcleat_wire::decode::<ErrorReply>(&body)
--- a/crates/dillcleat/src/token.rs
+++ b/crates/dillcleat/src/token.rs
@@ -14,7 +14,7 @@
     Key,
     /// Print a new token, and on standard error the settings entry for it
     New {
-        /// File with the operators' key
+        /// File with the operators' signing key
         #[arg(long, value_name = "FILE")]
         key_file: PathBuf,
         /// Name of the token's holder, for the log
--- a/crates/dillcleat/tests/common/mod.rs
+++ b/crates/dillcleat/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// The operators' key.
+/// The operators' signing key.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 pub type Certificate = rcgen::CertifiedKey<rcgen::KeyPair>;
@@ -18,7 +18,7 @@
     std::fs::write(dir.join("server.crt"), certificate.cert.pem()).expect("a file");
 }
 
-/// Creates a directory for one test that contains the operators' key.
+/// Creates a directory for one test that contains the signing key.
 pub fn test_dir(name: &str) -> PathBuf {
     let dir_name = format!("{}-{name}", std::process::id());
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(dir_name);
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -167,11 +167,11 @@
         .await
         .expect("changed");
     old.labels_mut().insert("seen".into(), "no".into());
-    let refused = jobs[0]
+    let rejected = jobs[0]
         .replace("first", &params, &old)
         .await
         .expect_err("an old version");
-    assert_eq!(status_code(&refused), 409);
+    assert_eq!(status_code(&rejected), 409);
     let labelled = ListParams::default().labels("seen=yes,app in (merge,sort)");
     assert_eq!(
         jobs[0].list(&labelled).await.expect("a list").items.len(),
