--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -1,4 +1,4 @@
-//! The place of each job in the queue: ageing, starvation and rank.
+//! The queue entry of each job: ageing, starvation and rank.
 
 use super::due_times::DueSubject;
 use super::sums::JobContribution;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Brings everything that is derived from a job up to date.
+    /// Updates all state that is derived from a job.
     pub(super) fn refresh_job(&mut self, ctx: &Context, index: SlabIndex) {
         if let Some(job) = self.jobs.get_mut_unmarked(index) {
             job.update_ageing(self.scheduling.virtual_time());
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The entry of a job in the queue, if it has tasks that may be placed now.
+    /// The queue entry of a job, if it has tasks that may be placed now.
     fn queue_entry(&self, ctx: &Context, id: &Rc<str>, job: &Job) -> Option<QueueEntry> {
         if !may_be_placed(ctx, job) {
             return None;
@@ -50,7 +50,7 @@
         let rank = |first: bool, size: f64, remaining: f64| QueueRank {
             service: Reverse(first && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
-            tiny: Reverse(first && job.tiny(ctx.config)),
+            tiny: Reverse(first && job.is_tiny(ctx.config)),
             size: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
             ready_at_us: job.ready_at,
@@ -61,33 +61,35 @@
             request: job.resource_request.clone(),
             ageing,
             rank: rank(true, size, remaining),
-            training: (job.training(ctx.config) > 0).then(|| rank(false, job.initial_size, 0.0)),
+            training: (job.training_tasks_left(ctx.config) > 0)
+                .then(|| rank(false, job.initial_size, 0.0)),
         })
     }
 
-    /// The expected CPU-seconds of the job's tasks that are not done, by which jobs of no
-    /// virtual size are ordered. A job whose end is of no more use comes last.
+    /// The expected CPU-seconds of the job's tasks that are not done, by which jobs with a
+    /// virtual size of zero are ordered. Infinite for jobs whose end is no longer useful, so
+    /// that they come last.
     fn remaining_cpu_seconds(&self, ctx: &Context, job: &Job, virtual_size: f64) -> f64 {
         if virtual_size > 0.0 || job.spec.kind == JobKind::Service {
             return 0.0;
         }
-        if Self::is_past_use(ctx, job) {
+        if Self::is_past_useful_end(ctx, job) {
             return f64::INFINITY;
         }
         let tasks_left = f64::from(job.spec.tasks) - f64::from(job.task_counts().done);
         tasks_left * job.spec.cpus * self.mean_run_time_s(ctx.config, job)
     }
 
-    /// When a job's place in the queue changes next by time alone.
+    /// The next time at which the job's queue entry changes without an event.
     fn next_job_change(&self, ctx: &Context, job: &Job) -> Option<Micros> {
         let now = ctx.now.monotonic;
-        // From the time of day to the monotonic clock.
-        let past_use_at = Self::of_use_until(ctx.config, job)
+        // Converted from wall-clock to monotonic time.
+        let useful_until = Self::latest_useful_end(ctx.config, job)
             .map(|end| now.saturating_add(end.saturating_sub(ctx.now.wall)));
         [
             Some(job.blocked_until),
             job.failures.retry_at(),
-            past_use_at.filter(|_| job.waiting_count() > 0),
+            useful_until.filter(|_| job.waiting_count() > 0),
             job.starves_at(ctx.config),
         ]
         .into_iter()
@@ -100,20 +102,19 @@
 /// Whether the job has tasks that may be placed now.
 fn may_be_placed(ctx: &Context, job: &Job) -> bool {
     let now = ctx.now.monotonic;
-    job.cancelled.is_none()
+    job.cancelled_at.is_none()
         && !job.blocked_on_dependencies
         && job.team < ctx.config.teams.len()
-        && job.placeable() > 0
+        && job.placeable_count() > 0
         && now >= job.blocked_until
         && job
             .failures
-            .may_start(job.placed(), job.resource_request.starving(), now)
+            .may_start(job.placed_count(), job.resource_request.starving(), now)
 }
 
-/// Whether the place of a job in the queue follows from the estimate of its class.
+/// Whether the queue position of a job depends on the estimate of its class.
 ///
-/// A job that does not age while it fails may have come to a size of zero as well; left
-/// out, it once kept its place by an old estimate (seed 2291 as Jobs).
+/// This includes suspect jobs, which don't age but may have reached a virtual size of zero.
 fn is_ordered_by_estimate(job: &Job, entry: Option<&QueueEntry>) -> bool {
     entry.is_some_and(|entry| entry.ageing != AgeingState::Ageing)
         && job.samples.is_empty()
@@ -121,10 +122,10 @@
 }
 
 impl Job {
-    /// Starts or stops the job's ageing at this virtual time.
+    /// Starts or stops the ageing of the job at this virtual time.
     fn update_ageing(&mut self, virtual_time: f64) {
         let ages = self.spec.kind == JobKind::Batch
-            && self.cancelled.is_none()
+            && self.cancelled_at.is_none()
             && !self.blocked_on_dependencies
             && !self.ending
             && !self.failures.is_suspect();
@@ -138,13 +139,14 @@
         }
     }
 
-    /// Records since when the job waits, and whether it is starving. A pause after an
-    /// error is a part of its wait.
+    /// Updates the time since which the job has been waiting and whether it is starving.
+    /// Pauses after errors count as waiting.
     fn update_starvation(&mut self, ctx: &Context) {
-        let waits =
-            self.cancelled.is_none() && !self.blocked_on_dependencies && self.placeable() > 0;
+        let is_waiting = self.cancelled_at.is_none()
+            && !self.blocked_on_dependencies
+            && self.placeable_count() > 0;
         let now = ctx.now.monotonic;
-        self.waits_since = waits.then(|| self.waits_since.unwrap_or(now));
+        self.waiting_since = is_waiting.then(|| self.waiting_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
         if self.resource_request.starving() != starving {
@@ -152,9 +154,9 @@
         }
     }
 
-    /// When it will be starving, if it gets no resources until then.
+    /// The time at which the job will be starving if it gets no resources.
     fn starves_at(&self, config: &Config) -> Option<Micros> {
-        Some(self.waits_since? + micros(config.tuning.starve_s))
+        Some(self.waiting_since? + micros(config.tuning.starve_s))
     }
 
     /// The virtual time at which an ageing job's virtual size is zero.
--- /dev/null
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -0,0 +1,120 @@
+//! Estimates of jobs that a leader replicates to its peers survive a failover.
+
+mod common;
+
+use common::{Environment, step_with};
+use dillcleat_controller::records::{OpenJob, open_job_key};
+use dillcleat_controller::{Input, Micros, Node, Output, SECOND, Timestamp};
+use dillcleat_peer_protocol::{ClassRunTime, Estimates, JobEstimate, Message};
+use dillcleat_wire::store::{KeyValue, encode_value};
+use dillcleat_wire::user::{JobKind, JobSpec};
+
+const START: Micros = 1000 * SECOND;
+
+fn estimates(term: u64, credit: f64, size: f64) -> Estimates {
+    Estimates {
+        term,
+        virtual_time: 500.0,
+        classes: vec![ClassRunTime {
+            class: "merge".into(),
+            mean_s: 33.0,
+        }],
+        jobs: vec![JobEstimate {
+            job: "req-1".into(),
+            initial_size: 6000.0,
+            size,
+            credit,
+            is_ageing: true,
+            trained: true,
+            samples: vec![20.0, 22.0],
+        }],
+    }
+}
+
+/// Elects a node `delay` after it received the estimates. Returns the size, the credit and
+/// the number of samples that it replicates itself for the job, at virtual time zero.
+fn replicated_after_election(received: Estimates, delay: Micros) -> (f64, f64, usize) {
+    let mut node: Node = common::three_zone_node();
+    let spec = JobSpec {
+        team: "books".into(),
+        ..JobSpec::plain("req-1", JobKind::Batch, 50, 2.0)
+    };
+    let open = OpenJob {
+        spec,
+        submitted_at_us: 0,
+        tasks_per_chunk: 64,
+        without_state_record: true,
+        parallelism_limit: None,
+    };
+    let mut env = Environment::default();
+    env.queue_rows.push(KeyValue {
+        key: open_job_key("req-1"),
+        value: encode_value(&open),
+        version: 3,
+        lease: None,
+    });
+    let from = "n1".to_string();
+    let message = Message::Estimates(received);
+    step_with(
+        &mut node,
+        START,
+        Input::Peer { from, message },
+        &[],
+        &mut env,
+    );
+    let at = START + delay;
+    step_with(&mut node, at, Input::Tick, &[], &mut env);
+    assert_eq!(node.leading(), Some(1));
+    let at = at + SECOND * 9 / 10;
+    let now = Timestamp {
+        monotonic: at,
+        wall: at,
+    };
+    let mut jobs = Vec::new();
+    for output in node.handle(now, Input::Tick) {
+        if let Output::Peer {
+            message: Message::Estimates(estimates),
+        } = output
+        {
+            jobs.extend(estimates.jobs);
+        }
+    }
+    let job = jobs
+        .iter()
+        .find(|j| j.job == "req-1")
+        .expect("its estimate is replicated");
+    (job.size, job.credit, job.samples.len())
+}
+
+/// Otherwise a large job's ageing would start again at every failover.
+#[test]
+fn new_leader_continues_with_replicated_estimates() {
+    assert_eq!(
+        replicated_after_election(estimates(0, -200.0, 2100.0), SECOND),
+        (2100.0, 300.0, 2)
+    );
+}
+
+/// The job then has its initial size: 50 tasks of 2 CPUs for 60 s, the configured first
+/// guess.
+#[test]
+fn new_leader_ignores_invalid_and_outdated_estimates() {
+    let initial = (6000.0, 0.0, 0);
+    let (size, _, _) = replicated_after_election(estimates(0, -200.0, -1.0), SECOND);
+    assert!(size > 0.0);
+    assert_eq!(
+        replicated_after_election(estimates(1, -200.0, 2100.0), SECOND),
+        initial,
+        "the new leader's own term"
+    );
+    assert_eq!(
+        replicated_after_election(estimates(0, -200.0, 2100.0), 700 * SECOND).1,
+        0.0,
+        "outdated"
+    );
+    assert_eq!(
+        replicated_after_election(estimates(0, -900.0, 2100.0), SECOND).1,
+        0.0,
+        "negative credit"
+    );
+}
