--- a/crates/controller/src/election/shared_keys.rs
+++ b/crates/controller/src/election/shared_keys.rs
@@ -5,13 +5,13 @@
 use dillcleat_wire::store::{RangePage, Value, WatchBatch, WatchEvent, decode_value};
 use std::rc::Rc;
 
-/// The keys under [`records::SHARED`], as last read or watched.
+/// The keys with the prefix [`records::SHARED_PREFIX`], as last read or watched.
 #[derive(Debug, Default)]
 pub(super) struct SharedKeys {
-    /// The store's revision up to which they are known.
+    /// The store revision that this copy reflects.
     pub revision: u64,
     pub leader: Option<LeaderRecord>,
-    /// The highest term seen.
+    /// The highest term observed.
     pub term: u64,
     pub term_version: u64,
     pub machine_types: Option<Rc<Vec<MachineType>>>,
@@ -19,19 +19,19 @@
 }
 
 impl SharedKeys {
-    /// Replaces everything that a full read contains.
+    /// Replaces this copy by the result of a full read.
     pub fn apply_read(&mut self, page: &RangePage) {
         self.revision = page.revision;
         self.leader = None;
         for row in &page.rows {
             match row.key.as_str() {
-                records::LEAD => self.leader = row.decode_value(),
-                records::TERM => {
+                records::LEADER_KEY => self.leader = row.decode_value(),
+                records::TERM_KEY => {
                     if let Some(record) = row.decode_value::<TermRecord>() {
                         (self.term, self.term_version) = (record.term, row.version);
                     }
                 }
-                records::TYPES => {
+                records::MACHINE_TYPES_KEY => {
                     self.machine_types = row
                         .decode_value::<MachineTypesRecord>()
                         .map(|record| Rc::new(record.types));
@@ -42,22 +42,21 @@
         }
     }
 
-    /// Applies what has changed since the known revision.
+    /// Applies the changes that are newer than this copy.
     pub fn apply_changes(&mut self, changes: WatchBatch) {
-        // The watch's connection may have been slow, and all keys been read meanwhile:
-        // what is older than that read was once taken for news, and a leader whose key had
-        // been deleted before for the present one, of whom nothing is heard any more.
-        let known = self.revision;
-        self.revision = known.max(changes.revision);
+        // A delayed watch response may arrive after a later full read. Older events must
+        // be ignored, or else a deleted leader key would reappear.
+        let known_revision = self.revision;
+        self.revision = known_revision.max(changes.revision);
         for event in changes.events {
             match event {
                 WatchEvent::Put {
                     key,
                     value,
                     version,
-                } if version > known => self.apply_put(&key, &value, version),
-                WatchEvent::Delete { key, version } if version > known => {
-                    if key == records::LEAD {
+                } if version > known_revision => self.apply_put(&key, &value, version),
+                WatchEvent::Delete { key, version } if version > known_revision => {
+                    if key == records::LEADER_KEY {
                         self.leader = None;
                     }
                 }
@@ -68,15 +67,15 @@
 
     fn apply_put(&mut self, key: &str, value: &Value, version: u64) {
         match key {
-            records::LEAD => self.leader = decode_value(value),
-            records::TERM => {
+            records::LEADER_KEY => self.leader = decode_value(value),
+            records::TERM_KEY => {
                 if let Some(record) = decode_value::<TermRecord>(value)
                     && version > self.term_version
                 {
                     (self.term, self.term_version) = (record.term, version);
                 }
             }
-            records::TYPES => {
+            records::MACHINE_TYPES_KEY => {
                 if let Some(record) = decode_value::<MachineTypesRecord>(value) {
                     self.machine_types = Some(Rc::new(record.types));
                 }
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -100,7 +100,7 @@
 /// A warning if cancelled tasks may run longer than `cancel_s` while the store is
 /// unavailable, because `cancel_s` is too short for the worker lease.
 pub fn cancel_shortfall_warning(config: &Config) -> Option<String> {
-    let shortfall_s = seconds(config.cancel_shortfall()?);
+    let shortfall_s = seconds(config.cancel_deadline_shortfall()?);
     Some(format!(
         "cluster.workers.cancel_s leaves no time beside lease_s: while the state service is out \
          of reach, cancelled tasks may run up to {shortfall_s} s longer than cancel_s"
--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -19,7 +19,7 @@
 use crate::watch_cache::WatchCache;
 use crate::watches::{Filter, WatchOutput, Watches};
 use crate::{ApiRequest, ApiResponse, ControllerOutput, patch, reconciler, table, translate, view};
-use dillcleat_controller::calls::state_timeout;
+use dillcleat_controller::calls::store_timeout;
 use dillcleat_controller::records::{self, JobStateRecord, OpenJob};
 use dillcleat_controller::request_budget::{RequestPriority, StoreCost};
 use dillcleat_controller::{
@@ -248,7 +248,7 @@
     ) {
         self.last_store_request += 1;
         let id = CallId(CALL_ID_BIT | self.last_store_request);
-        let timeout = state_timeout(&request);
+        let timeout = store_timeout(&request);
         self.pending_requests.insert(id, pending);
         ctx.out.push(ControllerOutput::Node(Output::Store {
             id,
@@ -503,7 +503,7 @@
             return;
         };
         let times = (ctx.now.monotonic, ctx.now.wall);
-        let is_open = |job: &str| ctx.node.holds(job);
+        let is_open = |job: &str| ctx.node.has_open_job(job);
         let requests = self
             .reconciler
             .reconcile(leadership, &self.cache, is_open, times);
@@ -532,7 +532,7 @@
     }
 
     fn read_job_state(&mut self, ctx: &mut Context, job: String) {
-        let key = records::job_key(&job);
+        let key = records::job_state_key(&job);
         let pending = PendingStoreRequest::ReadJobState(job);
         self.send_store_request(ctx, StoreRequest::Get { key }, pending);
     }
--- a/crates/kube/src/api_server/write.rs
+++ b/crates/kube/src/api_server/write.rs
@@ -145,7 +145,7 @@
         record: &Record,
         job: Option<&OpenJob>,
     ) -> Result<(), StatusError> {
-        let limit = ctx.node.config().value_bytes;
+        let limit = ctx.node.config().max_value_bytes;
         let job_size = job.map_or(0, |job| store::json_size(&store::encode_value(job)));
         let size = record.stored_size().max(job_size);
         if size <= limit {
@@ -768,9 +768,9 @@
 /// Adds the submission of a job to a transaction.
 fn add_submission(txn: Transaction, job: &OpenJob) -> Transaction {
     let id = &job.spec.id;
-    txn.compare(records::job_key(id), 0)
-        .compare(records::open_key(id), 0)
-        .put(records::open_key(id), job)
+    txn.compare(records::job_state_key(id), 0)
+        .compare(records::open_job_key(id), 0)
+        .put(records::open_job_key(id), job)
 }
 
 fn delete_options(request: &Request) -> Result<DeleteOptions, StatusError> {
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -114,10 +114,10 @@
         state: RecordedState::Cancelled,
         task_count: completions(object),
     };
-    txn.compare(records::job_key(job), 0)
-        .put(records::job_key(job), &state)
+    txn.compare(records::job_state_key(job), 0)
+        .put(records::job_state_key(job), &state)
         .put(
-            records::cancelled_key(job),
+            records::cancelled_job_key(job),
             &CancelledJob {
                 cancelled_at_us: wall_time,
             },
@@ -145,7 +145,7 @@
     ) -> Option<Transaction> {
         let key = object.name.key();
         let mut txn = Transaction::default()
-            .compare(records::TERM, fencing_token)
+            .compare(records::TERM_KEY, fencing_token)
             .compare(key.clone(), object.version);
         let mut state = object.record.state.clone();
         match self {
--- a/crates/kube/tests/lost_responses.rs
+++ b/crates/kube/tests/lost_responses.rs
@@ -83,7 +83,7 @@
                 ControllerOutput::Node(Output::Store { id, call, .. }) => match call {
                     StoreRequest::List { prefix, .. } => {
                         let rows = match prefix.as_str() {
-                            records::SHARED => vec![machine_types_row()],
+                            records::SHARED_PREFIX => vec![machine_types_row()],
                             _ => Vec::new(),
                         };
                         let response = StoreResponse::RangePage(RangePage {
@@ -144,7 +144,7 @@
         zones: vec!["a".into()],
     }];
     row(
-        records::TYPES.into(),
+        records::MACHINE_TYPES_KEY.into(),
         encode_value(&MachineTypesRecord { types }),
         1,
     )
