--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -1,12 +1,12 @@
-//! The listener for Kubernetes-shaped clients.
+//! The listener for Kubernetes clients.
 
 mod tls;
 
-use crate::connections::{Admitted, Peer};
+use crate::connections::{ClientConnection, ClientKind};
 use crate::error::CliError;
-use crate::http::{Connection, RequestError, reason};
-use crate::server::{ConnectionCount, Executor, ServerState, bind};
-use dillcleat_controller::{Input, RequestId};
+use crate::http::{Connection, IDLE_TIMEOUT, RequestError, reason};
+use crate::server::{ConnectionCount, Executor, ServerInput, ServerState, bind};
+use dillcleat_controller::RequestId;
 use dillcleat_kube::status_error::StatusError;
 use dillcleat_kube::{ApiRequest, ApiResponse, ControllerOutput, Settings};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -16,54 +16,48 @@
 use std::time::Duration;
 use tls::Tls;
 
-/// Lines that may be queued for the reader of a watch. A client that is further behind
-/// is disconnected; it resumes by resource version.
-const MAX_QUEUED_LINES: usize = 256;
-/// A watch may be silent for as long as a bookmark takes, and longer without them.
-const SILENCE: Duration = Duration::from_secs(2_000);
-const HEADERS: &[&str] = &["authorization", "accept", "content-type"];
+/// The capacity of the queue of outputs for one connection. A client that exceeds it is
+/// disconnected; it can resume its watch at the last resource version.
+const MAX_QUEUED_OUTPUTS: usize = 256;
+/// Idle timeout of a connection with an open watch. A watch without bookmarks may have no
+/// events until it ends, so this is longer than the maximum duration of a watch.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(2_000);
+/// In the order in which `serve_client` takes the values.
+const HEADER_NAMES: &[&str] = &["authorization", "accept", "content-type"];
 
-/// What the controller is handed: its own inputs and those of Kubernetes-shaped clients.
-pub enum ServerInput {
-    /// An input of the controller itself.
-    Controller(Input),
-    /// A request of a Kubernetes-shaped client.
-    ApiRequest(RequestId, ApiRequest),
-    /// The client of a watch has gone.
-    ClientGone(RequestId),
+/// An output of the API server to the connection of a client.
+pub enum ClientOutput {
+    /// A complete response.
+    Response(ApiResponse),
+    WatchStarted,
+    WatchEvent(Rc<[u8]>),
+    WatchEnded,
 }
 
-/// What the connection of a client is sent.
-pub enum WatchLine {
-    Reply(ApiResponse),
-    Stream,
-    Chunk(Rc<[u8]>),
-    End,
-}
-
-/// Hands an output to the connection that waits for it. Returns the request of a client
-/// that does not keep up, whose watch is to be closed.
-pub fn carry_out(shared: &ServerState, out: ControllerOutput) -> Option<RequestId> {
-    let (id, line) = match out {
-        ControllerOutput::Reply { id, reply } => (id, WatchLine::Reply(reply)),
-        ControllerOutput::Stream { id } => (id, WatchLine::Stream),
-        ControllerOutput::Chunk { id, bytes } => (id, WatchLine::Chunk(bytes)),
-        ControllerOutput::End { id } => (id, WatchLine::End),
-        ControllerOutput::Core(_) => return None,
+/// Forwards an output to the task of its connection. Returns the request if its output could
+/// not be queued, because the client reads too slowly or has disconnected; its watch must be
+/// closed.
+pub fn forward(state: &ServerState, out: ControllerOutput) -> Option<RequestId> {
+    let (id, output) = match out {
+        ControllerOutput::Response { id, response } => (id, ClientOutput::Response(response)),
+        ControllerOutput::WatchStarted { id } => (id, ClientOutput::WatchStarted),
+        ControllerOutput::WatchEvent { id, bytes } => (id, ClientOutput::WatchEvent(bytes)),
+        ControllerOutput::WatchEnded { id } => (id, ClientOutput::WatchEnded),
+        ControllerOutput::Node(_) => return None,
     };
-    let mut lines = shared.watch_lines.borrow_mut();
-    let last = matches!(line, WatchLine::Reply(_) | WatchLine::End);
-    let sent = lines.get(&id)?.try_send(line).is_ok();
+    let mut outputs = state.client_outputs.borrow_mut();
+    let last = matches!(output, ClientOutput::Response(_) | ClientOutput::WatchEnded);
+    let sent = outputs.get(&id)?.try_send(output).is_ok();
     if last || !sent {
-        lines.remove(&id);
+        outputs.remove(&id);
     }
     (!sent).then_some(id)
 }
 
-/// Opens the listener.
+/// Opens the listener and starts to accept connections.
 pub async fn open(
     executor: &Executor,
-    shared: &Rc<ServerState>,
+    state: &Rc<ServerState>,
     settings: &Settings,
 ) -> Result<(), CliError> {
     let listener = bind(&settings.listen.to_string()).await?;
@@ -72,43 +66,45 @@
         Some(files) => Some(Rc::new(Tls::load(files)?)),
     };
     if let Some(tls) = tls.clone() {
-        executor.spawn(async move { tls.keep_up().await }).detach();
+        executor
+            .spawn(async move { tls.reload_on_change().await })
+            .detach();
     }
     log::info!("serving Kubernetes clients address={}", settings.listen);
     executor
-        .spawn(accept(executor.clone(), shared.clone(), listener, tls))
+        .spawn(accept(executor.clone(), state.clone(), listener, tls))
         .detach();
     Ok(())
 }
 
-/// Whether another Kubernetes-shaped client may connect: half of the clients' sockets
-/// are kept for users and workers.
-fn accepts_more_clients(shared: &ServerState) -> bool {
-    (shared.kube_clients.get() as usize) < shared.clients.limit() / 2
+/// Whether another Kubernetes client may connect. Half of the clients' connections are
+/// reserved for users and workers.
+fn accepts_more_clients(state: &ServerState) -> bool {
+    (state.kube_clients.get() as usize) < state.client_connections.limit() / 2
 }
 
 async fn accept(
     executor: Executor,
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     listener: TcpListener,
     tls: Option<Rc<Tls>>,
 ) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if accepts_more_clients(&shared) => {
-                match shared.clients.admit().await {
+            Ok((stream, _)) if accepts_more_clients(&state) => {
+                match state.client_connections.admit().await {
                     Some(admitted) => {
-                        let (shared, tls) = (shared.clone(), tls.clone());
-                        executor
-                            .spawn(serve(shared, stream, admitted, tls))
-                            .detach();
+                        let (state, tls) = (state.clone(), tls.clone());
+                        executor.spawn(serve(state, stream, admitted, tls)).detach();
                     }
-                    None => log::debug!("Kubernetes connection refused: too many connections"),
+                    None => log::debug!("Kubernetes connection closed: connection limit reached"),
                 }
             }
-            Ok(_) => log::debug!("Kubernetes connection refused: too many connections"),
+            Ok(_) => {
+                log::debug!("Kubernetes connection closed: limit of Kubernetes clients reached")
+            }
             Err(e) => {
-                log::error!("cannot accept a Kubernetes connection: error={e}");
+                log::error!("cannot accept a Kubernetes connection error={e}");
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
@@ -116,89 +112,88 @@
 }
 
 async fn serve(
-    shared: Rc<ServerState>,
+    state: Rc<ServerState>,
     stream: TcpStream,
-    admitted: Admitted,
+    admitted: ClientConnection,
     tls: Option<Rc<Tls>>,
 ) {
-    let _counted = ConnectionCount::new(&shared, |s| &s.kube_clients);
+    let _counted = ConnectionCount::new(&state, |s| &s.kube_clients);
     let _ = stream.set_nodelay(true);
-    let guarded = shared.watchdog.watch(&stream);
+    let guard = state.watchdog.guard_new_connection(&stream);
     match tls {
         None => {
-            let connection = Connection::over(stream, guarded, HEADERS);
-            client(&shared, &admitted, connection).await;
+            let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
+            serve_client(&state, &admitted, connection).await;
         }
         Some(tls) => match tls.accept(stream).await {
             Ok(stream) => {
-                let connection = Connection::over(stream, guarded, HEADERS);
-                client(&shared, &admitted, connection).await;
+                let connection = Connection::from_stream(stream, guard, HEADER_NAMES);
+                serve_client(&state, &admitted, connection).await;
             }
-            Err(e) => log::debug!("TLS handshake failed: error={e}"),
+            Err(e) => log::debug!("TLS handshake failed error={e}"),
         },
     }
 }
 
-fn response_head(status: u16, more: &str, close: bool) -> String {
+fn response_head(status: u16, extra_headers: &str, close: bool) -> String {
     let close = if close { "Connection: close\r\n" } else { "" };
     format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{more}{close}\r\n",
+        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{extra_headers}{close}\r\n",
         reason(status)
     )
 }
 
-fn response_bytes(reply: &ApiResponse, close: bool) -> Vec<u8> {
-    let mut more = format!("Content-Length: {}\r\n", reply.body.len());
-    if let Some(s) = reply.retry_after {
-        more += &format!("Retry-After: {s}\r\n");
+fn response_bytes(response: &ApiResponse, close: bool) -> Vec<u8> {
+    let mut extra_headers = format!("Content-Length: {}\r\n", response.body.len());
+    if let Some(s) = response.retry_after {
+        extra_headers += &format!("Retry-After: {s}\r\n");
     }
-    if reply.status == 401 {
-        more += "WWW-Authenticate: Bearer\r\n";
+    if response.status == 401 {
+        extra_headers += "WWW-Authenticate: Bearer\r\n";
     }
-    let mut bytes = response_head(reply.status, &more, close).into_bytes();
-    bytes.extend_from_slice(&reply.body);
+    let mut bytes = response_head(response.status, &extra_headers, close).into_bytes();
+    bytes.extend_from_slice(&response.body);
     bytes
 }
 
-fn refusal(error: &StatusError) -> ApiResponse {
+fn error_response(error: &StatusError) -> ApiResponse {
     ApiResponse {
-        status: error.code().0,
+        status: error.code_and_reason().0,
         body: serde_json::to_vec(&error.status()).unwrap_or_default(),
         retry_after: error.retry_after(),
     }
 }
 
-async fn client<S: AsyncRead + AsyncWrite + Unpin>(
-    shared: &ServerState,
-    admitted: &Admitted,
+async fn serve_client<S: AsyncRead + AsyncWrite + Unpin>(
+    state: &ServerState,
+    admitted: &ClientConnection,
     mut connection: Connection<S>,
 ) {
-    const IDLE: Duration = Duration::from_secs(40);
     loop {
         let request = match admitted.next_request(&mut connection).await {
             Ok(request) => request,
-            Err(RequestError::Gone) => return,
-            Err(bad) => {
-                let error = match bad {
+            Err(RequestError::Closed) => return,
+            Err(error) => {
+                let error = match error {
                     RequestError::TooLarge => {
-                        StatusError::TooLarge(dillcleat_kube::api_server::BODY_LIMIT)
+                        StatusError::BodyTooLarge(dillcleat_wire::MAX_BODY_BYTES)
                     }
                     _ => StatusError::BadRequest("malformed request".into()),
                 };
                 let _ = connection
-                    .send(&response_bytes(&refusal(&error), true), IDLE)
+                    .send(&response_bytes(&error_response(&error), true), IDLE_TIMEOUT)
                     .await;
                 return;
             }
         };
-        admitted.carries(Peer::User);
-        let id = RequestId(shared.next_request.get());
-        shared.next_request.set(id.0 + 1);
-        let (tx, lines) = smol::channel::bounded(MAX_QUEUED_LINES);
-        shared.watch_lines.borrow_mut().insert(id, tx);
+        admitted.set_client_kind(ClientKind::User);
+        let id = RequestId(state.next_request.get());
+        state.next_request.set(id.0 + 1);
+        let (tx, outputs) = smol::channel::bounded(MAX_QUEUED_OUTPUTS);
+        state.client_outputs.borrow_mut().insert(id, tx);
         let mut headers = request.headers.into_iter();
         let authorization = headers.next().flatten();
-        let ask = ApiRequest {
+        let api_request = ApiRequest {
             method: request.method,
             target: request.target,
             bearer: authorization.and_then(|a| Some(a.strip_prefix("Bearer ")?.trim().to_string())),
@@ -206,24 +201,26 @@
             content_type: headers.next().flatten(),
             body: request.body,
         };
-        if shared
+        if state
             .api_requests
-            .send(ServerInput::ApiRequest(id, ask))
+            .send(ServerInput::ApiRequest(id, api_request))
             .await
             .is_err()
         {
             return;
         }
         let mut close = request.close;
-        let sent = match lines.recv().await {
-            Ok(WatchLine::Reply(reply)) => {
-                close |= admitted.closes_after_answer();
-                connection.send(&response_bytes(&reply, close), IDLE).await
+        let sent = match outputs.recv().await {
+            Ok(ClientOutput::Response(response)) => {
+                close |= admitted.closes_after_response();
+                connection
+                    .send(&response_bytes(&response, close), IDLE_TIMEOUT)
+                    .await
             }
-            Ok(WatchLine::Stream) => {
-                let sent = stream(&mut connection, &lines).await;
-                shared.watch_lines.borrow_mut().remove(&id);
-                let _ = shared.api_requests.send(ServerInput::ClientGone(id)).await;
+            Ok(ClientOutput::WatchStarted) => {
+                let sent = send_watch(&mut connection, &outputs).await;
+                state.client_outputs.borrow_mut().remove(&id);
+                let _ = state.api_requests.send(ServerInput::WatchClosed(id)).await;
                 sent
             }
             _ => return,
@@ -234,25 +231,28 @@
     }
 }
 
-/// Sends the lines of a watch until it ends.
-async fn stream<S: AsyncRead + AsyncWrite + Unpin>(
+/// Sends the events of a watch until it ends.
+async fn send_watch<S: AsyncRead + AsyncWrite + Unpin>(
     connection: &mut Connection<S>,
-    lines: &smol::channel::Receiver<WatchLine>,
+    outputs: &smol::channel::Receiver<ClientOutput>,
 ) -> std::io::Result<()> {
     let start = response_head(200, "Transfer-Encoding: chunked\r\n", false);
-    connection.send(start.as_bytes(), SILENCE).await?;
+    connection
+        .send(start.as_bytes(), WATCH_IDLE_TIMEOUT)
+        .await?;
     loop {
-        match lines.recv().await {
-            Ok(WatchLine::Chunk(bytes)) => {
+        match outputs.recv().await {
+            Ok(ClientOutput::WatchEvent(bytes)) => {
                 let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
                 chunk.extend_from_slice(&bytes);
                 chunk.extend_from_slice(b"\r\n");
-                connection.send(&chunk, SILENCE).await?;
+                connection.send(&chunk, WATCH_IDLE_TIMEOUT).await?;
             }
-            Ok(WatchLine::End) => {
-                return connection.send(b"0\r\n\r\n", Duration::from_secs(40)).await;
+            Ok(ClientOutput::WatchEnded) => {
+                return connection.send(b"0\r\n\r\n", IDLE_TIMEOUT).await;
             }
-            // Cut off for not keeping up: without the last chunk it is seen to be.
+            // The client reads too slowly. Closing the connection without the last chunk
+            // shows it that the watch is incomplete.
             _ => return Err(std::io::ErrorKind::TimedOut.into()),
         }
     }
--- a/crates/kube/src/api_server/read.rs
+++ b/crates/kube/src/api_server/read.rs
@@ -1,80 +1,94 @@
-//! Gets, lists and watches.
+//! Get, list and watch requests.
 
 use super::*;
 
 impl ApiServer {
-    pub(super) fn read(&mut self, ctx: &mut Ctx, request: Request) -> Result<(), StatusError> {
+    pub(super) fn read(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         match (&request.scope, request.verb) {
-            (Scope::All(kind, namespace), Verb::Watch) => {
-                let filter = filter(&request, *kind, namespace.clone());
+            (Scope::Collection(kind, namespace), Verb::Watch) => {
+                let filter = request_filter(&request, *kind, namespace.clone());
                 self.watch(ctx, &request, filter)
             }
-            (Scope::All(kind, namespace), _) => {
-                let filter = filter(&request, *kind, namespace.clone());
-                let shown = self.list(ctx, &request, &filter)?;
-                self.reply(ctx, request.id, 200, &shown);
+            (Scope::Collection(kind, namespace), _) => {
+                let filter = request_filter(&request, *kind, namespace.clone());
+                let body = self.list(ctx, &request, &filter)?;
+                self.respond(ctx, request.id, 200, &body);
                 Ok(())
             }
-            (Scope::One(name) | Scope::Status(name), _) => {
-                let object = self.cache.get(name).cloned().ok_or_else(|| missing(name))?;
-                let shown = self.shown(ctx, &request, &object);
-                self.reply(ctx, request.id, 200, &shown);
+            (Scope::Object(name) | Scope::Status(name), _) => {
+                let object = self
+                    .cache
+                    .get(name)
+                    .cloned()
+                    .ok_or_else(|| not_found(name))?;
+                let body = self.render(ctx, &request, &object);
+                self.respond(ctx, request.id, 200, &body);
                 Ok(())
             }
-            (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::NotAllowed),
+            (Scope::Namespaces | Scope::Namespace(_), _) => Err(StatusError::MethodNotAllowed),
         }
     }
 
-    pub(super) fn progress(&self, ctx: &Ctx, object: &Object) -> view::Progress {
-        ctx.node.progress(object.record.state.job.as_deref()?)
+    pub(super) fn progress(&self, ctx: &Context, object: &Object) -> Option<view::Progress> {
+        let (done, running) = ctx.node.progress(object.record.state.job.as_deref()?)?;
+        Some(view::Progress { done, running })
     }
 
-    pub(super) fn shown(&self, ctx: &Ctx, request: &Request, object: &Object) -> Value {
+    /// Renders an object as the client of the request accepts it.
+    pub(super) fn render(&self, ctx: &Context, request: &Request, object: &Object) -> Value {
         let progress = self.progress(ctx, object);
-        if !request.table {
-            return view::object(object, progress);
+        if !request.as_table {
+            return view::to_json(object, progress);
         }
         let meta = json!({"resourceVersion": object.version.to_string()});
         table::table(vec![table::row(object, progress, ctx.now.wall)], meta, true)
     }
 
-    fn list(&self, ctx: &Ctx, request: &Request, filter: &Filter) -> Result<Value, StatusError> {
+    fn list(
+        &self,
+        ctx: &Context,
+        request: &Request,
+        filter: &Filter,
+    ) -> Result<Value, StatusError> {
         let query = &request.query;
-        let now = self.cache.revision().unwrap_or(0);
-        if let Since::Version(wanted) = query.since
-            && wanted > now
+        let revision = self.cache.revision().unwrap_or(0);
+        if let ResourceVersion::AtLeast(version) = query.resource_version
+            && version > revision
         {
             return Err(StatusError::Unavailable("that version is not reached yet"));
         }
-        // Pages are of the objects as they are when each is asked for. All have the
-        // version of the first: a watch from there tells whatever has changed.
-        let version = query.after.as_ref().map_or(now, |(version, _)| *version);
-        if self.cache.since(version).is_none() {
-            let what = "the list has changed too much since its first page";
-            return Err(StatusError::Expired(what.into()));
+        // Each page shows the current objects, but has the version of the first page. A
+        // watch from this version delivers all changes made between the pages.
+        let continue_from = query.continue_from.as_ref();
+        let version = continue_from.map_or(revision, |(version, _)| *version);
+        // The changes since the first page must still be kept, so that a watch can start at its
+        // version.
+        if self.cache.changes_since(version).is_none() {
+            let message = "the list has changed too much since its first page";
+            return Err(StatusError::Expired(message.into()));
         }
-        let after = match &query.after {
+        let after = match &query.continue_from {
             None => None,
-            Some((_, key)) => match Name::parse(key) {
+            Some((_, key)) => match Name::from_store_key(key) {
                 Some(name) => Some(name),
                 None => return Err(StatusError::BadRequest("continue: not one of ours".into())),
             },
         };
-        let all = self
+        let objects = self
             .cache
-            .all(filter.kind, filter.namespace.as_deref(), after.as_ref());
-        let mut found = all.filter(|o| filter.takes(o)).peekable();
-        let page: Vec<&Rc<Object>> = found.by_ref().take(query.limit).collect();
+            .objects(filter.kind, filter.namespace.as_deref(), after.as_ref());
+        let mut matching = objects.filter(|o| filter.matches(o)).peekable();
+        let page: Vec<&Rc<Object>> = matching.by_ref().take(query.limit).collect();
         let mut meta = json!({"resourceVersion": version.to_string()});
-        if let Some(last) = page.last().filter(|_| found.peek().is_some()) {
+        if let Some(last) = page.last().filter(|_| matching.peek().is_some()) {
             meta["continue"] = json!(format!("{version}/{}", last.name.key()));
         }
-        if request.table {
+        if request.as_table {
             let rows = page.iter();
             let rows = rows.map(|o| table::row(o, self.progress(ctx, o), ctx.now.wall));
             return Ok(table::table(rows.collect(), meta, true));
         }
-        let items = page.iter().map(|o| view::object(o, self.progress(ctx, o)));
+        let items = page.iter().map(|o| view::to_json(o, self.progress(ctx, o)));
         Ok(json!({
             "apiVersion": filter.kind.api_version(),
             "kind": format!("{}List", filter.kind.name()),
@@ -85,43 +99,43 @@
 
     fn watch(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut Context,
         request: &Request,
         filter: Filter,
     ) -> Result<(), StatusError> {
-        if self.watches.count() >= self.rules.settings.max_watches {
-            return Err(StatusError::TooMany);
+        if self.watches.count() >= self.config.settings.max_watches {
+            return Err(StatusError::TooManyRequests);
         }
         let query = &request.query;
-        let from = match query.since {
-            Since::Now | Since::Any => None,
-            Since::Version(version) => Some(version),
+        let from = match query.resource_version {
+            ResourceVersion::MostRecent | ResourceVersion::Any => None,
+            ResourceVersion::AtLeast(version) => Some(version),
         };
         let now = ctx.now.monotonic;
-        let times = (now, now.saturating_add(query.timeout), ctx.now.wall);
+        let times = (now, now.saturating_add(query.watch_timeout), ctx.now.wall);
         let (id, bookmarks) = (request.id, query.bookmarks);
         let opened = self.watches.open(
             id,
             filter,
-            request.table,
+            request.as_table,
             bookmarks,
             from,
             &self.cache,
             times,
         );
-        let Some(sent) = opened else {
+        let Some(outputs) = opened else {
             return Err(StatusError::Expired(format!(
                 "too old resource version: {}",
                 from.unwrap_or(0)
             )));
         };
-        ctx.out.push(ControllerOutput::Stream { id });
-        self.send(ctx, sent);
+        ctx.out.push(ControllerOutput::WatchStarted { id });
+        self.send(ctx, outputs);
         Ok(())
     }
 }
 
-fn filter(request: &Request, kind: Kind, namespace: Option<String>) -> Filter {
+fn request_filter(request: &Request, kind: Kind, namespace: Option<String>) -> Filter {
     Filter {
         kind,
         namespace,
@@ -130,7 +144,7 @@
     }
 }
 
-pub(super) fn missing(name: &Name) -> StatusError {
+pub(super) fn not_found(name: &Name) -> StatusError {
     StatusError::NotFound {
         resource: name.kind.resource(),
         name: name.name.clone(),
