--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -6,7 +6,7 @@
 use crate::continuations::LeaderStep;
 use crate::leader::{Leader, LeaderEvent};
 use crate::leadership_guard::DeletionReason;
-use crate::machines::{Machine, MachineEnd};
+use crate::machines::{Machine, MachineLossReason};
 use crate::sched::scale_out_plan::InstanceOffering;
 use crate::write_queue::PendingWrite;
 use crate::{Micros, SECOND, micros};
@@ -63,11 +63,11 @@
     /// Handles the reply to the cloud call in flight.
     pub fn cloud_reply(&mut self, ctx: &mut Context, kind: CloudRequestKind, reply: CloudReply) {
         let now = ctx.now.monotonic;
-        self.autoscaler.cloud_queue.call_finished();
+        self.autoscaler.cloud_queue.finish_call();
         match (kind, reply) {
             (CloudRequestKind::Delete, Ok(CloudResponse::Deleted)) => {
                 for name in self.autoscaler.cloud_queue.finish_deletion() {
-                    self.remove_machine(ctx, &name, MachineEnd::Deleted);
+                    self.remove_machine(ctx, &name, MachineLossReason::Deleted);
                 }
             }
             (CloudRequestKind::ScaleOut, Ok(CloudResponse::ScaledOut(names))) => {
@@ -100,14 +100,14 @@
         cloud_queue.pause(now);
         match kind {
             CloudRequestKind::ScaleOut => {
-                cloud_queue.scale_out_failed(now, is_uncertain(reply));
+                cloud_queue.fail_scale_out(now, is_uncertain(reply));
                 return;
             }
             CloudRequestKind::Types => {
                 cloud_queue.schedule_types(now + TYPES_RETRY_INTERVAL);
                 return;
             }
-            CloudRequestKind::Delete => cloud_queue.deletion_failed(is_uncertain(reply)),
+            CloudRequestKind::Delete => cloud_queue.fail_deletion(is_uncertain(reply)),
             CloudRequestKind::List => {}
         }
         let reason = FailureReason(reply);
@@ -146,7 +146,7 @@
                 self.machines.insert(machine.name.clone(), machine);
             }
             if let Some(machine) = self.machines.get_mut(name) {
-                machine.expected = true;
+                machine.boot_expected = true;
             }
         }
         if (names.len() as u32) < request.count {
@@ -185,7 +185,7 @@
                 continue;
             }
             if listed.state == InstanceState::Failed {
-                self.remove_machine(ctx, &listed.name, MachineEnd::ListedAsFailed);
+                self.remove_machine(ctx, &listed.name, MachineLossReason::ListedAsFailed);
                 let name = Rc::from(listed.name);
                 let cloud_queue = &mut self.autoscaler.cloud_queue;
                 cloud_queue.delete(name, DeletionReason::Failed);
@@ -207,7 +207,7 @@
             log::info!("cloud lists an unknown machine machine={}", listed.name);
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
             let mut machine = Machine::new(&listed.name, machine_type, zone, listed.spot, now);
-            machine.expected = is_booting;
+            machine.boot_expected = is_booting;
             self.machines.insert(machine.name.clone(), machine);
         }
         let Some(machine) = self.machines.get_mut(&listed.name) else {
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -8,7 +8,7 @@
     PARTITION_GRACE_LEASES, SpareCapacity, heartbeat_missed_after,
 };
 use crate::leadership_guard::{CloudAction, DeletionReason};
-use crate::machines::{Machine, MachineEnd};
+use crate::machines::{Machine, MachineLossReason};
 use crate::sched::SlabIndex;
 use crate::write_queue::PendingWrite;
 use crate::{Config, Micros, SECOND, micros, records, seconds};
@@ -64,7 +64,7 @@
     fn max_unresponsive_time(&self, machine: &Machine, boot_estimator: &BootEstimator) -> Micros {
         if !machine.is_up() {
             let boot = boot_time(self.types, &machine.machine_type);
-            if machine.expected {
+            if machine.boot_expected {
                 boot_estimator.max_wait(machine, boot)
             } else {
                 // The machine is known only from a record or a listing. If it is running,
@@ -145,7 +145,7 @@
     /// well before the time by which cancelled tasks must have ended.
     pub(in crate::leader) fn delete_machines_with_cancelled_tasks(&mut self, ctx: &Context) {
         let now = ctx.now.monotonic;
-        let removal_timeout = ctx.config.cancel_deadline * 3 / 10;
+        let removal_timeout = ctx.config.cancel_time_limit * 3 / 10;
         let permitted = self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Cancelled));
         if now < self.recovery.ready_since() + removal_timeout / 4 || !permitted {
             return;
@@ -177,7 +177,7 @@
             return false;
         };
         let cloud_queue = &self.autoscaler.cloud_queue;
-        if machine.being_deleted && cloud_queue.is_deletion_urgent(&machine.name) {
+        if machine.being_deleted && cloud_queue.is_deleted_for_cancellation(&machine.name) {
             return false;
         }
         let slot = machine.slots.get(&(job.clone(), task));
@@ -284,12 +284,12 @@
             if !machine.is_ready()
                 || machine.being_deleted
                 || !machine.slots.is_empty()
-                || !machine.unexpected_tasks().is_empty()
+                || !machine.unplaced_attempts().is_empty()
             {
                 continue;
             }
             let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
-            let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
+            let is_idle = now.saturating_sub(machine.idle_since()) >= max_idle
                 && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
             // Machines that the headroom needs are kept: they would be requested again at
             // once.
@@ -327,7 +327,7 @@
     }
 
     /// Removes a machine that is proved to be gone, and returns its tasks to waiting.
-    pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
+    pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineLossReason) {
         self.autoscaler.record_removed(name, ctx.now.monotonic);
         let Some(mut machine) = self.machines.remove(name) else {
             return;
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -270,7 +270,7 @@
             return None;
         }
         let mut view = machine_view(machine, machine.free_resources(total));
-        view.outbound_unreachable = !reachability.is_reachable_both_ways(now, missed_after);
+        view.outbound_unreachable = !reachability.is_reachable_and_renews_lease(now, missed_after);
         if !machine.spot {
             view.service_images = self.service_images_on(machine);
         }
@@ -309,7 +309,7 @@
             if let Some(job) = self.jobs.get_mut_unmarked(index) {
                 job.replicated_counts = counts;
             }
-            changed.push(counts.message(id));
+            changed.push(counts.into_progress(id));
         }
         changed
     }
@@ -322,7 +322,7 @@
     [
         reachability.last_contact_at() + missed_after,
         reachability.last_heartbeat_at() + missed_after,
-        machine.health.blocked_until(),
+        machine.health.placement_paused_until(),
     ]
     .into_iter()
     .filter(|at| *at > now)
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -158,14 +158,18 @@
             zone: machine.zone.clone(),
             spot: machine.spot,
             up,
-            unresponsive: up && machine.reachability.has_missed_heartbeat(now, missed_after),
+            unresponsive: up && machine.reachability.is_heartbeat_overdue(now, missed_after),
             booting,
             interrupted: machine.interrupted_at().is_some() && is_retained,
             empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
-            runs_arrays: machine.has_array_tasks(),
+            runs_arrays: machine.has_batch_tasks(),
             recorded: machine.recorded && is_retained,
             ready_cpus: if machine.is_ready() { cpus } else { 0 },
-            booting_cpus: if booting && machine.expected { cpus } else { 0 },
+            booting_cpus: if booting && machine.boot_expected {
+                cpus
+            } else {
+                0
+            },
             lent_cpus: borrowers
                 .map(|slot| to_millionths(slot.resources.cpus))
                 .sum(),
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -12,7 +12,7 @@
 use crate::continuations::LeaderStep;
 use crate::machines::Machine;
 use crate::machines::TaskSlot;
-use crate::records::{self, MachineRecord, PlacedTask, TaskChunk, TaskRange};
+use crate::records::{self, MachineRecord, PlacedTask, TaskRange, TaskRecord};
 use crate::sched::SlabIndex;
 use crate::{Micros, SECOND};
 use dillcleat_wire::store::{KeyValue, RangePage, StoreRequest, StoreResponse};
@@ -292,7 +292,7 @@
             match self.partitions.last_contact_before_term(&machine.zone) {
                 // A recorded machine has sent a heartbeat to a previous leader.
                 Some(last_contact) if machine.recorded => {
-                    machine.assume_unresponsive_since(now.min(last_contact));
+                    machine.restore_last_contact(now.min(last_contact));
                     // Machines in other zones, which are likely to answer, come first.
                     self.command_dispatch
                         .enqueue_background_at(now + SECOND, machine.name.clone());
@@ -311,7 +311,7 @@
         let Some(id) = self.jobs.name(id).cloned() else {
             return self.add_unknown_job_record(id, row);
         };
-        let Some(chunk) = row.decode_value::<TaskChunk>() else {
+        let Some(chunk) = row.decode_value::<TaskRecord>() else {
             log::error!("unreadable task record key={}", row.key);
             return self.demote_to_unknown(ctx, &id, range, &row.key);
         };
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -24,7 +24,7 @@
     attempt: u64,
     reason: ExitReason,
     /// How long the attempt ran, if known.
-    ran: Option<Micros>,
+    run_time: Option<Micros>,
 }
 
 impl Leader {
@@ -57,13 +57,13 @@
                 task,
                 attempt,
                 reason,
-                ran,
+                run_time,
             } => {
                 let exited = ExitedTask {
                     task,
                     attempt,
                     reason,
-                    ran,
+                    run_time,
                 };
                 self.apply_exit(ctx, machine, &exited);
             }
@@ -113,8 +113,8 @@
         if !job.complete_task(*index, exited.attempt) {
             return;
         }
-        if let Some(ran) = exited.ran {
-            let run_time_s = seconds(ran);
+        if let Some(run_time) = exited.run_time {
+            let run_time_s = seconds(run_time);
             if !job.trained {
                 if let Some(job_index) = job_index {
                     self.estimates.mark_changed(job_index);
@@ -138,7 +138,11 @@
     /// Records that a task of the job has run successfully. Its earlier errors are then
     /// attributed to the machines on which they occurred.
     fn job_has_run(&mut self, id: &Rc<str>) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.failures.has_run()) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| !job.failures.has_succeeded())
+        else {
             return;
         };
         for machine in job.failures.record_success() {
@@ -190,11 +194,13 @@
             return;
         };
         match reason {
-            ExitReason::InsufficientResources => m.health.block_until(now + NO_RESOURCES_PAUSE),
+            ExitReason::InsufficientResources => {
+                m.health.pause_placement_until(now + NO_RESOURCES_PAUSE)
+            }
             ExitReason::Error => {
-                m.health.record_failed_job(id);
+                m.health.record_job_failure(id);
                 let name = m.name.clone();
-                if job.failures.has_run() {
+                if job.failures.has_succeeded() {
                     self.attribute_error_to_machine(&name, id);
                 } else if !m.health.has_attributed_failures()
                     && let Some(pause) = job.failures.record_failure(&name, now)
--- a/crates/controller/src/machines/health.rs
+++ b/crates/controller/src/machines/health.rs
@@ -1,4 +1,4 @@
-//! The task failures on a machine, and their consequences for it.
+//! Which machines are cordoned or excluded from placements after task failures.
 
 use crate::Micros;
 use crate::failure_attribution::AttributedFailures;
@@ -11,9 +11,9 @@
     /// A cordoned machine gets new tasks only as a last resort, and is deleted when empty.
     cordoned: bool,
     /// The machine gets no new task before this time, since it lacked the resources for one.
-    blocked_until: Micros,
-    /// The jobs that failed on this machine. Their tasks are placed on other machines.
-    failed_jobs: BTreeSet<Rc<str>>,
+    placement_paused_until: Micros,
+    /// The jobs of which a task failed on this machine. Their tasks are placed on other machines.
+    jobs_with_failures: BTreeSet<Rc<str>>,
     /// The failures that are attributed to the machine.
     attributed_failures: AttributedFailures,
 }
@@ -25,23 +25,23 @@
     }
 
     /// The time before which the machine gets no new task.
-    pub fn blocked_until(&self) -> Micros {
-        self.blocked_until
+    pub fn placement_paused_until(&self) -> Micros {
+        self.placement_paused_until
     }
 
     /// Excludes the machine from new placements until the time `until`.
-    pub fn block_until(&mut self, until: Micros) {
-        self.blocked_until = until;
+    pub fn pause_placement_until(&mut self, until: Micros) {
+        self.placement_paused_until = until;
     }
 
-    /// The jobs that failed on this machine.
-    pub fn failed_jobs(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.failed_jobs.iter()
+    /// The jobs of which a task failed on this machine.
+    pub fn jobs_with_failures(&self) -> impl Iterator<Item = &Rc<str>> {
+        self.jobs_with_failures.iter()
     }
 
     /// Records that a task of the job has failed on this machine.
-    pub fn record_failed_job(&mut self, job: &Rc<str>) {
-        self.failed_jobs.insert(job.clone());
+    pub fn record_job_failure(&mut self, job: &Rc<str>) {
+        self.jobs_with_failures.insert(job.clone());
     }
 
     /// Whether any failure is attributed to the machine. Further failures on it are then no
@@ -54,7 +54,7 @@
     /// Returns whether this causes the machine to be cordoned.
     pub fn attribute_failure(&mut self, job: &Rc<str>) -> bool {
         self.attributed_failures.add(job);
-        let newly_cordoned = self.attributed_failures.warrant_cordon() && !self.cordoned;
+        let newly_cordoned = self.attributed_failures.should_cordon() && !self.cordoned;
         self.cordoned |= newly_cordoned;
         newly_cordoned
     }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -14,10 +14,11 @@
 const MIN_PROCESS_PAUSE: Micros = SECOND;
 
 impl Node {
-    /// Deposes the leader if the process was paused for longer than the leader's lease. A
-    /// leader that resumed with its outdated state would find every worker unresponsive and
-    /// could delete machines that already belong to its successor.
-    pub(super) fn detect_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+    /// After a pause of the process of at least `lead_ttl_s`, steps down or reads the election
+    /// state again. After a shorter one, excludes the pause from the times without heartbeats
+    /// that the leader measures. A leader that resumed with its outdated state would find every
+    /// worker unresponsive and could delete machines that already belong to its successor.
+    pub(super) fn handle_process_pause(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let pause = now.monotonic.saturating_sub(self.last_input_at);
         let first_input = self.last_input_at == 0;
         self.last_input_at = now.monotonic;
@@ -27,7 +28,7 @@
         log::info!("process was paused paused_s={}", seconds(pause));
         if pause >= micros(self.config.tuning.lead_ttl_s) {
             let mut ctx = Context::new(now, &self.config, out, &mut self.calls);
-            let change = self.election.resume_after_pause(&mut ctx);
+            let change = self.election.handle_long_pause(&mut ctx);
             self.apply_leadership_change(now, out, change);
         } else if let Some(leader) = &mut self.leader {
             leader.exclude_pause(pause, now.monotonic);
@@ -44,7 +45,7 @@
             Some(LeadershipChange::Elected { term, term_version }) => {
                 self.start_leading(now, out, term, term_version);
             }
-            Some(LeadershipChange::Deposed) => self.stop_leading(now),
+            Some(LeadershipChange::SteppedDown) => self.stop_leading(now),
             None => {}
         }
     }
@@ -94,35 +95,40 @@
                     let state = record.state.ended().unwrap_or(JobState::Done);
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
+                // Not cached here: the leader has only observed this cancellation.
                 LeaderEvent::JobCancelled(job) => {
                     let state = JobState::Cancelled;
                     out.push(Output::JobEvent(JobEvent::Ended { job, state }));
                 }
                 LeaderEvent::TaskFailed { job, task, attempt } => {
-                    out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
+                    out.push(Output::JobEvent(JobEvent::TaskFailed {
+                        job,
+                        task,
+                        attempt,
+                    }));
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
                 LeaderEvent::TermEnded => {
-                    let deposed = self.election.step_down(
+                    let stepped_down = self.election.step_down(
                         &mut ctx,
-                        "leader state does not match the store",
+                        "leader state can no longer be kept consistent with the store",
                         0,
                     );
-                    change = deposed.or(change);
+                    change = stepped_down.or(change);
                 }
                 LeaderEvent::HigherTerm(term) => {
-                    let deposed = self.election.observe_term(&mut ctx, term);
-                    change = deposed.or(change);
+                    let stepped_down = self.election.observe_term(&mut ctx, term);
+                    change = stepped_down.or(change);
                 }
             }
         }
         self.apply_leadership_change(now, out, change);
     }
 
-    /// The other node that leads, as far as this node knows: the leader according to the
-    /// store, unless a peer reports that it leads in a later term. A stored leader whose
-    /// heartbeats say that it has stepped down does not count, so that nodes without
-    /// contact to the store do not redirect workers to a former leader.
+    /// The leader, if it is another node: according to the store, unless a peer reports that
+    /// it leads in a later term. A stored leader that reports in its heartbeats that it does
+    /// not lead is ignored, so that nodes without contact to the store do not redirect workers
+    /// to a former leader.
     pub(super) fn other_leader(&self, now: Timestamp) -> Option<&str> {
         let stored = self.election.known_leader();
         let term = stored.map_or(0, |leader| leader.term);
@@ -149,7 +155,7 @@
 
     pub(super) fn better_candidate(&self, now: Timestamp) -> BetterCandidate {
         if self.reachability.workers_reachable(now.monotonic) {
-            BetterCandidate::None
+            BetterCandidate::NotNeeded
         } else if self.peers.has_better_candidate(now.monotonic) {
             BetterCandidate::Peer
         } else {
--- a/crates/controller/tests/leadership_guard.rs
+++ b/crates/controller/tests/leadership_guard.rs
@@ -3,14 +3,14 @@
 use dillcleat_controller::leadership_guard::{
     CloudAction, DeletionReason, LeadershipProof, proof_validity,
 };
-use dillcleat_controller::store_latency::lease_time;
+use dillcleat_controller::store_latency::lease_ttl;
 use dillcleat_controller::{Config, MILLISECOND, SECOND, Tuning, micros};
 use dillcleat_wire::cloud::CloudRequest;
 use dillcleat_wire::settings::PlatformSettings;
 
 fn config(lead_ttl_s: f64) -> Config {
     let text = include_str!("../../../deploy/example-node.toml");
-    let platform = PlatformSettings::parse(text).expect("good settings");
+    let platform = PlatformSettings::parse(text).expect("valid settings");
     let tuning = Tuning {
         lead_ttl_s,
         ..Tuning::default()
@@ -25,7 +25,6 @@
     CloudAction::Delete(DeletionReason::Unneeded),
 ];
 
-/// Permits for changes expire before the leader lease, whatever its TTL.
 #[test]
 fn permits_for_changes_expire_before_the_leader_lease() {
     for ttl in [0.5, 2.5, 60.0] {
@@ -39,9 +38,9 @@
             let is_permitted = |at| proof.permit(&config, at, action).is_some();
             let permit = proof.permit(&config, sent + 100 * MILLISECOND, action);
             let permit = permit.expect("the proof is recent");
-            let last = sent + 100 * MILLISECOND + permit.within(sent + 100 * MILLISECOND);
+            let last = sent + 100 * MILLISECOND + permit.remaining_time(sent + 100 * MILLISECOND);
             assert_eq!(last, sent + proof_validity(&config));
-            // Even by a clock that runs 0.05% slow.
+            // The clock may run 0.05% slow.
             assert!(
                 (last - sent) * 10_005 / 10_000 < micros(ttl),
                 "{ttl} {action:?}"
@@ -57,15 +56,16 @@
 }
 
 /// With a slow store the leader lease is longer than configured. It is never shorter, because
-/// the validity of the proof depends on it, and short enough that a successor is elected
-/// before the worker leases expire.
+/// the validity of the proof depends on the configured time, and never longer than a third of
+/// the worker lease unless configured so, because a successor must be elected before the worker
+/// leases expire.
 #[test]
 fn leader_lease_follows_store_latency_and_outlasts_the_proof() {
     for ttl in [0.5, 1.25, 60.0] {
         let config = config(ttl);
         let mut previous_lease = 0;
         for latency in [0, 20, 400, 1500, 60_000].map(|ms| ms * MILLISECOND) {
-            let lease = lease_time(&config, latency);
+            let lease = lease_ttl(&config, latency);
             assert!(
                 proof_validity(&config) * 10_005 / 10_000 < lease,
                 "{ttl} {latency}"
@@ -81,7 +81,7 @@
     }
 }
 
-/// This includes cancellations: without a proof the worker leases end the tasks.
+/// Not even a deletion for a cancellation is permitted: the worker lease ends the tasks.
 #[test]
 fn without_recent_proof_no_change_is_permitted() {
     let config = config(2.5);
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -1,11 +1,11 @@
-//! Replication of job progress: the leader broadcasts how many tasks of each job are done
-//! and how many run. Every controller must show the same counts, also one that has just
-//! started, and after a failover.
+//! Replication of job progress: the leader broadcasts how many tasks of each job are done and
+//! how many run. Every node must show the same counts, also one that has just started, and
+//! after a failover.
 
 mod common;
 
-use common::{Environment, config_with_team, machine_row, row, step_with};
-use dillcleat_controller::records::{self, OpenJob, TaskChunk};
+use common::{Environment, config_with_team, machine_row, row, step_in_environment};
+use dillcleat_controller::records::{self, OpenJob, TaskRecord};
 use dillcleat_controller::{
     Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND, Timestamp,
 };
@@ -16,9 +16,9 @@
 use dillcleat_wire::worker::{ExitReason, HEARTBEAT_PATH, Heartbeat, TaskState, TaskStatus};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 
-fn counts(job: &str, done: u32, running: u32) -> JobProgress {
+fn job_progress(job: &str, done: u32, running: u32) -> JobProgress {
     let job = job.into();
     JobProgress { job, done, running }
 }
@@ -46,7 +46,11 @@
 
 /// Ticks for half a second and returns the progress that the node broadcasts. Renewals of
 /// the leader's lease succeed, and other calls are not answered.
-fn broadcasts(node: &mut Node, at: &mut Micros, env: &mut Environment) -> Vec<JobProgress> {
+fn run_and_collect_progress(
+    node: &mut Node,
+    at: &mut Micros,
+    env: &mut Environment,
+) -> Vec<JobProgress> {
     let mut all = Vec::new();
     for _ in 0..10 {
         *at += 50 * MILLISECOND;
@@ -65,7 +69,7 @@
                     ..
                 } => {
                     let reply = Ok(StoreResponse::LeaseRenewedOrRevoked);
-                    step_with(node, *at, Input::Store { id, reply }, &[], env);
+                    step_in_environment(node, *at, Input::Store { id, reply }, &[], env);
                 }
                 _ => {}
             }
@@ -78,23 +82,23 @@
 fn leader() -> (Node, Micros, Environment) {
     let mut node = Node::new(config_with_team());
     let open = OpenJob {
-        spec: JobSpec::plain(JOB, JobKind::Batch, 1, 1.0),
+        spec: JobSpec::plain(JOB_ID, JobKind::Batch, 1, 1.0),
         submitted_at_us: START,
         tasks_per_chunk: 25,
         without_state_record: true,
         parallelism_limit: None,
     };
-    let chunk = TaskChunk {
+    let chunk = TaskRecord {
         placed: vec![(0, 1, "m".to_string(), 1).into()],
-        ..TaskChunk::default()
+        ..TaskRecord::default()
     };
-    let tasks = records::tasks_key(JOB, records::TaskRange::Chunk(0));
+    let tasks = records::tasks_key(JOB_ID, records::TaskRange::Chunk(0));
     let mut env = Environment {
-        queue_rows: vec![row(records::open_job_key(JOB), &open)],
+        queue_rows: vec![row(records::open_job_key(JOB_ID), &open)],
         task_rows: vec![row(tasks, &chunk)],
         ..Environment::default()
     };
-    step_with(
+    step_in_environment(
         &mut node,
         START,
         Input::Tick,
@@ -114,7 +118,7 @@
     env: &mut Environment,
 ) {
     let task = TaskStatus {
-        task: format!("{JOB}/0").parse().expect("a task's name"),
+        task: format!("{JOB_ID}/0").parse().expect("a task's name"),
         attempt: 1,
         state,
         reason: (state == TaskState::Exited).then_some(ExitReason::Done),
@@ -138,80 +142,89 @@
         target: HEARTBEAT_PATH.into(),
         body: encode(&heartbeat),
     };
-    step_with(node, at, input, &[], env);
+    step_in_environment(node, at, input, &[], env);
 }
 
-/// A controller that starts later has missed all changes, and the counts of a running
-/// service may not change again for hours.
+/// A node that starts later has missed all changes, and the counts of a running service may not
+/// change again for hours.
 #[test]
 fn leader_sends_all_progress_again_to_a_peer_that_becomes_reachable() {
     let (mut node, mut at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
-    let running = [counts(JOB, 0, 1)];
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
-    // It is repeated until the next scheduling pass.
-    while !broadcasts(&mut node, &mut at, &mut env).is_empty() {
+    let running = [job_progress(JOB_ID, 0, 1)];
+    assert_eq!(
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        running
+    );
+    // The broadcast is repeated until the next scheduling cycle.
+    while !run_and_collect_progress(&mut node, &mut at, &mut env).is_empty() {
         assert!(at < START + 3 * SECOND);
     }
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), running);
+    assert_eq!(
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        running
+    );
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
-    assert_eq!(broadcasts(&mut node, &mut at, &mut env), []);
+    assert_eq!(run_and_collect_progress(&mut node, &mut at, &mut env), []);
     // Zero counts are sent at the job's end, so that peers remove its entry.
     send_heartbeat(&mut node, at, 2, TaskState::Exited, &mut env);
     assert_eq!(
-        broadcasts(&mut node, &mut at, &mut env),
-        [counts(JOB, 0, 0)]
+        run_and_collect_progress(&mut node, &mut at, &mut env),
+        [job_progress(JOB_ID, 0, 0)]
     );
-    assert_eq!(node.progress(JOB), None);
+    assert_eq!(node.progress(JOB_ID), None);
 }
 
-/// A new leader broadcasts only changes, and a job without running tasks has none: the
-/// counts of the previous leader must not stay for ever.
+/// A new leader broadcasts only changes, so it must reset the counts of jobs of which no machine
+/// reports a task any more.
 #[test]
 fn new_leader_resets_outdated_progress_of_the_previous_leader() {
     let mut node = Node::new(config_with_team());
-    let previous = vec![counts(JOB, 0, 3), counts("req-2", 1, 1)];
+    let previous = vec![job_progress(JOB_ID, 0, 3), job_progress("req-2", 1, 1)];
     receive(&mut node, START, "n1", Message::JobProgress(previous));
     let (mut at, mut env) = (START, Environment::default());
-    step_with(&mut node, at, Input::Tick, &[], &mut env);
+    step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
     // Possibly outdated counts are not sent to a peer that becomes reachable, either.
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
     while at < START + 9 * SECOND {
-        all.extend(broadcasts(&mut node, &mut at, &mut env));
+        all.extend(run_and_collect_progress(&mut node, &mut at, &mut env));
     }
-    assert_eq!((all, node.progress(JOB)), (vec![], Some((0, 3))));
+    assert_eq!((all, node.progress(JOB_ID)), (vec![], Some((0, 3))));
     while at < START + 11 * SECOND {
         receive(&mut node, at, "n1", peer_heartbeat(1, false));
-        let more = broadcasts(&mut node, &mut at, &mut env);
+        let more = run_and_collect_progress(&mut node, &mut at, &mut env);
         if !more.is_empty() {
-            assert_eq!(more, [counts(JOB, 0, 0), counts("req-2", 0, 0)]);
-            assert_eq!(node.progress(JOB), None);
+            assert_eq!(
+                more,
+                [job_progress(JOB_ID, 0, 0), job_progress("req-2", 0, 0)]
+            );
+            assert_eq!(node.progress(JOB_ID), None);
             return;
         }
     }
-    panic!("the outdated counts stay");
+    panic!("outdated counts were not reset within 11 s");
 }
 
 #[test]
 fn progress_from_a_deposed_leader_is_ignored() {
     let mut node = Node::new(config_with_team());
-    let progress = |done, running| Message::JobProgress(vec![counts(JOB, done, running)]);
+    let progress = |done, running| Message::JobProgress(vec![job_progress(JOB_ID, done, running)]);
     receive(&mut node, START, "n1", peer_heartbeat(1, true));
     receive(&mut node, START, "n1", progress(0, 3));
-    assert_eq!(node.progress(JOB), Some((0, 3)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 3)));
     receive(&mut node, START, "n2", peer_heartbeat(2, true));
     receive(&mut node, START, "n2", progress(1, 2));
     receive(&mut node, START, "n1", progress(0, 3));
-    assert_eq!(node.progress(JOB), Some((1, 2)));
+    assert_eq!(node.progress(JOB_ID), Some((1, 2)));
     // The new leader ignores it, too.
     let (mut node, at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
-    broadcasts(&mut node, &mut at.clone(), &mut env);
+    run_and_collect_progress(&mut node, &mut at.clone(), &mut env);
     receive(&mut node, at, "n1", progress(0, 0));
-    assert_eq!(node.progress(JOB), Some((0, 1)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 1)));
 }
 
 /// The number of entries is bounded.
@@ -224,18 +237,18 @@
         &mut node,
         START,
         "n1",
-        Message::JobProgress(vec![counts(JOB, 0, 3)]),
+        Message::JobProgress(vec![job_progress(JOB_ID, 0, 3)]),
     );
     let mut kept = 0;
     for i in 0..ENDED_JOBS {
         let job = format!("req-9{i}");
-        let progress = Message::JobProgress(vec![counts(&job, 1, 0)]);
+        let progress = Message::JobProgress(vec![job_progress(&job, 1, 0)]);
         receive(&mut node, START, "n1", progress);
     }
     for i in 0..ENDED_JOBS {
         kept += usize::from(node.progress(&format!("req-9{i}")).is_some());
     }
-    assert_eq!(node.progress(JOB), Some((0, 3)));
+    assert_eq!(node.progress(JOB_ID), Some((0, 3)));
     assert!(kept < MAX_ENTRIES, "{kept}");
 }
 
@@ -244,7 +257,7 @@
     const JOBS: usize = 6_000 * 10;
     let mut node = Node::new(config_with_team());
     for i in 0..JOBS {
-        let progress = Message::JobProgress(vec![counts(&format!("req-9{i}"), 0, 1)]);
+        let progress = Message::JobProgress(vec![job_progress(&format!("req-9{i}"), 0, 1)]);
         receive(&mut node, START, "n1", progress);
     }
     let is_kept = |i: &usize| node.progress(&format!("req-9{i}")) == Some((0, 1));
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -1,6 +1,6 @@
 //! Submissions that are malformed or can never run, and cancellations of jobs that have
-//! ended or never existed, at nodes with and without the machine types and with a store
-//! that fails.
+//! ended or never existed, at nodes that have or have not read the machine types, and while the
+//! store fails.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use dillcleat_wire::user::{JOBS_PATH, JobKind, JobSpec, JobState};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 
-/// A configuration with a quota of 4 CPUs for the team. Machines have 8 CPUs, 64 GB and no
-/// GPU, and are all in zone a.
+/// A configuration with a quota of 4 CPUs for the team. The machine types come from
+/// `SteppedNode`: 8 CPUs, 64 GB and no GPU, in zone a only.
 fn config() -> Config {
     let mut config = common::config_with_team();
     for team in &mut config.teams {
@@ -25,7 +25,7 @@
 
 /// Malformed submissions, each with one wrong field and a description of it.
 fn malformed_submissions() -> Vec<(String, Vec<u8>)> {
-    let Value::Map(fields) = encode_value(&job_spec(JOB)) else {
+    let Value::Map(fields) = encode_value(&job_spec(JOB_ID)) else {
         panic!("a submission is a map");
     };
     let mut all = Vec::new();
@@ -34,7 +34,7 @@
         let shown: String = shown.chars().take(40).collect();
         all.push((
             format!("{name} = {shown}"),
-            submission_with_field(JOB, name, field),
+            submission_with_field(JOB_ID, name, field),
         ));
     };
     for (name, valid) in &fields {
@@ -44,7 +44,7 @@
             Value::String(_) => Value::from(7),
             _ => Value::from("x"),
         };
-        // The zone is a string, and nil here.
+        // `room` (the zone) is nil in this job, which does not show its type.
         let wrong = if name == "room" {
             Value::from(7)
         } else {
@@ -91,7 +91,7 @@
 fn unschedulable_submissions() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
     let mut add = |reason: &str, change: fn(&mut JobSpec)| {
-        let mut spec = job_spec(JOB);
+        let mut spec = job_spec(JOB_ID);
         change(&mut spec);
         all.push((reason.to_string(), dillcleat_wire::encode(&spec)));
     };
@@ -99,7 +99,7 @@
     add("more CPUs than any machine", |s| s.cpus = 8.5);
     add("a GPU", |s| s.gpus = 1.0);
     add("more memory than any machine", |s| s.memory_gb = 64.5);
-    add("the greatest amount of memory that is parsed", |s| {
+    add("the largest memory that the parser accepts", |s| {
         s.memory_gb = 1e9
     });
     add("unknown type", |s| s.types = Some(vec!["no".into()]));
@@ -115,7 +115,7 @@
     add("depends on an unknown job", |s| {
         s.depends_on = vec!["req-404".into()]
     });
-    add("depends on itself", |s| s.depends_on = vec![JOB.into()]);
+    add("depends on itself", |s| s.depends_on = vec![JOB_ID.into()]);
     all
 }
 
@@ -142,11 +142,12 @@
     panic!("no answer");
 }
 
-/// A node that has just started, and one that has read the machine types, which is `ready`.
+/// A node that has just started and one that has read the machine types. The flag says whether
+/// the node has read them.
 fn nodes() -> [(bool, SteppedNode); 2] {
     [
         (false, SteppedNode::new(config(), START)),
-        (true, SteppedNode::ready(config(), START)),
+        (true, SteppedNode::with_machine_types(config(), START)),
     ]
 }
 
@@ -156,20 +157,20 @@
         (400, malformed_submissions()),
         (422, unschedulable_submissions()),
     ];
-    for (status_if_ready, (case, body)) in rejected
+    for (status_with_types, (case, body)) in rejected
         .iter()
         .flat_map(|(r, all)| all.iter().map(move |b| (*r, b)))
     {
-        for (ready, mut node) in nodes() {
+        for (has_types, mut node) in nodes() {
             let mut store = MemoryStore::default();
             let (status, _) = submit(&mut node, body, |call| Ok(store.execute(call)));
             // Without the machine types a node cannot check whether a job is schedulable.
-            let expected = if ready || status_if_ready == 400 {
-                status_if_ready
+            let expected = if has_types || status_with_types == 400 {
+                status_with_types
             } else {
                 503
             };
-            assert_eq!(status, expected, "{case}, ready: {ready}");
+            assert_eq!(status, expected, "{case}, has_types: {has_types}");
             assert!(store.rows.is_empty(), "{case}");
         }
     }
@@ -184,7 +185,7 @@
         &MachineTypesRecord { types: Vec::new() },
     );
     node.tick();
-    let valid = dillcleat_wire::encode(&job_spec(JOB));
+    let valid = dillcleat_wire::encode(&job_spec(JOB_ID));
     let mut store = MemoryStore::default();
     let (status, _) = submit(&mut node, &valid, |call| Ok(store.execute(call)));
     assert_eq!(status, 503);
@@ -193,7 +194,10 @@
 /// The job may already exist, and a submission of an existing job must not be rejected.
 #[test]
 fn every_submission_gets_503_while_the_store_fails() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
+    let valid = (
+        "valid".to_string(),
+        dillcleat_wire::encode(&job_spec(JOB_ID)),
+    );
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -208,18 +212,21 @@
     ];
     for (case, body) in &all {
         for reply in &replies {
-            for (ready, mut node) in nodes() {
+            for (has_types, mut node) in nodes() {
                 let (status, _) = submit(&mut node, body, |_| reply.clone());
-                assert_eq!(status, 503, "{case}, {reply:?}, ready: {ready}");
+                assert_eq!(status, 503, "{case}, {reply:?}, has_types: {has_types}");
             }
         }
     }
 }
 
-/// Whatever the repetition contains, and also at a node that has just started.
+/// This holds for any content of the repeated submission, also at a node that has just started.
 #[test]
 fn repeated_submission_of_an_existing_job_returns_its_state() {
-    let valid = ("valid".to_string(), dillcleat_wire::encode(&job_spec(JOB)));
+    let valid = (
+        "valid".to_string(),
+        dillcleat_wire::encode(&job_spec(JOB_ID)),
+    );
     let all = [
         malformed_submissions(),
         unschedulable_submissions(),
@@ -230,22 +237,22 @@
     for (case, body) in &all {
         for state in states {
             let mut store = MemoryStore::default();
-            let mut other = SteppedNode::ready(config(), START);
-            other.submit(&job_spec(JOB));
+            let mut other = SteppedNode::with_machine_types(config(), START);
+            other.submit(&job_spec(JOB_ID));
             other.execute_all(&mut store);
             match state {
                 JobState::Done => {
-                    store.mark_done(JOB);
+                    store.record_done(JOB_ID);
                 }
                 JobState::Cancelled => {
-                    other.cancel(JOB);
+                    other.cancel(JOB_ID);
                     other.execute_all(&mut store);
                 }
                 _ => {}
             }
-            for (ready, mut node) in nodes() {
+            for (has_types, mut node) in nodes() {
                 let answer = submit(&mut node, body, |call| Ok(store.execute(call)));
-                assert_eq!(answer, (200, Some(state)), "{case}, ready: {ready}");
+                assert_eq!(answer, (200, Some(state)), "{case}, has_types: {has_types}");
             }
         }
     }
@@ -255,25 +262,28 @@
 #[test]
 fn cancellation_of_an_unknown_job_gets_404_and_of_a_done_job_its_state() {
     let mut store = MemoryStore::default();
-    let mut node = SteppedNode::ready(config(), START);
+    let mut node = SteppedNode::with_machine_types(config(), START);
     let mut cancel = |store: &mut MemoryStore, id: &str| {
         let request = node.cancel(id);
         node.execute_all(store);
         node.answer(request)
     };
-    assert_eq!(cancel(&mut store, JOB), Some((404, None)));
+    assert_eq!(cancel(&mut store, JOB_ID), Some((404, None)));
     for id in ["req-", "req-1x", "job-1", "req-1%2f2"] {
         assert_eq!(cancel(&mut store, id), Some((404, None)), "{id}");
     }
     assert!(store.rows.is_empty());
-    let mut other = SteppedNode::ready(config(), START);
-    other.submit(&job_spec(JOB));
+    let mut other = SteppedNode::with_machine_types(config(), START);
+    other.submit(&job_spec(JOB_ID));
     other.execute_all(&mut store);
-    store.mark_done(JOB);
+    store.record_done(JOB_ID);
     for _ in 0..2 {
-        assert_eq!(cancel(&mut store, JOB), Some((200, Some(JobState::Done))));
+        assert_eq!(
+            cancel(&mut store, JOB_ID),
+            Some((200, Some(JobState::Done)))
+        );
     }
-    assert_eq!(store.recorded_state(JOB), Some(RecordedState::Done));
-    let request = node.cancel(JOB);
+    assert_eq!(store.recorded_state(JOB_ID), Some(RecordedState::Done));
+    let request = node.cancel(JOB_ID);
     assert_eq!(node.answer(request), Some((200, Some(JobState::Done))));
 }
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -1,5 +1,5 @@
 //! Polls, submissions and cancellations while a job starts and ends. An answer must not
-//! rest on a read that was sent before its request arrived.
+//! be based on a read that was sent before its request arrived.
 //!
 //! A comparison is a transaction without writes: it checks that the state records of cached
 //! jobs have not changed.
@@ -12,7 +12,7 @@
 use dillcleat_wire::user::{JOBS_PATH, JobState};
 
 const START: Micros = 1000 * SECOND;
-const JOB: &str = "req-1";
+const JOB_ID: &str = "req-1";
 /// The status of an answer and the job state in it; None without an answer.
 type Answered = Option<(u16, Option<JobState>)>;
 
@@ -21,14 +21,14 @@
 const CANCELLED: Answered = Some((200, Some(JobState::Cancelled)));
 
 fn node() -> SteppedNode {
-    SteppedNode::ready(common::config_with_team(), START)
+    SteppedNode::with_machine_types(common::config_with_team(), START)
 }
 
 /// A store with the job accepted.
 fn store_with_job() -> MemoryStore {
     let mut store = MemoryStore::default();
     let mut other = node();
-    let request = other.submit(&job_spec(JOB));
+    let request = other.submit(&job_spec(JOB_ID));
     other.execute_all(&mut store);
     assert_eq!(other.answer(request).map(|a| a.0), Some(201));
     store
@@ -38,17 +38,17 @@
     node.request(
         "POST",
         JOBS_PATH.into(),
-        submission_with_field(JOB, "leaves", Some(Value::from(0))),
+        submission_with_field(JOB_ID, "leaves", Some(Value::from(0))),
     )
 }
 
 type SendRequest = fn(&mut SteppedNode) -> u64;
 
-/// Every kind of request that looks a job up, with the answer for an open job.
+/// The kinds of request that look a job up without creating it, with the answer for an open job.
 const LOOKUPS: [(SendRequest, Answered); 3] = [
-    (|n| n.poll(JOB), QUEUED),
+    (|n| n.poll(JOB_ID), QUEUED),
     (malformed_submission, QUEUED),
-    (|n| n.cancel(JOB), CANCELLED),
+    (|n| n.cancel(JOB_ID), CANCELLED),
 ];
 
 /// The first read is executed before the job is accepted, and its reply arrives last.
@@ -56,7 +56,7 @@
 fn early_read_does_not_answer_a_later_request() {
     for (send, open) in LOOKUPS {
         let mut node = node();
-        let first = node.poll(JOB);
+        let first = node.poll(JOB_ID);
         let (early_id, call) = node.take_call();
         let absent = MemoryStore::default().execute(&call);
         let mut store = store_with_job();
@@ -77,12 +77,12 @@
     for (send, _) in LOOKUPS {
         let mut node = node();
         let mut store = MemoryStore::default();
-        let first = node.poll(JOB);
+        let first = node.poll(JOB_ID);
         node.execute_next(&mut store);
         let (early_id, call) = node.take_call();
         let absent = store.execute(&call);
         store = store_with_job();
-        store.mark_done(JOB);
+        store.record_done(JOB_ID);
         let second = send(&mut node);
         node.execute_next(&mut store);
         node.execute_next(&mut store);
@@ -92,8 +92,7 @@
     }
 }
 
-/// This includes a request that was sent before the acceptance: both may come from the same
-/// user.
+/// This holds even for a request sent before the acceptance: both may come from the same user.
 #[test]
 fn accepted_job_is_not_reported_unknown_after_a_late_read() {
     for (send, open) in LOOKUPS {
@@ -103,7 +102,7 @@
         node.execute_next(&mut store);
         let (early_id, call) = node.take_call();
         let absent = store.execute(&call);
-        let second = node.submit(&job_spec(JOB));
+        let second = node.submit(&job_spec(JOB_ID));
         node.execute_all(&mut store);
         assert_eq!(node.answer(second), Some((201, Some(JobState::Queued))));
         node.reply(early_id, Ok(absent));
@@ -118,40 +117,40 @@
 fn late_reply_to_a_submission_does_not_reopen_a_cancelled_job() {
     for mut store in [MemoryStore::default(), store_with_job()] {
         let mut node = node();
-        let submission = node.submit(&job_spec(JOB));
+        let submission = node.submit(&job_spec(JOB_ID));
         let (late_id, call) = node.take_call();
         let reply = store.execute(&call);
-        let cancellation = node.cancel(JOB);
+        let cancellation = node.cancel(JOB_ID);
         node.execute_all(&mut store);
         assert_eq!(node.answer(cancellation), CANCELLED);
         node.reply(late_id, Ok(reply));
         assert_eq!(node.answer(submission), CANCELLED);
-        let poll = node.poll(JOB);
+        let poll = node.poll(JOB_ID);
         assert_eq!(node.answer(poll), CANCELLED);
     }
 }
 
-/// Of two comparisons the later one finds that the job has ended, and is answered first.
-/// The end stays in the cache: the next poll needs no read.
+/// A cancellation finds that the job has ended; an earlier comparison then conflicts. The end
+/// stays in the cache, so that the next poll needs no read.
 #[test]
 fn late_comparison_does_not_evict_an_ended_job() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     let (late_id, _) = node.take_call();
-    store.mark_done(JOB);
-    let cancellation = node.cancel(JOB);
+    store.record_done(JOB_ID);
+    let cancellation = node.cancel(JOB_ID);
     node.execute_all(&mut store);
     assert_eq!(node.answer(cancellation), DONE);
     let conflict = StoreResponse::Conflict {
-        failed: vec![records::job_state_key(JOB)],
+        failed: vec![records::job_state_key(JOB_ID)],
         revision: 2,
     };
     node.reply(late_id, Ok(conflict));
     assert_eq!(node.answer(poll), DONE);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     assert_eq!(node.answer(poll), DONE);
 }
 
@@ -159,17 +158,17 @@
 fn comparison_does_not_answer_requests_that_arrive_after_it_was_sent() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let first = node.poll(JOB);
+    let first = node.poll(JOB_ID);
     let (early_id, call) = node.take_call();
     let equal = store.execute(&call);
-    store.mark_done(JOB);
-    for send in [|n: &mut SteppedNode| n.poll(JOB), malformed_submission] {
+    store.record_done(JOB_ID);
+    for send in [|n: &mut SteppedNode| n.poll(JOB_ID), malformed_submission] {
         let later = send(&mut node);
         assert_eq!((node.answer(later), node.pending_calls.len()), (None, 0));
     }
-    let later = node.poll(JOB);
+    let later = node.poll(JOB_ID);
     node.reply(early_id, Ok(equal));
     assert_eq!((node.answer(first), node.answer(later)), (QUEUED, None));
     node.execute_all(&mut store);
@@ -181,9 +180,9 @@
 fn comparison_without_a_reply_is_sent_again() {
     let mut node = node();
     let mut store = store_with_job();
-    node.poll(JOB);
+    node.poll(JOB_ID);
     node.execute_all(&mut store);
-    let poll = node.poll(JOB);
+    let poll = node.poll(JOB_ID);
     node.take_call();
     node.now += SECOND / 10;
     node.tick();
@@ -196,27 +195,27 @@
 fn all_nodes_agree_when_a_cancellation_races_with_the_last_tasks_end() {
     for (done_first, expected) in [(true, DONE), (false, CANCELLED)] {
         let mut store = store_with_job();
-        // The first has the job in its cache, the second compares its version, and the third
+        // The first node has the job in its cache, the second compares its version, and the third
         // is reading the state record.
         let mut nodes = [node(), node(), node()];
         for node in &mut nodes[..2] {
-            node.poll(JOB);
+            node.poll(JOB_ID);
             node.execute_all(&mut store);
         }
-        nodes[1].poll(JOB);
-        nodes[2].poll(JOB);
+        nodes[1].poll(JOB_ID);
+        nodes[2].poll(JOB_ID);
         nodes[2].execute_next(&mut store);
-        let cancellation = nodes[0].cancel(JOB);
+        let cancellation = nodes[0].cancel(JOB_ID);
         let (id, call) = nodes[0].take_call();
-        let end = done_first.then(|| store.mark_done(JOB));
+        let end = done_first.then(|| store.record_done(JOB_ID));
         let reply = store.execute(&call);
-        let end = end.unwrap_or_else(|| store.mark_done(JOB));
+        let end = end.unwrap_or_else(|| store.record_done(JOB_ID));
         assert_eq!(matches!(end, StoreResponse::Committed { .. }), done_first);
         // The other nodes answer before the transaction's reply reaches the first.
         let requests: [SendRequest; 4] = [
-            |n| n.poll(JOB),
-            |n| n.submit(&job_spec(JOB)),
-            |n| n.cancel(JOB),
+            |n| n.poll(JOB_ID),
+            |n| n.submit(&job_spec(JOB_ID)),
+            |n| n.cancel(JOB_ID),
             malformed_submission,
         ];
         for send in requests {
@@ -232,7 +231,7 @@
         nodes[0].reply(id, Ok(reply));
         nodes[0].execute_all(&mut store);
         assert_eq!(nodes[0].answer(cancellation), expected);
-        let poll = nodes[0].poll(JOB);
+        let poll = nodes[0].poll(JOB_ID);
         assert_eq!(nodes[0].answer(poll), expected);
     }
 }
@@ -247,13 +246,13 @@
             let (mut other, mut node) = (node(), node());
             let request = send(&mut node);
             if cancel {
-                other.cancel(JOB);
+                other.cancel(JOB_ID);
                 other.execute_all(&mut store);
                 // The description is read, and deleted before the comparison.
                 node.execute_next(&mut store);
-                store.remove_cancelled(JOB);
+                store.delete_cancelled_records(JOB_ID);
             } else {
-                store.mark_done(JOB);
+                store.record_done(JOB_ID);
             }
             node.execute_all(&mut store);
             assert_eq!(node.answer(request), expected);
@@ -267,10 +266,10 @@
 fn job_evicted_during_a_comparison_is_read_again() {
     let mut config = common::config_with_team();
     (config.store_rps, config.store_write_rps) = (1e6, 1e6);
-    let mut other = SteppedNode::ready(config.clone(), START);
+    let mut other = SteppedNode::with_machine_types(config.clone(), START);
     // The cache takes an eighth of the memory: five jobs of 200 bytes.
     config.memory_mb = 0.008;
-    let mut node = SteppedNode::ready(config, START);
+    let mut node = SteppedNode::with_machine_types(config, START);
     let mut store = MemoryStore::default();
     for id in ["req-1", "req-2", "req-3", "req-4", "req-5", "req-6"] {
         other.submit(&job_spec(id));
@@ -280,7 +279,7 @@
             node.execute_all(&mut store);
         }
     }
-    // Three comparisons, as many as may be under way at once; the next one is for two jobs.
+    // At most three comparisons are under way at once, so that the next two jobs share one.
     for id in ["req-3", "req-4", "req-5"] {
         node.poll(id);
     }
@@ -294,7 +293,7 @@
     assert_eq!(txn.compare.len(), 2);
     node.poll("req-6");
     node.execute_all(&mut store);
-    store.mark_done("req-2");
+    store.record_done("req-2");
     node.reply(id, Ok(store.execute(&call)));
     node.execute_all(&mut store);
     assert_eq!((node.answer(evicted), node.answer(ended)), (QUEUED, DONE));
--- a/crates/dillcleat/src/main.rs
+++ b/crates/dillcleat/src/main.rs
@@ -1,4 +1,4 @@
-//! dillcleat: a cluster scheduler.
+//! The program `dillcleat`: a controller of the cluster scheduler, and its command line.
 
 mod cli;
 mod client;
@@ -27,7 +27,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("dillcleat: {e}");
-            ExitCode::from(e.code())
+            ExitCode::from(e.exit_code())
         }
     }
 }
--- a/crates/kube/tests/golden_settings.rs
+++ b/crates/kube/tests/golden_settings.rs
@@ -1,7 +1,7 @@
-//! The table `[kube]` of the operators' settings with every key, as version 84a8104
-//! reads it.
+//! The table `[kube]` of the operators' settings stays readable: every key keeps its name,
+//! and optional keys keep their defaults.
 
-use dillcleat_kube::settings::{Settings, SettingsError, Tls, Token, Verb};
+use dillcleat_kube::settings::{Settings, SettingsError, Tls, TokenGrant, Verb};
 
 const FULL: &str = r#"
 listen = "10.0.0.1:6443"
@@ -39,11 +39,11 @@
         }),
         key_file: "deploy/kube.key".into(),
         class: Some("merge".into()),
-        repeats: vec!["match".into()],
+        name_reuse_classes: vec!["match".into()],
         accelerator: "example.com/gpu".into(),
         max_objects: 400,
         max_watches: 30,
-        tokens: vec![Token {
+        tokens: vec![TokenGrant {
             name: "merge-scripts".into(),
             mac: "0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b0b".into(),
             namespaces: vec!["books".into()],
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn what_may_be_missing_has_its_default() {
+fn missing_optional_keys_have_their_defaults() {
     let short = Settings {
         listen: "127.0.0.1:6443".parse().expect("an address"),
         tls: None,
         key_file: "deploy/kube.key".into(),
         class: None,
-        repeats: Vec::new(),
+        name_reuse_classes: Vec::new(),
         accelerator: "nvidia.com/gpu".into(),
         max_objects: 5_000,
         max_watches: 500,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_missing_key_is_named() {
+fn a_missing_required_key_is_an_error_with_its_name() {
     for key in ["listen", "key_file", "name", "mac", "namespaces", "verbs"] {
         let without = without_line(FULL, key);
         let error = read(&without).expect_err(key).to_string();
@@ -98,15 +98,15 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_with_the_names_of_all() {
-    let refused = |text: &str, keys: &[&str]| {
+fn an_unknown_key_is_an_error_with_the_valid_keys() {
+    let assert_rejected = |text: &str, keys: &[&str]| {
         let error = read(text).expect_err(text).to_string();
         assert!(error.contains("unknown field `colour`"), "{error}");
         for key in keys {
             assert!(error.contains(&format!("`{key}`")), "{key}: {error}");
         }
     };
-    refused(
+    assert_rejected(
         &format!("colour = 1\n{SHORT}"),
         &[
             "listen",
@@ -120,11 +120,11 @@
             "tokens",
         ],
     );
-    refused(
+    assert_rejected(
         &format!("{SHORT}tls = {{ colour = 1 }}\n"),
         &["cert", "key"],
     );
-    refused(
+    assert_rejected(
         &format!("{SHORT}[[tokens]]\ncolour = 1\n"),
         &["name", "mac", "namespaces", "verbs"],
     );
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -507,7 +507,7 @@
         teams: vec![team("bound", 12.0 * f64::from(scale)), team("free", 0.0)],
         heartbeat_interval: 2 * SECOND,
         worker_lease: 14 * SECOND,
-        cancel_deadline: 44 * SECOND,
+        cancel_time_limit: 44 * SECOND,
         clock_error: SECOND / 4,
         store_rps: 200.0,
         store_write_rps: 80.0,
@@ -600,7 +600,7 @@
             kept_reports: Vec::new(),
             last_term: 0,
             boots: BootDelays::default(),
-            checker: Checker::new(config.cancel_deadline, limits),
+            checker: Checker::new(config.cancel_time_limit, limits),
             config,
             inputs: 0,
             state_calls: 0,
@@ -767,7 +767,7 @@
         let now = self.clocks(node);
         let epoch = self.nodes[node].epoch;
         if let Some(n) = self.nodes[node].node.as_mut() {
-            for out in n.ask(now, RequestId(request), ask) {
+            for out in n.handle_request(now, RequestId(request), ask) {
                 self.carry(node, epoch, out);
             }
         }
