--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -8,7 +8,7 @@
 use crate::calls::Context;
 use crate::cloud_queue::CloudQueue;
 use crate::leadership_guard::{CloudAction, DeletionReason};
-use crate::sched::scale_out_plan::RefusedOfferings;
+use crate::sched::scale_out_plan::UnavailableOfferings;
 use crate::{Config, Micros, SECOND};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 pub(super) struct Autoscaler {
     pub cloud_queue: CloudQueue,
     pub boot_estimator: BootEstimator,
-    refusals: RefusedOfferings,
+    refusals: UnavailableOfferings,
     /// The number of waiting jobs that the next scale-out plan examines.
     plan_depth: usize,
     next_fleet_check_at: Micros,
@@ -40,7 +40,7 @@
         Autoscaler {
             cloud_queue: CloudQueue::new(config.cloud_rps, now),
             boot_estimator: BootEstimator::default(),
-            refusals: RefusedOfferings::default(),
+            refusals: UnavailableOfferings::default(),
             plan_depth: INITIAL_PLAN_DEPTH,
             next_fleet_check_at: now,
             removed_machines: HashMap::new(),
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -7,7 +7,7 @@
 use crate::leader::{Leader, LeaderEvent};
 use crate::leadership_guard::DeletionReason;
 use crate::machines::{Machine, MachineEnd};
-use crate::sched::scale_out_plan::InstanceOffering;
+use crate::sched::scale_out_plan::MachineOffering;
 use crate::write_queue::PendingWrite;
 use crate::{Micros, SECOND, micros};
 use dillcleat_wire::cloud::{
@@ -165,13 +165,13 @@
             request.spot,
             request.count
         );
-        let offering = InstanceOffering {
+        let offering = MachineOffering {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
         };
         let until = now + micros(ctx.config.tuning.refused_pause_s);
-        self.autoscaler.refusals.refuse(offering, until);
+        self.autoscaler.refusals.mark_unavailable(offering, until);
         // Plan again at once with other offerings.
         self.autoscaler.next_fleet_check_at = now;
     }
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -5,7 +5,7 @@
 use crate::leader::scheduling::{CPU_ROUNDING_ERROR, machine_view};
 use crate::leader::{Job, Leader};
 use crate::machines::{Machine, TaskSlot};
-use crate::sched::scale_out_plan::{InstanceOffering, PlanInputs, PlannedScaleOut, plan_scale_out};
+use crate::sched::scale_out_plan::{MachineOffering, PlanInputs, PlannedScaleOut, plan_scale_out};
 use crate::sched::{
     CapacityIndex, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
 };
@@ -47,15 +47,15 @@
         let headroom_cpus = self.service_headroom_cpus(ctx.config);
         let inputs = PlanInputs {
             types,
-            refusals: &self.autoscaler.refusals,
-            unreachable_zones: self.partitions.partitioned_zones().cloned().collect(),
+            unavailable_offerings: &self.autoscaler.refusals,
+            partitioned_zones: self.partitions.partitioned_zones().cloned().collect(),
             late_offerings: booting
                 .late_types
                 .into_iter()
                 .map(|offering| (offering.machine_type, offering.zone))
                 .collect(),
             machines_by_zone,
-            lent_headroom_cpus: self.derived.sums().lent_cpus(),
+            headroom_cpus_in_use: self.derived.sums().lent_cpus(),
             service_headroom_cpus: headroom_cpus,
             proactive_headroom_cpus: proactive_cpus,
             now_us: now,
@@ -75,8 +75,8 @@
         }
     }
 
-    fn request_scale_out(&mut self, offering: InstanceOffering, count: u32, now: Micros) {
-        let InstanceOffering {
+    fn request_scale_out(&mut self, offering: MachineOffering, count: u32, now: Micros) {
+        let MachineOffering {
             machine_type,
             zone,
             spot,
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -51,7 +51,7 @@
             service: Reverse(first && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
             tiny: Reverse(first && job.is_tiny(ctx.config)),
-            size: OrderedFloat(size),
+            size_key: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
             ready_at_us: job.ready_at,
             id: id.clone(),
--- a/crates/sched/src/candidates.rs
+++ b/crates/sched/src/candidates.rs
@@ -51,7 +51,7 @@
 /// Iterates over the machines with enough free CPUs for a task of a job, the best first
 /// (see [`crate::capacity_index`] for the order).
 ///
-/// This is not an [`Iterator`] that borrows the index, because the index changes between calls.
+/// Takes the index as an argument on each call, because the caller changes it between calls.
 /// A machine that is assigned a task moves up in the ranking, so the machines not yet returned
 /// remain in order.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
         job: &JobView,
     ) -> Option<MachineIndex> {
         while let Some(group) = candidate_groups(job).get(self.group).copied() {
-            let Some(machine) = self.next_in_group(capacity, group, job) else {
+            let Some(machine) = self.next_in_group_ranking(capacity, group, job) else {
                 self.group += 1;
                 self.last = LastCandidate::None;
                 continue;
@@ -91,7 +91,7 @@
     }
 
     /// The next machine of a ranking that contains the group, and possibly other machines.
-    fn next_in_group(
+    fn next_in_group_ranking(
         &mut self,
         capacity: &CapacityIndex,
         group: CandidateGroup,
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -40,7 +40,7 @@
     views: Vec<Option<MachineView>>,
     /// Rankings of the machines with free CPUs.
     rankings: PerMachineKind<MachineRanking>,
-    /// The same rankings per image; None while few machines have free CPUs.
+    /// The same rankings per image; `None` while few machines have free CPUs.
     image_rankings: Option<ImageRankings>,
     /// Machines without free CPUs.
     without_free_cpus: BTreeSet<MachineIndex>,
@@ -73,7 +73,7 @@
         self.views.get(machine as usize)?.as_ref()
     }
 
-    /// Inserts or replaces the view of a machine; None removes the machine.
+    /// Inserts or replaces the view of a machine; `None` removes the machine.
     pub fn set(&mut self, machine: MachineIndex, view: Option<MachineView>) {
         let slot = machine as usize;
         if slot >= self.views.len() {
@@ -101,11 +101,11 @@
     fn add_to_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
         self.outbound_unreachable_count += usize::from(view.outbound_unreachable);
         let rank = MachineRank::of(machine, view);
-        let counted_cpus = counted_cpus_millionths(rank, view);
-        *self.free_cpus.of_mut(view.spot) += counted_cpus;
+        let summed_cpus = summed_cpus_millionths(rank, view);
+        *self.free_cpus.of_mut(view.spot) += summed_cpus;
         if !view.spot {
             let in_zone = self.on_demand_cpus_by_zone.entry(view.zone.clone());
-            *in_zone.or_default() += counted_cpus;
+            *in_zone.or_default() += summed_cpus;
         }
         if !rank.has_free_cpus() {
             self.without_free_cpus.insert(machine);
@@ -120,12 +120,12 @@
     fn remove_from_indexes(&mut self, machine: MachineIndex, view: &MachineView) {
         self.outbound_unreachable_count -= usize::from(view.outbound_unreachable);
         let rank = MachineRank::of(machine, view);
-        let counted_cpus = counted_cpus_millionths(rank, view);
-        *self.free_cpus.of_mut(view.spot) -= counted_cpus;
+        let summed_cpus = summed_cpus_millionths(rank, view);
+        *self.free_cpus.of_mut(view.spot) -= summed_cpus;
         if !view.spot
             && let Some(in_zone) = self.on_demand_cpus_by_zone.get_mut(&view.zone)
         {
-            *in_zone -= counted_cpus;
+            *in_zone -= summed_cpus;
         }
         if !rank.has_free_cpus() {
             self.without_free_cpus.remove(&machine);
@@ -229,27 +229,27 @@
         self.free_on_demand_cpus(&view.zone) - job.spec.cpus + ROUNDING_TOLERANCE >= headroom_cpus
     }
 
-    /// Whether the policy allows the job to use the machine. `is_suspect` means that the machine
-    /// is cordoned or that the job failed on it.
+    /// Whether the policy allows the job to use the machine. `excluded_by_failures` means that the
+    /// machine is cordoned or that the job failed on it.
     fn policy_allows(
         &self,
         policy: PlacementPolicy,
         job: &JobView,
         view: &MachineView,
-        is_suspect: bool,
+        excluded_by_failures: bool,
     ) -> bool {
         match policy {
             PlacementPolicy::Standard {
                 service_headroom_cpus,
-            } => !is_suspect && self.leaves_headroom(service_headroom_cpus, job, view),
-            PlacementPolicy::IgnoreHeadroom => !is_suspect,
+            } => !excluded_by_failures && self.leaves_headroom(service_headroom_cpus, job, view),
+            PlacementPolicy::IgnoreHeadroom => !excluded_by_failures,
             PlacementPolicy::LastResort => true,
         }
     }
 
-    /// Whether a task of the job on this machine uses the service headroom: the job is not a
-    /// service, and the machine's zone has fewer free CPUs than the headroom.
-    pub fn is_short_of_headroom(
+    /// Whether a task of the job that was placed on this machine uses the service headroom: the
+    /// job is not a service, and the machine's zone has fewer free CPUs left than the headroom.
+    pub fn uses_service_headroom(
         &self,
         machine: MachineIndex,
         headroom_cpus: f64,
@@ -272,7 +272,7 @@
         let fits = |machine: MachineIndex| {
             self.view(machine).is_some_and(|view| {
                 // Machines on which only this job failed are open to jobs with an equal request.
-                view.free.fits(&need)
+                view.free.covers(&need)
                     && job.request_allows(view)
                     && self.policy_allows(policy, job, view, view.cordoned)
             })
@@ -304,18 +304,19 @@
         let task_cpus = to_millionths(need.cpus);
         let mut assigned = 0;
         while assigned < max_tasks
-            && view.free.fits(&need)
-            && job.rules_allow(&view)
-            && self.policy_allows(policy, job, &view, job.has_failed_on(&view))
+            && view.free.covers(&need)
+            && job.constraints_allow(&view)
+            && self.policy_allows(policy, job, &view, job.is_excluded_by_failures(&view))
             && job.team_allows(teams)
             && job.assign_next_task(&mut view, teams)
         {
             assigned += 1;
-            // The headroom check of the next task must include this one.
+            // So that the headroom check of the next task takes this task into account.
             self.adjust_zone_cpus(&view, -task_cpus);
         }
         if assigned > 0 {
-            // Undo the adjustments: replacing the view subtracts the tasks' CPUs again.
+            // `set` recomputes the zone's free CPUs from the view, so the adjustments made in the
+            // loop are reverted first.
             self.adjust_zone_cpus(&view, task_cpus * i64::from(assigned));
             self.set(machine, Some(view));
         }
@@ -333,8 +334,9 @@
     }
 }
 
-/// The machine's contribution to the sums of free CPUs, in millionths.
-fn counted_cpus_millionths(rank: MachineRank, view: &MachineView) -> i64 {
+/// The machine's CPUs that are included in the sums of free CPUs, in millionths; 0 if it is
+/// cordoned.
+fn summed_cpus_millionths(rank: MachineRank, view: &MachineView) -> i64 {
     if view.cordoned {
         0
     } else {
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -5,11 +5,11 @@
 //!
 //! 1. Services and tiny jobs.
 //! 2. Training tasks, whose run times give an estimate of the job's size. The job with the
-//!    smallest initial size comes first. The pass ends when training tasks use their share of
-//!    the CPUs.
-//! 3. All other jobs, the smallest virtual size first. The virtual size of a job is its
-//!    estimated work in CPU seconds minus the service that it would have received under fair
-//!    sharing. This ageing prevents the starvation of large jobs.
+//!    smallest initial size comes first. Jobs whose tasks exceed what is left of the CPU share
+//!    for training are skipped.
+//! 3. All jobs that are not in the first pass, the smallest virtual size first. The virtual
+//!    size of a job is its estimated work in CPU-seconds minus the service that it would have
+//!    received under fair sharing. This ageing prevents the starvation of large jobs.
 //!
 //! Within each pass, jobs of higher priority come first
 //! ([`crate::job_queue::QueueRank`] defines the full order).
@@ -52,10 +52,10 @@
 /// The parameters of a cycle, besides quotas and free capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
-    /// The virtual time at which the cycle runs, in CPU seconds
+    /// The virtual time at which the cycle runs, in CPU-seconds
     /// (see [`crate::job_queue`]).
     pub virtual_time: f64,
-    /// CPUs that further training tasks may use.
+    /// CPUs that the cycle may still assign to training tasks; may be negative.
     pub training_cpus: f64,
     /// On-demand CPUs per zone that jobs which may run on spot machines must leave free, for
     /// services that must start before a new machine could boot.
@@ -98,7 +98,7 @@
     }
     for placement in &mut placements {
         placement.uses_service_headroom =
-            capacity.is_short_of_headroom(placement.machine, service_headroom_cpus, job);
+            capacity.uses_service_headroom(placement.machine, service_headroom_cpus, job);
     }
     placements
 }
@@ -206,8 +206,8 @@
 }
 
 impl TaskSelection {
-    /// The number of tasks of the job that may be placed; None if the CPUs for training tasks are
-    /// used up.
+    /// The number of tasks of the job that may be placed; `None` if a training task exceeds the
+    /// remaining CPUs for training.
     fn max_tasks(self, job: &JobView, training_cpus: f64) -> Option<u32> {
         match self {
             TaskSelection::All => Some(u32::MAX),
@@ -300,7 +300,7 @@
 
 /// Runs one scheduling cycle (see the [module](self)).
 ///
-/// `view_job` returns the view of a queued job, or None for a job that is to be skipped.
+/// `view_job` returns the view of a queued job, or `None` for a job that is to be skipped.
 /// `capacity` and `teams` are updated with the assignments.
 pub fn run_cycle<'a>(
     queue: &JobQueue,
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting jobs in the order in which they compete for capacity.
+//! The waiting jobs in queue order: the order in which they compete for capacity.
 //!
 //! Jobs are kept in sub-queues, one for each combination of team, [`ResourceRequest`] and
 //! [`AgeingState`]. A [`QueueCursor`] merges the heads of the sub-queues. When a team is at its
@@ -11,7 +11,7 @@
 //! change their order. Therefore an entry does not store the current virtual size, which would
 //! have to be updated, but the virtual time at which it reaches zero: the size plus the virtual
 //! time of the insertion. Only the virtual time, which all jobs share, advances. Virtual time
-//! and sizes are in CPU seconds.
+//! and sizes are in CPU-seconds.
 //!
 //! A job whose virtual size has reached zero is ordered by its remaining work instead and
 //! belongs to another sub-queue. The owner of the queue has to replace the entries of such jobs
@@ -24,14 +24,14 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
 use std::rc::Rc;
 
-/// How a job's virtual size is computed from [`QueueRank::size`].
+/// How a job's virtual size is computed from [`QueueRank::size_key`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AgeingState {
     /// The virtual size has reached zero.
     Aged,
-    /// The virtual size is `size` minus the virtual time.
+    /// The virtual size is the size key minus the virtual time.
     Ageing,
-    /// The virtual size is `size`. Used for services and for jobs whose ageing is paused.
+    /// The virtual size is the size key. Used for services and for jobs whose ageing is paused.
     Fixed,
 }
 
@@ -44,10 +44,11 @@
     pub priority: Reverse<Priority>,
     /// Tiny jobs, which have too few tasks to need training, come before others.
     pub tiny: Reverse<bool>,
-    /// The virtual size in CPU seconds or, for an ageing job, the virtual time at which it
+    /// The virtual size in CPU-seconds or, for an ageing job, the virtual time at which it
     /// reaches zero (see [`AgeingState`]).
-    pub size: OrderedFloat,
-    /// The remaining work in CPU seconds of a job that has aged to zero; 0 for all other jobs.
+    pub size_key: OrderedFloat,
+    /// The remaining work, in CPU-seconds, of a batch job whose virtual size is zero: infinite if
+    /// its end is no longer useful. 0 for all other jobs.
     pub remaining: OrderedFloat,
     /// Wall-clock time in microseconds at which the job was submitted or, if later, its
     /// dependencies were met. Older jobs come first.
@@ -67,7 +68,7 @@
     pub ageing: AgeingState,
     /// Its rank in the urgent or the regular section.
     pub rank: QueueRank,
-    /// Its rank, by initial size, in the training section; None if it has no training tasks to
+    /// Its rank, by initial size, in the training section; `None` if it has no training tasks to
     /// place.
     pub training: Option<QueueRank>,
 }
@@ -153,7 +154,7 @@
 impl AgeingEnd {
     fn of(job: JobIndex, entry: &QueueEntry) -> Option<AgeingEnd> {
         (entry.ageing == AgeingState::Ageing).then_some(AgeingEnd {
-            virtual_time: entry.rank.size,
+            virtual_time: entry.rank.size_key,
             job,
         })
     }
@@ -171,7 +172,7 @@
 }
 
 impl JobQueue {
-    /// Inserts or replaces the entry of a job; None removes it.
+    /// Inserts or replaces the entry of a job; `None` removes it.
     pub fn set(&mut self, job: JobIndex, entry: Option<QueueEntry>) {
         let slot = job as usize;
         if slot >= self.entries.len() {
@@ -263,7 +264,7 @@
         cursor
     }
 
-    /// All jobs in the order in which they compete, without regard to training tasks.
+    /// All jobs in queue order, without regard to training tasks.
     pub fn iter_in_order(&self, virtual_time: f64) -> impl Iterator<Item = JobIndex> + '_ {
         let mut urgent = self.cursor(QueueSection::Urgent, virtual_time);
         let mut regular = self.cursor(QueueSection::Regular, virtual_time);
@@ -302,8 +303,8 @@
     fn at(virtual_time: f64, ageing: AgeingState, rank: &'q QueueRank) -> EffectiveRank<'q> {
         let virtual_size = match ageing {
             AgeingState::Aged => 0.0,
-            AgeingState::Ageing => (rank.size.0 - virtual_time).max(0.0),
-            AgeingState::Fixed => rank.size.0,
+            AgeingState::Ageing => (rank.size_key.0 - virtual_time).max(0.0),
+            AgeingState::Fixed => rank.size_key.0,
         };
         EffectiveRank {
             service: rank.service,
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`views`], [`resources`] and [`placement_policy`] define the types shared by these modules.
 //!
 //! Amounts are in CPUs, GPUs and GB of memory; long-lived sums are in whole millionths of these
-//! units ([`to_millionths`]). Job sizes and virtual time are in CPU seconds.
+//! units ([`to_millionths`]). Job sizes and virtual time are in CPU-seconds.
 
 #![warn(
     missing_docs,
--- a/crates/sched/src/preemption.rs
+++ b/crates/sched/src/preemption.rs
@@ -63,7 +63,7 @@
     }
 
     /// The tasks to stop so that one more task of the job fits on the machine, with the cost;
-    /// None if it would not fit even if all preemptible tasks were stopped.
+    /// `None` if it would not fit even if all preemptible tasks were stopped.
     fn choice_on(&self, job: &JobView, machine: usize) -> Option<PreemptionChoice> {
         let need = job.resources();
         let view = &self.machines[machine];
@@ -71,7 +71,7 @@
         let mut victims = Vec::new();
         let mut lost_run_time_us = 0;
         for &index in &self.candidates_by_machine[machine] {
-            if free.fits(&need) {
+            if free.covers(&need) {
                 break;
             }
             let candidate = &self.candidates[index];
@@ -86,7 +86,7 @@
             image_missing: !view.holds_image(&job.spec.image),
             lost_run_time_us,
         };
-        free.fits(&need).then_some(PreemptionChoice {
+        free.covers(&need).then_some(PreemptionChoice {
             cost,
             machine,
             victims,
@@ -97,7 +97,7 @@
     /// index.
     fn cheapest_choice(&self, job: &JobView) -> Option<PreemptionChoice> {
         (0..self.machines.len())
-            .filter(|&machine| job.allows(&self.machines[machine]))
+            .filter(|&machine| job.may_use(&self.machines[machine]))
             .filter_map(|machine| self.choice_on(job, machine))
             .reduce(|best, choice| {
                 if choice.cost < best.cost {
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether these resources suffice for `need`.
-    pub fn fits(&self, need: &Resources) -> bool {
+    pub fn covers(&self, need: &Resources) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= need.cpus
             && self.gpus + ROUNDING_TOLERANCE >= need.gpus
             && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
@@ -95,7 +95,7 @@
     }
 
     /// How many times `need` fits; [`u32::MAX`] if `need` is zero.
-    pub fn count_fitting(&self, need: &Resources) -> u32 {
+    pub fn max_tasks(&self, need: &Resources) -> u32 {
         let count = |available: f64, needed: f64| {
             if needed > ROUNDING_TOLERANCE {
                 // A cast from a float saturates.
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -1,11 +1,11 @@
 //! The scale-out plan: which machines to provision for tasks that do not fit on existing ones.
 //!
-//! The planner goes over the waiting jobs in the order in which they compete. A job is first
-//! assigned the capacity that will be free by the time a new machine could have booted. For its
-//! remaining tasks the planner provisions machines one by one, each from the offer with the lowest
-//! price per task. Capacity that the job leaves free on a new machine is available to later jobs.
-//! Finally, on-demand machines are provisioned proactively for services that must start before
-//! a new machine could boot.
+//! The planner goes over the waiting jobs in queue order. A job is first assigned the capacity
+//! that will be free by the time a new machine could have booted. For its remaining tasks the
+//! planner provisions machines one by one, each from the offering with the lowest price per task.
+//! Capacity that the job leaves free on a new machine is available to later jobs. Finally,
+//! on-demand machines are provisioned proactively for services that must start before a new
+//! machine could boot.
 
 use crate::capacity_index::CapacityIndex;
 use crate::cycle::place_tasks;
@@ -21,7 +21,7 @@
 
 /// A kind of machine that the cloud offers: a type in a zone, either spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct InstanceOffering {
+pub struct MachineOffering {
     /// The name of the machine type.
     pub machine_type: String,
     /// The zone of the machine.
@@ -34,25 +34,25 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedScaleOut {
     /// The offering from which the machines are requested.
-    pub offering: InstanceOffering,
+    pub offering: MachineOffering,
     /// Number of machines, at most [`MAX_MACHINES_PER_SCALE_OUT`].
     pub count: u32,
 }
 
-/// Offerings that the cloud refused recently, with the time until which they are not requested.
+/// Offerings that were not fulfilled recently, with the time until which they are not requested.
 #[derive(Debug, Default)]
-pub struct RefusedOfferings(HashMap<InstanceOffering, u64>);
+pub struct UnavailableOfferings(HashMap<MachineOffering, u64>);
 
-impl RefusedOfferings {
-    /// Records a refusal; `until_us` is in microseconds of the monotonic clock.
-    pub fn refuse(&mut self, offering: InstanceOffering, until_us: u64) {
+impl UnavailableOfferings {
+    /// Excludes an offering until `until_us`, in microseconds of the monotonic clock.
+    pub fn mark_unavailable(&mut self, offering: MachineOffering, until_us: u64) {
         self.0.insert(offering, until_us);
     }
 
     /// Whether the offering may be requested; `now_us` is in microseconds of the monotonic clock.
-    pub fn is_available(&self, offering: &InstanceOffering, now_us: u64) -> bool {
-        let refused_until_us = self.0.get(offering);
-        refused_until_us.is_none_or(|until_us| now_us >= *until_us)
+    pub fn is_available(&self, offering: &MachineOffering, now_us: u64) -> bool {
+        let unavailable_until_us = self.0.get(offering);
+        unavailable_until_us.is_none_or(|until_us| now_us >= *until_us)
     }
 }
 
@@ -62,17 +62,17 @@
     /// All machine types that the cloud offers.
     pub types: &'a [MachineType],
     /// Offerings that must not be requested at present.
-    pub refusals: &'a RefusedOfferings,
-    /// Zones in which no machines are provisioned, because they could not be reached after they
-    /// have booted.
-    pub unreachable_zones: BTreeSet<Rc<str>>,
+    pub unavailable_offerings: &'a UnavailableOfferings,
+    /// Zones in which no machines are provisioned, because controllers could not reach them after
+    /// boot.
+    pub partitioned_zones: BTreeSet<Rc<str>>,
     /// Pairs of machine type and zone whose most recently provisioned machine has exceeded the
     /// expected boot time.
     pub late_offerings: BTreeSet<(Rc<str>, Rc<str>)>,
     /// Number of machines by zone, including those that are booting.
     pub machines_by_zone: BTreeMap<Rc<str>, u32>,
     /// CPUs of the service headroom, by zone, that are used by tasks which services may preempt.
-    pub lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
+    pub headroom_cpus_in_use: BTreeMap<Rc<str>, f64>,
     /// On-demand CPUs per zone that jobs which may run on spot machines must leave free for
     /// services.
     pub service_headroom_cpus: f64,
@@ -83,9 +83,9 @@
     pub now_us: u64,
 }
 
-/// An offering that is available now, with the number of machines planned from it.
-struct Offer {
-    offering: InstanceOffering,
+/// An available offering, with the number of machines planned from it.
+struct OfferingState {
+    kind: MachineOffering,
     /// The price of one machine per hour.
     price_per_hour: f64,
     /// Whether the most recently provisioned machine of this type and zone has exceeded the
@@ -97,31 +97,34 @@
     planned_machines: u32,
 }
 
-impl Offer {
-    /// The offer for a machine type in a zone; None if it is not available now.
+impl OfferingState {
+    /// The offering for a machine type in a zone; `None` if it is not available now.
     fn if_available(
         inputs: &PlanInputs,
         machine_type: &MachineType,
         zone: &str,
         spot: bool,
-    ) -> Option<Offer> {
+    ) -> Option<OfferingState> {
         let price_per_hour = if spot {
             machine_type.spot_price?
         } else {
             machine_type.price
         };
-        let offering = InstanceOffering {
+        let offering = MachineOffering {
             machine_type: machine_type.name.clone(),
             zone: zone.to_owned(),
             spot,
         };
-        if !inputs.refusals.is_available(&offering, inputs.now_us) {
+        if !inputs
+            .unavailable_offerings
+            .is_available(&offering, inputs.now_us)
+        {
             return None;
         }
         let machine = new_machine(machine_type, zone, spot);
         let type_and_zone = (machine.machine_type.clone(), machine.zone.clone());
-        Some(Offer {
-            offering,
+        Some(OfferingState {
+            kind: offering,
             price_per_hour,
             is_late: inputs.late_offerings.contains(&type_and_zone),
             machine,
@@ -130,7 +133,7 @@
     }
 
     /// The price of a new machine per hour, divided by the number of the job's tasks that it would
-    /// run; None if it would run none.
+    /// run; `None` if it would run none.
     fn price_per_task(&self, job: &JobView) -> Option<f64> {
         // For a job that may run on spot machines, on-demand machines are provisioned only for
         // the tasks at risk.
@@ -139,8 +142,8 @@
         } else {
             job.waiting_tasks.min(job.at_risk_tasks)
         };
-        let fitting = self.machine.free.count_fitting(&job.resources()).min(tasks);
-        if fitting == 0 || !job.allows(&self.machine) {
+        let fitting = self.machine.free.max_tasks(&job.resources()).min(tasks);
+        if fitting == 0 || !job.may_use(&self.machine) {
             return None;
         }
         Some(self.price_per_hour / f64::from(fitting))
@@ -166,22 +169,27 @@
     }
 }
 
-fn available_offers(inputs: &PlanInputs) -> Vec<Offer> {
-    let mut offers = Vec::new();
+fn available_offerings(inputs: &PlanInputs) -> Vec<OfferingState> {
+    let mut offerings = Vec::new();
     for machine_type in inputs.types {
         for zone in &machine_type.zones {
-            if inputs.unreachable_zones.contains(zone.as_str()) {
+            if inputs.partitioned_zones.contains(zone.as_str()) {
                 continue;
             }
             for spot in [true, false] {
-                offers.extend(Offer::if_available(inputs, machine_type, zone, spot));
+                offerings.extend(OfferingState::if_available(
+                    inputs,
+                    machine_type,
+                    zone,
+                    spot,
+                ));
             }
         }
     }
-    offers
+    offerings
 }
 
-/// Selects between offers of equal price: fields are compared in order, the least first.
+/// Selects between offerings of equal price: fields are compared in order, the least first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TieBreak {
     is_late: bool,
@@ -189,19 +197,19 @@
     machines_in_zone: u32,
 }
 
-/// The rating of an offer for a job.
+/// The rating of an offering for a job.
 #[derive(Debug, Clone, Copy)]
-struct RatedOffer {
-    /// Index into the list of offers.
-    offer: usize,
+struct RatedOffering {
+    /// Index into the list of offerings.
+    offering: usize,
     /// Whether a service would have to wait for a machine that boots late.
     delays_service: bool,
     price_per_task: f64,
     tie_break: TieBreak,
 }
 
-impl RatedOffer {
-    fn is_better_than(&self, other: &RatedOffer) -> bool {
+impl RatedOffering {
+    fn is_better_than(&self, other: &RatedOffering) -> bool {
         if self.delays_service != other.delays_service {
             return other.delays_service;
         }
@@ -213,7 +221,7 @@
     }
 }
 
-/// The inputs to the choice of an offer that may differ between jobs with equal requests.
+/// The inputs to the choice of an offering that may differ between jobs with equal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
     waiting_tasks: u32,
@@ -225,18 +233,18 @@
     /// The value of [`ScaleOutPlanner::machines_added`] at which the existing and planned
     /// machines had no capacity left for these jobs.
     exhausted_at: Option<usize>,
-    /// Number of tasks that fit on the largest offer. Waiting tasks beyond this number do not
-    /// change the price per task of any offer.
+    /// Number of tasks that fit on the largest offering. Waiting tasks beyond this number do not
+    /// change the price per task of any offering.
     max_tasks_per_machine: u32,
-    /// Demands that no offer satisfies. Planning further machines does not change this.
+    /// Demands that no offering satisfies. Planning further machines does not change this.
     unmet_demands: BTreeSet<Demand>,
 }
 
 impl RequestState {
-    fn new(need: &Resources, offers: &[Offer]) -> RequestState {
-        let tasks = offers
+    fn new(need: &Resources, offerings: &[OfferingState]) -> RequestState {
+        let tasks = offerings
             .iter()
-            .map(|offer| offer.machine.free.count_fitting(need));
+            .map(|offering| offering.machine.free.max_tasks(need));
         RequestState {
             exhausted_at: None,
             max_tasks_per_machine: tasks.max().unwrap_or(0),
@@ -257,15 +265,15 @@
     inputs: &'a PlanInputs<'a>,
     capacity: &'a mut CapacityIndex,
     teams: &'a mut [TeamAllowance],
-    offers: Vec<Offer>,
-    /// Indexes of the offers chosen for jobs, in the order in which they were first chosen. The
+    offerings: Vec<OfferingState>,
+    /// Indexes of the offerings chosen for jobs, in the order in which they were first chosen. The
     /// cloud's API is rate limited, so the most urgent requests have to be sent first.
-    chosen_offers: Vec<usize>,
-    /// Number of planned machines that were added to the capacity, because they had free CPUs
-    /// left.
+    chosen_offerings: Vec<usize>,
+    /// Number of planned machines added to the capacity index. Used to detect whether capacity
+    /// was added since the machines had none left for a request.
     machines_added: usize,
     machines_by_zone: BTreeMap<Rc<str>, u32>,
-    lent_headroom_cpus: BTreeMap<Rc<str>, f64>,
+    headroom_cpus_in_use: BTreeMap<Rc<str>, f64>,
 }
 
 impl ScaleOutPlanner<'_> {
@@ -279,10 +287,10 @@
             }
         }
         while job.waiting_tasks > 0 && job.team_allows(self.teams) {
-            let Some(offer) = self.choose_offer(job, state) else {
+            let Some(offering) = self.choose_offering(job, state) else {
                 break;
             };
-            self.provision_machine(offer, job);
+            self.provision_machine(offering, job);
         }
     }
 
@@ -295,14 +303,15 @@
             .filter(|placement| placement.uses_service_headroom);
         for placement in in_headroom {
             if let Some(view) = self.capacity.view(placement.machine) {
-                let lent_cpus = self.lent_headroom_cpus.entry(view.zone.clone());
-                *lent_cpus.or_default() += job.spec.cpus;
+                let cpus_in_use = self.headroom_cpus_in_use.entry(view.zone.clone());
+                *cpus_in_use.or_default() += job.spec.cpus;
             }
         }
     }
 
-    /// The best offer for the next tasks of the job. Demands that no offer satisfies are cached.
-    fn choose_offer(&self, job: &JobView, state: &mut RequestState) -> Option<usize> {
+    /// The best offering for the next tasks of the job. Demands that no offering satisfies are
+    /// cached.
+    fn choose_offering(&self, job: &JobView, state: &mut RequestState) -> Option<usize> {
         // The constraints of spread and single-zone jobs depend on where their other tasks run,
         // so the result cannot be reused for other jobs.
         let is_cacheable = !job.spec.spread && !job.spec.single_zone;
@@ -310,30 +319,30 @@
         if is_cacheable && state.unmet_demands.contains(&demand) {
             return None;
         }
-        let offer = self.best_offer(job);
-        if offer.is_none() && is_cacheable {
+        let offering = self.best_offering(job);
+        if offering.is_none() && is_cacheable {
             state.unmet_demands.insert(demand);
         }
-        offer
+        offering
     }
 
-    /// The best offer for the next tasks of the job: the one with the lowest price per task,
-    /// except that for services an offer that boots late is chosen only if there is no other.
-    /// [`TieBreak`] selects between offers of equal price.
-    fn best_offer(&self, job: &JobView) -> Option<usize> {
+    /// The best offering for the next tasks of the job: the one with the lowest price per task,
+    /// except that for services an offering that boots late is chosen only if there is no other.
+    /// [`TieBreak`] selects between offerings of equal price.
+    fn best_offering(&self, job: &JobView) -> Option<usize> {
         let spot_only = self.waits_for_spot(job);
-        let mut best: Option<RatedOffer> = None;
+        let mut best: Option<RatedOffering> = None;
         let mut lowest_capped_price = f64::INFINITY;
-        for (index, offer) in self.offers.iter().enumerate() {
-            if spot_only && !offer.machine.spot {
+        for (index, offering) in self.offerings.iter().enumerate() {
+            if spot_only && !offering.machine.spot {
                 continue;
             }
-            let Some(price_per_task) = offer.price_per_task(job) else {
+            let Some(price_per_task) = offering.price_per_task(job) else {
                 continue;
             };
-            if offer.planned_machines >= MAX_MACHINES_PER_SCALE_OUT {
-                // The next plan can request more machines of this offer, so the job waits for
-                // that instead of using a more expensive offer now.
+            if offering.planned_machines >= MAX_MACHINES_PER_SCALE_OUT {
+                // The next plan can request more machines of this offering, so the job waits for
+                // that instead of using a more expensive offering now.
                 lowest_capped_price = price_per_task.min(lowest_capped_price);
                 continue;
             }
@@ -343,7 +352,7 @@
             }
         }
         best.filter(|best| best.price_per_task <= lowest_capped_price + PRICE_TOLERANCE)
-            .map(|best| best.offer)
+            .map(|best| best.offering)
     }
 
     /// Whether the job waits for spot machines instead of using on-demand machines: no task is at
@@ -351,39 +360,39 @@
     fn waits_for_spot(&self, job: &JobView) -> bool {
         let need = job.resources();
         let has_spot = |machine_type: &MachineType| {
-            machine_type.spot_price.is_some() && Resources::of_type(machine_type).fits(&need)
+            machine_type.spot_price.is_some() && Resources::of_type(machine_type).covers(&need)
         };
         job.spec.spot && job.at_risk_tasks == 0 && self.inputs.types.iter().any(has_spot)
     }
 
-    fn rate(&self, index: usize, price_per_task: f64, job: &JobView) -> RatedOffer {
-        let offer = &self.offers[index];
-        let machines_in_zone = self.machines_by_zone.get(&offer.machine.zone);
-        RatedOffer {
-            offer: index,
-            delays_service: job.is_service() && offer.is_late,
+    fn rate(&self, index: usize, price_per_task: f64, job: &JobView) -> RatedOffering {
+        let offering = &self.offerings[index];
+        let machines_in_zone = self.machines_by_zone.get(&offering.machine.zone);
+        RatedOffering {
+            offering: index,
+            delays_service: job.is_service() && offering.is_late,
             price_per_task,
             tie_break: TieBreak {
-                is_late: offer.is_late,
+                is_late: offering.is_late,
                 machines_in_zone: machines_in_zone.copied().unwrap_or(0),
             },
         }
     }
 
-    /// Plans one more machine of the offer and places the job's tasks on it.
+    /// Plans one more machine of the offering and places the job's tasks on it.
     fn provision_machine(&mut self, index: usize, job: &mut JobView) {
-        let offer = &mut self.offers[index];
-        offer.planned_machines += 1;
-        let mut machine = offer.machine.clone();
-        if !self.chosen_offers.contains(&index) {
-            self.chosen_offers.push(index);
+        let offering = &mut self.offerings[index];
+        offering.planned_machines += 1;
+        let mut machine = offering.machine.clone();
+        if !self.chosen_offerings.contains(&index) {
+            self.chosen_offerings.push(index);
         }
         let in_zone = self.machines_by_zone.entry(machine.zone.clone());
         *in_zone.or_default() += 1;
         let need = job.resources();
         while job.team_allows(self.teams)
-            && machine.free.fits(&need)
-            && job.allows(&machine)
+            && machine.free.covers(&need)
+            && job.may_use(&machine)
             && job.assign_next_task(&mut machine, self.teams)
         {
             if !machine.spot {
@@ -401,16 +410,16 @@
     /// boot, until each zone has the proactive headroom free.
     ///
     /// Reserving the headroom is not enough, because the first services that start use it up.
-    /// Lent headroom counts as free. If it were replaced, the replacement would be lent to the
-    /// next starving job, and on-demand machines would be provisioned without limit.
+    /// Headroom that preemptible tasks use counts as free. Otherwise each starving job would cause
+    /// further on-demand machines to be provisioned, without limit.
     fn plan_proactive_headroom(&mut self) {
         if self.inputs.proactive_headroom_cpus <= 0.0 {
             return;
         }
         let zones: BTreeSet<Rc<str>> = self
-            .offers
+            .offerings
             .iter()
-            .map(|offer| offer.machine.zone.clone())
+            .map(|offering| offering.machine.zone.clone())
             .collect();
         for zone in zones {
             self.plan_proactive_headroom_in(&zone);
@@ -418,39 +427,42 @@
     }
 
     fn plan_proactive_headroom_in(&mut self, zone: &str) {
-        let lent_cpus = self.lent_headroom_cpus.get(zone).copied().unwrap_or(0.0);
+        let cpus_in_use = self.headroom_cpus_in_use.get(zone).copied().unwrap_or(0.0);
         let free_cpus = self.capacity.free_on_demand_cpus(zone);
-        let missing_cpus = self.inputs.proactive_headroom_cpus - free_cpus - lent_cpus;
+        let missing_cpus = self.inputs.proactive_headroom_cpus - free_cpus - cpus_in_use;
         if missing_cpus <= ROUNDING_TOLERANCE {
             return;
         }
         // Total cost is compared and not cost per CPU: a large machine may be cheaper per CPU but
         // more expensive for a few CPUs.
-        let cost = |offer: &Offer| offer.price_per_hour * offer.machines_for_cpus(missing_cpus);
+        let cost = |offering: &OfferingState| {
+            offering.price_per_hour * offering.machines_for_cpus(missing_cpus)
+        };
         let cheapest = self
-            .offers
+            .offerings
             .iter_mut()
-            .filter(|offer| !offer.machine.spot && *offer.machine.zone == *zone)
-            .min_by_key(|offer| OrderedFloat(cost(offer)));
-        if let Some(offer) = cheapest {
+            .filter(|offering| !offering.machine.spot && *offering.machine.zone == *zone)
+            .min_by_key(|offering| OrderedFloat(cost(offering)));
+        if let Some(offering) = cheapest {
             // A cast from a float saturates.
-            let machines = offer.machines_for_cpus(missing_cpus) as u32;
-            let planned = offer.planned_machines.saturating_add(machines);
-            offer.planned_machines = planned.min(MAX_MACHINES_PER_SCALE_OUT);
+            let machines = offering.machines_for_cpus(missing_cpus) as u32;
+            let planned = offering.planned_machines.saturating_add(machines);
+            offering.planned_machines = planned.min(MAX_MACHINES_PER_SCALE_OUT);
         }
     }
 
     /// The resulting plan. Offers chosen for jobs come first.
     fn into_planned_scale_outs(self) -> Vec<PlannedScaleOut> {
-        let chosen = self.chosen_offers.iter().copied();
-        let others = (0..self.offers.len()).filter(|index| !self.chosen_offers.contains(index));
+        let chosen = self.chosen_offerings.iter().copied();
+        let others =
+            (0..self.offerings.len()).filter(|index| !self.chosen_offerings.contains(index));
         chosen
             .chain(others)
-            .map(|index| &self.offers[index])
-            .filter(|offer| offer.planned_machines > 0)
-            .map(|offer| PlannedScaleOut {
-                offering: offer.offering.clone(),
-                count: offer.planned_machines,
+            .map(|index| &self.offerings[index])
+            .filter(|offering| offering.planned_machines > 0)
+            .map(|offering| PlannedScaleOut {
+                offering: offering.kind.clone(),
+                count: offering.planned_machines,
             })
             .collect()
     }
@@ -459,7 +471,7 @@
 /// Plans which machines to provision for tasks that do not fit on existing ones, the most urgent
 /// first and at most [`MAX_MACHINES_PER_SCALE_OUT`] of each offering (see the [module](self)).
 ///
-/// `jobs` must be in the order in which they compete, each with its request. `capacity` must
+/// `jobs` must be in queue order, each with its request. `capacity` must
 /// contain the machines with the resources that will be free by the time a new machine could
 /// have booted. The planner assigns tasks in it and adds the planned machines to it.
 pub fn plan_scale_out<'a>(
@@ -472,17 +484,17 @@
         inputs,
         capacity,
         teams,
-        offers: available_offers(inputs),
-        chosen_offers: Vec::new(),
+        offerings: available_offerings(inputs),
+        chosen_offerings: Vec::new(),
         machines_added: 0,
         machines_by_zone: inputs.machines_by_zone.clone(),
-        lent_headroom_cpus: inputs.lent_headroom_cpus.clone(),
+        headroom_cpus_in_use: inputs.headroom_cpus_in_use.clone(),
     };
     let mut request_states: BTreeMap<&Rc<ResourceRequest>, RequestState> = BTreeMap::new();
     for (mut job, request) in jobs {
         let state = request_states
             .entry(request)
-            .or_insert_with(|| RequestState::new(&job.resources(), &planner.offers));
+            .or_insert_with(|| RequestState::new(&job.resources(), &planner.offerings));
         planner.plan_job(&mut job, request, state);
     }
     planner.plan_proactive_headroom();
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -1,7 +1,7 @@
 //! Snapshots of jobs, machines and teams on which a scheduling cycle or a scale-out plan works.
 //!
-//! The views are copies: [`JobView::assign_next_task`] subtracts resources from the view of a
-//! machine only. The scheduler's state changes when the caller applies the result.
+//! The views are copies. [`JobView::assign_next_task`] changes only the views and the team's
+//! allowance; the scheduler's state changes when the caller applies the result.
 
 use crate::resources::{ROUNDING_TOLERANCE, Resources, to_millionths};
 use dillcleat_wire::user::{JobKind, JobSpec};
@@ -17,7 +17,7 @@
 /// Index into the table of machines.
 pub type MachineIndex = SlabIndex;
 
-/// The zone of a machine that has no stored record and has not sent a heartbeat yet.
+/// The zone of a machine whose zone is not known yet.
 const UNKNOWN_ZONE: &str = "";
 
 /// Container images with their sizes in GB. Views of the same machine share the list.
@@ -28,7 +28,7 @@
 pub struct MachineView {
     /// The name of the machine's type.
     pub machine_type: Rc<str>,
-    /// The zone of the machine; empty if unknown.
+    /// The zone of the machine; empty if it is not known yet.
     pub zone: Rc<str>,
     /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
@@ -189,19 +189,19 @@
     }
 
     /// Whether the request and the job's zone constraints allow one more task on the machine.
-    pub fn rules_allow(&self, machine: &MachineView) -> bool {
+    pub fn constraints_allow(&self, machine: &MachineView) -> bool {
         self.request_allows(machine) && self.allows_zone(&machine.zone)
     }
 
-    /// Whether this job failed on the machine, or the machine is cordoned.
-    pub fn has_failed_on(&self, machine: &MachineView) -> bool {
+    /// Whether the machine is excluded because this job failed on it or because it is cordoned.
+    pub fn is_excluded_by_failures(&self, machine: &MachineView) -> bool {
         machine.cordoned || machine.failed_jobs.iter().any(|job| **job == *self.id)
     }
 
-    /// Whether the rules allow one more task on the machine and neither this job failed on it
-    /// nor is it cordoned.
-    pub fn allows(&self, machine: &MachineView) -> bool {
-        self.rules_allow(machine) && !self.has_failed_on(machine)
+    /// Whether the constraints allow one more task on the machine, and it is not excluded by
+    /// failures.
+    pub fn may_use(&self, machine: &MachineView) -> bool {
+        self.constraints_allow(machine) && !self.is_excluded_by_failures(machine)
     }
 
     /// Whether the team's remaining quota suffices for one more task.
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -66,7 +66,7 @@
             service: Reverse(include_urgency && self.spec.kind == JobKind::Service),
             priority: Reverse(self.spec.priority),
             tiny: Reverse(include_urgency && self.tiny),
-            size: OrderedFloat(size),
+            size_key: OrderedFloat(size),
             remaining: OrderedFloat(remaining),
             ready_at_us: self.ready_at_us,
             id: Rc::from(self.spec.id.as_str()),
--- a/crates/sched/tests/plan.rs
+++ b/crates/sched/tests/scale_out_plan.rs
@@ -4,7 +4,7 @@
 
 use common::{Job, machine};
 use dillcleat_sched::scale_out_plan::{
-    InstanceOffering, PlanInputs, PlannedScaleOut, RefusedOfferings, plan_scale_out,
+    MachineOffering, PlanInputs, PlannedScaleOut, UnavailableOfferings, plan_scale_out,
 };
 use dillcleat_sched::{CapacityIndex, MachineView, ResourceRequest, TeamAllowance};
 use dillcleat_wire::cloud::MachineType;
@@ -39,35 +39,34 @@
     }
 }
 
-/// The scale-out plan for `jobs`, which are in the order in which they compete, and for machines
-/// that are booting.
+/// The scale-out plan for `jobs`, which are in queue order, and for machines that are booting.
 fn plan(
     jobs: &[Job],
     booting: &[MachineView],
-    refused: &[(&str, &str, bool)],
-    unreachable_zones: &[&str],
+    unavailable: &[(&str, &str, bool)],
+    partitioned_zones: &[&str],
     headroom_cpus: f64,
 ) -> Vec<PlannedScaleOut> {
-    let mut refusals = RefusedOfferings::default();
-    for (machine_type, zone, spot) in refused {
-        let offering = InstanceOffering {
+    let mut unavailable_offerings = UnavailableOfferings::default();
+    for (machine_type, zone, spot) in unavailable {
+        let offering = MachineOffering {
             machine_type: machine_type.to_string(),
             zone: zone.to_string(),
             spot: *spot,
         };
-        refusals.refuse(offering, 9);
+        unavailable_offerings.mark_unavailable(offering, 9);
     }
     let types = types();
     let inputs = PlanInputs {
         types: &types,
-        refusals: &refusals,
+        unavailable_offerings: &unavailable_offerings,
         late_offerings: BTreeSet::new(),
-        unreachable_zones: unreachable_zones
+        partitioned_zones: partitioned_zones
             .iter()
             .map(|zone| Rc::from(*zone))
             .collect::<BTreeSet<_>>(),
         machines_by_zone: BTreeMap::new(),
-        lent_headroom_cpus: BTreeMap::new(),
+        headroom_cpus_in_use: BTreeMap::new(),
         service_headroom_cpus: headroom_cpus,
         proactive_headroom_cpus: headroom_cpus,
         now_us: 1,
@@ -105,7 +104,7 @@
     ("large", "a", true),
 ];
 
-/// If every spot offering is refused, on-demand machines are provisioned for the tasks at risk
+/// If no spot offering is available, on-demand machines are provisioned for the tasks at risk
 /// and no others.
 #[test]
 fn on_demand_machines_are_provisioned_only_for_tasks_at_risk() {
@@ -132,9 +131,10 @@
     assert_eq!(rows(&planned), [("large", "a", true, 50)]);
 }
 
-/// Controllers could not reach a machine provisioned in a partitioned zone.
+/// Controllers could not reach a machine provisioned in a partitioned zone. Machines for services
+/// are requested before those for batch jobs.
 #[test]
-fn unreachable_zones_are_excluded_and_services_are_planned_first() {
+fn partitioned_zones_are_excluded_and_services_are_planned_first() {
     let jobs = [
         job("service", JobKind::Service, 2, 0),
         job("batch", JobKind::Batch, 4, 0),
--- a/crates/sched/tests/order.rs
+++ b/crates/sched/tests/scheduling_cycle.rs
@@ -201,15 +201,15 @@
 fn best_machine(job: &JobView, machines: &[MachineView], policy: PlacementPolicy) -> Option<usize> {
     let need = job.resources();
     let leaves_headroom = |machine: &MachineView, headroom_cpus: f64| {
-        let counted =
+        let counts_as_headroom =
             |other: &&MachineView| !other.spot && !other.cordoned && other.zone == machine.zone;
         let free: f64 = machines
             .iter()
-            .filter(counted)
+            .filter(counts_as_headroom)
             .map(|other| other.free.cpus)
             .sum();
-        let bound = !machine.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
-        headroom_cpus <= 0.0 || !bound || free - need.cpus + 1e-6 >= headroom_cpus
+        let must_leave_headroom = !machine.spot && job.spec.spot && job.spec.kind == JobKind::Batch;
+        headroom_cpus <= 0.0 || !must_leave_headroom || free - need.cpus + 1e-6 >= headroom_cpus
     };
     let rank = |index: usize, machine: &MachineView| {
         let holds_image = machine
@@ -219,34 +219,37 @@
         let spot = machine.spot == job.spec.spot;
         let service = job.spec.kind == JobKind::Service;
         // Worst fit for replicas that have to download the image, best fit otherwise.
-        let sign = if service && !holds_image { 1.0 } else { -1.0 };
+        let worst_fit_sign = if service && !holds_image { 1.0 } else { -1.0 };
         let service_images = if service || machine.spot {
             0
         } else {
             machine.service_images
         };
-        let (cpus, memory) = (machine.free.cpus * sign, machine.free.memory_gb * sign);
+        let (cpus, memory) = (
+            machine.free.cpus * worst_fit_sign,
+            machine.free.memory_gb * worst_fit_sign,
+        );
         let order = (
             spot,
             holds_image,
             9 - service_images,
             cpus,
             memory,
-            index as f64 * sign,
+            index as f64 * worst_fit_sign,
         );
         (!machine.outbound_unreachable, order)
     };
     let mut best: Option<usize> = None;
     for (index, view) in machines.iter().enumerate() {
-        if view.free.fits(&need)
+        if view.free.covers(&need)
             && match policy {
                 PlacementPolicy::Standard {
                     service_headroom_cpus,
-                } => job.allows(view) && leaves_headroom(view, service_headroom_cpus),
-                PlacementPolicy::IgnoreHeadroom => job.allows(view),
+                } => job.may_use(view) && leaves_headroom(view, service_headroom_cpus),
+                PlacementPolicy::IgnoreHeadroom => job.may_use(view),
                 PlacementPolicy::LastResort => true,
             }
-            && job.rules_allow(view)
+            && job.constraints_allow(view)
             && best.is_none_or(|best| rank(index, view) > rank(best, &machines[best]))
         {
             best = Some(index);
@@ -494,7 +497,7 @@
     assert!(placed > 3000, "{placed} placed");
 }
 
-/// The order of the jobs by a plain sort. The flag of a job means that its size is fixed.
+/// The order of the jobs by a plain sort. Each job is paired with whether its size is fixed.
 fn plain_sort(jobs: &[Option<(Job, bool)>]) -> Vec<JobIndex> {
     let known: Vec<(JobIndex, &Job, bool)> = jobs
         .iter()
--- a/crates/sched/tests/waiting.rs
+++ b/crates/sched/tests/starvation.rs
@@ -4,7 +4,7 @@
 
 use common::{Job, capacity_index, job_queue, machine, one_team};
 use dillcleat_sched::scale_out_plan::{
-    InstanceOffering, PlanInputs, PlannedScaleOut, RefusedOfferings, plan_scale_out,
+    MachineOffering, PlanInputs, PlannedScaleOut, UnavailableOfferings, plan_scale_out,
 };
 use dillcleat_sched::{
     Assignment, CapacityIndex, CycleLimits, JobIndex, MachineView, ResourceRequest, run_cycle,
@@ -63,7 +63,7 @@
     )
 }
 
-/// Otherwise a job would wait forever while headroom is free but no spot machine is available. A
+/// Guards against a job waiting forever while headroom is free but no spot machine is available. A
 /// job that is not starving neither uses the headroom nor blocks the other jobs.
 #[test]
 fn starving_job_places_one_task_in_service_headroom() {
@@ -112,7 +112,7 @@
 
 /// Training tasks that exceed the training CPUs are placed in the regular pass.
 #[test]
-fn training_tasks_are_placed_as_regular_tasks_without_training_cpus() {
+fn training_tasks_beyond_training_share_are_placed_as_regular_tasks() {
     let mut untrained = job("a", false);
     untrained.training = 2;
     let assignments = run(
@@ -129,9 +129,9 @@
     );
 }
 
-/// The scale-out plan if every spot offering is refused and the only zone has `free_cpus` free
-/// and `lent_cpus` lent on-demand CPUs.
-fn plan(jobs: &[Job], free_cpus: f64, lent_cpus: f64) -> Vec<PlannedScaleOut> {
+/// The scale-out plan if no spot offering is available. In the only zone `free_cpus` on-demand CPUs
+/// are free and starving jobs use `cpus_in_use` CPUs of the headroom.
+fn plan(jobs: &[Job], free_cpus: f64, cpus_in_use: f64) -> Vec<PlannedScaleOut> {
     let types = [MachineType {
         name: "m".into(),
         cpus: 4.0,
@@ -144,20 +144,20 @@
         boot_s: 15.0,
         zones: vec!["a".into()],
     }];
-    let mut refusals = RefusedOfferings::default();
-    let offering = InstanceOffering {
+    let mut unavailable_offerings = UnavailableOfferings::default();
+    let offering = MachineOffering {
         machine_type: "m".into(),
         zone: "a".into(),
         spot: true,
     };
-    refusals.refuse(offering, 9);
+    unavailable_offerings.mark_unavailable(offering, 9);
     let inputs = PlanInputs {
         types: &types,
-        refusals: &refusals,
+        unavailable_offerings: &unavailable_offerings,
         late_offerings: BTreeSet::new(),
-        unreachable_zones: BTreeSet::new(),
+        partitioned_zones: BTreeSet::new(),
         machines_by_zone: BTreeMap::new(),
-        lent_headroom_cpus: BTreeMap::from([("a".into(), lent_cpus)]),
+        headroom_cpus_in_use: BTreeMap::from([("a".into(), cpus_in_use)]),
         service_headroom_cpus: HEADROOM_CPUS,
         proactive_headroom_cpus: HEADROOM_CPUS,
         now_us: 1,
@@ -170,9 +170,9 @@
     plan_scale_out(jobs, &mut capacity, &mut one_team(99.0), &inputs)
 }
 
-/// Otherwise each starving job would cause another on-demand machine to be provisioned.
+/// Guards against provisioning another on-demand machine for each starving job.
 #[test]
-fn lent_headroom_is_not_provisioned_again() {
+fn headroom_in_use_is_not_provisioned_again() {
     assert_eq!(plan(&[], 2.0, 0.0).len(), 1);
     assert_eq!(plan(&[], 2.0, 1.0), []);
     assert_eq!(
--- a/crates/sched/tests/zones.rs
+++ b/crates/sched/tests/zone_spread.rs
@@ -31,7 +31,7 @@
 fn tasks_in_unknown_zone_count_in_every_zone() {
     let job = spread_job();
     let allowed = |in_a, unknown, zone| {
-        with_tasks_in(&job, in_a, unknown).rules_allow(&machine(zone, 8.0, false))
+        with_tasks_in(&job, in_a, unknown).constraints_allow(&machine(zone, 8.0, false))
     };
     assert!(allowed(2, 2, "a"));
     assert!(!allowed(2, 3, "a"));
@@ -42,7 +42,7 @@
 #[test]
 fn spread_job_may_have_at_most_half_of_its_tasks_in_one_zone() {
     let job = spread_job();
-    let allowed = |in_a| with_tasks_in(&job, in_a, 0).rules_allow(&machine("a", 8.0, false));
+    let allowed = |in_a| with_tasks_in(&job, in_a, 0).constraints_allow(&machine("a", 8.0, false));
     assert!(allowed(4));
     assert!(!allowed(5));
 }
