--- a/crates/peer-protocol/src/error.rs
+++ b/crates/peer-protocol/src/error.rs
@@ -24,7 +24,7 @@
     /// The byte of a flag is neither 0 nor 1.
     #[error("flag is neither 0 nor 1")]
     InvalidFlag,
-    /// A number is infinite or NaN, which must not enter the ageing of jobs.
+    /// A number is infinite or NaN, which would corrupt the ageing of jobs.
     #[error("number is not finite")]
     NonFiniteNumber,
 }
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -40,9 +40,9 @@
     },
     /// The progress of some jobs, sent by the leader.
     JobProgress(Vec<JobProgress>),
-    /// The zones from which the leader receives no heartbeats, sent by the leader.
+    /// The zones that the leader considers partitioned, sent by the leader.
     UnresponsiveZones(Vec<UnresponsiveZone>),
-    /// Estimates of run times, sent by the leader.
+    /// The leader's estimates of run times and job sizes, and its virtual time.
     Estimates(Estimates),
 }
 
@@ -57,12 +57,12 @@
     pub running: u32,
 }
 
-/// A zone from which the leader receives no heartbeats.
+/// A zone that the leader considers partitioned, because most of its machines are unresponsive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnresponsiveZone {
     /// The zone's name.
     pub zone: String,
-    /// Time since the last heartbeat from any machine of the zone, in milliseconds.
+    /// Time since the last message from the zone's unresponsive machines, in milliseconds.
     pub unresponsive_ms: u32,
 }
 
@@ -73,7 +73,7 @@
     /// The leader's term.
     pub term: u64,
     /// The leader's virtual time in CPU-seconds: the amount by which a job that was never paused
-    /// has aged.
+    /// has aged since the beginning of the term.
     pub virtual_time: f64,
     /// Mean run times by class.
     pub classes: Vec<ClassRunTime>,
@@ -100,9 +100,9 @@
     /// The current estimate of the job's size, in CPU-seconds. It equals the initial size until
     /// the job's training tasks have completed.
     pub size: f64,
-    /// The amount by which ageing has reduced the virtual size, in CPU-seconds. For an ageing job
-    /// the leader's virtual time is subtracted. The difference is constant while the job ages, so
-    /// that it does not have to be sent again.
+    /// The reduction of the virtual size by ageing, in CPU-seconds; for an ageing job less the
+    /// leader's current virtual time. Both advance equally, so the value stays the same while the
+    /// job ages.
     pub credit: f64,
     /// Whether the job is ageing.
     pub is_ageing: bool,
