--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -152,7 +152,7 @@
     /// Writes a batch of the write queue.
     WriteQueue,
     /// Reads a record that another writer may have changed.
-    Reread {
+    ReadOutcome {
         /// The key.
         key: String,
     },
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -27,11 +27,11 @@
 pub(super) struct Autoscaler {
     pub cloud_queue: CloudQueue,
     pub boot_estimator: BootEstimator,
-    refusals: UnavailableOfferings,
+    unavailable_offerings: UnavailableOfferings,
     /// The number of waiting jobs that the next scale-out plan examines.
     plan_depth: usize,
     next_fleet_check_at: Micros,
-    /// Machines that are proved to be gone, with the time of their removal.
+    /// Machines that were confirmed as deleted or failed, with the time of their removal.
     removed_machines: HashMap<String, Micros>,
 }
 
@@ -40,15 +40,15 @@
         Autoscaler {
             cloud_queue: CloudQueue::new(config.cloud_rps, now),
             boot_estimator: BootEstimator::default(),
-            refusals: UnavailableOfferings::default(),
+            unavailable_offerings: UnavailableOfferings::default(),
             plan_depth: INITIAL_PLAN_DEPTH,
             next_fleet_check_at: now,
             removed_machines: HashMap::new(),
         }
     }
 
-    /// Whether the machine is proved to be gone. Messages from it that still arrive were
-    /// delayed in the network.
+    /// Whether the machine was confirmed as deleted or failed. Messages from it that still
+    /// arrive were delayed in the network.
     pub fn is_removed(&self, machine: &str) -> bool {
         self.removed_machines.contains_key(machine)
     }
@@ -63,7 +63,7 @@
     }
 
     /// Sets the depth of the next plan. The depth grows while plans request no machines, so
-    /// that jobs behind many that need none are considered as well.
+    /// that jobs are reached that queue behind many jobs without need for machines.
     fn update_plan_depth(&mut self, jobs_examined: usize, scales_out: bool) {
         self.plan_depth = if !scales_out && jobs_examined == self.plan_depth {
             self.plan_depth * 2
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -55,8 +55,8 @@
         let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
         let cloud_queue = &mut self.autoscaler.cloud_queue;
         if let Some(call) = cloud_queue.next(now, deletion_limit, permit) {
-            let waiter = self.continuation(LeaderStep::Cloud(call.kind));
-            ctx.cloud_request(call.request, &call.permit, waiter);
+            let continuation = self.continuation(LeaderStep::Cloud(call.kind));
+            ctx.cloud_request(call.request, &call.permit, continuation);
         }
     }
 
@@ -80,7 +80,7 @@
                 Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
             ) => {
                 if let Some(request) = self.autoscaler.cloud_queue.finish_scale_out() {
-                    self.record_refusal(ctx, &request, 0);
+                    self.pause_offering(ctx, &request, 0);
                 }
             }
             (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
@@ -150,16 +150,16 @@
             }
         }
         if (names.len() as u32) < request.count {
-            self.record_refusal(ctx, request, names.len());
+            self.pause_offering(ctx, request, names.len());
         }
     }
 
-    /// Records that the cloud has no more capacity of the requested kind; it started
-    /// `started` machines.
-    fn record_refusal(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
+    /// Pauses an offering after the cloud did not start all requested machines: it lacks
+    /// capacity or rejected the request. It started `started` machines.
+    fn pause_offering(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
         let now = ctx.now.monotonic;
         log::info!(
-            "cloud has no more capacity machine_type={} zone={} spot={} started={started} requested={}",
+            "scale-out not fulfilled, pausing the offering machine_type={} zone={} spot={} started={started} requested={}",
             request.machine_type,
             request.zone,
             request.spot,
@@ -171,7 +171,9 @@
             spot: request.spot,
         };
         let until = now + micros(ctx.config.tuning.refused_pause_s);
-        self.autoscaler.refusals.mark_unavailable(offering, until);
+        self.autoscaler
+            .unavailable_offerings
+            .mark_unavailable(offering, until);
         // Plan again at once with other offerings.
         self.autoscaler.next_fleet_check_at = now;
     }
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -3,21 +3,21 @@
 use crate::calls::Context;
 use crate::leader::Leader;
 use crate::leader::boot_estimator::{BootEstimator, boot_time};
-use crate::leader::scheduling::CPU_ROUNDING_ERROR;
 use crate::leader::zone_partition::{
     PARTITION_GRACE_LEASES, SpareCapacity, heartbeat_missed_after,
 };
 use crate::leadership_guard::{CloudAction, DeletionReason};
 use crate::machines::{Machine, MachineEnd};
 use crate::sched::SlabIndex;
+use crate::sched::resources::ROUNDING_TOLERANCE;
 use crate::write_queue::PendingWrite;
 use crate::{Config, Micros, SECOND, micros, records, seconds};
 use dillcleat_wire::cloud::MachineType;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The minimum age at which an idle machine is deleted. Machines are billed by the minute;
-/// the difference to a minute allows for the time that the deletion takes.
+/// The minimum age at which an idle machine is deleted: just below the billing unit of one
+/// minute, to allow for the duration of the deletion.
 const MIN_MACHINE_LIFETIME: Micros = 55 * SECOND;
 
 /// The inputs of a check for unresponsive machines.
@@ -25,18 +25,21 @@
     now: Micros,
     config: &'a Config,
     types: &'a [MachineType],
-    partitioned: &'a BTreeSet<Rc<str>>,
+    partitioned_machines: &'a BTreeSet<Rc<str>>,
     /// Whether many machines are unresponsive at once.
     many_unresponsive: bool,
-    /// Whether this node is probably the one that is isolated.
+    /// Whether this controller is probably the one that is isolated.
     isolated: bool,
     /// When this leader had recovered its state.
     ready_since: Micros,
 }
 
-/// A machine that is to be deleted because it is unresponsive.
+/// A machine that is to be deleted because it is unresponsive, or because the cloud has
+/// reclaimed it.
 struct UnresponsiveMachine {
     name: Rc<str>,
+    /// The reason for log lines.
+    reason: &'static str,
     unresponsive_for: Micros,
 }
 
@@ -71,7 +74,7 @@
                 // it sends heartbeats already.
                 self.base_max_unresponsive_time() + boot
             }
-        } else if self.partitioned.contains(&machine.name) && machine.has_replicas() {
+        } else if self.partitioned_machines.contains(&machine.name) && machine.has_replicas() {
             self.config.worker_lease
         } else if self.many_unresponsive {
             self.config.worker_lease + self.config.heartbeat_interval
@@ -105,21 +108,21 @@
         unresponsive_for: Micros,
         spare: &mut SpareCapacity,
     ) -> bool {
-        let is_kept_for_its_tasks = self.partitioned.contains(&machine.name)
-            && self.may_heal(unresponsive_for)
+        let is_kept_for_its_tasks = self.partitioned_machines.contains(&machine.name)
+            && self.may_be_temporary(unresponsive_for)
             && !spare.take_for(machine);
-        let may_be_reachable = self.isolated && self.may_heal(unresponsive_for);
-        self.had_time_to_report(machine) && !is_kept_for_its_tasks && !may_be_reachable
+        let may_be_reachable = self.isolated && self.may_be_temporary(unresponsive_for);
+        self.had_time_for_heartbeat(machine) && !is_kept_for_its_tasks && !may_be_reachable
     }
 
     /// Whether the unresponsive time is short enough for a partition to count as temporary.
-    fn may_heal(&self, unresponsive_for: Micros) -> bool {
+    fn may_be_temporary(&self, unresponsive_for: Micros) -> bool {
         unresponsive_for < self.config.worker_lease * PARTITION_GRACE_LEASES
     }
 
     /// Whether the machine had time to send a heartbeat to this leader. This protects
     /// machines that only the previous leader found unresponsive.
-    fn had_time_to_report(&self, machine: &Machine) -> bool {
+    fn had_time_for_heartbeat(&self, machine: &Machine) -> bool {
         let missed_after = heartbeat_missed_after(self.config);
         !machine.is_up() || machine.is_ready() || self.now >= self.ready_since + missed_after
     }
@@ -158,14 +161,14 @@
             if job.cancelled_at.is_none_or(|at| now < at + removal_timeout) {
                 continue;
             }
-            for (task, machine) in job.on_machines() {
+            for (task, machine) in job.placed_tasks() {
                 if self.may_hold_cancelled_task(machine, id, task) {
                     overdue.insert(machine.clone());
                 }
             }
         }
         for name in overdue {
-            log::info!("deleting machine machine={name} reason=cancelled-task-not-seen-gone");
+            log::info!("deleting machine machine={name} reason=cancelled-task-still-present");
             self.delete_machine(&name, DeletionReason::Cancelled);
         }
     }
@@ -184,19 +187,20 @@
         slot.is_some_and(|slot| slot.cancelled && slot.stored)
     }
 
-    /// Deletes machines that have become unresponsive. The cloud's confirmation proves that
-    /// their tasks have ended. Machines in `partitioned` are subject to additional rules.
+    /// Deletes machines that have become unresponsive or were reclaimed. The cloud's
+    /// confirmation proves that their tasks have ended. Machines in `partitioned_machines` are
+    /// subject to additional rules.
     pub(super) fn delete_unresponsive_machines(
         &mut self,
         ctx: &Context,
-        partitioned: &BTreeSet<Rc<str>>,
+        partitioned_machines: &BTreeSet<Rc<str>>,
     ) {
         let may_delete = self.may_answer_heartbeats(ctx)
             && self.is_permitted(ctx, CloudAction::Delete(DeletionReason::Unresponsive));
         let UnresponsiveMachines {
             to_probe,
             to_delete,
-        } = self.find_unresponsive_machines(ctx, partitioned);
+        } = self.find_unresponsive_machines(ctx, partitioned_machines);
         for index in to_probe {
             if let Some(machine) = self.machines.get_mut_unmarked(index) {
                 machine.command_state.request_probe();
@@ -209,12 +213,13 @@
         }
         for UnresponsiveMachine {
             name,
+            reason,
             unresponsive_for,
         } in to_delete
         {
             let unresponsive_s = seconds(unresponsive_for);
             log::info!(
-                "deleting machine machine={name} reason=unresponsive unresponsive_s={unresponsive_s}"
+                "deleting machine machine={name} reason={reason} unresponsive_s={unresponsive_s}"
             );
             self.delete_machine(&name, DeletionReason::Unresponsive);
         }
@@ -223,24 +228,24 @@
     fn find_unresponsive_machines(
         &self,
         ctx: &Context,
-        partitioned: &BTreeSet<Rc<str>>,
+        partitioned_machines: &BTreeSet<Rc<str>>,
     ) -> UnresponsiveMachines {
         let types = self.machine_types.shared();
         let check = LivenessCheck {
             now: ctx.now.monotonic,
             config: ctx.config,
             types: types.as_deref().map_or(&[][..], Vec::as_slice),
-            partitioned,
+            partitioned_machines,
             many_unresponsive: self.are_many_unresponsive(),
             isolated: self.is_probably_isolated(ctx.config),
             ready_since: self.recovery.ready_since(),
         };
-        let mut spare = self.spare_capacity(partitioned);
+        let mut spare = self.spare_capacity(partitioned_machines);
         let mut found = UnresponsiveMachines::default();
         let derived = &self.derived;
-        let suspects = &(derived.unresponsive_machines() | derived.booting_machines())
+        let to_check = &(derived.unresponsive_machines() | derived.machines_not_ready())
             | derived.interrupted_machines();
-        for index in suspects {
+        for index in to_check {
             let Some((_, machine)) = self.machines.at(index) else {
                 continue;
             };
@@ -253,9 +258,13 @@
             let is_unresponsive = unresponsive_for >= max_unresponsive_time
                 && check.should_delete(machine, unresponsive_for, &mut spare);
             if is_unresponsive || check.is_reclaimed(machine, unresponsive_for) {
-                let name = machine.name.clone();
                 found.to_delete.push(UnresponsiveMachine {
-                    name,
+                    name: machine.name.clone(),
+                    reason: if is_unresponsive {
+                        "unresponsive"
+                    } else {
+                        "reclaimed"
+                    },
                     unresponsive_for,
                 });
             }
@@ -288,28 +297,35 @@
             {
                 continue;
             }
-            let is_retired = machine.health.is_cordoned() || machine.interrupted_at().is_some();
+            let is_unusable = machine.health.is_cordoned() || machine.interrupted_at().is_some();
             let is_idle = now.saturating_sub(machine.empty_since()) >= max_idle
                 && now >= machine.known_since() + MIN_MACHINE_LIFETIME;
             // Machines that the headroom needs are kept: they would be requested again at
             // once.
-            if !is_retired && is_idle && !machine.spot && headroom_cpus > 0.0 {
+            if !is_unusable && is_idle && !machine.spot && headroom_cpus > 0.0 {
                 let total = self.type_resources(&machine.machine_type);
                 let machine_cpus = total.map_or(0.0, |total| total.cpus);
                 let free = free_cpus
                     .entry(machine.zone.clone())
                     .or_insert_with(|| self.derived.capacity.free_on_demand_cpus(&machine.zone));
-                if *free - machine_cpus + CPU_ROUNDING_ERROR < headroom_cpus {
+                if *free - machine_cpus + ROUNDING_TOLERANCE < headroom_cpus {
                     continue;
                 }
                 *free -= machine_cpus;
             }
-            if is_retired || is_idle {
-                to_delete.push(name);
+            if is_unusable || is_idle {
+                let reason = if machine.health.is_cordoned() {
+                    "cordoned"
+                } else if machine.interrupted_at().is_some() {
+                    "interrupted"
+                } else {
+                    "idle"
+                };
+                to_delete.push((name, reason));
             }
         }
-        for name in to_delete {
-            log::info!("deleting machine machine={name} reason=idle");
+        for (name, reason) in to_delete {
+            log::info!("deleting machine machine={name} reason={reason}");
             self.delete_machine(&name, DeletionReason::Unneeded);
         }
     }
@@ -326,13 +342,14 @@
         machines.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Removes a machine that is proved to be gone, and returns its tasks to waiting.
+    /// Removes a machine that was confirmed as deleted or failed, and returns its tasks to
+    /// waiting.
     pub(super) fn remove_machine(&mut self, ctx: &Context, name: &str, end: MachineEnd) {
         self.autoscaler.record_removed(name, ctx.now.monotonic);
         let Some(mut machine) = self.machines.remove(name) else {
             return;
         };
-        log::info!("machine is gone machine={name} reason={end}");
+        log::info!("machine removed machine={name} reason={end}");
         for event in machine.take_lost_tasks(end) {
             self.apply_task_event(ctx, name, event);
         }
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -2,9 +2,10 @@
 
 use crate::calls::Context;
 use crate::leader::deadline_risk::DeadlineRisk;
-use crate::leader::scheduling::{CPU_ROUNDING_ERROR, machine_view};
+use crate::leader::scheduling::machine_view;
 use crate::leader::{Job, Leader};
 use crate::machines::{Machine, TaskSlot};
+use crate::sched::resources::ROUNDING_TOLERANCE;
 use crate::sched::scale_out_plan::{MachineOffering, PlanInputs, PlannedScaleOut, plan_scale_out};
 use crate::sched::{
     CapacityIndex, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
@@ -18,7 +19,7 @@
 const OVERRUN_SHARE: f64 = 0.2;
 
 /// The number of replicas on machines in partitioned zones, by job index.
-type LostReplicas = BTreeMap<SlabIndex, u32>;
+type PartitionedReplicas = BTreeMap<SlabIndex, u32>;
 
 impl Leader {
     /// Requests machines for waiting tasks, for replicas in partitioned zones and for
@@ -27,27 +28,30 @@
         &mut self,
         ctx: &Context,
         types: &[MachineType],
-        partitioned: &BTreeSet<Rc<str>>,
+        partitioned_machines: &BTreeSet<Rc<str>>,
     ) {
         let now = ctx.now.monotonic;
-        let lost = self.lost_replicas(partitioned);
+        let partitioned_replicas = self.partitioned_replicas(partitioned_machines);
         let proactive_cpus = self.proactive_headroom_cpus(ctx.config);
-        if self.derived.job_queue.is_empty() && lost.is_empty() && proactive_cpus <= 0.0 {
+        if self.derived.job_queue.is_empty()
+            && partitioned_replicas.is_empty()
+            && proactive_cpus <= 0.0
+        {
             return;
         }
-        let mut teams = self.allowances_without(ctx, &lost);
+        let mut teams = self.allowances_without_partitioned_replicas(ctx, &partitioned_replicas);
         let booting = self.booting_capacity(types, now);
         let machines_by_zone = self.machines_by_zone(&booting.usable);
         let machine_count: u32 = machines_by_zone.values().sum();
         let mut capacity = CapacityIndex::without_images();
-        let soon_free = self.machines_soon_free(ctx, partitioned);
+        let soon_free = self.machines_soon_free(ctx, partitioned_machines);
         for view in booting.usable.into_iter().chain(soon_free) {
             capacity.add(view);
         }
         let headroom_cpus = self.service_headroom_cpus(ctx.config);
         let inputs = PlanInputs {
             types,
-            unavailable_offerings: &self.autoscaler.refusals,
+            unavailable_offerings: &self.autoscaler.unavailable_offerings,
             partitioned_zones: self.partitions.partitioned_zones().cloned().collect(),
             late_offerings: booting
                 .late_types
@@ -55,14 +59,14 @@
                 .map(|offering| (offering.machine_type, offering.zone))
                 .collect(),
             machines_by_zone,
-            headroom_cpus_in_use: self.derived.sums().lent_cpus(),
+            headroom_cpus_in_use: self.derived.sums().headroom_cpus_in_use(),
             service_headroom_cpus: headroom_cpus,
             proactive_headroom_cpus: proactive_cpus,
             now_us: now,
         };
         let mut jobs_examined = 0;
         let jobs = self
-            .scale_out_candidates(ctx, partitioned, &lost)
+            .scale_out_candidates(ctx, partitioned_machines, &partitioned_replicas)
             .take(self.autoscaler.plan_depth)
             .inspect(|_| jobs_examined += 1);
         let planned = plan_scale_out(jobs, &mut capacity, &mut teams, &inputs);
@@ -98,9 +102,12 @@
 
     /// The replicas in partitioned zones. Capacity to replace them is prepared while they
     /// may still be serving.
-    fn lost_replicas(&self, partitioned: &BTreeSet<Rc<str>>) -> LostReplicas {
-        let mut lost = BTreeMap::new();
-        for machine in partitioned
+    fn partitioned_replicas(
+        &self,
+        partitioned_machines: &BTreeSet<Rc<str>>,
+    ) -> PartitionedReplicas {
+        let mut partitioned_replicas = BTreeMap::new();
+        for machine in partitioned_machines
             .iter()
             .filter_map(|name| self.machines.get(name))
         {
@@ -108,17 +115,21 @@
                 if self.is_active_service(job)
                     && let Some(index) = self.jobs.index_of(job)
                 {
-                    *lost.entry(index).or_default() += 1;
+                    *partitioned_replicas.entry(index).or_default() += 1;
                 }
             }
         }
-        lost
+        partitioned_replicas
     }
 
-    /// The remaining quota of each team, not counting the usage of the lost replicas.
-    fn allowances_without(&self, ctx: &Context, lost: &LostReplicas) -> Vec<TeamAllowance> {
+    /// The remaining quota of each team, not counting the usage of replicas in partitioned zones.
+    fn allowances_without_partitioned_replicas(
+        &self,
+        ctx: &Context,
+        partitioned_replicas: &PartitionedReplicas,
+    ) -> Vec<TeamAllowance> {
         let mut teams = self.derived.sums().team_allowances(ctx.config);
-        for (index, replicas) in lost {
+        for (index, replicas) in partitioned_replicas {
             if let Some((_, job)) = self.jobs.at(*index) {
                 teams[job.team].cpus_left += job.spec.cpus * f64::from(*replicas);
                 teams[job.team].gpus_left += job.spec.gpus * f64::from(*replicas);
@@ -139,32 +150,32 @@
         machines
     }
 
-    /// The jobs for which machines may be started, in the order of service: jobs with lost
-    /// replicas, then waiting jobs. Suspect jobs are left out, because they are likely to
-    /// fail on any machine.
+    /// The jobs for which machines may be started, in queue order: jobs with replicas in
+    /// partitioned zones, then waiting jobs. Suspect jobs are left out, because they are
+    /// likely to fail on any machine.
     fn scale_out_candidates<'a>(
         &'a self,
         ctx: &'a Context,
-        partitioned: &'a BTreeSet<Rc<str>>,
-        lost: &'a LostReplicas,
+        partitioned_machines: &'a BTreeSet<Rc<str>>,
+        partitioned_replicas: &'a PartitionedReplicas,
     ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
         let mut risk = DeadlineRisk::new(self.derived.sums());
-        // Jobs with lost replicas are services, which come first in the queue order.
+        // Jobs with partitioned replicas are services, which come first in the queue order.
         let waiting = self
             .derived
             .job_queue
             .iter_in_order(self.scheduling.virtual_time());
-        let waiting = waiting.filter(|index| !lost.contains_key(index));
-        let indexes = lost.keys().copied().chain(waiting);
+        let waiting = waiting.filter(|index| !partitioned_replicas.contains_key(index));
+        let indexes = partitioned_replicas.keys().copied().chain(waiting);
         indexes.filter_map(move |index| {
             let (_, job) = self.jobs.at(index)?;
             if job.failures.is_suspect() {
                 return None;
             }
             let mut view = self.job_view(ctx, index)?;
-            if let Some(replicas) = lost.get(&index) {
+            if let Some(replicas) = partitioned_replicas.get(&index) {
                 view.waiting_tasks += replicas;
-                view.tasks_by_zone = self.tasks_by_zone(job, partitioned);
+                view.tasks_by_zone = self.tasks_by_zone(job, partitioned_machines);
             }
             view.at_risk_tasks = risk.tasks_at_risk(self, ctx, job, view.waiting_tasks);
             Some((view, &job.resource_request))
@@ -176,10 +187,11 @@
     fn machines_soon_free(
         &self,
         ctx: &Context,
-        partitioned: &BTreeSet<Rc<str>>,
+        partitioned_machines: &BTreeSet<Rc<str>>,
     ) -> Vec<MachineView> {
         let now = ctx.now.monotonic;
         let tuning = &ctx.config.tuning;
+        // `patience` is a factor of the time in which a new machine could run the task.
         let horizon_s = (self.soonest_boot_s() + tuning.fetch_s) * tuning.patience;
         let run_times_s = self.run_times_by_job(ctx);
         let is_soon_free = |slot: &&TaskSlot| {
@@ -195,7 +207,7 @@
                 && !machine
                     .reachability
                     .is_unreachable_for(now, ctx.config.worker_lease)
-                && !partitioned.contains(&machine.name)
+                && !partitioned_machines.contains(&machine.name)
         };
         let mut views = Vec::new();
         for machine in self.machines.values().filter(is_usable) {
@@ -206,7 +218,7 @@
             for slot in machine.array_slots().filter(is_soon_free) {
                 free.add(&slot.resources);
             }
-            if free.cpus > CPU_ROUNDING_ERROR {
+            if free.cpus > ROUNDING_TOLERANCE {
                 views.push(machine_view(machine, free));
             }
         }
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -1,8 +1,7 @@
 //! Estimates of boot times from recent boots.
 //!
-//! Most machines are up within 1.5 times the boot time of their type, some take several
-//! times as long, and a few never come up. At times all new machines are slow. A single
-//! late machine is replaced. If all are slow, the leader waits longer instead: replacements
+//! A machine that boots late while newer ones are up is replaced. If no newer machine is up
+//! either, all new machines may be slow, and the leader waits longer instead: replacements
 //! would be just as slow, and each machine would be paid for twice.
 
 use super::Leader;
@@ -13,9 +12,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// While all machines of a type are slow, one in this many is replaced, to detect whether
-/// new machines boot faster again.
-const CANARY_INTERVAL: usize = 8;
+/// While all machines of a type are slow, one of this many is replaced, to detect whether new
+/// machines boot faster again.
+const SLOW_MACHINES_PER_REPLACEMENT: usize = 8;
 /// The boot time assumed for an unknown machine type.
 const DEFAULT_BOOT_TIME: Micros = 30 * SECOND;
 
@@ -57,7 +56,7 @@
 /// The boot progress of a machine that is not up yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BootProgress {
-    /// The machine is within its expected boot time.
+    /// The machine is within 1.75 times its expected boot time.
     OnTime,
     /// The machine is overdue, but no machine that was started later is up either. Perhaps
     /// all machines are slow.
@@ -138,7 +137,7 @@
 
     /// Whether no machine of this type and zone that was started at the same time or later
     /// is up.
-    fn is_newest(&self, machine: &Machine) -> bool {
+    fn started_after_all_boots(&self, machine: &Machine) -> bool {
         let latest = self.latest_boots.get(&ZonalType::of(machine));
         latest.is_none_or(|boot| !boot.started_no_earlier_than(machine))
     }
@@ -153,7 +152,7 @@
             let usual = boot_time(types, &machine.machine_type);
             estimator.progress(machine, usual, now)
         };
-        let booting = self.booting_machines();
+        let booting = self.expected_machines();
         let mut usable = Vec::new();
         let mut late_types = BTreeSet::new();
         let mut slow_by_type: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
@@ -172,24 +171,25 @@
             }
         }
         for slow in slow_by_type.into_values() {
-            let canaries = slow.len().div_ceil(CANARY_INTERVAL);
-            let waited_for = slow.iter().skip(canaries);
+            let replaced = slow.len().div_ceil(SLOW_MACHINES_PER_REPLACEMENT);
+            let waited_for = slow.iter().skip(replaced);
             usable.extend(waited_for.filter_map(|machine| self.machine_view(machine)));
         }
         // A few late machines don't make a type late in a zone where newer ones are up.
         late_types.retain(|key| {
             let mut machines = booting.iter().filter(|machine| key.matches(machine));
             machines.any(|machine| {
-                progress(machine) != BootProgress::OnTime && estimator.is_newest(machine)
+                progress(machine) != BootProgress::OnTime
+                    && estimator.started_after_all_boots(machine)
             })
         });
         BootingCapacity { usable, late_types }
     }
 
-    /// Machines that have not sent a heartbeat in this term, except those known only from a
-    /// stored placement.
-    fn booting_machines(&self) -> Vec<&Machine> {
-        let booting = self.derived.booting_machines().iter();
+    /// Machines that have not sent a heartbeat with this term's fencing token and have not
+    /// missed one, except those known only from a stored placement.
+    fn expected_machines(&self) -> Vec<&Machine> {
+        let booting = self.derived.machines_not_ready().iter();
         booting
             .filter(|index| !self.derived.is_unresponsive(*index))
             .filter_map(|index| Some(self.machines.at(index)?.1))
--- a/crates/controller/src/leader/boot_estimator/tests.rs
+++ b/crates/controller/src/leader/boot_estimator/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn machine_is_late_only_if_one_started_later_is_up() {
+fn progress_and_max_wait_depend_on_later_boots() {
     let mut boots = BootEstimator::default();
     let start = 1000 * SECOND;
     let m = started("a", start);
--- a/crates/controller/src/leader/command_dispatch.rs
+++ b/crates/controller/src/leader/command_dispatch.rs
@@ -24,8 +24,8 @@
     Urgent,
 }
 
-/// A machine to which a batch is sent at a later time. The order of the fields determines
-/// the order of dispatch.
+/// A machine to which a batch is sent at a later time. Ordered by time first, so that the
+/// first entries are those that are due.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDispatch {
     at: Micros,
@@ -36,7 +36,8 @@
 /// The machines to which batches are to be sent, and the number of batches in flight.
 ///
 /// A machine is in at most one of `urgent` and `background`, and may also be in `delayed`.
-/// Entries that have become unnecessary are skipped when they are taken.
+/// Entries that have become unnecessary are skipped when they are taken. Machines of equal
+/// priority are served in the order of their names.
 #[derive(Debug)]
 pub(super) struct CommandDispatch {
     urgent: BTreeSet<Rc<str>>,
@@ -142,7 +143,7 @@
             Ok((200 | 409, body)) => decode_heartbeat(machine, body),
             _ => None,
         };
-        // A batch that was not sent or was refused has no effect. Any other batch without a
+        // A batch that was not sent or was rejected has no effect. Any other batch without a
         // valid reply may be carried out at any time.
         let may_still_launch = match reply {
             Err(CallError::NotSent) | Ok((409 | 400, _)) => false,
@@ -167,7 +168,7 @@
 }
 
 impl Leader {
-    /// Sends batches to the queued machines, as far as the limit on batches in flight allows.
+    /// Sends batches to the queued machines, up to the limit on batches in flight.
     pub(super) fn send_commands(&mut self, ctx: &mut Context) {
         if !self.may_answer_heartbeats(ctx) {
             return;
@@ -198,7 +199,7 @@
         } else {
             Vec::new()
         };
-        let waiter = self.continuation(LeaderStep::SendCommands {
+        let continuation = self.continuation(LeaderStep::SendCommands {
             machine: name.to_string(),
         });
         // Sending a batch changes nothing that the derived state depends on.
@@ -217,7 +218,7 @@
             commands,
         };
         let addr = machine.addr.clone().unwrap_or_default();
-        let call = ctx.send_commands(addr, batch, waiter);
+        let call = ctx.send_commands(addr, batch, continuation);
         machine.command_state.record_sent(call, &sent);
         self.command_dispatch.record_sent();
     }
@@ -277,7 +278,8 @@
             && !machine.is_ready()
             && !was_ready
         {
-            // The batch named an outdated incarnation. Send it again with the current one.
+            // The worker did not accept the batch because it named an outdated incarnation. Send
+            // it again with the current one.
             machine
                 .command_state
                 .request_at(ctx.now.monotonic + RETRY_INTERVAL);
--- a/crates/controller/src/leader/deadline_risk.rs
+++ b/crates/controller/src/leader/deadline_risk.rs
@@ -1,6 +1,6 @@
 //! Expected run times of jobs, and the prediction of missed deadlines.
 
-use super::derived::Sums;
+use super::derived::ClusterTotals;
 use super::{Job, Leader};
 use crate::calls::Context;
 use crate::config::DeadlineObjective;
@@ -11,7 +11,7 @@
 const MIN_TASK_CPU_SECONDS: f64 = 1e-6;
 
 /// Predicts how many tasks of a job will start too late, as a plan iterates over the jobs in
-/// the order of service.
+/// queue order.
 ///
 /// The prediction includes the capacity of booting machines, so that no on-demand machines
 /// are started for a backlog that the fleet will process in time.
@@ -27,7 +27,7 @@
 }
 
 impl DeadlineRisk {
-    pub fn new(sums: &Sums) -> DeadlineRisk {
+    pub fn new(sums: &ClusterTotals) -> DeadlineRisk {
         let array_cpus = sums.fleet_cpus() + sums.booting_cpus() - sums.replica_cpus();
         let array_cpus = array_cpus.max(0.0);
         DeadlineRisk {
@@ -38,7 +38,7 @@
     }
 
     /// The number of the job's waiting tasks that the current fleet can't start in time.
-    /// Adds the job to the work that is served before the next one.
+    /// Adds the job's work to that of earlier jobs.
     pub fn tasks_at_risk(
         &mut self,
         leader: &Leader,
@@ -93,7 +93,7 @@
     fn start_slack_s(&self, ctx: &Context, job: &Job, run_time_s: f64) -> Option<f64> {
         let tuning = &ctx.config.tuning;
         let duration_s = run_time_s + tuning.fetch_s;
-        let time_limits_s = match job.due {
+        let time_limits_s = match job.due_at {
             // The deadlines of dependents determine when it has to end.
             Some(at) => [seconds(at.saturating_sub(ctx.now.wall)); 2],
             None => self.own_time_limits_s(ctx, job)?,
--- a/crates/controller/src/leader/dependencies.rs
+++ b/crates/controller/src/leader/dependencies.rs
@@ -22,9 +22,9 @@
 const STATE_READ_SHARE: f64 = 0.15;
 /// The minimum burst of reads.
 const MIN_STATE_READ_BURST: f64 = 2.0;
-/// Interval at which the state record of a dependency is read again if there was none and
-/// the job is not open here. The leader may be about to learn of the job.
-const STATE_RECHECK_INTERVAL: Micros = SECOND;
+/// Interval at which the state record of a dependency is read again if it was not found and
+/// the job is not open. The job may be reported by a later event of the watch.
+const DEPENDENCY_RECHECK_INTERVAL: Micros = SECOND;
 
 /// Reads of the state records of jobs that are not open here, which show how they ended.
 #[derive(Debug, Default)]
@@ -219,11 +219,11 @@
         if placed > 0 {
             // Tasks of a blocked job were started by an older version that does not support
             // dependencies.
-            return self.cancel_job(ctx, id);
+            return self.apply_cancellation(ctx, id);
         }
         // New dependents of this job may have been added while its state record was written.
         self.cancel_dependents(id);
-        self.forget_job(ctx, id);
+        self.remove_ended_job(ctx, id);
         self.writer
             .enqueue(PendingWrite::DeleteKey(records::open_job_key(id)));
     }
@@ -236,7 +236,7 @@
         let now = ctx.now.monotonic;
         let per_s = ctx.config.store_rps * STATE_READ_SHARE;
         while let Some(id) = self.dependencies.state_reads.next(now, per_s) {
-            if self.dependencies.has_dependents(&id) || self.is_unknown_job(&id) {
+            if self.dependencies.has_dependents(&id) || self.unknown_job_may_have_ended(&id) {
                 let key = records::job_state_key(&id);
                 let continuation = self.continuation(LeaderStep::ReadDependency { id });
                 ctx.store_request(StoreRequest::Get { key }, continuation);
@@ -282,13 +282,13 @@
     /// Schedules another read of a job's state record, if it is still needed.
     fn recheck_dependency(&mut self, ctx: &Context, id: Rc<str>, answered: bool) {
         let pause = if answered {
-            STATE_RECHECK_INTERVAL
+            DEPENDENCY_RECHECK_INTERVAL
         } else {
             RETRY_INTERVAL
         };
         let now = ctx.now.monotonic;
-        if self.is_unknown_job(&id) {
-            let pause = pause.max(unknown_jobs::STATE_RECHECK_INTERVAL);
+        if self.unknown_job_may_have_ended(&id) {
+            let pause = pause.max(unknown_jobs::UNKNOWN_JOB_RECHECK_INTERVAL);
             self.dependencies.request_state_read_at(id, now + pause);
         } else if self.dependencies.has_dependents(&id) && !self.jobs.contains_key(&id) {
             self.dependencies.request_state_read_at(id, now + pause);
@@ -319,7 +319,7 @@
     }
 
     /// Whether the leader will learn of the end of every dependency, or its dependents are
-    /// being cancelled.
+    /// being cancelled. This is checked loosely: any read in flight is accepted.
     fn every_dependency_end_is_awaited(&self) -> bool {
         let DependencyTracker { graph, state_reads } = &self.dependencies;
         graph.jobs_with_dependents().all(|id| {
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -13,8 +13,8 @@
 mod sums;
 
 use self::due_times::{DueSubject, DueTimes};
+pub(super) use self::sums::{ClusterTotals, TeamUsage};
 use self::sums::{JobContribution, MachineContribution};
-pub(super) use self::sums::{Sums, TeamUsage};
 use super::zone_partition::heartbeat_missed_after;
 use super::{Leader, scheduling::machine_view};
 use crate::calls::Context;
@@ -28,26 +28,27 @@
 /// The state that is derived from the jobs and machines of a leader.
 #[derive(Debug)]
 pub(super) struct DerivedState {
-    /// Jobs with placeable tasks, in the order of service.
+    /// Jobs with placeable tasks, in queue order.
     pub job_queue: JobQueue,
     /// Free resources of the machines that may get tasks.
     pub capacity: CapacityIndex,
-    sums: Sums,
+    sums: ClusterTotals,
     /// The contribution of each job and machine to the sums, by slab index.
     job_contributions: Vec<Option<JobContribution>>,
     machine_contributions: Vec<Option<MachineContribution>>,
     cancelled_jobs: RoaringBitmap,
     /// Jobs whose queue position depends on the estimate of their class.
-    estimated_jobs: RoaringBitmap,
+    jobs_ranked_by_class_estimate: RoaringBitmap,
     /// Jobs whose task counts have changed since they were last sent to peers.
-    unreported_jobs: RoaringBitmap,
+    jobs_to_replicate: RoaringBitmap,
     /// Machines that are up and have missed a heartbeat.
     unresponsive_machines: RoaringBitmap,
-    /// Machines that have not sent a heartbeat in this term and are not being deleted.
-    booting_machines: RoaringBitmap,
+    /// Machines that have not sent a heartbeat with this term's fencing token and are not
+    /// being deleted.
+    machines_not_ready: RoaringBitmap,
     /// Spot machines with an interruption notice.
     interrupted_machines: RoaringBitmap,
-    /// Machines with no placed tasks.
+    /// Ready machines without placed tasks that are not being deleted.
     empty_machines: RoaringBitmap,
     /// On-demand machines, and spot machines, that run array tasks.
     on_demand_machines_with_arrays: RoaringBitmap,
@@ -60,14 +61,14 @@
         DerivedState {
             job_queue: JobQueue::default(),
             capacity: CapacityIndex::new(),
-            sums: Sums::new(config),
+            sums: ClusterTotals::new(config),
             job_contributions: Vec::new(),
             machine_contributions: Vec::new(),
             cancelled_jobs: RoaringBitmap::new(),
-            estimated_jobs: RoaringBitmap::new(),
-            unreported_jobs: RoaringBitmap::new(),
+            jobs_ranked_by_class_estimate: RoaringBitmap::new(),
+            jobs_to_replicate: RoaringBitmap::new(),
             unresponsive_machines: RoaringBitmap::new(),
-            booting_machines: RoaringBitmap::new(),
+            machines_not_ready: RoaringBitmap::new(),
             interrupted_machines: RoaringBitmap::new(),
             empty_machines: RoaringBitmap::new(),
             on_demand_machines_with_arrays: RoaringBitmap::new(),
@@ -76,7 +77,7 @@
         }
     }
 
-    pub fn sums(&self) -> &Sums {
+    pub fn sums(&self) -> &ClusterTotals {
         &self.sums
     }
 
@@ -95,9 +96,10 @@
         &self.unresponsive_machines
     }
 
-    /// Machines that have not sent a heartbeat in this term and are not being deleted.
-    pub fn booting_machines(&self) -> &RoaringBitmap {
-        &self.booting_machines
+    /// Machines that have not sent a heartbeat with this term's fencing token and are not
+    /// being deleted.
+    pub fn machines_not_ready(&self) -> &RoaringBitmap {
+        &self.machines_not_ready
     }
 
     /// Spot machines with an interruption notice.
@@ -105,7 +107,7 @@
         &self.interrupted_machines
     }
 
-    /// Machines with no placed tasks.
+    /// Ready machines without placed tasks that are not being deleted.
     pub fn empty_machines(&self) -> &RoaringBitmap {
         &self.empty_machines
     }
@@ -120,9 +122,13 @@
         &self.spot_machines_with_arrays
     }
 
-    /// Replaces the contribution of a job. Returns the images that services have begun or
-    /// ceased to use with this change.
-    fn set_job(&mut self, index: SlabIndex, new: Option<JobContribution>) -> Vec<Rc<str>> {
+    /// Replaces the contribution of a job. Returns the images that were not used by any
+    /// service before and are now, or the reverse.
+    fn replace_job_contribution(
+        &mut self,
+        index: SlabIndex,
+        new: Option<JobContribution>,
+    ) -> Vec<Rc<str>> {
         let current = entry_at(&mut self.job_contributions, index, None);
         if *current == new {
             return Vec::new();
@@ -130,8 +136,16 @@
         let old = std::mem::replace(current, new.clone());
         let is = |holds: fn(&JobContribution) -> bool| new.as_ref().is_some_and(holds);
         set_member(&mut self.cancelled_jobs, index, is(|job| job.cancelled));
-        set_member(&mut self.estimated_jobs, index, is(|job| job.estimated));
-        set_member(&mut self.unreported_jobs, index, is(|job| job.unreported));
+        set_member(
+            &mut self.jobs_ranked_by_class_estimate,
+            index,
+            is(|job| job.ranked_by_class_estimate),
+        );
+        set_member(
+            &mut self.jobs_to_replicate,
+            index,
+            is(|job| job.progress_changed),
+        );
         let image = |job: &Option<JobContribution>| job.as_ref().and_then(|job| job.image.clone());
         let (image_before, image_after) = (image(&old), image(&new));
         if let Some(job) = old {
@@ -150,7 +164,7 @@
     }
 
     /// Replaces the contribution of a machine.
-    fn set_machine(&mut self, index: SlabIndex, new: Option<MachineContribution>) {
+    fn replace_machine_contribution(&mut self, index: SlabIndex, new: Option<MachineContribution>) {
         let current = entry_at(&mut self.machine_contributions, index, None);
         if *current == new {
             return;
@@ -162,7 +176,7 @@
             index,
             is(|m| m.unresponsive),
         );
-        set_member(&mut self.booting_machines, index, is(|m| m.booting));
+        set_member(&mut self.machines_not_ready, index, is(|m| m.not_ready));
         set_member(&mut self.interrupted_machines, index, is(|m| m.interrupted));
         set_member(&mut self.empty_machines, index, is(|m| m.empty));
         let on_demand = &mut self.on_demand_machines_with_arrays;
@@ -215,17 +229,17 @@
         for index in self.machines.take_changed() {
             self.refresh_machine(ctx, index);
         }
-        let claims = self.unknown_jobs.claims(ctx.config);
-        let claims = claims.into_iter().map(TeamUsage::from);
-        self.derived.sums.set_unknown_job_usage(claims.collect());
+        let usage = self.unknown_jobs.usage_by_team(ctx.config);
+        let usage = usage.into_iter().map(TeamUsage::from);
+        self.derived.sums.set_unknown_job_usage(usage.collect());
     }
 
     /// Marks the jobs whose queue position depends on the estimate of their class, if any
     /// estimate has changed. Called with each fleet check, since doing this at the end of
     /// each task would be expensive.
-    pub(super) fn mark_estimated_jobs(&mut self) {
+    pub(super) fn mark_jobs_ranked_by_class_estimate(&mut self) {
         if self.estimates.take_run_times_changed() {
-            for index in &self.derived.estimated_jobs {
+            for index in &self.derived.jobs_ranked_by_class_estimate {
                 self.jobs.mark_changed(index);
             }
         }
@@ -242,7 +256,8 @@
             .zip(total)
             .and_then(|(machine, total)| self.placement_view(machine, total, now, missed_after));
         let due = machine.and_then(|machine| next_change(machine, now, missed_after));
-        self.derived.set_machine(index, contribution);
+        self.derived
+            .replace_machine_contribution(index, contribution);
         self.derived.capacity.set(index, view);
         if let Some(at) = due {
             let subject = DueSubject::Machine(index);
@@ -295,8 +310,8 @@
     /// Takes the task counts that have changed since they were last sent to peers. They
     /// count as sent from now on.
     pub fn take_changed_progress(&mut self) -> Vec<JobProgress> {
-        let unreported = self.derived.unreported_jobs.iter();
-        let indexes: Vec<SlabIndex> = unreported
+        let to_replicate = self.derived.jobs_to_replicate.iter();
+        let indexes: Vec<SlabIndex> = to_replicate
             .take(dillcleat_peer_protocol::MAX_PROGRESS_JOBS)
             .collect();
         let mut changed = Vec::new();
--- a/crates/controller/src/leader/derived/audit.rs
+++ b/crates/controller/src/leader/derived/audit.rs
@@ -9,7 +9,7 @@
     /// Recomputes the derived state and returns the names of the parts that differ from the
     /// incrementally updated state. Takes time linear in the number of jobs and machines.
     pub fn audit(&mut self, ctx: &Context) -> Vec<&'static str> {
-        self.mark_estimated_jobs();
+        self.mark_jobs_ranked_by_class_estimate();
         self.refresh_derived_state(ctx);
         let old = std::mem::replace(&mut self.derived, DerivedState::new(ctx.config));
         self.jobs.mark_all_changed();
@@ -26,7 +26,7 @@
             let virtual_time = self.scheduling.virtual_time();
             state.job_queue.iter_in_order(virtual_time).collect()
         };
-        // The images of machines without free CPUs are not used and need not be up to date.
+        // The number of service images is not kept up to date for machines without free CPUs.
         let service_images = |machine: &MachineView| match machine.free.cpus > 0.0 {
             true => machine.service_images,
             false => 0,
@@ -58,18 +58,21 @@
         };
         differences([
             ("cancelled jobs", self.cancelled_jobs == new.cancelled_jobs),
-            ("estimated jobs", self.estimated_jobs == new.estimated_jobs),
             (
-                "unreported jobs",
-                self.unreported_jobs == new.unreported_jobs,
+                "jobs ranked by class estimate",
+                self.jobs_ranked_by_class_estimate == new.jobs_ranked_by_class_estimate,
+            ),
+            (
+                "jobs to replicate",
+                self.jobs_to_replicate == new.jobs_to_replicate,
             ),
             (
                 "unresponsive machines",
                 self.unresponsive_machines == new.unresponsive_machines,
             ),
             (
-                "booting machines",
-                self.booting_machines == new.booting_machines,
+                "machines that are not ready",
+                self.machines_not_ready == new.machines_not_ready,
             ),
             (
                 "interrupted machines",
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -21,12 +21,12 @@
         let job = self.jobs.at(index);
         let entry = job.and_then(|(id, job)| self.queue_entry(ctx, id, job));
         let contribution = job.map(|(_, job)| {
-            let estimated = is_ordered_by_estimate(job, entry.as_ref());
-            JobContribution::of(job, ctx.config, estimated)
+            let ranked_by_class_estimate = is_ranked_by_class_estimate(job, entry.as_ref());
+            JobContribution::of(job, ctx.config, ranked_by_class_estimate)
         });
         let due = job.and_then(|(_, job)| self.next_job_change(ctx, job));
         self.derived.job_queue.set(index, entry);
-        for image in self.derived.set_job(index, contribution) {
+        for image in self.derived.replace_job_contribution(index, contribution) {
             for machine in self.derived.capacity.machines_holding_image(&image) {
                 self.machines.mark_changed(machine);
             }
@@ -41,17 +41,17 @@
         if !may_be_placed(ctx, job) {
             return None;
         }
-        let (ageing, size) = match job.ageing_since {
+        let (ageing, size_key) = match job.ageing_since {
             Some(_) if job.aged_at() <= self.scheduling.virtual_time() => (AgeingState::Aged, 0.0),
             Some(_) => (AgeingState::Ageing, job.aged_at()),
-            None => (AgeingState::Fixed, (job.size - job.credit).max(0.0)),
+            None => (AgeingState::Fixed, (job.size - job.ageing_credit).max(0.0)),
         };
-        let remaining = self.remaining_cpu_seconds(ctx, job, size);
-        let rank = |first: bool, size: f64, remaining: f64| QueueRank {
-            service: Reverse(first && job.spec.kind == JobKind::Service),
+        let remaining = self.remaining_cpu_seconds(ctx, job, size_key <= 0.0);
+        let rank = |in_urgent_order: bool, size_key: f64, remaining: f64| QueueRank {
+            service: Reverse(in_urgent_order && job.spec.kind == JobKind::Service),
             priority: Reverse(job.priority),
-            tiny: Reverse(first && job.is_tiny(ctx.config)),
-            size_key: OrderedFloat(size),
+            tiny: Reverse(in_urgent_order && job.is_tiny(ctx.config)),
+            size_key: OrderedFloat(size_key),
             remaining: OrderedFloat(remaining),
             ready_at_us: job.ready_at,
             id: id.clone(),
@@ -60,17 +60,17 @@
             team: job.team,
             request: job.resource_request.clone(),
             ageing,
-            rank: rank(true, size, remaining),
+            rank: rank(true, size_key, remaining),
             training: (job.training_tasks_left(ctx.config) > 0)
                 .then(|| rank(false, job.initial_size, 0.0)),
         })
     }
 
     /// The expected CPU-seconds of the job's tasks that are not done, by which jobs with a
-    /// virtual size of zero are ordered. Infinite for jobs whose end is no longer useful, so
-    /// that they come last.
-    fn remaining_cpu_seconds(&self, ctx: &Context, job: &Job, virtual_size: f64) -> f64 {
-        if virtual_size > 0.0 || job.spec.kind == JobKind::Service {
+    /// virtual size of zero are ordered; 0 for other jobs and for services. Infinite for jobs
+    /// whose end is no longer useful, so that they come last.
+    fn remaining_cpu_seconds(&self, ctx: &Context, job: &Job, is_virtual_size_zero: bool) -> f64 {
+        if !is_virtual_size_zero || job.spec.kind == JobKind::Service {
             return 0.0;
         }
         if Self::is_past_useful_end(ctx, job) {
@@ -115,7 +115,7 @@
 /// Whether the queue position of a job depends on the estimate of its class.
 ///
 /// This includes suspect jobs, which don't age but may have reached a virtual size of zero.
-fn is_ordered_by_estimate(job: &Job, entry: Option<&QueueEntry>) -> bool {
+fn is_ranked_by_class_estimate(job: &Job, entry: Option<&QueueEntry>) -> bool {
     entry.is_some_and(|entry| entry.ageing != AgeingState::Ageing)
         && job.samples.is_empty()
         && job.spec.kind == JobKind::Batch
@@ -132,7 +132,7 @@
         match (ages, self.ageing_since) {
             (true, None) => self.ageing_since = Some(virtual_time),
             (false, Some(since)) => {
-                self.credit += virtual_time - since;
+                self.ageing_credit += virtual_time - since;
                 self.ageing_since = None;
             }
             _ => {}
@@ -161,6 +161,6 @@
 
     /// The virtual time at which an ageing job's virtual size is zero.
     fn aged_at(&self) -> f64 {
-        self.size - self.credit + self.ageing_since.unwrap_or(0.0)
+        self.size - self.ageing_credit + self.ageing_since.unwrap_or(0.0)
     }
 }
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -1,4 +1,4 @@
-//! Sums over all jobs and all machines.
+//! ClusterTotals over all jobs and all machines.
 //!
 //! Amounts are integers in millionths, so that contributions can be added and removed
 //! without rounding errors.
@@ -52,19 +52,23 @@
     reserve: Option<ReplicaReserve>,
     pub(super) cancelled: bool,
     /// Whether its queue position depends on the estimate of its class.
-    pub(super) estimated: bool,
+    pub(super) ranked_by_class_estimate: bool,
     /// Whether its task counts have changed since they were last sent to peers.
-    pub(super) unreported: bool,
+    pub(super) progress_changed: bool,
 }
 
 impl JobContribution {
-    /// Computes the contribution of a job. `estimated` says whether its queue position
-    /// depends on the estimate of its class.
-    pub(super) fn of(job: &Job, config: &Config, estimated: bool) -> JobContribution {
+    /// Computes the contribution of a job. `ranked_by_class_estimate` says whether its queue
+    /// position depends on the estimate of its class.
+    pub(super) fn of(
+        job: &Job,
+        config: &Config,
+        ranked_by_class_estimate: bool,
+    ) -> JobContribution {
         let service = job.spec.kind == JobKind::Service;
         let placed = job.placed_count() as i64;
         let task_cpus = to_millionths(job.spec.cpus);
-        let is_serving = service && job.cancelled_at.is_none() && !job.blocked_on_dependencies;
+        let is_active = service && job.cancelled_at.is_none() && !job.blocked_on_dependencies;
         JobContribution {
             team: job.team,
             usage: TeamUsage {
@@ -78,16 +82,16 @@
             },
             ages: job.ageing_since.is_some(),
             service,
-            replica_cpus: if is_serving {
+            replica_cpus: if is_active {
                 (placed + job.waiting_count() as i64).saturating_mul(task_cpus)
             } else {
                 0
             },
-            image: is_serving.then(|| job.image.clone()),
+            image: is_active.then(|| job.image.clone()),
             reserve: ReplicaReserve::of(job, config),
             cancelled: job.cancelled_at.is_some(),
-            estimated,
-            unreported: job.task_counts() != job.replicated_counts,
+            ranked_by_class_estimate,
+            progress_changed: job.task_counts() != job.replicated_counts,
         }
     }
 }
@@ -99,9 +103,9 @@
         }
         let mut objectives = config.start_objectives.iter();
         let objective_index = objectives.position(|objective| objective.class == job.spec.class)?;
-        // A zone holds up to half of the replicas of a spread service.
-        let share = job.spec.tasks.div_ceil(2);
-        let replicas = config.tuning.reserve_replicas.max(share);
+        // As many replicas as a zone may hold of a spread service.
+        let half_of_replicas = job.spec.tasks.div_ceil(2);
+        let replicas = config.tuning.reserve_replicas.max(half_of_replicas);
         let cpus = i64::from(replicas).saturating_mul(to_millionths(job.spec.cpus));
         Some(ReplicaReserve {
             objective_index,
@@ -119,22 +123,23 @@
     up: bool,
     /// Whether it is up and has missed a heartbeat.
     pub(super) unresponsive: bool,
-    /// Whether it has not sent a heartbeat in this term and is not being deleted.
-    pub(super) booting: bool,
+    /// Whether it has not sent a heartbeat with this term's fencing token and is not being
+    /// deleted.
+    pub(super) not_ready: bool,
     /// Whether it has an interruption notice and is not being deleted.
     pub(super) interrupted: bool,
     /// Whether it is ready, has no placed tasks and is not being deleted.
     pub(super) empty: bool,
     /// Whether it runs array tasks.
     pub(super) runs_arrays: bool,
-    /// Whether it has a stored record and is not being deleted.
+    /// Whether its record is stored or queued, and it is not being deleted.
     recorded: bool,
     /// Its CPUs if it has sent a heartbeat in this term, otherwise 0.
     ready_cpus: i64,
     /// Its CPUs if the cloud has confirmed that it is booting, otherwise 0.
     booting_cpus: i64,
     /// The CPUs of tasks that use the headroom reserved for services.
-    lent_cpus: i64,
+    headroom_cpus_in_use: i64,
 }
 
 impl MachineContribution {
@@ -149,8 +154,8 @@
         let cpus = total.map_or(0, |total| to_millionths(total.cpus));
         let is_retained = !machine.being_deleted;
         let up = machine.is_up() && is_retained;
-        let booting = !machine.is_ready() && is_retained;
-        let borrowers = machine
+        let not_ready = !machine.is_ready() && is_retained;
+        let headroom_users = machine
             .slots
             .values()
             .filter(|slot| slot.uses_service_headroom);
@@ -159,14 +164,18 @@
             spot: machine.spot,
             up,
             unresponsive: up && machine.reachability.has_missed_heartbeat(now, missed_after),
-            booting,
+            not_ready,
             interrupted: machine.interrupted_at().is_some() && is_retained,
             empty: machine.slots.is_empty() && machine.is_ready() && is_retained,
             runs_arrays: machine.has_array_tasks(),
             recorded: machine.recorded && is_retained,
             ready_cpus: if machine.is_ready() { cpus } else { 0 },
-            booting_cpus: if booting && machine.expected { cpus } else { 0 },
-            lent_cpus: borrowers
+            booting_cpus: if not_ready && machine.expected {
+                cpus
+            } else {
+                0
+            },
+            headroom_cpus_in_use: headroom_users
                 .map(|slot| to_millionths(slot.resources.cpus))
                 .sum(),
         }
@@ -194,9 +203,9 @@
     }
 }
 
-/// Sums over all jobs and all machines. Amounts are in millionths.
+/// Totals of all jobs and all machines. Amounts are in millionths.
 #[derive(Debug, PartialEq)]
-pub(in crate::leader) struct Sums {
+pub(in crate::leader) struct ClusterTotals {
     /// The usage of placed tasks by team. The last entry is for all teams that are not in
     /// the settings.
     usage_by_team: Vec<TeamUsage>,
@@ -216,14 +225,14 @@
     ready_cpus: i64,
     booting_cpus: i64,
     /// CPUs of the service headroom that other tasks use, by zone.
-    lent_cpus: BTreeMap<Rc<str>, i64>,
+    headroom_cpus_in_use: BTreeMap<Rc<str>, i64>,
     recorded_machines: usize,
     machines_up_by_zone: BTreeMap<Rc<str>, usize>,
 }
 
-impl Sums {
-    pub(super) fn new(config: &Config) -> Sums {
-        Sums {
+impl ClusterTotals {
+    pub(super) fn new(config: &Config) -> ClusterTotals {
+        ClusterTotals {
             usage_by_team: vec![TeamUsage::default(); config.teams.len() + 1],
             unknown_job_usage: Vec::new(),
             ageing_jobs: 0,
@@ -234,7 +243,7 @@
             reserves: vec![BTreeMap::new(); config.start_objectives.len()],
             ready_cpus: 0,
             booting_cpus: 0,
-            lent_cpus: BTreeMap::new(),
+            headroom_cpus_in_use: BTreeMap::new(),
             recorded_machines: 0,
             machines_up_by_zone: BTreeMap::new(),
         }
@@ -251,9 +260,10 @@
     }
 
     /// The CPUs of the service headroom that other tasks use, by zone.
-    pub fn lent_cpus(&self) -> BTreeMap<Rc<str>, f64> {
-        let lent = self.lent_cpus.iter();
-        lent.map(|(zone, cpus)| (zone.clone(), from_millionths(*cpus)))
+    pub fn headroom_cpus_in_use(&self) -> BTreeMap<Rc<str>, f64> {
+        let in_use = self.headroom_cpus_in_use.iter();
+        in_use
+            .map(|(zone, cpus)| (zone.clone(), from_millionths(*cpus)))
             .collect()
     }
 
@@ -337,22 +347,22 @@
     }
 
     pub(super) fn add_job(&mut self, job: &JobContribution) {
-        self.count_job(job, Direction::Add);
+        self.apply_job(job, Direction::Add);
     }
 
     pub(super) fn remove_job(&mut self, job: &JobContribution) {
-        self.count_job(job, Direction::Remove);
+        self.apply_job(job, Direction::Remove);
     }
 
     pub(super) fn add_machine(&mut self, machine: &MachineContribution) {
-        self.count_machine(machine, Direction::Add);
+        self.apply_machine(machine, Direction::Add);
     }
 
     pub(super) fn remove_machine(&mut self, machine: &MachineContribution) {
-        self.count_machine(machine, Direction::Remove);
+        self.apply_machine(machine, Direction::Remove);
     }
 
-    fn count_job(&mut self, job: &JobContribution, direction: Direction) {
+    fn apply_job(&mut self, job: &JobContribution, direction: Direction) {
         let sign = direction.sign();
         if let Some(usage) = self.usage_by_team.get_mut(job.team) {
             usage.cpus += sign * job.usage.cpus;
@@ -381,15 +391,18 @@
         }
     }
 
-    fn count_machine(&mut self, machine: &MachineContribution, direction: Direction) {
+    fn apply_machine(&mut self, machine: &MachineContribution, direction: Direction) {
         let sign = direction.sign();
         self.ready_cpus += sign * machine.ready_cpus;
         self.booting_cpus += sign * machine.booting_cpus;
-        if machine.lent_cpus != 0 {
-            let lent = self.lent_cpus.entry(machine.zone.clone()).or_default();
-            *lent += sign * machine.lent_cpus;
-            if *lent == 0 {
-                self.lent_cpus.remove(&machine.zone);
+        if machine.headroom_cpus_in_use != 0 {
+            let in_use = self
+                .headroom_cpus_in_use
+                .entry(machine.zone.clone())
+                .or_default();
+            *in_use += sign * machine.headroom_cpus_in_use;
+            if *in_use == 0 {
+                self.headroom_cpus_in_use.remove(&machine.zone);
             }
         }
         if machine.recorded {
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -12,7 +12,7 @@
 use dillcleat_wire::user::JobKind;
 use std::collections::{BTreeSet, HashMap};
 
-/// The maximum number of jobs in a message whose estimates are repeated unchanged.
+/// The maximum number of unchanged job estimates that are repeated in one message.
 const MAX_REPEATED_JOBS: usize = 16;
 /// The maximum number of slab indexes examined for jobs to repeat. Some of them are vacant
 /// or belong to jobs without estimates.
@@ -92,7 +92,7 @@
         self.inherited_jobs += 1;
         job.initial_size = estimate.initial_size;
         job.size = estimate.size;
-        job.credit = estimate.credit;
+        job.ageing_credit = estimate.credit;
         job.trained = estimate.trained;
         job.samples = estimate.samples;
     }
@@ -172,7 +172,7 @@
             job: id.to_string(),
             initial_size: job.initial_size,
             size: job.size,
-            credit: job.credit - job.ageing_since.unwrap_or(0.0),
+            credit: job.ageing_credit - job.ageing_since.unwrap_or(0.0),
             is_ageing: job.ageing_since.is_some(),
             trained: job.trained,
             samples: samples.copied().collect(),
--- a/crates/controller/src/leader/heartbeats.rs
+++ b/crates/controller/src/leader/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Handling of worker heartbeats: updates of the machines, and replies with commands.
 
-use super::job::TaskPlacement;
+use super::job::TaskState;
 use super::queue_watch::MAX_READ_AGE;
 use super::zone_partition::heartbeat_missed_after;
 use super::{Leader, LeaderEvent};
@@ -92,9 +92,8 @@
             let name = heartbeat.machine.as_str();
             let position = HeartbeatPosition::of(heartbeat);
             let latest = self.machines.get(name).filter(|machine| machine.is_up());
-            // A duplicate of the latest heartbeat, which was answered before. The worker does
-            // not receive this answer, and launches in it would be repeated only after the
-            // next heartbeat.
+            // The worker does not receive the answer to a duplicate of its latest heartbeat.
+            // Launches in that answer would count as sent, so it contains no commands.
             let is_duplicate = latest.is_some_and(|machine| machine.position() == position);
             self.apply_heartbeat(ctx, heartbeat, HeartbeatSource::Periodic);
             if let Some(machine) = self.machines.get(name) {
@@ -147,17 +146,17 @@
         let new_incarnation = heartbeat.incarnation > machine.incarnation();
         let is_newer = !machine.is_up() || HeartbeatPosition::of(heartbeat) > machine.position();
         let events = machine.apply_heartbeat(heartbeat, source, self.term, now);
-        let may_have_recovered = is_newer
+        let may_be_reachable_again = is_newer
             && source == HeartbeatSource::Periodic
             && self.update_reachability(ctx, index, new_incarnation);
         self.write_machine_record(index);
         if !was_ready {
             self.request_first_commands(index, now);
         }
-        let kept = self.withdraw_deletion(index, now);
+        let withdrawn = self.withdraw_deletion(index, now);
         // Most heartbeats report no changes. The derived state is refreshed only if needed.
-        if kept
-            || may_have_recovered
+        if withdrawn
+            || may_be_reachable_again
             || before != self.machine_summary(index)
             || events.iter().any(frees_resources)
             || self.derived.is_unresponsive(index)
@@ -226,13 +225,13 @@
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
         };
-        let may_have_recovered =
+        let may_be_reachable_again =
             machine.heartbeat_received(now, new_incarnation, proof_after, missed_after);
         if machine.command_state.is_probe_requested() {
             let name = machine.name.clone();
             self.command_dispatch.enqueue_background(name);
         }
-        may_have_recovered
+        may_be_reachable_again
     }
 
     /// Queues the machine's record, unless it was queued before.
@@ -246,8 +245,8 @@
         }
     }
 
-    /// Requests the first commands to a machine, which is new or has not received this
-    /// term's fencing token.
+    /// Requests the first commands to a machine that is new or has not accepted this term's
+    /// fencing token.
     fn request_first_commands(&mut self, index: SlabIndex, now: Micros) {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return;
@@ -258,21 +257,21 @@
         self.scheduling.request_cycle(now);
     }
 
-    /// Withdraws the deletion of a machine that sent a heartbeat before the call to the cloud
-    /// was sent. Returns whether a deletion was withdrawn.
+    /// Withdraws the queued deletion of a machine after a message from it, unless the call to
+    /// the cloud was sent already. Returns whether a deletion was withdrawn.
     fn withdraw_deletion(&mut self, index: SlabIndex, now: Micros) -> bool {
         let Some(machine) = self.machines.get_mut_unmarked(index) else {
             return false;
         };
-        let kept = machine.being_deleted
+        let withdrawn = machine.being_deleted
             && machine.reachability.last_contact_at() == now
             && self.autoscaler.cloud_queue.withdraw_deletion(&machine.name);
-        if kept {
+        if withdrawn {
             let name = &machine.name;
             log::info!("machine is reachable again, deletion withdrawn machine={name}");
             machine.being_deleted = false;
         }
-        kept
+        withdrawn
     }
 
     /// Whether the end of an exited attempt is stored, so that the attempt may be reaped.
@@ -288,7 +287,7 @@
         let Some(state) = job.task(task.index) else {
             return true;
         };
-        if matches!(state.state, TaskPlacement::Placed { .. }) && state.attempt == attempt {
+        if matches!(state.state, TaskState::Placed { .. }) && state.attempt == attempt {
             return false;
         }
         if job.cancelled_at.is_some() {
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -16,14 +16,14 @@
 
 /// The placement state of a task.
 #[derive(Debug, Clone)]
-pub(super) enum TaskPlacement {
+pub(super) enum TaskState {
     /// The task is not on any machine and has to be placed.
     Waiting,
     /// The task is, or may be, on a machine. It leaves this state only when the attempt is
     /// proved to have ended or not to have been launched.
     Placed {
         machine: Rc<str>,
-        /// The incarnation of the machine's agent at the time of the placement.
+        /// The incarnation of the machine's worker at the time of the placement.
         incarnation: u64,
         /// Whether the placement is stored. The task is not launched before it is.
         stored: bool,
@@ -37,13 +37,13 @@
 pub(super) struct Task {
     /// The number of the latest attempt; 0 before the first.
     pub attempt: u64,
-    pub state: TaskPlacement,
+    pub state: TaskState,
 }
 
 /// An open job.
 ///
-/// `waiting` holds exactly the indexes of the tasks in [`TaskPlacement::Waiting`], and
-/// `done` counts those in [`TaskPlacement::Done`].
+/// `waiting` holds exactly the indexes of the tasks in [`TaskState::Waiting`], and
+/// `done` counts those in [`TaskState::Done`].
 #[derive(Debug)]
 pub(super) struct Job {
     pub spec: JobSpec,
@@ -65,7 +65,7 @@
     pub priority: Priority,
     /// Wall-clock time, in microseconds, by which the job has to end so that its dependents
     /// can meet their deadlines.
-    pub due: Option<Micros>,
+    pub due_at: Option<Micros>,
     /// The maximum number of tasks placed at the same time; `None` if unlimited.
     parallelism_limit: Option<u32>,
     /// The assignment of tasks to stored records.
@@ -75,13 +75,14 @@
     done: u32,
     /// Tasks that a machine has reported as running.
     running: BTreeSet<u32>,
-    /// The time of the cancellation, if the job is cancelled. If this is set and
+    /// The monotonic time of the cancellation, if the job is cancelled. If this is set and
     /// `cancellation_confirmed` is not, the job's state record is known to have changed but
     /// has not been read yet.
     pub cancelled_at: Option<Micros>,
     /// Whether the cancellation was read from the store.
     pub cancellation_confirmed: bool,
-    /// Whether the record of the job's end is queued or being written.
+    /// Whether the write that closes the job is queued or being written: its end, or the
+    /// removal of a cancelled job's records.
     pub ending: bool,
     /// Run times of completed training tasks, in seconds.
     pub samples: Vec<f64>,
@@ -89,20 +90,20 @@
     pub initial_size: f64,
     /// The estimated size in CPU-seconds: the initial size until the job is trained.
     pub size: f64,
-    /// The reduction of the virtual size by ageing before `ageing_since`. The virtual size
-    /// is the size less the total reduction, and at least zero.
-    pub credit: f64,
+    /// The reduction of the virtual size, in CPU-seconds, by periods of ageing before the
+    /// current one. The virtual size is the size less the total reduction, and at least zero.
+    pub ageing_credit: f64,
     /// The leader's virtual time at which the current period of ageing began.
     pub ageing_since: Option<f64>,
-    /// The time since which the job has had a placeable task without getting resources, as
-    /// far as this leader has observed.
+    /// When the job began to wait: it has had placeable tasks since then. Monotonic time;
+    /// unset when the leader changes.
     pub waiting_since: Option<Micros>,
     pub resource_request: Rc<ResourceRequest>,
     /// Whether the size was derived from training tasks. Services don't need training.
     pub trained: bool,
     /// The failures of the job, used to attribute them to the job or to machines.
     pub failures: FailureRecord,
-    /// No task is placed before this time.
+    /// No task is placed before this monotonic time.
     pub blocked_until: Micros,
     /// The task counts that were last sent to peers.
     pub replicated_counts: TaskCounts,
@@ -123,7 +124,7 @@
         let size = f64::from(task_count) * open.spec.cpus * task_run_time_s;
         let never_placed = Task {
             attempt: 0,
-            state: TaskPlacement::Waiting,
+            state: TaskState::Waiting,
         };
         Job {
             team,
@@ -132,7 +133,7 @@
             ready_at: open.submitted_at_us,
             blocked_on_dependencies: false,
             priority: open.spec.priority,
-            due: None,
+            due_at: None,
             parallelism_limit: open.parallelism_limit,
             task_ranges: TaskRanges::new(task_count, open.tasks_per_chunk, tasks_per_part),
             tasks: vec![never_placed; task_count as usize],
@@ -145,7 +146,7 @@
             samples: Vec::new(),
             initial_size: size,
             size,
-            credit: 0.0,
+            ageing_credit: 0.0,
             ageing_since: None,
             waiting_since: None,
             resource_request: Rc::new(ResourceRequest::of(&open.spec)),
@@ -191,10 +192,10 @@
     }
 
     /// Iterates over the tasks that were reported as running, with their machines.
-    pub(super) fn running_on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
+    pub(super) fn running_tasks(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
         let running = self.running.iter();
         running.filter_map(|index| match &self.tasks[*index as usize].state {
-            TaskPlacement::Placed { machine, .. } => Some((*index, machine)),
+            TaskState::Placed { machine, .. } => Some((*index, machine)),
             _ => None,
         })
     }
@@ -222,10 +223,10 @@
     }
 
     /// Iterates over the placed tasks, with their machines.
-    pub(super) fn on_machines(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
+    pub(super) fn placed_tasks(&self) -> impl Iterator<Item = (u32, &Rc<str>)> {
         let tasks = self.tasks.iter().enumerate();
         tasks.filter_map(|(index, task)| match &task.state {
-            TaskPlacement::Placed { machine, .. } => Some((index as u32, machine)),
+            TaskState::Placed { machine, .. } => Some((index as u32, machine)),
             _ => None,
         })
     }
@@ -252,13 +253,13 @@
     pub(super) fn urgency(&self) -> Urgency {
         Urgency {
             priority: self.priority,
-            due: self.due,
+            due: self.due_at,
         }
     }
 
     pub(super) fn set_urgency(&mut self, urgency: Urgency) {
         self.priority = urgency.priority;
-        self.due = urgency.due;
+        self.due_at = urgency.due;
     }
 
     /// Builds the record of a range of tasks.
@@ -268,11 +269,11 @@
             let task = &self.tasks[index as usize];
             let attempt = task.attempt;
             match &task.state {
-                TaskPlacement::Waiting if attempt > 0 => {
+                TaskState::Waiting if attempt > 0 => {
                     chunk.waiting.push(WaitingTask { index, attempt });
                 }
-                TaskPlacement::Waiting => {}
-                TaskPlacement::Placed {
+                TaskState::Waiting => {}
+                TaskState::Placed {
                     machine,
                     incarnation,
                     ..
@@ -282,7 +283,7 @@
                     machine: machine.to_string(),
                     incarnation: *incarnation,
                 }),
-                TaskPlacement::Done => match chunk.done.last_mut() {
+                TaskState::Done => match chunk.done.last_mut() {
                     Some(range) if range.last + 1 == index => range.last = index,
                     _ => chunk.done.push(DoneTasks {
                         first: index,
@@ -299,7 +300,7 @@
     pub(super) fn unstored_placements(&self, range: TaskRange) -> impl Iterator<Item = (u32, u64)> {
         self.task_ranges.indexes(range).filter_map(|index| {
             let task = &self.tasks[index as usize];
-            let unstored = matches!(task.state, TaskPlacement::Placed { stored: false, .. });
+            let unstored = matches!(task.state, TaskState::Placed { stored: false, .. });
             unstored.then_some((index, task.attempt))
         })
     }
@@ -315,7 +316,7 @@
         }
         for range in &chunk.done {
             for index in range.first..=range.last.min(task_count.saturating_sub(1)) {
-                self.tasks[index as usize].state = TaskPlacement::Done;
+                self.tasks[index as usize].state = TaskState::Done;
                 self.waiting.remove(&index);
                 self.done += 1;
             }
@@ -331,7 +332,7 @@
         let index = self.waiting.pop_first()?;
         let task = &mut self.tasks[index as usize];
         task.attempt += 1;
-        task.state = TaskPlacement::Placed {
+        task.state = TaskState::Placed {
             machine: machine.clone(),
             incarnation,
             stored: false,
@@ -345,7 +346,7 @@
             return false;
         };
         task.attempt = placed.attempt;
-        task.state = TaskPlacement::Placed {
+        task.state = TaskState::Placed {
             machine: machine.clone(),
             incarnation: placed.incarnation,
             stored: true,
@@ -358,7 +359,7 @@
     pub(super) fn confirm_placement(&mut self, index: u32, attempt: u64) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
         match &mut task.state {
-            TaskPlacement::Placed {
+            TaskState::Placed {
                 machine, stored, ..
             } if task.attempt == attempt => {
                 *stored = true;
@@ -372,11 +373,11 @@
     /// placed.
     pub(super) fn revert_placement(&mut self, index: u32) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
-        let TaskPlacement::Placed { machine, .. } = &task.state else {
+        let TaskState::Placed { machine, .. } = &task.state else {
             return None;
         };
         let machine = machine.clone();
-        task.state = TaskPlacement::Waiting;
+        task.state = TaskState::Waiting;
         self.waiting.insert(index);
         Some(machine)
     }
@@ -389,13 +390,13 @@
     /// Resets a task as if it had never been placed. Returns the machine it was placed on.
     pub(super) fn reset_task(&mut self, index: u32) -> Option<Rc<str>> {
         let task = &mut self.tasks[index as usize];
-        let before = std::mem::replace(&mut task.state, TaskPlacement::Waiting);
+        let before = std::mem::replace(&mut task.state, TaskState::Waiting);
         task.attempt = 0;
         self.waiting.insert(index);
         match before {
-            TaskPlacement::Placed { machine, .. } => return Some(machine),
-            TaskPlacement::Done => self.done -= 1,
-            TaskPlacement::Waiting => {}
+            TaskState::Placed { machine, .. } => return Some(machine),
+            TaskState::Done => self.done -= 1,
+            TaskState::Waiting => {}
         }
         None
     }
@@ -404,8 +405,8 @@
     pub(super) fn return_to_waiting(&mut self, index: u32, attempt: u64) {
         self.running.remove(&index);
         let task = &mut self.tasks[index as usize];
-        if task.attempt == attempt && matches!(task.state, TaskPlacement::Placed { .. }) {
-            task.state = TaskPlacement::Waiting;
+        if task.attempt == attempt && matches!(task.state, TaskState::Placed { .. }) {
+            task.state = TaskState::Waiting;
             self.waiting.insert(index);
         }
     }
@@ -415,10 +416,10 @@
     pub(super) fn complete_task(&mut self, index: u32, attempt: u64) -> bool {
         self.running.remove(&index);
         let task = &mut self.tasks[index as usize];
-        if task.attempt != attempt || !matches!(task.state, TaskPlacement::Placed { .. }) {
+        if task.attempt != attempt || !matches!(task.state, TaskState::Placed { .. }) {
             return false;
         }
-        task.state = TaskPlacement::Done;
+        task.state = TaskState::Done;
         self.done += 1;
         true
     }
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -8,8 +8,9 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Cancels a job: none of its tasks is started any more, and running tasks are stopped.
-    pub(super) fn cancel_job(&mut self, ctx: &Context, id: &Rc<str>) {
+    /// Applies the cancellation of a job: none of its tasks is started any more, and running
+    /// tasks are stopped.
+    pub(super) fn apply_cancellation(&mut self, ctx: &Context, id: &Rc<str>) {
         log::info!("job cancelled, stopping its tasks job={id}");
         // If the record of the job's completion is queued, it is dropped because the
         // cancellation was stored first, and the job is cleared instead.
@@ -27,7 +28,7 @@
                 self.revert_unstored_placement(&task);
             }
         }
-        self.clear_if_empty(id);
+        self.enqueue_removal_if_unplaced(id);
     }
 
     /// Whether the current placement of a task is in the batch in flight. An earlier attempt
@@ -63,7 +64,7 @@
             job.cancelled_at.get_or_insert(ctx.now.monotonic);
             // During recovery, cancelled jobs are processed when it finishes.
             if self.recovery.is_ready() {
-                self.cancel_job(ctx, &id);
+                self.apply_cancellation(ctx, &id);
             }
         }
     }
@@ -75,7 +76,7 @@
         let Some(job) = self.jobs.get(id) else {
             return unstored;
         };
-        for (index, machine) in job.on_machines() {
+        for (index, machine) in job.placed_tasks() {
             let Some(machine) = self.machines.get_mut(machine) else {
                 continue;
             };
@@ -107,7 +108,7 @@
     /// Queues the removal of a cancelled job's records once none of its tasks is placed. The
     /// cancellation must have been read from the store, because its dependents are
     /// cancelled at that point.
-    pub(super) fn clear_if_empty(&mut self, id: &Rc<str>) {
+    pub(super) fn enqueue_removal_if_unplaced(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.cancellation_confirmed
             && !job.ending
@@ -119,7 +120,7 @@
     }
 
     /// Queues the record of a job's end once all its tasks are done.
-    pub(super) fn end_if_done(&mut self, id: &Rc<str>) {
+    pub(super) fn enqueue_end_if_done(&mut self, id: &Rc<str>) {
         if let Some(job) = self.jobs.get_mut(id)
             && job.cancelled_at.is_none()
             && !job.ending
@@ -131,7 +132,7 @@
     }
 
     /// Removes a job whose end is stored, and queues the deletion of its task records.
-    pub(super) fn forget_job(&mut self, ctx: &Context, id: &Rc<str>) {
+    pub(super) fn remove_ended_job(&mut self, ctx: &Context, id: &Rc<str>) {
         self.untrack_dependencies(ctx, id);
         if let Some(job) = self.jobs.remove(id) {
             for range in job.task_ranges.stored_ranges() {
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -1,8 +1,9 @@
 //! The leader of a term. It schedules the open jobs, sends commands to the machines,
 //! scales the fleet and persists its decisions in the store.
 //!
-//! [`Leader`] combines the concerns of the submodules. Each submodule has a type that
-//! holds its state.
+//! [`Leader`] combines the concerns of the submodules. Each submodule implements one
+//! concern; those with state of their own define a type for it, which is a field of
+//! [`Leader`].
 
 mod autoscaling;
 mod boot_estimator;
@@ -61,10 +62,10 @@
 /// Delay before a call that failed or was not answered is retried.
 const RETRY_INTERVAL: Micros = 100 * MILLISECOND;
 
-/// An event that a leader reports to its node.
+/// An event that a leader reports to its controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaderEvent {
-    /// The end of the job with this id is stored.
+    /// A final state (done or cancelled) of the job with this id is stored.
     JobEnded(String, JobStateRecord),
     /// The leader has learned that the job with this id is cancelled.
     JobCancelled(String),
@@ -79,8 +80,8 @@
     },
     /// The cloud offers these machine types.
     MachineTypes(Rc<Vec<MachineType>>),
-    /// The term has ended.
-    TermEnded,
+    /// The leader can't continue in this term and must step down.
+    StepDown,
     /// A machine reported this higher term.
     HigherTerm(u64),
 }
@@ -88,14 +89,14 @@
 /// The leader of one term: it recovers its state from the store, schedules tasks, sends
 /// commands to machines and scales the fleet.
 ///
-/// Most fields hold the state of one concern; its module documents the guarantees.
+/// Most fields hold the state of one concern: see the module of the field's type.
 #[derive(Debug)]
 pub struct Leader {
     /// The term, which is also the fencing token of every command.
     pub term: u64,
     /// The version of the stored term record, which every write compares.
     term_version: u64,
-    /// The latest proof of leadership that the node has obtained.
+    /// The latest proof of leadership that the controller has obtained.
     pub leadership_proof: LeadershipProof,
     /// The progress of reading the store at the beginning of the term.
     recovery: Recovery,
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Handles the reply to a store request that was sent at `sent`.
+    /// Handles the reply to a store request that was sent at `sent`. Replies of workers and
+    /// of the cloud are handled by [`Self::commands_reply`] and [`Self::cloud_reply`].
     pub fn reply(
         &mut self,
         ctx: &mut Context,
@@ -196,7 +198,7 @@
             }
             LeaderStep::Watch => self.queue_watch_reply(ctx, sent, reply),
             LeaderStep::WriteQueue => self.write_reply(ctx, reply),
-            LeaderStep::Reread { key } => self.reread_reply(ctx, key, reply),
+            LeaderStep::ReadOutcome { key } => self.outcome_reply(ctx, key, reply),
             LeaderStep::ReadTypesVersion => self.machine_types_reply(ctx, reply),
             LeaderStep::ReadEndedJob { id } => self.job_state_reply(ctx, id, reply),
             LeaderStep::ReadDependency { id } => self.dependency_state_reply(ctx, id, reply),
--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -23,7 +23,7 @@
         if let Some(id) = key.strip_prefix(records::OPEN_JOBS_PREFIX) {
             self.apply_description(ctx, id, value, version);
         } else if let Some(id) = key.strip_prefix(records::CANCELLED_JOBS_PREFIX) {
-            self.apply_cancellation(ctx, id, value);
+            self.apply_cancellation_record(ctx, id, value);
         }
     }
 
@@ -33,9 +33,9 @@
         }
         let Some(open) = store::decode_value::<OpenJob>(value) else {
             log::error!("unreadable job description job={id}");
-            return self.add_undescribed_job(ctx, id, value);
+            return self.add_undecodable_job(ctx, id, value);
         };
-        // If the team was removed from the settings, perhaps only from those of this node,
+        // If the team was removed from the settings, perhaps only from those of this controller,
         // its waiting tasks stay waiting and its running tasks keep running.
         let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
             log::error!("unknown team job={id} team={}", open.spec.team);
@@ -57,18 +57,18 @@
         self.track_dependencies(ctx, &id);
     }
 
-    fn apply_cancellation(&mut self, ctx: &Context, id: &str, value: &Value) {
+    fn apply_cancellation_record(&mut self, ctx: &Context, id: &str, value: &Value) {
         let confirmed_at = earliest_confirmation(ctx, value);
         let Some(id) = self.jobs.name(id).cloned() else {
             return self.cancel_unknown_job(id, confirmed_at);
         };
         if let Some(job) = self.jobs.get_mut(&id) {
-            // The cancellation may be known already from a conflicting write, without its
-            // time. This record proves it, so the state record need not be read first.
+            // A conflicting write may have revealed the cancellation before, with an unknown
+            // time. This record confirms it, so the state record is not read.
             let known_at = job.cancelled_at.unwrap_or(confirmed_at);
             job.cancelled_at = Some(known_at.min(confirmed_at));
             if !job.cancellation_confirmed && self.recovery.is_ready() {
-                self.cancel_job(ctx, &id);
+                self.apply_cancellation(ctx, &id);
             }
         }
     }
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -9,13 +9,13 @@
 use dillcleat_wire::store::{StoreRequest, StoreResponse, WatchEvent};
 
 /// How long the store holds a watch request open without a change, in milliseconds.
-const WATCH_MS: u64 = 2_000;
+const WATCH_HOLD_MS: u64 = 2_000;
 /// The maximum age of the last consistent read for placing, launching and reaping tasks.
 /// The age is counted from the sending of the request.
 pub(super) const MAX_READ_AGE: Micros = 6 * SECOND;
-// Without changes in the queue, each watch is held for its full time. When the next one is
-// answered, the last consistent read was sent two such times ago.
-const _: () = assert!(2 * WATCH_MS * MILLISECOND + SECOND <= MAX_READ_AGE);
+// Without changes, a watch is answered after `WATCH_HOLD_MS`. Until the next one is answered,
+// the last consistent read is up to twice as old.
+const _: () = assert!(2 * WATCH_HOLD_MS * MILLISECOND + SECOND <= MAX_READ_AGE);
 
 /// The progress of the queue watch and the time of the last consistent read.
 ///
@@ -43,7 +43,7 @@
     }
 
     /// Schedules the next watch.
-    pub fn watch_from(&mut self, at: Micros) {
+    pub fn schedule_watch_at(&mut self, at: Micros) {
         self.next_watch_at = Some(at);
     }
 
@@ -80,12 +80,12 @@
         Some(StoreRequest::Watch {
             prefix: records::QUEUE_PREFIX.into(),
             after: self.revision.unwrap_or(0),
-            hold_ms: WATCH_MS,
+            hold_ms: WATCH_HOLD_MS,
         })
     }
 
     /// Records that a watch sent at `sent` has reported all changes up to a revision.
-    fn watched_to(&mut self, revision: u64, sent: Micros) {
+    fn record_watched_to(&mut self, revision: u64, sent: Micros) {
         self.last_consistent_read = self.last_consistent_read.max(Some(sent));
         self.revision = Some(revision);
     }
@@ -110,7 +110,7 @@
         let now = ctx.now.monotonic;
         match reply {
             Ok(StoreResponse::WatchBatch(changes)) => {
-                self.queue_watch.watched_to(changes.revision, sent);
+                self.queue_watch.record_watched_to(changes.revision, sent);
                 for event in changes.events {
                     if let WatchEvent::Put {
                         key,
@@ -121,16 +121,16 @@
                         self.apply_queue_record(ctx, &key, &value, version);
                     }
                 }
-                self.queue_watch.watch_from(now);
+                self.queue_watch.schedule_watch_at(now);
             }
             Ok(StoreResponse::Compacted) => {
                 log::error!(
                     "queue watch revision was compacted, ending the term term={}",
                     self.term
                 );
-                self.events.push(LeaderEvent::TermEnded);
+                self.events.push(LeaderEvent::StepDown);
             }
-            _ => self.queue_watch.watch_from(now + RETRY_INTERVAL),
+            _ => self.queue_watch.schedule_watch_at(now + RETRY_INTERVAL),
         }
     }
 }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -174,8 +174,8 @@
                 }
             }
             _ => {
-                // The records are applied page by page: applying all of a large fleet's at
-                // once would delay the answers to other requests.
+                // The records are applied page by page: applying all task
+                // records of a large fleet at once would delay the answers to other requests.
                 for row in &page.rows {
                     self.apply_task_record(ctx, row);
                 }
@@ -250,21 +250,21 @@
         }
     }
 
-    /// Completes the recovery after the last page. The leader begins to act.
+    /// Completes the recovery after the last page. From now on the leader schedules tasks.
     fn finish_recovery(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         self.recovery.finish(now);
         self.queue_watch
             .set_consistent_read(self.recovery.queue_requested_at);
-        self.queue_watch.watch_from(now);
+        self.queue_watch.schedule_watch_at(now);
         let cancelled = self.job_ids(|job| job.cancelled_at.is_some());
         let done = self.job_ids(Job::all_done);
         self.propagate_all_urgencies(ctx);
         for id in cancelled {
-            self.cancel_job(ctx, &id);
+            self.apply_cancellation(ctx, &id);
         }
         for id in done {
-            self.end_if_done(&id);
+            self.enqueue_end_if_done(&id);
         }
         self.start_contacting_machines(now);
         log::info!(
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod views;
 
-pub(super) use self::views::{CPU_ROUNDING_ERROR, machine_view, usable_cache_gb};
+pub(super) use self::views::{machine_view, usable_cache_gb};
 use super::Leader;
 use crate::calls::Context;
 use crate::machines::{TaskKey, TaskSlot};
@@ -99,7 +99,8 @@
 }
 
 impl Leader {
-    /// Does the work that is due at this time.
+    /// Runs the scheduling cycle and the fleet check if they are due, and sends pending
+    /// requests.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.recovery.is_reading() {
@@ -117,7 +118,7 @@
             .autoscaler
             .take_due_fleet_check(now, FLEET_CHECK_INTERVAL)
         {
-            self.mark_estimated_jobs();
+            self.mark_jobs_ranked_by_class_estimate();
             self.refresh_derived_state(ctx);
             self.delete_machines_with_cancelled_tasks(ctx);
             self.check_fleet(ctx);
@@ -154,7 +155,7 @@
         }
         self.send_queue_watch(ctx);
         self.request_dependency_states(ctx);
-        self.send_due_rereads(ctx);
+        self.send_due_reads(ctx);
         self.send_writes(ctx);
         self.send_commands(ctx);
         self.send_cloud_request(ctx);
@@ -184,6 +185,7 @@
             .advance_virtual_time(now, sums.fleet_cpus(), sums.ageing_jobs());
         self.scheduling.begin_cycle(now);
         if self.has_recent_read(ctx) && self.machine_types.types().is_some() {
+            // The virtual time has advanced.
             self.refresh_derived_state(ctx);
             self.place_waiting_tasks(ctx);
             self.preempt_for_replicas(ctx);
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -11,8 +11,6 @@
 
 /// The maximum number of waiting tasks of a job that a cycle or a plan examines.
 const MAX_TASKS_PER_JOB: usize = 200;
-/// Amounts of CPUs below this are rounding errors.
-pub(in crate::leader) const CPU_ROUNDING_ERROR: f64 = 1e-6;
 /// The share of a machine's image cache that is assumed to be usable.
 const USABLE_CACHE_SHARE: f64 = 0.9;
 
@@ -71,7 +69,7 @@
         if !job.spec.spread && !job.spec.single_zone {
             return zones;
         }
-        let names = job.on_machines().map(|(_, name)| name);
+        let names = job.placed_tasks().map(|(_, name)| name);
         for name in names.filter(|name| !excluded.contains(*name)) {
             if let Some(machine) = self.machines.get(name) {
                 *zones.entry(machine.zone.clone()).or_default() += 1;
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Minimum time between two preemptions. Each examines all machines that run array tasks,
-/// which is expensive.
+/// Minimum time between two searches for tasks to preempt. Each examines all machines that
+/// run array tasks, which is expensive.
 const PREEMPTION_INTERVAL: Micros = 200 * MILLISECOND;
 
 /// A task that may be preempted, with its machine.
@@ -35,7 +35,7 @@
 impl Leader {
     /// Preempts array tasks on machines where waiting replicas may run.
     ///
-    /// On-demand machines are also started for array tasks with a deadline. Without
+    /// On-demand machines are also started for tasks of batch jobs with a deadline. Without
     /// preemption, replicas would have to wait for these tasks when the cloud has no more
     /// on-demand machines.
     pub(super) fn preempt_for_replicas(&mut self, ctx: &Context) {
--- a/crates/controller/src/leader/spot_interruption.rs
+++ b/crates/controller/src/leader/spot_interruption.rs
@@ -6,8 +6,8 @@
 use crate::seconds;
 use dillcleat_wire::user::JobKind;
 
-/// A task is preempted if its expected remaining run time exceeds the time until the
-/// interruption by more than this factor.
+/// A task is preempted if its expected remaining run time exceeds this multiple of the time
+/// until the interruption.
 const UNFINISHABLE_RATIO: f64 = 1.5;
 
 impl Leader {
--- a/crates/controller/src/leader/state_writes.rs
+++ b/crates/controller/src/leader/state_writes.rs
@@ -11,18 +11,20 @@
 use std::rc::Rc;
 
 /// Delay before a write that the store rejected in a batch of its own is retried.
-const REFUSED_WRITE_RETRY_INTERVAL: Micros = 30 * SECOND;
-/// The share of the store's write rate for deferrable writes.
+const REJECTED_WRITE_RETRY_INTERVAL: Micros = 30 * SECOND;
+/// The share of the store's write rate for deferrable writes, such as deletions of records of
+/// ended jobs.
 const DEFERRABLE_WRITE_SHARE: f64 = 0.3;
 /// The size above which no further write is added to a batch. The rest of the store's limit
 /// is for the last write and the encoding of the transaction.
 const MAX_BATCH_BYTES: usize = store::MAX_TRANSACTION_BYTES * 3 / 4;
-/// The number of changes that have to be left in a batch for another write to be added.
-const CHANGES_PER_WRITE: usize = 3;
+/// Upper bound of the mutations of one write. A write is added to a batch only if this many
+/// are left.
+const MAX_MUTATIONS_PER_WRITE: usize = 3;
 
 /// A read that was not answered and is to be retried.
 #[derive(Debug)]
-struct DelayedRead {
+struct PendingRead {
     at: Micros,
     key: String,
     step: LeaderStep,
@@ -31,13 +33,13 @@
 /// The leader's writes to the store: the queue, the rate limit, and delayed reads that find
 /// out whether a write was applied.
 ///
-/// `delayed_reads` is ordered by time, since all reads are delayed by the same interval.
+/// `pending_reads` is ordered by time, since all reads are delayed by the same interval.
 #[derive(Debug)]
 pub(super) struct StateWriter {
     queue: WriteQueue,
     rate: WriteRate,
-    delayed_reads: VecDeque<DelayedRead>,
-    /// The maximum size of a value in the store, in bytes, as far as it is known. It is
+    pending_reads: VecDeque<PendingRead>,
+    /// The maximum size of a value, in bytes, that the store is assumed to accept. It is
     /// lowered once the announced lower limit is found to be in effect.
     max_value_bytes: usize,
 }
@@ -47,7 +49,7 @@
         StateWriter {
             queue: WriteQueue::default(),
             rate: WriteRate::new(config.current_store_write_rps),
-            delayed_reads: VecDeque::new(),
+            pending_reads: VecDeque::new(),
             max_value_bytes: config.current_max_value_bytes,
         }
     }
@@ -83,19 +85,19 @@
         self.max_value_bytes = config.max_value_bytes;
     }
 
-    /// The maximum size of a value in the store, in bytes, as far as it is known.
+    /// The maximum size of a value, in bytes, that the store is assumed to accept.
     pub fn max_value_bytes(&self) -> usize {
         self.max_value_bytes
     }
 
-    /// Limits writes to `store_rps` changes per second.
+    /// Limits writes to `store_rps` mutations per second.
     pub fn limit_rate(&mut self, store_rps: f64) {
         self.rate.limit(store_rps);
     }
 
-    /// Reduces the batch size after a batch of `refused_writes` writes was too large.
-    pub fn shrink_batches(&mut self, refused_writes: usize) {
-        self.queue.shrink_batches(refused_writes);
+    /// Reduces the batch size after a batch of `rejected_writes` writes was too large.
+    pub fn shrink_batches(&mut self, rejected_writes: usize) {
+        self.queue.shrink_batches(rejected_writes);
     }
 
     /// Increases the batch size after a batch was committed. From `limit` on, the number of
@@ -120,20 +122,20 @@
     }
 
     /// Schedules the retry of a write that the store rejected in a batch of its own.
-    pub fn retry_refused(&mut self, now: Micros, write: PendingWrite) {
+    pub fn retry_rejected(&mut self, now: Micros, write: PendingWrite) {
         self.queue
-            .retry_refused_at(now + REFUSED_WRITE_RETRY_INTERVAL, write);
+            .retry_rejected_at(now + REJECTED_WRITE_RETRY_INTERVAL, write);
     }
 
     /// Schedules the retry of a read that was not answered. The delay limits the number of
     /// requests during an outage.
     pub fn delay_read(&mut self, now: Micros, key: String, step: LeaderStep) {
         let at = now + RETRY_INTERVAL;
-        self.delayed_reads.push_back(DelayedRead { at, key, step });
+        self.pending_reads.push_back(PendingRead { at, key, step });
     }
 
-    fn pop_due_read(&mut self, now: Micros) -> Option<DelayedRead> {
-        self.delayed_reads.pop_front_if(|read| now >= read.at)
+    fn pop_due_read(&mut self, now: Micros) -> Option<PendingRead> {
+        self.pending_reads.pop_front_if(|read| now >= read.at)
     }
 }
 
@@ -164,7 +166,7 @@
     /// none.
     fn next_batch(&mut self, ctx: &Context) -> Option<WriteBatch> {
         let now = ctx.now.monotonic;
-        self.writer.queue.requeue_refused(now);
+        self.writer.queue.requeue_rejected(now);
         let deferrable_per_s = ctx.config.store_write_rps * DEFERRABLE_WRITE_SHARE;
         self.writer
             .queue
@@ -172,11 +174,11 @@
         if self.writer.queue.is_idle() {
             return None;
         }
-        let max_changes = self.writer.rate.available(now).min(ctx.config.max_txn_ops);
+        let max_mutations = self.writer.rate.available(now).min(ctx.config.max_txn_ops);
         let max_writes = self.writer.queue.max_batch_writes();
         let mut batch = WriteBatch::new(self.term_version);
         let (mut bytes, mut cancellations) = (0, 0);
-        while batch.mutation_count() + CHANGES_PER_WRITE <= max_changes
+        while batch.mutation_count() + MAX_MUTATIONS_PER_WRITE <= max_mutations
             && bytes < MAX_BATCH_BYTES
             && batch.writes.len() < max_writes
         {
@@ -221,11 +223,11 @@
             }
             return;
         }
-        log::error!("record too large for the store {write}");
-        self.writer.retry_refused(ctx.now.monotonic, write);
+        log::error!("record too large for the store, retrying the write later {write}");
+        self.writer.retry_rejected(ctx.now.monotonic, write);
     }
 
-    /// Adds the changes and conditions of a write to a batch. Returns false if the write has
+    /// Adds the mutations and preconditions of a write to a batch. Returns false if the write has
     /// become unnecessary.
     fn add_to_batch(&self, write: &PendingWrite, batch: &mut WriteBatch) -> bool {
         match write {
@@ -329,7 +331,7 @@
     }
 
     /// Sends the delayed reads that are due.
-    pub(super) fn send_due_rereads(&mut self, ctx: &mut Context) {
+    pub(super) fn send_due_reads(&mut self, ctx: &mut Context) {
         while let Some(read) = self.writer.pop_due_read(ctx.now.monotonic) {
             let continuation = self.continuation(read.step);
             ctx.store_request(StoreRequest::Get { key: read.key }, continuation);
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -12,10 +12,11 @@
 
 /// The run time after which a replica is assumed to be serving.
 const MIN_SERVING_TIME: Micros = 10 * SECOND;
-/// How long no task is placed on a machine that lacked the resources to start one.
+/// Pause after which tasks are placed again on a machine that lacked the resources to start
+/// one.
 const NO_RESOURCES_PAUSE: Micros = 3 * SECOND;
-/// How long no task of a job is placed after an exit that is attributed neither to the job
-/// nor to the machine.
+/// Pause after which tasks of a job are placed again after an exit that is attributed neither
+/// to the job nor to the machine.
 const OTHER_EXIT_PAUSE: Micros = 2 * SECOND;
 
 /// An attempt of a task that has exited.
@@ -101,7 +102,7 @@
                 self.enqueue_task_record(key);
             }
         }
-        self.clear_if_empty(id);
+        self.enqueue_removal_if_unplaced(id);
     }
 
     fn complete_task(&mut self, ctx: &Context, exited: &ExitedTask) {
@@ -125,10 +126,10 @@
                 .add_run_time(ctx.config, &job.spec.class, run_time_s);
         }
         if job.cancelled_at.is_some() {
-            return self.clear_if_empty(id);
+            return self.enqueue_removal_if_unplaced(id);
         }
-        self.job_has_run(id);
-        self.end_if_done(id);
+        self.record_job_success(id);
+        self.enqueue_end_if_done(id);
         // If the job has ended, the record of its end includes the completion of this task.
         if self.jobs.get(id).is_some_and(|job| !job.ending) {
             self.enqueue_task_record(&exited.task);
@@ -137,7 +138,7 @@
 
     /// Records that a task of the job has run successfully. Its earlier errors are then
     /// attributed to the machines on which they occurred.
-    fn job_has_run(&mut self, id: &Rc<str>) {
+    fn record_job_success(&mut self, id: &Rc<str>) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.failures.has_run()) else {
             return;
         };
@@ -161,8 +162,8 @@
 
     /// Whether a replica of the service has run for long enough to be assumed to work.
     /// Replicas don't complete, so this is the only evidence that a service works.
-    fn is_serving(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
-        job.running_on_machines().any(|(index, machine)| {
+    fn has_serving_replica(&self, job: &Job, id: &Rc<str>, now: Micros) -> bool {
+        job.running_tasks().any(|(index, machine)| {
             let machine = self.machines.get(machine);
             let slot = machine.and_then(|machine| machine.slots.get(&(id.clone(), index)));
             let since = slot.and_then(|slot| slot.running_since);
@@ -183,8 +184,8 @@
             return;
         };
         let is_service = job.spec.kind == JobKind::Service;
-        if reason == ExitReason::Error && is_service && self.is_serving(job, id, now) {
-            self.job_has_run(id);
+        if reason == ExitReason::Error && is_service && self.has_serving_replica(job, id, now) {
+            self.record_job_success(id);
         }
         let (Some(job), Some(m)) = (self.jobs.get_mut(id), self.machines.get_mut(machine)) else {
             return;
@@ -196,6 +197,7 @@
                 let name = m.name.clone();
                 if job.failures.has_run() {
                     self.attribute_error_to_machine(&name, id);
+                // A failure on a machine with failures of other jobs says nothing about the job.
                 } else if !m.health.has_attributed_failures()
                     && let Some(pause) = job.failures.record_failure(&name, now)
                 {
@@ -219,9 +221,9 @@
         ExitReason::Done => "done",
         ExitReason::Stopped => "stopped",
         ExitReason::Error => "error",
-        ExitReason::InsufficientResources => "no_resources",
-        ExitReason::OtherAttemptPresent => "busy",
-        ExitReason::UnknownTask => "unknown",
+        ExitReason::InsufficientResources => "insufficient_resources",
+        ExitReason::OtherAttemptPresent => "other_attempt_present",
+        ExitReason::UnknownTask => "unknown_task",
         ExitReason::Other => "other",
     }
 }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that have stored records but can't be read by this node.
+//! Jobs that have stored records but can't be read by this controller.
 //!
 //! Such a job has not necessarily ended: its description may be in a format that only a
 //! newer version can read. Its records are kept and its tasks keep running and occupying
@@ -21,23 +21,23 @@
 use std::rc::Rc;
 
 /// Interval at which the state record of an unknown job is read again if there was none.
-pub(super) const STATE_RECHECK_INTERVAL: Micros = 30 * SECOND;
+pub(super) const UNKNOWN_JOB_RECHECK_INTERVAL: Micros = 30 * SECOND;
 
 /// The usage of a task that counts against the quota of its team.
 #[derive(Debug, Clone, Copy)]
-struct TaskClaim {
+struct TaskUsage {
     /// The index of the team in the settings.
     team: usize,
     cpu_millionths: i64,
     gpu_millionths: i64,
 }
 
-/// A job that has stored records but can't be read by this node.
+/// A job that has stored records but can't be read by this controller.
 #[derive(Debug, Default)]
 struct UnknownJob {
     /// Whether the job has a description and so is known to be open. The description or a
     /// task record is unreadable.
-    described: bool,
+    has_description: bool,
     /// The earliest time at which its cancellation may have been confirmed, if it is
     /// cancelled.
     cancelled_at: Option<Micros>,
@@ -47,8 +47,8 @@
     machines: BTreeSet<Rc<str>>,
     /// Whether any machine may hold its tasks, because a task record is unreadable.
     may_be_anywhere: bool,
-    /// `None` if its team is not in the settings or its resource claim is unreadable.
-    task_claim: Option<TaskClaim>,
+    /// `None` if its team is not in the settings or its resource usage is unreadable.
+    task_usage: Option<TaskUsage>,
     /// The number of its tasks that may be on machines.
     placed: i64,
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// The jobs that have stored records but can't be read by this node, by id.
+/// The jobs that have stored records but can't be read by this controller, by id.
 #[derive(Debug, Default)]
 pub(super) struct UnknownJobs(BTreeMap<Rc<str>, UnknownJob>);
 
@@ -78,7 +78,7 @@
 
     /// Whether the job is unknown and not known to be open.
     fn may_have_ended(&self, id: &str) -> bool {
-        self.0.get(id).is_some_and(|job| !job.described)
+        self.0.get(id).is_some_and(|job| !job.has_description)
     }
 
     fn is_cancelled(&self, id: &str) -> bool {
@@ -109,16 +109,16 @@
 
     /// The usage of unknown jobs that counts against the quota of each team, as millionths
     /// of CPUs and GPUs. Empty if there are no unknown jobs.
-    pub fn claims(&self, config: &Config) -> Vec<(i64, i64)> {
+    pub fn usage_by_team(&self, config: &Config) -> Vec<(i64, i64)> {
         if self.0.is_empty() {
             return Vec::new();
         }
         let mut teams = vec![(0, 0); config.teams.len()];
         for job in self.0.values() {
-            if let Some(claim) = job.task_claim {
-                let (cpus, gpus) = &mut teams[claim.team];
-                *cpus += claim.cpu_millionths.saturating_mul(job.placed);
-                *gpus += claim.gpu_millionths.saturating_mul(job.placed);
+            if let Some(usage) = job.task_usage {
+                let (cpus, gpus) = &mut teams[usage.team];
+                *cpus += usage.cpu_millionths.saturating_mul(job.placed);
+                *gpus += usage.gpu_millionths.saturating_mul(job.placed);
             }
         }
         teams
@@ -126,31 +126,32 @@
 }
 
 impl Leader {
-    /// Adds a job with an unreadable description. It is not scheduled.
-    pub(super) fn add_undescribed_job(&mut self, ctx: &Context, id: &str, value: &Value) {
-        let task_claim = store::decode_value::<OpenClaim>(value).and_then(|open| {
+    /// Adds a job whose description can't be decoded. It is not scheduled.
+    pub(super) fn add_undecodable_job(&mut self, ctx: &Context, id: &str, value: &Value) {
+        let task_usage = store::decode_value::<OpenClaim>(value).and_then(|open| {
             let ResourceClaim { team, cpus, gpus } = open.spec;
-            Some(TaskClaim {
+            Some(TaskUsage {
                 team: ctx.config.team(&team)?,
                 cpu_millionths: to_millionths(cpus),
                 gpu_millionths: to_millionths(gpus),
             })
         });
         let job = self.unknown_jobs.entry(id);
-        job.described = true;
-        job.task_claim = task_claim;
+        job.has_description = true;
+        job.task_usage = task_usage;
     }
 
     /// Cancels an unknown job: its tasks are stopped on all machines that report them.
     pub(super) fn cancel_unknown_job(&mut self, id: &str, confirmed_at: Micros) {
         if let Some(job) = self.unknown_jobs.0.get_mut(id) {
             job.cancelled_at.get_or_insert(confirmed_at);
-            self.send_stops(id);
+            self.request_stops(id);
         }
     }
 
-    /// Sends commands to the machines that may hold tasks of an unknown job.
-    fn send_stops(&mut self, id: &str) {
+    /// Queues commands for the machines in the job's readable records. Other machines get the
+    /// stop commands with the answer to a heartbeat.
+    fn request_stops(&mut self, id: &str) {
         let job = self.unknown_jobs.0.get(id);
         let machines = job.map(|job| job.machines.clone());
         for name in machines.unwrap_or_default() {
@@ -165,7 +166,7 @@
     pub(super) fn add_unknown_job_record(&mut self, id: &str, row: &KeyValue) {
         let job = self.unknown_jobs.entry(id);
         job.record_keys.push(row.key.clone());
-        if !job.described {
+        if !job.has_description {
             // The job has probably ended, and its records were not completely deleted.
             self.dependencies.request_state_read(Rc::from(id));
         }
@@ -193,11 +194,11 @@
             return;
         };
         let unknown = self.unknown_jobs.entry(id);
-        unknown.described = true;
+        unknown.has_description = true;
         unknown.may_be_anywhere = true;
         unknown.cancelled_at = job.cancelled_at;
         let team_is_known = job.team < ctx.config.teams.len();
-        unknown.task_claim = team_is_known.then(|| TaskClaim {
+        unknown.task_usage = team_is_known.then(|| TaskUsage {
             team: job.team,
             cpu_millionths: to_millionths(job.spec.cpus),
             gpu_millionths: to_millionths(job.spec.gpus),
@@ -205,7 +206,7 @@
         // The number of placed tasks in the record is unknown, so all of them are counted.
         unknown.placed = job.placed_count() as i64 + job.task_ranges.indexes(range).len() as i64;
         unknown.record_keys.push(key.to_string());
-        for (index, machine) in job.on_machines() {
+        for (index, machine) in job.placed_tasks() {
             if let Some(machine) = self.machines.get_mut(machine) {
                 machine.slots.remove(&(id.clone(), index));
             }
@@ -216,19 +217,20 @@
         }
     }
 
-    /// Whether a job is unknown and its state record is needed to find out if it has ended.
-    pub(super) fn is_unknown_job(&self, id: &str) -> bool {
+    /// Whether a job is unknown and not known to be open, so that its state record is needed to
+    /// find out if it has ended.
+    pub(super) fn unknown_job_may_have_ended(&self, id: &str) -> bool {
         self.unknown_jobs.may_have_ended(id)
     }
 
     /// Deletes the task records of an unknown job whose state record shows that it has ended.
-    /// They are kept if the job's description is still stored: the job was cancelled, and its
-    /// tasks may not have ended yet.
+    /// Keeps them if the description is still stored, since a cancelled job's tasks may not
+    /// have ended yet.
     pub(super) fn unknown_job_ended(&mut self, id: &str) {
-        if !self.is_unknown_job(id) {
+        if !self.unknown_job_may_have_ended(id) {
             return;
         }
-        self.send_stops(id);
+        self.request_stops(id);
         if let Some(job) = self.unknown_jobs.0.remove(id) {
             for key in job.record_keys {
                 self.writer.enqueue(PendingWrite::DeleteKey(key));
--- a/crates/controller/src/leader/urgency.rs
+++ b/crates/controller/src/leader/urgency.rs
@@ -56,7 +56,9 @@
         // each dependent in turn, this follows the longest path.
         let duration_s =
             self.expected_run_time_s(ctx.config, dependent) + ctx.config.tuning.fetch_s;
-        let end = dependent.due.or_else(|| self.own_deadline(ctx, dependent));
+        let end = dependent
+            .due_at
+            .or_else(|| self.own_deadline(ctx, dependent));
         let due_for_dependent = end.map(|end| end.saturating_sub(micros(duration_s)));
         Urgency {
             priority: urgency.priority.max(dependent.priority),
@@ -85,11 +87,12 @@
         true
     }
 
-    /// Updates the transitive dependencies of a job, as far as their urgency changes. If the
-    /// urgency decreases, a job may be updated once for each path to it.
+    /// Propagates a change of urgency to the job's transitive dependencies. Stops at jobs whose
+    /// urgency does not change. If the urgency decreases, a job may be updated once for each
+    /// path to it.
     pub(super) fn propagate_urgency(&mut self, ctx: &Context, id: &Rc<str>) {
         let mut next = self.dependencies.dependencies(id);
-        // This many steps are exceeded only by a cycle, which submissions can't create.
+        // Bounds the work if the graph has a cycle, which submissions can't create.
         let mut steps_left = 16 * (self.jobs.len() + 1);
         while let Some(dependency) = next.pop() {
             steps_left -= 1;
--- a/crates/controller/src/leader/write_replies.rs
+++ b/crates/controller/src/leader/write_replies.rs
@@ -32,7 +32,7 @@
                     "store reports an expired lease for a batch without a lease term={}",
                     self.term
                 );
-                self.events.push(LeaderEvent::TermEnded);
+                self.events.push(LeaderEvent::StepDown);
             }
             other => {
                 if matches!(other, Ok(StoreResponse::RateLimited)) {
@@ -48,7 +48,7 @@
     /// Handles a batch that was rejected because some of its conditions did not hold.
     fn handle_conflict(&mut self, ctx: &mut Context, batch: WriteBatch, failed: &[String]) {
         if failed.iter().any(|key| key == records::TERM_KEY) {
-            self.events.push(LeaderEvent::TermEnded);
+            self.events.push(LeaderEvent::StepDown);
             return;
         }
         let task_key = failed
@@ -66,13 +66,13 @@
         {
             self.job_state_changed(ctx, &Rc::from(id));
         }
-        self.read_outcome(ctx, batch, key.clone());
+        self.request_outcome(ctx, batch, key.clone());
     }
 
     /// Reads a key that only this leader writes, to find out whether a batch was applied.
-    fn read_outcome(&mut self, ctx: &mut Context, batch: WriteBatch, key: String) {
+    fn request_outcome(&mut self, ctx: &mut Context, batch: WriteBatch, key: String) {
         self.writer.set_in_flight(batch);
-        let continuation = self.continuation(LeaderStep::Reread { key: key.clone() });
+        let continuation = self.continuation(LeaderStep::ReadOutcome { key: key.clone() });
         ctx.store_request(StoreRequest::Get { key }, continuation);
     }
 
@@ -86,15 +86,16 @@
             batch.writes.len()
         );
         match batch.leader_owned_key().filter(|_| batch.uncertain) {
-            // No attempt of the batch can be applied from now on, so one read is conclusive.
-            Some(key) => self.read_outcome(ctx, batch, key),
+            // The store now rejects the batch because of its size, so a delayed attempt can't
+            // be applied later: one read is conclusive.
+            Some(key) => self.request_outcome(ctx, batch, key),
             None => self.retry_smaller(ctx, batch),
         }
     }
 
-    /// Handles the reply to [`Self::read_outcome`]. If the key still has the version that the
+    /// Handles the reply to [`Self::request_outcome`]. If the key still has the version that the
     /// batch compared, no attempt of the batch was applied.
-    pub(super) fn reread_reply(
+    pub(super) fn outcome_reply(
         &mut self,
         ctx: &mut Context,
         key: String,
@@ -114,7 +115,7 @@
             Ok(StoreResponse::Found(row)) => self.batch_committed(ctx, batch, row.version),
             _ => {
                 self.writer.set_in_flight(batch);
-                let step = LeaderStep::Reread { key: key.clone() };
+                let step = LeaderStep::ReadOutcome { key: key.clone() };
                 self.writer.delay_read(ctx.now.monotonic, key, step);
             }
         }
@@ -146,8 +147,8 @@
             if is_chunk {
                 self.handle_oversized_record(ctx, write.clone());
             } else {
-                log::error!("store rejected a write {write}");
-                self.writer.retry_refused(ctx.now.monotonic, write.clone());
+                log::error!("store rejected a write, retrying it later {write}");
+                self.writer.retry_rejected(ctx.now.monotonic, write.clone());
             }
             return self.send_writes(ctx);
         }
@@ -171,7 +172,7 @@
                     .get(id)
                     .is_some_and(|job| job.cancellation_confirmed)
                 {
-                    self.clear_if_empty(id);
+                    self.enqueue_removal_if_unplaced(id);
                 }
             }
         }
@@ -181,7 +182,8 @@
     }
 
     /// Handles a batch that can never be applied because records it depends on have changed:
-    /// the state record of a job, or the record of the machine types.
+    /// the state record of a job, or the record of the machine types. Any other key shows
+    /// that another leader has written.
     fn batch_rejected(&mut self, ctx: &mut Context, mut batch: WriteBatch, failed: &[String]) {
         for key in failed {
             if let Some(id) = records::parse_job_state_key(key) {
@@ -195,8 +197,11 @@
                 let continuation = self.continuation(LeaderStep::ReadTypesVersion);
                 ctx.store_request(StoreRequest::Get { key: key.clone() }, continuation);
             } else {
-                log::error!("key written by another leader key={key} term={}", self.term);
-                self.events.push(LeaderEvent::TermEnded);
+                log::error!(
+                    "key was written by another leader, ending the term key={key} term={}",
+                    self.term
+                );
+                self.events.push(LeaderEvent::StepDown);
             }
         }
         self.requeue_batch(batch);
@@ -256,31 +261,31 @@
         };
         let record = row.decode_value::<JobStateRecord>();
         match record.map(|record| (record.state, record)) {
-            Some((RecordedState::Done, record)) => self.job_done(ctx, &id, record),
+            Some((RecordedState::Done, record)) => self.handle_job_done(ctx, &id, record),
             Some((RecordedState::Cancelled, _)) => {
                 if self
                     .jobs
                     .get(&id)
                     .is_some_and(|job| !job.cancellation_confirmed)
                 {
-                    self.cancel_job(ctx, &id);
+                    self.apply_cancellation(ctx, &id);
                 }
             }
             Some((RecordedState::Open, _)) => {
-                log::error!("unexpected job state record job={id} state=open");
-                self.events.push(LeaderEvent::TermEnded);
+                log::error!("unexpected job state record, ending the term job={id} state=open");
+                self.events.push(LeaderEvent::StepDown);
             }
             None => {
-                log::error!("unreadable job state record job={id}");
-                self.events.push(LeaderEvent::TermEnded);
+                log::error!("unreadable job state record, ending the term job={id}");
+                self.events.push(LeaderEvent::StepDown);
             }
         }
     }
 
     /// Removes a job whose completion is stored.
-    fn job_done(&mut self, ctx: &Context, id: &Rc<str>, record: JobStateRecord) {
+    fn handle_job_done(&mut self, ctx: &Context, id: &Rc<str>, record: JobStateRecord) {
         log::info!("job done job={id}");
-        self.forget_job(ctx, id);
+        self.remove_ended_job(ctx, id);
         self.dependency_done(ctx, id);
         self.events
             .push(LeaderEvent::JobEnded(id.to_string(), record));
@@ -312,10 +317,10 @@
                     state: RecordedState::Done,
                     task_count,
                 };
-                self.job_done(ctx, id, record);
+                self.handle_job_done(ctx, id, record);
             }
             PendingWrite::JobCancelled(id) => self.dependent_cancelled(ctx, id),
-            PendingWrite::ClearJob(id) => self.forget_job(ctx, id),
+            PendingWrite::ClearJob(id) => self.remove_ended_job(ctx, id),
             PendingWrite::MachineTypes => self.machine_types.record_written(revision),
             PendingWrite::Machine(_) | PendingWrite::DeleteKey(_) => {}
         }
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -1,18 +1,18 @@
 //! Detection of zones that are unreachable because of a network partition.
 
 use super::Leader;
-use super::scheduling::CPU_ROUNDING_ERROR;
 use crate::machines::Machine;
+use crate::sched::resources::ROUNDING_TOLERANCE;
 use crate::{Config, MILLISECOND, Micros, SECOND};
 use dillcleat_peer_protocol::UnresponsiveZone;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// After being unresponsive for this many leases, a machine is deleted even if its tasks
+/// Number of worker leases after which an unresponsive machine is deleted even if its tasks
 /// can't run elsewhere, because its zone may be lost permanently.
-pub(super) const PARTITION_GRACE_LEASES: Micros = 4;
-/// How long no machine is started in a partitioned zone, unless a machine in it is reachable
-/// again earlier.
+pub(super) const PARTITION_GRACE_LEASES: u64 = 4;
+/// Time for which scale-out avoids a zone after it was found to be partitioned, unless a
+/// machine in it is reachable again earlier.
 const PARTITIONED_ZONE_SCALE_OUT_PAUSE: Micros = 60 * SECOND;
 /// The minimum number of unresponsive machines in a partitioned zone.
 const MIN_UNRESPONSIVE_MACHINES: usize = 3;
@@ -59,7 +59,7 @@
     /// takes none, if there is not enough.
     pub fn take_for(&mut self, machine: &Machine) -> bool {
         let (spare, needed) = self.spare_and_needed(machine);
-        let is_enough = needed <= 0.0 || *spare + CPU_ROUNDING_ERROR >= needed;
+        let is_enough = needed <= 0.0 || *spare + ROUNDING_TOLERANCE >= needed;
         if is_enough {
             *spare -= needed;
         }
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ZonePartitions {
     /// Partitioned zones, with the time at which they were last found to be partitioned.
-    partitioned_since: BTreeMap<Rc<str>, Micros>,
+    last_found_partitioned_at: BTreeMap<Rc<str>, Micros>,
     /// Zones that the previous leader found to be unresponsive, with the time of the last
     /// contact with each.
     last_contact_before_term: HashMap<String, Micros>,
@@ -80,24 +80,26 @@
 impl ZonePartitions {
     /// The partitioned zones, in which no machine is started.
     pub fn partitioned_zones(&self) -> impl Iterator<Item = &Rc<str>> {
-        self.partitioned_since.keys()
+        self.last_found_partitioned_at.keys()
     }
 
     /// Records that the zone is partitioned. Returns whether this is new.
     pub fn record_partitioned(&mut self, zone: &Rc<str>, now: Micros) -> bool {
-        self.partitioned_since.insert(zone.clone(), now).is_none()
+        self.last_found_partitioned_at
+            .insert(zone.clone(), now)
+            .is_none()
     }
 
     /// Records that a machine in the zone is reachable. Returns whether the zone was
     /// partitioned.
     pub fn record_reachable(&mut self, zone: &str) -> bool {
-        self.partitioned_since.remove(zone).is_some()
+        self.last_found_partitioned_at.remove(zone).is_some()
     }
 
     /// Removes zones that have not been found to be partitioned recently.
     pub fn forget_expired(&mut self, now: Micros) {
-        self.partitioned_since
-            .retain(|_, since| now < *since + PARTITIONED_ZONE_SCALE_OUT_PAUSE);
+        self.last_found_partitioned_at
+            .retain(|_, last_found_at| now < *last_found_at + PARTITIONED_ZONE_SCALE_OUT_PAUSE);
     }
 
     /// The time of the last contact with a zone that the previous leader found to be
@@ -109,14 +111,14 @@
 
 impl Leader {
     /// The capacity that tasks on machines in partitioned zones could use elsewhere.
-    pub(super) fn spare_capacity(&self, partitioned: &BTreeSet<Rc<str>>) -> SpareCapacity {
+    pub(super) fn spare_capacity(&self, partitioned_machines: &BTreeSet<Rc<str>>) -> SpareCapacity {
         let capacity = &self.derived.capacity;
         let (on_demand_cpus, spot_cpus) = (capacity.free_cpus(false), capacity.free_cpus(true));
         let preemptible = self.derived.on_demand_machines_with_arrays().iter();
         let preemptible_cpus: f64 = preemptible
-            .filter(|_| !partitioned.is_empty())
+            .filter(|_| !partitioned_machines.is_empty())
             .filter_map(|index| self.machines.at(index))
-            .filter(|(name, _)| !partitioned.contains(*name))
+            .filter(|(name, _)| !partitioned_machines.contains(*name))
             .flat_map(|(_, machine)| machine.array_slots())
             .map(|slot| slot.resources.cpus)
             .sum();
@@ -136,7 +138,7 @@
 
     /// The unresponsive machines of partitioned zones: zones in which most machines are
     /// unresponsive. Their tasks keep running until their leases expire, but count as lost.
-    /// If most of the fleet is unresponsive, this node is more likely to be isolated, and the
+    /// If most of the fleet is unresponsive, this controller is more likely to be isolated, and the
     /// result is empty.
     pub(super) fn partitioned_machines(&self) -> BTreeSet<Rc<str>> {
         let mut unresponsive_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
@@ -162,7 +164,7 @@
         partitioned
     }
 
-    /// Whether this node is probably isolated: it receives messages neither from controllers
+    /// Whether this controller is probably isolated: it receives messages neither from controllers
     /// nor from machines in other zones, although there are both.
     ///
     /// An isolated leader may still reach the store and prove its leadership. Without this
@@ -185,15 +187,15 @@
         if reachable_by_zone.values().any(|reachable| *reachable > 0) {
             return false;
         }
-        let missed = self.derived.unresponsive_machines() | self.derived.booting_machines();
+        let missed = self.derived.unresponsive_machines() | self.derived.machines_not_ready();
         let mut missed = missed
             .into_iter()
             .filter_map(|index| self.machines.at(index));
         missed.any(|(_, machine)| machine.recorded && is_other_zone(&machine.zone))
     }
 
-    /// The partitioned zones, and for how long each has been unresponsive, for the next
-    /// leader.
+    /// The partitioned zones, with the time since the last message from their unresponsive
+    /// machines, for the next leader.
     pub fn unresponsive_zones(&self, now: Micros) -> Vec<UnresponsiveZone> {
         let mut last_contact: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
         let partitioned = self.partitioned_machines();
@@ -204,13 +206,14 @@
             let latest = last_contact.entry(&machine.zone).or_default();
             *latest = machine.reachability.last_contact_at().max(*latest);
         }
-        let unresponsive_ms = |since: Micros| now.saturating_sub(since) / MILLISECOND;
+        let unresponsive_ms = |at: Micros| now.saturating_sub(at) / MILLISECOND;
         last_contact
             .into_iter()
             .take(dillcleat_peer_protocol::MAX_UNRESPONSIVE_ZONES)
-            .map(|(zone, since)| UnresponsiveZone {
+            .map(|(zone, last_contact_at)| UnresponsiveZone {
                 zone: zone.to_string(),
-                unresponsive_ms: u32::try_from(unresponsive_ms(since)).unwrap_or(u32::MAX),
+                unresponsive_ms: u32::try_from(unresponsive_ms(last_contact_at))
+                    .unwrap_or(u32::MAX),
             })
             .collect()
     }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -102,7 +102,7 @@
                     out.push(Output::JobEvent(JobEvent::Failed { job, task, attempt }));
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
-                LeaderEvent::TermEnded => {
+                LeaderEvent::StepDown => {
                     let deposed = self.election.step_down(
                         &mut ctx,
                         "leader state does not match the store",
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -75,7 +75,7 @@
 
 /// A write that the store rejected individually.
 #[derive(Debug)]
-struct RefusedWrite {
+struct RejectedWrite {
     retry_at: Micros,
     write: PendingWrite,
 }
@@ -83,7 +83,7 @@
 /// The writes that are queued, and the batch that is in flight.
 ///
 /// A write is queued at most once: `queued` holds every write of `urgent`,
-/// `cancellations`, `deferrable` and `refused`.
+/// `cancellations`, `deferrable` and `rejected`.
 #[derive(Debug, Default)]
 pub struct WriteQueue {
     urgent: VecDeque<PendingWrite>,
@@ -93,7 +93,7 @@
     /// Writes that fill the space that the others leave in a batch.
     deferrable: VecDeque<PendingWrite>,
     /// Writes that the store rejected individually, each with the time of its retry.
-    refused: Vec<RefusedWrite>,
+    rejected: Vec<RejectedWrite>,
     queued: BTreeSet<PendingWrite>,
     /// Limits the rate of deferrable writes.
     deferrable_budget: TokenBucket,
@@ -159,21 +159,25 @@
 
     /// Schedules the retry of a write that the store rejected. The write counts as queued
     /// until then, so that it is not mistaken for a stored one.
-    pub fn retry_refused_at(&mut self, retry_at: Micros, write: PendingWrite) {
+    pub fn retry_rejected_at(&mut self, retry_at: Micros, write: PendingWrite) {
         self.queued.insert(write.clone());
-        self.refused.push(RefusedWrite { retry_at, write });
+        self.rejected.push(RejectedWrite { retry_at, write });
     }
 
     /// Queues the rejected writes whose retry is due.
-    pub fn requeue_refused(&mut self, now: Micros) {
-        if !self.refused.iter().any(|refused| now >= refused.retry_at) {
+    pub fn requeue_rejected(&mut self, now: Micros) {
+        if !self
+            .rejected
+            .iter()
+            .any(|rejected| now >= rejected.retry_at)
+        {
             return;
         }
-        for refused in std::mem::take(&mut self.refused) {
-            if now >= refused.retry_at {
-                self.sub_queue(&refused.write).push_back(refused.write);
+        for rejected in std::mem::take(&mut self.rejected) {
+            if now >= rejected.retry_at {
+                self.sub_queue(&rejected.write).push_back(rejected.write);
             } else {
-                self.refused.push(refused);
+                self.rejected.push(rejected);
             }
         }
     }
@@ -190,10 +194,10 @@
         self.max_batch_writes.unwrap_or(usize::MAX)
     }
 
-    /// Halves the batch size after the store rejected a batch of `refused_writes` writes as
+    /// Halves the batch size after the store rejected a batch of `rejected_writes` writes as
     /// too large.
-    pub fn shrink_batches(&mut self, refused_writes: usize) {
-        self.max_batch_writes = Some(refused_writes / 2);
+    pub fn shrink_batches(&mut self, rejected_writes: usize) {
+        self.max_batch_writes = Some(rejected_writes / 2);
     }
 
     /// Doubles a reduced batch size after a batch was committed. Once it reaches `limit`,
