--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -8,7 +8,7 @@
 use crate::sched::resources::ROUNDING_TOLERANCE;
 use crate::sched::scale_out_plan::{MachineOffering, PlanInputs, PlannedScaleOut, plan_scale_out};
 use crate::sched::{
-    CapacityIndex, JobView, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
+    CapacityIndex, JobView, MachineView, PlacementRequirements, SlabIndex, TeamAllowance,
 };
 use crate::{Micros, seconds};
 use dillcleat_wire::cloud::{MachineType, ScaleOut};
@@ -158,7 +158,7 @@
         ctx: &'a Context,
         partitioned_machines: &'a BTreeSet<Rc<str>>,
         partitioned_replicas: &'a PartitionedReplicas,
-    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)> {
+    ) -> impl Iterator<Item = (JobView<'a>, &'a Rc<PlacementRequirements>)> {
         let mut risk = DeadlineRisk::new(self.derived.sums());
         // Jobs with partitioned replicas are services, which come first in the queue order.
         let waiting = self
@@ -178,7 +178,7 @@
                 view.tasks_by_zone = self.tasks_by_zone(job, partitioned_machines);
             }
             view.at_risk_tasks = risk.tasks_at_risk(self, ctx, job, view.waiting_tasks);
-            Some((view, &job.resource_request))
+            Some((view, &job.placement_requirements))
         })
     }
 
--- a/crates/controller/src/leader/derived/queue_entries.rs
+++ b/crates/controller/src/leader/derived/queue_entries.rs
@@ -58,7 +58,7 @@
         };
         Some(QueueEntry {
             team: job.team,
-            request: job.resource_request.clone(),
+            requirements: job.placement_requirements.clone(),
             ageing,
             rank: rank(true, size_key, remaining),
             training: (job.training_tasks_left(ctx.config) > 0)
@@ -107,9 +107,11 @@
         && job.team < ctx.config.teams.len()
         && job.placeable_count() > 0
         && now >= job.blocked_until
-        && job
-            .failures
-            .may_start(job.placed_count(), job.resource_request.starving(), now)
+        && job.failures.may_start(
+            job.placed_count(),
+            job.placement_requirements.starving(),
+            now,
+        )
 }
 
 /// Whether the queue position of a job depends on the estimate of its class.
@@ -149,8 +151,9 @@
         self.waiting_since = is_waiting.then(|| self.waiting_since.unwrap_or(now));
         let starves_at = self.starves_at(ctx.config);
         let starving = starves_at.is_some_and(|at| now >= at);
-        if self.resource_request.starving() != starving {
-            self.resource_request = Rc::new(self.resource_request.with_starving(starving));
+        if self.placement_requirements.starving() != starving {
+            self.placement_requirements =
+                Rc::new(self.placement_requirements.with_starving(starving));
         }
     }
 
--- a/crates/controller/src/leader/job.rs
+++ b/crates/controller/src/leader/job.rs
@@ -8,7 +8,7 @@
     DoneTasks, JobStateRecord, OpenJob, PlacedTask, RecordedState, TaskChunk, TaskRange,
     WaitingTask,
 };
-use crate::sched::ResourceRequest;
+use crate::sched::PlacementRequirements;
 use crate::{Config, Micros};
 use dillcleat_wire::user::{JobKind, JobSpec, Priority};
 use std::collections::BTreeSet;
@@ -98,7 +98,7 @@
     /// When the job began to wait: it has had placeable tasks since then. Monotonic time;
     /// unset when the leader changes.
     pub waiting_since: Option<Micros>,
-    pub resource_request: Rc<ResourceRequest>,
+    pub placement_requirements: Rc<PlacementRequirements>,
     /// Whether the size was derived from training tasks. Services don't need training.
     pub trained: bool,
     /// The failures of the job, used to attribute them to the job or to machines.
@@ -149,7 +149,7 @@
             ageing_credit: 0.0,
             ageing_since: None,
             waiting_since: None,
-            resource_request: Rc::new(ResourceRequest::of(&open.spec)),
+            placement_requirements: Rc::new(PlacementRequirements::of(&open.spec)),
             trained: open.spec.kind == JobKind::Service,
             failures: FailureRecord::default(),
             blocked_until: 0,
--- a/crates/controller/src/leader/scheduling/views.rs
+++ b/crates/controller/src/leader/scheduling/views.rs
@@ -48,7 +48,7 @@
             tasks_by_zone: self.tasks_by_zone(job, &BTreeSet::new()),
             training_tasks: job.training_tasks_left(ctx.config),
             at_risk_tasks: 0,
-            starving: job.resource_request.starving(),
+            starving: job.placement_requirements.starving(),
         })
     }
 
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -265,15 +265,15 @@
             })
     }
 
-    /// Whether any machine has capacity for a task of any job with an equal request.
+    /// Whether any machine has capacity for a task of any job with equal requirements.
     pub fn any_machine_fits(&self, job: &JobView, policy: PlacementPolicy) -> bool {
         let need = job.resources();
         let min_cpus = to_millionths(need.cpus);
         let fits = |machine: MachineIndex| {
             self.view(machine).is_some_and(|view| {
-                // Machines on which only this job failed are open to jobs with an equal request.
+                // Machines on which only this job failed are open to jobs with equal requirements.
                 view.free.covers(&need)
-                    && job.request_allows(view)
+                    && job.requirements_allow(view)
                     && self.policy_allows(policy, job, view, view.cordoned)
             })
         };
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -15,14 +15,14 @@
 //! ([`crate::job_queue::QueueRank`] defines the full order).
 //!
 //! Jobs whose team is at its quota are skipped. When no machine has capacity for a job, all jobs
-//! with an equal [`ResourceRequest`] are skipped as well.
+//! with equal [`PlacementRequirements`] are skipped as well.
 
 use crate::candidates::CandidateCursor;
 use crate::capacity_index::CapacityIndex;
 use crate::job_queue::{JobQueue, QueueCursor, QueueSection, QueuedJob};
 use crate::placement_policy::PlacementPolicy;
 use crate::resources::{ROUNDING_TOLERANCE, to_millionths};
-use crate::views::{JobIndex, JobView, MachineIndex, ResourceRequest, TeamAllowance};
+use crate::views::{JobIndex, JobView, MachineIndex, PlacementRequirements, TeamAllowance};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -228,8 +228,8 @@
     limits: CycleLimits,
     /// Views of the jobs examined, including the changes made by the cycle.
     job_views: BTreeMap<JobIndex, JobView<'a>>,
-    /// Requests for which no machine has capacity left.
-    exhausted_requests: BTreeSet<Rc<ResourceRequest>>,
+    /// Requirements for which no machine has capacity left.
+    exhausted_requirements: BTreeSet<Rc<PlacementRequirements>>,
     assignments: Vec<Assignment>,
 }
 
@@ -246,7 +246,7 @@
 
     /// Places tasks of one queued job.
     fn place_job(&mut self, queued: &QueuedJob<'_>, selection: TaskSelection) -> SubQueueDecision {
-        if self.exhausted_requests.contains(queued.request) {
+        if self.exhausted_requirements.contains(queued.requirements) {
             return SubQueueDecision::SkipRest;
         }
         let job = match self.job_views.entry(queued.index) {
@@ -279,9 +279,10 @@
         }
         let tasks_left =
             placed_tasks < max_tasks && job.waiting_tasks > 0 && job.team_allows(self.teams);
-        let policy = PlacementPolicy::for_request(queued.request, headroom_cpus);
+        let policy = PlacementPolicy::for_requirements(queued.requirements, headroom_cpus);
         if tasks_left && !self.capacity.any_machine_fits(job, policy) {
-            self.exhausted_requests.insert(queued.request.clone());
+            self.exhausted_requirements
+                .insert(queued.requirements.clone());
             return SubQueueDecision::SkipRest;
         }
         SubQueueDecision::Advance
@@ -315,7 +316,7 @@
         teams,
         limits,
         job_views: BTreeMap::new(),
-        exhausted_requests: BTreeSet::new(),
+        exhausted_requirements: BTreeSet::new(),
         assignments: Vec::new(),
     };
     for (section, selection) in [
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -1,9 +1,9 @@
 //! The waiting jobs in queue order: the order in which they compete for capacity.
 //!
-//! Jobs are kept in sub-queues, one for each combination of team, [`ResourceRequest`] and
+//! Jobs are kept in sub-queues, one for each combination of team, [`PlacementRequirements`] and
 //! [`AgeingState`]. A [`QueueCursor`] merges the heads of the sub-queues. When a team is at its
-//! quota, or no machine has capacity for a request, the caller skips the rest of the sub-queue
-//! without examining its jobs.
+//! quota, or no machine has capacity for the requirements, the caller skips the rest of the
+//! sub-queue without examining its jobs.
 //!
 //! # Ageing
 //!
@@ -18,7 +18,7 @@
 //! ([`JobQueue::next_aged_to_zero`]).
 
 use crate::resources::OrderedFloat;
-use crate::views::{JobIndex, ResourceRequest};
+use crate::views::{JobIndex, PlacementRequirements};
 use dillcleat_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, btree_set};
@@ -63,7 +63,7 @@
     /// Index of its team in the list of allowances.
     pub team: usize,
     /// The properties that decide which machines its tasks may run on.
-    pub request: Rc<ResourceRequest>,
+    pub requirements: Rc<PlacementRequirements>,
     /// Whether and how its virtual size changes.
     pub ageing: AgeingState,
     /// Its rank in the urgent or the regular section.
@@ -85,7 +85,7 @@
     fn sub_queue(&self) -> SubQueueKey {
         SubQueueKey {
             team: self.team,
-            request: self.request.clone(),
+            requirements: self.requirements.clone(),
             ageing: self.ageing,
         }
     }
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct SubQueueKey {
     team: usize,
-    request: Rc<ResourceRequest>,
+    requirements: Rc<PlacementRequirements>,
     ageing: AgeingState,
 }
 
@@ -340,8 +340,8 @@
     pub index: JobIndex,
     /// Index of its sub-queue, to be passed to [`QueueCursor::advance`].
     pub sub_queue: usize,
-    /// The request, which all jobs of the sub-queue share.
-    pub request: &'q Rc<ResourceRequest>,
+    /// The requirements, which all jobs of the sub-queue share.
+    pub requirements: &'q Rc<PlacementRequirements>,
 }
 
 /// Iterates over the jobs of a section in order, by merging its sub-queues.
@@ -362,7 +362,7 @@
         Some(QueuedJob {
             index: head.job,
             sub_queue: head.sub_queue,
-            request: &self.sub_queues[head.sub_queue].key.request,
+            requirements: &self.sub_queues[head.sub_queue].key.requirements,
         })
     }
 
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -48,5 +48,6 @@
 pub use job_queue::{AgeingState, JobQueue, QueueEntry, QueueRank};
 pub use resources::{OrderedFloat, Resources, to_millionths};
 pub use views::{
-    Images, JobIndex, JobView, MachineIndex, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
+    Images, JobIndex, JobView, MachineIndex, MachineView, PlacementRequirements, SlabIndex,
+    TeamAllowance,
 };
--- a/crates/sched/src/placement_policy.rs
+++ b/crates/sched/src/placement_policy.rs
@@ -1,6 +1,6 @@
 //! Policies for the use of reserved capacity and of machines on which jobs failed.
 
-use crate::views::{JobView, MachineView, ResourceRequest};
+use crate::views::{JobView, MachineView, PlacementRequirements};
 
 /// The restrictions that apply to a job's tasks in addition to the job's own constraints.
 #[derive(Debug, Clone, Copy)]
@@ -18,9 +18,12 @@
 }
 
 impl PlacementPolicy {
-    /// The least restrictive policy that applies to jobs with this request.
-    pub fn for_request(request: &ResourceRequest, service_headroom_cpus: f64) -> PlacementPolicy {
-        if request.starving() {
+    /// The least restrictive policy that applies to jobs with these requirements.
+    pub fn for_requirements(
+        requirements: &PlacementRequirements,
+        service_headroom_cpus: f64,
+    ) -> PlacementPolicy {
+        if requirements.starving() {
             PlacementPolicy::LastResort
         } else {
             PlacementPolicy::Standard {
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -11,7 +11,7 @@
 use crate::cycle::place_tasks;
 use crate::placement_policy::PlacementPolicy;
 use crate::resources::{OrderedFloat, ROUNDING_TOLERANCE, Resources};
-use crate::views::{Images, JobView, MachineView, ResourceRequest, TeamAllowance};
+use crate::views::{Images, JobView, MachineView, PlacementRequirements, TeamAllowance};
 use dillcleat_wire::cloud::{MAX_MACHINES_PER_SCALE_OUT, MachineType};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -221,15 +221,15 @@
     }
 }
 
-/// The inputs to the choice of an offering that may differ between jobs with equal requests.
+/// The inputs to the choice of an offering that may differ between jobs with equal requirements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Demand {
     waiting_tasks: u32,
     at_risk_tasks: u32,
 }
 
-/// Planning results that hold for all jobs with an equal request.
-struct RequestState {
+/// Planning results that hold for all jobs with equal requirements.
+struct RequirementsState {
     /// The value of [`ScaleOutPlanner::machines_added`] at which the existing and planned
     /// machines had no capacity left for these jobs.
     exhausted_at: Option<usize>,
@@ -240,12 +240,12 @@
     unmet_demands: BTreeSet<Demand>,
 }
 
-impl RequestState {
-    fn new(need: &Resources, offerings: &[OfferingState]) -> RequestState {
+impl RequirementsState {
+    fn new(need: &Resources, offerings: &[OfferingState]) -> RequirementsState {
         let tasks = offerings
             .iter()
             .map(|offering| offering.machine.free.max_tasks(need));
-        RequestState {
+        RequirementsState {
             exhausted_at: None,
             max_tasks_per_machine: tasks.max().unwrap_or(0),
             unmet_demands: BTreeSet::new(),
@@ -270,7 +270,7 @@
     /// cloud's API is rate limited, so the most urgent requests have to be sent first.
     chosen_offerings: Vec<usize>,
     /// Number of planned machines added to the capacity index. Used to detect whether capacity
-    /// was added since the machines had none left for a request.
+    /// was added since none was left for given requirements.
     machines_added: usize,
     machines_by_zone: BTreeMap<Rc<str>, u32>,
     headroom_cpus_in_use: BTreeMap<Rc<str>, f64>,
@@ -278,10 +278,16 @@
 
 impl ScaleOutPlanner<'_> {
     /// Plans for one job: uses expected capacity first, then provisions machines.
-    fn plan_job(&mut self, job: &mut JobView, request: &ResourceRequest, state: &mut RequestState) {
+    fn plan_job(
+        &mut self,
+        job: &mut JobView,
+        requirements: &PlacementRequirements,
+        state: &mut RequirementsState,
+    ) {
         if state.exhausted_at != Some(self.machines_added) && job.team_allows(self.teams) {
             self.use_expected_capacity(job);
-            let policy = PlacementPolicy::for_request(request, self.inputs.service_headroom_cpus);
+            let policy =
+                PlacementPolicy::for_requirements(requirements, self.inputs.service_headroom_cpus);
             if job.waiting_tasks > 0 && !self.capacity.any_machine_fits(job, policy) {
                 state.exhausted_at = Some(self.machines_added);
             }
@@ -311,7 +317,7 @@
 
     /// The best offering for the next tasks of the job. Demands that no offering satisfies are
     /// cached.
-    fn choose_offering(&self, job: &JobView, state: &mut RequestState) -> Option<usize> {
+    fn choose_offering(&self, job: &JobView, state: &mut RequirementsState) -> Option<usize> {
         // The constraints of spread and single-zone jobs depend on where their other tasks run,
         // so the result cannot be reused for other jobs.
         let is_cacheable = !job.spec.spread && !job.spec.single_zone;
@@ -471,11 +477,11 @@
 /// Plans which machines to provision for tasks that do not fit on existing ones, the most urgent
 /// first and at most [`MAX_MACHINES_PER_SCALE_OUT`] of each offering (see the [module](self)).
 ///
-/// `jobs` must be in queue order, each with its request. `capacity` must
+/// `jobs` must be in queue order, each with its requirements. `capacity` must
 /// contain the machines with the resources that will be free by the time a new machine could
 /// have booted. The planner assigns tasks in it and adds the planned machines to it.
 pub fn plan_scale_out<'a>(
-    jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<ResourceRequest>)>,
+    jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<PlacementRequirements>)>,
     capacity: &mut CapacityIndex,
     teams: &mut [TeamAllowance],
     inputs: &PlanInputs,
@@ -490,12 +496,13 @@
         machines_by_zone: inputs.machines_by_zone.clone(),
         headroom_cpus_in_use: inputs.headroom_cpus_in_use.clone(),
     };
-    let mut request_states: BTreeMap<&Rc<ResourceRequest>, RequestState> = BTreeMap::new();
-    for (mut job, request) in jobs {
-        let state = request_states
-            .entry(request)
-            .or_insert_with(|| RequestState::new(&job.resources(), &planner.offerings));
-        planner.plan_job(&mut job, request, state);
+    let mut requirements_states: BTreeMap<&Rc<PlacementRequirements>, RequirementsState> =
+        BTreeMap::new();
+    for (mut job, requirements) in jobs {
+        let state = requirements_states
+            .entry(requirements)
+            .or_insert_with(|| RequirementsState::new(&job.resources(), &planner.offerings));
+        planner.plan_job(&mut job, requirements, state);
     }
     planner.plan_proactive_headroom();
     planner.into_planned_scale_outs()
--- a/crates/sched/src/views.rs
+++ b/crates/sched/src/views.rs
@@ -64,12 +64,13 @@
     pub gpus_left: f64,
 }
 
-/// The properties of a job that decide which machines its tasks may run on.
+/// The properties of a job that decide which machines its tasks may run on: resources,
+/// constraints, and whether it is a service or starving.
 ///
-/// If no machine has capacity for a job, none has capacity for any job with an equal request,
+/// If no machine has capacity for a job, none has capacity for any job with equal requirements,
 /// so that a cycle skips all of these jobs at once.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ResourceRequest {
+pub struct PlacementRequirements {
     cpus_millionths: i64,
     gpus_millionths: i64,
     memory_gb_millionths: i64,
@@ -80,10 +81,10 @@
     starving: bool,
 }
 
-impl ResourceRequest {
-    /// The request of a job that is not starving (see [`JobView::starving`]).
-    pub fn of(spec: &JobSpec) -> ResourceRequest {
-        ResourceRequest {
+impl PlacementRequirements {
+    /// The requirements of a job that is not starving (see [`JobView::starving`]).
+    pub fn of(spec: &JobSpec) -> PlacementRequirements {
+        PlacementRequirements {
             cpus_millionths: to_millionths(spec.cpus),
             gpus_millionths: to_millionths(spec.gpus),
             memory_gb_millionths: to_millionths(spec.memory_gb),
@@ -95,16 +96,16 @@
         }
     }
 
-    /// A copy of the request with the given starvation flag.
+    /// A copy of the requirements with the given starvation flag.
     #[must_use]
-    pub fn with_starving(&self, starving: bool) -> ResourceRequest {
-        ResourceRequest {
+    pub fn with_starving(&self, starving: bool) -> PlacementRequirements {
+        PlacementRequirements {
             starving,
             ..self.clone()
         }
     }
 
-    /// Whether the request belongs to a starving job.
+    /// Whether the requirements belong to a starving job.
     pub fn starving(&self) -> bool {
         self.starving
     }
@@ -175,8 +176,8 @@
     }
 
     /// Whether the machine's type, zone and kind (spot or on-demand) satisfy the job's
-    /// [`ResourceRequest`].
-    pub fn request_allows(&self, machine: &MachineView) -> bool {
+    /// [`PlacementRequirements`].
+    pub fn requirements_allow(&self, machine: &MachineView) -> bool {
         let type_allowed = || {
             let types = self.spec.types.as_ref();
             types.is_none_or(|types| types.iter().any(|name| **name == *machine.machine_type))
@@ -188,9 +189,9 @@
         (!machine.spot || self.spec.spot) && type_allowed() && zone_allowed()
     }
 
-    /// Whether the request and the job's zone constraints allow one more task on the machine.
+    /// Whether the requirements and the job's zone constraints allow one more task on the machine.
     pub fn constraints_allow(&self, machine: &MachineView) -> bool {
-        self.request_allows(machine) && self.allows_zone(&machine.zone)
+        self.requirements_allow(machine) && self.allows_zone(&machine.zone)
     }
 
     /// Whether the machine is excluded because this job failed on it or because it is cordoned.
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use dillcleat_sched::{
     AgeingState, CapacityIndex, Images, JobIndex, JobQueue, JobView, MachineIndex, MachineView,
-    OrderedFloat, QueueEntry, QueueRank, ResourceRequest, Resources, TeamAllowance,
+    OrderedFloat, PlacementRequirements, QueueEntry, QueueRank, Resources, TeamAllowance,
 };
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::cmp::Reverse;
@@ -80,7 +80,9 @@
         };
         QueueEntry {
             team: self.team,
-            request: Rc::new(ResourceRequest::of(&self.spec).with_starving(self.starving)),
+            requirements: Rc::new(
+                PlacementRequirements::of(&self.spec).with_starving(self.starving),
+            ),
             ageing,
             rank: rank(true, size, remaining),
             training: (self.training > 0).then(|| rank(false, self.initial_size, 0.0)),
--- a/crates/sched/tests/scale_out_plan.rs
+++ b/crates/sched/tests/scale_out_plan.rs
@@ -6,7 +6,7 @@
 use dillcleat_sched::scale_out_plan::{
     MachineOffering, PlanInputs, PlannedScaleOut, UnavailableOfferings, plan_scale_out,
 };
-use dillcleat_sched::{CapacityIndex, MachineView, ResourceRequest, TeamAllowance};
+use dillcleat_sched::{CapacityIndex, MachineView, PlacementRequirements, TeamAllowance};
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,11 +79,11 @@
     for machine in booting {
         capacity.add(machine.clone());
     }
-    let requests: Vec<_> = jobs
+    let requirements: Vec<_> = jobs
         .iter()
-        .map(|job| Rc::new(ResourceRequest::of(&job.spec)))
+        .map(|job| Rc::new(PlacementRequirements::of(&job.spec)))
         .collect();
-    let jobs = jobs.iter().map(Job::view).zip(&requests);
+    let jobs = jobs.iter().map(Job::view).zip(&requirements);
     plan_scale_out(jobs, &mut capacity, &mut teams, &inputs)
 }
 
--- a/crates/sched/tests/starvation.rs
+++ b/crates/sched/tests/starvation.rs
@@ -7,7 +7,7 @@
     MachineOffering, PlanInputs, PlannedScaleOut, UnavailableOfferings, plan_scale_out,
 };
 use dillcleat_sched::{
-    Assignment, CapacityIndex, CycleLimits, JobIndex, MachineView, ResourceRequest, run_cycle,
+    Assignment, CapacityIndex, CycleLimits, JobIndex, MachineView, PlacementRequirements, run_cycle,
 };
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::user::{JobKind, JobSpec};
@@ -164,9 +164,10 @@
     };
     let mut capacity = CapacityIndex::without_images();
     capacity.add(machine("a", free_cpus, false));
-    let request = |job: &Job| Rc::new(ResourceRequest::of(&job.spec).with_starving(job.starving));
-    let requests: Vec<_> = jobs.iter().map(request).collect();
-    let jobs = jobs.iter().map(Job::view).zip(&requests);
+    let requirements =
+        |job: &Job| Rc::new(PlacementRequirements::of(&job.spec).with_starving(job.starving));
+    let requirements: Vec<_> = jobs.iter().map(requirements).collect();
+    let jobs = jobs.iter().map(Job::view).zip(&requirements);
     plan_scale_out(jobs, &mut capacity, &mut one_team(99.0), &inputs)
 }
 
