--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -101,7 +101,7 @@
             peers: platform.peers.iter().map(|p| p.member.clone()).collect(),
             peers_in_other_zones: peers_in_other_zones(platform),
             teams: cluster.teams.clone(),
-            heartbeat_interval: micros(cluster.workers.report_s),
+            heartbeat_interval: micros(cluster.workers.heartbeat_interval_s),
             worker_lease: micros(cluster.workers.lease_s),
             cancel_deadline: micros(cluster.workers.cancel_s),
             clock_error: micros(cluster.clock_error_ms / 1e3),
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -11,7 +11,7 @@
 use crate::write_queue::PendingWrite;
 use crate::{Micros, SECOND, micros};
 use dillcleat_wire::cloud::{
-    CloudResponse, InstanceState, ListedMachine, MachineList, MachineType, ScaleOut,
+    CloudResponse, ListedMachine, MachineList, MachineState, MachineType, ScaleOut,
 };
 use std::fmt;
 use std::rc::Rc;
@@ -38,7 +38,9 @@
         match self.0 {
             Err(CallError::NotSent) => f.write_str("not-sent"),
             Err(CallError::NoAnswer) => f.write_str("no-answer"),
-            Ok(CloudResponse::Refused { status }) => write!(f, "refused status={status}"),
+            Ok(CloudResponse::RateLimitedOrUnavailable { status }) => {
+                write!(f, "refused status={status}")
+            }
             Ok(CloudResponse::NoCapacity) => f.write_str("no-capacity"),
             Ok(CloudResponse::Malformed) => f.write_str("malformed"),
             Ok(_) => f.write_str("unexpected-response"),
@@ -186,7 +188,7 @@
             if self.autoscaler.is_removed(&listed.name) {
                 continue;
             }
-            if listed.state == InstanceState::Failed {
+            if listed.state == MachineState::Failed {
                 self.remove_machine(ctx, &listed.name, MachineEnd::ListedAsFailed);
                 let name = Rc::from(listed.name);
                 let cloud_queue = &mut self.autoscaler.cloud_queue;
@@ -204,7 +206,7 @@
     }
 
     fn apply_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
-        let is_booting = listed.state == InstanceState::Booting;
+        let is_booting = listed.state == MachineState::Booting;
         if !self.machines.contains_key(&listed.name) {
             log::info!("cloud lists an unknown machine machine={}", listed.name);
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
@@ -226,7 +228,7 @@
         }
         if machine.addr.is_none()
             && let Some(addr) = listed.addr.filter(|addr| !addr.is_empty())
-            && listed.state == InstanceState::Running
+            && listed.state == MachineState::Running
         {
             machine.addr = Some(addr);
             machine.command_state.request();
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -166,8 +166,8 @@
     }
 
     /// Counters of the scheduling cycles and scale-out plans of this term.
-    pub fn counts(&self) -> SchedulerCounters {
-        self.scheduling.counts()
+    pub fn counters(&self) -> SchedulerCounters {
+        self.scheduling.counters()
     }
 
     /// Takes the events that have accumulated since the last call.
@@ -185,7 +185,7 @@
 
     /// Handles the reply to a store request that was sent at `sent`. Replies of workers and
     /// of the cloud are handled by [`Self::commands_reply`] and [`Self::cloud_reply`].
-    pub fn reply(
+    pub fn handle_store_reply(
         &mut self,
         ctx: &mut Context,
         step: LeaderStep,
--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -25,7 +25,7 @@
     /// When a cycle was requested; `Micros::MAX` if none is.
     cycle_requested_at: Micros,
     last_cycle_at: Micros,
-    counts: SchedulerCounters,
+    counters: SchedulerCounters,
 }
 
 impl SchedulingState {
@@ -36,7 +36,7 @@
             service_ready: false,
             cycle_requested_at: now,
             last_cycle_at: now,
-            counts: SchedulerCounters::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
@@ -46,8 +46,8 @@
     }
 
     /// Counters of the cycles and scale-out plans.
-    pub fn counts(&self) -> SchedulerCounters {
-        self.counts
+    pub fn counters(&self) -> SchedulerCounters {
+        self.counters
     }
 
     /// Requests a cycle after a change that may allow tasks to be placed.
@@ -73,8 +73,8 @@
 
     /// Counts the machines and jobs that a scale-out plan has examined.
     pub fn record_plan(&mut self, machines: u64, jobs: u64) {
-        self.counts.machines += machines;
-        self.counts.planned += jobs;
+        self.counters.plan_machines_examined += machines;
+        self.counters.plan_jobs_examined += jobs;
     }
 
     /// Whether a cycle is requested and the last one is at least `min_gap` ago.
@@ -217,8 +217,8 @@
             limits,
         );
         self.derived.capacity = capacity;
-        self.scheduling.counts.passes += 1;
-        self.scheduling.counts.jobs += result.jobs_examined as u64;
+        self.scheduling.counters.cycles += 1;
+        self.scheduling.counters.cycle_jobs_examined += result.jobs_examined as u64;
         for assignment in result.assignments {
             self.apply_assignment(&assignment);
         }
@@ -260,7 +260,7 @@
         }
         // A job that gets resources is not starving.
         job.waiting_since = None;
-        self.scheduling.counts.placed += placed.len() as u64;
+        self.scheduling.counters.placed += placed.len() as u64;
         for key in placed {
             self.enqueue_task_record(&key);
         }
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -15,7 +15,7 @@
 use crate::{Config, Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::store::{self, KeyValue, Value};
-use dillcleat_wire::user::ResourceClaim;
+use dillcleat_wire::user::QuotaUsage;
 use dillcleat_wire::worker::Command;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -129,7 +129,7 @@
     /// Adds a job whose description can't be decoded. It is not scheduled.
     pub(super) fn add_undecodable_job(&mut self, ctx: &Context, id: &str, value: &Value) {
         let task_usage = store::decode_value::<OpenClaim>(value).and_then(|open| {
-            let ResourceClaim { team, cpus, gpus } = open.spec;
+            let QuotaUsage { team, cpus, gpus } = open.spec;
             Some(TaskUsage {
                 team: ctx.config.team(&team)?,
                 cpu_millionths: to_millionths(cpus),
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -157,7 +157,7 @@
     pub fn scheduler_counters(&self) -> SchedulerCounters {
         self.leader
             .as_ref()
-            .map_or(SchedulerCounters::default(), Leader::counts)
+            .map_or(SchedulerCounters::default(), Leader::counters)
     }
 
     /// Compares each index that a leader maintains incrementally with the same index
@@ -326,7 +326,7 @@
             }
             Continuation::Leader { term, step } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
-                    leader.reply(&mut ctx, step, sent_at, reply);
+                    leader.handle_store_reply(&mut ctx, step, sent_at, reply);
                     leader.send_pending(&mut ctx);
                 }
                 None
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -23,7 +23,7 @@
 
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::LeaseId;
-use dillcleat_wire::user::{JobSpec, JobState, ResourceClaim};
+use dillcleat_wire::user::{JobSpec, JobState, QuotaUsage};
 use serde::{Deserialize, Serialize, Serializer};
 
 /// Prefix of the keys that all controllers watch for the election.
@@ -216,7 +216,7 @@
 pub struct OpenClaim {
     /// The team, and the resources of each task that count against its quota.
     #[serde(rename = "spec")]
-    pub spec: ResourceClaim,
+    pub spec: QuotaUsage,
 }
 
 /// The cancellation record of a job.
--- a/crates/controller/src/scheduler_counters.rs
+++ b/crates/controller/src/scheduler_counters.rs
@@ -4,13 +4,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SchedulerCounters {
     /// The number of scheduling cycles.
-    pub passes: u64,
+    pub cycles: u64,
     /// The number of jobs that scheduling cycles examined.
-    pub jobs: u64,
+    pub cycle_jobs_examined: u64,
     /// The number of jobs that scale-out plans examined.
-    pub planned: u64,
+    pub plan_jobs_examined: u64,
     /// The number of machines that scale-out plans examined.
-    pub machines: u64,
+    pub plan_machines_examined: u64,
     /// The number of tasks that scheduling cycles placed.
     pub placed: u64,
 }
--- a/crates/controller/tests/common/fleet.rs
+++ b/crates/controller/tests/common/fleet.rs
@@ -7,7 +7,7 @@
     Timestamp,
 };
 use dillcleat_wire::cloud::{
-    CloudRequest, CloudResponse, InstanceState, ListedMachine, MachineList,
+    CloudRequest, CloudResponse, ListedMachine, MachineList, MachineState,
 };
 use dillcleat_wire::cloud::{MachineType, ScaleOut};
 use dillcleat_wire::store::{
@@ -671,7 +671,7 @@
 
     fn cloud_call(&mut self, id: CallId, call: CloudRequest) -> Option<Input> {
         if self.outage || self.cloud_outage {
-            let reply = Ok(CloudResponse::Refused { status: 503 });
+            let reply = Ok(CloudResponse::RateLimitedOrUnavailable { status: 503 });
             return Some(Input::Cloud { id, reply });
         }
         let mut lag = 0;
@@ -736,8 +736,8 @@
                 zone: w.zone.clone(),
                 spot: w.spot,
                 state: match w.up_at <= as_of {
-                    true => InstanceState::Running,
-                    false => InstanceState::Booting,
+                    true => MachineState::Running,
+                    false => MachineState::Booting,
                 },
                 age_s: (as_of - w.rented_at) as f64 / SECOND as f64,
             })
--- a/crates/controller/tests/golden_records.rs
+++ b/crates/controller/tests/golden_records.rs
@@ -10,7 +10,7 @@
 };
 use dillcleat_wire::cloud::MachineType;
 use dillcleat_wire::store::{LeaseId, Value, decode_value, encode_value};
-use dillcleat_wire::user::{JobKind, JobSpec, JobState, Priority, ResourceClaim};
+use dillcleat_wire::user::{JobKind, JobSpec, JobState, Priority, QuotaUsage};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -261,7 +261,7 @@
 #[test]
 fn open_claim_is_read_from_an_open_jobs_record() {
     let claim = OpenClaim {
-        spec: ResourceClaim {
+        spec: QuotaUsage {
             team: "books".into(),
             cpus: 4.0,
             gpus: 1.0,
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -216,7 +216,7 @@
         harness.advance(2 * SECOND, 8 * SECOND);
         assert_eq!(harness.placed_count(JOB), 0, "case {case}");
         assert_eq!(
-            harness.node.scheduler_counters().passes,
+            harness.node.scheduler_counters().cycles,
             0,
             "no job is in the queue"
         );
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{
-    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_PAGE_ROWS, MachineList,
+    CloudRequest, CloudResponse, ListedMachine, MAX_MACHINES_PER_PAGE, MachineList, MachineState,
     MachineType,
 };
 use std::collections::{BTreeMap, VecDeque};
@@ -74,8 +74,8 @@
                 zone: h.zone.clone(),
                 spot: h.spot,
                 state: match h.up_at {
-                    Some(at) if at <= now => InstanceState::Running,
-                    _ => InstanceState::Booting,
+                    Some(at) if at <= now => MachineState::Running,
+                    _ => MachineState::Booting,
                 },
                 age_s: 0.0,
             })
@@ -95,7 +95,11 @@
         boot: impl Fn(&str) -> Option<Micros>,
     ) -> (CloudResponse, Vec<String>, Vec<String>) {
         if now < self.out_until {
-            return (CloudResponse::Refused { status: 503 }, vec![], vec![]);
+            return (
+                CloudResponse::RateLimitedOrUnavailable { status: 503 },
+                vec![],
+                vec![],
+            );
         }
         match call {
             CloudRequest::Types => (CloudResponse::Types(self.types.clone()), vec![], vec![]),
@@ -140,8 +144,12 @@
                     .map_or(0, |a| known.partition_point(|m| m.name <= *a));
                 let rest = &known[from..];
                 let list = MachineList {
-                    machines: rest.iter().take(MAX_PAGE_ROWS as usize).cloned().collect(),
-                    more: rest.len() > MAX_PAGE_ROWS as usize,
+                    machines: rest
+                        .iter()
+                        .take(MAX_MACHINES_PER_PAGE as usize)
+                        .cloned()
+                        .collect(),
+                    more: rest.len() > MAX_MACHINES_PER_PAGE as usize,
                 };
                 (CloudResponse::Listed(list), vec![], vec![])
             }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -221,7 +221,7 @@
                 let error = "no capacity".to_string();
                 (503, encode(&dillcleat_wire::user::ErrorReply { error }))
             }
-            CloudResponse::Refused { status } => (status, Vec::new()),
+            CloudResponse::RateLimitedOrUnavailable { status } => (status, Vec::new()),
             CloudResponse::Malformed => (400, Vec::new()),
         }
     }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -172,7 +172,7 @@
                 changed = true;
                 let play = jobs.get(&task.job);
                 match r.state {
-                    TaskState::Fetching => {
+                    TaskState::Downloading => {
                         happenings.push(WorkerEvent::Starts(task.clone()));
                         r.state = TaskState::Running;
                         let fails = faulty || play.is_some_and(|p| p.fails);
@@ -351,7 +351,7 @@
                 gpus: 0.0,
             },
             None => Running {
-                state: TaskState::Fetching,
+                state: TaskState::Downloading,
                 why: None,
                 until: Some(now + SECOND / 2),
                 cpus,
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -27,7 +27,7 @@
     let jobs_of_a_pass = |waiting| {
         let m = play(setting(100, waiting));
         assert!(m.starts > 50, "{} starts", m.starts);
-        m.counts.jobs as f64 / m.counts.passes as f64
+        m.counts.cycle_jobs_examined as f64 / m.counts.cycles as f64
     };
     let (few, many) = (jobs_of_a_pass(1_000), jobs_of_a_pass(30_000));
     assert!(many < few * 2.0 + 5.0, "{few} jobs a pass, then {many}");
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -9,7 +9,7 @@
 /// Maximum number of machines in one deletion.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Maximum number of machines in one page of the machine list.
-pub const MAX_PAGE_ROWS: u32 = 500;
+pub const MAX_MACHINES_PER_PAGE: u32 = 500;
 /// The cloud's error text for a scale-out for which it has no capacity.
 const NO_CAPACITY: &str = "no capacity";
 
@@ -86,7 +86,7 @@
 
 /// The state of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum InstanceState {
+pub enum MachineState {
     /// The machine has not booted yet.
     #[serde(rename = "starting")]
     Booting,
@@ -121,7 +121,7 @@
     pub spot: bool,
     /// Its state.
     #[serde(rename = "condition")]
-    pub state: InstanceState,
+    pub state: MachineState,
     /// Time since the scale-out that created it, in seconds.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
@@ -169,7 +169,7 @@
     Listed(MachineList),
     /// The request was not carried out because of a rate limit or because the cloud's API is
     /// unavailable.
-    Refused {
+    RateLimitedOrUnavailable {
         /// The HTTP status.
         status: u16,
     },
@@ -193,7 +193,7 @@
                 let from = after
                     .as_ref()
                     .map_or(String::new(), |name| format!("from={name}&"));
-                HttpRequest::get(format!("/hosts?{from}most={MAX_PAGE_ROWS}"))
+                HttpRequest::get(format!("/hosts?{from}most={MAX_MACHINES_PER_PAGE}"))
             }
         }
     }
@@ -218,7 +218,7 @@
                 Ok(CloudResponse::NoCapacity)
             }
             (400 | 404, _) => Ok(CloudResponse::Malformed),
-            (429 | 503, _) => Ok(CloudResponse::Refused { status }),
+            (429 | 503, _) => Ok(CloudResponse::RateLimitedOrUnavailable { status }),
             _ => Err(BodyError::UnexpectedStatus(status)),
         }
     }
--- a/crates/wire/src/settings/mod.rs
+++ b/crates/wire/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The TOML settings file that the platform provides to each controller.
+//! The TOML settings file of a controller.
 
 mod error;
 mod validation;
@@ -87,7 +87,7 @@
     pub cloud: CloudLimits,
     /// Limits on the resources that a controller may use.
     #[serde(rename = "quota")]
-    pub quota: Quota,
+    pub quota: ControllerLimits,
 }
 
 /// A team and its quota. A maximum of 0 means that there is no limit.
@@ -144,7 +144,7 @@
 pub struct WorkerTimings {
     /// The interval between a worker's heartbeats, in seconds.
     #[serde(rename = "report_s")]
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// The duration of a worker's lease, in seconds. A worker that receives no response for this
     /// time ends its tasks.
     #[serde(rename = "lease_s")]
@@ -202,9 +202,11 @@
     pub list_lag_s: f64,
 }
 
-/// Limits on the resources that a controller may use.
+/// Limits on the resources that a controller process may use.
+// `expecting` keeps the text of type errors, which are printed at startup.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Quota {
+#[serde(expecting = "struct Quota")]
+pub struct ControllerLimits {
     /// Maximum CPU usage, as a fraction of one CPU.
     #[serde(rename = "cpu_share")]
     pub cpu_share: f64,
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -58,7 +58,12 @@
             ..
         } = self;
         for (key, value, min, max) in [
-            ("cluster.workers.report_s", workers.report_s, 0.01, HOUR_S),
+            (
+                "cluster.workers.report_s",
+                workers.heartbeat_interval_s,
+                0.01,
+                HOUR_S,
+            ),
             ("cluster.workers.lease_s", workers.lease_s, 0.1, DAY_S),
             ("cluster.workers.cancel_s", workers.cancel_s, 0.1, DAY_S),
             ("cluster.clock_error_ms", self.clock_error_ms, 0.0, HOUR_MS),
--- a/crates/wire/src/store/mod.rs
+++ b/crates/wire/src/store/mod.rs
@@ -9,7 +9,7 @@
 mod watch;
 
 pub use lease::LeaseId;
-pub use request::{MAX_PAGE_ROWS, StoreRequest};
+pub use request::{MAX_KEYS_PER_PAGE, StoreRequest};
 pub use response::{RangePage, StoreResponse};
 pub use rmpv::Value;
 pub use transaction::{MAX_TRANSACTION_BYTES, Mutation, Precondition, Transaction};
--- a/crates/wire/src/store/request.rs
+++ b/crates/wire/src/store/request.rs
@@ -5,8 +5,8 @@
 use crate::{HttpRequest, encode};
 use serde::Serialize;
 
-/// Maximum number of rows in one page of a list.
-pub const MAX_PAGE_ROWS: u32 = 1000;
+/// Maximum number of keys in one page of a list.
+pub const MAX_KEYS_PER_PAGE: u32 = 1000;
 
 /// A request to the store.
 #[derive(Debug, Clone, PartialEq)]
@@ -67,7 +67,7 @@
                 let from = after
                     .as_ref()
                     .map_or(String::new(), |key| format!("&from={key}"));
-                HttpRequest::get(format!("/kv?under={prefix}{from}&most={MAX_PAGE_ROWS}"))
+                HttpRequest::get(format!("/kv?under={prefix}{from}&most={MAX_KEYS_PER_PAGE}"))
             }
             StoreRequest::Transaction(transaction) => {
                 HttpRequest::post("/txn", encode(transaction))
--- a/crates/wire/src/user/job.rs
+++ b/crates/wire/src/user/job.rs
@@ -22,18 +22,18 @@
     /// The priority of ordinary jobs.
     #[serde(rename = "normal")]
     Normal,
-    /// Takes precedence over [`Priority::Normal`].
+    /// A priority above normal.
     #[serde(rename = "high")]
     High,
-    /// Takes precedence over all other priorities.
+    /// The highest priority.
     #[serde(rename = "production")]
     Production,
 }
 
-/// The part of its team's quota that each task of a job uses. It can be decoded from an encoded
-/// [`JobSpec`].
+/// The team of a job, and the resources of each task that count against the team's quota. It can
+/// be decoded from an encoded [`JobSpec`].
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct ResourceClaim {
+pub struct QuotaUsage {
     /// The team whose quota is used.
     #[serde(rename = "desk")]
     pub team: String,
--- a/crates/wire/src/user/mod.rs
+++ b/crates/wire/src/user/mod.rs
@@ -5,7 +5,7 @@
 mod status;
 mod submission;
 
-pub use job::{JobKind, JobSpec, Priority, ResourceClaim};
+pub use job::{JobKind, JobSpec, Priority, QuotaUsage};
 pub use route::{HEALTH_PATH, JOBS_PATH, Route, cancel_path, poll_path, route};
 pub use status::{ErrorReply, JobState, JobStatus};
 pub use submission::{MAX_TASKS, SpecError, SpecField, Submission, is_job_id, parse_submission};
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -232,64 +232,64 @@
 impl RawSpec {
     /// Returns the job, or the first error in the order of these checks.
     fn validate(self) -> Result<JobSpec, SpecError> {
-        let id = required(self.id, SpecField::Id)?;
+        let id = require(self.id, SpecField::Id)?;
         if !is_job_id(&id) {
             return Err(SpecError::InvalidId);
         }
-        let kind = required(self.kind, SpecField::Kind)?;
+        let kind = require(self.kind, SpecField::Kind)?;
         let kind: JobKind = from_wire_name(&kind).ok_or(SpecError::UnknownKind)?;
-        let priority = required(self.priority, SpecField::Priority)?;
+        let priority = require(self.priority, SpecField::Priority)?;
         let priority: Priority = from_wire_name(&priority).ok_or(SpecError::UnknownPriority)?;
-        let tasks = task_count(required(self.tasks, SpecField::Tasks)?)?;
+        let tasks = parse_task_count(require(self.tasks, SpecField::Tasks)?)?;
         validate_machine_types(self.types.as_deref())?;
         validate_zone(self.zone.as_deref())?;
-        let cpus = amount(self.cpus, SpecField::Cpus)?;
-        let gpus = amount(self.gpus, SpecField::Gpus)?;
-        let memory_gb = amount(self.memory_gb, SpecField::Memory)?;
+        let cpus = parse_amount(self.cpus, SpecField::Cpus)?;
+        let gpus = parse_amount(self.gpus, SpecField::Gpus)?;
+        let memory_gb = parse_amount(self.memory_gb, SpecField::Memory)?;
         let deadline_s = match self.deadline_s {
             None => None,
-            Some(_) => Some(amount(self.deadline_s, SpecField::Deadline)?),
+            Some(_) => Some(parse_amount(self.deadline_s, SpecField::Deadline)?),
         };
         Ok(JobSpec {
             id,
-            class: text(self.class, SpecField::Class)?,
-            team: text(self.team, SpecField::Team)?,
+            class: parse_text(self.class, SpecField::Class)?,
+            team: parse_text(self.team, SpecField::Team)?,
             kind,
             priority,
             tasks,
             cpus,
             gpus,
             memory_gb,
-            image: text(self.image, SpecField::Image)?,
-            image_gb: amount(self.image_gb, SpecField::ImageSize)?,
+            image: parse_text(self.image, SpecField::Image)?,
+            image_gb: parse_amount(self.image_gb, SpecField::ImageSize)?,
             types: self.types,
             zone: self.zone,
-            single_zone: required(self.single_zone, SpecField::SingleZone)?,
-            spread: required(self.spread, SpecField::Spread)?,
-            spot: required(self.spot, SpecField::Spot)?,
-            estimate_s: amount(self.estimate_s, SpecField::Estimate)?,
-            checkpoint_s: amount(self.checkpoint_s, SpecField::Checkpoint)?,
-            save_s: amount(self.save_s, SpecField::Save)?,
+            single_zone: require(self.single_zone, SpecField::SingleZone)?,
+            spread: require(self.spread, SpecField::Spread)?,
+            spot: require(self.spot, SpecField::Spot)?,
+            estimate_s: parse_amount(self.estimate_s, SpecField::Estimate)?,
+            checkpoint_s: parse_amount(self.checkpoint_s, SpecField::Checkpoint)?,
+            save_s: parse_amount(self.save_s, SpecField::Save)?,
             deadline_s,
-            depends_on: dependencies(self.depends_on)?,
+            depends_on: parse_dependencies(self.depends_on)?,
         })
     }
 }
 
-fn required<T>(value: Option<T>, field: SpecField) -> Result<T, SpecError> {
+fn require<T>(value: Option<T>, field: SpecField) -> Result<T, SpecError> {
     value.ok_or(SpecError::Missing(field))
 }
 
-fn text(value: Option<String>, field: SpecField) -> Result<String, SpecError> {
-    let text = required(value, field)?;
+fn parse_text(value: Option<String>, field: SpecField) -> Result<String, SpecError> {
+    let text = require(value, field)?;
     if text.is_empty() || text.len() > MAX_TEXT_BYTES {
         return Err(SpecError::EmptyOrTooLong(field));
     }
     Ok(text)
 }
 
-fn amount(value: Option<f64>, field: SpecField) -> Result<f64, SpecError> {
-    let amount = required(value, field)?;
+fn parse_amount(value: Option<f64>, field: SpecField) -> Result<f64, SpecError> {
+    let amount = require(value, field)?;
     // NaN is in no range.
     if !(0.0..=MAX_AMOUNT).contains(&amount) {
         return Err(SpecError::OutOfRange(field));
@@ -303,7 +303,7 @@
     T::deserialize(deserializer).ok()
 }
 
-fn task_count(tasks: u64) -> Result<u32, SpecError> {
+fn parse_task_count(tasks: u64) -> Result<u32, SpecError> {
     match u32::try_from(tasks) {
         Ok(tasks @ 1..=MAX_TASKS) => Ok(tasks),
         _ => Err(SpecError::InvalidTaskCount),
@@ -326,7 +326,7 @@
 }
 
 /// The ids of the jobs on which a job depends, in order and without duplicates.
-fn dependencies(list: Option<Value>) -> Result<Vec<String>, SpecError> {
+fn parse_dependencies(list: Option<Value>) -> Result<Vec<String>, SpecError> {
     let list = match list {
         None => return Ok(Vec::new()),
         Some(Value::Array(list)) => list,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -13,13 +13,13 @@
 pub enum TaskState {
     /// The image is being downloaded.
     #[serde(rename = "pulling")]
-    Fetching,
+    Downloading,
     /// The task is running.
     #[serde(rename = "running")]
     Running,
     /// The task was stopped and is saving a checkpoint.
     #[serde(rename = "flushing")]
-    Saving,
+    SavingCheckpoint,
     /// The task has exited. The worker keeps its status until it is reaped.
     #[serde(rename = "ended")]
     Exited,
--- a/crates/wire/tests/bad_input.rs
+++ b/crates/wire/tests/bad_input.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn paths_and_methods_select_routes() {
+fn routes_ignore_queries_and_reject_malformed_paths() {
     assert_eq!(route("POST", "/v2/runs"), Route::Submit);
     assert_eq!(route("GET", "/v2/runs/req-1"), Route::Poll("req-1".into()));
     assert_eq!(
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn json_size_is_never_underestimated() {
+fn json_size_of_nested_value_is_upper_bound() {
     let value = Value::Map(vec![
         ("a\"b".into(), Value::from(-12.5)),
         (
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -3,9 +3,9 @@
 mod golden;
 
 use dillcleat_wire::cloud::{
-    CloudRequest, CloudResponse, InstanceState, ListedMachine, MAX_MACHINES_PER_DELETION,
-    MAX_MACHINES_PER_SCALE_OUT, MAX_PAGE_ROWS, MachineList, MachineNames, MachineType,
-    MachineTypes, ScaleOut,
+    CloudRequest, CloudResponse, ListedMachine, MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_SCALE_OUT, MachineList, MachineNames, MachineState, MachineType, MachineTypes,
+    ScaleOut,
 };
 use golden::{assert_decodes, assert_matches_golden};
 
@@ -45,7 +45,7 @@
         (
             MAX_MACHINES_PER_SCALE_OUT,
             MAX_MACHINES_PER_DELETION,
-            MAX_PAGE_ROWS
+            MAX_MACHINES_PER_PAGE
         ),
         (50, 100, 500)
     );
@@ -88,7 +88,7 @@
     );
 }
 
-fn listed(state: InstanceState) -> ListedMachine {
+fn listed(state: MachineState) -> ListedMachine {
     ListedMachine {
         name: "host-1".into(),
         addr: Some("10.1.0.1:9000".into()),
@@ -107,25 +107,25 @@
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa8starting\
         \xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(InstanceState::Booting),
+        &listed(MachineState::Booting),
     );
     assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7running\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(InstanceState::Running),
+        &listed(MachineState::Running),
     );
     assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa6failed\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(InstanceState::Failed),
+        &listed(MachineState::Failed),
     );
     assert_matches_golden(
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa5Other\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(InstanceState::Other),
+        &listed(MachineState::Other),
     );
 }
 
@@ -135,7 +135,7 @@
         b"\
         \x87\xa3ref\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
         \xaaremainders\xc3\xa9condition\xa7melting\xa6held_s\xcb\x40\x29\x00\x00\x00\x00\x00\x00",
-        &listed(InstanceState::Other),
+        &listed(MachineState::Other),
     );
 }
 
@@ -146,7 +146,7 @@
         machine_type: "c2".into(),
         zone: "b".into(),
         spot: false,
-        state: InstanceState::Booting,
+        state: MachineState::Booting,
         age_s: 0.0,
     }
 }
@@ -290,18 +290,28 @@
         &list,
         503,
         no_capacity,
-        CloudResponse::Refused { status: 503 },
+        CloudResponse::RateLimitedOrUnavailable { status: 503 },
     );
     let other = b"\x81\xa5error\xa4down";
     assert_response(
         &scale_out,
         503,
         other,
-        CloudResponse::Refused { status: 503 },
+        CloudResponse::RateLimitedOrUnavailable { status: 503 },
     );
     for request in [&types, &scale_out, &delete, &list] {
-        assert_response(request, 429, b"", CloudResponse::Refused { status: 429 });
-        assert_response(request, 503, b"", CloudResponse::Refused { status: 503 });
+        assert_response(
+            request,
+            429,
+            b"",
+            CloudResponse::RateLimitedOrUnavailable { status: 429 },
+        );
+        assert_response(
+            request,
+            503,
+            b"",
+            CloudResponse::RateLimitedOrUnavailable { status: 503 },
+        );
         assert_response(request, 400, b"", CloudResponse::Malformed);
         assert_response(request, 404, b"", CloudResponse::Malformed);
         assert!(request.parse_response(500, b"").is_err(), "{request:?}");
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -1,8 +1,8 @@
 //! The keys, defaults and error messages of the settings file, which must not change.
 
 use dillcleat_wire::settings::{
-    CloudLimits, Cluster, Endpoints, Objective, Peer, PlatformSettings, Quota, StoreLimits, Team,
-    UpcomingLimits, WorkerTimings,
+    CloudLimits, Cluster, ControllerLimits, Endpoints, Objective, Peer, PlatformSettings,
+    StoreLimits, Team, UpcomingLimits, WorkerTimings,
 };
 
 /// A settings file with all keys.
@@ -120,7 +120,7 @@
                 max_multiple: Some(1.5),
             }],
             workers: WorkerTimings {
-                report_s: 2.0,
+                heartbeat_interval_s: 2.0,
                 lease_s: 14.0,
                 cancel_s: 44.0,
             },
@@ -140,7 +140,7 @@
                 rps: 4.0,
                 list_lag_s: 5.0,
             },
-            quota: Quota {
+            quota: ControllerLimits {
                 cpu_share: 0.5,
                 mem_mb: 72.0,
                 max_connections: 500,
--- a/crates/wire/tests/golden_store.rs
+++ b/crates/wire/tests/golden_store.rs
@@ -3,7 +3,7 @@
 mod golden;
 
 use dillcleat_wire::store::{
-    KeyValue, LeaseId, MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
+    KeyValue, LeaseId, MAX_KEYS_PER_PAGE, MAX_TRANSACTION_BYTES, Mutation, Precondition, RangePage,
     StoreRequest, StoreResponse, Transaction, Value, WatchBatch, WatchEvent,
 };
 use golden::{assert_decodes, assert_matches_golden};
@@ -23,7 +23,7 @@
 
 #[test]
 fn limits_are_unchanged() {
-    assert_eq!((MAX_PAGE_ROWS, MAX_TRANSACTION_BYTES), (1000, 65_536));
+    assert_eq!((MAX_KEYS_PER_PAGE, MAX_TRANSACTION_BYTES), (1000, 65_536));
 }
 
 #[test]
--- a/crates/wire/tests/golden_user.rs
+++ b/crates/wire/tests/golden_user.rs
@@ -4,7 +4,7 @@
 
 use dillcleat_wire::user::{
     ErrorReply, HEALTH_PATH, JOBS_PATH, JobKind, JobSpec, JobState, JobStatus, MAX_TASKS, Priority,
-    ResourceClaim, Route, Submission, cancel_path, parse_submission, poll_path, route,
+    QuotaUsage, Route, Submission, cancel_path, parse_submission, poll_path, route,
 };
 use golden::{assert_decodes, assert_matches_golden};
 
@@ -197,7 +197,7 @@
 
 #[test]
 fn resource_claim_is_decoded_from_job_spec_bytes() {
-    let claim = ResourceClaim {
+    let claim = QuotaUsage {
         team: "books".into(),
         cpus: 4.0,
         gpus: 1.0,
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -68,11 +68,11 @@
 
 #[test]
 fn heartbeat_reply_without_commands_matches_golden_bytes() {
-    let answer = HeartbeatReply {
+    let reply = HeartbeatReply {
         fencing_token: 9,
         commands: Vec::new(),
     };
-    assert_matches_golden(b"\x82\xa4seal\x09\xa5slips\x90", &answer);
+    assert_matches_golden(b"\x82\xa4seal\x09\xa5slips\x90", &reply);
 }
 
 #[test]
@@ -127,7 +127,7 @@
         |bytes: &[u8], state| assert_matches_golden(bytes, &task_status(state, None, None));
     assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7pulling",
-        TaskState::Fetching,
+        TaskState::Downloading,
     );
     assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa7running",
@@ -135,7 +135,7 @@
     );
     assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa8flushing",
-        TaskState::Saving,
+        TaskState::SavingCheckpoint,
     );
     assert_case(
         b"\x83\xa4leaf\xa7req-1/3\xa8printing\x05\xa9condition\xa5ended",
