--- a/crates/controller/src/inherited_estimates.rs
+++ b/crates/controller/src/inherited_estimates.rs
@@ -119,14 +119,15 @@
         &self.classes
     }
 
-    /// Removes and returns the estimate of a job, with its credit as of the latest message.
+    /// Removes and returns the estimate of a job, with its ageing credit as of the latest message.
     /// None if there is no estimate or it is invalid.
     pub fn take(&mut self, id: &str) -> Option<JobEstimate> {
         let mut estimate = self.jobs.remove(id)?;
         if std::mem::take(&mut estimate.is_ageing) {
-            estimate.credit += self.virtual_time;
+            estimate.ageing_credit += self.virtual_time;
         }
-        let is_valid = estimate.size > 0.0 && estimate.initial_size > 0.0 && estimate.credit >= 0.0;
+        let is_valid =
+            estimate.size > 0.0 && estimate.initial_size > 0.0 && estimate.ageing_credit >= 0.0;
         is_valid.then_some(estimate)
     }
 }
--- a/crates/controller/src/leader/autoscaling.rs
+++ b/crates/controller/src/leader/autoscaling.rs
@@ -120,7 +120,7 @@
         self.partitions.forget_expired(now);
     }
 
-    /// Whether the node may request this action from the cloud now.
+    /// Whether this controller may request this action from the cloud now.
     pub(super) fn is_permitted(&self, ctx: &Context, action: CloudAction) -> bool {
         let now = ctx.now.monotonic;
         let permit = self.leadership_proof.permit(ctx.config, now, action);
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -25,7 +25,8 @@
 
 type CloudReply = Result<CloudResponse, CallError>;
 
-/// Whether the cloud may have carried out a failed call, or may still do so.
+/// Whether the cloud may have carried out a failed call, or may still do so. Only a call that was
+/// sent and not answered counts.
 fn is_uncertain(reply: &CloudReply) -> bool {
     matches!(reply, Err(CallError::NoAnswer))
 }
@@ -39,7 +40,7 @@
             Err(CallError::NotSent) => f.write_str("not-sent"),
             Err(CallError::NoAnswer) => f.write_str("no-answer"),
             Ok(CloudResponse::RateLimitedOrUnavailable { status }) => {
-                write!(f, "refused status={status}")
+                write!(f, "rate-limited-or-unavailable status={status}")
             }
             Ok(CloudResponse::NoCapacity) => f.write_str("no-capacity"),
             Ok(CloudResponse::Malformed) => f.write_str("malformed"),
@@ -133,7 +134,7 @@
         let now = ctx.now.monotonic;
         log::info!(
             "scaled out request={} started={} requested={} machines={}",
-            request.request,
+            request.idempotency_key,
             names.len(),
             request.count,
             names.join(",")
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -54,7 +54,7 @@
             unavailable_offerings: &self.autoscaler.unavailable_offerings,
             partitioned_zones: self.partitions.partitioned_zones().cloned().collect(),
             late_offerings: booting
-                .late_types
+                .late_offerings
                 .into_iter()
                 .map(|offering| (offering.machine_type, offering.zone))
                 .collect(),
@@ -91,7 +91,7 @@
             "scaling out request={request} count={count} machine_type={machine_type} zone={zone} spot={spot}"
         );
         let scale_out = ScaleOut {
-            request,
+            idempotency_key: request,
             machine_type,
             zone,
             spot,
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -70,7 +70,7 @@
     /// Machines that are expected to come up.
     pub usable: Vec<MachineView>,
     /// Types and zones whose most recently started machines are late.
-    pub late_types: BTreeSet<ZonalType>,
+    pub late_offerings: BTreeSet<ZonalType>,
 }
 
 /// Estimates boot times from the most recently started machine that is up, by type and
@@ -154,7 +154,7 @@
         };
         let booting = self.expected_machines();
         let mut usable = Vec::new();
-        let mut late_types = BTreeSet::new();
+        let mut late_offerings = BTreeSet::new();
         let mut slow_by_type: BTreeMap<Rc<str>, Vec<&Machine>> = BTreeMap::new();
         for machine in &booting {
             let progress = progress(machine);
@@ -167,7 +167,7 @@
                 BootProgress::Late => {}
             }
             if progress != BootProgress::OnTime && machine.expected {
-                late_types.insert(ZonalType::of(machine));
+                late_offerings.insert(ZonalType::of(machine));
             }
         }
         for slow in slow_by_type.into_values() {
@@ -176,14 +176,17 @@
             usable.extend(waited_for.filter_map(|machine| self.machine_view(machine)));
         }
         // A few late machines don't make a type late in a zone where newer ones are up.
-        late_types.retain(|key| {
+        late_offerings.retain(|key| {
             let mut machines = booting.iter().filter(|machine| key.matches(machine));
             machines.any(|machine| {
                 progress(machine) != BootProgress::OnTime
                     && estimator.started_after_all_boots(machine)
             })
         });
-        BootingCapacity { usable, late_types }
+        BootingCapacity {
+            usable,
+            late_offerings,
+        }
     }
 
     /// Machines that have not sent a heartbeat with this term's fencing token and have not
--- a/crates/controller/src/leader/estimate_replication.rs
+++ b/crates/controller/src/leader/estimate_replication.rs
@@ -92,7 +92,7 @@
         self.inherited_jobs += 1;
         job.initial_size = estimate.initial_size;
         job.size = estimate.size;
-        job.ageing_credit = estimate.credit;
+        job.ageing_credit = estimate.ageing_credit;
         job.trained = estimate.trained;
         job.samples = estimate.samples;
     }
@@ -137,7 +137,7 @@
         Some(self.estimates_message(jobs))
     }
 
-    /// All estimates, which the node keeps when it ceases to lead.
+    /// All estimates, which the controller keeps when it ceases to lead.
     pub fn all_estimates(&self) -> Option<Estimates> {
         if !self.recovery.is_ready() {
             return None;
@@ -172,7 +172,7 @@
             job: id.to_string(),
             initial_size: job.initial_size,
             size: job.size,
-            credit: job.ageing_credit - job.ageing_since.unwrap_or(0.0),
+            ageing_credit: job.ageing_credit - job.ageing_since.unwrap_or(0.0),
             is_ageing: job.ageing_since.is_some(),
             trained: job.trained,
             samples: samples.copied().collect(),
--- a/crates/controller/src/leader/mod.rs
+++ b/crates/controller/src/leader/mod.rs
@@ -126,7 +126,7 @@
     partitions: ZonePartitions,
     /// Run times and job sizes learned from finished tasks.
     estimates: LearnedEstimates,
-    /// Events that the node has not yet taken.
+    /// Events that the controller has not yet taken.
     events: Vec<LeaderEvent>,
 }
 
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -113,7 +113,8 @@
 }
 
 impl Leader {
-    /// The term and the version of the term record, once the recovery is complete.
+    /// The term and the version of the term record, once the recovery is complete. Writes of the
+    /// Kubernetes API are fenced with them.
     pub fn fence(&self) -> Option<(u64, u64)> {
         self.recovery
             .is_ready()
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -23,7 +23,7 @@
             job: "req-1".into(),
             initial_size: 6000.0,
             size,
-            credit,
+            ageing_credit: credit,
             is_ageing: true,
             trained: true,
             samples: vec![20.0, 22.0],
@@ -83,7 +83,7 @@
         .iter()
         .find(|j| j.job == "req-1")
         .expect("its estimate is replicated");
-    (job.size, job.credit, job.samples.len())
+    (job.size, job.ageing_credit, job.samples.len())
 }
 
 /// Otherwise a large job's ageing would start again at every failover.
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -103,7 +103,7 @@
     /// The reduction of the virtual size by ageing, in CPU-seconds; for an ageing job less the
     /// leader's current virtual time. Both advance equally, so the value stays the same while the
     /// job ages.
-    pub credit: f64,
+    pub ageing_credit: f64,
     /// Whether the job is ageing.
     pub is_ageing: bool,
     /// Whether the training tasks have completed and the size is final.
@@ -179,7 +179,7 @@
         out.string(&self.job);
         out.f64(self.initial_size);
         out.f64(self.size);
-        out.f64(self.credit);
+        out.f64(self.ageing_credit);
         out.flag(self.is_ageing);
         out.flag(self.trained);
         out.list(&self.samples, MAX_RUN_TIME_SAMPLES, |out, sample| {
@@ -192,7 +192,7 @@
             job: reader.string()?,
             initial_size: reader.f64()?,
             size: reader.f64()?,
-            credit: reader.f64()?,
+            ageing_credit: reader.f64()?,
             is_ageing: reader.flag()?,
             trained: reader.flag()?,
             samples: reader.list(MAX_RUN_TIME_SAMPLES, Reader::f64)?,
--- a/crates/peer-protocol/tests/frames.rs
+++ b/crates/peer-protocol/tests/frames.rs
@@ -38,7 +38,7 @@
                 job: "req-1".into(),
                 initial_size: 240.0,
                 size: 120.5,
-                credit: -3.0,
+                ageing_credit: -3.0,
                 is_ageing: true,
                 trained: false,
                 samples: vec![30.0, 31.5],
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -104,7 +104,7 @@
         match call {
             CloudRequest::Types => (CloudResponse::Types(self.types.clone()), vec![], vec![]),
             CloudRequest::ScaleOut(r) => {
-                if let Some(names) = self.answered.get(&r.request) {
+                if let Some(names) = self.answered.get(&r.idempotency_key) {
                     return (CloudResponse::ScaledOut(names.clone()), vec![], vec![]);
                 }
                 let key = (r.machine_type.clone(), r.zone.clone(), r.spot);
@@ -130,7 +130,8 @@
                     self.hosts.insert(name.clone(), host);
                     names.push(name);
                 }
-                self.answered.insert(r.request.clone(), names.clone());
+                self.answered
+                    .insert(r.idempotency_key.clone(), names.clone());
                 (CloudResponse::ScaledOut(names.clone()), names, vec![])
             }
             CloudRequest::Delete(names) => {
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -37,7 +37,7 @@
     /// Price of an on-demand machine per hour. All prices are in the same currency.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price of a spot machine per hour; None if the type is not offered as spot machine.
+    /// Price of a spot machine per hour; `None` if the type is not offered as spot machine.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
     /// Boot time of a machine, in seconds.
@@ -61,7 +61,7 @@
 pub struct ScaleOut {
     /// The idempotency key. The cloud carries out requests with the same key only once.
     #[serde(rename = "hire_note")]
-    pub request: String,
+    pub idempotency_key: String,
     /// The name of the machine type.
     #[serde(rename = "format")]
     pub machine_type: String,
@@ -149,7 +149,7 @@
     Delete(Vec<String>),
     /// Reads one page of the list of machines.
     List {
-        /// The last machine of the previous page; None for the first page.
+        /// The last machine of the previous page; `None` for the first page.
         after: Option<String>,
     },
 }
--- a/crates/wire/src/store/request.rs
+++ b/crates/wire/src/store/request.rs
@@ -20,7 +20,7 @@
     List {
         /// The prefix of the keys.
         prefix: String,
-        /// The last key of the previous page; None for the first page.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
     /// Carries out a compare-and-swap transaction.
--- a/crates/wire/src/store/value.rs
+++ b/crates/wire/src/store/value.rs
@@ -23,13 +23,13 @@
 }
 
 impl KeyValue {
-    /// Decodes the value as a typed record; None if it does not decode as `T`.
+    /// Decodes the value as a typed record; `None` if it does not decode as `T`.
     pub fn decode_value<T: DeserializeOwned>(&self) -> Option<T> {
         decode_value(&self.value)
     }
 }
 
-/// Decodes a stored value as a typed record; None if it does not decode as `T`.
+/// Decodes a stored value as a typed record; `None` if it does not decode as `T`.
 pub fn decode_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     // The value is encoded and decoded again, because rmpv's decoder does not accept enums in the
     // form in which rmp-serde encodes them.
--- a/crates/wire/src/user/job.rs
+++ b/crates/wire/src/user/job.rs
@@ -82,10 +82,10 @@
     /// The image's size, in gigabytes.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// The machine types on which the job may run; None for any.
+    /// The machine types on which the job may run; `None` for any.
     #[serde(rename = "formats", default)]
     pub types: Option<Vec<String>>,
-    /// The zone in which the job must run; None for any.
+    /// The zone in which the job must run; `None` for any.
     #[serde(rename = "room", default)]
     pub zone: Option<String>,
     /// Whether all tasks must run in the same zone.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -101,7 +101,7 @@
     /// The highest fencing token that the worker has received.
     #[serde(rename = "seal")]
     pub fencing_token: u64,
-    /// The time until the cloud reclaims the spot machine, in seconds; None if not announced.
+    /// The time until the cloud reclaims the spot machine, in seconds; `None` if not announced.
     #[serde(rename = "recall_s", default)]
     pub interruption_notice_s: Option<f64>,
     /// The status of all attempts on the worker.
--- a/crates/wire/tests/golden_cloud.rs
+++ b/crates/wire/tests/golden_cloud.rs
@@ -178,7 +178,7 @@
 
 fn scale_out() -> ScaleOut {
     ScaleOut {
-        request: "n0-17".into(),
+        idempotency_key: "n0-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
