--- a/crates/sched/tests/scale_out_plan.rs
+++ b/crates/sched/tests/scale_out_plan.rs
@@ -39,14 +39,26 @@
     }
 }
 
-/// The scale-out plan for `jobs`, which are in queue order, and for machines that are booting.
-fn plan(
-    jobs: &[Job],
-    booting: &[MachineView],
-    unavailable: &[(&str, &str, bool)],
-    partitioned_zones: &[&str],
+/// The inputs of a plan.
+#[derive(Default)]
+struct Inputs<'a> {
+    /// Waiting jobs in queue order.
+    jobs: &'a [Job],
+    booting: &'a [MachineView],
+    /// Offerings by machine type, zone, and whether they are spot offerings.
+    unavailable: &'a [(&'a str, &'a str, bool)],
+    partitioned_zones: &'a [&'a str],
     headroom_cpus: f64,
-) -> Vec<PlannedScaleOut> {
+}
+
+fn plan(inputs: Inputs) -> Vec<PlannedScaleOut> {
+    let Inputs {
+        jobs,
+        booting,
+        unavailable,
+        partitioned_zones,
+        headroom_cpus,
+    } = inputs;
     let mut unavailable_offerings = UnavailableOfferings::default();
     for (machine_type, zone, spot) in unavailable {
         let offering = MachineOffering {
@@ -109,13 +121,27 @@
 #[test]
 fn on_demand_machines_are_provisioned_only_for_tasks_at_risk() {
     let batch = |at_risk_tasks| [job("batch", JobKind::Batch, 20, at_risk_tasks)];
-    assert_eq!(plan(&batch(0), &[], &SPOT, &[], 0.0), []);
-    let planned = plan(&batch(5), &[], &SPOT, &[], 0.0);
+    assert_eq!(
+        plan(Inputs {
+            jobs: &batch(0),
+            unavailable: &SPOT,
+            ..Inputs::default()
+        }),
+        []
+    );
+    let planned = plan(Inputs {
+        jobs: &batch(5),
+        unavailable: &SPOT,
+        ..Inputs::default()
+    });
     assert_eq!(
         rows(&planned),
         [("large", "a", false, 1), ("small", "b", false, 1)]
     );
-    let planned = plan(&batch(5), &[], &[], &[], 0.0);
+    let planned = plan(Inputs {
+        jobs: &batch(5),
+        ..Inputs::default()
+    });
     assert!(
         planned.iter().all(|scale_out| scale_out.offering.spot),
         "{planned:?}"
@@ -127,7 +153,10 @@
 #[test]
 fn offering_at_request_limit_is_not_replaced_by_more_expensive_one() {
     let jobs = [job("batch", JobKind::Batch, 1000, 1000)];
-    let planned = plan(&jobs, &[], &[], &[], 0.0);
+    let planned = plan(Inputs {
+        jobs: &jobs,
+        ..Inputs::default()
+    });
     assert_eq!(rows(&planned), [("large", "a", true, 50)]);
 }
 
@@ -139,7 +168,11 @@
         job("service", JobKind::Service, 2, 0),
         job("batch", JobKind::Batch, 4, 0),
     ];
-    let planned = plan(&jobs, &[], &[], &["a"], 0.0);
+    let planned = plan(Inputs {
+        jobs: &jobs,
+        partitioned_zones: &["a"],
+        ..Inputs::default()
+    });
     assert_eq!(
         rows(&planned),
         [("small", "b", false, 2), ("small", "b", true, 4)]
@@ -155,7 +188,11 @@
         job("one", JobKind::Batch, 5, 0),
         job("two", JobKind::Batch, 2, 0),
     ];
-    let planned = plan(&jobs, &booting, &[], &[], 0.0);
+    let planned = plan(Inputs {
+        jobs: &jobs,
+        booting: &booting,
+        ..Inputs::default()
+    });
     assert_eq!(
         planned.iter().map(|scale_out| scale_out.count).sum::<u32>(),
         5,
@@ -165,10 +202,17 @@
     let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
     let jobs = [wide, job("narrow", JobKind::Batch, 1, 0)];
-    let planned = plan(&jobs, &[], &[], &[], 0.0);
+    let planned = plan(Inputs {
+        jobs: &jobs,
+        ..Inputs::default()
+    });
     assert_eq!(rows(&planned), [("large", "a", true, 1)]);
     let jobs: Vec<Job> = (0..9).map(|_| job("same", JobKind::Batch, 8, 0)).collect();
-    let planned = plan(&jobs, &booting, &[], &[], 0.0);
+    let planned = plan(Inputs {
+        jobs: &jobs,
+        booting: &booting,
+        ..Inputs::default()
+    });
     let count_of_type = |name: &str| {
         let of_type = planned
             .iter()
@@ -184,11 +228,18 @@
 /// The type with the lowest price per CPU is not the cheapest one for a few CPUs.
 #[test]
 fn headroom_is_provisioned_at_lowest_total_cost() {
-    let planned = plan(&[], &[], &[], &[], 3.0);
+    let planned = plan(Inputs {
+        headroom_cpus: 3.0,
+        ..Inputs::default()
+    });
     assert_eq!(
         rows(&planned),
         [("small", "a", false, 1), ("small", "b", false, 1)]
     );
-    let planned = plan(&[], &[], &[], &["b"], 15.0);
+    let planned = plan(Inputs {
+        partitioned_zones: &["b"],
+        headroom_cpus: 15.0,
+        ..Inputs::default()
+    });
     assert_eq!(rows(&planned), [("large", "a", false, 1)]);
 }
