--- a/crates/wire/src/settings/mod.rs
+++ b/crates/wire/src/settings/mod.rs
@@ -87,7 +87,7 @@
     pub cloud: CloudLimits,
     /// Limits on the resources that a controller may use.
     #[serde(rename = "quota")]
-    pub quota: ControllerLimits,
+    pub quota: Quota,
 }
 
 /// A team and its quota. A maximum of 0 means that there is no limit.
@@ -202,11 +202,11 @@
     pub list_lag_s: f64,
 }
 
-/// Limits on the resources that a controller process may use.
-// `expecting` keeps the text of type errors, which are printed at startup.
+/// Limits on the resources that a controller process may use. Not related to the quotas of teams.
+///
+/// The type's name is part of the text of settings errors.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-#[serde(expecting = "struct Quota")]
-pub struct ControllerLimits {
+pub struct Quota {
     /// Maximum CPU usage, as a fraction of one CPU.
     #[serde(rename = "cpu_share")]
     pub cpu_share: f64,
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -1,8 +1,8 @@
 //! The keys, defaults and error messages of the settings file, which must not change.
 
 use dillcleat_wire::settings::{
-    CloudLimits, Cluster, ControllerLimits, Endpoints, Objective, Peer, PlatformSettings,
-    StoreLimits, Team, UpcomingLimits, WorkerTimings,
+    CloudLimits, Cluster, Endpoints, Objective, Peer, PlatformSettings, Quota, StoreLimits, Team,
+    UpcomingLimits, WorkerTimings,
 };
 
 /// A settings file with all keys.
@@ -140,7 +140,7 @@
                 rps: 4.0,
                 list_lag_s: 5.0,
             },
-            quota: ControllerLimits {
+            quota: Quota {
                 cpu_share: 0.5,
                 mem_mb: 72.0,
                 max_connections: 500,
