--- a/crates/controller/src/continuations.rs
+++ b/crates/controller/src/continuations.rs
@@ -153,7 +153,7 @@
     /// Writes a batch of the write queue.
     WriteBatch,
     /// Reads a record that another writer may have changed.
-    Reread {
+    ReadOutcome {
         /// The key.
         key: String,
     },
--- a/crates/controller/src/leader/autoscaling/cloud_replies.rs
+++ b/crates/controller/src/leader/autoscaling/cloud_replies.rs
@@ -7,11 +7,11 @@
 use crate::leader::{Leader, LeaderEvent};
 use crate::leadership_guard::DeletionReason;
 use crate::machines::{Machine, MachineLossReason};
-use crate::sched::scale_out_plan::InstanceOffering;
+use crate::sched::scale_out_plan::MachineOffering;
 use crate::write_queue::PendingWrite;
 use crate::{Micros, SECOND, micros};
 use dillcleat_wire::cloud::{
-    CloudResponse, InstanceState, ListedMachine, MachineList, MachineType, ScaleOut,
+    CloudResponse, ListedMachine, MachineList, MachineState, MachineType, ScaleOut,
 };
 use std::fmt;
 use std::rc::Rc;
@@ -25,7 +25,8 @@
 
 type CloudReply = Result<CloudResponse, CallError>;
 
-/// Whether the cloud may have carried out a failed call, or may still do so.
+/// Whether the cloud may have carried out a failed call, or may still do so. Only a call that was
+/// sent and not answered counts.
 fn is_uncertain(reply: &CloudReply) -> bool {
     matches!(reply, Err(CallError::NoAnswer))
 }
@@ -38,7 +39,9 @@
         match self.0 {
             Err(CallError::NotSent) => f.write_str("not-sent"),
             Err(CallError::NoAnswer) => f.write_str("no-answer"),
-            Ok(CloudResponse::Refused { status }) => write!(f, "refused status={status}"),
+            Ok(CloudResponse::RateLimitedOrUnavailable { status }) => {
+                write!(f, "rate-limited-or-unavailable status={status}")
+            }
             Ok(CloudResponse::NoCapacity) => f.write_str("no-capacity"),
             Ok(CloudResponse::Malformed) => f.write_str("malformed"),
             Ok(_) => f.write_str("unexpected-response"),
@@ -55,8 +58,8 @@
         let permit = |action| self.leadership_proof.permit(ctx.config, now, action);
         let cloud_queue = &mut self.autoscaler.cloud_queue;
         if let Some(call) = cloud_queue.next(now, deletion_limit, permit) {
-            let waiter = self.continuation(LeaderStep::Cloud(call.kind));
-            ctx.cloud_request(call.request, &call.permit, waiter);
+            let continuation = self.continuation(LeaderStep::Cloud(call.kind));
+            ctx.cloud_request(call.request, &call.permit, continuation);
         }
     }
 
@@ -80,7 +83,7 @@
                 Ok(CloudResponse::NoCapacity | CloudResponse::Malformed),
             ) => {
                 if let Some(request) = self.autoscaler.cloud_queue.finish_scale_out() {
-                    self.record_refusal(ctx, &request, 0);
+                    self.pause_offering(ctx, &request, 0);
                 }
             }
             (CloudRequestKind::Types, Ok(CloudResponse::Types(types))) => {
@@ -131,7 +134,7 @@
         let now = ctx.now.monotonic;
         log::info!(
             "scaled out request={} started={} requested={} machines={}",
-            request.request,
+            request.idempotency_key,
             names.len(),
             request.count,
             names.join(",")
@@ -150,28 +153,30 @@
             }
         }
         if (names.len() as u32) < request.count {
-            self.record_refusal(ctx, request, names.len());
+            self.pause_offering(ctx, request, names.len());
         }
     }
 
-    /// Records that the cloud has no more capacity of the requested kind; it started
-    /// `started` machines.
-    fn record_refusal(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
+    /// Pauses an offering after the cloud did not start all requested machines: it lacks
+    /// capacity or rejected the request. It started `started` machines.
+    fn pause_offering(&mut self, ctx: &Context, request: &ScaleOut, started: usize) {
         let now = ctx.now.monotonic;
         log::info!(
-            "cloud has no more capacity machine_type={} zone={} spot={} started={started} requested={}",
+            "scale-out not fulfilled, pausing the offering machine_type={} zone={} spot={} started={started} requested={}",
             request.machine_type,
             request.zone,
             request.spot,
             request.count
         );
-        let offering = InstanceOffering {
+        let offering = MachineOffering {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
         };
         let until = now + micros(ctx.config.tuning.refused_pause_s);
-        self.autoscaler.refusals.refuse(offering, until);
+        self.autoscaler
+            .unavailable_offerings
+            .mark_unavailable(offering, until);
         // Plan again at once with other offerings.
         self.autoscaler.next_fleet_check_at = now;
     }
@@ -184,7 +189,7 @@
             if self.autoscaler.is_removed(&listed.name) {
                 continue;
             }
-            if listed.state == InstanceState::Failed {
+            if listed.state == MachineState::Failed {
                 self.remove_machine(ctx, &listed.name, MachineLossReason::ListedAsFailed);
                 let name = Rc::from(listed.name);
                 let cloud_queue = &mut self.autoscaler.cloud_queue;
@@ -202,7 +207,7 @@
     }
 
     fn apply_listed_machine(&mut self, listed: ListedMachine, now: Micros) {
-        let is_booting = listed.state == InstanceState::Booting;
+        let is_booting = listed.state == MachineState::Booting;
         if !self.machines.contains_key(&listed.name) {
             log::info!("cloud lists an unknown machine machine={}", listed.name);
             let (machine_type, zone) = (&listed.machine_type, &listed.zone);
@@ -224,7 +229,7 @@
         }
         if machine.addr.is_none()
             && let Some(addr) = listed.addr.filter(|addr| !addr.is_empty())
-            && listed.state == InstanceState::Running
+            && listed.state == MachineState::Running
         {
             machine.addr = Some(addr);
             machine.command_state.request();
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -5,24 +5,24 @@
 //!
 //! 1. Services and tiny jobs.
 //! 2. Training tasks, whose run times give an estimate of the job's size. The job with the
-//!    smallest initial size comes first. The pass ends when training tasks use their share of
-//!    the CPUs.
-//! 3. All other jobs, the smallest virtual size first. The virtual size of a job is its
-//!    estimated work in CPU seconds minus the service that it would have received under fair
-//!    sharing. This ageing prevents the starvation of large jobs.
+//!    smallest initial size comes first. Jobs whose tasks exceed what is left of the CPU share
+//!    for training are skipped.
+//! 3. All jobs that are not in the first pass, the smallest virtual size first. The virtual
+//!    size of a job is its estimated work in CPU-seconds minus the service that it would have
+//!    received under fair sharing. This ageing prevents the starvation of large jobs.
 //!
 //! Within each pass, jobs of higher priority come first
 //! ([`crate::job_queue::QueueRank`] defines the full order).
 //!
 //! Jobs whose team is at its quota are skipped. When no machine has capacity for a job, all jobs
-//! with an equal [`ResourceRequest`] are skipped as well.
+//! with equal [`PlacementRequirements`] are skipped as well.
 
 use crate::candidates::CandidateCursor;
 use crate::capacity_index::CapacityIndex;
 use crate::job_queue::{JobQueue, QueueCursor, QueueSection, QueuedJob};
 use crate::placement_policy::PlacementPolicy;
 use crate::resources::{ROUNDING_TOLERANCE, to_millionths};
-use crate::views::{JobIndex, JobView, MachineIndex, ResourceRequest, TeamAllowance};
+use crate::views::{JobIndex, JobView, MachineIndex, PlacementRequirements, TeamAllowance};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -52,10 +52,10 @@
 /// The parameters of a cycle, besides quotas and free capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct CycleLimits {
-    /// The virtual time at which the cycle runs, in CPU seconds
+    /// The virtual time at which the cycle runs, in CPU-seconds
     /// (see [`crate::job_queue`]).
     pub virtual_time: f64,
-    /// CPUs that further training tasks may use.
+    /// CPUs that the cycle may still assign to training tasks; may be negative.
     pub training_cpus: f64,
     /// On-demand CPUs per zone that jobs which may run on spot machines must leave free, for
     /// services that must start before a new machine could boot.
@@ -98,7 +98,7 @@
     }
     for placement in &mut placements {
         placement.uses_service_headroom =
-            capacity.is_short_of_headroom(placement.machine, service_headroom_cpus, job);
+            capacity.uses_service_headroom(placement.machine, service_headroom_cpus, job);
     }
     placements
 }
@@ -206,8 +206,8 @@
 }
 
 impl TaskSelection {
-    /// The number of tasks of the job that may be placed; None if the CPUs for training tasks are
-    /// used up.
+    /// The number of tasks of the job that may be placed; `None` if a training task exceeds the
+    /// remaining CPUs for training.
     fn max_tasks(self, job: &JobView, training_cpus: f64) -> Option<u32> {
         match self {
             TaskSelection::All => Some(u32::MAX),
@@ -228,8 +228,8 @@
     limits: CycleLimits,
     /// Views of the jobs examined, including the changes made by the cycle.
     job_views: BTreeMap<JobIndex, JobView<'a>>,
-    /// Requests for which no machine has capacity left.
-    exhausted_requests: BTreeSet<Rc<ResourceRequest>>,
+    /// Requirements for which no machine has capacity left.
+    exhausted_requirements: BTreeSet<Rc<PlacementRequirements>>,
     assignments: Vec<Assignment>,
 }
 
@@ -246,7 +246,7 @@
 
     /// Places tasks of one queued job.
     fn place_job(&mut self, queued: &QueuedJob<'_>, selection: TaskSelection) -> SubQueueDecision {
-        if self.exhausted_requests.contains(queued.request) {
+        if self.exhausted_requirements.contains(queued.requirements) {
             return SubQueueDecision::SkipRest;
         }
         let job = match self.job_views.entry(queued.index) {
@@ -279,9 +279,10 @@
         }
         let tasks_left =
             placed_tasks < max_tasks && job.waiting_tasks > 0 && job.team_allows(self.teams);
-        let policy = PlacementPolicy::for_request(queued.request, headroom_cpus);
+        let policy = PlacementPolicy::for_requirements(queued.requirements, headroom_cpus);
         if tasks_left && !self.capacity.any_machine_fits(job, policy) {
-            self.exhausted_requests.insert(queued.request.clone());
+            self.exhausted_requirements
+                .insert(queued.requirements.clone());
             return SubQueueDecision::SkipRest;
         }
         SubQueueDecision::Advance
@@ -300,7 +301,7 @@
 
 /// Runs one scheduling cycle (see the [module](self)).
 ///
-/// `view_job` returns the view of a queued job, or None for a job that is to be skipped.
+/// `view_job` returns the view of a queued job, or `None` for a job that is to be skipped.
 /// `capacity` and `teams` are updated with the assignments.
 pub fn run_cycle<'a>(
     queue: &JobQueue,
@@ -315,7 +316,7 @@
         teams,
         limits,
         job_views: BTreeMap::new(),
-        exhausted_requests: BTreeSet::new(),
+        exhausted_requirements: BTreeSet::new(),
         assignments: Vec::new(),
     };
     for (section, selection) in [
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`views`], [`resources`] and [`placement_policy`] define the types shared by these modules.
 //!
 //! Amounts are in CPUs, GPUs and GB of memory; long-lived sums are in whole millionths of these
-//! units ([`to_millionths`]). Job sizes and virtual time are in CPU seconds.
+//! units ([`to_millionths`]). Job sizes and virtual time are in CPU-seconds.
 
 #![warn(
     missing_docs,
@@ -48,5 +48,6 @@
 pub use job_queue::{AgeingState, JobQueue, QueueEntry, QueueRank};
 pub use resources::{OrderedFloat, Resources, to_millionths};
 pub use views::{
-    Images, JobIndex, JobView, MachineIndex, MachineView, ResourceRequest, SlabIndex, TeamAllowance,
+    Images, JobIndex, JobView, MachineIndex, MachineView, PlacementRequirements, SlabIndex,
+    TeamAllowance,
 };
