--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/history.rs
@@ -1,8 +1,8 @@
-//! A digest over everything that the nodes of a run send, in order.
+//! A digest of every output of the nodes of a run, in order.
 //!
-//! Two versions of the sources that behave alike give equal digests for equal
-//! scenarios. Each output is hashed in its wire form, never in a debug form, so
-//! that renaming a Rust type or field does not change the digest.
+//! Two versions of the controller that behave the same produce equal digests for equal
+//! scenarios. Each output is hashed in its wire encoding, never in its `Debug` form, so
+//! renaming a Rust type or field does not change the digest.
 
 use dillcleat_controller::{JobEvent, Micros, Output};
 use dillcleat_kube::ControllerOutput;
@@ -10,49 +10,49 @@
 use dillcleat_wire::HttpRequest;
 use sha2::{Digest, Sha256};
 
-/// Separates the kinds of output in the digest.
+/// Tag that is hashed before each output, so that kinds of output cannot be confused.
 #[repr(u8)]
-enum Kind {
+enum OutputTag {
     Answer = 1,
-    State,
-    Cloud,
-    Orders,
-    Mesh,
-    Ended,
-    Failed,
-    ObjectReply,
+    StoreCall,
+    CloudCall,
+    Commands,
+    PeerMessage,
+    JobEnded,
+    TaskFailed,
+    ApiReply,
     WatchOpened,
-    WatchLines,
+    WatchChunk,
     WatchClosed,
 }
 
-/// The running digest of one run.
+/// The incremental digest of one run.
 #[derive(Debug, Default)]
 pub struct OutputHistory {
     digest: Sha256,
 }
 
 impl OutputHistory {
-    /// Adds one output of a node, with the simulated time at which it was made.
+    /// Adds one output of a node and the simulated time at which it was produced.
     pub fn record(&mut self, now: Micros, node: usize, output: &ControllerOutput) {
         self.number(now);
         self.number(node as u64);
         match output {
             ControllerOutput::Core(output) => self.record_core(output),
             ControllerOutput::Reply { id, reply } => {
-                self.answer(Kind::ObjectReply, id.0, reply.status, &reply.body);
+                self.answer(OutputTag::ApiReply, id.0, reply.status, &reply.body);
                 self.number(u64::from(reply.retry_after.unwrap_or(0)));
             }
-            ControllerOutput::Stream { id } => self.kind(Kind::WatchOpened, id.0),
+            ControllerOutput::Stream { id } => self.tag(OutputTag::WatchOpened, id.0),
             ControllerOutput::Chunk { id, bytes } => {
-                self.kind(Kind::WatchLines, id.0);
+                self.tag(OutputTag::WatchChunk, id.0);
                 self.bytes(bytes);
             }
-            ControllerOutput::End { id } => self.kind(Kind::WatchClosed, id.0),
+            ControllerOutput::End { id } => self.tag(OutputTag::WatchClosed, id.0),
         }
     }
 
-    /// The digest of all that was recorded.
+    /// The digest of all recorded outputs.
     pub fn finish(self) -> [u8; 32] {
         self.digest.finalize().into()
     }
@@ -60,11 +60,11 @@
     fn record_core(&mut self, output: &Output) {
         match output {
             Output::Answer { id, answer } => {
-                self.answer(Kind::Answer, id.0, answer.status, &answer.body);
+                self.answer(OutputTag::Answer, id.0, answer.status, &answer.body);
                 self.number(u64::from(answer.retry_after.unwrap_or(0)));
             }
             Output::Store { id, call, timeout } => {
-                self.kind(Kind::State, id.0);
+                self.tag(OutputTag::StoreCall, id.0);
                 self.request(&call.to_http());
                 self.number(*timeout);
             }
@@ -74,7 +74,7 @@
                 timeout,
                 within,
             } => {
-                self.kind(Kind::Cloud, id.0);
+                self.tag(OutputTag::CloudCall, id.0);
                 self.request(&call.to_http());
                 self.number(*timeout);
                 self.number(*within);
@@ -82,25 +82,25 @@
             Output::Commands {
                 id,
                 addr,
-                commands: orders,
+                commands,
                 timeout,
             } => {
-                self.kind(Kind::Orders, id.0);
+                self.tag(OutputTag::Commands, id.0);
                 self.bytes(addr.as_bytes());
-                self.bytes(&dillcleat_wire::encode(orders));
+                self.bytes(&dillcleat_wire::encode(commands));
                 self.number(*timeout);
             }
             Output::Peer { message } => {
-                self.kind(Kind::Mesh, 0);
+                self.tag(OutputTag::PeerMessage, 0);
                 self.bytes(&canonical(message).encode());
             }
             Output::JobEvent(JobEvent::Ended { job, state }) => {
-                self.kind(Kind::Ended, 0);
+                self.tag(OutputTag::JobEnded, 0);
                 self.bytes(job.as_bytes());
                 self.bytes(&dillcleat_wire::encode(state));
             }
             Output::JobEvent(JobEvent::Failed { job, task, attempt }) => {
-                self.kind(Kind::Failed, 0);
+                self.tag(OutputTag::TaskFailed, 0);
                 self.bytes(job.as_bytes());
                 self.number(u64::from(*task));
                 self.number(*attempt);
@@ -108,13 +108,13 @@
         }
     }
 
-    fn kind(&mut self, kind: Kind, id: u64) {
-        self.digest.update([kind as u8]);
+    fn tag(&mut self, tag: OutputTag, id: u64) {
+        self.digest.update([tag as u8]);
         self.number(id);
     }
 
-    fn answer(&mut self, kind: Kind, id: u64, status: u16, body: &[u8]) {
-        self.kind(kind, id);
+    fn answer(&mut self, tag: OutputTag, id: u64, status: u16, body: &[u8]) {
+        self.tag(tag, id);
         self.number(u64::from(status));
         self.bytes(body);
     }
@@ -135,8 +135,8 @@
     }
 }
 
-/// The message with its unordered parts in a fixed order: the classes of estimates come
-/// from a hash map, whose order differs from run to run.
+/// A copy of the message with its unordered parts sorted: the classes of estimates come
+/// from a hash map, whose iteration order differs between runs.
 fn canonical(message: &Message) -> Message {
     let mut message = message.clone();
     if let Message::Estimates(estimates) = &mut message {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,9 +1,8 @@
-//! A rehearsal kit: stand-ins for the state service, the cloud, workers and
-//! users, on simulated time with seeded luck, and a checker of the rules.
+//! Deterministic simulation of a cluster: a simulated store, cloud, workers and users on
+//! simulated time with seeded randomness, and a checker of the scheduler's invariants.
 //!
-//! The controllers in a rehearsal are the real [`dillcleat_controller::Node`]s; only
-//! what lies beyond their inputs and outputs is played. Figures of a rehearsal
-//! say nothing about real deployments; its verdict on the rules does.
+//! The controllers are the real [`dillcleat_controller::Node`]s; only their environment
+//! is simulated. Broken invariants carry over to real deployments; timings do not.
 
 pub mod cloud;
 mod combined_faults;
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -1,5 +1,5 @@
-//! The stand-ins on real sockets and real time, for one test of whole
-//! processes on the loopback interface.
+//! The simulated store, cloud and workers served over real sockets in real time, for
+//! process-level tests on the loopback interface.
 
 use crate::cloud::Cloud;
 use crate::rules::MachineIdentity;
@@ -20,19 +20,21 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
+/// Interval between two updates of the workers.
 const STEP: Duration = Duration::from_millis(20);
 
 struct Inner {
-    state: SimulatedStore,
+    store: SimulatedStore,
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
-    plays: BTreeMap<String, TaskBehaviour>,
+    /// Behaviour of the tasks of each job.
+    behaviours: BTreeMap<String, TaskBehaviour>,
 }
 
 impl Inner {
-    /// Users upload elsewhere what their jobs do. Of jobs that nobody told of, tasks
-    /// run as long as was estimated.
-    fn learn(&mut self, call: &StoreRequest) {
+    /// Gives the tasks of jobs that this call stores a default behaviour: they run for
+    /// their estimated time.
+    fn add_default_behaviours(&mut self, call: &StoreRequest) {
         let StoreRequest::Transaction(txn) = call else {
             return;
         };
@@ -43,7 +45,7 @@
             {
                 let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
                 let id = open.spec.id.clone();
-                self.plays.entry(id).or_insert(TaskBehaviour {
+                self.behaviours.entry(id).or_insert(TaskBehaviour {
                     spec: open.spec,
                     run,
                     fails: false,
@@ -53,11 +55,12 @@
     }
 }
 
-/// A state service, a cloud and its workers, for as long as it lives.
+/// A store, a cloud and its workers. They are served until the process ends.
 #[derive(Clone)]
 pub struct Loopback {
     inner: Arc<Mutex<Inner>>,
     start: Instant,
+    /// Name and address of each controller.
     nodes: Vec<(String, SocketAddr)>,
     pub state_addr: SocketAddr,
     pub cloud_addr: SocketAddr,
@@ -86,34 +89,35 @@
 }
 
 impl Loopback {
-    /// Starts the stand-ins. `nodes` are the controllers that workers know.
+    /// Starts the services. `nodes` are the names and addresses of the controllers to which
+    /// workers send heartbeats.
     pub fn start(
         types: Vec<MachineType>,
         nodes: Vec<(String, SocketAddr)>,
     ) -> std::io::Result<Self> {
-        let state = TcpListener::bind("127.0.0.1:0")?;
+        let store = TcpListener::bind("127.0.0.1:0")?;
         let cloud = TcpListener::bind("127.0.0.1:0")?;
         let workers = TcpListener::bind("127.0.0.1:0")?;
         let world = Loopback {
             inner: Arc::new(Mutex::new(Inner {
-                state: SimulatedStore::new(16 * 1024, 48),
+                store: SimulatedStore::new(16 * 1024, 48),
                 cloud: Cloud::new(types, 4, 0),
                 workers: BTreeMap::new(),
-                plays: BTreeMap::new(),
+                behaviours: BTreeMap::new(),
             })),
             start: Instant::now(),
             nodes,
-            state_addr: state.local_addr()?,
+            state_addr: store.local_addr()?,
             cloud_addr: cloud.local_addr()?,
             workers_addr: workers.local_addr()?,
         };
         for (listener, serve) in [
             (
-                state,
-                Self::serve_state as fn(&Self, &str, &str, &[u8]) -> (u16, Vec<u8>),
+                store,
+                Self::serve_store as fn(&Self, &str, &str, &[u8]) -> (u16, Vec<u8>),
             ),
             (cloud, Self::serve_cloud),
-            (workers, Self::serve_orders),
+            (workers, Self::serve_commands),
         ] {
             let world = world.clone();
             std::thread::spawn(move || {
@@ -125,8 +129,8 @@
                 }
             });
         }
-        let ticking = world.clone();
-        std::thread::spawn(move || ticking.run_workers());
+        let worker_loop = world.clone();
+        std::thread::spawn(move || worker_loop.run_workers());
         Ok(world)
     }
 
@@ -138,31 +142,32 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Tells the workers what a job is like; users upload that elsewhere.
-    pub fn knows(&self, play: TaskBehaviour) {
-        self.inner().plays.insert(play.spec.id.clone(), play);
+    /// Sets the behaviour of a job's tasks.
+    pub fn knows(&self, behaviour: TaskBehaviour) {
+        let id = behaviour.spec.id.clone();
+        self.inner().behaviours.insert(id, behaviour);
     }
 
-    fn serve_state(&self, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        let Some(call) = state_call(method, target, body) else {
+    fn serve_store(&self, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
+        let Some(call) = parse_store_call(method, target, body) else {
             return (400, Vec::new());
         };
-        let hold = match &call {
+        let timeout = match &call {
             StoreRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
             _ => Duration::ZERO,
         };
-        let asked = Instant::now();
+        let received = Instant::now();
         loop {
             let mut inner = self.inner();
             let now = self.now();
-            inner.learn(&call);
-            if let Some(reply) = inner.state.call(&call, now) {
-                return state_answer(reply);
+            inner.add_default_behaviours(&call);
+            if let Some(reply) = inner.store.call(&call, now) {
+                return store_response(reply);
             }
             if let StoreRequest::Watch { prefix, after, .. } = &call
-                && asked.elapsed() >= hold
+                && received.elapsed() >= timeout
             {
-                return (200, encode(&inner.state.changes(prefix, *after)));
+                return (200, encode(&inner.store.changes(prefix, *after)));
             }
             drop(inner);
             std::thread::sleep(STEP / 4);
@@ -173,7 +178,7 @@
         let call = match (method, target.split('?').next()) {
             ("GET", Some("/flavors")) => CloudRequest::Types,
             ("POST", Some("/hosts")) => match decode::<ScaleOut>(body) {
-                Ok(rent) => CloudRequest::ScaleOut(rent),
+                Ok(request) => CloudRequest::ScaleOut(request),
                 Err(_) => return (400, Vec::new()),
             },
             ("POST", Some("/hosts/delete")) => match decode::<MachineNames>(body) {
@@ -186,8 +191,8 @@
         let now = self.now();
         let mut inner = self.inner();
         inner.cloud.note(now);
-        let (reply, new, gone) = inner.cloud.call(&call, now, |_| Some(0));
-        for name in gone {
+        let (reply, new, deleted) = inner.cloud.call(&call, now, |_| Some(0));
+        for name in deleted {
             inner.workers.remove(&name);
         }
         for name in new {
@@ -226,22 +231,26 @@
         }
     }
 
-    /// All workers share one listener; the machine is told by the session's
-    /// tasks, so this kit knows one worker at a time.
-    fn serve_orders(&self, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
+    /// All workers share one listener. A batch of commands does not name its machine, so
+    /// commands work only while there is a single worker.
+    fn serve_commands(&self, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
         if (method, target) != ("POST", COMMANDS_PATH) {
             return (404, Vec::new());
         }
-        let Ok(orders) = decode::<CommandBatch>(body) else {
+        let Ok(batch) = decode::<CommandBatch>(body) else {
             return (400, Vec::new());
         };
         let now = self.now();
         let mut inner = self.inner();
-        let Inner { workers, plays, .. } = &mut *inner;
+        let Inner {
+            workers,
+            behaviours,
+            ..
+        } = &mut *inner;
         let Some(worker) = workers.values_mut().next() else {
             return (503, Vec::new());
         };
-        let (status, mut report, _) = worker.orders(&orders, now, plays);
+        let (status, mut report, _) = worker.orders(&batch, now, behaviours);
         report.addr = self.workers_addr.to_string();
         (status, encode(&report))
     }
@@ -253,35 +262,44 @@
             let mut due = Vec::new();
             {
                 let mut inner = self.inner();
-                let Inner { workers, plays, .. } = &mut *inner;
+                let Inner {
+                    workers,
+                    behaviours,
+                    ..
+                } = &mut *inner;
                 for w in workers.values_mut() {
-                    w.pass(now, 14 * SECOND, plays);
+                    w.pass(now, 14 * SECOND, behaviours);
                     if now >= w.report_at {
-                        let mut report = w.report(now);
-                        report.addr = self.workers_addr.to_string();
+                        let mut heartbeat = w.report(now);
+                        heartbeat.addr = self.workers_addr.to_string();
                         w.report_at = now + SECOND;
-                        due.push((w.name.clone(), w.node, report));
+                        due.push((w.name.clone(), w.node, heartbeat));
                     }
                 }
             }
-            for (name, node, report) in due {
+            for (name, node, heartbeat) in due {
                 let addr = self.nodes[node % self.nodes.len()].1;
-                let answer = post(addr, HEARTBEAT_PATH, &encode(&report));
+                let answer = post(addr, HEARTBEAT_PATH, &encode(&heartbeat));
                 let mut inner = self.inner();
-                let Inner { workers, plays, .. } = &mut *inner;
+                let Inner {
+                    workers,
+                    behaviours,
+                    ..
+                } = &mut *inner;
                 let Some(w) = workers.get_mut(&name) else {
                     continue;
                 };
                 match answer {
                     Some((200, body)) => {
                         if let Ok(a) = decode::<HeartbeatReply>(&body) {
-                            w.answered(&a, report.incarnation, now, self.now(), plays);
+                            w.answered(&a, heartbeat.incarnation, now, self.now(), behaviours);
                         }
                     }
                     Some((421, body)) => {
-                        let to = decode::<LeaderRedirect>(&body).ok().and_then(|e| e.leader);
-                        let to = to.and_then(|m| self.nodes.iter().position(|(n, _)| *n == m));
-                        w.node = to.unwrap_or(node + 1);
+                        let leader = decode::<LeaderRedirect>(&body).ok().and_then(|e| e.leader);
+                        let leader =
+                            leader.and_then(|m| self.nodes.iter().position(|(n, _)| *n == m));
+                        w.node = leader.unwrap_or(node + 1);
                     }
                     _ => w.node = node + 1,
                 }
@@ -290,7 +308,7 @@
     }
 }
 
-fn state_call(method: &str, target: &str, body: &[u8]) -> Option<StoreRequest> {
+fn parse_store_call(method: &str, target: &str, body: &[u8]) -> Option<StoreRequest> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let param = |name: &str| {
         query
@@ -327,7 +345,7 @@
     })
 }
 
-fn state_answer(reply: StoreResponse) -> (u16, Vec<u8>) {
+fn store_response(reply: StoreResponse) -> (u16, Vec<u8>) {
     match reply {
         StoreResponse::Found(row) => (200, encode(&row)),
         StoreResponse::NotFound { revision } => (
@@ -358,7 +376,8 @@
     }
 }
 
-/// Head and body of one message; None when the connection has ended.
+/// Reads one HTTP request or response: method, target or reason phrase, status and body.
+/// Returns None if the connection closed or the message is invalid.
 fn read_message(stream: &mut TcpStream, request: bool) -> Option<(String, String, u16, Vec<u8>)> {
     let mut buffer = Vec::new();
     let mut chunk = [0u8; 4096];
@@ -418,7 +437,7 @@
     }
 }
 
-/// One request on a connection of its own: status and body of the answer.
+/// Sends a POST request on a new connection. Returns status and body of the response.
 pub fn post(addr: SocketAddr, target: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
     let head = format!(
         "POST {target} HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
@@ -429,11 +448,11 @@
     exchange(addr, &bytes)
 }
 
-/// Sends bytes as they are and reads one answer.
+/// Sends raw bytes on a new connection and reads one response.
 pub fn exchange(addr: SocketAddr, bytes: &[u8]) -> Option<(u16, Vec<u8>)> {
-    let wait = Duration::from_secs(4);
-    let mut stream = TcpStream::connect_timeout(&addr, wait).ok()?;
-    stream.set_read_timeout(Some(wait)).ok()?;
+    let timeout = Duration::from_secs(4);
+    let mut stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
     stream.write_all(bytes).ok()?;
     let (_, _, status, body) = read_message(&mut stream, false)?;
     Some((status, body))
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -1,5 +1,5 @@
-//! Three real controllers on the loopback interface, over the stand-ins, for tests of
-//! whole processes and to try things out.
+//! Controller processes on the loopback interface, running against the simulated store,
+//! cloud and workers: for process-level tests and for trying out the scheduler.
 
 use crate::loopback::Loopback;
 use dillcleat_wire::cloud::MachineType;
@@ -10,7 +10,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A process that ends with its owner, however that ends.
+/// How long [`until`] waits for its condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// A child process that is killed when its owner is dropped.
 #[derive(Debug)]
 pub struct Process(Child);
 
@@ -26,7 +29,7 @@
         self.0.id()
     }
 
-    /// Starts a controller with its settings and, if there is one, its operators' file.
+    /// Starts a controller with its settings file and, if given, its tuning file.
     pub fn serve(program: &Path, settings: &Path, tuning: Option<&Path>) -> io::Result<Process> {
         let mut command = Command::new(program);
         command.arg("--config").arg(settings);
@@ -46,28 +49,29 @@
     }
 }
 
-/// Addresses of this machine that nobody uses. They are held until the listeners are
-/// dropped: given back one by one, the same port was once given out twice.
+/// `n` unused loopback addresses. The returned listeners reserve them: dropping one
+/// listener before the next is bound could return the same port twice.
 pub fn free_addrs(n: usize) -> io::Result<(Vec<SocketAddr>, Vec<TcpListener>)> {
-    let held = (0..n).map(|_| TcpListener::bind("127.0.0.1:0"));
-    let held = held.collect::<io::Result<Vec<_>>>()?;
-    let addrs = held.iter().map(TcpListener::local_addr);
-    Ok((addrs.collect::<io::Result<_>>()?, held))
+    let listeners = (0..n).map(|_| TcpListener::bind("127.0.0.1:0"));
+    let listeners = listeners.collect::<io::Result<Vec<_>>>()?;
+    let addrs = listeners.iter().map(TcpListener::local_addr);
+    Ok((addrs.collect::<io::Result<_>>()?, listeners))
 }
 
-/// Waits until something holds; panics, for tests, if it does not within a minute.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls the condition until it is true. Panics, as a test does, if that takes over a
+/// minute.
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
+    while !condition() {
         assert!(
-            start.elapsed() < Duration::from_secs(60),
-            "not within 60 s: {what}"
+            start.elapsed() < WAIT_TIMEOUT,
+            "condition not met within {WAIT_TIMEOUT:?}: {what}"
         );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// A machine type of the stand-ins.
+/// A machine type of the simulated cloud, with the given number of CPUs.
 pub fn machine(cpus: f64) -> MachineType {
     MachineType {
         name: "m".into(),
@@ -83,65 +87,70 @@
     }
 }
 
-/// The settings of the `i`-th of several controllers.
+/// The settings file of controller `i`. Without a `world` its store and cloud are
+/// unreachable.
 pub fn settings(
     i: usize,
     clients: &[SocketAddr],
-    mesh: &[SocketAddr],
+    peers: &[SocketAddr],
     world: Option<&Loopback>,
     team: &str,
 ) -> String {
     let mut siblings = String::new();
-    for (j, addr) in mesh.iter().enumerate().filter(|(j, _)| *j != i) {
+    for (j, addr) in peers.iter().enumerate().filter(|(j, _)| *j != i) {
         let _ = write!(
             siblings,
             "[[siblings]]\nmember = \"n{j}\"\nsite = \"a\"\npeer_addr = \"{addr}\"\n"
         );
     }
-    let (state, cloud) = world.map_or((mesh[0], mesh[0]), |w| (w.state_addr, w.cloud_addr));
+    let (store, cloud) = world.map_or((peers[0], peers[0]), |w| (w.state_addr, w.cloud_addr));
     format!(
         "member = \"n{i}\"\nsite = \"a\"\nclient_listen = \"{}\"\nmesh_addr = \"{}\"\nnew_field = 1\n{siblings}
-[endpoints]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n
+[endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n
 [cluster]\nsize = 3\nzones = [\"a\"]\nclock_error_ms = 250.0\n
 [[cluster.teams]]\nname = \"{team}\"\ncpus = 4.0\ncpus_max = 8.0\n
 [cluster.workers]\nreport_s = 1.0\nlease_s = 14.0\ncancel_s = 44.0\n
 [cluster.state]\nrps = 200.0\nwrite_rps = 80.0\nvalue_kb = 16.0\ntxn_ops = 48\n
 [cluster.cloud]\nrps = 4.0\nlist_lag_s = 1.0\n
 [cluster.quota]\ncpu_share = 0.5\nmem_mb = 72.0\nmax_connections = 200\n",
-        clients[i], mesh[i]
+        clients[i], peers[i]
     )
 }
 
-/// Three controllers with doors, whose team is `books`.
+/// Three controllers that serve the Kubernetes API too, with one team named `books`.
 pub struct ThreeProcesses {
     pub world: Loopback,
     pub clients: Vec<SocketAddr>,
-    /// Where Kubernetes-shaped clients are served.
+    /// Addresses of the Kubernetes API servers.
     pub doors: Vec<SocketAddr>,
+    /// The settings and tuning file of each controller.
     files: Vec<(PathBuf, PathBuf)>,
     program: PathBuf,
     nodes: Vec<Option<Process>>,
 }
 
 impl ThreeProcesses {
-    /// `kube`: what the table of the door holds besides its address.
+    /// `kube` is the content of the `kube` settings table besides the listen address.
     pub fn start(program: &Path, dir: &Path, kube: &str) -> io::Result<ThreeProcesses> {
-        let (addrs, held) = free_addrs(9)?;
-        let part = |i: usize| addrs[3 * i..3 * i + 3].to_vec();
-        let (clients, mesh, doors) = (part(0), part(1), part(2));
+        let (addrs, listeners) = free_addrs(9)?;
+        let three = |i: usize| addrs[3 * i..3 * i + 3].to_vec();
+        let (clients, peers, doors) = (three(0), three(1), three(2));
         let names = clients.iter().enumerate();
         let names = names.map(|(i, addr)| (format!("n{i}"), *addr)).collect();
         let world = Loopback::start(vec![machine(8.0)], names)?;
         let mut files = Vec::new();
         for (i, listen) in doors.iter().enumerate() {
-            let own = dir.join(format!("n{i}.toml"));
-            std::fs::write(&own, settings(i, &clients, &mesh, Some(&world), "books"))?;
-            let door = dir.join(format!("operators-n{i}.toml"));
-            std::fs::write(&door, format!("[kube]\nlisten = \"{listen}\"\n{kube}"))?;
-            files.push((own, door));
+            let config = dir.join(format!("n{i}.toml"));
+            std::fs::write(
+                &config,
+                settings(i, &clients, &peers, Some(&world), "books"),
+            )?;
+            let tuning = dir.join(format!("operators-n{i}.toml"));
+            std::fs::write(&tuning, format!("[kube]\nlisten = \"{listen}\"\n{kube}"))?;
+            files.push((config, tuning));
         }
-        drop(held);
-        let mut trio = ThreeProcesses {
+        drop(listeners);
+        let mut processes = ThreeProcesses {
             world,
             clients,
             doors,
@@ -150,9 +159,9 @@
             nodes: (0..3).map(|_| None).collect(),
         };
         for i in 0..3 {
-            trio.restart(i)?;
+            processes.restart(i)?;
         }
-        Ok(trio)
+        Ok(processes)
     }
 
     pub fn kill(&mut self, i: usize) {
@@ -161,12 +170,12 @@
 
     pub fn restart(&mut self, i: usize) -> io::Result<()> {
         self.nodes[i] = None;
-        let (own, door) = &self.files[i];
-        self.nodes[i] = Some(Process::serve(&self.program, own, Some(door))?);
+        let (config, tuning) = &self.files[i];
+        self.nodes[i] = Some(Process::serve(&self.program, config, Some(tuning))?);
         Ok(())
     }
 
-    /// The process of a controller.
+    /// The operating system's process id of controller `i`, if it runs.
     pub fn id(&self, i: usize) -> Option<u32> {
         self.nodes[i].as_ref().map(Process::id)
     }
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -1,5 +1,5 @@
-//! One controller alone with a door, over the stand-ins of the state service and the
-//! cloud, on simulated time.
+//! A single controller with its Kubernetes API, on simulated time against the simulated
+//! store and cloud.
 
 use crate::cloud::Cloud;
 use crate::objects::TOKEN;
@@ -14,10 +14,12 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
 
-const STATE_TIME: Micros = 4 * MILLISECOND;
+/// Round trip of a call to the store.
+const STORE_ROUND_TRIP: Micros = 4 * MILLISECOND;
+/// Wall clock time at simulated time 0.
 pub const WALL: Micros = 1_700_000_000 * SECOND;
 
-/// A request with the token for everything.
+/// A request to the Kubernetes API with the token that permits everything.
 pub fn ask(method: &str, target: &str, body: &Value) -> ApiRequest {
     let patch = "application/merge-patch+json".to_string();
     ApiRequest {
@@ -33,7 +35,7 @@
     }
 }
 
-/// What happens at a time.
+/// A scheduled event.
 #[derive(Debug)]
 pub enum Ev {
     Input(Input),
@@ -41,24 +43,27 @@
     WatchEnds(u64),
 }
 
-/// A controller, its stand-ins and what it has answered.
+/// A controller, its simulated environment and its answers.
 #[derive(Debug)]
 pub struct SingleNode {
     pub now: Micros,
-    order: u64,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Ev>,
+    /// Number of the event scheduled last.
+    last_event: u64,
+    /// Times and numbers of the scheduled events.
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Scheduled events by number.
+    scheduled: BTreeMap<u64, Ev>,
     pub controller: Controller,
     pub state: SimulatedStore,
     cloud: Cloud,
     watches: Watches<CallId>,
-    /// Calls that the state service was asked.
+    /// Number of calls to the store.
     pub calls: u64,
-    /// Time spent in the controller.
+    /// Processing time of the controller.
     pub busy: Duration,
-    /// Answers, of the users' protocol as well.
+    /// Answers of the native and the Kubernetes API.
     pub answers: Vec<(RequestId, ApiResponse)>,
-    /// Lines of watches that went out.
+    /// Number of watch chunks sent to clients.
     pub chunks: u64,
 }
 
@@ -66,9 +71,9 @@
     pub fn new(config: Config, rules: Rules, state: SimulatedStore) -> SingleNode {
         SingleNode {
             now: SECOND,
-            order: 0,
-            events: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            last_event: 0,
+            queue: BinaryHeap::new(),
+            scheduled: BTreeMap::new(),
             controller: Controller::new(Node::new(config), Some(rules)),
             state: state.paged(PageLimit::FULL),
             cloud: Cloud::new(vec![machine(8.0)], 0, 0),
@@ -80,57 +85,61 @@
         }
     }
 
+    /// Schedules an event.
     pub fn at(&mut self, at: Micros, ev: Ev) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order)));
-        self.what.insert(self.order, ev);
+        self.last_event += 1;
+        self.queue.push(Reverse((at, self.last_event)));
+        self.scheduled.insert(self.last_event, ev);
     }
 
-    /// Plays until then, with a tick every 50 ms.
+    /// Runs until the simulated time `end`, with a tick every 50 ms.
     pub fn until(&mut self, end: Micros) {
         let mut tick = self.now;
         while tick < end {
             self.at(tick, Ev::Input(Input::Tick));
             tick += 50 * MILLISECOND;
         }
-        while let Some(Reverse((at, order))) = self.events.peek().copied() {
+        while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at >= end {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = at;
-            let Some(ev) = self.what.remove(&order) else {
+            let Some(ev) = self.scheduled.remove(&number) else {
                 continue;
             };
             let now = Timestamp {
                 monotonic: 1_000 * SECOND + at,
                 wall: WALL + at,
             };
-            let begun = Instant::now();
-            let outs = match ev {
+            let started = Instant::now();
+            let outputs = match ev {
                 Ev::Input(input) => self.controller.handle(now, input),
                 Ev::Ask(id, ask) => self.controller.ask(now, id, ask),
                 Ev::WatchEnds(watch) => {
                     if let Some((id, changes)) = self.watches.end(watch, &self.state) {
                         let reply = Ok(StoreResponse::WatchBatch(changes));
-                        self.at(at + STATE_TIME / 2, Ev::Input(Input::Store { id, reply }));
+                        self.at(
+                            at + STORE_ROUND_TRIP / 2,
+                            Ev::Input(Input::Store { id, reply }),
+                        );
                     }
                     continue;
                 }
             };
-            self.busy += begun.elapsed();
-            for out in outs {
-                self.carry(out);
+            self.busy += started.elapsed();
+            for output in outputs {
+                self.deliver(output);
             }
         }
         self.now = end;
     }
 
-    fn carry(&mut self, out: ControllerOutput) {
-        match out {
+    fn deliver(&mut self, output: ControllerOutput) {
+        match output {
             ControllerOutput::Core(Output::Store { id, call, .. }) => {
                 self.calls += 1;
-                let at = self.now + STATE_TIME;
+                let at = self.now + STORE_ROUND_TRIP;
                 match self.state.call(&call, self.now) {
                     Some(reply) => self.at(
                         at,
@@ -141,7 +150,7 @@
                     ),
                     None => {
                         if let Some((watch, time)) = self.watches.open(id, &call) {
-                            self.at(self.now + time + STATE_TIME / 2, Ev::WatchEnds(watch));
+                            self.at(self.now + time + STORE_ROUND_TRIP / 2, Ev::WatchEnds(watch));
                         }
                     }
                 }
@@ -177,12 +186,16 @@
         }
     }
 
-    /// Asks now, and plays for a second. None if there is no answer: a watch is open.
+    /// Sends a request and runs for one second. Returns None if it is still unanswered, as
+    /// an open watch is.
     pub fn asked(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
-        let id = RequestId(u64::MAX / 2 + self.order);
+        let id = RequestId(u64::MAX / 2 + self.last_event);
         self.at(self.now, Ev::Ask(id, ask));
         self.until(self.now + SECOND);
-        let found = self.answers.iter().position(|(of, _)| *of == id)?;
+        let found = self
+            .answers
+            .iter()
+            .position(|(answered, _)| *answered == id)?;
         Some(self.answers.swap_remove(found).1)
     }
 }
