--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -1,4 +1,5 @@
-//! Kubernetes-shaped clients: what they hand in, and what they may be told of it.
+//! Simulated clients of the Kubernetes API: the Jobs that they create, and the checks of
+//! the answers and watch events that they receive.
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_kube::record::{Kind, Name};
@@ -8,21 +9,22 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The token of every client here.
+/// The bearer token of every simulated client.
 pub const TOKEN: &str = "a-token-for-rehearsals";
 
-/// The operators' key of every rehearsal.
+/// The signing key of every simulated cluster.
 fn key() -> SigningKey {
-    // Thirty-two bytes of hexadecimal digits cannot be refused.
+    // 32 bytes in hexadecimal form always parse.
     SigningKey::parse(&"5c".repeat(32)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// The rules of a rehearsal's doors.
+/// The default settings of the simulated Kubernetes API.
 pub fn rules() -> Rules {
     rules_for(5_000, 500)
 }
 
-/// Rules with one token for everything and one, `TOKEN` and `-r`, that may only read.
+/// Settings with the given limits and two tokens: [`TOKEN`] permits everything, and
+/// [`TOKEN`] followed by `-r` permits reads only.
 pub fn rules_for(objects: usize, watches: usize) -> Rules {
     let key = key();
     let token = |name: &str, secret: &str, verbs: &str| {
@@ -41,35 +43,35 @@
             "\"get\", \"list\", \"watch\""
         ),
     );
-    // What is made here cannot be refused.
+    // The text above is valid TOML and valid settings.
     let table: toml::Table = toml::from_str(&text).unwrap_or_else(|e| panic!("{e}"));
     let settings = Settings::read(toml::Value::Table(table)).unwrap_or_else(|e| panic!("{e}"));
     Rules::new(settings, key)
 }
 
-/// What a client asks of its object.
+/// A request of a client about its Job object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum What {
     Create,
-    /// The same create, when it is known to be there or to have been.
+    /// The same create, sent again after it succeeded.
     Again,
     Get,
     Resume,
     Delete,
 }
 
-/// A Job that a user hands in, and what the user has been told of it.
+/// A Kubernetes Job that a user submits, and what the answers have shown of it.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub name: Name,
     pub uid: String,
     pub manifest: Value,
-    /// Polled and deleted as an object, not only created as one.
+    /// Polled and deleted through the Kubernetes API, not only created through it.
     pub throughout: bool,
-    /// It is created suspended, and resumed after this time.
+    /// Created suspended and resumed after this time.
     pub resume_after: Option<Micros>,
     deadline_s: Option<u64>,
-    backoff: u64,
+    backoff_limit: u64,
     ttl_s: Option<u64>,
     pub tries: u32,
     pub first_try: Micros,
@@ -77,11 +79,13 @@
     pub resumed: bool,
     pub delete_tries: u32,
     pub deleted: bool,
+    /// The reason of its end, and when an answer first showed it.
     ended: Option<(String, Micros)>,
 }
 
 impl Plan {
-    /// Turns a user's array into a Job, under the reference that follows from it.
+    /// Turns a user's batch job into a Kubernetes Job. The id of the batch job becomes the
+    /// one that the service derives from the Job's name and uid.
     pub fn new(number: usize, spec: &mut JobSpec, throughout: bool, rng: &mut Rng) -> Plan {
         let name = Name {
             kind: Kind::Job,
@@ -97,8 +101,8 @@
             throughout,
             resume_after: None,
             deadline_s: None,
-            // What fails is not to be stopped where native work goes on.
-            backoff: 100,
+            // The native API has no such limit: don't end jobs whose tasks fail.
+            backoff_limit: 100,
             ttl_s: None,
             tries: 0,
             first_try: 0,
@@ -112,14 +116,14 @@
         if throughout {
             plan.resume_after = (rng.u8(..5) == 0).then(|| rng.u64(SECOND..20 * SECOND));
             plan.deadline_s = (rng.u8(..8) == 0).then(|| rng.u64(10..120));
-            plan.backoff = rng.u64(0..7);
+            plan.backoff_limit = rng.u64(0..7);
             plan.ttl_s = (rng.u8(..4) == 0).then(|| rng.u64(0..40));
         }
-        plan.manifest = plan.describe(spec);
+        plan.manifest = plan.manifest_of(spec);
         plan
     }
 
-    fn describe(&self, spec: &JobSpec) -> Value {
+    fn manifest_of(&self, spec: &JobSpec) -> Value {
         let mut selector = BTreeMap::new();
         if let Some(zone) = &spec.zone {
             selector.insert("topology.kubernetes.io/zone", zone.clone());
@@ -131,15 +135,15 @@
             json!([{"maxSkew": 1, "topologyKey": "topology.kubernetes.io/zone",
                 "whenUnsatisfiable": "DoNotSchedule", "labelSelector": {"matchLabels": {"app": "x"}}}])
         });
-        let mut notes = BTreeMap::from([
+        let mut annotations = BTreeMap::from([
             ("dillcleat/class", spec.class.clone()),
             ("dillcleat/estimate-seconds", spec.estimate_s.to_string()),
             ("dillcleat/image-gb", spec.image_gb.to_string()),
             ("dillcleat/spot", spec.spot.to_string()),
             ("dillcleat/one-zone", spec.single_zone.to_string()),
         ]);
-        if let Some(due) = spec.deadline_s {
-            notes.insert("dillcleat/deadline-seconds", due.to_string());
+        if let Some(deadline) = spec.deadline_s {
+            annotations.insert("dillcleat/deadline-seconds", deadline.to_string());
         }
         let priority = match spec.priority {
             Priority::Production => "production",
@@ -149,10 +153,10 @@
         };
         json!({
             "apiVersion": "batch/v1", "kind": "Job",
-            "metadata": {"name": self.name.name, "labels": {"of": "rehearsal"}, "annotations": notes},
+            "metadata": {"name": self.name.name, "labels": {"of": "rehearsal"}, "annotations": annotations},
             "spec": {
                 "completions": spec.tasks, "parallelism": spec.tasks,
-                "backoffLimit": self.backoff, "activeDeadlineSeconds": self.deadline_s,
+                "backoffLimit": self.backoff_limit, "activeDeadlineSeconds": self.deadline_s,
                 "ttlSecondsAfterFinished": self.ttl_s,
                 "suspend": self.resume_after.is_some(),
                 "template": {
@@ -168,9 +172,9 @@
         })
     }
 
-    /// Whether the service may well end it without being asked to.
+    /// Whether the service may end it without a request to cancel it.
     pub fn may_fail(&self) -> bool {
-        self.deadline_s.is_some() || self.backoff < 3
+        self.deadline_s.is_some() || self.backoff_limit < 3
     }
 
     pub fn path(&self) -> String {
@@ -181,74 +185,87 @@
         format!("{}/{}", self.path(), self.name.name)
     }
 
-    /// Whether it may have been deleted after its time.
+    /// Whether the service deletes it some time after it ended.
     pub fn may_expire(&self) -> bool {
         self.ttl_s.is_some()
     }
 
-    /// Takes up what an answer shows of the object: how it ended, if it has; or what
-    /// is wrong with that.
+    /// Checks the object in an answer. Returns how the Job ended, if it has, or what is
+    /// wrong with the object.
     pub fn shown(&mut self, object: &Value, now: Micros) -> Result<Option<JobState>, String> {
         let name = &self.name;
         let text = |pointer: &str| object.pointer(pointer).and_then(Value::as_str);
         if text("/metadata/uid") != Some(&self.uid) {
-            return Err(format!("{name}: another object of its name: {object}"));
+            return Err(format!(
+                "{name}: expected uid {}, got another object: {object}",
+                self.uid
+            ));
         }
         if self.deleted {
-            return Err(format!("{name}: there after it was deleted"));
+            return Err(format!(
+                "{name}: still returned after its deletion was confirmed"
+            ));
         }
         let conditions = object
             .pointer("/status/conditions")
             .and_then(Value::as_array);
-        let ends = conditions.into_iter().flatten();
-        let mut ends = ends.filter(|c| c["type"] == "Complete" || c["type"] == "Failed");
+        let conditions = conditions.into_iter().flatten();
+        let mut ends = conditions.filter(|c| c["type"] == "Complete" || c["type"] == "Failed");
         let Some(end) = ends.next() else {
             return match &self.ended {
-                Some((was, _)) => Err(format!("{name}: was {was}, is open")),
+                Some((before, _)) => Err(format!("{name}: ended with {before}, now has no end")),
                 None => Ok(None),
             };
         };
         let reason = end["reason"].as_str().unwrap_or_default().to_string();
-        if let Some((was, _)) = self.ended.as_ref().filter(|(was, _)| *was != reason) {
-            return Err(format!("{name}: was {was}, is {reason}"));
+        if let Some((before, _)) = self.ended.as_ref().filter(|(before, _)| *before != reason) {
+            return Err(format!("{name}: ended with {before}, now with {reason}"));
         }
         self.ended.get_or_insert((reason.clone(), now));
         let failed = object.pointer("/status/failed").and_then(Value::as_u64);
-        let since = now.saturating_sub(self.first_try) + SECOND;
-        let due = self.deadline_s.map_or(u64::MAX, |s| s * SECOND);
+        let age = now.saturating_sub(self.first_try) + SECOND;
+        let deadline = self.deadline_s.map_or(u64::MAX, |s| s * SECOND);
         match reason.as_str() {
             "CompletionsReached" => Ok(Some(JobState::Done)),
-            "BackoffLimitExceeded" if failed > Some(self.backoff) => Ok(Some(JobState::Cancelled)),
-            "DeadlineExceeded" if since >= due => Ok(Some(JobState::Cancelled)),
+            "BackoffLimitExceeded" if failed > Some(self.backoff_limit) => {
+                Ok(Some(JobState::Cancelled))
+            }
+            "DeadlineExceeded" if age >= deadline => Ok(Some(JobState::Cancelled)),
             "Cancelled" if !self.throughout => Ok(Some(JobState::Cancelled)),
-            other => Err(format!("{name}: ended for no cause: {other}, {object}")),
+            other => Err(format!(
+                "{name}: ended with unexpected reason {other} after {age} us: {object}"
+            )),
         }
     }
 }
 
-/// One client that watches every Job all day long, at one controller after the other.
+/// A client that watches all Jobs for the whole run, on one controller after another.
 #[derive(Debug, Default)]
 pub struct Watcher {
-    /// The watch's request, its node and that node's epoch.
+    /// The request number of the open watch, its node and that node's epoch.
     pub open: Option<(u64, usize, u32)>,
-    /// Up to which version it knows everything.
+    /// The resource version up to which it has received all events.
     version: Option<u64>,
-    /// What it has been told of each object: uid, version, and how it ended.
+    /// The latest received state of each object: uid, resource version and reason of its
+    /// end.
     known: BTreeMap<String, (String, u64, Option<String>)>,
+    /// Ends of objects received.
     ends: usize,
+    /// Objects received for the first time.
     added: usize,
     pub heard_at: Micros,
 }
 
 impl Watcher {
-    /// The path of the next watch.
+    /// The request path of the next watch.
     pub fn path(&self) -> String {
         let since = self.version.map(|v| format!("&resourceVersion={v}"));
         let since = since.unwrap_or_default();
         format!("/apis/batch/v1/jobs?watch=true&allowWatchBookmarks=true{since}")
     }
 
-    /// A watch begins: from nothing, everything is told again.
+    /// Records that a watch was opened. One without a resource version sends all objects
+    /// again.
     pub fn begins(&mut self, request: u64, node: usize, epoch: u32, now: Micros) {
         self.open = Some((request, node, epoch));
         self.heard_at = now;
@@ -257,17 +274,18 @@
         }
     }
 
-    /// What was known is too old.
+    /// Drops the resource version, so that the next watch starts from the beginning.
     pub fn forget(&mut self) {
         self.version = None;
         self.open = None;
     }
 
+    /// Objects and ends of objects received.
     pub fn counts(&self) -> (usize, usize) {
         (self.added, self.ends)
     }
 
-    /// Takes a line up; tells what is wrong with it.
+    /// Applies one watch event. Returns what is wrong with it, if anything is.
     pub fn line(&mut self, line: &Value) -> Result<(), String> {
         let object = &line["object"];
         let text = |pointer: &str| object.pointer(pointer).and_then(Value::as_str);
@@ -277,12 +295,14 @@
             return if object["code"] == 410 {
                 Ok(())
             } else {
-                Err(format!("a watch ends with {object}"))
+                Err(format!(
+                    "watch ended with an error other than 410: {object}"
+                ))
             };
         }
         let version = text("/metadata/resourceVersion").and_then(|v| v.parse::<u64>().ok());
         let Some(version) = version else {
-            return Err(format!("no version: {line}"));
+            return Err(format!("watch event without a resource version: {line}"));
         };
         let resumed = self.version.is_some();
         if kind == "BOOKMARK" {
@@ -304,13 +324,17 @@
             .and_then(|c| c["reason"].as_str().map(str::to_string));
         if let Some((old_uid, old, old_end)) = self.known.get(&name) {
             if resumed && version <= *old && kind != "DELETED" {
-                return Err(format!("{name}: version {version} after {old}"));
+                return Err(format!(
+                    "{name}: resource version {version} received after {old}"
+                ));
             }
             if *old_uid == uid && old_end.is_some() && *old_end != end {
-                return Err(format!("{name}: was {old_end:?}, is {end:?}"));
+                return Err(format!("{name}: end changed from {old_end:?} to {end:?}"));
             }
             if *old_uid != uid && kind != "ADDED" {
-                return Err(format!("{name}: became another object"));
+                return Err(format!(
+                    "{name}: uid changed from {old_uid} to {uid} without an ADDED event"
+                ));
             }
         }
         if kind == "DELETED" {
@@ -318,14 +342,14 @@
         } else {
             let before = self.known.insert(name, (uid, version, end.clone()));
             self.added += usize::from(before.is_none());
-            let told = before.is_some_and(|(_, _, end)| end.is_some());
-            self.ends += usize::from(end.is_some() && !told);
+            let already_ended = before.is_some_and(|(_, _, end)| end.is_some());
+            self.ends += usize::from(end.is_some() && !already_ended);
         }
         self.version = self.version.max(Some(version));
         Ok(())
     }
 
-    /// What it knows: names and versions.
+    /// The resource version of each known object by name.
     pub fn view(&self) -> BTreeMap<String, u64> {
         let known = self.known.iter();
         known
