--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! A simulated cloud provider.
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{
@@ -7,12 +7,14 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
+/// A rented machine.
 #[derive(Debug, Clone)]
 pub struct Host {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub since: Micros,
+    /// When it has booted; None if it never does.
     pub up_at: Option<Micros>,
 }
 
@@ -20,22 +22,25 @@
 pub struct Cloud {
     pub types: Vec<MachineType>,
     pub hosts: BTreeMap<String, Host>,
-    /// Machines still to be had, by type, zone and kind.
+    /// Machines left to rent, by type, zone and whether they are spot instances.
     capacity: BTreeMap<(String, String, bool), u32>,
-    answered: BTreeMap<String, Vec<String>>,
-    next: u64,
-    lag: Micros,
-    history: VecDeque<(Micros, Vec<ListedMachine>)>,
+    /// Machines rented for each scale-out request, which is idempotent.
+    scale_outs: BTreeMap<String, Vec<String>>,
+    /// Number in the name of the next machine.
+    next_host: u64,
+    list_lag: Micros,
+    /// Recorded lists of the machines, oldest first; the oldest is served.
+    lists: VecDeque<(Micros, Vec<ListedMachine>)>,
     pub out_until: Micros,
 }
 
 impl Cloud {
-    pub fn new(types: Vec<MachineType>, per_offer: u32, lag: Micros) -> Self {
+    pub fn new(types: Vec<MachineType>, machines_per_offering: u32, list_lag: Micros) -> Self {
         let mut capacity = BTreeMap::new();
         for t in &types {
             for z in &t.zones {
                 for spot in [false, true] {
-                    capacity.insert((t.name.clone(), z.clone(), spot), per_offer);
+                    capacity.insert((t.name.clone(), z.clone(), spot), machines_per_offering);
                 }
             }
         }
@@ -43,15 +48,15 @@
             types,
             hosts: BTreeMap::new(),
             capacity,
-            answered: BTreeMap::new(),
-            next: 0,
-            lag,
-            history: VecDeque::new(),
+            scale_outs: BTreeMap::new(),
+            next_host: 0,
+            list_lag,
+            lists: VecDeque::new(),
             out_until: 0,
         }
     }
 
-    /// Takes a machine away, for whatever reason.
+    /// Removes a machine and returns it to the capacity. False if there is none.
     pub fn remove(&mut self, name: &str) -> bool {
         let Some(h) = self.hosts.remove(name) else {
             return false;
@@ -62,7 +67,7 @@
         true
     }
 
-    /// Notes the list as it is now; what is served is older.
+    /// Records the current list of machines, to be served after the list lag.
     pub fn note(&mut self, now: Micros) {
         let list = self
             .hosts
@@ -80,14 +85,14 @@
                 age_s: 0.0,
             })
             .collect();
-        self.history.push_back((now, list));
-        while self.history.len() > 1 && self.history[1].0 + self.lag < now {
-            self.history.pop_front();
+        self.lists.push_back((now, list));
+        while self.lists.len() > 1 && self.lists[1].0 + self.list_lag < now {
+            self.lists.pop_front();
         }
     }
 
-    /// Carries a call out. Names of new and of deleted machines are returned
-    /// for the world to act upon.
+    /// Executes a call. Returns the answer and the names of new and of deleted machines.
+    /// `boot` is the boot time of a new machine, None if it never boots.
     pub fn call(
         &mut self,
         call: &CloudRequest,
@@ -100,22 +105,22 @@
         match call {
             CloudRequest::Types => (CloudResponse::Types(self.types.clone()), vec![], vec![]),
             CloudRequest::ScaleOut(r) => {
-                if let Some(names) = self.answered.get(&r.request) {
+                if let Some(names) = self.scale_outs.get(&r.request) {
                     return (CloudResponse::ScaledOut(names.clone()), vec![], vec![]);
                 }
                 let key = (r.machine_type.clone(), r.zone.clone(), r.spot);
-                let left = self.capacity.get_mut(&key);
-                let n = left.as_ref().map_or(0, |n| (**n).min(r.count));
+                let available = self.capacity.get_mut(&key);
+                let n = available.as_ref().map_or(0, |n| (**n).min(r.count));
                 if n == 0 {
                     return (CloudResponse::NoCapacity, vec![], vec![]);
                 }
-                if let Some(left) = left {
-                    *left -= n;
+                if let Some(available) = available {
+                    *available -= n;
                 }
                 let mut names = Vec::new();
                 for _ in 0..n {
-                    let name = format!("host-{:06}", self.next);
-                    self.next += 1;
+                    let name = format!("host-{:06}", self.next_host);
+                    self.next_host += 1;
                     let host = Host {
                         machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
@@ -126,19 +131,19 @@
                     self.hosts.insert(name.clone(), host);
                     names.push(name);
                 }
-                self.answered.insert(r.request.clone(), names.clone());
+                self.scale_outs.insert(r.request.clone(), names.clone());
                 (CloudResponse::ScaledOut(names.clone()), names, vec![])
             }
             CloudRequest::Delete(names) => {
-                let gone = names.iter().filter(|n| self.remove(n)).cloned().collect();
-                (CloudResponse::Deleted, vec![], gone)
+                let deleted = names.iter().filter(|n| self.remove(n)).cloned().collect();
+                (CloudResponse::Deleted, vec![], deleted)
             }
             CloudRequest::List { after } => {
-                let known = self.history.front().map_or(&[][..], |(_, l)| l);
+                let served = self.lists.front().map_or(&[][..], |(_, l)| l);
                 let from = after
                     .as_ref()
-                    .map_or(0, |a| known.partition_point(|m| m.name <= *a));
-                let rest = &known[from..];
+                    .map_or(0, |a| served.partition_point(|m| m.name <= *a));
+                let rest = &served[from..];
                 let list = MachineList {
                     machines: rest.iter().take(MAX_PAGE_ROWS as usize).cloned().collect(),
                     more: rest.len() > MAX_PAGE_ROWS as usize,
@@ -148,5 +153,6 @@
         }
     }
 
+    /// Interval between two recorded lists.
     pub const NOTE_EVERY: Micros = SECOND;
 }
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service.
+//! A simulated consensus-backed key-value store.
 
 use dillcleat_controller::{MILLISECOND, Micros, records};
 use dillcleat_wire::store::{
@@ -8,25 +8,25 @@
 use dillcleat_wire::store::{MAX_TRANSACTION_BYTES, json_size};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Changes that the service still knows; a watch that starts further back is
-/// told to read the keys again.
-const KEPT_CHANGES: usize = 10_000;
+/// Number of changes kept for watches. A watch from an older revision is answered
+/// `Compacted`.
+const RETAINED_CHANGES: usize = 10_000;
 
-/// The most that one page of a listing holds.
+/// Upper bound of one page of a range listing.
 #[derive(Debug, Clone, Copy)]
 pub struct PageLimit {
     pub rows: usize,
-    /// Of the JSON form.
+    /// Size of the page in JSON.
     pub bytes: usize,
 }
 
 impl PageLimit {
-    /// Small pages, so that every run goes over several.
+    /// Small pages, so that every run reads several.
     pub const SMALL: PageLimit = PageLimit {
         rows: 7,
         bytes: usize::MAX,
     };
-    /// As in the protocol.
+    /// The limits of the protocol.
     pub const FULL: PageLimit = PageLimit {
         rows: 1000,
         bytes: 512 * 1024,
@@ -43,59 +43,61 @@
 #[derive(Debug)]
 pub struct SimulatedStore {
     keys: BTreeMap<String, Entry>,
+    /// Time to live and expiry of each lease.
     leases: BTreeMap<LeaseId, (Micros, Micros)>,
     next_lease: u64,
     revision: u64,
+    /// The latest changes with their revisions.
     log: VecDeque<(u64, WatchEvent)>,
-    /// The latest change that is no longer in the log.
-    forgotten: u64,
+    /// Revision of the latest change that is no longer in the log.
+    compacted: u64,
     page: PageLimit,
     pub out_until: Micros,
     out_since: Micros,
-    value_bytes: usize,
-    txn_ops: usize,
-    /// The limits have fallen, which nobody was told: what breaks them is answered 400
-    /// and no fault of who wrote it.
-    lowered: bool,
-    /// Requests that were refused for their size since then.
+    max_value_bytes: usize,
+    max_txn_ops: usize,
+    /// The limits were lowered during the run. The controllers are not notified, so a
+    /// request beyond a limit is answered 400 and is not an error of the controller.
+    limits_lowered: bool,
+    /// Requests that were refused for their size after the limits were lowered.
     pub refused: usize,
-    /// Requests that broke a limit of the protocol: the service's own fault.
+    /// Descriptions of the requests that broke the protocol: errors of the controller.
     pub malformed: Vec<String>,
 }
 
 impl SimulatedStore {
-    pub fn new(value_bytes: usize, txn_ops: usize) -> Self {
+    pub fn new(max_value_bytes: usize, max_txn_ops: usize) -> Self {
         SimulatedStore {
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
             revision: 0,
             log: VecDeque::new(),
-            forgotten: 0,
+            compacted: 0,
             page: PageLimit::SMALL,
             out_until: 0,
             out_since: 0,
-            value_bytes,
-            txn_ops,
-            lowered: false,
+            max_value_bytes,
+            max_txn_ops,
+            limits_lowered: false,
             refused: 0,
             malformed: Vec::new(),
         }
     }
 
-    /// Lowers the limits. What is stored stays readable.
-    pub fn limit(&mut self, value_bytes: usize, txn_ops: usize) {
-        (self.value_bytes, self.txn_ops) = (value_bytes, txn_ops);
-        self.lowered = true;
+    /// Lowers the limits. Stored values beyond them stay readable.
+    pub fn limit(&mut self, max_value_bytes: usize, max_txn_ops: usize) {
+        (self.max_value_bytes, self.max_txn_ops) = (max_value_bytes, max_txn_ops);
+        self.limits_lowered = true;
     }
 
-    /// Sets how much a page of a listing holds.
+    /// Sets the page size of range listings.
     pub fn paged(mut self, page: PageLimit) -> Self {
         self.page = page;
         self
     }
 
-    /// Sets a key as if an earlier controller had written it.
+    /// Stores a record as if an earlier controller had written it.
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
         self.revision += 1;
         let entry = Entry {
@@ -104,14 +106,14 @@
             lease: None,
         };
         self.keys.insert(key, entry);
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
     }
 
-    fn note(&mut self, event: WatchEvent) {
+    fn append_to_log(&mut self, event: WatchEvent) {
         self.log.push_back((self.revision, event));
-        while self.log.len() > KEPT_CHANGES {
+        while self.log.len() > RETAINED_CHANGES {
             if let Some((revision, _)) = self.log.pop_front() {
-                self.forgotten = revision;
+                self.compacted = revision;
             }
         }
     }
@@ -125,25 +127,25 @@
         now < self.out_until
     }
 
-    /// Ends leases; after an outage each has its full time again.
+    /// Ends expired leases. An outage restarts the full time to live of every lease.
     pub fn expire(&mut self, now: Micros) {
         if self.out(now) {
             return;
         }
         if self.out_since < self.out_until {
-            let end = self.out_until;
+            let outage_end = self.out_until;
             for (ttl, until) in self.leases.values_mut() {
-                *until = (*until).max(end + *ttl);
+                *until = (*until).max(outage_end + *ttl);
             }
             self.out_since = self.out_until;
         }
-        let ended: Vec<LeaseId> = self
+        let expired: Vec<LeaseId> = self
             .leases
             .iter()
             .filter(|(_, (_, until))| now > *until)
             .map(|(id, _)| *id)
             .collect();
-        for lease in ended {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
@@ -173,15 +175,15 @@
                 key: key.into(),
                 version: self.revision,
             };
-            self.note(event);
+            self.append_to_log(event);
         }
     }
 
-    /// Carries a call out; None for a watch that has to wait.
+    /// Executes a call. Returns None for a watch that has to wait for changes.
     pub fn call(&mut self, call: &StoreRequest, now: Micros) -> Option<StoreResponse> {
         self.expire(now);
         if self.out(now) {
-            // Open watches stay open; everything else is refused.
+            // Watches stay open during an outage; all other calls are refused.
             return match call {
                 StoreRequest::Watch { .. } => None,
                 _ => Some(StoreResponse::Unavailable),
@@ -250,7 +252,7 @@
                     StoreResponse::LeaseExpired
                 }
             }
-            StoreRequest::Watch { after, .. } if *after < self.forgotten => {
+            StoreRequest::Watch { after, .. } if *after < self.compacted => {
                 StoreResponse::Compacted
             }
             StoreRequest::Watch { prefix, after, .. } => {
@@ -263,6 +265,7 @@
         })
     }
 
+    /// Changes of keys with this prefix after a revision.
     pub fn changes(&self, prefix: &str, after: u64) -> WatchBatch {
         let key = |e: &WatchEvent| match e {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.clone(),
@@ -279,8 +282,8 @@
         }
     }
 
-    fn too_large(&mut self, what: String) -> StoreResponse {
-        if self.lowered {
+    fn refuse_oversized(&mut self, what: String) -> StoreResponse {
+        if self.limits_lowered {
             self.refused += 1;
         } else {
             self.malformed.push(what);
@@ -294,33 +297,41 @@
             if let Mutation::Put { key, value, .. } = change {
                 let size = json_size(value);
                 bytes += size + key.len();
-                if size > self.value_bytes {
-                    let what = format!("{key}: value of {size} bytes");
-                    return self.too_large(what);
+                if size > self.max_value_bytes {
+                    let what = format!(
+                        "{key}: value of {size} bytes exceeds the limit of {} bytes",
+                        self.max_value_bytes
+                    );
+                    return self.refuse_oversized(what);
                 }
             }
         }
         if bytes > MAX_TRANSACTION_BYTES
-            || txn.then.len() > self.txn_ops
-            || txn.compare.len() > 4 * self.txn_ops
+            || txn.then.len() > self.max_txn_ops
+            || txn.compare.len() > 4 * self.max_txn_ops
         {
             let what = format!(
-                "transaction of {} changes, {} conditions, {bytes} bytes",
+                "transaction of {} mutations, {} conditions and {bytes} bytes exceeds a limit: \
+                 {} mutations, {} conditions, {MAX_TRANSACTION_BYTES} bytes",
                 txn.then.len(),
-                txn.compare.len()
+                txn.compare.len(),
+                self.max_txn_ops,
+                4 * self.max_txn_ops
             );
-            return self.too_large(what);
+            return self.refuse_oversized(what);
         }
-        // Whatever only a leader writes is fenced by its term. Chunks carry
-        // versions besides, so no run would show the lack of it soon.
-        let leaders = |c: &Mutation| match c {
+        // Keys that only the leader writes must be fenced by a condition on the term. Most
+        // conflicting writes would also fail on a version, so a missing condition on the
+        // term would rarely show in the outcome of a run.
+        let leader_owned = |c: &Mutation| match c {
             Mutation::Put { key, .. } | Mutation::Delete { key } => {
                 key.starts_with("t/") || key.starts_with("m/")
             }
         };
-        if txn.then.iter().any(leaders) && !txn.compare.iter().any(|c| c.key == "s/term") {
-            self.malformed
-                .push("a leader's write without its term".into());
+        if txn.then.iter().any(leader_owned) && !txn.compare.iter().any(|c| c.key == "s/term") {
+            self.malformed.push(
+                "write to a leader-owned key (t/ or m/) without a condition on s/term".into(),
+            );
         }
         let failed: Vec<String> = txn
             .compare
@@ -328,10 +339,10 @@
             .filter(|c| self.keys.get(&c.key).map_or(0, |e| e.version) != c.version)
             .map(|c| c.key.clone())
             .collect();
-        let gone = txn.then.iter().any(
+        let lease_expired = txn.then.iter().any(
             |c| matches!(c, Mutation::Put { lease: Some(l), .. } if !self.leases.contains_key(l)),
         );
-        if gone {
+        if lease_expired {
             return StoreResponse::LeaseExpired;
         }
         if !failed.is_empty() {
@@ -357,7 +368,7 @@
                         value: value.clone(),
                         version: self.revision,
                     };
-                    self.note(event);
+                    self.append_to_log(event);
                 }
                 Mutation::Delete { key } => self.delete(key),
             }
@@ -367,7 +378,7 @@
         }
     }
 
-    /// The latest term of the controllers.
+    /// The term of the latest leader, 0 before the first election.
     pub fn term(&self) -> u64 {
         let row = self.keys.get(records::TERM);
         row.and_then(|e| dillcleat_wire::store::decode_value::<records::TermRecord>(&e.value))
@@ -383,33 +394,33 @@
         ))
     }
 
-    /// Keys under a prefix, for looking at what a run leaves behind.
+    /// Keys with a prefix, to inspect the state at the end of a run.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let keys = self.keys.keys();
         keys.filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 }
 
-/// Watches that wait for a change, with who asked.
+/// Open watches, each with its caller.
 #[derive(Debug)]
 pub struct Watches<T> {
+    /// Caller, key prefix and start revision by number of the watch.
     open: BTreeMap<u64, (T, String, u64)>,
-    next: u64,
+    last_number: u64,
 }
 
 impl<T> Default for Watches<T> {
     fn default() -> Self {
         Watches {
             open: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
         }
     }
 }
 
 impl<T: Copy> Watches<T> {
-    /// Opens a watch; None if the call is none. Returns its number and for how
-    /// long it is held.
-    pub fn open(&mut self, who: T, call: &StoreRequest) -> Option<(u64, Micros)> {
+    /// Opens a watch. Returns its number and its timeout, or None if the call is no watch.
+    pub fn open(&mut self, caller: T, call: &StoreRequest) -> Option<(u64, Micros)> {
         let StoreRequest::Watch {
             prefix,
             after,
@@ -418,35 +429,37 @@
         else {
             return None;
         };
-        self.next += 1;
-        self.open.insert(self.next, (who, prefix.clone(), *after));
-        Some((self.next, hold_ms * MILLISECOND))
+        self.last_number += 1;
+        self.open
+            .insert(self.last_number, (caller, prefix.clone(), *after));
+        Some((self.last_number, hold_ms * MILLISECOND))
     }
 
-    /// Ends a watch whose time is over.
-    pub fn end(&mut self, watch: u64, state: &SimulatedStore) -> Option<(T, WatchBatch)> {
-        let (who, prefix, after) = self.open.remove(&watch)?;
-        Some((who, state.changes(&prefix, after)))
+    /// Closes a watch that has timed out. Returns its caller and changes, if it was open.
+    pub fn end(&mut self, watch: u64, store: &SimulatedStore) -> Option<(T, WatchBatch)> {
+        let (caller, prefix, after) = self.open.remove(&watch)?;
+        Some((caller, store.changes(&prefix, after)))
     }
 
-    /// Ends those that have something to tell to whom `may` be told.
+    /// Closes the watches that have changes and whose caller is `reachable`. Returns each
+    /// caller and its changes.
     pub fn changed(
         &mut self,
-        state: &SimulatedStore,
-        may: impl Fn(T) -> bool,
+        store: &SimulatedStore,
+        reachable: impl Fn(T) -> bool,
     ) -> Vec<(T, WatchBatch)> {
-        let mut told = Vec::new();
-        self.open.retain(|_, (who, prefix, after)| {
-            if !may(*who) {
+        let mut answers = Vec::new();
+        self.open.retain(|_, (caller, prefix, after)| {
+            if !reachable(*caller) {
                 return true;
             }
-            let changes = state.changes(prefix, *after);
-            let quiet = changes.events.is_empty();
-            if !quiet {
-                told.push((*who, changes));
+            let changes = store.changes(prefix, *after);
+            let unchanged = changes.events.is_empty();
+            if !unchanged {
+                answers.push((*caller, changes));
             }
-            quiet
+            unchanged
         });
-        told
+        answers
     }
 }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker.
+//! A simulated worker: the agent of one machine.
 
 use crate::rules::MachineIdentity;
 use dillcleat_controller::{Micros, SECOND};
@@ -9,30 +9,30 @@
 };
 use std::collections::BTreeMap;
 
-/// A machine reports that had a report answered so short a while ago.
-const HEARD: Micros = 8 * SECOND;
-/// How long a report may wait for its answer.
+/// A machine counts as reachable this long after it sent its last answered heartbeat.
+const REACHABLE_WINDOW: Micros = 8 * SECOND;
+/// A heartbeat without an answer after this time counts as lost.
 pub const PATIENCE: Micros = 4 * SECOND;
 
+/// A task attempt on the machine.
 #[derive(Debug, Clone)]
-struct Running {
+struct Attempt {
     state: TaskState,
-    why: Option<ExitReason>,
-    /// When the image is there, or the run ends.
+    exit_reason: Option<ExitReason>,
+    /// When the image has been fetched or the run ends.
     until: Option<Micros>,
     cpus: f64,
     gpus: f64,
 }
 
-/// What happens on a machine, for the checker.
+/// A start or an end of a task on a machine, for the checker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerEvent {
     Starts(TaskName),
     Leaves { task: TaskName, done: bool },
 }
 
-/// What a worker knows of a job: its description, how long a task runs, and
-/// whether it fails.
+/// How the tasks of a job behave: how long each runs and whether it fails.
 #[derive(Debug, Clone)]
 pub struct TaskBehaviour {
     pub spec: JobSpec,
@@ -47,21 +47,27 @@
     cpus: f64,
     gpus: f64,
     pub session: u64,
-    seq: u64,
-    token: u64,
-    tasks: BTreeMap<(TaskName, u64), Running>,
-    /// When the last answered report was sent, or the session began.
-    leased_from: Micros,
+    last_sequence: u64,
+    /// Latest fencing token received.
+    fencing_token: u64,
+    /// Attempts by task and attempt number.
+    attempts: BTreeMap<(TaskName, u64), Attempt>,
+    /// When the last answered heartbeat was sent, or the incarnation began.
+    lease_start: Micros,
     pub report_at: Micros,
+    /// The controller that receives its heartbeats.
     pub node: usize,
-    /// The report under way: its number and when it was sent.
+    /// Incarnation, sequence number and send time of the unanswered heartbeat, if any.
     pub under_way: Option<(u64, u64, Micros)>,
+    /// The machine executes nothing until then.
     pub hung_until: Micros,
-    /// Until then answers and orders to it are lost.
+    /// All messages to it are lost until then.
     pub deaf_until: Micros,
-    /// Until then it reaches no node.
+    /// It cannot connect to any controller until then.
     pub mute_until: Micros,
+    /// When the cloud provider will preempt the instance, once that is announced.
     pub recall_at: Option<Micros>,
+    /// Every task that starts here fails.
     pub faulty: bool,
 }
 
@@ -73,10 +79,10 @@
             cpus,
             gpus,
             session: 1,
-            seq: 0,
-            token: 0,
-            tasks: BTreeMap::new(),
-            leased_from: now,
+            last_sequence: 0,
+            fencing_token: 0,
+            attempts: BTreeMap::new(),
+            lease_start: now,
             report_at: now,
             node,
             under_way: None,
@@ -89,7 +95,7 @@
     }
 
     pub fn report(&mut self, now: Micros) -> Heartbeat {
-        self.seq += 1;
+        self.last_sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             addr: format!("{}:9000", self.name),
@@ -97,100 +103,101 @@
             zone: self.place.zone.clone(),
             spot: self.place.spot,
             incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            sequence: self.last_sequence,
+            fencing_token: self.fencing_token,
             interruption_notice_s: self
                 .recall_at
                 .map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
             tasks: self
-                .tasks
+                .attempts
                 .iter()
-                .map(|((task, attempt), r)| TaskStatus {
+                .map(|((task, number), attempt)| TaskStatus {
                     task: task.clone(),
-                    attempt: *attempt,
-                    state: r.state,
-                    reason: r.why,
+                    attempt: *number,
+                    state: attempt.state,
+                    reason: attempt.exit_reason,
                     checkpoint_saved: None,
                 })
                 .collect(),
         }
     }
 
-    /// Puts a task here that has been running for a while.
+    /// Adds a task that has been running here for some time.
     pub fn seat(&mut self, task: TaskName, attempt: u64, until: Option<Micros>, cpus: f64) {
-        let running = Running {
+        let running = Attempt {
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             until,
             cpus,
             gpus: 0.0,
         };
-        self.tasks.insert((task, attempt), running);
+        self.attempts.insert((task, attempt), running);
     }
 
-    /// When something happens here next, unless a message comes first.
+    /// Time of the next event on the machine, unless a message arrives before.
     pub fn next_at(&self) -> Micros {
-        let ends = self.tasks.values().filter_map(|r| r.until);
-        let patience = self.under_way.map(|(_, _, sent)| sent + PATIENCE);
-        let report = patience.unwrap_or(self.report_at);
-        ends.min().map_or(report, |end| end.min(report))
+        let task_events = self.attempts.values().filter_map(|a| a.until);
+        let timeout = self.under_way.map(|(_, _, sent)| sent + PATIENCE);
+        let heartbeat = timeout.unwrap_or(self.report_at);
+        task_events.min().map_or(heartbeat, |at| at.min(heartbeat))
     }
 
-    /// When its session ends, if nothing more is answered.
+    /// When its lease expires and its incarnation ends, if no further heartbeat is answered.
     pub fn leased_until(&self, lease: Micros) -> Micros {
-        self.leased_from + lease
+        self.lease_start + lease
     }
 
-    fn soon(&mut self, now: Micros) {
+    /// Sends the next heartbeat within half a second.
+    fn expedite_heartbeat(&mut self, now: Micros) {
         self.report_at = self.report_at.min(now + SECOND / 2);
     }
 
-    /// Time passes: images arrive, runs end, the lease may run out.
+    /// Advances to the given time: images are fetched, tasks end, the lease may expire.
     pub fn pass(
         &mut self,
         now: Micros,
         lease: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
-        let mut happenings = Vec::new();
-        // A hanging machine does not execute its tasks, but its lease runs.
-        if now > self.leased_from + lease {
-            happenings.extend(self.kill());
+        let mut events = Vec::new();
+        // A hung machine does not execute its tasks, but its lease still expires.
+        if now > self.lease_start + lease {
+            events.extend(self.kill());
             self.session += 1;
-            self.leased_from = now;
+            self.lease_start = now;
             self.under_way = None;
-            self.soon(now);
-            return happenings;
+            self.expedite_heartbeat(now);
+            return events;
         }
         if now < self.hung_until {
-            return happenings;
+            return events;
         }
         let faulty = self.faulty;
         let mut changed = false;
-        for ((task, _), r) in &mut self.tasks {
-            while r.until.is_some_and(|at| now >= at) {
+        for ((task, _), attempt) in &mut self.attempts {
+            while attempt.until.is_some_and(|at| now >= at) {
                 changed = true;
-                let play = jobs.get(&task.job);
-                match r.state {
+                let behaviour = jobs.get(&task.job);
+                match attempt.state {
                     TaskState::Fetching => {
-                        happenings.push(WorkerEvent::Starts(task.clone()));
-                        r.state = TaskState::Running;
-                        let fails = faulty || play.is_some_and(|p| p.fails);
-                        r.until = match play {
+                        events.push(WorkerEvent::Starts(task.clone()));
+                        attempt.state = TaskState::Running;
+                        let fails = faulty || behaviour.is_some_and(|b| b.fails);
+                        attempt.until = match behaviour {
                             _ if fails => Some(now + SECOND / 5),
-                            Some(p) if p.spec.kind == JobKind::Batch => Some(now + p.run),
+                            Some(b) if b.spec.kind == JobKind::Batch => Some(now + b.run),
                             _ => None,
                         };
                         if fails {
-                            r.why = Some(ExitReason::Error);
+                            attempt.exit_reason = Some(ExitReason::Error);
                         }
                     }
                     _ => {
-                        let done = r.why.is_none();
-                        r.why.get_or_insert(ExitReason::Done);
-                        r.state = TaskState::Exited;
-                        r.until = None;
-                        happenings.push(WorkerEvent::Leaves {
+                        let done = attempt.exit_reason.is_none();
+                        attempt.exit_reason.get_or_insert(ExitReason::Done);
+                        attempt.state = TaskState::Exited;
+                        attempt.until = None;
+                        events.push(WorkerEvent::Leaves {
                             task: task.clone(),
                             done,
                         });
@@ -199,21 +206,21 @@
             }
         }
         if changed {
-            self.soon(now);
+            self.expedite_heartbeat(now);
         }
-        happenings
+        events
     }
 
-    /// Everything on the machine ends at once.
+    /// Ends all tasks on the machine.
     pub fn kill(&mut self) -> Vec<WorkerEvent> {
-        std::mem::take(&mut self.tasks)
+        std::mem::take(&mut self.attempts)
             .into_iter()
-            .filter(|(_, r)| r.state == TaskState::Running)
+            .filter(|(_, attempt)| attempt.state == TaskState::Running)
             .map(|((task, _), _)| WorkerEvent::Leaves { task, done: false })
             .collect()
     }
 
-    /// The answer to a report that was sent at `sent` in `incarnation`.
+    /// Handles the answer to the heartbeat that incarnation `session` sent at `sent`.
     pub fn answered(
         &mut self,
         answer: &HeartbeatReply,
@@ -222,102 +229,106 @@
         now: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
-        if answer.fencing_token < self.token || session != self.session {
+        if answer.fencing_token < self.fencing_token || session != self.session {
             return Vec::new();
         }
-        if answer.fencing_token > self.token {
-            self.token = answer.fencing_token;
-            self.soon(now);
+        if answer.fencing_token > self.fencing_token {
+            self.fencing_token = answer.fencing_token;
+            self.expedite_heartbeat(now);
         }
-        self.leased_from = self.leased_from.max(sent);
-        self.carry_out(&answer.commands, now, jobs)
+        self.lease_start = self.lease_start.max(sent);
+        self.execute(&answer.commands, now, jobs)
     }
 
-    /// Orders sent straight to the worker: status, report and happenings.
+    /// Handles commands sent to the worker. Returns the HTTP status, the heartbeat that is
+    /// the answer, and the events.
     pub fn orders(
         &mut self,
-        orders: &CommandBatch,
+        batch: &CommandBatch,
         now: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> (u16, Heartbeat, Vec<WorkerEvent>) {
-        if orders.fencing_token < self.token || orders.incarnation != self.session {
+        if batch.fencing_token < self.fencing_token || batch.incarnation != self.session {
             return (409, self.report(now), Vec::new());
         }
-        self.token = orders.fencing_token;
-        let happenings = self.carry_out(&orders.commands, now, jobs);
-        (200, self.report(now), happenings)
+        self.fencing_token = batch.fencing_token;
+        let events = self.execute(&batch.commands, now, jobs);
+        (200, self.report(now), events)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         commands: &[Command],
         now: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
-        let mut happenings = Vec::new();
+        let mut events = Vec::new();
         for c in commands {
             match c {
-                Command::Launch { task, attempt } => self.start(task, *attempt, now, jobs),
+                Command::Launch { task, attempt } => self.launch(task, *attempt, now, jobs),
                 Command::Stop { task, attempt, .. } => {
-                    if let Some(r) = self.tasks.get_mut(&(task.clone(), *attempt))
-                        && r.state != TaskState::Exited
+                    if let Some(stopped) = self.attempts.get_mut(&(task.clone(), *attempt))
+                        && stopped.state != TaskState::Exited
                     {
-                        if r.state == TaskState::Running {
-                            happenings.push(WorkerEvent::Leaves {
+                        if stopped.state == TaskState::Running {
+                            events.push(WorkerEvent::Leaves {
                                 task: task.clone(),
                                 done: false,
                             });
                         }
-                        r.state = TaskState::Exited;
-                        r.why = Some(ExitReason::Stopped);
-                        r.until = None;
+                        stopped.state = TaskState::Exited;
+                        stopped.exit_reason = Some(ExitReason::Stopped);
+                        stopped.until = None;
                     }
                 }
                 Command::Reap { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self
-                        .tasks
+                        .attempts
                         .get(&key)
-                        .is_some_and(|r| r.state == TaskState::Exited)
+                        .is_some_and(|a| a.state == TaskState::Exited)
                     {
-                        self.tasks.remove(&key);
+                        self.attempts.remove(&key);
                     }
                 }
             }
         }
         if !commands.is_empty() {
-            self.soon(now);
+            self.expedite_heartbeat(now);
         }
-        happenings
+        events
     }
 
-    /// Tasks that run, fetch their image or save.
+    /// Tasks with an attempt that has not exited.
     pub fn live(&self) -> impl Iterator<Item = &TaskName> {
         let live = self
-            .tasks
+            .attempts
             .iter()
-            .filter(|(_, r)| r.state != TaskState::Exited);
+            .filter(|(_, a)| a.state != TaskState::Exited);
         live.map(|((task, _), _)| task)
     }
 
-    /// Whether it is up, reports, and is not about to be taken.
+    /// Whether it runs tasks, is reachable and is not about to be preempted.
     pub fn takes(&self, now: Micros) -> bool {
-        let troubled = [self.hung_until, self.deaf_until, self.mute_until];
-        troubled.iter().all(|until| now >= *until)
+        let fault_ends = [self.hung_until, self.deaf_until, self.mute_until];
+        fault_ends.iter().all(|until| now >= *until)
             && !self.faulty
             && self.recall_at.is_none()
-            && self.leased_from + HEARD >= now
+            && self.lease_start + REACHABLE_WINDOW >= now
     }
 
-    /// CPUs and GPUs that no task takes.
+    /// CPUs and GPUs that no live task uses.
     pub fn free(&self) -> (f64, f64) {
-        let live = self.tasks.values().filter(|r| r.state != TaskState::Exited);
-        live.fold((self.cpus, self.gpus), |(cpus, gpus), r| {
-            (cpus - r.cpus, gpus - r.gpus)
+        let live = self
+            .attempts
+            .values()
+            .filter(|a| a.state != TaskState::Exited);
+        live.fold((self.cpus, self.gpus), |(cpus, gpus), a| {
+            (cpus - a.cpus, gpus - a.gpus)
         })
     }
 
-    fn start(
+    fn launch(
         &mut self,
         task: &TaskName,
         attempt: u64,
@@ -325,39 +336,39 @@
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) {
         let key = (task.clone(), attempt);
-        if self.tasks.contains_key(&key) {
+        if self.attempts.contains_key(&key) {
             return;
         }
-        let live = |r: &Running| r.state != TaskState::Exited;
+        let live = |a: &Attempt| a.state != TaskState::Exited;
         let (free_cpus, free_gpus) = self.free();
-        let busy = self.tasks.iter().any(|((t, _), r)| t == task && live(r));
-        let play = jobs.get(&task.job);
-        let (cpus, gpus) = play.map_or((0.0, 0.0), |p| (p.spec.cpus, p.spec.gpus));
-        let refused = if play.is_none() {
+        let other_attempt = self.attempts.iter().any(|((t, _), a)| t == task && live(a));
+        let behaviour = jobs.get(&task.job);
+        let (cpus, gpus) = behaviour.map_or((0.0, 0.0), |b| (b.spec.cpus, b.spec.gpus));
+        let rejection = if behaviour.is_none() {
             Some(ExitReason::UnknownTask)
-        } else if busy {
+        } else if other_attempt {
             Some(ExitReason::OtherAttemptPresent)
         } else if cpus > free_cpus + 1e-6 || gpus > free_gpus + 1e-6 {
             Some(ExitReason::InsufficientResources)
         } else {
             None
         };
-        let running = match refused {
-            Some(why) => Running {
+        let started = match rejection {
+            Some(reason) => Attempt {
                 state: TaskState::Exited,
-                why: Some(why),
+                exit_reason: Some(reason),
                 until: None,
                 cpus: 0.0,
                 gpus: 0.0,
             },
-            None => Running {
+            None => Attempt {
                 state: TaskState::Fetching,
-                why: None,
+                exit_reason: None,
                 until: Some(now + SECOND / 2),
                 cpus,
                 gpus,
             },
         };
-        self.tasks.insert(key, running);
+        self.attempts.insert(key, started);
     }
 }
