--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,11 +1,11 @@
-//! One controller alone with a large fleet: what its work costs by kind of
-//! input, how long a new leader takes, and what a whole fleet that reports at
-//! once does to it.
+//! A single controller with a large simulated fleet. Measures the processing time of each kind
+//! of input, the time that a new leader needs for its first launch, and the effect of a whole
+//! fleet sending heartbeats at the same time.
 //!
-//! The fleet runs already when the controller starts: machines, jobs and
-//! placements are in the store, as an earlier leader would have left them. The
-//! cloud has no more machines to give. Every job that ends is followed by
-//! another, so the number of waiting tasks stays about what it was.
+//! The fleet is running when the controller starts: machines, jobs and placements are in
+//! the store, as an earlier leader would have left them. The cloud has no further machines
+//! to rent. Each job that ends is replaced by a new one, which keeps the number of waiting
+//! tasks about constant.
 
 use crate::cloud::{Cloud, Host};
 use crate::rules::MachineIdentity;
@@ -32,50 +32,52 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 const TEAMS: usize = 12;
-const TYPE: &str = "sixteen";
-const CPUS: f64 = 16.0;
-/// Tasks of an array, on average, and replicas of a service.
-const ARRAY: u32 = 60;
-const REPLICAS: u32 = 8;
-/// Of so many machines one is ordinary and runs replicas.
-const ORDINARY: u32 = 5;
-const REPORT: Micros = 5 * SECOND;
-const LEASE: Micros = 26 * SECOND;
-const CANCEL: Micros = 56 * SECOND;
-const STATE_TIME: Micros = 5 * MILLISECOND;
-const CLOUD_TIME: Micros = 80 * MILLISECOND;
-const NETWORK_TIME: Micros = MILLISECOND;
-const WALL: Micros = 1_700_000_000 * SECOND;
-
-/// What is played.
+const MACHINE_TYPE: &str = "sixteen";
+const CPUS_PER_MACHINE: f64 = 16.0;
+const MEAN_TASKS_PER_ARRAY: u32 = 60;
+const REPLICAS_PER_SERVICE: u32 = 8;
+/// One machine in this many is not a spot instance. These machines run the services.
+const MACHINES_PER_ON_DEMAND: u32 = 5;
+const HEARTBEAT_INTERVAL: Micros = 5 * SECOND;
+const WORKER_LEASE: Micros = 26 * SECOND;
+const CANCEL_DEADLINE: Micros = 56 * SECOND;
+const STORE_ROUND_TRIP: Micros = 5 * MILLISECOND;
+const CLOUD_ROUND_TRIP: Micros = 80 * MILLISECOND;
+const NETWORK_DELAY: Micros = MILLISECOND;
+/// Monotonic clock of the controller at simulated time 0.
+const MONOTONIC_START: Micros = 1_000 * SECOND;
+/// Wall clock at simulated time 0.
+const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
+
+/// Size, load and faults of a run.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     pub seed: u64,
     pub machines: u32,
-    /// Tasks that fit on one machine; all of them run at the start.
+    /// Tasks that fit on one machine. Every machine is full at the start.
     pub slots: u32,
-    /// Tasks that wait for room, about.
+    /// Approximate number of tasks that wait for capacity.
     pub waiting: u32,
-    /// Jobs that wait for another, which runs on.
+    /// Jobs that depend on a job that does not end.
     pub held: u32,
-    /// Mean run time of an array's task.
+    /// Mean run time of a task of a batch job.
     pub run: Micros,
-    /// Time before anything is measured, and while it is.
+    /// Time before the measurement begins.
     pub warm_up: Micros,
+    /// Duration of the measurement.
     pub measured: Micros,
-    /// What the state service takes a second: requests and changes.
+    /// Rate limits of the store per second: requests, and mutations in transactions.
     pub state_rps: f64,
     pub state_write_rps: f64,
-    /// The part of a processor that the controller has. None: its work takes no
-    /// simulated time, and equal seeds give equal runs.
+    /// Share of a CPU that the controller has. None: its work takes no simulated time, and
+    /// runs with equal seeds are equal.
     pub cpu_share: Option<f64>,
-    /// From when on and for how long nobody's report gets an answer.
+    /// Start and duration of a network outage between all workers and the controller.
     pub silence: Option<(Micros, Micros)>,
 }
 
 impl FleetSettings {
-    /// A fleet with the state service's limits in proportion to it, as at one
-    /// of a thousand machines.
+    /// A fleet with rate limits of the store in proportion to its size.
     pub fn of(machines: u32) -> FleetSettings {
         FleetSettings {
             seed: 1,
@@ -94,137 +96,150 @@
     }
 }
 
-/// What a run has come to.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct FleetMeasurements {
-    /// Time of each input while measured, in nanoseconds, by kind.
+    /// Processing time of each input during the measurement, in nanoseconds, by kind of input.
     pub inputs: BTreeMap<&'static str, Vec<u64>>,
-    /// The same of the inputs before: the election, the load, the first orders.
+    /// The same for the inputs before: the election, reading the state, the first commands.
     pub before: BTreeMap<&'static str, Vec<u64>>,
-    /// Launches and completions while measured.
+    /// Launch commands during the measurement.
     pub starts: u64,
+    /// Completed tasks during the measurement.
     pub ends: u64,
+    /// Calls to the store and bytes of their transactions during the measurement.
     pub state_calls: u64,
     pub state_bytes: u64,
+    /// Calls that the store refused because of its rate limits.
     pub too_many: u64,
-    /// The most orders that were under way at once.
+    /// Maximum number of command batches in flight.
     pub most_orders: usize,
-    /// What passes did, from the election on.
+    /// Counters of the scheduler since the election.
     pub counts: SchedulerCounters,
-    /// From the election to the first launch after it.
+    /// Time from the election to the first launch command after it.
     pub first_launch: Option<Micros>,
-    /// When every machine had been answered in the new term, from the election.
+    /// Time from the election until every machine had a heartbeat answered.
     pub all_heard: Option<Micros>,
-    /// Sessions that ended for want of an answer.
+    /// Worker leases that expired because no heartbeat was answered in time.
     pub leases_lost: u64,
-    /// The least that was left of any lease when its report was answered.
+    /// Minimum remaining time of a worker's lease when a heartbeat answer renewed it.
     pub least_left: Micros,
-    /// Requests that broke a limit of the state service.
+    /// Requests that exceeded a limit of the store.
     pub malformed: Vec<String>,
 }
 
 #[derive(Debug)]
-enum Ev {
+enum Event {
     Tick,
-    Node(Box<Input>),
-    State {
+    NodeInput(Box<Input>),
+    StoreCall {
         id: CallId,
         call: Box<StoreRequest>,
     },
-    WatchEnds {
+    WatchTimeout {
         watch: u64,
     },
-    Cloud {
+    CloudCall {
         id: CallId,
         call: Box<CloudRequest>,
     },
-    Orders {
+    Commands {
         id: CallId,
         machine: u32,
-        orders: Box<CommandBatch>,
+        batch: Box<CommandBatch>,
     },
     Worker {
         machine: u32,
     },
-    Answered {
+    HeartbeatAnswer {
         machine: u32,
         sent: Micros,
-        session: u64,
+        incarnation: u64,
         answer: Box<Answer>,
     },
-    /// The controller has done what it was at.
-    Idle,
-    Note,
+    /// The controller has finished its current input.
+    NodeIdle,
+    /// Records the cloud's list of machines and replaces ended jobs.
+    EverySecond,
 }
 
-/// What a second allows, with a burst of one second's worth.
-struct Bucket {
-    rate: f64,
-    left: f64,
-    at: Micros,
+/// A token bucket with a burst of one second's worth of tokens.
+struct TokenBucket {
+    tokens_per_s: f64,
+    tokens: f64,
+    refilled_at: Micros,
 }
 
-impl Bucket {
-    fn new(rate: f64) -> Bucket {
-        Bucket {
-            rate,
-            left: rate,
-            at: 0,
+impl TokenBucket {
+    fn new(tokens_per_s: f64) -> TokenBucket {
+        TokenBucket {
+            tokens_per_s,
+            tokens: tokens_per_s,
+            refilled_at: 0,
         }
     }
 
     fn take(&mut self, n: f64, now: Micros) -> bool {
-        let grown = (now - self.at) as f64 / SECOND as f64 * self.rate;
-        self.left = (self.left + grown).min(self.rate);
-        self.at = now;
-        let enough = self.left >= n;
+        let refill = (now - self.refilled_at) as f64 / SECOND as f64 * self.tokens_per_s;
+        self.tokens = (self.tokens + refill).min(self.tokens_per_s);
+        self.refilled_at = now;
+        let enough = self.tokens >= n;
         if enough {
-            self.left -= n;
+            self.tokens -= n;
         }
         enough
     }
 }
 
 pub struct Fleet {
-    setting: FleetSettings,
+    settings: FleetSettings,
     now: Micros,
-    order: u64,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: HashMap<u64, Ev>,
+    /// Number of the event scheduled last.
+    last_event: u64,
+    /// Times and numbers of the scheduled events.
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Scheduled events by number.
+    scheduled: HashMap<u64, Event>,
     rng: Rng,
-    /// Taken out by [`Fleet::dismiss`].
+    /// None after [`Fleet::dismiss`].
     node: Option<Node>,
     busy_until: Micros,
-    /// What waits for the controller: reports, and all else before them.
-    lines: [VecDeque<Input>; 2],
-    serving: bool,
-    state: SimulatedStore,
-    calls: Bucket,
-    changes: Bucket,
+    /// Inputs that wait for the controller: heartbeats in the second queue, all others in
+    /// the first, which is served first.
+    input_queues: [VecDeque<Input>; 2],
+    /// A `NodeIdle` event is scheduled.
+    idle_scheduled: bool,
+    store: SimulatedStore,
+    store_calls: TokenBucket,
+    store_mutations: TokenBucket,
     cloud: Cloud,
     workers: Vec<Worker>,
-    /// When a worker's next event is planned; earlier ones are out of date.
-    planned: Vec<Micros>,
-    names: HashMap<String, u32>,
-    plays: BTreeMap<String, TaskBehaviour>,
-    unanswered: HashMap<u64, (u32, Micros, u64)>,
+    /// Time of each worker's next event. An event at another time is outdated.
+    worker_event_at: Vec<Micros>,
+    /// Indices of the workers by machine name.
+    worker_indices: HashMap<String, u32>,
+    behaviours: BTreeMap<String, TaskBehaviour>,
+    /// Machine, send time and incarnation of each unanswered heartbeat by request number.
+    unanswered_heartbeats: HashMap<u64, (u32, Micros, u64)>,
     watches: Watches<CallId>,
-    next: u64,
+    last_request: u64,
+    /// Number of jobs created.
     jobs: u32,
-    /// Jobs that were open at the start, and submissions under way.
+    /// Number of open jobs at the start; [`Fleet::refill`] keeps it constant.
     open_jobs: usize,
-    submitting: usize,
-    orders_open: usize,
-    elected: Option<Micros>,
-    heard: Vec<bool>,
-    unheard: u32,
-    result: FleetMeasurements,
+    submissions_in_flight: usize,
+    commands_in_flight: usize,
+    elected_at: Option<Micros>,
+    /// Whether each machine has had a heartbeat answered since the election.
+    answered_machines: Vec<bool>,
+    machines_without_answer: u32,
+    measurements: FleetMeasurements,
 }
 
 fn machine_type() -> MachineType {
     MachineType {
-        name: TYPE.into(),
-        cpus: CPUS,
+        name: MACHINE_TYPE.into(),
+        cpus: CPUS_PER_MACHINE,
         gpus: 0.0,
         memory_gb: 64.0,
         cache_gb: 80.0,
@@ -236,11 +251,11 @@
     }
 }
 
-fn config(setting: &FleetSettings) -> Config {
+fn config(settings: &FleetSettings) -> Config {
     let teams = (0..TEAMS).map(|i| Team {
         name: format!("team-{i:02}"),
         cpus: 0.0,
-        cpus_max: f64::from(setting.machines) * CPUS / 4.0,
+        cpus_max: f64::from(settings.machines) * CPUS_PER_MACHINE / 4.0,
         gpus: 0.0,
         gpus_max: 0.0,
     });
@@ -250,15 +265,15 @@
         peers: Vec::new(),
         peers_in_other_zones: Vec::new(),
         teams: teams.collect(),
-        heartbeat_interval: REPORT,
-        worker_lease: LEASE,
-        cancel_deadline: CANCEL,
+        heartbeat_interval: HEARTBEAT_INTERVAL,
+        worker_lease: WORKER_LEASE,
+        cancel_deadline: CANCEL_DEADLINE,
         clock_error: SECOND / 4,
-        state_rps: setting.state_rps,
-        state_write_rps: setting.state_write_rps,
+        state_rps: settings.state_rps,
+        state_write_rps: settings.state_write_rps,
         value_bytes: 16 * 1024,
         value_bytes_before: 16 * 1024,
-        state_write_rps_before: setting.state_write_rps,
+        state_write_rps_before: settings.state_write_rps,
         chunk_tasks: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
         txn_ops: 48,
         cloud_rps: 4.0,
@@ -275,13 +290,13 @@
 }
 
 impl Fleet {
-    /// Orders that the controller may have under way.
+    /// Maximum number of command batches that the controller may have in flight.
     pub const MAX_ORDERS: usize = 256;
 
-    pub fn new(setting: FleetSettings) -> Fleet {
-        let mut state = SimulatedStore::new(16 * 1024, 48).paged(PageLimit::FULL);
+    pub fn new(settings: FleetSettings) -> Fleet {
+        let mut store = SimulatedStore::new(16 * 1024, 48).paged(PageLimit::FULL);
         let types = vec![machine_type()];
-        state.put(
+        store.put(
             records::TYPES.into(),
             &MachineTypesRecord {
                 types: types.clone(),
@@ -289,112 +304,114 @@
         );
         let mut fleet = Fleet {
             now: SECOND,
-            order: 0,
-            events: BinaryHeap::new(),
-            what: HashMap::new(),
-            rng: Rng::with_seed(setting.seed),
-            node: Some(Node::new(config(&setting))),
+            last_event: 0,
+            queue: BinaryHeap::new(),
+            scheduled: HashMap::new(),
+            rng: Rng::with_seed(settings.seed),
+            node: Some(Node::new(config(&settings))),
             busy_until: 0,
-            lines: Default::default(),
-            serving: false,
-            state,
-            calls: Bucket::new(setting.state_rps),
-            changes: Bucket::new(setting.state_write_rps),
+            input_queues: Default::default(),
+            idle_scheduled: false,
+            store,
+            store_calls: TokenBucket::new(settings.state_rps),
+            store_mutations: TokenBucket::new(settings.state_write_rps),
             cloud: Cloud::new(types, 0, 4 * SECOND),
             workers: Vec::new(),
-            planned: Vec::new(),
-            names: HashMap::new(),
-            plays: BTreeMap::new(),
-            unanswered: HashMap::new(),
+            worker_event_at: Vec::new(),
+            worker_indices: HashMap::new(),
+            behaviours: BTreeMap::new(),
+            unanswered_heartbeats: HashMap::new(),
             watches: Watches::default(),
-            next: 0,
+            last_request: 0,
             jobs: 0,
             open_jobs: 0,
-            submitting: 0,
-            orders_open: 0,
-            elected: None,
-            heard: vec![false; setting.machines as usize],
-            unheard: setting.machines,
-            result: FleetMeasurements {
-                least_left: LEASE,
+            submissions_in_flight: 0,
+            commands_in_flight: 0,
+            elected_at: None,
+            answered_machines: vec![false; settings.machines as usize],
+            machines_without_answer: settings.machines,
+            measurements: FleetMeasurements {
+                least_left: WORKER_LEASE,
                 ..FleetMeasurements::default()
             },
-            setting,
+            settings,
         };
-        fleet.build();
+        fleet.populate();
         fleet
     }
 
-    /// Machines that run as much as they hold, and what waits.
-    fn build(&mut self) {
-        for i in 0..self.setting.machines {
+    /// Creates the machines, all of them full, and the waiting jobs.
+    fn populate(&mut self) {
+        for i in 0..self.settings.machines {
             let name = format!("host-{i:06}");
             let place = MachineIdentity {
                 machine: name.clone(),
-                machine_type: TYPE.into(),
+                machine_type: MACHINE_TYPE.into(),
                 zone: ZONES[i as usize % ZONES.len()].into(),
-                spot: !i.is_multiple_of(ORDINARY),
+                spot: !i.is_multiple_of(MACHINES_PER_ON_DEMAND),
             };
             let record = MachineRecord {
                 addr: format!("{name}:9000"),
-                machine_type: TYPE.into(),
+                machine_type: MACHINE_TYPE.into(),
                 zone: place.zone.clone(),
                 spot: place.spot,
             };
-            self.state.put(records::machine_key(&name), &record);
+            self.store.put(records::machine_key(&name), &record);
             let host = Host {
-                machine_type: TYPE.into(),
+                machine_type: MACHINE_TYPE.into(),
                 zone: place.zone.clone(),
                 spot: place.spot,
                 since: 0,
                 up_at: Some(0),
             };
             self.cloud.hosts.insert(name.clone(), host);
-            self.names.insert(name, i);
-            let worker = Worker::new(place, CPUS, 0.0, self.now, 0);
+            self.worker_indices.insert(name, i);
+            let worker = Worker::new(place, CPUS_PER_MACHINE, 0.0, self.now, 0);
             self.workers.push(worker);
-            self.planned.push(Micros::MAX);
+            self.worker_event_at.push(Micros::MAX);
         }
         self.cloud.note(0);
-        let (ordinary, spot): (Vec<u32>, Vec<u32>) =
-            (0..self.setting.machines).partition(|i| i.is_multiple_of(ORDINARY));
-        self.seat(&ordinary, JobKind::Service);
-        self.seat(&spot, JobKind::Batch);
-        let mut waiting = 0;
-        while waiting < self.setting.waiting {
-            let spec = self.spec(JobKind::Batch);
-            waiting += spec.tasks;
-            self.record(&spec);
-        }
-        // The first that was seated is a service's: it does not end.
-        let root = format!("req-{:06}", 1);
-        for _ in 0..self.setting.held {
+        let (on_demand, spot): (Vec<u32>, Vec<u32>) =
+            (0..self.settings.machines).partition(|i| i.is_multiple_of(MACHINES_PER_ON_DEMAND));
+        self.fill(&on_demand, JobKind::Service);
+        self.fill(&spot, JobKind::Batch);
+        let mut waiting_tasks = 0;
+        while waiting_tasks < self.settings.waiting {
+            let spec = self.new_job(JobKind::Batch);
+            waiting_tasks += spec.tasks;
+            self.store_job(&spec);
+        }
+        // The first job is a service, which does not end.
+        let service = format!("req-{:06}", 1);
+        for _ in 0..self.settings.held {
             let spec = JobSpec {
-                depends_on: vec![root.clone()],
-                ..self.spec(JobKind::Batch)
+                depends_on: vec![service.clone()],
+                ..self.new_job(JobKind::Batch)
             };
-            self.record(&spec);
+            self.store_job(&spec);
         }
-        for i in 0..self.setting.machines {
-            let first = self.now + self.rng.u64(..REPORT);
-            self.workers[i as usize].report_at = first;
-            self.plan(i);
+        for i in 0..self.settings.machines {
+            let first_heartbeat = self.now + self.rng.u64(..HEARTBEAT_INTERVAL);
+            self.workers[i as usize].report_at = first_heartbeat;
+            self.schedule_worker(i);
         }
-        self.open_jobs = self.state.keys(records::OPEN).len();
-        self.at(self.now, Ev::Tick);
-        self.at(self.now + SECOND, Ev::Note);
+        self.open_jobs = self.store.keys(records::OPEN).len();
+        self.schedule(self.now, Event::Tick);
+        self.schedule(self.now + SECOND, Event::EverySecond);
     }
 
-    fn spec(&mut self, kind: JobKind) -> JobSpec {
+    /// Draws the next job. Its tasks are sized so that `slots` of them fill a machine.
+    fn new_job(&mut self, kind: JobKind) -> JobSpec {
         self.jobs += 1;
         let service = kind == JobKind::Service;
         let id = format!("req-{:06}", self.jobs);
         let tasks = if service {
-            REPLICAS
+            REPLICAS_PER_SERVICE
         } else {
-            self.rng.u32(ARRAY / 3..=ARRAY * 5 / 3)
+            self.rng
+                .u32(MEAN_TASKS_PER_ARRAY / 3..=MEAN_TASKS_PER_ARRAY * 5 / 3)
         };
-        let cpus = CPUS / f64::from(self.setting.slots);
+        let cpus = CPUS_PER_MACHINE / f64::from(self.settings.slots);
         let spec = JobSpec {
             class: if service { "search" } else { "merge" }.into(),
             team: format!("team-{:02}", self.rng.usize(..TEAMS)),
@@ -403,50 +420,52 @@
             } else {
                 Priority::Normal
             },
-            memory_gb: 60.0 / f64::from(self.setting.slots),
+            memory_gb: 60.0 / f64::from(self.settings.slots),
             image: format!("img-{:02}", self.rng.u8(..18)),
             spread: service,
-            estimate_s: self.setting.run as f64 / SECOND as f64,
+            estimate_s: self.settings.run as f64 / SECOND as f64,
             ..JobSpec::plain(&id, kind, tasks, cpus)
         };
-        let play = TaskBehaviour {
+        let behaviour = TaskBehaviour {
             spec: spec.clone(),
-            run: self.rng.u64(self.setting.run / 2..self.setting.run * 3 / 2),
+            run: self
+                .rng
+                .u64(self.settings.run / 2..self.settings.run * 3 / 2),
             fails: false,
         };
-        self.plays.insert(id, play);
+        self.behaviours.insert(id, behaviour);
         spec
     }
 
-    fn record(&mut self, spec: &JobSpec) {
-        // Handed in over the last ten minutes.
+    /// Stores an open job that was submitted during the last ten minutes.
+    fn store_job(&mut self, spec: &JobSpec) {
         let job = OpenJob {
             spec: spec.clone(),
-            submitted_at_us: WALL - self.rng.u64(..600 * SECOND),
-            chunk: config(&self.setting).chunk_tasks,
+            submitted_at_us: WALL_CLOCK_START - self.rng.u64(..600 * SECOND),
+            chunk: config(&self.settings).chunk_tasks,
             unmarked: true,
             parallelism_limit: None,
         };
-        self.state.put(records::open_key(&spec.id), &job);
+        self.store.put(records::open_key(&spec.id), &job);
     }
 
-    /// Fills these machines with jobs' tasks, as stored placements.
-    fn seat(&mut self, machines: &[u32], kind: JobKind) {
-        let mut places: Vec<u32> = machines
+    /// Fills these machines with tasks of new jobs and stores the placements.
+    fn fill(&mut self, machines: &[u32], kind: JobKind) {
+        let mut slots: Vec<u32> = machines
             .iter()
-            .flat_map(|m| std::iter::repeat_n(*m, self.setting.slots as usize))
+            .flat_map(|m| std::iter::repeat_n(*m, self.settings.slots as usize))
             .collect();
-        self.rng.shuffle(&mut places);
-        while !places.is_empty() {
-            let spec = self.spec(kind);
-            self.record(&spec);
-            let play_run = self.plays.get(&spec.id).map_or(0, |p| p.run);
+        self.rng.shuffle(&mut slots);
+        while !slots.is_empty() {
+            let spec = self.new_job(kind);
+            self.store_job(&spec);
+            let run_time = self.behaviours.get(&spec.id).map_or(0, |b| b.run);
             let mut chunk = TaskChunk::default();
-            for index in 0..spec.tasks.min(places.len() as u32) {
-                let Some(machine) = places.pop() else {
+            for index in 0..spec.tasks.min(slots.len() as u32) {
+                let Some(machine) = slots.pop() else {
                     break;
                 };
-                let until = (kind == JobKind::Batch).then(|| self.now + self.rng.u64(..=play_run));
+                let until = (kind == JobKind::Batch).then(|| self.now + self.rng.u64(..=run_time));
                 let task = TaskName {
                     job: spec.id.clone(),
                     index,
@@ -460,76 +479,80 @@
                     incarnation: 1,
                 });
             }
-            // Jobs are no larger than a chunk here.
-            self.state.put(
+            // These jobs are small enough for a single chunk.
+            self.store.put(
                 records::tasks_key(&spec.id, records::TaskRange::Chunk(0)),
                 &chunk,
             );
         }
     }
 
-    fn at(&mut self, at: Micros, ev: Ev) {
-        self.order += 1;
-        self.events.push(Reverse((at.max(self.now), self.order)));
-        self.what.insert(self.order, ev);
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.last_event += 1;
+        self.queue
+            .push(Reverse((at.max(self.now), self.last_event)));
+        self.scheduled.insert(self.last_event, event);
     }
 
-    /// Runs to the end of what is measured.
+    /// Runs until the end of the measurement.
     pub fn run(&mut self) {
-        let end = self.now + self.setting.warm_up + self.setting.measured;
-        while let Some(Reverse((at, order))) = self.events.pop() {
+        let end = self.now + self.settings.warm_up + self.settings.measured;
+        while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            if let Some(ev) = self.what.remove(&order) {
-                self.happen(ev);
+            if let Some(event) = self.scheduled.remove(&number) {
+                self.process(event);
             }
         }
-        self.result.malformed.clone_from(&self.state.malformed);
-        self.result.counts = self
+        self.measurements
+            .malformed
+            .clone_from(&self.store.malformed);
+        self.measurements.counts = self
             .node
             .as_ref()
             .map_or(SchedulerCounters::default(), Node::counts);
     }
 
     pub fn into_measured(self) -> FleetMeasurements {
-        self.result
+        self.measurements
     }
 
-    /// Lets go of the controller, so that what it held can be counted.
+    /// Removes the controller, so that the memory it holds can be measured by dropping it.
     pub fn dismiss(&mut self) -> Option<Node> {
         self.node.take()
     }
 
     fn measuring(&self) -> bool {
-        self.now >= SECOND + self.setting.warm_up
+        self.now >= SECOND + self.settings.warm_up
     }
 
-    fn silent(&self) -> bool {
-        let silence = self.setting.silence;
-        silence.is_some_and(|(from, time)| self.now >= from && self.now < from + time)
+    /// Whether the network outage between workers and controller is in progress.
+    fn is_outage(&self) -> bool {
+        let outage = self.settings.silence;
+        outage.is_some_and(|(from, time)| self.now >= from && self.now < from + time)
     }
 
-    fn wake(&mut self, input: Input) {
-        // As in the service, reports stand in a line of their own, behind.
-        let report = matches!(&input, Input::Request { target, .. } if target == HEARTBEAT_PATH);
-        self.lines[usize::from(report)].push_back(input);
+    fn enqueue(&mut self, input: Input) {
+        // As in the real process, heartbeats have a queue of their own with lower priority.
+        let heartbeat = matches!(&input, Input::Request { target, .. } if target == HEARTBEAT_PATH);
+        self.input_queues[usize::from(heartbeat)].push_back(input);
         self.serve();
     }
 
-    /// Hands the controller what waits for it, as long as it is idle.
+    /// Passes queued inputs to the controller while it is idle.
     fn serve(&mut self) {
         while self.now >= self.busy_until {
-            let [first, reports] = &mut self.lines;
-            let Some(input) = first.pop_front().or_else(|| reports.pop_front()) else {
+            let [others, heartbeats] = &mut self.input_queues;
+            let Some(input) = others.pop_front().or_else(|| heartbeats.pop_front()) else {
                 return;
             };
             self.handle(input);
         }
-        if !self.serving {
-            self.serving = true;
-            self.at(self.busy_until, Ev::Idle);
+        if !self.idle_scheduled {
+            self.idle_scheduled = true;
+            self.schedule(self.busy_until, Event::NodeIdle);
         }
     }
 
@@ -538,8 +561,8 @@
             return;
         };
         let now = Timestamp {
-            monotonic: SECOND * 1000 + self.now,
-            wall: WALL + self.now,
+            monotonic: MONOTONIC_START + self.now,
+            wall: WALL_CLOCK_START + self.now,
         };
         let kind = match &input {
             Input::Tick => "tick",
@@ -551,120 +574,122 @@
             Input::Peer { .. } => "sibling's message",
         };
         if matches!(input, Input::Commands { .. }) {
-            self.orders_open -= 1;
+            self.commands_in_flight -= 1;
         }
         let placed = node.counts().placed;
-        let begun = Instant::now();
+        let started = Instant::now();
         let outputs = node.handle(now, input);
-        // A run does not last for centuries.
-        let nanos = begun.elapsed().as_nanos() as u64;
+        let nanos = started.elapsed().as_nanos() as u64;
         let leads = node.leading().is_some();
-        if let Some(share) = self.setting.cpu_share {
+        if let Some(share) = self.settings.cpu_share {
             self.busy_until = self.now + (nanos as f64 / 1e3 / share) as Micros;
         }
-        if leads && self.elected.is_none() {
-            self.elected = Some(self.now);
+        if leads && self.elected_at.is_none() {
+            self.elected_at = Some(self.now);
         }
         let placed = node.counts().placed.saturating_sub(placed);
         let inputs = if self.measuring() {
-            &mut self.result.inputs
+            &mut self.measurements.inputs
         } else {
-            &mut self.result.before
+            &mut self.measurements.before
         };
         inputs.entry(kind).or_default().push(nanos);
-        if let Some(each) = nanos.checked_div(placed) {
-            inputs.entry("placement").or_default().push(each);
+        if let Some(average) = nanos.checked_div(placed) {
+            inputs.entry("placement").or_default().push(average);
         }
-        // An answer lets the next batch go out, of up to 48 changes.
-        let sent = |o: &Output| match o {
+        let mutations = |o: &Output| match o {
             Output::Store {
                 call: StoreRequest::Transaction(txn),
                 ..
             } => txn.then.len() as u64,
             _ => 0,
         };
-        if let Some(each) = nanos.checked_div(outputs.iter().map(sent).sum()) {
-            inputs.entry("one stored change").or_default().push(each);
+        if let Some(average) = nanos.checked_div(outputs.iter().map(mutations).sum()) {
+            inputs.entry("one stored change").or_default().push(average);
         }
-        // What follows leaves the process when the work is done.
-        let after = self.busy_until.max(self.now);
+        // The outputs are sent when the controller has finished this input.
+        let sent_at = self.busy_until.max(self.now);
         for output in outputs {
-            self.carry(after, output);
+            self.deliver(sent_at, output);
         }
     }
 
-    fn launches(&mut self, commands: &[Command]) {
-        let starts = commands
+    fn count_launches(&mut self, commands: &[Command]) {
+        let launches = commands
             .iter()
             .filter(|c| matches!(c, Command::Launch { .. }))
             .count() as u64;
         if self.measuring() {
-            self.result.starts += starts;
+            self.measurements.starts += launches;
         }
-        if starts > 0
-            && self.result.first_launch.is_none()
-            && let Some(at) = self.elected
+        if launches > 0
+            && self.measurements.first_launch.is_none()
+            && let Some(elected_at) = self.elected_at
         {
-            self.result.first_launch = Some(self.now - at);
+            self.measurements.first_launch = Some(self.now - elected_at);
         }
     }
 
-    fn carry(&mut self, after: Micros, output: Output) {
+    fn deliver(&mut self, sent_at: Micros, output: Output) {
         match output {
             Output::Answer { id, answer } => {
-                let Some((machine, sent, session)) = self.unanswered.remove(&id.0) else {
-                    // A refused one is followed by another in a second.
-                    self.submitting -= 1;
+                let Some((machine, sent, incarnation)) = self.unanswered_heartbeats.remove(&id.0)
+                else {
+                    // The answer to a submission. `refill` replaces refused submissions.
+                    self.submissions_in_flight -= 1;
                     return;
                 };
-                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
-                    self.launches(&a.commands);
+                if let Ok(reply) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
+                    self.count_launches(&reply.commands);
                 }
                 let answer = Box::new(answer);
-                self.at(
-                    after + NETWORK_TIME,
-                    Ev::Answered {
+                self.schedule(
+                    sent_at + NETWORK_DELAY,
+                    Event::HeartbeatAnswer {
                         machine,
                         sent,
-                        session,
+                        incarnation,
                         answer,
                     },
                 );
             }
             Output::Store { id, call, .. } => {
                 let call = Box::new(call);
-                self.at(after + STATE_TIME / 2, Ev::State { id, call });
+                self.schedule(
+                    sent_at + STORE_ROUND_TRIP / 2,
+                    Event::StoreCall { id, call },
+                );
             }
             Output::Cloud { id, call, .. } => {
                 let call = Box::new(call);
-                self.at(after + CLOUD_TIME / 2, Ev::Cloud { id, call });
+                self.schedule(
+                    sent_at + CLOUD_ROUND_TRIP / 2,
+                    Event::CloudCall { id, call },
+                );
             }
             Output::Commands {
                 id,
                 addr,
-                commands: orders,
+                commands: batch,
                 timeout,
             } => {
-                self.launches(&orders.commands);
-                self.orders_open += 1;
-                self.result.most_orders = self.result.most_orders.max(self.orders_open);
-                let machine = self.names.get(addr.trim_end_matches(":9000"));
+                self.count_launches(&batch.commands);
+                self.commands_in_flight += 1;
+                self.measurements.most_orders =
+                    self.measurements.most_orders.max(self.commands_in_flight);
+                let machine = self.worker_indices.get(addr.trim_end_matches(":9000"));
                 match machine.copied() {
-                    Some(machine) if !self.silent() => {
-                        let orders = Box::new(orders);
-                        self.at(
-                            after + NETWORK_TIME,
-                            Ev::Orders {
-                                id,
-                                machine,
-                                orders,
-                            },
+                    Some(machine) if !self.is_outage() => {
+                        let batch = Box::new(batch);
+                        self.schedule(
+                            sent_at + NETWORK_DELAY,
+                            Event::Commands { id, machine, batch },
                         );
                     }
                     _ => {
                         let reply = Err(CallError::NoAnswer);
                         let input = Box::new(Input::Commands { id, reply });
-                        self.at(after + timeout, Ev::Node(input));
+                        self.schedule(sent_at + timeout, Event::NodeInput(input));
                     }
                 }
             }
@@ -672,128 +697,126 @@
         }
     }
 
-    fn happen(&mut self, ev: Ev) {
-        match ev {
-            Ev::Tick => {
-                self.wake(Input::Tick);
+    fn process(&mut self, event: Event) {
+        match event {
+            Event::Tick => {
+                self.enqueue(Input::Tick);
                 let at = self.now + 50 * MILLISECOND;
-                self.at(at, Ev::Tick);
+                self.schedule(at, Event::Tick);
             }
-            Ev::Node(input) => self.wake(*input),
-            Ev::Idle => {
-                self.serving = false;
+            Event::NodeInput(input) => self.enqueue(*input),
+            Event::NodeIdle => {
+                self.idle_scheduled = false;
                 self.serve();
             }
-            Ev::State { id, call } => self.state_call(id, &call),
-            Ev::WatchEnds { watch } => {
-                if let Some((id, changes)) = self.watches.end(watch, &self.state) {
-                    self.state_answer(id, StoreResponse::WatchBatch(changes));
+            Event::StoreCall { id, call } => self.store_call(id, &call),
+            Event::WatchTimeout { watch } => {
+                if let Some((id, changes)) = self.watches.end(watch, &self.store) {
+                    self.answer_store_call(id, StoreResponse::WatchBatch(changes));
                 }
             }
-            Ev::Cloud { id, call } => {
-                let (reply, _, gone) = self.cloud.call(&call, self.now, |_| None);
-                for name in gone {
-                    // An idle machine that was returned.
-                    if let Some(i) = self.names.remove(&name) {
-                        self.planned[i as usize] = Micros::MAX;
+            Event::CloudCall { id, call } => {
+                let (reply, _, deleted) = self.cloud.call(&call, self.now, |_| None);
+                for name in deleted {
+                    if let Some(i) = self.worker_indices.remove(&name) {
+                        self.worker_event_at[i as usize] = Micros::MAX;
                     }
                 }
                 let input = Box::new(Input::Cloud {
                     id,
                     reply: Ok(reply),
                 });
-                self.at(self.now + CLOUD_TIME / 2, Ev::Node(input));
+                self.schedule(self.now + CLOUD_ROUND_TRIP / 2, Event::NodeInput(input));
             }
-            Ev::Orders {
-                id,
-                machine,
-                orders,
-            } => {
+            Event::Commands { id, machine, batch } => {
                 let worker = &mut self.workers[machine as usize];
-                worker.pass(self.now, LEASE, &self.plays);
-                let (status, report, _) = worker.orders(&orders, self.now, &self.plays);
-                let body = dillcleat_wire::encode(&report);
+                worker.pass(self.now, WORKER_LEASE, &self.behaviours);
+                let (status, heartbeat, _) = worker.orders(&batch, self.now, &self.behaviours);
+                let body = dillcleat_wire::encode(&heartbeat);
                 let input = Box::new(Input::Commands {
                     id,
                     reply: Ok((status, body)),
                 });
-                self.at(self.now + NETWORK_TIME, Ev::Node(input));
-                self.plan(machine);
+                self.schedule(self.now + NETWORK_DELAY, Event::NodeInput(input));
+                self.schedule_worker(machine);
             }
-            Ev::Worker { machine } => self.worker(machine),
-            Ev::Answered {
+            Event::Worker { machine } => self.run_worker(machine),
+            Event::HeartbeatAnswer {
                 machine,
                 sent,
-                session,
+                incarnation,
                 answer,
-            } => self.answered(machine, sent, session, &answer),
-            Ev::Note => {
+            } => self.heartbeat_answered(machine, sent, incarnation, &answer),
+            Event::EverySecond => {
                 self.cloud.note(self.now);
                 self.refill();
-                self.at(self.now + Cloud::NOTE_EVERY, Ev::Note);
+                self.schedule(self.now + Cloud::NOTE_EVERY, Event::EverySecond);
             }
         }
     }
 
-    fn state_call(&mut self, id: CallId, call: &StoreRequest) {
-        let (changes, bytes) = match call {
+    fn store_call(&mut self, id: CallId, call: &StoreRequest) {
+        let (mutations, bytes) = match call {
             StoreRequest::Transaction(txn) => (txn.then.len(), dillcleat_wire::encode(txn).len()),
             _ => (0, 0),
         };
         if self.measuring() {
-            self.result.state_calls += 1;
-            self.result.state_bytes += bytes as u64;
+            self.measurements.state_calls += 1;
+            self.measurements.state_bytes += bytes as u64;
         }
-        let allowed = self.calls.take(1.0, self.now) && self.changes.take(changes as f64, self.now);
+        let allowed = self.store_calls.take(1.0, self.now)
+            && self.store_mutations.take(mutations as f64, self.now);
         let answer = if allowed {
-            self.state.call(call, self.now)
+            self.store.call(call, self.now)
         } else {
-            self.result.too_many += 1;
+            self.measurements.too_many += 1;
             Some(StoreResponse::RateLimited)
         };
         match answer {
-            Some(answer) => self.state_answer(id, answer),
+            Some(answer) => self.answer_store_call(id, answer),
             None => {
                 if let Some((watch, time)) = self.watches.open(id, call) {
-                    self.at(self.now + time, Ev::WatchEnds { watch });
+                    self.schedule(self.now + time, Event::WatchTimeout { watch });
                 }
             }
         }
-        for (id, changes) in self.watches.changed(&self.state, |_| true) {
-            self.state_answer(id, StoreResponse::WatchBatch(changes));
+        for (id, changes) in self.watches.changed(&self.store, |_| true) {
+            self.answer_store_call(id, StoreResponse::WatchBatch(changes));
         }
     }
 
-    fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
+    fn answer_store_call(&mut self, id: CallId, answer: StoreResponse) {
         let input = Box::new(Input::Store {
             id,
             reply: Ok(answer),
         });
-        self.at(self.now + STATE_TIME / 2, Ev::Node(input));
+        self.schedule(self.now + STORE_ROUND_TRIP / 2, Event::NodeInput(input));
     }
 
-    /// Plans the worker's next event, unless an earlier one is planned.
-    fn plan(&mut self, machine: u32) {
+    /// Schedules the worker's next event, unless an earlier one is scheduled.
+    fn schedule_worker(&mut self, machine: u32) {
         let at = self.workers[machine as usize].next_at().max(self.now);
-        if at < self.planned[machine as usize] {
-            self.planned[machine as usize] = at;
-            self.at(at, Ev::Worker { machine });
+        if at < self.worker_event_at[machine as usize] {
+            self.worker_event_at[machine as usize] = at;
+            self.schedule(at, Event::Worker { machine });
         }
     }
 
-    fn worker(&mut self, machine: u32) {
+    fn run_worker(&mut self, machine: u32) {
         let i = machine as usize;
-        if self.planned[i] != self.now || !self.names.contains_key(&self.workers[i].name) {
+        if self.worker_event_at[i] != self.now
+            || !self.worker_indices.contains_key(&self.workers[i].name)
+        {
             return;
         }
-        self.planned[i] = Micros::MAX;
+        self.worker_event_at[i] = Micros::MAX;
         let worker = &mut self.workers[i];
-        let session = worker.session;
-        let happenings = worker.pass(self.now, LEASE, &self.plays);
-        let done = |h: &&WorkerEvent| matches!(h, WorkerEvent::Leaves { done: true, .. });
-        let ends = happenings.iter().filter(done).count() as u64;
-        if worker.session > session {
-            self.result.leases_lost += 1;
+        let incarnation = worker.session;
+        let events = worker.pass(self.now, WORKER_LEASE, &self.behaviours);
+        let done = |e: &&WorkerEvent| matches!(e, WorkerEvent::Leaves { done: true, .. });
+        let completed = events.iter().filter(done).count() as u64;
+        if worker.session > incarnation {
+            self.measurements.leases_lost += 1;
         }
         if worker
             .under_way
@@ -803,72 +826,82 @@
             worker.report_at = self.now + SECOND;
         }
         if worker.under_way.is_none() && self.now >= worker.report_at {
-            let report = worker.report(self.now);
-            worker.under_way = Some((report.incarnation, report.sequence, self.now));
-            worker.report_at = self.now + self.rng.u64(REPORT * 3 / 4..REPORT * 5 / 4);
-            if !self.silent() {
-                self.next += 1;
-                let asker = (machine, self.now, report.incarnation);
-                self.unanswered.insert(self.next, asker);
-                let body = dillcleat_wire::encode(&report);
+            let heartbeat = worker.report(self.now);
+            worker.under_way = Some((heartbeat.incarnation, heartbeat.sequence, self.now));
+            worker.report_at = self.now
+                + self
+                    .rng
+                    .u64(HEARTBEAT_INTERVAL * 3 / 4..HEARTBEAT_INTERVAL * 5 / 4);
+            if !self.is_outage() {
+                self.last_request += 1;
+                let sender = (machine, self.now, heartbeat.incarnation);
+                self.unanswered_heartbeats.insert(self.last_request, sender);
+                let body = dillcleat_wire::encode(&heartbeat);
                 self.request(HEARTBEAT_PATH, body);
             }
         }
         if self.measuring() {
-            self.result.ends += ends;
+            self.measurements.ends += completed;
         }
-        self.plan(machine);
+        self.schedule_worker(machine);
     }
 
-    /// Sends a request under the number drawn last.
+    /// Sends a request with the number in `last_request`.
     fn request(&mut self, target: &str, body: Vec<u8>) {
         let input = Box::new(Input::Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             method: "POST".into(),
             target: target.into(),
             body,
         });
-        self.at(self.now + NETWORK_TIME, Ev::Node(input));
+        self.schedule(self.now + NETWORK_DELAY, Event::NodeInput(input));
     }
 
-    fn answered(&mut self, machine: u32, sent: Micros, session: u64, answer: &Answer) {
+    fn heartbeat_answered(
+        &mut self,
+        machine: u32,
+        sent: Micros,
+        incarnation: u64,
+        answer: &Answer,
+    ) {
         let worker = &mut self.workers[machine as usize];
         if worker
             .under_way
-            .is_none_or(|(s, _, at)| (s, at) != (session, sent))
+            .is_none_or(|(i, _, at)| (i, at) != (incarnation, sent))
             || self.now > sent + PATIENCE
         {
             return;
         }
         worker.under_way = None;
-        let left = (worker.leased_until(LEASE)).saturating_sub(self.now);
+        let remaining = worker.leased_until(WORKER_LEASE).saturating_sub(self.now);
         match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
-            Ok(a) if answer.status == 200 => {
-                self.result.least_left = self.result.least_left.min(left);
-                worker.pass(self.now, LEASE, &self.plays);
-                worker.answered(&a, session, sent, self.now, &self.plays);
-                if let (false, Some(at)) = (self.heard[machine as usize], self.elected) {
-                    self.heard[machine as usize] = true;
-                    self.unheard -= 1;
-                    if self.unheard == 0 {
-                        self.result.all_heard = Some(self.now - at);
+            Ok(reply) if answer.status == 200 => {
+                self.measurements.least_left = self.measurements.least_left.min(remaining);
+                worker.pass(self.now, WORKER_LEASE, &self.behaviours);
+                worker.answered(&reply, incarnation, sent, self.now, &self.behaviours);
+                let answered = &mut self.answered_machines[machine as usize];
+                if let (false, Some(elected_at)) = (*answered, self.elected_at) {
+                    *answered = true;
+                    self.machines_without_answer -= 1;
+                    if self.machines_without_answer == 0 {
+                        self.measurements.all_heard = Some(self.now - elected_at);
                     }
                 }
             }
             _ => worker.report_at = self.now + SECOND,
         }
-        self.plan(machine);
+        self.schedule_worker(machine);
     }
 
-    /// Hands in another job for each that has ended.
+    /// Submits a new job for each job that has ended.
     fn refill(&mut self) {
         let missing = self
             .open_jobs
-            .saturating_sub(self.state.keys(records::OPEN).len() + self.submitting);
+            .saturating_sub(self.store.keys(records::OPEN).len() + self.submissions_in_flight);
         for _ in 0..missing {
-            let spec = self.spec(JobKind::Batch);
-            self.next += 1;
-            self.submitting += 1;
+            let spec = self.new_job(JobKind::Batch);
+            self.last_request += 1;
+            self.submissions_in_flight += 1;
             self.request(JOBS_PATH, dillcleat_wire::encode(&spec));
         }
     }
