--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol, checked against what really happens.
+//! The invariants of the scheduler, checked against the events of a simulation.
 
 mod waiting_jobs;
 
@@ -10,37 +10,54 @@
 use dillcleat_wire::user::{JobSpec, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A job accepted this long ago must have a started task, if it is a largest of its class.
+const MAX_FIRST_START_DELAY: Micros = 240 * SECOND;
+/// All polls of an accepted job may fail for this long while most polls are answered.
+const MAX_UNANSWERED: Micros = 90 * SECOND;
+/// All polls of an accepted job may fail for this long while no fault is active.
+const MAX_UNANSWERED_WITHOUT_FAULTS: Micros = 75 * SECOND;
+
+/// The invariant that a [`Violation`] breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A task starts while another attempt of it runs.
     RanTwice,
+    /// The tasks of a team use more than its quota.
     Quota,
+    /// A task starts on a machine that its job does not allow.
     WrongPlace,
+    /// A task starts or still runs after the cancellation deadline of its job.
     RanCancelled,
+    /// An accepted job is answered as unknown or as new, or its polls fail for too long.
     Forgotten,
+    /// A job that was never submitted is answered as known.
     Invented,
+    /// A job is reported done before all its tasks have completed.
     NotDone,
+    /// The reported state of a job reverts, or is cancelled without a request.
     WentBack,
+    /// No task started during the whole run.
     NothingRan,
-    /// A task starts before all jobs that its job waits for are done.
+    /// A task starts before the dependencies of its job are done.
     TooEarly,
-    /// A job is called open long after its user was told that one before it is
-    /// cancelled.
+    /// A job is reported open after the cancellation deadline of one of its dependencies.
     Orphaned,
-    /// A machine is rented or deleted by who led no more when it said so, or many are
-    /// deleted by one call that comes late.
+    /// A node that is no longer the leader rents or deletes a machine, or a delayed call
+    /// deletes several machines.
     Deposed,
-    /// One of the largest jobs of a class has not begun in four minutes.
+    /// No task of one of the largest jobs of a class starts within four minutes.
     LateBegin,
-    /// A submission that can't run or lacks a field is accepted, or refused as another.
+    /// An invalid submission is accepted, or is refused with the wrong status.
     Admitted,
-    /// A job is left waiting for long although a machine that fits has room.
+    /// A job waits too long although a suitable machine has free capacity.
     LeftWaiting,
-    /// A leader that had read of a cancellation has a task of the job started.
+    /// A leader that has read the cancellation of a job sends a launch command for it.
     LaunchedCancelled,
-    /// What Kubernetes-shaped clients are told.
+    /// A client of the Kubernetes API receives a wrong answer or watch event.
     Object,
 }
 
+/// A broken invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -48,7 +65,7 @@
     pub what: String,
 }
 
-/// Where a task is.
+/// A machine and its properties that constrain placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineIdentity {
     pub machine: String,
@@ -60,39 +77,50 @@
 #[derive(Debug, Clone)]
 struct Job {
     spec: JobSpec,
-    /// Since when its user knows that it is accepted.
+    /// When its user first received its acceptance.
     accepted: Option<Micros>,
-    /// When its user first asked to cancel it.
-    cancel_asked: bool,
-    cancel_told: Option<Micros>,
-    done_told: Option<Micros>,
-    done: BTreeSet<u32>,
-    began: Option<Micros>,
-    /// Since when one of its tasks waits although a machine has room, as far as looks
-    /// tell.
-    could_start: Option<Micros>,
-    /// Since when every poll for it has failed, and what the polls of all jobs had
-    /// come to by then.
-    failing_since: Option<(Micros, Polls)>,
+    /// Its user has requested its cancellation.
+    cancel_requested: bool,
+    /// When its user was first told that it is cancelled.
+    cancel_reported_at: Option<Micros>,
+    /// When its user was first told that it is done.
+    done_reported_at: Option<Micros>,
+    /// Indices of its completed tasks.
+    completed: BTreeSet<u32>,
+    first_start: Option<Micros>,
+    /// Since when, by the checks so far, one of its tasks has waited although a machine has
+    /// free capacity.
+    waiting_beside_capacity_since: Option<Micros>,
+    /// Since when every poll for it has failed, and the counts of all polls at that time.
+    failing_since: Option<(Micros, PollCounts)>,
 }
 
-/// What happened to jobs after their users had been told that they are cancelled.
+/// Launches and starts of tasks after their users were told that the job is cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LateLaunches {
-    /// Commands to start a task that were sent.
+    /// Launch commands sent.
     pub launches: u64,
-    /// Tasks that started. Whose command was under way, nobody can call back.
+    /// Tasks started. A launch command that is already in flight cannot be revoked.
     pub starts: u64,
 }
 
-/// Polls that were answered, and that were not.
+/// Cancellations among the transitive dependencies of a job.
+#[derive(Debug, Clone, Copy, Default)]
+struct CancelledDependencies {
+    /// When a user was first told that one of them is cancelled.
+    first_reported_at: Option<Micros>,
+    /// A user has requested the cancellation of one of them.
+    any_requested: bool,
+}
+
+/// Counts of answered and failed polls of all jobs.
 #[derive(Debug, Clone, Copy, Default)]
-struct Polls {
+struct PollCounts {
     answered: u64,
     failed: u64,
 }
 
-/// What a team's tasks may take at once; 0: whatever there is.
+/// Maximum resources that the running tasks of a team may use; 0 means unlimited.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Limit {
     pub cpus: f64,
@@ -107,45 +135,46 @@
         }
     }
 
-    /// Whether so much is within it.
-    fn holds(&self, cpus: f64, gpus: f64) -> bool {
+    fn allows(&self, cpus: f64, gpus: f64) -> bool {
         let within = |used: f64, limit: f64| limit <= 0.0 || used <= limit + 1e-6;
         within(cpus, self.cpus) && within(gpus, self.gpus)
     }
 }
 
-/// Watches a whole run. Every method is called as things happen.
+/// Checks the invariants during a run. Its methods record the events as they happen.
 #[derive(Debug, Clone)]
 pub struct Checker {
-    cancel: Micros,
-    /// Of the teams that have any.
+    /// Time from the confirmation of a cancellation until no task of the job may run.
+    cancel_deadline: Micros,
+    /// Limits by team, for the teams that have one.
     limits: BTreeMap<String, Limit>,
     jobs: BTreeMap<String, Job>,
-    on: BTreeMap<TaskName, MachineIdentity>,
-    starts: u64,
-    late: LateLaunches,
-    polls: Polls,
-    /// From this time on there are no troubles: whoever asks is to be answered.
+    /// The machine of each running task.
+    running: BTreeMap<TaskName, MachineIdentity>,
+    task_starts: u64,
+    late_launches: LateLaunches,
+    polls: PollCounts,
+    /// No faults are active from this time on, so every request must be answered.
     pub troubles_end: Micros,
     pub violations: Vec<Violation>,
 }
 
 impl Checker {
-    pub fn new(cancel: Micros, limits: BTreeMap<String, Limit>) -> Self {
+    pub fn new(cancel_deadline: Micros, limits: BTreeMap<String, Limit>) -> Self {
         Checker {
-            cancel,
+            cancel_deadline,
             limits,
             jobs: BTreeMap::new(),
-            on: BTreeMap::new(),
-            starts: 0,
-            late: LateLaunches::default(),
-            polls: Polls::default(),
+            running: BTreeMap::new(),
+            task_starts: 0,
+            late_launches: LateLaunches::default(),
+            polls: PollCounts::default(),
             troubles_end: Micros::MAX,
             violations: Vec::new(),
         }
     }
 
-    /// What somebody else has found.
+    /// Records a violation that was detected outside the checker.
     pub fn found(&mut self, rule: Rule, at: Micros, what: String) {
         self.violation(rule, at, what);
     }
@@ -158,76 +187,80 @@
         self.jobs.entry(spec.id.clone()).or_insert_with(|| Job {
             spec: spec.clone(),
             accepted: None,
-            cancel_asked: false,
-            cancel_told: None,
-            done_told: None,
-            done: BTreeSet::new(),
-            began: None,
-            could_start: None,
+            cancel_requested: false,
+            cancel_reported_at: None,
+            done_reported_at: None,
+            completed: BTreeSet::new(),
+            first_start: None,
+            waiting_beside_capacity_since: None,
             failing_since: None,
         });
     }
 
     pub fn asks_to_cancel(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.cancel_asked = true;
+            job.cancel_requested = true;
         }
     }
 
-    /// A submission that was sent at `requests_per_s` was answered. What was told before it was
-    /// sent is known to every node.
+    /// Records the answer to a submission that was sent at `sent`. Every node must know what
+    /// users were told before that time.
     pub fn answered_submission(
         &mut self,
         id: &str,
         status: u16,
         state: Option<JobState>,
-        asked: Micros,
+        sent: Micros,
         now: Micros,
     ) {
-        let known = |job: &Job| job.accepted.is_some_and(|at| at <= asked);
+        let already_accepted = |job: &Job| job.accepted.is_some_and(|at| at <= sent);
         match (status, self.jobs.get_mut(id)) {
-            (201, Some(job)) if known(job) => {
-                self.violation(Rule::Forgotten, now, format!("{id}: accepted anew"));
+            (201, Some(job)) if already_accepted(job) => {
+                let what = format!("{id}: repeated submission of an accepted job answered 201");
+                self.violation(Rule::Forgotten, now, what);
             }
             (200 | 201, Some(job)) => {
                 job.accepted.get_or_insert(now);
                 if let Some(state) = state {
-                    self.told(id, state, asked, now);
+                    self.check_state(id, state, sent, now);
                 }
             }
-            (400 | 422, Some(job)) if known(job) => {
-                self.violation(
-                    Rule::Forgotten,
-                    now,
-                    format!("{id}: answered {status} again"),
-                );
+            (400 | 422, Some(job)) if already_accepted(job) => {
+                let what =
+                    format!("{id}: repeated submission of an accepted job answered {status}");
+                self.violation(Rule::Forgotten, now, what);
             }
             _ => {}
         }
     }
 
-    /// A submission was answered that was to be refused with the status `right`. A node
-    /// that can't decide, or has no time for it, says so.
-    pub fn answered_refused(&mut self, id: &str, status: u16, right: u16, now: Micros) {
-        if status != right && !matches!(status, 0 | 429 | 503) {
-            let what = format!("{id}: answered {status} instead of {right}");
+    /// Checks the answer to an invalid submission, which must be refused with the status
+    /// `expected`. No answer (status 0) and the statuses of an overloaded or unavailable node
+    /// are allowed.
+    pub fn answered_refused(&mut self, id: &str, status: u16, expected: u16, now: Micros) {
+        if status != expected && !matches!(status, 0 | 429 | 503) {
+            let what = format!("{id}: invalid submission answered {status}, expected {expected}");
             self.violation(Rule::Admitted, now, what);
         }
     }
 
-    /// A poll or a cancellation that was sent at `requests_per_s` was answered, or was not (status
-    /// 0).
+    /// Records the answer to a poll or a cancellation that was sent at `sent`. Status 0
+    /// means that there was no answer.
     pub fn answered_poll(
         &mut self,
         id: &str,
         status: u16,
         state: Option<JobState>,
-        asked: Micros,
+        sent: Micros,
         now: Micros,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 {
-                self.violation(Rule::Invented, now, format!("{id} was never submitted"));
+                self.violation(
+                    Rule::Invented,
+                    now,
+                    format!("{id}: poll answered 200 for a job that was never submitted"),
+                );
             }
             return;
         };
@@ -236,62 +269,80 @@
                 self.polls.answered += 1;
                 job.failing_since = None;
                 if let Some(state) = state {
-                    self.told(id, state, asked, now);
+                    self.check_state(id, state, sent, now);
                 }
             }
-            404 if job.accepted.is_some_and(|at| at <= asked) => {
-                self.violation(Rule::Forgotten, now, format!("{id}: answered 404"));
+            404 if job.accepted.is_some_and(|at| at <= sent) => {
+                let what = format!("{id}: poll of an accepted job answered 404");
+                self.violation(Rule::Forgotten, now, what);
             }
-            // Asked before the acceptance was told.
+            // Sent before the user was told of the acceptance.
             404 if job.accepted.is_some() => {}
             _ => {
                 self.polls.failed += 1;
-                let (since, then) = *job.failing_since.get_or_insert((now, self.polls));
-                let answered = self.polls.answered - then.answered;
-                let most = answered > self.polls.failed - then.failed;
+                let (since, before) = *job.failing_since.get_or_insert((now, self.polls));
+                let answered = self.polls.answered - before.answered;
+                let most_answered = answered > self.polls.failed - before.failed;
                 let accepted = job.accepted.is_some();
-                // Once all troubles are over it doesn't matter how others fare.
-                let well = now > since.max(self.troubles_end) + 75 * SECOND;
-                if accepted && ((now > since + 90 * SECOND && most) || well) {
-                    self.violation(Rule::Forgotten, now, format!("{id}: no answer for long"));
+                // Without active faults the polls of other jobs are not considered.
+                let overdue_without_faults =
+                    now > since.max(self.troubles_end) + MAX_UNANSWERED_WITHOUT_FAULTS;
+                let overdue = now > since + MAX_UNANSWERED && most_answered;
+                if accepted && (overdue || overdue_without_faults) {
+                    let failing_s = (now - since) / SECOND;
+                    let what = format!(
+                        "{id}: all polls failed for {failing_s} s, limit {} s, or {} s without faults",
+                        MAX_UNANSWERED / SECOND,
+                        MAX_UNANSWERED_WITHOUT_FAULTS / SECOND
+                    );
+                    self.violation(Rule::Forgotten, now, what);
                 }
             }
         }
     }
 
-    fn told(&mut self, id: &str, state: JobState, asked: Micros, now: Micros) {
-        let before = self.before(id);
+    /// Checks a job state that a user received at `now` for a request sent at `sent`.
+    fn check_state(&mut self, id: &str, state: JobState, sent: Micros, now: Micros) {
+        let dependencies = self.cancelled_dependencies(id);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let mut broken = None;
         match state {
             JobState::Done => {
-                if job.cancel_told.is_some() {
-                    broken = Some((Rule::WentBack, "cancelled, then done"));
-                } else if (job.done.len() as u32) < job.spec.tasks {
-                    broken = Some((Rule::NotDone, "told done too early"));
+                if job.cancel_reported_at.is_some() {
+                    broken = Some((Rule::WentBack, "reported done after cancelled".into()));
+                } else if (job.completed.len() as u32) < job.spec.tasks {
+                    let (completed, tasks) = (job.completed.len(), job.spec.tasks);
+                    let what = format!("reported done with {completed} of {tasks} tasks completed");
+                    broken = Some((Rule::NotDone, what));
                 }
-                job.done_told.get_or_insert(now);
+                job.done_reported_at.get_or_insert(now);
             }
             JobState::Cancelled => {
-                if job.done_told.is_some() {
-                    broken = Some((Rule::WentBack, "done, then cancelled"));
-                } else if !job.cancel_asked && !before.1 {
-                    broken = Some((Rule::WentBack, "cancelled without being asked to"));
+                if job.done_reported_at.is_some() {
+                    broken = Some((Rule::WentBack, "reported cancelled after done".into()));
+                } else if !job.cancel_requested && !dependencies.any_requested {
+                    let what = "reported cancelled without a request to cancel it or a dependency";
+                    broken = Some((Rule::WentBack, what.into()));
                 }
-                job.cancel_told.get_or_insert(now);
+                job.cancel_reported_at.get_or_insert(now);
             }
             JobState::Queued | JobState::Running => {
-                let ended = job.done_told.or(job.cancel_told);
-                // Answers to questions of before may cross on their way.
-                if ended.is_some_and(|at| at <= asked) {
-                    broken = Some((Rule::WentBack, "ended, then open"));
-                } else if before.0.is_some_and(|at| {
-                    // Submitted later, it was accepted all the same.
-                    now > at.max(job.accepted.unwrap_or(now)) + self.cancel
+                let ended = job.done_reported_at.or(job.cancel_reported_at);
+                // Answers to requests sent before the end was reported may be reordered.
+                if ended.is_some_and(|at| at <= sent) {
+                    let what = format!("reported {state:?} after its end was reported");
+                    broken = Some((Rule::WentBack, what));
+                } else if dependencies.first_reported_at.is_some_and(|at| {
+                    // The job may have been accepted after the cancellation.
+                    now > at.max(job.accepted.unwrap_or(now)) + self.cancel_deadline
                 }) {
-                    broken = Some((Rule::Orphaned, "open after one before it is cancelled"));
+                    let what = format!(
+                        "reported {state:?} over {} s after a dependency was reported cancelled",
+                        self.cancel_deadline / SECOND
+                    );
+                    broken = Some((Rule::Orphaned, what));
                 }
             }
         }
@@ -300,56 +351,61 @@
         }
     }
 
-    /// Of the jobs that one waits for, directly or through others: when a user was first
-    /// told that one is cancelled, and whether one was asked to be.
-    fn before(&self, id: &str) -> (Option<Micros>, bool) {
+    /// The cancellations among the transitive dependencies of a job.
+    fn cancelled_dependencies(&self, id: &str) -> CancelledDependencies {
         let mut seen = BTreeSet::new();
-        let mut next = vec![id];
-        let (mut told, mut asked): (Option<Micros>, bool) = (None, false);
-        while let Some(id) = next.pop() {
-            let awaits = self.jobs.get(id).map_or(&[][..], |j| &j.spec.depends_on);
-            for name in awaits {
+        let mut unvisited = vec![id];
+        let mut cancelled = CancelledDependencies::default();
+        while let Some(id) = unvisited.pop() {
+            let depends_on = self.jobs.get(id).map_or(&[][..], |j| &j.spec.depends_on);
+            for name in depends_on {
                 let Some(job) = self.jobs.get(name).filter(|_| seen.insert(name)) else {
                     continue;
                 };
-                told = [told, job.cancel_told].into_iter().flatten().min();
-                asked |= job.cancel_asked;
-                next.push(name);
+                let reported = [cancelled.first_reported_at, job.cancel_reported_at];
+                cancelled.first_reported_at = reported.into_iter().flatten().min();
+                cancelled.any_requested |= job.cancel_requested;
+                unvisited.push(name);
             }
         }
-        (told, asked)
+        cancelled
     }
 
-    /// Whether a job that this one waits for is cancelled, as its user was told.
+    /// Whether a user was told that a transitive dependency of this job is cancelled.
     pub fn doomed(&self, id: &str) -> bool {
-        self.before(id).0.is_some()
+        self.cancelled_dependencies(id).first_reported_at.is_some()
     }
 
-    /// A command to start a task is sent; `knows` if the sender had read before that the
-    /// job is cancelled, or had told a user so.
-    pub fn launches(&mut self, task: &TaskName, knows: bool, now: Micros) {
+    /// Records a launch command. `known_cancelled`: its sender had read that the job is
+    /// cancelled, or had told a user so.
+    pub fn launches(&mut self, task: &TaskName, known_cancelled: bool, now: Micros) {
         let job = self.jobs.get(&task.job);
-        if job.is_some_and(|j| j.cancel_told.is_some()) {
-            self.late.launches += 1;
+        if job.is_some_and(|j| j.cancel_reported_at.is_some()) {
+            self.late_launches.launches += 1;
         }
-        if knows {
-            let what = format!("{task} is sent though known to be cancelled");
+        if known_cancelled {
+            let what =
+                format!("{task}: launch command sent by a leader that knew its cancellation");
             self.violation(Rule::LaunchedCancelled, now, what);
         }
     }
 
-    /// A task has its image and starts on a machine.
+    /// Records that a task starts on a machine, after its image was fetched.
     pub fn starts(&mut self, task: &TaskName, place: &MachineIdentity, now: Micros) {
-        self.starts += 1;
-        if let Some(other) = self.on.get(task) {
+        self.task_starts += 1;
+        if let Some(other) = self.running.get(task) {
             let what = format!(
-                "{task} starts on {} while on {}",
+                "{task}: starts on {} while it runs on {}",
                 place.machine, other.machine
             );
             self.violation(Rule::RanTwice, now, what);
         }
         let Some(job) = self.jobs.get(&task.job) else {
-            self.violation(Rule::WrongPlace, now, format!("{task}: no such job"));
+            self.violation(
+                Rule::WrongPlace,
+                now,
+                format!("{task}: starts without a submitted job"),
+            );
             return;
         };
         let spec = &job.spec;
@@ -366,144 +422,171 @@
             .as_ref()
             .is_some_and(|t| !t.contains(&place.machine_type))
         {
-            Some("type")
+            Some("machine type")
         } else if place.spot && !spec.spot {
-            Some("kind of machine")
+            Some("spot instance")
         } else if spec.single_zone && elsewhere {
-            Some("zone apart from the others")
+            Some("second zone for a single-zone job")
         } else if spec.spread && in_zone + 1 > spec.tasks.div_ceil(2) {
-            Some("zone that holds half already")
+            Some("zone that already has half of its tasks")
         } else {
             None
         };
         let done = |id: &String| self.complete(id);
-        let early = spec.depends_on.iter().find(|id| !done(id)).cloned();
-        let late = job.cancel_told.is_some_and(|at| now > at + self.cancel);
+        let unfinished = spec.depends_on.iter().find(|id| !done(id)).cloned();
+        let overdue = job.cancel_reported_at;
+        let overdue = overdue.is_some_and(|at| now > at + self.cancel_deadline);
         let team = spec.team.clone();
         if let Some(wrong) = wrong {
-            self.violation(Rule::WrongPlace, now, format!("{task}: wrong {wrong}"));
+            let what = format!("{task}: starts on {}: wrong {wrong}", place.machine);
+            self.violation(Rule::WrongPlace, now, what);
         }
-        if let Some(early) = early {
+        if let Some(dependency) = unfinished {
             self.violation(
                 Rule::TooEarly,
                 now,
-                format!("{task} starts before {early} is done"),
+                format!("{task}: starts before its dependency {dependency} is done"),
             );
         }
-        if late {
-            self.violation(Rule::RanCancelled, now, format!("{task} starts"));
+        if overdue {
+            let what = format!(
+                "{task}: starts over {} s after its job was reported cancelled",
+                self.cancel_deadline / SECOND
+            );
+            self.violation(Rule::RanCancelled, now, what);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.began.get_or_insert(now);
-            job.could_start = None;
-            self.late.starts += u64::from(job.cancel_told.is_some());
+            job.first_start.get_or_insert(now);
+            job.waiting_beside_capacity_since = None;
+            self.late_launches.starts += u64::from(job.cancel_reported_at.is_some());
         }
-        self.on.insert(task.clone(), place.clone());
+        self.running.insert(task.clone(), place.clone());
         if let Some(limit) = self.limits.get(&team) {
-            let (cpus, gpus) = self.used(&team, self.on.keys());
-            if !limit.holds(cpus, gpus) {
-                let what = format!("{team} uses {cpus} CPUs and {gpus} GPUs of {limit:?}");
+            let (cpus, gpus) = self.resources_used(&team, self.running.keys());
+            if !limit.allows(cpus, gpus) {
+                let what = format!("{team}: uses {cpus} CPUs and {gpus} GPUs, over its {limit:?}");
                 self.violation(Rule::Quota, now, what);
             }
         }
     }
 
-    /// CPUs and GPUs that a team's tasks among these take.
-    fn used<'a>(&self, team: &str, tasks: impl Iterator<Item = &'a TaskName>) -> (f64, f64) {
+    /// CPUs and GPUs used by those of the tasks that belong to the team.
+    fn resources_used<'a>(
+        &self,
+        team: &str,
+        tasks: impl Iterator<Item = &'a TaskName>,
+    ) -> (f64, f64) {
         let jobs = tasks.filter_map(|t| self.jobs.get(&t.job));
         let specs = jobs.map(|j| &j.spec).filter(|s| s.team == team);
         specs.fold((0.0, 0.0), |(cpus, gpus), s| (cpus + s.cpus, gpus + s.gpus))
     }
 
-    /// A task has left a machine; `done` if it completed.
+    /// Records that a task no longer runs on a machine; `done` if it completed.
     pub fn leaves(&mut self, task: &TaskName, machine: &str, done: bool) {
-        if self.on.get(task).is_some_and(|p| p.machine == machine) {
-            self.on.remove(task);
+        if self.running.get(task).is_some_and(|p| p.machine == machine) {
+            self.running.remove(task);
         }
         if done && let Some(job) = self.jobs.get_mut(&task.job) {
-            job.done.insert(task.index);
+            job.completed.insert(task.index);
         }
     }
 
-    /// The tasks of a job that are on machines.
+    /// The running tasks of a job and their machines.
     fn tasks_of(&self, id: &str) -> impl Iterator<Item = (&TaskName, &MachineIdentity)> {
         let bound = |index| TaskName {
             job: id.to_string(),
             index,
         };
-        self.on.range(bound(0)..=bound(u32::MAX))
+        self.running.range(bound(0)..=bound(u32::MAX))
     }
 
-    /// After every step of a run.
+    /// Checks the cancellation deadlines. To be called after every step of a run.
     pub fn step(&mut self, now: Micros) {
-        let overdue = |job: &Job| job.cancel_told.is_some_and(|at| now > at + self.cancel);
+        let overdue = |job: &Job| {
+            let reported = job.cancel_reported_at;
+            reported.is_some_and(|at| now > at + self.cancel_deadline)
+        };
         let jobs = self.jobs.iter().filter(|(_, job)| overdue(job));
         let tasks = jobs.flat_map(|(id, _)| self.tasks_of(id));
-        let late: Vec<TaskName> = tasks.map(|(task, _)| task.clone()).collect();
-        for task in late {
-            self.on.remove(&task);
-            self.violation(Rule::RanCancelled, now, format!("{task} still runs"));
+        let still_running: Vec<TaskName> = tasks.map(|(task, _)| task.clone()).collect();
+        for task in still_running {
+            self.running.remove(&task);
+            let what = format!(
+                "{task}: still runs over {} s after its job was reported cancelled",
+                self.cancel_deadline / SECOND
+            );
+            self.violation(Rule::RanCancelled, now, what);
         }
     }
 
-    /// The largest jobs of each class that waited for over four minutes until their first
-    /// task began, from their acceptance. Those that a team's limit holds back, that wait
-    /// for others or that were cancelled tell nothing.
-    fn late_begins(&self, now: Micros) -> Vec<String> {
+    /// The largest jobs of each class whose first task did not start within
+    /// [`MAX_FIRST_START_DELAY`] of their acceptance. Jobs of limited teams, with
+    /// dependencies or with a request to cancel them are not considered.
+    fn delayed_largest_jobs(&self, now: Micros) -> Vec<String> {
         let mut largest: BTreeMap<&str, u32> = BTreeMap::new();
         for job in self.jobs.values() {
             let most = largest.entry(&job.spec.class).or_default();
             *most = job.spec.tasks.max(*most);
         }
-        let counts = |job: &&Job| {
+        let considered = |job: &&Job| {
             job.spec.tasks == largest[&*job.spec.class]
                 && !self.limits.contains_key(&job.spec.team)
                 && job.spec.depends_on.is_empty()
-                && !job.cancel_asked
+                && !job.cancel_requested
         };
-        let late = |job: &&Job| {
-            let waited = |at| job.began.unwrap_or(now).saturating_sub(at);
-            job.accepted.is_some_and(|at| waited(at) > 240 * SECOND)
+        let delayed = |job: &&Job| {
+            let waited = |at| job.first_start.unwrap_or(now).saturating_sub(at);
+            job.accepted
+                .is_some_and(|at| waited(at) > MAX_FIRST_START_DELAY)
         };
-        let late = self.jobs.values().filter(counts).filter(late);
-        late.map(|job| job.spec.id.clone()).collect()
+        let delayed = self.jobs.values().filter(considered).filter(delayed);
+        delayed.map(|job| job.spec.id.clone()).collect()
     }
 
+    /// Checks the rules about the whole run, at its end.
     pub fn finish(&mut self, now: Micros) {
-        for id in self.late_begins(now) {
-            self.violation(Rule::LateBegin, now, format!("{id}: one of the largest"));
+        for id in self.delayed_largest_jobs(now) {
+            let what = format!(
+                "{id}: a largest job of its class did not start within {} s of its acceptance",
+                MAX_FIRST_START_DELAY / SECOND
+            );
+            self.violation(Rule::LateBegin, now, what);
         }
-        if self.starts == 0 {
-            self.violation(Rule::NothingRan, now, "no task was started".into());
+        if self.task_starts == 0 {
+            self.violation(
+                Rule::NothingRan,
+                now,
+                "no task started during the run".into(),
+            );
         }
     }
 
-    /// What happened to cancelled jobs.
+    /// Launches and starts of tasks after the cancellation of their jobs was reported.
     pub fn late(&self) -> LateLaunches {
-        self.late
+        self.late_launches
     }
 
     pub fn starts_seen(&self) -> u64 {
-        self.starts
+        self.task_starts
     }
 
-    /// How many of a job's tasks are on machines now, and have completed.
+    /// Numbers of running and of completed tasks of a job.
     pub fn tasks(&self, id: &str) -> (u32, u32) {
-        let on = self.on.keys().filter(|t| t.job == id).count();
-        let done = self.jobs.get(id).map_or(0, |j| j.done.len());
-        (on as u32, done as u32)
+        let running = self.running.keys().filter(|t| t.job == id).count();
+        let completed = self.jobs.get(id).map_or(0, |j| j.completed.len());
+        (running as u32, completed as u32)
     }
 
-    /// The machines that a job's tasks are on.
+    /// The machine of each running task of a job.
     pub fn machines(&self, id: &str) -> impl Iterator<Item = String> {
-        let on = self.on.iter().filter(move |(t, _)| t.job == id);
-        on.map(|(_, place)| place.machine.clone())
+        let running = self.running.iter().filter(move |(t, _)| t.job == id);
+        running.map(|(_, place)| place.machine.clone())
     }
 
     /// Whether every task of a job has completed.
     pub fn complete(&self, id: &str) -> bool {
         self.jobs
             .get(id)
-            .is_some_and(|j| j.done.len() as u32 == j.spec.tasks)
+            .is_some_and(|j| j.completed.len() as u32 == j.spec.tasks)
     }
 }
--- a/crates/simulator/src/rules/waiting_jobs.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -1,4 +1,4 @@
-//! Who is left waiting although a machine has room.
+//! Detection of jobs that starve although a suitable machine has free capacity.
 
 use super::{Checker, Job, MachineIdentity, Rule};
 use dillcleat_controller::{Micros, SECOND};
@@ -6,92 +6,111 @@
 use dillcleat_wire::user::JobSpec;
 use std::collections::BTreeMap;
 
-/// For so long a job may wait beside room for one of its tasks.
-const LEFT: Micros = 90 * SECOND;
+/// Maximum time that a job may wait while a suitable machine has free capacity.
+const MAX_WAIT_BESIDE_CAPACITY: Micros = 90 * SECOND;
 
-/// A machine as it is at a look.
+/// The free capacity and the tasks of a machine at the time of a check.
 #[derive(Debug, Clone)]
 pub struct Room {
     pub place: MachineIdentity,
-    /// CPUs and GPUs that no task takes.
+    /// Free CPUs and GPUs.
     pub cpus: f64,
     pub gpus: f64,
-    /// Its tasks that run, fetch their image or save.
+    /// Tasks with an attempt on the machine that has not exited.
     pub tasks: Vec<TaskName>,
-    /// It is up, reports, and is not about to be taken.
+    /// It runs tasks, is reachable and is not about to be preempted.
     pub takes: bool,
 }
 
-/// A job's live tasks by zone.
-type Zones<'a> = BTreeMap<&'a str, u32>;
+/// Number of live tasks of a job by zone.
+type TasksByZone<'a> = BTreeMap<&'a str, u32>;
 
-fn fits(spec: &JobSpec, zones: &Zones, room: &Room) -> bool {
-    let place = &room.place;
+/// Whether the machine can take one more task of the job.
+fn fits(spec: &JobSpec, zones: &TasksByZone, machine: &Room) -> bool {
+    let place = &machine.place;
     let types = spec.types.as_ref();
-    let there = zones.get(&*place.zone).copied().unwrap_or(0);
-    room.takes
-        && room.cpus + 1e-6 >= spec.cpus
-        && room.gpus + 1e-6 >= spec.gpus
+    let in_zone = zones.get(&*place.zone).copied().unwrap_or(0);
+    machine.takes
+        && machine.cpus + 1e-6 >= spec.cpus
+        && machine.gpus + 1e-6 >= spec.gpus
         && types.is_none_or(|t| t.contains(&place.machine_type))
         && spec.zone.as_ref().is_none_or(|z| *z == place.zone)
         && (spec.spot || !place.spot)
         && (!spec.single_zone || zones.keys().all(|z| **z == *place.zone))
-        && (!spec.spread || there < spec.tasks.div_ceil(2))
+        && (!spec.spread || in_zone < spec.tasks.div_ceil(2))
 }
 
 impl Checker {
-    /// Looks for jobs that are left waiting for long while a machine that fits has room
-    /// and their team is under its limit. Before the troubles are over, and of jobs that
-    /// fail wherever they run, this tells nothing. `rooms` are all machines.
-    pub fn look_for_waiting(&mut self, rooms: &[Room], fails: impl Fn(&str) -> bool, now: Micros) {
+    /// Checks for jobs that have waited too long although a suitable machine has free
+    /// capacity and their team is below its limit. `machines` are all machines. Does nothing
+    /// before the end of the faults, and ignores jobs that `fails` names: their tasks fail
+    /// on every machine.
+    pub fn look_for_waiting(
+        &mut self,
+        machines: &[Room],
+        fails: impl Fn(&str) -> bool,
+        now: Micros,
+    ) {
         if now < self.troubles_end {
             return;
         }
-        let mut live: BTreeMap<&str, (u32, Zones)> = BTreeMap::new();
-        for room in rooms {
-            for task in &room.tasks {
+        let mut live: BTreeMap<&str, (u32, TasksByZone)> = BTreeMap::new();
+        for machine in machines {
+            for task in &machine.tasks {
                 let job = self.jobs.get(&task.job);
-                if job.is_some_and(|j| j.done.contains(&task.index)) {
+                if job.is_some_and(|j| j.completed.contains(&task.index)) {
                     continue;
                 }
                 let (count, zones) = live.entry(&task.job).or_default();
                 *count += 1;
-                *zones.entry(&room.place.zone).or_default() += 1;
+                *zones.entry(&machine.place.zone).or_default() += 1;
             }
         }
-        let none = (0, Zones::new());
-        let could = |id: &str, job: &Job| {
+        let none = (0, TasksByZone::new());
+        let could_start = |id: &str, job: &Job| {
             let spec = &job.spec;
             let (count, zones) = live.get(id).unwrap_or(&none);
-            let waits = spec.tasks > job.done.len() as u32 + count;
-            let open = job.accepted.is_some() && !job.cancel_asked && job.done_told.is_none();
+            let waits = spec.tasks > job.completed.len() as u32 + count;
+            let open =
+                job.accepted.is_some() && !job.cancel_requested && job.done_reported_at.is_none();
             let limit = self.limits.get(&spec.team);
-            let under = |limit: &super::Limit| {
-                let (cpus, gpus) = self.used(&spec.team, rooms.iter().flat_map(|r| &r.tasks));
-                limit.holds(cpus + spec.cpus, gpus + spec.gpus)
+            let within_limit = |limit: &super::Limit| {
+                let tasks = machines.iter().flat_map(|m| &m.tasks);
+                let (cpus, gpus) = self.resources_used(&spec.team, tasks);
+                limit.allows(cpus + spec.cpus, gpus + spec.gpus)
             };
-            // One before it that is cancelled takes it along.
-            let doomed = !spec.depends_on.is_empty() && self.before(id).1;
+            // The cancellation of a dependency cancels the job too.
+            let cancelled =
+                !spec.depends_on.is_empty() && self.cancelled_dependencies(id).any_requested;
             waits
                 && open
-                && !doomed
+                && !cancelled
                 && !fails(id)
                 && spec.depends_on.iter().all(|id| self.complete(id))
-                && limit.is_none_or(under)
-                && rooms.iter().any(|room| fits(spec, zones, room))
+                && limit.is_none_or(within_limit)
+                && machines.iter().any(|machine| fits(spec, zones, machine))
         };
-        let could: Vec<bool> = self.jobs.iter().map(|(id, job)| could(id, job)).collect();
-        let mut left = Vec::new();
-        for ((id, job), could) in self.jobs.iter_mut().zip(could) {
-            let since = could.then(|| *job.could_start.get_or_insert(now));
-            job.could_start = since;
-            if since.is_some_and(|since| now > since + LEFT) {
-                left.push(id.clone());
-                job.could_start = None;
+        let could_start: Vec<bool> = self
+            .jobs
+            .iter()
+            .map(|(id, job)| could_start(id, job))
+            .collect();
+        let mut starved = Vec::new();
+        for ((id, job), could_start) in self.jobs.iter_mut().zip(could_start) {
+            let waiting_since = &mut job.waiting_beside_capacity_since;
+            let since = could_start.then(|| *waiting_since.get_or_insert(now));
+            *waiting_since = since;
+            if since.is_some_and(|since| now > since + MAX_WAIT_BESIDE_CAPACITY) {
+                starved.push(id.clone());
+                *waiting_since = None;
             }
         }
-        for id in left {
-            self.violation(Rule::LeftWaiting, now, format!("{id}: a machine has room"));
+        for id in starved {
+            let what = format!(
+                "{id}: waited over {} s although a suitable machine has free capacity",
+                MAX_WAIT_BESIDE_CAPACITY / SECOND
+            );
+            self.violation(Rule::LeftWaiting, now, what);
         }
     }
 }
--- a/crates/simulator/src/service_shares.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -1,96 +1,94 @@
-//! How much of what was asked for each class of jobs and each team was served.
+//! The share of the requested service that each class of jobs and each team received.
 //!
-//! A day on which less than half of any one of them is served has failed, however good
-//! its other figures are.
+//! A run fails if a class or team received less than [`LEAST`] of it, whatever the other
+//! results are.
 
 use dillcleat_controller::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What must have been served of each class and team.
+/// Minimum share that each class and team must have received.
 pub const LEAST: f64 = 0.5;
-/// From so much on a share is judged.
-const ENOUGH_TASKS: f64 = 20.0;
-/// In seconds of one replica.
-const ENOUGH_REPLICA_TIME: f64 = 600.0;
-const ENOUGH_REQUESTS: f64 = 50.0;
+/// Shares of fewer tasks, replica seconds or requests than these are not checked.
+const MIN_TASKS: f64 = 20.0;
+const MIN_REPLICA_SECONDS: f64 = 600.0;
+const MIN_REQUESTS: f64 = 50.0;
 const MINUTE: Micros = 60 * SECOND;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Part {
-    wanted: f64,
-    had: f64,
+struct Ratio {
+    requested: f64,
+    received: f64,
 }
 
-impl Part {
+impl Ratio {
     fn share(&self) -> Option<f64> {
-        (self.wanted > 0.0).then(|| self.had / self.wanted)
+        (self.requested > 0.0).then(|| self.received / self.requested)
     }
 }
 
-/// Something that was wanted over a day, and how much of it there was.
+/// The requested and the received amount of a service over a run.
 #[derive(Debug, Clone, Default)]
 pub struct Kept {
-    whole: Part,
-    minutes: BTreeMap<u64, Part>,
+    total: Ratio,
+    minutes: BTreeMap<u64, Ratio>,
 }
 
 impl Kept {
-    pub fn add(&mut self, at: Micros, wanted: f64, had: f64) {
+    pub fn add(&mut self, at: Micros, requested: f64, received: f64) {
         let minute = self.minutes.entry(at / MINUTE).or_default();
-        for part in [&mut self.whole, minute] {
-            part.wanted += wanted;
-            part.had += had;
+        for ratio in [&mut self.total, minute] {
+            ratio.requested += requested;
+            ratio.received += received;
         }
     }
 
-    /// Of the whole day; None if nothing was wanted.
+    /// The share received over the whole run; None if nothing was requested.
     pub fn share(&self) -> Option<f64> {
-        self.whole.share()
+        self.total.share()
     }
 
-    /// In the worst minute.
+    /// The lowest share of any minute.
     pub fn worst_minute(&self) -> Option<f64> {
-        let shares = self.minutes.values().filter_map(Part::share);
+        let shares = self.minutes.values().filter_map(Ratio::share);
         shares.min_by(f64::total_cmp)
     }
 }
 
-/// Of one class or team.
+/// The service that one class or team received.
 #[derive(Debug, Clone, Default)]
 pub struct Served {
-    /// Tasks of arrays that were due, in the minute in which they were: had are those
-    /// that were done in the end.
+    /// Tasks of batch jobs by the minute of their deadline. Received: those that completed
+    /// by the end of the run.
     pub work: Kept,
-    /// Arrays that were due: had are those that ended by then. Told, not judged: users'
-    /// aims say how many it should be.
+    /// Batch jobs with a deadline. Received: those that ended by then. Reported only: the
+    /// required share is set by service-level objectives.
     pub in_time: Kept,
-    /// Time of replicas, in seconds.
+    /// Running time of service replicas in seconds.
     pub replicas: Kept,
-    /// Submissions and polls: had are those that were answered.
+    /// Submissions and polls. Received: those that were answered.
     pub answers: Kept,
 }
 
 impl Served {
     const COLUMNS: [&str; 4] = ["work", "by deadline", "replicas", "answers"];
 
-    fn kept(&self) -> [&Kept; 4] {
+    fn columns(&self) -> [&Kept; 4] {
         [&self.work, &self.in_time, &self.replicas, &self.answers]
     }
 
-    /// The least of what is judged: that of which enough was wanted for a share of it to
-    /// say something. A service that lives for ten seconds of a cut has had none of its
-    /// time, and nobody is to blame.
-    fn least(&self, enough_tasks: f64) -> Option<f64> {
-        let judged = [
-            (&self.work, enough_tasks),
-            (&self.replicas, ENOUGH_REPLICA_TIME),
-            (&self.answers, ENOUGH_REQUESTS),
+    /// The lowest of the checked shares. A share is checked only if enough was requested: a
+    /// service that exists for ten seconds during a network partition cannot start in time.
+    fn least(&self, min_tasks: f64) -> Option<f64> {
+        let columns = [
+            (&self.work, min_tasks),
+            (&self.replicas, MIN_REPLICA_SECONDS),
+            (&self.answers, MIN_REQUESTS),
         ];
-        let enough = judged
+        let checked = columns
             .into_iter()
-            .filter(|(k, least)| k.whole.wanted >= *least);
-        let shares = enough.filter_map(|(k, _)| k.share());
+            .filter(|(k, minimum)| k.total.requested >= *minimum);
+        let shares = checked.filter_map(|(k, _)| k.share());
         shares.min_by(f64::total_cmp)
     }
 }
@@ -104,68 +102,70 @@
 }
 
 impl Group {
-    /// From how many tasks on their share is judged. There are few of the largest jobs.
-    fn enough_tasks(self) -> f64 {
+    /// Minimum number of tasks for their share to be checked. It is low for the largest
+    /// jobs because there are few of them.
+    fn min_tasks(self) -> f64 {
         match self {
             Group::Largest => 1.0,
-            Group::Class | Group::Team => ENOUGH_TASKS,
+            Group::Class | Group::Team => MIN_TASKS,
         }
     }
 }
 
-/// Of all classes and teams of a day.
+/// The service that each class and team received in a run.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceShares {
     rows: BTreeMap<(Group, String), Served>,
 }
 
 impl ServiceShares {
-    /// Counts something of a job for its class and for its team.
+    /// Adds to the counts of a class and of a team.
     pub fn count(&mut self, class: &str, team: &str, add: impl Fn(&mut Served)) {
         for (group, name) in [(Group::Class, class), (Group::Team, team)] {
             add(self.rows.entry((group, name.to_string())).or_default());
         }
     }
 
-    /// Counts something of one of the largest jobs of its class.
+    /// Adds to the counts of the largest jobs of a class.
     pub fn count_largest(&mut self, class: &str, add: impl Fn(&mut Served)) {
         let row = self.rows.entry((Group::Largest, class.to_string()));
         add(row.or_default());
     }
 
-    /// Counts something that is known by class only.
+    /// Adds to the counts of a class only.
     pub fn count_class(&mut self, class: &str, add: impl Fn(&mut Served)) {
         let row = self.rows.entry((Group::Class, class.to_string()));
         add(row.or_default());
     }
 
-    /// Classes and teams of which less than [`LEAST`] was served.
+    /// Classes and teams that received less than [`LEAST`].
     pub fn starved(&self) -> Vec<String> {
-        let least = |((group, _), s): &(&(Group, String), &Served)| s.least(group.enough_tasks());
+        let least = |((group, _), s): &(&(Group, String), &Served)| s.least(group.min_tasks());
         let starved = |row: &_| least(row).is_some_and(|l| l < LEAST);
         let rows = self.rows.iter().filter(starved);
         rows.map(|((group, name), _)| format!("{group:?} {name}").to_lowercase())
             .collect()
     }
 
-    /// The class or team of which the least was served, and how much.
+    /// The class or team with the lowest share, and that share.
     pub fn least(&self) -> Option<(String, f64)> {
         let rows = self.rows.iter();
-        rows.filter_map(|((g, name), s)| Some((name.clone(), s.least(g.enough_tasks())?)))
+        rows.filter_map(|((g, name), s)| Some((name.clone(), s.least(g.min_tasks())?)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 }
 
 impl fmt::Display for ServiceShares {
-    /// A table: of each share the day's and, in brackets, the worst minute's.
+    /// A Markdown table with the share of the whole run and, in brackets, of the worst
+    /// minute.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(f, "| of | {} |", Served::COLUMNS.join(" | "))?;
         writeln!(f, "| --- |{}", " --- |".repeat(Served::COLUMNS.len()))?;
         for ((group, name), served) in &self.rows {
             write!(f, "| {} {name} |", format!("{group:?}").to_lowercase())?;
-            for kept in served.kept() {
-                match kept.share().zip(kept.worst_minute()) {
-                    Some((day, minute)) => write!(f, " {day:.3} ({minute:.2}) |")?,
+            for column in served.columns() {
+                match column.share().zip(column.worst_minute()) {
+                    Some((total, minute)) => write!(f, " {total:.3} ({minute:.2}) |")?,
                     None => write!(f, " |")?,
                 }
             }
@@ -180,13 +180,13 @@
     use super::*;
 
     #[test]
-    fn who_is_served_less_than_half_is_named_by_class_and_by_team() {
+    fn classes_and_teams_below_the_minimum_share_are_listed() {
         let mut shares = ServiceShares::default();
         shares.count("merge", "books", |s| s.work.add(0, 100.0, 40.0));
         shares.count("merge", "maps", |s| s.work.add(MINUTE, 100.0, 100.0));
         shares.count("web", "maps", |s| s.replicas.add(0, 100.0, 0.0));
         shares.count("web", "maps", |s| s.replicas.add(MINUTE, 900.0, 900.0));
-        // What is late is told, not judged, and so is what was hardly wanted.
+        // Neither missed deadlines nor shares of small amounts are checked.
         shares.count("web", "books", |s| s.replicas.add(0, 9.0, 0.0));
         shares.count("web", "maps", |s| s.in_time.add(0, 1.0, 0.0));
         assert_eq!(shares.starved(), ["team books"]);
