--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -1,37 +1,44 @@
-//! Days on which troubles meet.
+//! Scenarios in which several faults overlap.
 
 use crate::scenario::{Fault, LEADER, Scenario};
 use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
+/// Salt of the seed of [`Scenario::meetings`].
+const MEETINGS_SEED_SALT: u64 = 0x3ee7;
+
 impl Scenario {
-    /// A day on which two or three troubles meet, several times: they begin within
-    /// seconds of each other or as long after as a lease or a cancellation lasts, and
-    /// most are aimed at whoever leads.
+    /// Groups of two or three faults, several times in a run. The faults of a group begin
+    /// within seconds of each other and last about as long as a lease or a cancellation
+    /// deadline. Most are aimed at the leader.
     pub fn meetings(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ 0x3ee7);
+        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ MEETINGS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(20 * SECOND..40 * SECOND);
         while at < scenario.busy {
-            let mut first = at;
+            let mut fault_at = at;
             for _ in 0..rng.usize(2..4) {
-                // Near a node's lease, a worker's, the blind limit, and a cancellation's.
-                let near = [2, 10, 14, 26, 30, 44, 60];
-                let time = near[rng.usize(..near.len())] * SECOND + rng.u64(..3 * SECOND);
+                // Near the lease of the leader, the lease of a worker, the time for which
+                // heartbeats are answered without the store, and the cancellation deadline.
+                let durations_s = [2, 10, 14, 26, 30, 44, 60];
+                let time =
+                    durations_s[rng.usize(..durations_s.len())] * SECOND + rng.u64(..3 * SECOND);
                 let node = match rng.u8(..4) {
                     0 => rng.usize(..3),
                     _ => LEADER,
                 };
-                scenario.faults.extend(met(&mut rng, first, time, node));
-                let after = [0, 1, 1, 2, 5, 12];
-                first += after[rng.usize(..after.len())] * SECOND + rng.u64(..2 * SECOND);
+                scenario
+                    .faults
+                    .extend(combined_fault(&mut rng, fault_at, time, node));
+                let delays_s = [0, 1, 1, 2, 5, 12];
+                fault_at += delays_s[rng.usize(..delays_s.len())] * SECOND + rng.u64(..2 * SECOND);
             }
-            at = first + rng.u64(20 * SECOND..70 * SECOND);
+            at = fault_at + rng.u64(20 * SECOND..70 * SECOND);
         }
-        // A third of the days while versions change, or with pipelines alone.
-        let first = rng.u64(10 * SECOND..50 * SECOND);
+        // One run in six has a rolling upgrade, and one in six has pipelines.
+        let upgrade_at = rng.u64(10 * SECOND..50 * SECOND);
         match rng.u8(..6) {
-            0 => scenario.upgrade = Some((first, rng.u64(SECOND..15 * SECOND))),
+            0 => scenario.upgrade = Some((upgrade_at, rng.u64(SECOND..15 * SECOND))),
             1 => scenario.pipelines = rng.usize(2..6),
             _ => {}
         }
@@ -42,16 +49,18 @@
             let from = rng.u64(10 * SECOND..100 * SECOND);
             scenario.stream = Some((from, rng.u64(60 * SECOND..90 * SECOND)));
         }
-        scenario.faults.extend(pressing(&mut rng, scenario.busy));
+        scenario
+            .faults
+            .extend(user_behaviours(&mut rng, scenario.busy));
         scenario.jobs = rng.usize(14..26);
         scenario.end = scenario.busy + 1000 * SECOND;
         scenario
     }
 }
 
-/// Spells in which users press: each on every second or third day, for long, so that
-/// they meet the other troubles.
-fn pressing(rng: &mut Rng, busy: Micros) -> Vec<(Micros, Fault)> {
+/// Long periods of demanding user behaviour, which overlap the other faults. Each kind
+/// occurs in every second or third run.
+fn user_behaviours(rng: &mut Rng, busy: Micros) -> Vec<(Micros, Fault)> {
     let mut faults = Vec::new();
     for kind in 0..4 {
         let at = rng.u64(5 * SECOND..busy / 2);
@@ -70,23 +79,26 @@
     faults
 }
 
-/// One of the troubles that meet, or what always comes with it.
-fn met(rng: &mut Rng, at: Micros, time: Micros, node: usize) -> Vec<(Micros, Fault)> {
+/// Draws one fault of a group. Some kinds consist of several faults.
+fn combined_fault(rng: &mut Rng, at: Micros, time: Micros, node: usize) -> Vec<(Micros, Fault)> {
     let machines = rng.usize(1..7);
-    let back = rng.usize(..3);
+    let index = rng.usize(..3);
     let percent = rng.u8(10..60);
     let fault = match rng.u8(..28) {
         0 => Fault::StateOutage { time },
         1 => Fault::Refused { node, time },
-        // Cut off from the store and the other nodes, not from workers or users.
+        // Partitioned from the store and from its peers, but not from workers and users.
         2 | 3 => {
-            let cut = Fault::CutState { node, time };
-            return vec![(at, cut), (at, Fault::CutMesh { node, time })];
+            let partition = Fault::CutState { node, time };
+            return vec![(at, partition), (at, Fault::CutMesh { node, time })];
         }
         4 => {
-            let alone = Fault::Refused { node, time };
-            let then = rng.u64(SECOND / 2..4 * SECOND);
-            return vec![(at, alone), (at + then, Fault::StateOutage { time })];
+            let refusal = Fault::Refused { node, time };
+            let outage_delay = rng.u64(SECOND / 2..4 * SECOND);
+            return vec![
+                (at, refusal),
+                (at + outage_delay, Fault::StateOutage { time }),
+            ];
         }
         5 | 6 => Fault::LateWrites { time },
         7 => Fault::LateReports { time },
@@ -94,7 +106,7 @@
         10 => Fault::Hang { machines, time },
         11 => Fault::SlowState { time },
         12 => Fault::AllEnd {
-            back,
+            back: index,
             soon: rng.u64(SECOND / 10..SECOND),
             others: rng.u64(SECOND..20 * SECOND),
         },
@@ -103,18 +115,18 @@
             let nodes = vec![node];
             return vec![(at, Fault::Crash { nodes, down })];
         }
-        // Over to another and back.
+        // Leadership changes four times in a row.
         14 => {
-            let end = |nodes| Fault::Crash {
+            let crash = |nodes| Fault::Crash {
                 nodes,
                 down: SECOND / 5,
             };
-            let ends = (0..4).map(|n| (at + n * 3 * SECOND / 2, end(vec![LEADER])));
-            return ends.collect();
+            let crashes = (0..4).map(|n| (at + n * 3 * SECOND / 2, crash(vec![LEADER])));
+            return crashes.collect();
         }
         15 => Fault::CutWorkers { node, time },
         16 => Fault::Pause { node, time },
-        17 => Fault::CutZone { zone: back, time },
+        17 => Fault::CutZone { zone: index, time },
         18 => Fault::Mute {
             machines,
             zone: None,
@@ -122,33 +134,33 @@
         },
         19 => Fault::Mute {
             machines: usize::MAX,
-            zone: Some(back),
+            zone: Some(index),
             time,
         },
         20 | 21 => Fault::AnswersLost { percent, time },
         22 => Fault::ReportsForNext { percent, time },
-        // With writes that lag.
+        // Machines boot immediately while transactions are delayed.
         23 => {
-            let up = Fault::Boots {
+            let immediate_boots = Fault::Boots {
                 time,
                 factor: 0,
                 never: u64::MAX,
             };
-            return vec![(at, up), (at, Fault::LateWrites { time })];
+            return vec![(at, immediate_boots), (at, Fault::LateWrites { time })];
         }
-        // Ten leaders in two minutes, half the time with an outage among them.
+        // Ten crashes of leaders in two minutes, in half of the cases with a store outage.
         24 => {
-            let every = rng.u64(8 * SECOND..12 * SECOND);
-            let ends = |n: u64| Fault::Crash {
+            let interval = rng.u64(8 * SECOND..12 * SECOND);
+            let crash = |n: u64| Fault::Crash {
                 nodes: vec![LEADER],
                 down: SECOND / 5 + n * SECOND / 4,
             };
-            let mut all: Vec<_> = (0..10).map(|n| (at + n * every, ends(n))).collect();
+            let mut faults: Vec<_> = (0..10).map(|n| (at + n * interval, crash(n))).collect();
             if rng.bool() {
                 let time = rng.u64(5 * SECOND..20 * SECOND);
-                all.push((at + 3 * every, Fault::StateOutage { time }));
+                faults.push((at + 3 * interval, Fault::StateOutage { time }));
             }
-            return all;
+            return faults;
         }
         25 => Fault::CancelsNow {
             jobs: rng.usize(2..8),
@@ -160,7 +172,7 @@
         },
         _ => Fault::ZoneDies {
             machines: usize::MAX,
-            zone: back,
+            zone: index,
         },
     };
     vec![(at, fault)]
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! The troubles of a day, as they begin.
+//! Starts the faults of a scenario.
 
 use crate::scenario::{Fault, LEADER};
 use crate::simulation::{BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZoneCut};
@@ -7,63 +7,66 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
+    /// Draws `n` machines.
     fn some_machines(&mut self, n: usize) -> Vec<String> {
         self.some_machines_of(n, None)
     }
 
-    /// The same, of one zone if one is given.
+    /// Draws `n` machines, of one zone if one is given.
     fn some_machines_of(&mut self, n: usize, zone: Option<usize>) -> Vec<String> {
         let zone = zone.map(|z| ZONES[z % ZONES.len()]);
-        let there = |w: &&Worker| zone.is_none_or(|z| w.place.zone == z);
-        let workers = self.workers.values().filter(there);
+        let in_zone = |w: &&Worker| zone.is_none_or(|z| w.place.zone == z);
+        let workers = self.workers.values().filter(in_zone);
         let mut names: Vec<String> = workers.map(|w| w.name.clone()).collect();
         self.rng.shuffle(&mut names);
         names.truncate(n);
         names
     }
 
-    fn die(&mut self, machines: Vec<String>) {
+    /// The machines fail: their tasks end and the cloud no longer lists them.
+    fn fail_machines(&mut self, machines: Vec<String>) {
         for machine in machines {
             self.cloud.remove(&machine);
             self.machine_ends(&machine);
         }
     }
 
-    /// A node ends, and is back at the given time.
-    fn ends(&mut self, node: usize, back: Micros) {
+    /// A node crashes and restarts at the given time.
+    fn crash(&mut self, node: usize, restart_at: Micros) {
         self.dismiss(node);
         self.nodes[node].epoch += 1;
-        self.at(back, Event::Restart { node });
+        self.at(restart_at, Event::Restart { node });
     }
 
+    /// Starts a fault.
     pub(crate) fn fault(&mut self, fault: Fault) {
         let now = self.now;
         let count = self.nodes.len();
-        let leads = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
-        let leader = (0..count).max_by_key(|n| leads(&self.nodes[*n]));
-        let numbered = |node: usize| match node {
+        let term = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
+        let leader = (0..count).max_by_key(|n| term(&self.nodes[*n]));
+        let index_of = |node: usize| match node {
             LEADER => leader.unwrap_or(0),
             node => node % count,
         };
         match fault {
             Fault::Crash { nodes, down } => {
-                let nodes: BTreeSet<usize> = nodes.into_iter().map(numbered).collect();
+                let nodes: BTreeSet<usize> = nodes.into_iter().map(index_of).collect();
                 for node in nodes {
-                    self.ends(node, now + down);
+                    self.crash(node, now + down);
                 }
             }
             Fault::AllEnd { back, soon, others } => {
                 for node in 0..count {
                     let down = if node == back % count { soon } else { others };
-                    self.ends(node, now + down);
+                    self.crash(node, now + down);
                 }
             }
-            Fault::Pause { node, time } => self.nodes[numbered(node)].paused_until = now + time,
-            Fault::CutMesh { node, time } => self.nodes[numbered(node)].mesh_cut = now + time,
+            Fault::Pause { node, time } => self.nodes[index_of(node)].paused_until = now + time,
+            Fault::CutMesh { node, time } => self.nodes[index_of(node)].mesh_cut = now + time,
             Fault::StateOutage { time } => self.state.outage(now, now + time),
-            Fault::Refused { node, time } => self.nodes[numbered(node)].refused_until = now + time,
-            Fault::CutState { node, time } => self.nodes[numbered(node)].state_cut = now + time,
-            Fault::CutWorkers { node, time } => self.nodes[numbered(node)].workers_cut = now + time,
+            Fault::Refused { node, time } => self.nodes[index_of(node)].refused_until = now + time,
+            Fault::CutState { node, time } => self.nodes[index_of(node)].state_cut = now + time,
+            Fault::CutWorkers { node, time } => self.nodes[index_of(node)].workers_cut = now + time,
             Fault::CutZone { zone, time } => self.zone_cut[zone % 3] = now + time,
             Fault::CutSite { zone, time, cut } => {
                 let zone = zone.or(leader).unwrap_or(0) % 3;
@@ -99,11 +102,11 @@
             }
             Fault::Die { machines } => {
                 let names = self.some_machines(machines);
-                self.die(names);
+                self.fail_machines(names);
             }
             Fault::ZoneDies { machines, zone } => {
                 let names = self.some_machines_of(machines, Some(zone));
-                self.die(names);
+                self.fail_machines(names);
             }
             Fault::SpotTaken { notice } => {
                 let spot: Vec<String> = self
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,166 +1,100 @@
-//! What a rehearsal plays: users' work and the troubles of its day.
+//! Scenarios: the workload of a simulation and the faults that are injected into it.
 
 use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
+/// A fault to inject. Nodes are given by index or as [`LEADER`].
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// These nodes end and come back.
-    Crash {
-        nodes: Vec<usize>,
-        down: Micros,
-    },
-    /// One node is not run for a while, then goes on as if nothing had
-    /// happened: all that has come in meanwhile waits for it.
-    Pause {
-        node: usize,
-        time: Micros,
-    },
-    /// Nothing gets across between one node and its siblings.
-    CutMesh {
-        node: usize,
-        time: Micros,
-    },
-    StateOutage {
-        time: Micros,
-    },
-    /// One node alone is refused by the state service.
-    Refused {
-        node: usize,
-        time: Micros,
-    },
-    /// One node and the state service: what is sent arrives when it is over.
-    CutState {
-        node: usize,
-        time: Micros,
-    },
-    /// One node and all workers, with held packets.
-    CutWorkers {
-        node: usize,
-        time: Micros,
-    },
-    /// A zone's workers and all nodes, with held packets.
-    CutZone {
-        zone: usize,
-        time: Micros,
-    },
-    /// A zone with its controllers and workers, and everything outside it: other
-    /// zones, the state service, the cloud, users. Within the zone all goes on. No zone
-    /// given: that of whoever leads.
+    /// These nodes crash and restart after `down`.
+    Crash { nodes: Vec<usize>, down: Micros },
+    /// A node is paused and then resumed. Its inputs are queued meanwhile.
+    Pause { node: usize, time: Micros },
+    /// All messages between a node and its peers are lost.
+    CutMesh { node: usize, time: Micros },
+    /// The store refuses all calls.
+    StateOutage { time: Micros },
+    /// The store refuses the calls of one node.
+    Refused { node: usize, time: Micros },
+    /// Network partition between a node and the store. Messages are delivered when it ends.
+    CutState { node: usize, time: Micros },
+    /// Network partition between a node and all workers. Messages are delivered when it
+    /// ends.
+    CutWorkers { node: usize, time: Micros },
+    /// Network partition between the workers of a zone and all nodes. Messages are delivered
+    /// when it ends.
+    CutZone { zone: usize, time: Micros },
+    /// Network partition between a zone, with its nodes and workers, and everything outside
+    /// it: other zones, the store, the cloud and users. Messages within the zone are not
+    /// affected. Without a zone, the zone of the current leader is partitioned.
     CutSite {
         zone: Option<usize>,
         time: Micros,
         cut: Cut,
     },
-    /// Some machines stop executing, and go on later.
-    Hang {
-        machines: usize,
-        time: Micros,
-    },
-    /// Some machines die without a word.
-    Die {
-        machines: usize,
-    },
-    /// All spot machines get a notice, or none, and are taken.
-    SpotTaken {
-        notice: Option<Micros>,
-    },
-    CloudOutage {
-        time: Micros,
-    },
-    /// Answers get lost, and requests are carried out up to a minute late.
-    Flaky {
-        time: Micros,
-    },
-    /// One machine fails whatever it runs.
+    /// Some machines hang: they execute nothing and continue later.
+    Hang { machines: usize, time: Micros },
+    /// Some machines fail without notice.
+    Die { machines: usize },
+    /// All spot instances are preempted, after the notice if there is one.
+    SpotTaken { notice: Option<Micros> },
+    /// The cloud refuses all calls.
+    CloudOutage { time: Micros },
+    /// Unreliable network: answers are lost, and requests are executed up to a minute late.
+    Flaky { time: Micros },
+    /// Every task that starts on one of the machines fails.
     Faulty,
-    /// Machines rented meanwhile take so many times as long to come up (0: at
-    /// once), and one of `never` does not.
+    /// Machines rented meanwhile take `factor` times as long to boot (0: no time), and one
+    /// in `never` does not boot.
     Boots {
         time: Micros,
         factor: u64,
         never: u64,
     },
-    /// Users ask eight times as often.
-    Storm {
-        time: Micros,
-    },
-    /// The state service refuses one of five requests as too many.
-    TooMany {
-        time: Micros,
-    },
-    /// The state service carries requests out up to three seconds after they came, and
-    /// answers then.
-    SlowState {
-        time: Micros,
-    },
-    /// A third of the transactions gets no answer and is carried out 2 to 12 s later,
-    /// after newer ones of the same node.
-    LateWrites {
-        time: Micros,
-    },
-    /// Of half of the workers' reports a copy arrives again, from 2 s to well over a
-    /// lease later, at any node.
-    LateReports {
-        time: Micros,
-    },
-    /// What these machines report arrives; answers and orders to them are lost.
-    Deaf {
-        machines: usize,
-        time: Micros,
-    },
-    /// These machines, all or those of one zone, open no connection to any node, while
-    /// orders reach them.
+    /// Users poll eight times as often.
+    Storm { time: Micros },
+    /// The store refuses one in five requests as over its rate limit.
+    TooMany { time: Micros },
+    /// The store executes and answers requests up to three seconds after their arrival.
+    SlowState { time: Micros },
+    /// One third of the transactions get no answer and are executed 2 to 12 s later, after
+    /// newer ones of the same node.
+    LateWrites { time: Micros },
+    /// Half of the heartbeats are duplicated. The copy arrives at any node, between 2 s and
+    /// more than a lease later.
+    LateReports { time: Micros },
+    /// All messages to these machines are lost: answers and commands. Their heartbeats
+    /// arrive.
+    Deaf { machines: usize, time: Micros },
+    /// These machines, of one zone if one is given, cannot connect to any node. Commands
+    /// reach them.
     Mute {
         machines: usize,
         zone: Option<usize>,
         time: Micros,
     },
-    /// So many of a hundred transactions are carried out at once, and only their answer
-    /// is lost.
-    AnswersLost {
-        percent: u8,
-        time: Micros,
-    },
-    /// Of so many of a hundred reports a copy is kept, and arrives at every node just as
-    /// the next leader begins.
-    ReportsForNext {
-        percent: u8,
-        time: Micros,
-    },
-    /// Users ask all nodes within milliseconds, and submit again, right after a job was
+    /// This percentage of the transactions are executed at once, but their answers are lost.
+    AnswersLost { percent: u8, time: Micros },
+    /// This percentage of the heartbeats are duplicated. The copies arrive at every node
+    /// when the next leader is elected.
+    ReportsForNext { percent: u8, time: Micros },
+    /// Users poll all nodes and repeat the submission within milliseconds after a job was
     /// accepted, has ended or was confirmed as cancelled.
-    CloseLooks {
-        time: Micros,
-    },
-    /// So many of a hundred users cancel right after the acceptance.
-    CancelsAtOnce {
-        percent: u8,
-        time: Micros,
-    },
-    /// A cancellation, a question and a repeated submission meet the end of the last
-    /// task of so many of a hundred jobs.
-    CancelsAtEnd {
-        percent: u8,
-        time: Micros,
-    },
-    /// Users call off so many jobs that run, within a fifth of a second, while up to
-    /// eight of their machines hang.
-    CancelsNow {
-        jobs: usize,
-        hang: Micros,
-    },
-    /// Users submit unfinished jobs again, also with other content, cancel jobs that are
-    /// done, and submit what can't run or lacks a field.
-    OddRequests {
-        time: Micros,
-    },
-    /// So many machines of a zone die without a word.
-    ZoneDies {
-        machines: usize,
-        zone: usize,
-    },
-    /// All nodes end. One is back soon, the others after a while.
+    CloseLooks { time: Micros },
+    /// This percentage of the users cancel their job immediately after its acceptance.
+    CancelsAtOnce { percent: u8, time: Micros },
+    /// For this percentage of the jobs, a cancellation, a poll and a repeated submission
+    /// arrive when their last task ends.
+    CancelsAtEnd { percent: u8, time: Micros },
+    /// Users cancel this many running jobs within 200 ms, while up to eight of their
+    /// machines hang.
+    CancelsNow { jobs: usize, hang: Micros },
+    /// Users repeat submissions of unfinished jobs, some with other content, cancel jobs that
+    /// are done, and send submissions that are invalid or cannot run.
+    OddRequests { time: Micros },
+    /// This many machines of a zone fail without notice.
+    ZoneDies { machines: usize, zone: usize },
+    /// All nodes crash. Node `back` restarts after `soon`, the others after `others`.
     AllEnd {
         back: usize,
         soon: Micros,
@@ -168,11 +102,16 @@
     },
 }
 
-/// In the place of a node's number: whoever leads when the trouble begins.
+// Salts that give each scenario a random generator of its own for the same seed.
+const CUT_OFF_SEED_SALT: u64 = 0x0c07;
+const PIPELINES_SEED_SALT: u64 = 0xa3a1;
+const GAP_SEED_SALT: u64 = 0x6a9;
+
+/// Stands in a fault for the index of the node that leads when the fault begins.
 pub const LEADER: usize = usize::MAX;
 
 impl Fault {
-    /// How long it lasts from its beginning; what passes at once lasts for none.
+    /// Duration of the fault; 0 if it is instantaneous.
     pub fn lasts(&self) -> Micros {
         match self {
             Fault::Crash { down, .. } => *down,
@@ -209,48 +148,48 @@
     }
 }
 
-/// When a process ends around one of its calls to the state service.
+/// The point of a call to the store at which the calling process crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Moment {
-    /// The call is not carried out.
+    /// Before the store executes the call, which is lost.
     Before,
-    /// It is carried out, and its answer finds nobody.
+    /// After the store has executed the call, before the answer arrives.
     CarriedOut,
-    /// Its answer has just been taken in.
+    /// After the process has handled the answer.
     Answered,
 }
 
-/// What becomes of messages across a cut.
+/// How a network partition of a zone treats messages across its boundary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
-    /// Held back, and delivered when it is over.
+    /// Delayed until the partition ends.
     Held,
     Lost,
-    /// What the zone sends gets across; what is sent to it is held back.
+    /// Messages to the zone are delayed until the partition ends; messages from it pass.
     Deaf,
-    /// What is sent to the zone gets across; what it sends is held back.
+    /// Messages from the zone are delayed until the partition ends; messages to it pass.
     Mute,
 }
 
-/// How users hand in their arrays. Services come by the users' protocol.
+/// The API through which users submit batch jobs. Services use the native API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SubmissionForm {
-    /// By the users' protocol.
+    /// The native API.
     #[default]
     Native,
-    /// The same, under the references that Jobs would have.
+    /// The native API, with the job ids that Kubernetes Jobs would have.
     Twin,
-    /// As Kubernetes Jobs, but polled and cancelled by the users' protocol: all but
-    /// the way in is as with `Twin`.
+    /// Created as Kubernetes Jobs, polled and cancelled through the native API. Apart from
+    /// the creation it is the same as `Twin`.
     Shadow,
-    /// As Kubernetes Jobs throughout.
+    /// Kubernetes Jobs only.
     Objects,
-    /// Every second one.
+    /// Every second job as a Kubernetes Job.
     Mixed,
 }
 
 impl SubmissionForm {
-    /// Whether there are objects at all.
+    /// Whether any job is submitted as a Kubernetes Job.
     pub fn objects(self) -> bool {
         matches!(
             self,
@@ -259,54 +198,59 @@
     }
 }
 
+/// The workload, environment and faults of a simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub seed: u64,
     pub form: SubmissionForm,
+    /// Faults with the times at which they begin.
     pub faults: Vec<(Micros, Fault)>,
+    /// Number of jobs.
     pub jobs: usize,
-    /// Tasks of the first job, if it is to be a very large array.
+    /// Number of tasks of the first job, if it is to be a very large batch job.
     pub large: Option<u32>,
-    /// Controllers.
+    /// Number of controllers.
     pub nodes: usize,
-    /// How many times as large as usual jobs, limits and the cloud are.
+    /// Multiplies the size of the jobs, the limits and the capacity of the cloud.
     pub scale: u32,
-    /// The limits around the controllers are those of the largest site, and tasks run for
-    /// a minute or two.
+    /// Use the limits of the largest supported cluster, and tasks that run for one to two
+    /// minutes.
     pub large_site: bool,
-    /// Tells how many bytes are allocated, if whoever plays the day counts them.
+    /// Returns the number of allocated bytes, if the caller measures memory.
     pub allocated: Option<fn() -> usize>,
-    /// Pipelines of jobs that wait for others, and since when users have any.
+    /// Number of pipelines of jobs that depend on each other.
     pub pipelines: usize,
+    /// When users begin to submit pipelines.
     pub pipelines_from: Micros,
-    /// Whoever makes this call to the state service ends, by its number, and is back in a
-    /// fifth of a second.
+    /// The node that makes the store call with this number crashes at this point of the call
+    /// and restarts after 200 ms.
     pub ends_at_call: Option<(u64, Moment)>,
-    /// Half of the jobs have two or three tasks, and half of the users cancel.
+    /// Half of the jobs have two or three tasks, and half of the users cancel their jobs.
     pub small: bool,
-    /// More jobs are bound to one zone, arrays too, and some run for long.
+    /// More jobs, batch jobs included, are restricted to one zone, and some run for long.
     pub varied: bool,
-    /// Every team has a limit that it meets, of accelerators too.
+    /// Every team has quotas that it reaches, including one for GPUs.
     pub tight: bool,
-    /// From when and for how long jobs of one task come four a second, a quarter of
-    /// which is cancelled.
+    /// Start and duration of a period in which users submit four single-task jobs per second
+    /// and cancel a quarter of them.
     pub stream: Option<(Micros, Micros)>,
-    /// Jobs that wait for one that is cancelled.
+    /// Number of jobs that depend on a job which is cancelled.
     pub herd: Option<u32>,
-    /// When the first node is replaced by the new version, and the time between two:
-    /// before, all write as the version in production.
+    /// Rolling upgrade: when the first node is replaced by the new version, and the time
+    /// between two replacements. Until then all nodes write in the format of the old version.
     pub upgrade: Option<(Micros, Micros)>,
-    /// When the state service lowers its limits.
+    /// When the store lowers its limits.
     pub limits_fall: Option<Micros>,
-    /// Users and troubles stop here; the rest is for the work to finish.
+    /// End of the submissions and faults. The remaining time is for the jobs to finish.
     pub busy: Micros,
+    /// End of the simulation.
     pub end: Micros,
 }
 
 impl Scenario {
-    /// A random day with what the operators met on call added to it: nodes that
-    /// stop running, siblings cut off, late machines, storms of polls, refusals.
-    /// Drawn apart, so that the days of `random` stay what they were.
+    /// [`Scenario::random`] with additional faults: paused nodes, partitions between nodes,
+    /// slow boots, poll storms and rate limiting. They are drawn from a separate random
+    /// generator, so that the faults of `random` are unchanged.
     pub fn troubled(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
         let mut rng = Rng::with_seed(!seed);
@@ -330,11 +274,11 @@
         scenario
     }
 
-    /// A random day on which the zone of whoever leads is cut off, in every way, and
-    /// others shortly before or meanwhile.
+    /// [`Scenario::random`] with network partitions of the leader's zone in every mode, and
+    /// of other zones shortly before.
     pub fn cut_off(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
-        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ 0x0c07);
+        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ CUT_OFF_SEED_SALT);
         for _ in 0..rng.usize(1..4) {
             let at = rng.u64(30 * SECOND..scenario.busy - 10 * SECOND);
             let mut cut = |rng: &mut Rng, at, zone| {
@@ -359,11 +303,11 @@
         scenario
     }
 
-    /// A troubled day on which nodes are replaced by a new version one after the other,
-    /// users begin with pipelines, and the state service lowers its limits.
+    /// [`Scenario::troubled`] with a rolling upgrade, pipelines, and a store that lowers its
+    /// limits.
     pub fn pipelines(seed: u64) -> Scenario {
         let mut scenario = Scenario::troubled(seed);
-        let mut rng = Rng::with_seed(seed.rotate_left(11) ^ 0xa3a1);
+        let mut rng = Rng::with_seed(seed.rotate_left(11) ^ PIPELINES_SEED_SALT);
         let first = rng.u64(10 * SECOND..50 * SECOND);
         let every = rng.u64(SECOND..15 * SECOND);
         let replaced = first + 2 * every;
@@ -372,10 +316,10 @@
             scenario.upgrade = Some((first, every));
             let fall = rng.u64(replaced + 5 * SECOND..scenario.busy);
             scenario.limits_fall = (rng.u8(..5) > 0).then_some(fall);
-            // Large enough for chunks that will not fit any more.
+            // Large enough for chunks that exceed the lowered limits.
             scenario.large = Some(rng.u32(250..500));
         }
-        // Teams of small limits take long over what both bring.
+        // Teams with small quotas need this time to finish the additional jobs.
         scenario.end = scenario.busy + 1200 * SECOND;
         scenario.pipelines = rng.usize(2..8);
         scenario.pipelines_from = if upgraded {
@@ -386,13 +330,13 @@
         scenario
     }
 
-    /// A small day on which a process ends at one call to the state service: of three
-    /// seeds in a row each has another moment of the same call.
+    /// A small workload in which a process crashes at one call to the store. Three
+    /// consecutive seeds cover the three points of the same call.
     pub fn ends_at_call(seed: u64) -> Scenario {
-        let moments = [Moment::Before, Moment::CarriedOut, Moment::Answered];
+        let points = [Moment::Before, Moment::CarriedOut, Moment::Answered];
         let busy = 40 * SECOND;
         Scenario {
-            ends_at_call: Some((seed / 3, moments[(seed % 3) as usize])),
+            ends_at_call: Some((seed / 3, points[(seed % 3) as usize])),
             jobs: 5,
             pipelines: 1,
             small: true,
@@ -402,24 +346,24 @@
         }
     }
 
-    /// The gap: whoever leads is refused alone, others confirm cancellations, and then
-    /// the state service is out for all for longer than a cancellation may take. A second
-    /// one right after.
+    /// The leader alone loses the store while other nodes confirm cancellations. Then the
+    /// store is out for all nodes, for up to longer than the cancellation deadline. This
+    /// happens twice.
     pub fn gap(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ 0x6a9);
+        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ GAP_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(25 * SECOND..60 * SECOND);
         for _ in 0..2 {
-            // Sometimes over when the outage begins, sometimes only after it.
+            // Ends before or after the beginning of the outage.
             let time = rng.u64(SECOND..20 * SECOND);
-            let alone = match rng.bool() {
+            let leader_isolation = match rng.bool() {
                 true => Fault::Refused { node: LEADER, time },
                 false => Fault::CutState { node: LEADER, time },
             };
-            let out = at + rng.u64(SECOND / 2..8 * SECOND);
+            let outage_start = at + rng.u64(SECOND / 2..8 * SECOND);
             let outage = rng.u64(20 * SECOND..70 * SECOND);
-            scenario.faults.push((at, alone));
-            // Some of the others never tell the leader that there is another.
+            scenario.faults.push((at, leader_isolation));
+            // The leader does not learn from its peers that another node was elected.
             if rng.bool() {
                 let node = LEADER;
                 scenario.faults.push((
@@ -432,7 +376,7 @@
             }
             scenario
                 .faults
-                .push((out, Fault::StateOutage { time: outage }));
+                .push((outage_start, Fault::StateOutage { time: outage }));
             if rng.u8(..3) == 0 {
                 let time = rng.u64(5 * SECOND..30 * SECOND);
                 let machines = rng.usize(1..6);
@@ -440,25 +384,28 @@
                     true => Fault::Hang { machines, time },
                     false => Fault::Deaf { machines, time },
                 };
-                let at = rng.u64(at.saturating_sub(10 * SECOND)..out + 10 * SECOND);
+                let at = rng.u64(at.saturating_sub(10 * SECOND)..outage_start + 10 * SECOND);
                 scenario.faults.push((at, fault));
             }
             if rng.u8(..3) == 0 {
                 let time = rng.u64(10 * SECOND..60 * SECOND);
-                scenario.faults.push((out, Fault::CloudOutage { time }));
+                scenario
+                    .faults
+                    .push((outage_start, Fault::CloudOutage { time }));
             }
-            // In each order the state service comes back to them.
+            // The nodes reach the store again in varying order.
             if rng.u8(..3) == 0 {
                 let time = rng.u64(..10 * SECOND);
                 let node = rng.usize(..3);
-                scenario
-                    .faults
-                    .push((out + outage - SECOND, Fault::Refused { node, time }));
+                scenario.faults.push((
+                    outage_start + outage - SECOND,
+                    Fault::Refused { node, time },
+                ));
             }
             if rng.u8(..4) == 0 {
                 let node = [LEADER, 0, 1, 2][rng.usize(..4)];
                 let down = SECOND / 5;
-                let at = rng.u64(at..out + outage);
+                let at = rng.u64(at..outage_start + outage);
                 scenario.faults.push((
                     at,
                     Fault::Crash {
@@ -467,7 +414,7 @@
                     },
                 ));
             }
-            at = out + outage + rng.u64(SECOND..15 * SECOND);
+            at = outage_start + outage + rng.u64(SECOND..15 * SECOND);
         }
         scenario.small = true;
         scenario.jobs = rng.usize(16..28);
@@ -476,7 +423,7 @@
         scenario
     }
 
-    /// A day of random troubles, several at a time.
+    /// Random faults, several of which are active at the same time.
     pub fn random(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed);
         let busy = Scenario::quiet(seed).busy;
@@ -520,29 +467,30 @@
         }
     }
 
-    /// A day of a large fleet: `scale` times as many machines may be had and tasks are
-    /// handed in as on other days. Leaders end, each of them as the fleet has grown; the
-    /// state service is out until every lease of the fleet has ended; a zone is cut off.
+    /// A large fleet: `scale` times as many machines can be rented, and tasks are submitted,
+    /// as in the other scenarios. Leaders crash at different sizes of the fleet, the store is
+    /// out until all worker leases have expired, and a zone is partitioned.
     pub fn large_fleet(seed: u64, scale: u32) -> Scenario {
-        let leader_ends = |at, down| {
+        let leader_crash = |at, down| {
             let nodes = vec![LEADER];
             (at, Fault::Crash { nodes, down })
         };
-        // Leases last 14 s, and reports are answered for 26 s without a read.
+        // Longer than a worker lease of 14 s and the 26 s for which a leader answers
+        // heartbeats without reaching the store.
         let outage = Fault::StateOutage { time: 50 * SECOND };
-        let cut = Fault::CutZone {
+        let partition = Fault::CutZone {
             zone: 1,
             time: 30 * SECOND,
         };
         Scenario {
             faults: vec![
-                leader_ends(70 * SECOND, SECOND / 5),
-                leader_ends(90 * SECOND, 3 * SECOND),
+                leader_crash(70 * SECOND, SECOND / 5),
+                leader_crash(90 * SECOND, 3 * SECOND),
                 (100 * SECOND, outage),
-                leader_ends(120 * SECOND, SECOND),
-                leader_ends(160 * SECOND, SECOND),
-                (170 * SECOND, cut),
-                leader_ends(180 * SECOND, SECOND),
+                leader_crash(120 * SECOND, SECOND),
+                leader_crash(160 * SECOND, SECOND),
+                (170 * SECOND, partition),
+                leader_crash(180 * SECOND, SECOND),
             ],
             jobs: 70,
             scale,
@@ -551,7 +499,7 @@
         }
     }
 
-    /// A day without troubles, to start from.
+    /// A scenario without faults, the base of the others.
     pub fn quiet(seed: u64) -> Scenario {
         let busy = 200 * SECOND;
         Scenario {
