--- a/crates/simulator/examples/api_equivalence.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -1,15 +1,15 @@
-//! What the door for Kubernetes-shaped clients takes: creates beside native
-//! submissions, and watchers of many objects.
+//! Measures the Kubernetes API: creations compared with native submissions, and watches of
+//! many objects.
 //! `cargo run --release -p dillcleat-simulator --example api_equivalence -- creates|watchers`.
 //!
-//! One controller alone with the stand-ins; the state service answers in 4 ms of
-//! simulated time, and what the controller computes is measured in real time.
+//! A single controller runs with simulated services. The store answers in 4 ms of simulated
+//! time; the processing time of the controller is measured in real time.
 
 use clap::{Parser, Subcommand};
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
 use dillcleat_simulator::objects::rules_for;
-use dillcleat_simulator::simulation::config;
+use dillcleat_simulator::simulation::base_config;
 use dillcleat_simulator::single_node::{Ev, SingleNode, WALL, ask};
 use dillcleat_simulator::store::SimulatedStore;
 use dillcleat_wire::user::{JOBS_PATH, JobKind as NativeKind, JobSpec};
@@ -26,21 +26,21 @@
 #[derive(Parser)]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Creates a second and their times, natively and as objects
+enum Command {
+    /// Rate and time of creations, natively and by the Kubernetes API
     Creates {
         /// Seconds of simulated time
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// Submissions that clients make a second
+        /// Submissions that clients send per second
         #[arg(long, default_value_t = 300)]
         offered: u64,
     },
-    /// Watchers of many objects: memory, store calls, time of a change to all of them
+    /// Watches of many objects: memory, store calls, and time to send a change to all of them
     Watchers {
         #[arg(long, default_value_t = 1_000)]
         watchers: u64,
@@ -51,13 +51,13 @@
     },
 }
 
-fn held() -> usize {
+fn allocated_bytes() -> usize {
     let s = GLOBAL.stats();
     s.bytes_allocated.saturating_sub(s.bytes_deallocated)
 }
 
-/// A controller of a deployment with these limits of the state service, alone.
-fn deployment(rps: f64, write_rps: f64) -> Config {
+/// The configuration of a single controller with the given limits of the store.
+fn single_node_config(rps: f64, write_rps: f64) -> Config {
     Config {
         zone: "a".into(),
         peers: Vec::new(),
@@ -68,7 +68,7 @@
         txn_ops: 48,
         memory_mb: 188.0,
         tuning: Tuning::default(),
-        ..config(0, 1, 1)
+        ..base_config(0, 1, 1)
     }
 }
 
@@ -80,20 +80,20 @@
                 "resources": {"requests": {"cpu": "1", "memory": "1G"}}}]}}}})
 }
 
-/// Hands in so many jobs a second; whoever is turned away comes back in a second.
-fn creates(label: &str, config: Config, native: bool, seconds: u64, offered: u64) {
-    let mut bench = SingleNode::new(
+/// Submits `offered` jobs per second. Rejected submissions are repeated after a second.
+fn measure_creates(label: &str, config: Config, native: bool, seconds: u64, offered: u64) {
+    let mut node = SingleNode::new(
         config,
         rules_for(1_000_000, 10),
         SimulatedStore::new(16 * 1024, 48),
     );
-    bench.until(10 * SECOND);
-    let (start, calls) = (bench.now, bench.calls);
-    bench.busy = Duration::ZERO;
-    let mut first: BTreeMap<u64, Micros> = BTreeMap::new();
+    node.until(10 * SECOND);
+    let (start, calls) = (node.now, node.calls);
+    node.busy = Duration::ZERO;
+    let mut first_sent_at: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
-    let (mut accepted, mut turned_away) = (0u64, 0u64);
-    let hand_in = |bench: &mut SingleNode, i: u64, at: Micros| {
+    let (mut accepted, mut rejected) = (0u64, 0u64);
+    let submit = |node: &mut SingleNode, i: u64, at: Micros| {
         let id = RequestId(i);
         let ev = if native {
             let mut spec = JobSpec::plain(&format!("req-{i}"), NativeKind::Batch, 60, 1.0);
@@ -112,42 +112,42 @@
             let target = "/apis/batch/v1/namespaces/free/jobs";
             Ev::Ask(id, ask("POST", target, &manifest(i)))
         };
-        bench.at(at, ev);
+        node.at(at, ev);
     };
     for i in 0..seconds * offered {
         let at = start + i * SECOND / offered;
-        first.insert(i, at);
-        hand_in(&mut bench, i, at);
+        first_sent_at.insert(i, at);
+        submit(&mut node, i, at);
     }
     let end = start + seconds * SECOND;
-    while bench.now < end {
-        let next = bench.now + 10 * MILLISECOND;
-        bench.until(next);
-        for (id, reply) in std::mem::take(&mut bench.answers) {
+    while node.now < end {
+        let next = node.now + 10 * MILLISECOND;
+        node.until(next);
+        for (id, reply) in std::mem::take(&mut node.answers) {
             if reply.status == 201 {
                 accepted += 1;
-                let began = first.get(&id.0).copied().unwrap_or(next);
-                let _ = times.record(next - began);
+                let sent_at = first_sent_at.get(&id.0).copied().unwrap_or(next);
+                let _ = times.record(next - sent_at);
             } else {
-                turned_away += 1;
-                hand_in(&mut bench, id.0, next + SECOND);
+                rejected += 1;
+                submit(&mut node, id.0, next + SECOND);
             }
         }
     }
-    let per = |n: u64| n as f64 / seconds as f64;
+    let per_second = |n: u64| n as f64 / seconds as f64;
     println!(
         "| {label} | {} | {:.1} | {:.1} | {} | {} | {:.2} | {:.0} |",
         if native { "native" } else { "objects" },
-        per(accepted),
-        per(turned_away),
+        per_second(accepted),
+        per_second(rejected),
         times.value_at_quantile(0.5) / 1000,
         times.value_at_quantile(0.99) / 1000,
-        (bench.calls - calls) as f64 / accepted.max(1) as f64,
-        bench.busy.as_micros() as f64 / (accepted + turned_away).max(1) as f64,
+        (node.calls - calls) as f64 / accepted.max(1) as f64,
+        node.busy.as_micros() as f64 / (accepted + rejected).max(1) as f64,
     );
 }
 
-fn watchers(watchers: u64, objects: u64, changes: u64) {
+fn measure_watchers(watchers: u64, objects: u64, changes: u64) {
     let mut state = SimulatedStore::new(16 * 1024, 48);
     for i in 0..objects {
         let mut manifest = manifest(i);
@@ -166,7 +166,7 @@
             labels: BTreeMap::from([("app".to_string(), "merge".to_string())]),
             annotations: BTreeMap::new(),
             spec: manifest["spec"].clone(),
-            // Suspended: what they would run is not what is measured.
+            // Suspended: running the jobs is not part of the measurement.
             state: JobState::default(),
         };
         let name = Name {
@@ -176,18 +176,21 @@
         };
         state.put(name.key(), &record);
     }
-    let before = held();
+    let before = allocated_bytes();
     let rules = rules_for(objects as usize + 1, watchers as usize);
-    let mut bench = SingleNode::new(deployment(500.0, 200.0), rules, state);
-    bench.until(10 * SECOND);
-    let (known, _) = bench
+    let mut node = SingleNode::new(single_node_config(500.0, 200.0), rules, state);
+    node.until(10 * SECOND);
+    let (cached_objects, _) = node
         .controller
         .api_server
         .as_ref()
         .map_or((0, 0), |d| d.sizes());
-    println!("{known} objects: {:.1} MB", (held() - before) as f64 / 1e6);
-    let before = held();
-    let version = bench
+    println!(
+        "{cached_objects} objects: {:.1} MB",
+        (allocated_bytes() - before) as f64 / 1e6
+    );
+    let before = allocated_bytes();
+    let version = node
         .controller
         .api_server
         .as_ref()
@@ -196,50 +199,50 @@
         let query = format!("watch=true&resourceVersion={}", version.unwrap_or(0));
         let target = format!("/apis/batch/v1/jobs?{query}");
         let ask = ask("GET", &target, &Value::Null);
-        bench.at(bench.now, Ev::Ask(RequestId(1_000_000 + i), ask));
+        node.at(node.now, Ev::Ask(RequestId(1_000_000 + i), ask));
     }
-    bench.until(bench.now + SECOND);
-    let (_, watching) = bench
+    node.until(node.now + SECOND);
+    let (_, open_watches) = node
         .controller
         .api_server
         .as_ref()
         .map_or((0, 0), |d| d.sizes());
     println!(
-        "{watching} watchers: {:.2} MB",
-        (held() - before) as f64 / 1e6
+        "{open_watches} watchers: {:.2} MB",
+        (allocated_bytes() - before) as f64 / 1e6
     );
-    let idle = bench.calls;
-    bench.until(bench.now + 10 * SECOND);
+    let idle = node.calls;
+    node.until(node.now + 10 * SECOND);
     println!(
         "store calls a second with nothing to tell: {:.1}",
-        (bench.calls - idle) as f64 / 10.0
+        (node.calls - idle) as f64 / 10.0
     );
     let mut busy = Histogram::<u64>::new(3).expect("a histogram");
-    let (calls, told) = (bench.calls, bench.chunks);
-    let begun = bench.now;
+    let (calls, lines) = (node.calls, node.chunks);
+    let started = node.now;
     for i in 0..changes {
         let target = format!(
             "/apis/batch/v1/namespaces/free/jobs/job-{}",
             i * 37 % objects
         );
         let body = json!({"metadata": {"labels": {"turn": i.to_string()}}});
-        bench.at(
-            bench.now,
+        node.at(
+            node.now,
             Ev::Ask(RequestId(i), ask("PATCH", &target, &body)),
         );
-        bench.busy = Duration::ZERO;
-        bench.until(bench.now + 50 * MILLISECOND);
-        let _ = busy.record(bench.busy.as_micros() as u64);
+        node.busy = Duration::ZERO;
+        node.until(node.now + 50 * MILLISECOND);
+        let _ = busy.record(node.busy.as_micros() as u64);
     }
-    let mut answers = bench.answers.iter();
+    let mut answers = node.answers.iter();
     if let Some((_, reply)) = answers.find(|(_, reply)| reply.status != 200) {
         println!("refused: {}", String::from_utf8_lossy(&reply.body));
     }
-    let spent = (bench.now - begun) as f64 / 1e6;
+    let spent = (node.now - started) as f64 / 1e6;
     println!(
         "{changes} changes in {spent:.0} s: {} lines told, {:.1} store calls a change",
-        bench.chunks - told,
-        (bench.calls - calls) as f64 / changes as f64,
+        node.chunks - lines,
+        (node.calls - calls) as f64 / changes as f64,
     );
     println!(
         "from the request to the line of the last watcher, of the controller's own time: p50 {} us, p99 {} us",
@@ -249,22 +252,28 @@
 }
 
 fn main() {
-    match Args::parse().what {
-        What::Creates { seconds, offered } => {
+    match Args::parse().command {
+        Command::Creates { seconds, offered } => {
             println!(
                 "| deployment | form | accepted a second | turned away a second | p50, ms | p99, ms | store calls a create | own time a request, us |"
             );
             println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
             for (label, rps, writes) in [("small", 200.0, 80.0), ("fleet", 500.0, 200.0)] {
                 for native in [true, false] {
-                    creates(label, deployment(rps, writes), native, seconds, offered);
+                    measure_creates(
+                        label,
+                        single_node_config(rps, writes),
+                        native,
+                        seconds,
+                        offered,
+                    );
                 }
             }
         }
-        What::Watchers {
+        Command::Watchers {
             watchers: n,
             objects,
             changes,
-        } => watchers(n, objects, changes),
+        } => measure_watchers(n, objects, changes),
     }
 }
--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -1,4 +1,4 @@
-//! Plays random days and prints those that break a rule or leave work undone:
+//! Runs random scenarios and prints those that violate a rule or leave jobs unfinished:
 //! `cargo run --release -p dillcleat-simulator --example fault_search -- FROM TO [--form objects]`.
 
 use clap::{Parser, ValueEnum};
@@ -7,45 +7,50 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Plays random days with troubles. LOG_LEVEL shows what the controllers say; of use
-/// with a single seed.
+/// Runs random scenarios with faults. LOG_LEVEL sets the log level of the controllers;
+/// useful with a single seed.
 #[derive(Parser)]
 struct Args {
     /// The first seed
     from: u64,
-    /// The one after the last
+    /// The seed after the last
     to: u64,
-    /// How users hand in their arrays
-    #[arg(long, value_enum, default_value_t = Given::Native)]
-    form: Given,
-    /// What the troubles of the days are
-    #[arg(long, value_enum, default_value_t = Troubles::Troubled)]
-    troubles: Troubles,
+    /// How users submit batch jobs
+    #[arg(long, value_enum, default_value_t = Form::Native)]
+    form: Form,
+    /// The kind of faults in the scenarios
+    #[arg(long = "troubles", value_name = "TROUBLES", value_enum, default_value_t = Faults::Random)]
+    faults: Faults,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Troubles {
-    /// All that may come, with what was met on call
-    Troubled,
-    /// The zone of whoever leads is cut off, with its controllers
-    CutOff,
-    /// Nodes are replaced, jobs wait for others, and the limits of the store fall
+enum Faults {
+    /// Random faults, with paused nodes, slow boots and overload
+    #[value(name = "troubled")]
+    Random,
+    /// Network partitions of the leader's zone with its controllers
+    #[value(name = "cut-off")]
+    Partition,
+    /// Nodes are upgraded, jobs depend on others, and the store's limits are reduced
     Pipelines,
-    /// Two or three troubles meet, several times a day
-    Meetings,
-    /// Whoever leads is refused alone, then everybody for longer than a cancellation lasts
-    Gap,
-    /// A process ends at a call to the state service: three seeds for each call
-    Calls,
+    /// Two or three faults coincide, several times in a run
+    #[value(name = "meetings")]
+    Combined,
+    /// The store refuses the leader, then all nodes for longer than the cancellation deadline
+    #[value(name = "gap")]
+    StoreOutages,
+    /// A process crashes at a call to the store: three seeds for each call
+    #[value(name = "calls")]
+    StoreCallCrash,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Given {
-    /// By the users' protocol
+enum Form {
+    /// By the native protocol
     Native,
     /// As Kubernetes Jobs
     Objects,
-    /// Every second one as a Job
+    /// Every second job as a Kubernetes Job
     Mixed,
 }
 
@@ -55,22 +60,22 @@
         .init();
     let args = Args::parse();
     let form = match args.form {
-        Given::Native => SubmissionForm::Native,
-        Given::Objects => SubmissionForm::Objects,
-        Given::Mixed => SubmissionForm::Mixed,
+        Form::Native => SubmissionForm::Native,
+        Form::Objects => SubmissionForm::Objects,
+        Form::Mixed => SubmissionForm::Mixed,
     };
-    let least = Mutex::new(None);
-    // Starts sent after a confirmed cancellation, and carried out, and the day.
-    let most = Mutex::new((0, 0, 0));
+    let least_served = Mutex::new(None);
+    // The most launches sent and tasks started after a confirmed cancellation, and the seed.
+    let most_late = Mutex::new((0, 0, 0));
     let next = AtomicU64::new(args.from);
-    let (bad, created, told, late, refused) = (
+    let (failed_runs, watched_jobs, watched_ends, late_deletions, refused) = (
         AtomicUsize::new(0),
         AtomicUsize::new(0),
         AtomicUsize::new(0),
         AtomicUsize::new(0),
         AtomicUsize::new(0),
     );
-    let [launches, starts, odd] = [const { AtomicU64::new(0) }; 3];
+    let [launches, starts, irregular] = [const { AtomicU64::new(0) }; 3];
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -80,50 +85,51 @@
                     if seed >= args.to {
                         return;
                     }
-                    let scenario = match args.troubles {
-                        Troubles::Troubled => Scenario::troubled(seed),
-                        Troubles::CutOff => Scenario::cut_off(seed),
-                        Troubles::Pipelines => Scenario::pipelines(seed),
-                        Troubles::Meetings => Scenario::meetings(seed),
-                        Troubles::Gap => Scenario::gap(seed),
-                        Troubles::Calls => Scenario::ends_at_call(seed),
+                    let scenario = match args.faults {
+                        Faults::Random => Scenario::troubled(seed),
+                        Faults::Partition => Scenario::cut_off(seed),
+                        Faults::Pipelines => Scenario::pipelines(seed),
+                        Faults::Combined => Scenario::meetings(seed),
+                        Faults::StoreOutages => Scenario::gap(seed),
+                        Faults::StoreCallCrash => Scenario::ends_at_call(seed),
                     };
                     let scenario = Scenario { form, ..scenario };
                     let faults = scenario.faults.clone();
                     let o = Simulation::new(scenario).run();
-                    created.fetch_add(o.objects.0, Ordering::Relaxed);
-                    told.fetch_add(o.objects.1, Ordering::Relaxed);
-                    if let Some((name, share)) = o.served.least() {
-                        let mut least = least.lock().expect("no holder panics");
+                    watched_jobs.fetch_add(o.watched_objects.0, Ordering::Relaxed);
+                    watched_ends.fetch_add(o.watched_objects.1, Ordering::Relaxed);
+                    if let Some((name, share)) = o.service_shares.least() {
+                        let mut least = least_served.lock().expect("no holder panics");
                         let lower = |(_, s, _): &(String, f64, u64)| share < *s;
                         if least.as_ref().is_none_or(lower) {
                             *least = Some((name, share, seed));
                         }
                     }
-                    late.fetch_add(o.late_hits, Ordering::Relaxed);
+                    late_deletions.fetch_add(o.late_deletions, Ordering::Relaxed);
                     launches.fetch_add(o.late.launches, Ordering::Relaxed);
                     starts.fetch_add(o.late.starts, Ordering::Relaxed);
-                    odd.fetch_add(o.odd_requests, Ordering::Relaxed);
-                    let of_day = (o.late.launches, o.late.starts, seed);
-                    let mut most = most.lock().expect("no holder panics");
-                    *most = of_day.max(*most);
+                    irregular.fetch_add(o.irregular_requests, Ordering::Relaxed);
+                    let late_in_run = (o.late.launches, o.late.starts, seed);
+                    let mut most = most_late.lock().expect("no holder panics");
+                    *most = late_in_run.max(*most);
                     drop(most);
                     refused.fetch_add(o.refused, Ordering::Relaxed);
                     let clean = o.violations.is_empty()
                         && o.malformed.is_empty()
                         && o.unfinished.is_empty()
-                        && o.left.is_empty()
+                        && o.leftover_keys.is_empty()
                         && o.stale.is_empty()
-                        && o.served.starved().is_empty();
+                        && o.service_shares.starved().is_empty();
                     if !clean {
-                        bad.fetch_add(1, Ordering::Relaxed);
-                        if !o.served.starved().is_empty() {
-                            println!("seed {seed}: too little for {:?}", o.served.starved());
-                            print!("{}", o.served);
+                        failed_runs.fetch_add(1, Ordering::Relaxed);
+                        let starved = o.service_shares.starved();
+                        if !starved.is_empty() {
+                            println!("seed {seed}: too little for {starved:?}");
+                            print!("{}", o.service_shares);
                         }
                         println!(
                             "seed {seed}: {:?} malformed {:?} unfinished {:?} left {:?} stale {:?} on {faults:?}",
-                            o.violations, o.malformed, o.unfinished, o.left, o.stale
+                            o.violations, o.malformed, o.unfinished, o.leftover_keys, o.stale
                         );
                     }
                 }
@@ -134,32 +140,35 @@
     if refused > 0 {
         println!("{refused} requests met limits that had fallen");
     }
-    let late = late.into_inner();
-    if late > 0 {
-        println!("{late} machines went by calls that came late");
+    let late_deletions = late_deletions.into_inner();
+    if late_deletions > 0 {
+        println!("{late_deletions} machines went by calls that came late");
     }
     let (launches, starts) = (launches.into_inner(), starts.into_inner());
     if launches + starts > 0 {
         println!(
             "after a confirmed cancellation {launches} starts were sent, and {starts} tasks started"
         );
-        let (launches, starts, seed) = most.into_inner().expect("no holder panics");
+        let (launches, starts, seed) = most_late.into_inner().expect("no holder panics");
         println!("most of it on day {seed}: {launches} and {starts}");
     }
-    let odd = odd.into_inner();
-    if odd > 0 {
-        println!("{odd} odd requests were made");
+    let irregular = irregular.into_inner();
+    if irregular > 0 {
+        println!("{irregular} odd requests were made");
     }
-    if let Some((name, share, seed)) = least.into_inner().expect("no holder panics") {
+    if let Some((name, share, seed)) = least_served.into_inner().expect("no holder panics") {
         println!("least served: {name}, {share:.3}, on day {seed}");
     }
-    let bad = bad.into_inner();
-    let (created, told) = (created.into_inner(), told.into_inner());
-    println!("{} days, {bad} with something wrong", args.to - args.from);
+    let failed_runs = failed_runs.into_inner();
+    let (watched_jobs, watched_ends) = (watched_jobs.into_inner(), watched_ends.into_inner());
+    println!(
+        "{} days, {failed_runs} with something wrong",
+        args.to - args.from
+    );
     if form != SubmissionForm::Native {
-        println!("a watcher was told of {created} objects and {told} ends");
+        println!("a watcher was told of {watched_jobs} objects and {watched_ends} ends");
     }
-    if bad == 0 {
+    if failed_runs == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -1,12 +1,11 @@
-//! A day of a fleet of thousands of machines, with the troubles that befall all of them
-//! at once:
+//! Simulates a fleet of thousands of machines with faults that affect all of them at once:
 //!
 //! ```text
 //! cargo run --release -p dillcleat-simulator --example large_fleet -- --scale 150
 //! ```
 //!
-//! Ends with an error if a rule is broken, work is left waiting or a controller holds
-//! more than its memory allows.
+//! Exits with an error if a rule is violated, jobs remain unfinished or a controller
+//! exceeds its memory limit.
 
 use clap::Parser;
 use dillcleat_simulator::{Outcome, Scenario, Simulation};
@@ -18,16 +17,18 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Three quarters of what a controller of the largest site may hold, in bytes.
-const MOST_BYTES: usize = 188_000_000 / 4 * 3;
+/// Three quarters of a controller's memory limit in the largest deployment.
+const MAX_NODE_BYTES: usize = 188_000_000 / 4 * 3;
 
 #[derive(Parser)]
-#[command(name = "large_fleet", about = "A day of thousands of machines")]
+#[command(
+    name = "large_fleet",
+    about = "Simulates a fleet of thousands of machines"
+)]
 struct Cli {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many times as large as on other days jobs and the cloud are: 48 machines
-    /// for each
+    /// Factor for the sizes of jobs and of the cloud: 48 machines for each unit
     #[arg(long, default_value_t = 150)]
     scale: u32,
 }
@@ -38,47 +39,50 @@
 }
 
 fn print(outcome: &Outcome) {
-    println!("machines up at once, the most: {}", outcome.machines);
+    println!("machines up at once, the most: {}", outcome.peak_machines);
     println!("starts: {}", outcome.starts);
     println!("jobs accepted: {}", outcome.accepted);
-    println!("leaders elected: {}", outcome.terms);
-    println!("tasks that ran on machines that went: {}", outcome.lost);
-    println!("calls to the state service: {}", outcome.state_calls);
-    let megabytes = outcome.largest_node as f64 / 1e6;
+    println!("leaders elected: {}", outcome.leaders_elected);
+    println!(
+        "tasks that ran on machines that went: {}",
+        outcome.interrupted_tasks
+    );
+    println!("calls to the state service: {}", outcome.store_calls);
+    let megabytes = outcome.peak_node_bytes as f64 / 1e6;
     println!("held by a controller at its end, the most: {megabytes:.1} MB");
     println!("rules broken: {:?}", outcome.violations);
     println!("requests over a limit: {:?}", outcome.malformed);
     println!("jobs unfinished: {:?}", outcome.unfinished);
-    println!("keys left behind: {}", outcome.left.len());
+    println!("keys left behind: {}", outcome.leftover_keys.len());
     println!("indexes not as if made anew: {:?}", outcome.stale);
-    println!("starved: {:?}", outcome.served.starved());
-    println!("\n{}", outcome.served);
+    println!("starved: {:?}", outcome.service_shares.starved());
+    println!("\n{}", outcome.service_shares);
     for (kind, (count, time)) in &outcome.costs {
         let each = time.as_nanos() as f64 / 1e3 / (*count).max(1) as f64;
         println!("{kind:28} {count:>9} inputs {each:>9.1} us each");
     }
 }
 
-fn clean(outcome: &Outcome) -> bool {
+fn is_clean(outcome: &Outcome) -> bool {
     outcome.violations.is_empty()
         && outcome.malformed.is_empty()
         && outcome.unfinished.is_empty()
-        && outcome.left.is_empty()
+        && outcome.leftover_keys.is_empty()
         && outcome.stale.is_empty()
-        && outcome.largest_node <= MOST_BYTES
+        && outcome.peak_node_bytes <= MAX_NODE_BYTES
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let begun = Instant::now();
+    let started = Instant::now();
     let outcome = Simulation::new(Scenario {
         allocated: Some(allocated),
         ..Scenario::large_fleet(cli.seed, cli.scale)
     })
     .run();
     print(&outcome);
-    println!("played in {:.0?}", begun.elapsed());
-    match clean(&outcome) {
+    println!("played in {:.0?}", started.elapsed());
+    match is_clean(&outcome) {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -1,4 +1,4 @@
-//! What a controller's work costs on a large fleet, and how the cost grows:
+//! Measures the processing time of a controller with a large fleet, and how it grows:
 //!
 //! ```text
 //! cargo run --release -p dillcleat-simulator --example scaling -- growth
@@ -8,7 +8,7 @@
 //! cargo run --release -p dillcleat-simulator --example scaling -- day 30
 //! ```
 //!
-//! Times are of the machine that it runs on: compare those of one run only.
+//! Times depend on the machine that runs the example: compare only times of one run.
 
 use clap::{Args, Parser, Subcommand};
 use dillcleat_controller::{Micros, SECOND, micros, seconds};
@@ -24,19 +24,19 @@
 
 #[derive(Parser)]
 #[command(
-    name = "grown",
-    about = "What a controller's work costs on a large fleet"
+    name = "scaling",
+    about = "Measures the processing time of a controller with a large fleet"
 )]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// The cost of each kind of input as the fleet grows, work in proportion
+enum Command {
+    /// Cost of each kind of input as the fleet and its work grow in proportion
     Growth {
-        /// Machines, a run each
+        /// Numbers of machines, one run for each
         #[arg(long, value_delimiter = ',', default_value = "250,1000,4000,10000")]
         machines: Vec<u32>,
         /// Waiting tasks for each machine
@@ -45,24 +45,24 @@
         #[command(flatten)]
         common: Common,
     },
-    /// The same as only the waiting tasks grow
+    /// Cost of each kind of input as only the waiting tasks grow
     Waiting {
         #[arg(long, default_value_t = 1000)]
         machines: u32,
-        /// Waiting tasks, a run each
+        /// Numbers of waiting tasks, one run for each
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,50000,200000")]
         tasks: Vec<u32>,
         #[command(flatten)]
         common: Common,
     },
-    /// From a leader's election to its first launch, on a fleet that runs
+    /// Time from a leader's election to its first launch, with a running fleet
     Election {
         #[arg(long, default_value_t = 10_000)]
         machines: u32,
-        /// Requests a second that the state service takes
+        /// Requests per second that the store accepts
         #[arg(long, default_value_t = 500.0)]
         rps: f64,
-        /// Changes a second that the state service takes
+        /// Writes per second that the store accepts
         #[arg(long, default_value_t = 200.0)]
         write_rps: f64,
         /// The part of a processor that the controller has
@@ -74,11 +74,11 @@
         #[command(flatten)]
         common: Common,
     },
-    /// A whole fleet that reports at once, after a silence
+    /// Heartbeats of the whole fleet at once, after a period without replies
     Herd {
         #[arg(long, default_value_t = 10_000)]
         machines: u32,
-        /// Seconds for which no report is answered
+        /// Seconds for which no heartbeat is answered
         #[arg(long, default_value_t = 12.0)]
         silence: f64,
         /// The part of a processor that the controller has
@@ -87,8 +87,9 @@
         #[command(flatten)]
         common: Common,
     },
-    /// A day of the rehearsal's whole world, so many times as large as usual
-    Day { scale: u32 },
+    /// A run of the complete simulation, larger by a factor
+    #[command(name = "day")]
+    Simulation { scale: u32 },
 }
 
 #[derive(Args)]
@@ -98,16 +99,16 @@
     /// Tasks that fit on a machine
     #[arg(long, default_value_t = 10)]
     slots: u32,
-    /// Seconds before anything is measured
+    /// Seconds before the measurement
     #[arg(long, default_value_t = 10.0)]
     warm_up: f64,
-    /// Seconds that are measured
+    /// Seconds of the measurement
     #[arg(long, default_value_t = 20.0)]
     measured: f64,
 }
 
 impl Common {
-    fn setting(&self, machines: u32) -> FleetSettings {
+    fn settings(&self, machines: u32) -> FleetSettings {
         FleetSettings {
             seed: self.seed,
             slots: self.slots,
@@ -118,16 +119,19 @@
     }
 }
 
-/// A run's figures by kind of input, and what the controller held at its end.
+/// The measurements of a run.
 struct Run {
     size: u32,
-    figures: BTreeMap<&'static str, Histogram<u64>>,
+    /// Processing times in nanoseconds, by kind of input.
+    input_times: BTreeMap<&'static str, Histogram<u64>>,
+    /// The longest processing time before the measurement, in nanoseconds.
     longest_before: u64,
     measured: FleetMeasurements,
-    held: usize,
+    /// Memory that the controller used at the end of the run.
+    node_bytes: usize,
 }
 
-fn held() -> usize {
+fn allocated_bytes() -> usize {
     let s = ALLOCATOR.stats();
     s.bytes_allocated.wrapping_sub(s.bytes_deallocated)
 }
@@ -135,22 +139,22 @@
 fn histogram(samples: &[u64]) -> Histogram<u64> {
     let mut h = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
     for s in samples {
-        // Grows by itself.
+        // The histogram resizes itself, so recording does not fail.
         let _ = h.record(*s);
     }
     h
 }
 
-fn play(size: u32, setting: FleetSettings) -> Run {
-    let mut fleet = Fleet::new(setting);
+fn run(size: u32, settings: FleetSettings) -> Run {
+    let mut fleet = Fleet::new(settings);
     fleet.run();
-    let before = held();
+    let before = allocated_bytes();
     drop(fleet.dismiss());
-    let held = before.wrapping_sub(held());
+    let node_bytes = before.wrapping_sub(allocated_bytes());
     let measured = fleet.into_measured();
     Run {
         size,
-        figures: measured
+        input_times: measured
             .inputs
             .iter()
             .map(|(kind, samples)| (*kind, histogram(samples)))
@@ -163,7 +167,7 @@
             .max()
             .unwrap_or_default(),
         measured,
-        held,
+        node_bytes,
     }
 }
 
@@ -176,19 +180,22 @@
     (costs.1 / costs.0).ln() / (f64::from(sizes.1) / f64::from(sizes.0)).ln()
 }
 
-fn table(what: &str, runs: &[Run]) {
+fn print_table(size_name: &str, runs: &[Run]) {
     let kinds: BTreeSet<&str> = runs
         .iter()
-        .flat_map(|r| r.figures.keys().copied())
+        .flat_map(|r| r.input_times.keys().copied())
+        .collect();
+    let heads: Vec<String> = runs
+        .iter()
+        .map(|r| format!("{} {size_name}", r.size))
         .collect();
-    let heads: Vec<String> = runs.iter().map(|r| format!("{} {what}", r.size)).collect();
     println!("\nMean time in us, p99 and longest in brackets:\n");
     println!("| input | {} | exponent |", heads.join(" | "));
     println!("|{}", " --- |".repeat(runs.len() + 2));
     for kind in kinds {
         let cells: Vec<String> = runs
             .iter()
-            .map(|r| match r.figures.get(kind) {
+            .map(|r| match r.input_times.get(kind) {
                 Some(h) => format!(
                     "{} ({}, {})",
                     micros_of(h.mean()),
@@ -198,22 +205,30 @@
                 None => String::new(),
             })
             .collect();
-        let ends = runs.first().zip(runs.last()).and_then(|(a, b)| {
-            let costs = (a.figures.get(kind)?.mean(), b.figures.get(kind)?.mean());
+        let growth = runs.first().zip(runs.last()).and_then(|(a, b)| {
+            let costs = (
+                a.input_times.get(kind)?.mean(),
+                b.input_times.get(kind)?.mean(),
+            );
             (a.size != b.size).then(|| exponent((a.size, b.size), costs))
         });
-        let ends = ends.map_or(String::new(), |e| format!("{e:.2}"));
-        println!("| {kind} | {} | {ends} |", cells.join(" | "));
+        let growth = growth.map_or(String::new(), |e| format!("{e:.2}"));
+        println!("| {kind} | {} | {growth} |", cells.join(" | "));
     }
     println!(
-        "\n| {what} | starts | ends | state calls a start | bytes written a start | refused (429) \
+        "\n| {size_name} | starts | ends | state calls a start | bytes written a start | refused (429) \
          | longest input, ms (before it was measured) | held, MB |"
     );
     println!("|{}", " --- |".repeat(8));
     for r in runs {
         let m = &r.measured;
         let starts = m.starts.max(1) as f64;
-        let longest = r.figures.values().map(Histogram::max).max().unwrap_or(0);
+        let longest = r
+            .input_times
+            .values()
+            .map(Histogram::max)
+            .max()
+            .unwrap_or(0);
         println!(
             "| {} | {} | {} | {:.2} | {:.0} | {} | {:.1} ({:.1}) | {:.1} |",
             r.size,
@@ -224,7 +239,7 @@
             m.too_many,
             longest as f64 / 1e6,
             r.longest_before as f64 / 1e6,
-            r.held as f64 / 1e6
+            r.node_bytes as f64 / 1e6
         );
         if !m.malformed.is_empty() || m.leases_lost > 0 {
             println!(
@@ -240,8 +255,8 @@
     t.map_or("never".into(), |t| format!("{:.2} s", seconds(t)))
 }
 
-/// The figures of a single run in which the controller's work takes time.
-fn account(run: &Run) {
+/// Prints a single run in which the controller's work takes simulated time.
+fn print_election(run: &Run) {
     let m = &run.measured;
     println!(
         "from the election to the first launch: {}",
@@ -256,12 +271,12 @@
         m.leases_lost,
         seconds(m.least_left)
     );
-    table("machines", std::slice::from_ref(run));
+    print_table("machines", std::slice::from_ref(run));
 }
 
 fn main() -> ExitCode {
-    match Cli::parse().what {
-        What::Growth {
+    match Cli::parse().command {
+        Command::Growth {
             machines,
             waiting,
             common,
@@ -269,16 +284,16 @@
             let runs: Vec<Run> = machines
                 .iter()
                 .map(|n| {
-                    let setting = FleetSettings {
+                    let settings = FleetSettings {
                         waiting: n * waiting,
-                        ..common.setting(*n)
+                        ..common.settings(*n)
                     };
-                    play(*n, setting)
+                    run(*n, settings)
                 })
                 .collect();
-            table("machines", &runs);
+            print_table("machines", &runs);
         }
-        What::Waiting {
+        Command::Waiting {
             machines,
             tasks,
             common,
@@ -286,16 +301,16 @@
             let runs: Vec<Run> = tasks
                 .iter()
                 .map(|n| {
-                    let setting = FleetSettings {
+                    let settings = FleetSettings {
                         waiting: *n,
-                        ..common.setting(machines)
+                        ..common.settings(machines)
                     };
-                    play(*n, setting)
+                    run(*n, settings)
                 })
                 .collect();
-            table("waiting tasks", &runs);
+            print_table("waiting tasks", &runs);
         }
-        What::Election {
+        Command::Election {
             machines,
             rps,
             write_rps,
@@ -303,40 +318,40 @@
             held,
             common,
         } => {
-            let setting = FleetSettings {
+            let settings = FleetSettings {
                 held,
                 state_rps: rps,
                 state_write_rps: write_rps,
                 cpu_share: Some(share),
-                ..common.setting(machines)
+                ..common.settings(machines)
             };
-            account(&play(machines, setting));
+            print_election(&run(machines, settings));
         }
-        What::Herd {
+        Command::Herd {
             machines,
             silence,
             share,
             common,
         } => {
-            let setting = common.setting(machines);
-            let from = setting.warm_up;
-            account(&play(
+            let settings = common.settings(machines);
+            let from = settings.warm_up;
+            print_election(&run(
                 machines,
                 FleetSettings {
                     cpu_share: Some(share),
                     silence: Some((from, micros(silence))),
-                    ..setting
+                    ..settings
                 },
             ));
         }
-        What::Day { scale } => day(scale),
+        Command::Simulation { scale } => run_simulation(scale),
     }
     ExitCode::SUCCESS
 }
 
-fn day(scale: u32) {
+fn run_simulation(scale: u32) {
     let o = Simulation::new(Scenario {
-        // A leader's start on a full fleet is part of the work.
+        // Includes the start of a new leader with a full fleet.
         faults: vec![(
             60 * SECOND,
             Fault::Crash {
@@ -352,7 +367,7 @@
         ..Scenario::quiet(4)
     })
     .run();
-    println!("{} machines, {} starts", o.machines, o.starts);
+    println!("{} machines, {} starts", o.peak_machines, o.starts);
     for (kind, (n, time)) in o.costs {
         let each = time.as_nanos() as f64 / 1e3 / n.max(1) as f64;
         println!("{kind:28} {n:>9} inputs {each:>9.1} us each, {time:>9.1?} in all");
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -1,4 +1,5 @@
-//! Users who hand in Kubernetes Jobs, and one who watches them.
+//! Clients of the Kubernetes API: users who create Jobs, and one client that watches all
+//! Jobs.
 
 use super::*;
 use crate::objects::{TOKEN, What};
@@ -6,14 +7,14 @@
 use dillcleat_kube::record::Record;
 use serde_json::Value;
 
-/// How often the watcher looks whether its watch goes on.
-const REWATCH: Micros = 5 * SECOND;
-/// After so long without a line, bookmarks included, it goes elsewhere.
-const QUIET: Micros = 60 * SECOND;
+const API_WATCH_CHECK_INTERVAL: Micros = 5 * SECOND;
+/// A watch without any line, bookmarks included, for this long is reopened at another
+/// node.
+const API_WATCH_IDLE_TIMEOUT: Micros = 60 * SECOND;
 
 impl Simulation {
-    /// The Job that an array of the day is handed in as.
-    pub(super) fn plan(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
+    /// The Kubernetes Job as which a batch job is submitted, if it is.
+    pub(super) fn kube_job(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
         let throughout = match self.scenario.form {
             _ if spec.kind != JobKind::Batch => return None,
             SubmissionForm::Native => return None,
@@ -22,31 +23,34 @@
             SubmissionForm::Mixed if job.is_multiple_of(2) => true,
             SubmissionForm::Mixed => return None,
         };
-        let plan = Plan::new(job, spec, throughout, &mut self.side);
+        let plan = Plan::new(job, spec, throughout, &mut self.auxiliary_rng);
         Some(plan).filter(|_| self.scenario.form != SubmissionForm::Twin)
     }
 
-    fn ask_door(
+    fn send_api_request(
         &mut self,
         node: usize,
-        asker: Requester,
+        requester: Requester,
         method: &str,
         target: String,
         body: Vec<u8>,
     ) {
-        self.next += 1;
-        let request = self.next;
-        let aside = matches!(asker, Requester::Watcher);
-        self.asked.insert(request, (asker, self.now));
+        self.last_request_id += 1;
+        let request = self.last_request_id;
+        let auxiliary = matches!(requester, Requester::ApiWatch);
+        self.pending_requests.insert(request, (requester, self.now));
         let epoch = self.nodes[node].epoch;
-        if aside {
+        if auxiliary {
             self.watcher.begins(request, node, epoch, self.now);
         } else {
-            self.at(self.now + USER_TIMEOUT, Event::UserTimeout { request });
+            self.at(
+                self.now + REQUEST_TIMEOUT,
+                Event::RequestTimeout { request },
+            );
         }
-        let at = self.now + self.delay_of(aside) / 4;
+        let at = self.now + self.network_delay_from(auxiliary) / 4;
         let patch = "application/merge-patch+json".to_string();
-        let ask = Box::new(ApiRequest {
+        let api_request = Box::new(ApiRequest {
             method: method.into(),
             target,
             bearer: Some(TOKEN.into()),
@@ -54,31 +58,32 @@
             body,
             accept: None,
         });
-        let ev = Event::Ask {
+        let event = Event::ApiRequest {
             node,
             epoch,
             request,
-            ask,
+            api_request,
         };
-        self.at(at, ev);
+        self.at(at, event);
     }
 
-    /// Does what the user of a Job does next; false if it goes by the users' protocol.
-    pub(super) fn object_user(&mut self, node: usize, job: usize) -> bool {
+    /// Sends the next API request of a job's user. Returns false if the request is to be
+    /// sent by the native protocol instead.
+    pub(super) fn api_client_request(&mut self, node: usize, job: usize) -> bool {
         let now = self.now;
         let u = &mut self.users[job];
-        let Some(plan) = &mut u.object else {
+        let Some(plan) = &mut u.kube_job else {
             return false;
         };
         if u.stage == Stage::Submitting {
-            plan.first_try = *u.since.get_or_insert(now);
+            plan.first_try = *u.first_submitted_at.get_or_insert(now);
             plan.tries += 1;
             let (path, body) = (plan.path(), plan.manifest.to_string());
             let spec = u.spec.clone();
             self.checker.submits(&spec);
-            let what = What::Create;
-            let asker = Requester::Object { job, what };
-            self.ask_door(node, asker, "POST", path, body.into_bytes());
+            let operation = What::Create;
+            let requester = Requester::ApiClient { job, operation };
+            self.send_api_request(node, requester, "POST", path, body.into_bytes());
             return true;
         }
         if !plan.throughout {
@@ -89,7 +94,7 @@
         let resume = resume
             .zip(plan.created)
             .is_some_and(|(after, at)| now >= at + after);
-        let (what, method, target, body) = if resume {
+        let (operation, method, target, body) = if resume {
             let body = "{\"spec\":{\"suspend\":false}}".to_string();
             (What::Resume, "PATCH", own, body)
         } else if !plan.deleted && u.cancel_at.is_some_and(|at| now >= at) {
@@ -97,38 +102,44 @@
             let id = u.spec.id.clone();
             self.checker.asks_to_cancel(&id);
             (What::Delete, "DELETE", own, String::new())
-        } else if u.again % 4 == 3 {
+        } else if u.answer_count % 4 == 3 {
             (What::Again, "POST", path, plan.manifest.to_string())
         } else {
             (What::Get, "GET", own, String::new())
         };
-        let asker = Requester::Object { job, what };
-        self.ask_door(node, asker, method, target, body.into_bytes());
+        let requester = Requester::ApiClient { job, operation };
+        self.send_api_request(node, requester, method, target, body.into_bytes());
         true
     }
 
-    pub(super) fn object_answer(&mut self, job: usize, what: What, status: u16, body: &[u8]) {
+    pub(super) fn api_client_answer(
+        &mut self,
+        job: usize,
+        operation: What,
+        status: u16,
+        body: &[u8],
+    ) {
         let now = self.now;
         self.digest.update(now.to_be_bytes());
-        self.digest.update(format!("{job} {what:?} {status}"));
+        self.digest.update(format!("{job} {operation:?} {status}"));
         let shown: Value = serde_json::from_slice(body).unwrap_or_default();
         let u = &mut self.users[job];
-        u.again += 1;
+        u.answer_count += 1;
         let id = u.spec.id.clone();
-        let Some(plan) = &mut u.object else {
+        let Some(plan) = &mut u.kube_job else {
             return;
         };
         let name = plan.name.to_string();
-        let mut wrong = None;
-        let mut told = None;
+        let mut error = None;
+        let mut shown_state = None;
         let mut pause = 5 * SECOND;
         if !matches!(status, 0 | 429 | 503) && u.stage != Stage::Submitting {
-            // It was answered; what, is looked at here.
+            // Records that an answer came. Its content is checked below.
             self.checker.answered_poll(&id, 200, None, now, now);
         }
-        match (what, status) {
+        match (operation, status) {
             (_, 0 | 429 | 503) => {
-                let gave_up = u.since.is_some_and(|s| now > s + 60 * SECOND);
+                let gave_up = u.first_submitted_at.is_some_and(|s| now > s + 60 * SECOND);
                 if u.stage == Stage::Submitting && gave_up {
                     return;
                 }
@@ -137,7 +148,7 @@
                     self.checker.answered_poll(&id, status, None, now, now);
                 }
             }
-            // Taken as known when an earlier try may have got across.
+            // A conflict means success if an earlier attempt may have been executed.
             (What::Create, 201) | (What::Create, 409) if status == 201 || plan.tries > 1 => {
                 u.accepted = true;
                 u.stage = Stage::Polling;
@@ -147,8 +158,8 @@
             }
             (What::Again, 409) => {}
             (What::Get, 200) => match plan.shown(&shown, now) {
-                Ok(ended) => told = ended,
-                Err(e) => wrong = Some(e),
+                Ok(state) => shown_state = state,
+                Err(e) => error = Some(e),
             },
             (What::Resume, 200) => plan.resumed = true,
             (What::Resume, 409) => {}
@@ -159,60 +170,64 @@
             (What::Get | What::Resume, 404) if plan.deleted => {}
             (What::Get | What::Resume, 404) if plan.may_expire() => {
                 plan.deleted = true;
-                if u.ended.is_none() && (plan.may_fail() || self.checker.complete(&id)) {
-                    u.ended = Some(JobState::Done);
-                    u.stage = Stage::Over;
+                if u.final_state.is_none() && (plan.may_fail() || self.checker.complete(&id)) {
+                    u.final_state = Some(JobState::Done);
+                    u.stage = Stage::Ended;
                 }
             }
-            // An earlier try to delete it was carried out.
+            // An earlier attempt to delete the Job was executed.
             (What::Get | What::Resume, 404) if plan.delete_tries > 0 => plan.deleted = true,
-            _ => wrong = Some(format!("{name}: {what:?} is answered {status} {shown}")),
+            _ => {
+                error = Some(format!(
+                    "{name}: {operation:?} was answered {status} {shown}"
+                ))
+            }
         }
-        if let Some(state) = told {
-            u.ended = Some(state);
-            u.stage = Stage::Over;
-            // It was ended for a cause that was shown.
+        if let Some(state) = shown_state {
+            u.final_state = Some(state);
+            u.stage = Stage::Ended;
+            // The Job's status gave the reason why it was ended.
             if state == JobState::Cancelled {
                 self.checker.asks_to_cancel(&id);
             }
             self.checker.answered_poll(&id, 200, Some(state), now, now);
-        } else if plan.deleted && what == What::Delete && u.ended.is_none() {
-            u.ended = Some(JobState::Cancelled);
-            u.stage = Stage::Over;
+        } else if plan.deleted && operation == What::Delete && u.final_state.is_none() {
+            u.final_state = Some(JobState::Cancelled);
+            u.stage = Stage::Ended;
             self.checker
                 .answered_poll(&id, 200, Some(JobState::Cancelled), now, now);
         }
-        if let Some(what) = wrong {
-            self.checker.found(Rule::Object, now, what);
+        if let Some(error) = error {
+            self.checker.found(Rule::Object, now, error);
         }
-        if u.stage == Stage::Over && !matches!(status, 0 | 429 | 503) {
+        if u.stage == Stage::Ended && !matches!(status, 0 | 429 | 503) {
             pause = pause.max(15 * SECOND);
         }
-        self.user_again(now + pause, job);
+        self.schedule_user_request(now + pause, job);
     }
 
-    pub(super) fn rewatch(&mut self) {
+    pub(super) fn check_api_watch(&mut self) {
         let now = self.now;
-        let lives = self.watcher.open.is_some_and(|(_, node, epoch)| {
+        let alive = self.watcher.open.is_some_and(|(_, node, epoch)| {
             let host = &self.nodes[node];
             host.node.is_some() && host.epoch == epoch
         });
-        if !lives || now > self.watcher.heard_at + QUIET {
-            let node = self.side.usize(..self.nodes.len());
+        if !alive || now > self.watcher.heard_at + API_WATCH_IDLE_TIMEOUT {
+            let node = self.auxiliary_rng.usize(..self.nodes.len());
             if self.nodes[node].node.is_some() {
                 let path = self.watcher.path();
-                self.ask_door(node, Requester::Watcher, "GET", path, Vec::new());
+                self.send_api_request(node, Requester::ApiWatch, "GET", path, Vec::new());
             }
         }
-        self.at(now + REWATCH, Event::Rewatch);
+        self.at(now + API_WATCH_CHECK_INTERVAL, Event::CheckApiWatch);
     }
 
-    fn watches(&self, request: u64) -> bool {
+    fn is_open_api_watch(&self, request: u64) -> bool {
         self.watcher.open.is_some_and(|(open, ..)| open == request)
     }
 
-    pub(super) fn watched(&mut self, request: u64, bytes: &[u8]) {
-        if !self.watches(request) {
+    pub(super) fn api_watch_line(&mut self, request: u64, bytes: &[u8]) {
+        if !self.is_open_api_watch(request) {
             return;
         }
         self.watcher.heard_at = self.now;
@@ -222,47 +237,54 @@
         }
     }
 
-    pub(super) fn watch_ends(&mut self, request: u64) {
-        if self.watches(request) {
+    pub(super) fn api_watch_ended(&mut self, request: u64) {
+        if self.is_open_api_watch(request) {
             self.watcher.open = None;
         }
     }
 
-    pub(super) fn watch_refused(&mut self, status: u16) {
+    pub(super) fn api_watch_refused(&mut self, status: u16) {
         if status == 410 {
             self.watcher.forget();
         }
         self.watcher.open = None;
         if !matches!(status, 410 | 429 | 503) {
-            let what = format!("a watch is answered {status}");
+            let what = format!("a watch request was answered {status}");
             self.checker.found(Rule::Object, self.now, what);
         }
     }
 
-    /// What must hold when everything is quiet again.
-    pub(super) fn finish_objects(&mut self, end: Micros) {
+    /// Checks, at the end of a run, that the stored objects show the end of their jobs
+    /// and that the watch has shown every object.
+    pub(super) fn check_stored_objects(&mut self, end: Micros) {
         if !self.scenario.form.objects() {
             return;
         }
-        let mut kept = BTreeMap::new();
+        let mut stored = BTreeMap::new();
         for key in self.state.keys(dillcleat_kube::record::OBJECTS) {
             let Some((record, version)) = self.state.read::<Record>(&key) else {
-                self.checker
-                    .found(Rule::Object, end, format!("{key}: not an object"));
+                self.checker.found(
+                    Rule::Object,
+                    end,
+                    format!("{key}: the record cannot be decoded"),
+                );
                 continue;
             };
             let job = record.state.job.clone().unwrap_or_default();
-            let mark = dillcleat_controller::records::job_key(&job);
-            let ended = !self.state.keys(&mark).is_empty();
+            let state_key = dillcleat_controller::records::job_key(&job);
+            let ended = !self.state.keys(&state_key).is_empty();
             if ended && record.state.end.is_none() {
-                let what = format!("{key}: the end of {job} is not told");
+                let what = format!("{key}: the end of {job} is not shown");
                 self.checker.found(Rule::Object, end, what);
             }
             let name = key.trim_start_matches("k/o/jobs/").to_string();
-            kept.insert(name, version);
+            stored.insert(name, version);
         }
-        if self.watcher.open.is_some() && self.watcher.view() != kept {
-            let what = format!("watched {:?}, there is {kept:?}", self.watcher.view());
+        if self.watcher.open.is_some() && self.watcher.view() != stored {
+            let what = format!(
+                "the watch showed {:?}, the store holds {stored:?}",
+                self.watcher.view()
+            );
             self.checker.found(Rule::Object, end, what);
         }
     }
--- a/crates/simulator/src/simulation/impatient_users.rs
+++ b/crates/simulator/src/simulation/impatient_users.rs
@@ -1,124 +1,142 @@
-//! Users that press: they look closely, and call off at once, at the end, or many
-//! together.
+//! Users who poll all nodes at the same time, or cancel right after the acceptance, near
+//! the end of a job, or many jobs together.
 
 use super::*;
 
 impl Simulation {
-    /// The job of which an answer tells its user for the first time that it is accepted
-    /// or has ended, and whether it is accepted.
-    pub(super) fn news(
+    /// The job that an answer shows for the first time to be accepted or ended, and
+    /// whether it is accepted.
+    pub(super) fn first_result(
         &self,
-        asker: &Requester,
+        requester: &Requester,
         status: u16,
         state: Option<JobState>,
     ) -> Option<(usize, bool)> {
         let (Requester::Submission { job }
         | Requester::Poll { job }
         | Requester::Cancel { job }
-        | Requester::Look { job }
-        | Requester::Again { job }
-        | Requester::CallOff { job }) = asker
+        | Requester::ExtraPoll { job }
+        | Requester::ExtraSubmission { job }
+        | Requester::ExtraCancel { job }) = requester
         else {
             return None;
         };
         let u = &self.users[*job];
         let ended = matches!(state, Some(JobState::Done | JobState::Cancelled));
         let accepted = !u.accepted && matches!(status, 200 | 201);
-        let native = u.object.is_none() && !self.compared();
-        (native && (accepted || (ended && u.ended.is_none()))).then_some((*job, accepted))
+        let native = u.kube_job.is_none() && !self.is_comparison_run();
+        (native && (accepted || (ended && u.final_state.is_none()))).then_some((*job, accepted))
     }
 
-    /// What the user of a job does right after such an answer.
-    pub(super) fn presses(&mut self, job: usize, accepted: bool) {
+    /// Sends the extra requests that follow such an answer.
+    pub(super) fn react_to_result(&mut self, job: usize, accepted: bool) {
         if self.now < self.close_looks_until {
-            self.looks(job);
+            self.send_extra_requests(job);
         }
-        if accepted && self.users[job].ended.is_none() && self.befalls(self.cancels_at_once) {
-            let at = self.now + self.side.u64(..5 * MILLISECOND);
-            self.at(at, Event::CallOff { job });
+        if accepted
+            && self.users[job].final_state.is_none()
+            && self.is_affected(self.cancels_at_once)
+        {
+            let at = self.now + self.auxiliary_rng.u64(..5 * MILLISECOND);
+            self.at(at, Event::CancelJob { job });
         }
     }
 
-    /// A job's user asks every node within milliseconds, and submits again at each.
-    fn looks(&mut self, job: usize) {
+    /// Polls and resubmits a job at every node within milliseconds.
+    fn send_extra_requests(&mut self, job: usize) {
         for node in 0..self.nodes.len() {
-            for again in [false, true] {
-                let at = self.now + self.side.u64(..5 * MILLISECOND);
-                self.at(at, Event::Look { job, node, again });
+            for resubmit in [false, true] {
+                let at = self.now + self.auxiliary_rng.u64(..5 * MILLISECOND);
+                let event = Event::ExtraRequest {
+                    job,
+                    node,
+                    resubmit,
+                };
+                self.at(at, event);
             }
         }
     }
 
-    pub(super) fn look(&mut self, job: usize, node: usize, again: bool) {
+    pub(super) fn extra_request(&mut self, job: usize, node: usize, resubmit: bool) {
         let spec = self.users[job].spec.clone();
-        if again {
-            self.submit(node, Requester::Again { job }, &spec);
+        if resubmit {
+            self.submit(node, Requester::ExtraSubmission { job }, &spec);
         } else {
             let path = poll_path(&spec.id);
-            self.ask(node, Requester::Look { job }, "GET", path, Vec::new());
+            self.send_request(node, Requester::ExtraPoll { job }, "GET", path, Vec::new());
         }
     }
 
-    pub(super) fn call_off(&mut self, job: usize) {
+    pub(super) fn cancel_job(&mut self, job: usize) {
         let u = &mut self.users[job];
-        if u.ended.is_none() {
-            // Without an answer the user cancels when it would have asked next.
+        if u.final_state.is_none() {
+            // If the request fails, the user cancels with its next regular request.
             u.cancel_at = Some(u.cancel_at.map_or(self.now, |at| at.min(self.now)));
         }
         let id = u.spec.id.clone();
         self.checker.asks_to_cancel(&id);
-        let node = self.side.usize(..self.nodes.len());
-        let asker = Requester::CallOff { job };
-        self.ask(node, asker, "POST", cancel_path(&id), Vec::new());
+        let node = self.auxiliary_rng.usize(..self.nodes.len());
+        let requester = Requester::ExtraCancel { job };
+        self.send_request(node, requester, "POST", cancel_path(&id), Vec::new());
     }
 
-    /// A task has completed: if it was its job's last, whoever presses meets that.
+    /// Called when a task has completed. If it was the last one of its job, a
+    /// cancellation, a poll and a repeated submission may arrive at about the same time.
     pub(super) fn task_done(&mut self, id: &str) {
-        let native = |u: &User| u.object.is_none() && u.spec.id == *id;
-        if self.compared() || !self.checker.complete(id) || !self.befalls(self.cancels_at_end) {
+        let native = |u: &User| u.kube_job.is_none() && u.spec.id == *id;
+        if self.is_comparison_run()
+            || !self.checker.complete(id)
+            || !self.is_affected(self.cancels_at_end)
+        {
             return;
         }
         let Some(job) = self.users.iter().position(native) else {
             return;
         };
-        // From the end on the machine to the answer to its report, and the write after.
-        let within = [5, 100, 1500][self.side.usize(..3)] * MILLISECOND;
-        let at = self.now + self.side.u64(..within);
-        if self.users[job].ended.is_none() {
-            self.at(at, Event::CallOff { job });
+        // Covers the time from the end on the machine to the reply to its heartbeat and
+        // the write that follows.
+        let max_delay = [5, 100, 1500][self.auxiliary_rng.usize(..3)] * MILLISECOND;
+        let at = self.now + self.auxiliary_rng.u64(..max_delay);
+        if self.users[job].final_state.is_none() {
+            self.at(at, Event::CancelJob { job });
         }
-        for again in [false, true] {
-            let at = at + self.side.u64(..20 * MILLISECOND);
-            let node = self.side.usize(..self.nodes.len());
-            self.at(at, Event::Look { job, node, again });
+        for resubmit in [false, true] {
+            let at = at + self.auxiliary_rng.u64(..20 * MILLISECOND);
+            let node = self.auxiliary_rng.usize(..self.nodes.len());
+            let event = Event::ExtraRequest {
+                job,
+                node,
+                resubmit,
+            };
+            self.at(at, event);
         }
     }
 
-    /// Some jobs that run and have long to go are called off together, and up to eight of
-    /// their machines hang.
+    /// Cancels several long-running jobs at about the same time and pauses up to eight of
+    /// their machines.
     pub(crate) fn cancels_now(&mut self, jobs: usize, hang: Micros) {
-        let runs = |job: &usize| {
+        let is_long_running = |job: &usize| {
             let u = &self.users[*job];
-            let (on, done) = self.checker.tasks(&u.spec.id);
-            let play = self.plays.get(&u.spec.id);
+            let (running, done) = self.checker.tasks(&u.spec.id);
+            let behaviour = self.task_behaviours.get(&u.spec.id);
             let long = u.spec.kind == JobKind::Service
-                || u.spec.tasks > on + done
-                || play.is_some_and(|p| p.run > 10 * SECOND);
-            let open = u.ended.is_none() && u.cancel_at.is_none_or(|at| at > self.now);
-            on > 0 && long && open && u.object.is_none()
+                || u.spec.tasks > running + done
+                || behaviour.is_some_and(|p| p.run > 10 * SECOND);
+            let open = u.final_state.is_none() && u.cancel_at.is_none_or(|at| at > self.now);
+            running > 0 && long && open && u.kube_job.is_none()
         };
-        let mut some: Vec<usize> = (0..self.users.len()).filter(runs).collect();
-        self.side.shuffle(&mut some);
-        some.truncate(jobs);
+        let mut cancelled: Vec<usize> = (0..self.users.len()).filter(is_long_running).collect();
+        self.auxiliary_rng.shuffle(&mut cancelled);
+        cancelled.truncate(jobs);
         let mut machines: Vec<String> = Vec::new();
-        for job in some {
+        for job in cancelled {
             machines.extend(self.checker.machines(&self.users[job].spec.id));
-            let at = self.now + self.side.u64(..SECOND / 5);
-            self.at(at, Event::CallOff { job });
+            let at = self.now + self.auxiliary_rng.u64(..SECOND / 5);
+            self.at(at, Event::CancelJob { job });
         }
         machines.sort();
         machines.dedup();
-        self.side.shuffle(&mut machines);
+        self.auxiliary_rng.shuffle(&mut machines);
         for name in machines.iter().take(8) {
             if let Some(w) = self.workers.get_mut(name) {
                 w.hung_until = w.hung_until.max(self.now + hang);
@@ -126,30 +144,30 @@
         }
     }
 
-    /// Users of jobs of one task that come four a second.
-    pub(super) fn add_stream(&mut self) {
+    /// Adds users who submit four jobs of one task per second.
+    pub(super) fn add_short_jobs(&mut self) {
         let Some((from, time)) = self.scenario.stream else {
             return;
         };
         for n in 0..4 * time / SECOND {
             let job = self.users.len();
             let at = from + n * SECOND / 4;
-            let cancels = self.side.u8(..4) == 0;
-            let cancel_at = cancels.then(|| at + self.side.u64(..8 * SECOND));
+            let cancels = self.auxiliary_rng.u8(..4) == 0;
+            let cancel_at = cancels.then(|| at + self.auxiliary_rng.u64(..8 * SECOND));
             let id = format!("req-{:06}", 1000 + job * 7);
             let spec = JobSpec {
                 class: "stream".into(),
                 team: if n % 3 == 0 { "bound" } else { "free" }.into(),
                 ..JobSpec::plain(&id, JobKind::Batch, 1, 1.0)
             };
-            let play = TaskBehaviour {
-                run: self.side.u64(SECOND..8 * SECOND),
+            let behaviour = TaskBehaviour {
+                run: self.auxiliary_rng.u64(SECOND..8 * SECOND),
                 fails: false,
                 spec: spec.clone(),
             };
-            self.plays.insert(id, play);
+            self.task_behaviours.insert(id, behaviour);
             self.users.push(User::new(spec, cancel_at));
-            self.at(at, Event::User { job });
+            self.at(at, Event::UserRequest { job });
         }
     }
 }
--- a/crates/simulator/src/simulation/invalid_requests.rs
+++ b/crates/simulator/src/simulation/invalid_requests.rs
@@ -1,10 +1,9 @@
-//! Users that ask oddly.
+//! Users who send invalid submissions and superfluous requests.
 
 use super::*;
 use serde_json::{Value, json};
 
-/// Every field of a submission that has to be there.
-const FIELDS: [&str; 17] = [
+const REQUIRED_FIELDS: [&str; 17] = [
     "ref",
     "lot",
     "desk",
@@ -24,9 +23,9 @@
     "shelve_s",
 ];
 
-/// What is wrong with a submission, by field, and the answer to it.
-fn wrong(rng: &mut Rng) -> (&'static str, Value, u16) {
-    let all = [
+/// Draws a field of a submission, an invalid value for it, and the expected status.
+fn invalid_field(rng: &mut Rng) -> (&'static str, Value, u16) {
+    let cases = [
         ("leaves", json!(0), 400),
         ("leaves", json!(100_001), 400),
         ("leaves", json!("2"), 400),
@@ -42,74 +41,80 @@
         ("formats", json!(["huge"]), 422),
         ("formats", json!([]), 422),
         ("room", json!("z"), 422),
-        // On all machines of a type, and over the limit of its team.
+        // Fits every machine of a type but exceeds the limit of its team.
         ("vcpus", json!(12.5), 422),
     ];
-    all[rng.usize(..all.len())].clone()
+    cases[rng.usize(..cases.len())].clone()
 }
 
 impl Simulation {
-    pub(super) fn odd(&mut self) {
+    pub(super) fn irregular_request(&mut self) {
         if self.now >= self.odd_until {
             return;
         }
-        self.odd_requests += 1;
-        let node = self.side.usize(..self.nodes.len());
-        let some = self.side.usize(..self.users.len().max(1));
-        let known = self.users.get(some).filter(|u| u.object.is_none());
-        let (open, done) = known.map_or((false, false), |u| {
-            let open = u.accepted && u.ended.is_none();
-            (open, u.ended == Some(JobState::Done))
+        self.irregular_requests += 1;
+        let node = self.auxiliary_rng.usize(..self.nodes.len());
+        let job = self.auxiliary_rng.usize(..self.users.len().max(1));
+        let native = self.users.get(job).filter(|u| u.kube_job.is_none());
+        let (open, done) = native.map_or((false, false), |u| {
+            let open = u.accepted && u.final_state.is_none();
+            (open, u.final_state == Some(JobState::Done))
         });
-        match self.side.u8(..3) {
+        match self.auxiliary_rng.u8(..3) {
             0 if open => {
-                // As it was, or with other content: a known job is answered as known.
-                let mut spec = self.users[some].spec.clone();
-                match self.side.u8(..4) {
+                // Unchanged or with other content: a known job is recognised by its ID.
+                let mut spec = self.users[job].spec.clone();
+                match self.auxiliary_rng.u8(..4) {
                     0 => spec.team = "nobody".into(),
                     1 => spec.cpus = 999.0,
                     2 => spec.tasks += 1,
                     _ => {}
                 }
-                self.submit(node, Requester::Again { job: some }, &spec);
+                self.submit(node, Requester::ExtraSubmission { job }, &spec);
             }
-            1 if done => self.call_off(some),
-            _ => self.submit_wrong(node),
+            1 if done => self.cancel_job(job),
+            _ => self.submit_invalid(node),
         }
-        let next = self.now + self.side.u64(SECOND / 5..2 * SECOND);
+        let next = self.now + self.auxiliary_rng.u64(SECOND / 5..2 * SECOND);
         self.at(next, Event::Odd);
     }
 
-    /// Submits what can't run or lacks a field, and asks for it elsewhere.
-    fn submit_wrong(&mut self, node: usize) {
-        let id = format!("req-{}", 700_000 + self.odd_requests);
+    /// Submits a job that cannot run or lacks a field, and polls it at another node.
+    fn submit_invalid(&mut self, node: usize) {
+        let id = format!("req-{}", 700_000 + self.irregular_requests);
         let spec = JobSpec {
             team: "bound".into(),
             ..JobSpec::plain(&id, JobKind::Batch, 2, 1.0)
         };
         let mut body = serde_json::to_value(spec).unwrap_or_default();
-        let status = match self.side.bool() {
+        let expected_status = match self.auxiliary_rng.bool() {
             true => {
-                let field = FIELDS[self.side.usize(..FIELDS.len())];
+                let field = REQUIRED_FIELDS[self.auxiliary_rng.usize(..REQUIRED_FIELDS.len())];
                 if let Some(fields) = body.as_object_mut() {
                     fields.remove(field);
                 }
                 400
             }
             false => {
-                let (field, value, status) = wrong(&mut self.side);
+                let (field, value, status) = invalid_field(&mut self.auxiliary_rng);
                 body[field] = value;
                 status
             }
         };
         let body = dillcleat_wire::encode(&body);
-        let asker = Requester::Refused {
+        let requester = Requester::InvalidSubmission {
             id: id.clone(),
-            status,
+            expected_status,
         };
-        self.ask(node, asker, "POST", JOBS_PATH.into(), body);
-        let other = self.side.usize(..self.nodes.len());
+        self.send_request(node, requester, "POST", JOBS_PATH.into(), body);
+        let other = self.auxiliary_rng.usize(..self.nodes.len());
         let path = poll_path(&id);
-        self.ask(other, Requester::Stranger { id }, "GET", path, Vec::new());
+        self.send_request(
+            other,
+            Requester::UnknownJobPoll { id },
+            "GET",
+            path,
+            Vec::new(),
+        );
     }
 }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! The world of a rehearsal: simulated time, a network that delays, loses and
-//! holds messages back, and troubles at set times.
+//! Deterministic simulation of a cluster: simulated time, a network that delays, drops
+//! and holds back messages, and faults injected at scheduled times.
 
 mod clients;
 mod impatient_users;
@@ -10,7 +10,7 @@
 mod users;
 mod workers;
 
-use self::pipelines::Stands;
+use self::pipelines::PipelineStage;
 use crate::cloud::Cloud;
 use crate::history::OutputHistory;
 use crate::objects::{self, Plan, Watcher};
@@ -42,71 +42,83 @@
 use std::time::{Duration, Instant};
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-const USER_TIMEOUT: Micros = 5 * SECOND;
-/// Of so many inputs one is preceded by a look at what the leader derives; a look goes
-/// over the whole fleet, so a day of a larger scale has so many times fewer.
-const AUDIT: u64 = 101;
-/// Bytes of a value and changes of a transaction before the limits of the state service
-/// fall and after, and tasks in a chunk of a job that the version before has admitted.
-/// So small that a few dozen placed tasks are too many for one value.
-const WIDE: (usize, usize) = (2048, 48);
-const LOW: (usize, usize) = (700, 12);
-const OLD_CHUNK: u32 = 80;
-const WALL: Micros = 1_700_000_000 * SECOND;
-
-/// What a run has come to.
+const REQUEST_TIMEOUT: Micros = 5 * SECOND;
+/// One input in this many is preceded by an audit of the leader's derived state. An audit
+/// visits the whole fleet, so audits become rarer as the scale of the scenario grows.
+const INPUTS_PER_AUDIT: u64 = 101;
+/// The store's limits before and after they are reduced during an upgrade. They are so
+/// small that a few dozen placed tasks do not fit in one value.
+const INITIAL_STORE_LIMITS: StoreLimits = StoreLimits {
+    value_bytes: 2048,
+    txn_ops: 48,
+};
+const REDUCED_STORE_LIMITS: StoreLimits = StoreLimits {
+    value_bytes: 700,
+    txn_ops: 12,
+};
+/// Used by the version that an upgrade replaces.
+const PREVIOUS_TASKS_PER_CHUNK: u32 = 80;
+const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
+/// Separates the seed of `Simulation::auxiliary_rng` from that of `Simulation::rng`.
+const AUXILIARY_SEED_SALT: u64 = 0x5151;
+
+struct StoreLimits {
+    value_bytes: usize,
+    txn_ops: usize,
+}
+
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub violations: Vec<Violation>,
     pub starts: u64,
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Accepted jobs that neither completed nor were cancelled or services.
+    /// Accepted batch jobs that were neither completed nor cancelled.
     pub unfinished: Vec<String>,
-    /// Requests that broke a limit of the state service.
+    /// Requests that exceeded a limit of the store.
     pub malformed: Vec<String>,
-    /// Requests that broke a limit which had fallen without notice.
+    /// Number of requests that exceeded a limit of the store after the limits had been
+    /// reduced without notice.
     pub refused: usize,
-    /// Keys of tasks, and of open and cancelled jobs, left behind.
-    pub left: Vec<String>,
-    /// What a leader had derived that was not as if made anew.
+    /// Keys of tasks and of open or cancelled jobs that remained in the store at the end.
+    pub leftover_keys: Vec<String>,
+    /// Parts of the leaders' derived state that differed from a fresh computation.
     pub stale: Vec<&'static str>,
-    /// SHA-256 of everything told to users: equal seeds give equal digests.
+    /// SHA-256 of all answers to users. Equal seeds give equal digests.
     pub digest: [u8; 32],
     /// SHA-256 of every start and end of a task on a machine, with its time.
     pub placements: [u8; 32],
     /// SHA-256 of everything that the nodes sent, in order ([`OutputHistory`]).
     pub history: [u8; 32],
-    /// Jobs of Kubernetes' that were accepted, and ends of them that were told.
-    pub objects: (usize, usize),
-    /// Tasks that ran on a machine when it went.
-    pub lost: usize,
-    /// Machines that went by calls whose sender led no more when they were carried
-    /// out.
-    pub late_hits: usize,
-    /// What happened to jobs after their users had been told that they are cancelled.
+    /// Numbers of Kubernetes Jobs and of ended ones that the API watch showed.
+    pub watched_objects: (usize, usize),
+    /// Number of tasks that were running on a machine when it disappeared.
+    pub interrupted_tasks: usize,
+    /// Number of machines that were deleted by calls executed after another leader had
+    /// been elected.
+    pub late_deletions: usize,
+    /// Launches and starts of tasks after the cancellation of their jobs was confirmed.
     pub late: LateLaunches,
-    /// Odd requests that were made.
-    pub odd_requests: u64,
-    /// The most machines that were up at once.
-    pub machines: usize,
-    /// How much of each class and team was served.
-    pub served: ServiceShares,
-    /// Leaders that were elected.
-    pub terms: u64,
-    /// Calls to the state service, watches aside.
-    pub state_calls: u64,
-    /// How many inputs of each kind the nodes took, and how long that took.
+    pub irregular_requests: u64,
+    /// The largest number of machines that were up at the same time.
+    pub peak_machines: usize,
+    pub service_shares: ServiceShares,
+    pub leaders_elected: u64,
+    /// Number of calls to the store, excluding watches.
+    pub store_calls: u64,
     pub costs: Costs,
-    /// The most bytes that a node held when it ended, if the day counts them.
-    pub largest_node: usize,
+    /// The most bytes that a node held when it stopped; 0 unless the scenario measures
+    /// allocations.
+    pub peak_node_bytes: usize,
 }
 
-/// Number of inputs and time by kind of input.
+/// Number of inputs that the nodes processed and the time they took, by kind of input.
 pub type Costs = BTreeMap<&'static str, (u64, Duration)>;
 
-fn kind(input: &Input, leads: bool) -> &'static str {
+fn input_kind(input: &Input, is_leader: bool) -> &'static str {
     match input {
-        _ if !leads => "a follower's input",
+        _ if !is_leader => "a follower's input",
         Input::Tick => "tick",
         Input::Request { target, .. } if target == HEARTBEAT_PATH => "report",
         Input::Request { .. } => "user's request",
@@ -123,128 +135,131 @@
         node: usize,
         epoch: u32,
     },
-    ToNode {
+    NodeInput {
         node: usize,
         epoch: u32,
         input: Box<Input>,
     },
-    State {
+    StoreCall {
         caller: Caller,
         call: Box<StoreRequest>,
     },
-    /// A request of a Kubernetes-shaped client arrives.
-    Ask {
+    /// A request to the Kubernetes API arrives.
+    ApiRequest {
         node: usize,
         epoch: u32,
         request: u64,
-        ask: Box<ApiRequest>,
+        api_request: Box<ApiRequest>,
     },
-    /// The client of a watch that goes on goes to another node.
-    Rewatch,
-    Cloud {
+    /// The API watch is reopened if it has ended or is idle.
+    CheckApiWatch,
+    CloudCall {
         caller: Caller,
         call: Box<CloudRequest>,
     },
-    Orders {
+    Commands {
         caller: Caller,
         addr: String,
-        orders: Box<CommandBatch>,
+        commands: Box<CommandBatch>,
     },
-    WatchEnds {
+    StoreWatchExpired {
         watch: u64,
     },
-    Workers,
-    Checkin {
+    AdvanceWorkers,
+    Heartbeat {
         machine: String,
         node: usize,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
-    /// A copy of a report arrives. Nobody hears the answer.
-    Copy {
+    /// A duplicate of a heartbeat arrives. Its reply is discarded.
+    HeartbeatCopy {
         node: usize,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
-    CheckinAnswer {
+    HeartbeatReply {
         machine: String,
-        session: u64,
-        seq: u64,
-        sent: Micros,
+        incarnation: u64,
+        sequence: u64,
+        sent_at: Micros,
         answer: Box<Answer>,
         node: usize,
     },
-    User {
+    /// A user sends its next request.
+    UserRequest {
         job: usize,
     },
-    UserTimeout {
+    RequestTimeout {
         request: u64,
     },
-    Stranger,
-    /// A user asks what is no use asking.
+    /// A user polls a job that was never submitted.
+    PollUnknownJob,
+    /// A user sends an invalid or superfluous request.
     Odd,
-    /// A user asks beside its other questions, or submits again.
-    Look {
+    /// A user polls or resubmits its job in addition to its regular requests.
+    ExtraRequest {
         job: usize,
         node: usize,
-        again: bool,
+        resubmit: bool,
     },
-    /// A user calls its job off.
-    CallOff {
+    /// A user cancels its job in addition to its regular requests.
+    CancelJob {
         job: usize,
     },
-    Up {
+    MachineBooted {
         machine: String,
     },
+    /// The cloud takes a spot machine back.
     Taken {
         machine: String,
     },
     Restart {
         node: usize,
     },
-    /// A node ends, and comes back as the new version.
-    Replace {
+    /// A node stops and restarts as the new version.
+    UpgradeNode {
         node: usize,
     },
-    /// The state service has the lower limits from now on.
-    LimitsFall,
+    ReduceStoreLimits,
     Fault(Box<Fault>),
-    Note,
+    RecordCloudListing,
 }
 
-/// Who leads, as seen from a node.
+/// The leader that the store records, as compared with a given node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservedLeader {
-    Itself,
-    Nobody,
-    Another,
+    ThisNode,
+    None,
+    OtherNode,
 }
 
-/// Who made a call, and whether the answer gets across.
+/// The sender of a call and the conditions under which the call is delivered.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Caller {
     node: usize,
     epoch: u32,
     id: CallId,
-    heard: bool,
-    /// Of a call to the cloud: who led, by the state service, when it was put on its
-    /// way; None if that was just before it arrived.
-    led: Option<ObservedLeader>,
-    /// Its luck is drawn apart, so that what else happens is what it would be
-    /// without it.
-    aside: bool,
-    /// It has waited at the state service already.
-    waited: bool,
+    reply_delivered: bool,
+    /// For a call to the cloud: the leader at the time of sending. None if the call was
+    /// sent just before it arrived.
+    leader_when_sent: Option<ObservedLeader>,
+    /// Its random numbers are drawn from the auxiliary generator, so that the call does
+    /// not change the rest of the run.
+    auxiliary: bool,
+    /// The store has delayed the call already.
+    delayed: bool,
 }
 
+/// The sender of a request, with what is needed to process the answer.
 #[derive(Debug, Clone)]
 enum Requester {
     Worker {
         machine: String,
-        session: u64,
-        seq: u64,
-        sent: Micros,
+        incarnation: u64,
+        sequence: u64,
+        sent_at: Micros,
     },
-    /// Whoever asked is gone.
-    Nobody,
+    /// The sender of a duplicate heartbeat, which ignores the answer.
+    ReplyDiscarded,
     Submission {
         job: usize,
     },
@@ -254,55 +269,90 @@
     Cancel {
         job: usize,
     },
-    /// A question beside the others of the same user.
-    Look {
+    /// A poll in addition to the user's regular requests.
+    ExtraPoll {
         job: usize,
     },
-    /// The same with a repeated submission.
-    Again {
+    /// A repeated submission in addition to the user's regular requests.
+    ExtraSubmission {
         job: usize,
     },
-    CallOff {
+    /// A cancellation in addition to the user's regular requests.
+    ExtraCancel {
         job: usize,
     },
-    /// A submission that is to be refused so.
-    Refused {
+    /// A submission that must be rejected with the expected status.
+    InvalidSubmission {
         id: String,
-        status: u16,
+        expected_status: u16,
     },
-    Stranger {
+    UnknownJobPoll {
         id: String,
     },
-    Object {
+    ApiClient {
         job: usize,
-        what: objects::What,
+        operation: objects::What,
     },
-    Watcher,
+    ApiWatch,
+}
+
+impl Requester {
+    /// The text that enters the digest of answers. It does not follow the names in this
+    /// type, so that renaming them leaves the digests as they are.
+    fn digest_text(&self) -> String {
+        match self {
+            Requester::Worker {
+                machine,
+                incarnation,
+                sequence,
+                sent_at,
+            } => format!(
+                "Worker {{ machine: {machine:?}, session: {incarnation}, seq: {sequence}, \
+                 sent: {sent_at} }}"
+            ),
+            Requester::ReplyDiscarded => "Nobody".into(),
+            Requester::Submission { job } => format!("Submission {{ job: {job} }}"),
+            Requester::Poll { job } => format!("Poll {{ job: {job} }}"),
+            Requester::Cancel { job } => format!("Cancel {{ job: {job} }}"),
+            Requester::ExtraPoll { job } => format!("Look {{ job: {job} }}"),
+            Requester::ExtraSubmission { job } => format!("Again {{ job: {job} }}"),
+            Requester::ExtraCancel { job } => format!("CallOff {{ job: {job} }}"),
+            Requester::InvalidSubmission {
+                id,
+                expected_status,
+            } => format!("Refused {{ id: {id:?}, status: {expected_status} }}"),
+            Requester::UnknownJobPoll { id } => format!("Stranger {{ id: {id:?} }}"),
+            Requester::ApiClient { job, operation } => {
+                format!("Object {{ job: {job}, what: {operation:?} }}")
+            }
+            Requester::ApiWatch => "Watcher".into(),
+        }
+    }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Submitting,
     Polling,
-    Over,
+    Ended,
 }
 
 #[derive(Debug)]
 struct User {
     spec: JobSpec,
     stage: Stage,
-    since: Option<Micros>,
+    first_submitted_at: Option<Micros>,
     cancel_at: Option<Micros>,
     accepted: bool,
-    ended: Option<JobState>,
-    /// When it was told first that the job is accepted, and that it has ended.
+    final_state: Option<JobState>,
+    /// When an answer first showed that the job was accepted, and that it had ended.
     accepted_at: Option<Micros>,
     ended_at: Option<Micros>,
-    again: u32,
-    /// The Job that it is handed in as.
-    object: Option<Plan>,
-    /// Where its job stands in a pipeline.
-    stands: Stands,
+    /// Counts answers, to alternate between kinds of requests.
+    answer_count: u32,
+    /// The Kubernetes Job as which the job is submitted.
+    kube_job: Option<Plan>,
+    pipeline_stage: PipelineStage,
 }
 
 impl User {
@@ -310,15 +360,15 @@
         User {
             spec,
             stage: Stage::Submitting,
-            since: None,
+            first_submitted_at: None,
             cancel_at,
             accepted: false,
-            ended: None,
+            final_state: None,
             accepted_at: None,
             ended_at: None,
-            again: 0,
-            object: None,
-            stands: Stands::default(),
+            answer_count: 0,
+            kube_job: None,
+            pipeline_stage: PipelineStage::default(),
         }
     }
 }
@@ -332,20 +382,20 @@
     pub workers_cut: Micros,
     pub paused_until: Micros,
     pub mesh_cut: Micros,
-    /// Jobs that it has read to be cancelled, or told a user so.
+    /// Jobs whose cancellation the node has read from the store or confirmed to a user.
     pub cancelled: BTreeSet<String>,
-    /// It has yet to be replaced: it writes as the version before does.
-    pub old: bool,
+    /// It runs the version that an upgrade replaces.
+    pub previous_version: bool,
 }
 
-/// A zone that is cut off with all that is in it.
+/// The network partition of a zone with its nodes and workers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ZoneCut {
     pub until: Micros,
     pub cut: Cut,
 }
 
-/// A spell in which machines come up late, never or at once.
+/// A period in which new machines boot late, at once or never.
 #[derive(Debug, Default)]
 pub(crate) struct BootDelays {
     pub until: Micros,
@@ -353,7 +403,7 @@
     pub never: u64,
 }
 
-/// Until when something befalls so many of a hundred.
+/// A period in which a fault affects a percentage of requests or users.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct FaultWindow {
     until: Micros,
@@ -368,23 +418,24 @@
 
 pub struct Simulation {
     pub(crate) now: Micros,
-    order: u64,
+    last_event_id: u64,
+    /// Times and numbers of the pending events.
     events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Event>,
+    pending_events: BTreeMap<u64, Event>,
     pub(crate) rng: Rng,
-    /// Luck of what must not disturb the rest of the day.
-    side: Rng,
+    /// Used where a draw from `rng` would change the rest of the run.
+    auxiliary_rng: Rng,
     config: Config,
     pub(crate) nodes: Vec<NodeHost>,
     pub(crate) state: SimulatedStore,
     pub(crate) cloud: Cloud,
     pub(crate) workers: BTreeMap<String, Worker>,
-    watches: Watches<Caller>,
-    next: u64,
-    /// Who waits for an answer, and since when.
-    asked: BTreeMap<u64, (Requester, Micros)>,
+    store_watches: Watches<Caller>,
+    last_request_id: u64,
+    /// Requests without an answer, with their sender and the time of sending.
+    pending_requests: BTreeMap<u64, (Requester, Micros)>,
     users: Vec<User>,
-    plays: BTreeMap<String, TaskBehaviour>,
+    task_behaviours: BTreeMap<String, TaskBehaviour>,
     pub(crate) zone_cut: [Micros; 3],
     pub(crate) site_cut: [ZoneCut; 3],
     pub(crate) flaky_until: Micros,
@@ -395,37 +446,36 @@
     pub(crate) late_reports_until: Micros,
     pub(crate) close_looks_until: Micros,
     pub(crate) odd_until: Micros,
-    odd_requests: u64,
+    irregular_requests: u64,
     pub(crate) cancels_at_once: FaultWindow,
     pub(crate) cancels_at_end: FaultWindow,
     pub(crate) answers_lost: FaultWindow,
     pub(crate) reports_for_next: FaultWindow,
-    /// Copies of reports for the next leader, and the last term that one had.
-    kept_reports: Vec<Heartbeat>,
+    /// Copies of heartbeats that the next leader will receive.
+    saved_heartbeats: Vec<Heartbeat>,
     last_term: u64,
     pub(crate) boots: BootDelays,
     checker: Checker,
     scenario: Scenario,
-    /// Inputs that nodes took.
-    inputs: u64,
-    /// Calls to the state service, watches aside.
-    state_calls: u64,
+    /// Number of inputs that the nodes processed.
+    input_count: u64,
+    /// Number of calls to the store, excluding watches.
+    store_calls: u64,
     stale: Vec<&'static str>,
     digest: Sha256,
     placements: Sha256,
     history: OutputHistory,
     watcher: Watcher,
-    most_machines: usize,
-    lost: usize,
-    /// Machines that went by calls whose sender led no more when they were carried out.
-    late_hits: usize,
-    served: ServiceShares,
+    peak_machines: usize,
+    interrupted_tasks: usize,
+    late_deletions: usize,
+    service_shares: ServiceShares,
     costs: Costs,
-    pub(crate) largest_node: usize,
+    pub(crate) peak_node_bytes: usize,
 }
 
-fn types(tight: bool) -> Vec<MachineType> {
-    let t = |name: &str, cpus: f64, price: f64, boot_s: f64| MachineType {
+fn machine_types(with_accelerators: bool) -> Vec<MachineType> {
+    let machine_type = |name: &str, cpus: f64, price: f64, boot_s: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
@@ -437,21 +487,24 @@
         boot_s,
         zones: ZONES.iter().map(|z| z.to_string()).collect(),
     };
-    let mut types = vec![t("small", 4.0, 0.3, 5.0), t("large", 16.0, 1.0, 12.0)];
-    if tight {
+    let mut types = vec![
+        machine_type("small", 4.0, 0.3, 5.0),
+        machine_type("large", 16.0, 1.0, 12.0),
+    ];
+    if with_accelerators {
         types.push(MachineType {
             gpus: 2.0,
-            ..t("fast", 8.0, 2.0, 8.0)
+            ..machine_type("fast", 8.0, 2.0, 8.0)
         });
     }
     types
 }
 
-/// The settings of a node on a day.
-fn settings(scenario: &Scenario, node: usize) -> Config {
-    let mut config = config(node, scenario.nodes, scenario.scale);
+/// The configuration of a node in a scenario.
+fn scenario_config(scenario: &Scenario, node: usize) -> Config {
+    let mut config = base_config(node, scenario.nodes, scenario.scale);
     if scenario.large_site {
-        config = large_site(config, scenario.scale);
+        config = large_site_config(config, scenario.scale);
     }
     if scenario.tight {
         let scale = f64::from(scenario.scale);
@@ -463,9 +516,9 @@
     config
 }
 
-/// The limits of the state service, the cloud and a controller at the largest site. No
-/// team has more than a third of the fleet.
-fn large_site(mut config: Config, scale: u32) -> Config {
+/// Sets the limits of the store, the cloud and a controller to those of the largest
+/// supported deployment. No team may use more than a third of the fleet.
+fn large_site_config(mut config: Config, scale: u32) -> Config {
     let value_bytes = 16 * 1024;
     for team in config.teams.iter_mut().filter(|t| t.cpus_max > 0.0) {
         team.cpus_max = 160.0 * f64::from(scale);
@@ -485,9 +538,9 @@
     }
 }
 
-/// Settings of a rehearsal: like a deployment's, with small limits so that
-/// every run meets them.
-pub fn config(member: usize, nodes: usize, scale: u32) -> Config {
+/// A node's configuration, similar to that of a deployment but with limits so low that
+/// every run reaches them.
+pub fn base_config(member: usize, nodes: usize, scale: u32) -> Config {
     let name = |i: usize| format!("node-{i}");
     let team = |name: &str, max: f64| Team {
         name: name.into(),
@@ -514,13 +567,13 @@
         value_bytes: 2048,
         value_bytes_before: 2048,
         state_write_rps_before: 80.0,
-        // Few, so that most arrays have several.
+        // Low, so that most job arrays have several chunks.
         chunk_tasks: 25,
         txn_ops: 12,
         cloud_rps: 2.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 72.0,
-        // Few, so that every run meets the bound.
+        // Low, so that every run reaches the limit.
         max_commands_in_flight: 4,
         start_objectives: vec![StartObjective {
             class: "web".into(),
@@ -537,20 +590,20 @@
 
 impl Simulation {
     pub fn new(scenario: Scenario) -> Simulation {
-        let config = settings(&scenario, 0);
+        let config = scenario_config(&scenario, 0);
         let limits = config
             .teams
             .iter()
             .map(|t| (t.name.clone(), Limit::of(t)))
             .filter(|(_, limit)| limit.cpus > 0.0 || limit.gpus > 0.0)
             .collect();
-        let mut w = Simulation {
+        let mut simulation = Simulation {
             now: 0,
-            order: 0,
+            last_event_id: 0,
             events: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            pending_events: BTreeMap::new(),
             rng: Rng::with_seed(scenario.seed),
-            side: Rng::with_seed(scenario.seed ^ 0x5151),
+            auxiliary_rng: Rng::with_seed(scenario.seed ^ AUXILIARY_SEED_SALT),
             nodes: (0..scenario.nodes)
                 .map(|_| NodeHost {
                     node: None,
@@ -561,24 +614,27 @@
                     paused_until: 0,
                     mesh_cut: 0,
                     cancelled: BTreeSet::new(),
-                    old: scenario.upgrade.is_some(),
+                    previous_version: scenario.upgrade.is_some(),
                 })
                 .collect(),
             state: match scenario.upgrade {
                 None => SimulatedStore::new(config.value_bytes, config.txn_ops),
-                Some(_) => SimulatedStore::new(WIDE.0, WIDE.1),
+                Some(_) => SimulatedStore::new(
+                    INITIAL_STORE_LIMITS.value_bytes,
+                    INITIAL_STORE_LIMITS.txn_ops,
+                ),
             },
             cloud: Cloud::new(
-                types(scenario.tight),
+                machine_types(scenario.tight),
                 4 * scenario.scale,
                 config.cloud_list_lag,
             ),
             workers: BTreeMap::new(),
-            watches: Watches::default(),
-            next: 0,
-            asked: BTreeMap::new(),
+            store_watches: Watches::default(),
+            last_request_id: 0,
+            pending_requests: BTreeMap::new(),
             users: Vec::new(),
-            plays: BTreeMap::new(),
+            task_behaviours: BTreeMap::new(),
             zone_cut: [0; 3],
             site_cut: [ZoneCut {
                 until: 0,
@@ -592,81 +648,87 @@
             late_reports_until: 0,
             close_looks_until: 0,
             odd_until: 0,
-            odd_requests: 0,
+            irregular_requests: 0,
             cancels_at_once: FaultWindow::default(),
             cancels_at_end: FaultWindow::default(),
             answers_lost: FaultWindow::default(),
             reports_for_next: FaultWindow::default(),
-            kept_reports: Vec::new(),
+            saved_heartbeats: Vec::new(),
             last_term: 0,
             boots: BootDelays::default(),
             checker: Checker::new(config.cancel_deadline, limits),
             config,
-            inputs: 0,
-            state_calls: 0,
+            input_count: 0,
+            store_calls: 0,
             stale: Vec::new(),
             digest: Sha256::new(),
             placements: Sha256::new(),
             history: OutputHistory::default(),
             watcher: Watcher::default(),
-            most_machines: 0,
-            lost: 0,
-            late_hits: 0,
-            served: ServiceShares::default(),
+            peak_machines: 0,
+            interrupted_tasks: 0,
+            late_deletions: 0,
+            service_shares: ServiceShares::default(),
             costs: Costs::new(),
-            largest_node: 0,
+            peak_node_bytes: 0,
             scenario,
         };
-        for node in 0..w.scenario.nodes {
-            w.at(0, Event::Restart { node });
+        for node in 0..simulation.scenario.nodes {
+            simulation.at(0, Event::Restart { node });
         }
-        let ends = w.scenario.faults.iter().map(|(at, f)| at + f.lasts());
-        w.checker.troubles_end = ends.max().unwrap_or(0).max(w.scenario.busy);
-        for (at, fault) in w.scenario.faults.clone() {
-            w.at(at, Event::Fault(Box::new(fault)));
+        let fault_ends = simulation
+            .scenario
+            .faults
+            .iter()
+            .map(|(at, f)| at + f.lasts());
+        simulation.checker.troubles_end =
+            fault_ends.max().unwrap_or(0).max(simulation.scenario.busy);
+        for (at, fault) in simulation.scenario.faults.clone() {
+            simulation.at(at, Event::Fault(Box::new(fault)));
         }
-        for job in 0..w.scenario.jobs {
-            w.add_user(job);
+        for job in 0..simulation.scenario.jobs {
+            simulation.add_user(job);
         }
-        w.add_pipelines();
-        w.add_stream();
-        if let Some((first, every)) = w.scenario.upgrade {
-            for node in 0..w.scenario.nodes {
-                w.at(first + every * node as u64, Event::Replace { node });
+        simulation.add_pipelines();
+        simulation.add_short_jobs();
+        if let Some((first, every)) = simulation.scenario.upgrade {
+            for node in 0..simulation.scenario.nodes {
+                simulation.at(first + every * node as u64, Event::UpgradeNode { node });
             }
         }
-        if let Some(at) = w.scenario.limits_fall {
-            w.at(at, Event::LimitsFall);
+        if let Some(at) = simulation.scenario.limits_fall {
+            simulation.at(at, Event::ReduceStoreLimits);
         }
-        w.at(SECOND, Event::Workers);
-        w.at(SECOND, Event::Note);
-        w.at(10 * SECOND, Event::Stranger);
-        if w.scenario.form.objects() {
-            w.at(2 * SECOND, Event::Rewatch);
+        simulation.at(SECOND, Event::AdvanceWorkers);
+        simulation.at(SECOND, Event::RecordCloudListing);
+        simulation.at(10 * SECOND, Event::PollUnknownJob);
+        if simulation.scenario.form.objects() {
+            simulation.at(2 * SECOND, Event::CheckApiWatch);
         }
-        w
+        simulation
     }
 
-    /// Whether a spell befalls this one.
-    fn befalls(&mut self, spell: FaultWindow) -> bool {
-        self.now < spell.until && self.side.u8(..100) < spell.percent
+    /// Draws whether a fault affects the current request or user.
+    fn is_affected(&mut self, window: FaultWindow) -> bool {
+        self.now < window.until && self.auxiliary_rng.u8(..100) < window.percent
     }
 
-    pub(crate) fn at(&mut self, at: Micros, ev: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at.max(self.now), self.order)));
-        self.what.insert(self.order, ev);
+    pub(crate) fn at(&mut self, at: Micros, event: Event) {
+        self.last_event_id += 1;
+        self.events
+            .push(Reverse((at.max(self.now), self.last_event_id)));
+        self.pending_events.insert(self.last_event_id, event);
     }
 
-    /// Runs to the end.
+    /// Runs until the scenario ends or a rule is violated.
     pub fn run(mut self) -> Outcome {
-        while let Some(Reverse((at, order))) = self.events.pop() {
+        while let Some(Reverse((at, event_id))) = self.events.pop() {
             if at > self.scenario.end {
                 break;
             }
             self.now = at;
-            if let Some(ev) = self.what.remove(&order) {
-                self.happen(ev);
+            if let Some(event) = self.pending_events.remove(&event_id) {
+                self.process_event(event);
             }
             self.checker.step(self.now);
             if !self.checker.violations.is_empty() {
@@ -678,8 +740,8 @@
             self.dismiss(node);
         }
         self.checker.finish(end);
-        self.finish_objects(end);
-        self.finish_served();
+        self.check_stored_objects(end);
+        self.record_batch_service();
         let unfinished = self
             .users
             .iter()
@@ -687,20 +749,20 @@
                 u.accepted
                     && u.spec.kind == JobKind::Batch
                     && u.cancel_at.is_none()
-                    && u.ended != Some(JobState::Done)
-                    && !(u.ended.is_some() && self.checker.doomed(&u.spec.id))
-                    // Its end by the service was shown with its cause.
-                    && !(u.object.is_some() && u.ended == Some(JobState::Cancelled))
+                    && u.final_state != Some(JobState::Done)
+                    && !(u.final_state.is_some() && self.checker.doomed(&u.spec.id))
+                    // The Job's status gave the reason why it was ended.
+                    && !(u.kube_job.is_some() && u.final_state == Some(JobState::Cancelled))
             })
-            .map(|u| format!("{} ({:?})", u.spec.id, u.ended))
+            .map(|u| format!("{} ({:?})", u.spec.id, u.final_state))
             .collect();
-        let terms = self.state.term();
+        let leaders_elected = self.state.term();
         let late = self.checker.late();
         Outcome {
             starts: self.checker.starts_seen(),
             accepted: self.users.iter().filter(|u| u.accepted).count(),
             unfinished,
-            left: [self.state.keys("t/"), self.state.keys("q/")].concat(),
+            leftover_keys: [self.state.keys("t/"), self.state.keys("q/")].concat(),
             refused: self.state.refused,
             malformed: self.state.malformed,
             violations: self.checker.violations,
@@ -708,228 +770,247 @@
             digest: self.digest.finalize().into(),
             placements: self.placements.finalize().into(),
             history: self.history.finish(),
-            objects: self.watcher.counts(),
-            lost: self.lost,
-            late_hits: self.late_hits,
+            watched_objects: self.watcher.counts(),
+            interrupted_tasks: self.interrupted_tasks,
+            late_deletions: self.late_deletions,
             late,
-            odd_requests: self.odd_requests,
-            machines: self.most_machines,
-            served: self.served,
-            terms,
-            state_calls: self.state_calls,
+            irregular_requests: self.irregular_requests,
+            peak_machines: self.peak_machines,
+            service_shares: self.service_shares,
+            leaders_elected,
+            store_calls: self.store_calls,
             costs: self.costs,
-            largest_node: self.largest_node,
+            peak_node_bytes: self.peak_node_bytes,
         }
     }
 
-    /// Ends a node, and notes what it held.
+    /// Stops a node and records how much memory it used.
     pub(crate) fn dismiss(&mut self, node: usize) {
         let bytes = self.scenario.allocated.unwrap_or(|| 0);
         let before = bytes();
         self.nodes[node].node = None;
-        self.largest_node = self.largest_node.max(before.saturating_sub(bytes()));
+        self.peak_node_bytes = self.peak_node_bytes.max(before.saturating_sub(bytes()));
     }
 
-    fn wake(&mut self, node: usize, input: Input) {
-        let now = self.clocks(node);
-        let compared = self.compared();
+    fn handle_input(&mut self, node: usize, input: Input) {
+        let now = self.node_clock(node);
+        let compared = self.is_comparison_run();
         if let Input::Store {
             reply: Ok(reply), ..
         } = &input
         {
             self.nodes[node]
                 .cancelled
-                .extend(services::cancelled(reply));
+                .extend(services::cancelled_jobs(reply));
         }
         let Some(n) = self.nodes[node].node.as_mut() else {
             return;
         };
-        self.inputs += 1;
-        // Days that are compared are not looked into: a look brings forward what a
-        // tick would do, and their inputs do not come in the same number.
-        let audit = AUDIT * u64::from(self.scenario.scale);
-        if self.inputs.is_multiple_of(audit) && !compared {
+        self.input_count += 1;
+        // Runs that are compared are not audited: an audit does work early that a tick
+        // would do later, and the two runs differ in their number of inputs.
+        let audit = INPUTS_PER_AUDIT * u64::from(self.scenario.scale);
+        if self.input_count.is_multiple_of(audit) && !compared {
             self.stale.extend(n.node.audit(now));
         }
-        let kind = kind(&input, n.node.leading().is_some());
-        let begun = Instant::now();
+        let kind = input_kind(&input, n.node.leading().is_some());
+        let started = Instant::now();
         let outputs = n.handle(now, input);
         let cost = self.costs.entry(kind).or_default();
         cost.0 += 1;
-        cost.1 += begun.elapsed();
+        cost.1 += started.elapsed();
         let epoch = self.nodes[node].epoch;
         for output in outputs {
-            self.carry(node, epoch, output);
+            self.dispatch_output(node, epoch, output);
         }
     }
 
-    fn wake_door(&mut self, node: usize, request: u64, ask: ApiRequest) {
-        let now = self.clocks(node);
+    fn handle_api_request(&mut self, node: usize, request: u64, api_request: ApiRequest) {
+        let now = self.node_clock(node);
         let epoch = self.nodes[node].epoch;
         if let Some(n) = self.nodes[node].node.as_mut() {
-            for out in n.ask(now, RequestId(request), ask) {
-                self.carry(node, epoch, out);
+            for out in n.ask(now, RequestId(request), api_request) {
+                self.dispatch_output(node, epoch, out);
             }
         }
     }
 
-    fn clocks(&self, node: usize) -> Timestamp {
+    fn node_clock(&self, node: usize) -> Timestamp {
         Timestamp {
-            // Steady clocks may run 0.05% fast.
+            // Monotonic clocks may run up to 0.05% fast.
             monotonic: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
-            wall: WALL + self.now + (node as u64) * SECOND / 10,
+            wall: WALL_CLOCK_START + self.now + (node as u64) * SECOND / 10,
         }
     }
 
-    fn input(&mut self, at: Micros, node: usize, epoch: u32, input: Input) {
+    fn schedule_input(&mut self, at: Micros, node: usize, epoch: u32, input: Input) {
         let input = Box::new(input);
-        self.at(at, Event::ToNode { node, epoch, input });
+        self.at(at, Event::NodeInput { node, epoch, input });
     }
 
-    /// Days that are compared draw the luck of each event anew, by its time and by what
-    /// it is: calls that only one of them makes leave the others what they are.
-    fn draw_anew(&mut self, ev: &Event) {
+    /// In a run that is compared with another, seeds the generator for each event from the
+    /// time and the kind of the event. Calls made in only one of the two runs then do not
+    /// change the random numbers of other events.
+    fn reseed_for_event(&mut self, event: &Event) {
         let mut hash = DefaultHasher::new();
         (self.scenario.seed, self.now).hash(&mut hash);
-        let submits = match ev {
-            Event::ToNode { input, .. } => {
+        let submits = match event {
+            Event::NodeInput { input, .. } => {
                 matches!(&**input, Input::Request { target, .. } if target == JOBS_PATH)
             }
-            Event::Ask { ask, .. } => ask.method == "POST",
+            Event::ApiRequest { api_request, .. } => api_request.method == "POST",
             _ => false,
         };
         if !submits {
-            std::mem::discriminant(ev).hash(&mut hash);
+            std::mem::discriminant(event).hash(&mut hash);
         }
-        if let Event::User { job } = ev {
+        if let Event::UserRequest { job } = event {
             job.hash(&mut hash);
         }
         self.rng = Rng::with_seed(hash.finish());
     }
 
-    /// Whether this day is compared with the same in another form.
-    pub(crate) fn compared(&self) -> bool {
+    /// Whether this run is compared with one that submits the same jobs in another form.
+    pub(crate) fn is_comparison_run(&self) -> bool {
         matches!(
             self.scenario.form,
             SubmissionForm::Twin | SubmissionForm::Shadow
         )
     }
 
-    fn happen(&mut self, ev: Event) {
-        if self.compared() {
-            self.draw_anew(&ev);
+    fn process_event(&mut self, event: Event) {
+        if self.is_comparison_run() {
+            self.reseed_for_event(&event);
         }
-        match ev {
+        match event {
             Event::Tick { node, epoch } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
                     self.at(paused, Event::Tick { node, epoch });
                 } else if self.nodes[node].epoch == epoch && self.nodes[node].node.is_some() {
-                    self.wake(node, Input::Tick);
+                    self.handle_input(node, Input::Tick);
                     self.at(self.now + 50 * MILLISECOND, Event::Tick { node, epoch });
                 }
             }
-            Event::ToNode { node, epoch, input } => {
+            Event::NodeInput { node, epoch, input } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
-                    self.at(paused, Event::ToNode { node, epoch, input });
+                    self.at(paused, Event::NodeInput { node, epoch, input });
                 } else if self.nodes[node].epoch == epoch {
-                    self.wake(node, *input);
+                    self.handle_input(node, *input);
                 }
             }
-            Event::Ask {
+            Event::ApiRequest {
                 node,
                 epoch,
                 request,
-                ask,
+                api_request,
             } => {
                 let paused = self.nodes[node].paused_until;
-                let again = Event::Ask {
+                let deferred = Event::ApiRequest {
                     node,
                     epoch,
                     request,
-                    ask: ask.clone(),
+                    api_request: api_request.clone(),
                 };
                 if self.now < paused {
-                    self.at(paused, again);
+                    self.at(paused, deferred);
                 } else if self.nodes[node].epoch == epoch {
-                    self.wake_door(node, request, *ask);
+                    self.handle_api_request(node, request, *api_request);
                 }
             }
-            Event::Rewatch => self.rewatch(),
-            Event::State { caller, call } => self.state_call(caller, &call),
-            Event::WatchEnds { watch } => {
-                // In an outage it stays open.
+            Event::CheckApiWatch => self.check_api_watch(),
+            Event::StoreCall { caller, call } => self.store_call(caller, &call),
+            Event::StoreWatchExpired { watch } => {
+                // During an outage the watch stays open.
                 if !self.state.out(self.now)
-                    && let Some((caller, changes)) = self.watches.end(watch, &self.state)
+                    && let Some((caller, changes)) = self.store_watches.end(watch, &self.state)
                 {
-                    self.watch_answer(caller, changes);
+                    self.send_watch_batch(caller, changes);
                 }
             }
-            Event::Cloud { caller, call } => self.cloud_call(caller, &call),
-            Event::Orders {
+            Event::CloudCall { caller, call } => self.cloud_call(caller, &call),
+            Event::Commands {
                 caller,
                 addr,
-                orders,
-            } => self.orders(caller, addr, orders),
-            Event::Workers => {
-                self.most_machines = self.most_machines.max(self.workers.len());
-                self.pass_workers();
-                self.look_at_replicas();
-                self.look_for_waiting();
+                commands,
+            } => self.deliver_commands(caller, addr, commands),
+            Event::AdvanceWorkers => {
+                self.peak_machines = self.peak_machines.max(self.workers.len());
+                self.advance_workers();
+                self.record_replica_counts();
+                self.check_waiting_jobs();
             }
-            Event::Checkin {
+            Event::Heartbeat {
                 machine,
                 node,
-                report,
+                heartbeat,
             } => {
-                let asker = Requester::Worker {
+                let requester = Requester::Worker {
                     machine,
-                    session: report.incarnation,
-                    seq: report.sequence,
-                    sent: self.now,
+                    incarnation: heartbeat.incarnation,
+                    sequence: heartbeat.sequence,
+                    sent_at: self.now,
                 };
-                let body = dillcleat_wire::encode(&*report);
-                self.ask(node, asker, "POST", HEARTBEAT_PATH.into(), body);
+                let body = dillcleat_wire::encode(&*heartbeat);
+                self.send_request(node, requester, "POST", HEARTBEAT_PATH.into(), body);
             }
-            Event::Copy { node, report } => {
-                let body = dillcleat_wire::encode(&*report);
-                self.ask(node, Requester::Nobody, "POST", HEARTBEAT_PATH.into(), body);
+            Event::HeartbeatCopy { node, heartbeat } => {
+                let body = dillcleat_wire::encode(&*heartbeat);
+                self.send_request(
+                    node,
+                    Requester::ReplyDiscarded,
+                    "POST",
+                    HEARTBEAT_PATH.into(),
+                    body,
+                );
             }
-            Event::CheckinAnswer {
+            Event::HeartbeatReply {
                 machine,
-                session,
-                seq,
-                sent,
+                incarnation,
+                sequence,
+                sent_at,
                 answer,
                 node,
             } => {
-                self.checkin_answer(&machine, session, seq, sent, &answer, node);
+                self.heartbeat_reply(&machine, incarnation, sequence, sent_at, &answer, node);
             }
-            Event::User { job } => self.user(job),
-            Event::UserTimeout { request } => match self.asked.remove(&request) {
-                Some((Requester::Object { job, what }, _)) => self.object_answer(job, what, 0, &[]),
-                Some((Requester::Watcher, _)) => self.watch_ends(request),
-                Some((asker, asked)) => self.user_answer(asker, asked, 0, None),
+            Event::UserRequest { job } => self.user_request(job),
+            Event::RequestTimeout { request } => match self.pending_requests.remove(&request) {
+                Some((Requester::ApiClient { job, operation }, _)) => {
+                    self.api_client_answer(job, operation, 0, &[]);
+                }
+                Some((Requester::ApiWatch, _)) => self.api_watch_ended(request),
+                Some((requester, sent_at)) => self.user_answer(requester, sent_at, 0, None),
                 None => {}
             },
-            Event::Stranger => {
+            Event::PollUnknownJob => {
                 if self.now < self.scenario.busy {
                     let id = format!("req-{}", 500_000 + self.rng.u32(..1000));
                     let path = poll_path(&id);
                     let node = self.rng.usize(..self.nodes.len());
-                    self.ask(node, Requester::Stranger { id }, "GET", path, Vec::new());
-                    self.at(self.now + 9 * SECOND, Event::Stranger);
+                    self.send_request(
+                        node,
+                        Requester::UnknownJobPoll { id },
+                        "GET",
+                        path,
+                        Vec::new(),
+                    );
+                    self.at(self.now + 9 * SECOND, Event::PollUnknownJob);
                 }
             }
-            Event::Odd => self.odd(),
-            Event::Look { job, node, again } => self.look(job, node, again),
-            Event::CallOff { job } => self.call_off(job),
-            Event::Up { machine } => {
+            Event::Odd => self.irregular_request(),
+            Event::ExtraRequest {
+                job,
+                node,
+                resubmit,
+            } => self.extra_request(job, node, resubmit),
+            Event::CancelJob { job } => self.cancel_job(job),
+            Event::MachineBooted { machine } => {
                 let Some(h) = self.cloud.hosts.get(&machine).cloned() else {
                     return;
                 };
-                let types = types(self.scenario.tight);
+                let types = machine_types(self.scenario.tight);
                 let of = types.iter().find(|t| t.name == h.machine_type);
                 let (cpus, gpus) = of.map_or((0.0, 0.0), |t| (t.cpus, t.gpus));
                 let place = MachineIdentity {
@@ -950,21 +1031,25 @@
                 let host = &mut self.nodes[node];
                 host.epoch += 1;
                 host.cancelled.clear();
-                let mut config = settings(&self.scenario, node);
+                let mut config = scenario_config(&self.scenario, node);
                 if self.scenario.upgrade.is_some() {
-                    config.value_bytes_before = WIDE.0;
-                    (config.value_bytes, config.txn_ops) = LOW;
-                    config.chunk_tasks = dillcleat_controller::config::tasks_per_chunk(LOW.0);
+                    config.value_bytes_before = INITIAL_STORE_LIMITS.value_bytes;
+                    config.value_bytes = REDUCED_STORE_LIMITS.value_bytes;
+                    config.txn_ops = REDUCED_STORE_LIMITS.txn_ops;
+                    config.chunk_tasks = dillcleat_controller::config::tasks_per_chunk(
+                        REDUCED_STORE_LIMITS.value_bytes,
+                    );
                 }
-                if host.old {
-                    (config.value_bytes, config.txn_ops) = WIDE;
-                    config.chunk_tasks = OLD_CHUNK;
+                if host.previous_version {
+                    config.value_bytes = INITIAL_STORE_LIMITS.value_bytes;
+                    config.txn_ops = INITIAL_STORE_LIMITS.txn_ops;
+                    config.chunk_tasks = PREVIOUS_TASKS_PER_CHUNK;
                 }
                 if matches!(
                     self.scenario.form,
                     SubmissionForm::Twin | SubmissionForm::Shadow
                 ) {
-                    // Only native submissions are sent a second time.
+                    // Only native submissions are repeated.
                     config.tuning.again_s = 0.0;
                 }
                 let rules = self.scenario.form.objects().then(objects::rules);
@@ -973,19 +1058,22 @@
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
                 self.at(at, Event::Tick { node, epoch });
             }
-            Event::Replace { node } => {
+            Event::UpgradeNode { node } => {
                 let host = &mut self.nodes[node];
-                host.old = false;
+                host.previous_version = false;
                 host.node = None;
                 host.epoch += 1;
-                let down = self.side.u64(SECOND / 10..2 * SECOND);
+                let down = self.auxiliary_rng.u64(SECOND / 10..2 * SECOND);
                 self.at(self.now + down, Event::Restart { node });
             }
-            Event::LimitsFall => self.state.limit(LOW.0, LOW.1),
+            Event::ReduceStoreLimits => self.state.limit(
+                REDUCED_STORE_LIMITS.value_bytes,
+                REDUCED_STORE_LIMITS.txn_ops,
+            ),
             Event::Fault(fault) => self.fault(*fault),
-            Event::Note => {
+            Event::RecordCloudListing => {
                 self.cloud.note(self.now);
-                self.at(self.now + Cloud::NOTE_EVERY, Event::Note);
+                self.at(self.now + Cloud::NOTE_EVERY, Event::RecordCloudListing);
             }
         }
     }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -1,115 +1,122 @@
-//! What gets across, and when.
+//! Message delivery: delays, losses and network partitions.
 
 use super::*;
 use dillcleat_controller::records::LeaderRecord;
 use dillcleat_kube::ApiServer;
 use dillcleat_wire::store::Mutation;
 
-/// Whether a call hands in a job: as with the users' protocol.
-fn submits(call: &StoreRequest) -> bool {
-    let open = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
-    matches!(call, StoreRequest::Transaction(txn) if txn.then.iter().any(open))
+/// Whether a call stores a new job, as a native submission does.
+fn stores_new_job(call: &StoreRequest) -> bool {
+    let opens_job = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
+    matches!(call, StoreRequest::Transaction(txn) if txn.then.iter().any(opens_job))
 }
 
-/// How a message gets from one place to another.
+/// The state of the network between two places.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Way {
-    Open,
-    /// Not before this time.
-    Held(Micros),
-    Lost,
+pub(super) enum Link {
+    Up,
+    /// Messages are held back until this time.
+    HeldUntil(Micros),
+    Down,
 }
 
 impl Simulation {
-    /// The zone of a node.
-    pub(super) fn site(node: usize) -> Option<usize> {
+    pub(super) fn node_zone(node: usize) -> Option<usize> {
         Some(node % ZONES.len())
     }
 
-    /// The way between two zones; none is the region, with the state service, the
-    /// cloud and users.
-    pub(super) fn way(&self, from: Option<usize>, to: Option<usize>) -> Way {
+    /// The state of the network between two zones. `None` stands for the region, where
+    /// the store, the cloud and the users are.
+    pub(super) fn link(&self, from: Option<usize>, to: Option<usize>) -> Link {
         if from == to {
-            return Way::Open;
+            return Link::Up;
         }
-        let mut way = Way::Open;
-        for (zone, leaves) in [(from, true), (to, false)] {
-            let Some(site) = zone.map(|z| self.site_cut[z]) else {
+        let mut link = Link::Up;
+        for (zone, outbound) in [(from, true), (to, false)] {
+            let Some(partition) = zone.map(|z| self.site_cut[z]) else {
                 continue;
             };
-            let passes = match site.cut {
+            let passes = match partition.cut {
                 Cut::Held | Cut::Lost => false,
-                Cut::Deaf => leaves,
-                Cut::Mute => !leaves,
+                Cut::Deaf => outbound,
+                Cut::Mute => !outbound,
             };
-            if self.now >= site.until || passes {
+            if self.now >= partition.until || passes {
                 continue;
             }
-            way = match way {
-                _ if site.cut == Cut::Lost => Way::Lost,
-                Way::Open => Way::Held(site.until),
-                Way::Held(until) => Way::Held(until.max(site.until)),
-                Way::Lost => Way::Lost,
+            link = match link {
+                _ if partition.cut == Cut::Lost => Link::Down,
+                Link::Up => Link::HeldUntil(partition.until),
+                Link::HeldUntil(until) => Link::HeldUntil(until.max(partition.until)),
+                Link::Down => Link::Down,
             };
         }
-        way
+        link
     }
 
-    /// `at`, or later if a message between the two is held back; None if it is lost.
-    pub(super) fn held(
+    /// When a message sent between two places arrives: at `at`, or later if a partition
+    /// holds it back; None if it is lost.
+    pub(super) fn delivery_time(
         &self,
         from: Option<usize>,
         to: Option<usize>,
         at: Micros,
     ) -> Option<Micros> {
-        match self.way(from, to) {
-            Way::Open => Some(at),
-            Way::Held(until) => Some(at.max(until)),
-            Way::Lost => None,
+        match self.link(from, to) {
+            Link::Up => Some(at),
+            Link::HeldUntil(until) => Some(at.max(until)),
+            Link::Down => None,
         }
     }
 
-    /// Who leads, by the state service.
-    pub(super) fn leads(&self, node: usize) -> ObservedLeader {
+    /// The leader that the store records, as compared with `node`.
+    pub(super) fn observed_leader(&self, node: usize) -> ObservedLeader {
         match self
             .state
             .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
         {
-            Some((lead, _)) if lead.member == format!("node-{node}") => ObservedLeader::Itself,
-            Some(_) => ObservedLeader::Another,
-            None => ObservedLeader::Nobody,
+            Some((leader, _)) if leader.member == format!("node-{node}") => {
+                ObservedLeader::ThisNode
+            }
+            Some(_) => ObservedLeader::OtherNode,
+            None => ObservedLeader::None,
         }
     }
 
-    pub(super) fn delay(&mut self) -> Micros {
-        self.delay_of(false)
+    pub(super) fn network_delay(&mut self) -> Micros {
+        self.network_delay_from(false)
     }
 
-    pub(super) fn luck(&mut self, aside: bool) -> &mut Rng {
-        if aside { &mut self.side } else { &mut self.rng }
+    pub(super) fn rng_for(&mut self, auxiliary: bool) -> &mut Rng {
+        if auxiliary {
+            &mut self.auxiliary_rng
+        } else {
+            &mut self.rng
+        }
     }
 
-    pub(super) fn delay_of(&mut self, aside: bool) -> Micros {
-        let rng = self.luck(aside);
+    pub(super) fn network_delay_from(&mut self, auxiliary: bool) -> Micros {
+        let rng = self.rng_for(auxiliary);
         match rng.u8(..) {
             0..=2 => rng.u64(100..400) * MILLISECOND,
             _ => rng.u64(500..8000),
         }
     }
 
-    /// When a message gets across, and whether its answer does.
-    pub(super) fn passage(&mut self, held_until: Micros) -> (Micros, bool) {
-        self.passage_of(held_until, false)
+    /// When a message arrives, and whether its connection stays intact. If not, a request
+    /// arrives without getting a reply, and a reply is lost.
+    pub(super) fn transit(&mut self, held_until: Micros) -> (Micros, bool) {
+        self.transit_from(held_until, false)
     }
 
-    pub(super) fn passage_of(&mut self, held_until: Micros, aside: bool) -> (Micros, bool) {
-        let delay = self.delay_of(aside);
+    pub(super) fn transit_from(&mut self, held_until: Micros, auxiliary: bool) -> (Micros, bool) {
+        let delay = self.network_delay_from(auxiliary);
         if self.now < held_until {
             return (held_until + delay, false);
         }
         if self.now < self.flaky_until {
             let now = self.now;
-            let rng = self.luck(aside);
+            let rng = self.rng_for(auxiliary);
             match rng.u8(..10) {
                 0 => return (now + rng.u64(SECOND..60 * SECOND), false),
                 1 => return (self.now + delay, false),
@@ -119,85 +126,86 @@
         (self.now + delay, true)
     }
 
-    /// When a call arrives, and who made it.
-    fn call(
+    /// The arrival time of a node's call, and its caller.
+    fn prepare_call(
         &mut self,
         node: usize,
         epoch: u32,
         id: CallId,
-        held: Micros,
-        aside: bool,
+        held_until: Micros,
+        auxiliary: bool,
     ) -> (Micros, Caller) {
-        let (at, heard) = self.passage_of(held, aside);
+        let (at, reply_delivered) = self.transit_from(held_until, auxiliary);
         let caller = Caller {
             node,
             epoch,
             id,
-            heard,
-            led: None,
-            aside,
-            waited: false,
+            reply_delivered,
+            leader_when_sent: None,
+            auxiliary,
+            delayed: false,
         };
         (at, caller)
     }
 
-    /// The same to a place in a zone, or in the region; None if it is lost.
-    fn call_to(
+    /// As `prepare_call`, to a zone or to the region; None if a partition drops the call.
+    fn prepare_call_to(
         &mut self,
         to: Option<usize>,
         node: usize,
         epoch: u32,
         id: CallId,
-        held: Micros,
-        aside: bool,
+        held_until: Micros,
+        auxiliary: bool,
     ) -> Option<(Micros, Caller)> {
-        let held = self.held(Self::site(node), to, held)?;
-        Some(self.call(node, epoch, id, held, aside))
+        let held_until = self.delivery_time(Self::node_zone(node), to, held_until)?;
+        Some(self.prepare_call(node, epoch, id, held_until, auxiliary))
     }
 
-    /// Sends an answer, if it gets across.
+    /// Sends a reply from the region to a node unless the network loses it.
     pub(super) fn reply(&mut self, caller: Caller, input: Input) {
         self.reply_from(None, caller, input);
     }
 
     pub(super) fn reply_from(&mut self, zone: Option<usize>, caller: Caller, input: Input) {
-        let held = self.held(zone, Self::site(caller.node), self.now);
-        if let Some(at) = held.filter(|_| caller.heard) {
-            let at = at + self.delay_of(caller.aside);
-            self.input(at, caller.node, caller.epoch, input);
+        let arrival = self.delivery_time(zone, Self::node_zone(caller.node), self.now);
+        if let Some(at) = arrival.filter(|_| caller.reply_delivered) {
+            let at = at + self.network_delay_from(caller.auxiliary);
+            self.schedule_input(at, caller.node, caller.epoch, input);
         }
     }
 
-    pub(super) fn carry(&mut self, node: usize, epoch: u32, out: ControllerOutput) {
-        self.history.record(self.now, node, &out);
-        match out {
-            ControllerOutput::Core(output) => self.carry_core(node, epoch, output),
-            ControllerOutput::Reply { id, reply } => match self.asked.remove(&id.0) {
-                Some((Requester::Object { job, what }, _)) => {
-                    self.object_answer(job, what, reply.status, &reply.body);
+    pub(super) fn dispatch_output(&mut self, node: usize, epoch: u32, output: ControllerOutput) {
+        self.history.record(self.now, node, &output);
+        match output {
+            ControllerOutput::Core(output) => self.dispatch_core_output(node, epoch, output),
+            ControllerOutput::Reply { id, reply } => match self.pending_requests.remove(&id.0) {
+                Some((Requester::ApiClient { job, operation }, _)) => {
+                    self.api_client_answer(job, operation, reply.status, &reply.body);
                 }
-                // The watch was refused.
-                Some((Requester::Watcher, _)) => self.watch_refused(reply.status),
+                Some((Requester::ApiWatch, _)) => self.api_watch_refused(reply.status),
                 _ => {}
             },
             ControllerOutput::Stream { .. } => {}
-            ControllerOutput::Chunk { id, bytes } => self.watched(id.0, &bytes),
-            ControllerOutput::End { id } => self.watch_ends(id.0),
+            ControllerOutput::Chunk { id, bytes } => self.api_watch_line(id.0, &bytes),
+            ControllerOutput::End { id } => self.api_watch_ended(id.0),
         }
     }
 
-    fn carry_core(&mut self, node: usize, epoch: u32, output: Output) {
+    fn dispatch_core_output(&mut self, node: usize, epoch: u32, output: Output) {
         match output {
             Output::Answer { id, answer } => self.answer(node, id.0, answer),
             Output::Store { id, call, timeout } => {
-                let held = self.nodes[node].state_cut;
-                let aside = ApiServer::owns(id) && !submits(&call);
-                if let Some((at, caller)) = self.call_to(None, node, epoch, id, held, aside) {
+                let held_until = self.nodes[node].state_cut;
+                let auxiliary = ApiServer::owns(id) && !stores_new_job(&call);
+                if let Some((at, caller)) =
+                    self.prepare_call_to(None, node, epoch, id, held_until, auxiliary)
+                {
                     let call = Box::new(call);
-                    self.at(at, Event::State { caller, call });
+                    self.at(at, Event::StoreCall { caller, call });
                 }
                 let reply = Err(CallError::NoAnswer);
-                self.input(self.now + timeout, node, epoch, Input::Store { id, reply });
+                self.schedule_input(self.now + timeout, node, epoch, Input::Store { id, reply });
             }
             Output::Cloud {
                 id,
@@ -206,54 +214,58 @@
                 within,
             } => {
                 let mut reply = Err(CallError::NoAnswer);
-                let held = match self.way(Self::site(node), None) {
-                    Way::Held(until) => Some(until),
+                let held_until = match self.link(Self::node_zone(node), None) {
+                    Link::HeldUntil(until) => Some(until),
                     _ => None,
                 };
-                // Without an open connection it waits for one, and goes out when there
-                // is one, if it still may.
-                let connects = held.filter(|_| self.rng.bool());
+                // Without an open connection the call waits for one. It is sent then
+                // unless it is too late.
+                let connected_at = held_until.filter(|_| self.rng.bool());
                 let too_late = |at| at > self.now + within.min(timeout);
-                if connects.is_some_and(too_late) {
+                if connected_at.is_some_and(too_late) {
                     reply = Err(CallError::NotSent);
-                } else if let Some((at, caller)) = self.call_to(None, node, epoch, id, 0, false) {
-                    let caller = match connects {
+                } else if let Some((at, caller)) =
+                    self.prepare_call_to(None, node, epoch, id, 0, false)
+                {
+                    let caller = match connected_at {
                         Some(_) => Caller {
-                            heard: true,
+                            reply_delivered: true,
                             ..caller
                         },
                         None => Caller {
-                            led: Some(self.leads(node)),
+                            leader_when_sent: Some(self.observed_leader(node)),
                             ..caller
                         },
                     };
                     let call = Box::new(call);
-                    self.at(at, Event::Cloud { caller, call });
+                    self.at(at, Event::CloudCall { caller, call });
                 }
-                self.input(self.now + timeout, node, epoch, Input::Cloud { id, reply });
+                self.schedule_input(self.now + timeout, node, epoch, Input::Cloud { id, reply });
             }
             Output::Commands {
                 id,
                 addr,
-                commands: orders,
+                commands,
                 timeout,
             } => {
-                self.launches(node, &orders.commands);
+                self.check_launches(node, &commands.commands);
                 let machine = addr.trim_end_matches(":9000");
-                let cut = self.zone_of(machine).map_or(0, |z| self.zone_cut[z]);
-                let held = self.nodes[node].workers_cut.max(cut);
                 let zone = self.zone_of(machine);
-                if let Some((at, caller)) = self.call_to(zone, node, epoch, id, held, false) {
-                    let orders = Box::new(orders);
-                    let ev = Event::Orders {
+                let zone_cut = zone.map_or(0, |z| self.zone_cut[z]);
+                let held_until = self.nodes[node].workers_cut.max(zone_cut);
+                if let Some((at, caller)) =
+                    self.prepare_call_to(zone, node, epoch, id, held_until, false)
+                {
+                    let commands = Box::new(commands);
+                    let event = Event::Commands {
                         caller,
                         addr,
-                        orders,
+                        commands,
                     };
-                    self.at(at, ev);
+                    self.at(at, event);
                 }
                 let reply = Err(CallError::NoAnswer);
-                self.input(
+                self.schedule_input(
                     self.now + timeout,
                     node,
                     epoch,
@@ -263,19 +275,21 @@
             Output::JobEvent(_) => {}
             Output::Peer { message } => {
                 for to in (0..self.nodes.len()).filter(|to| *to != node) {
-                    let (at, whole) = self.passage(0);
-                    let Some(at) = self.held(Self::site(node), Self::site(to), at) else {
+                    let (at, intact) = self.transit(0);
+                    let Some(at) =
+                        self.delivery_time(Self::node_zone(node), Self::node_zone(to), at)
+                    else {
                         continue;
                     };
-                    let cut = self.nodes[node].mesh_cut.max(self.nodes[to].mesh_cut);
+                    let cut_until = self.nodes[node].mesh_cut.max(self.nodes[to].mesh_cut);
                     let frame = message.encode();
-                    if whole
-                        && self.now >= cut
+                    if intact
+                        && self.now >= cut_until
                         && let Ok(message) = Message::decode(&frame[4..])
                     {
                         let from = format!("node-{node}");
                         let epoch = self.nodes[to].epoch;
-                        self.input(at, to, epoch, Input::Peer { from, message });
+                        self.schedule_input(at, to, epoch, Input::Peer { from, message });
                     }
                 }
             }
--- a/crates/simulator/src/simulation/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -1,62 +1,68 @@
-//! Users of pipelines: jobs that wait for other jobs.
+//! Users who submit pipelines of jobs that depend on each other.
 
 use super::*;
 
-/// What a user of a pipeline goes by, beside what every user does.
+/// Separates the seed of the pipelines from those of other generators.
+const PIPELINE_SEED_SALT: u64 = 0x91e5;
+
+/// The place of a user's job in a pipeline.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Stands {
-    /// The users of the jobs that this one waits for.
-    pub needs: Vec<usize>,
-    /// It is submitted when those are over, instead of when they are accepted.
-    pub late: bool,
+pub(super) struct PipelineStage {
+    /// Users (by index) of the jobs on which this job depends.
+    pub dependencies: Vec<usize>,
+    /// The job is submitted when its dependencies have ended, instead of when they have
+    /// been accepted.
+    pub submit_after_end: bool,
 }
 
 impl Simulation {
-    /// Chains, forks and joins, some on jobs of other users; some stages are cancelled.
+    /// Adds chains, forks and joins. Some depend on jobs of other users, and some stages
+    /// are cancelled.
     pub(super) fn add_pipelines(&mut self) {
-        let mut rng = Rng::with_seed(self.scenario.seed.rotate_left(17) ^ 0x91e5);
+        let mut rng = Rng::with_seed(self.scenario.seed.rotate_left(17) ^ PIPELINE_SEED_SALT);
         let others = self.users.len();
         for _ in 0..self.scenario.pipelines {
             let start = rng.u64(self.scenario.pipelines_from..self.scenario.busy * 3 / 5);
             let first = self.users.len();
             let stages = rng.usize(2..6);
             for stage in 0..stages {
-                let mut needs: Vec<usize> = match stage {
+                let mut dependencies: Vec<usize> = match stage {
                     0 => Vec::new(),
-                    // The one before, or any: a chain, a fork or a join.
+                    // Depending on the preceding stage or on any gives a chain, a fork or
+                    // a join.
                     _ if rng.bool() => vec![first + stage - 1],
                     _ => (first..first + stage).filter(|_| rng.bool()).collect(),
                 };
                 if others > 0 && rng.u8(..6) == 0 {
                     let other = rng.usize(..others);
                     if self.users[other].spec.kind == JobKind::Batch {
-                        needs.push(other);
+                        dependencies.push(other);
                     }
                 }
-                let stands = Stands {
-                    needs,
-                    late: stage + 1 == stages && rng.u8(..4) == 0,
+                let pipeline_stage = PipelineStage {
+                    dependencies,
+                    submit_after_end: stage + 1 == stages && rng.u8(..4) == 0,
                 };
                 let cancel = rng.u8(..7) == 0;
                 let cancel = cancel.then(|| rng.u64(start..self.scenario.busy));
                 let tasks = rng.u32(1..12);
-                self.add_stage(&mut rng, start, tasks, stands, cancel);
+                self.add_stage(&mut rng, start, tasks, pipeline_stage, cancel);
             }
         }
         if let Some(herd) = self.scenario.herd {
-            // Many wait for one, which is cancelled while they do.
+            // Many jobs depend on one, which is cancelled while they wait.
             let from = self.scenario.pipelines_from;
             let root = self.users.len();
             let cancel = Some(self.scenario.busy * 3 / 4);
-            let stands = Stands::default();
-            self.add_stage(&mut rng, from, 400, stands, cancel);
+            let pipeline_stage = PipelineStage::default();
+            self.add_stage(&mut rng, from, 400, pipeline_stage, cancel);
             for _ in 0..herd {
-                let stands = Stands {
-                    needs: vec![root],
-                    late: false,
+                let pipeline_stage = PipelineStage {
+                    dependencies: vec![root],
+                    submit_after_end: false,
                 };
                 let at = rng.u64(from..self.scenario.busy * 2 / 3);
-                self.add_stage(&mut rng, at, 1, stands, None);
+                self.add_stage(&mut rng, at, 1, pipeline_stage, None);
             }
         }
     }
@@ -66,7 +72,7 @@
         rng: &mut Rng,
         at: Micros,
         tasks: u32,
-        stands: Stands,
+        pipeline_stage: PipelineStage,
         cancel_at: Option<Micros>,
     ) {
         let job = self.users.len();
@@ -75,8 +81,8 @@
             team: if rng.bool() { "bound" } else { "free" }.into(),
             priority: [Priority::BestEffort, Priority::Normal, Priority::High][rng.usize(..3)],
             spot: rng.bool(),
-            depends_on: stands
-                .needs
+            depends_on: pipeline_stage
+                .dependencies
                 .iter()
                 .map(|n| self.users[*n].spec.id.clone())
                 .collect(),
@@ -88,26 +94,25 @@
                 1.0,
             )
         };
-        let play = TaskBehaviour {
+        let behaviour = TaskBehaviour {
             run: rng.u64(2 * SECOND..15 * SECOND),
             fails: false,
             spec: spec.clone(),
         };
-        self.plays.insert(spec.id.clone(), play);
+        self.task_behaviours.insert(spec.id.clone(), behaviour);
         self.users.push(User {
-            stands,
+            pipeline_stage,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Event::User { job });
+        self.at(at, Event::UserRequest { job });
     }
 
-    /// Whether the user's job may be handed in: those that it waits for are accepted,
-    /// or over.
-    pub(super) fn may_hand_in(&self, job: usize) -> bool {
-        let stands = &self.users[job].stands;
-        stands.needs.iter().all(|need| {
-            let u = &self.users[*need];
-            u.accepted && (!stands.late || u.ended.is_some())
+    /// Whether a job may be submitted: its dependencies have been accepted or have ended.
+    pub(super) fn dependencies_ready(&self, job: usize) -> bool {
+        let pipeline_stage = &self.users[job].pipeline_stage;
+        pipeline_stage.dependencies.iter().all(|dependency| {
+            let u = &self.users[*dependency];
+            u.accepted && (!pipeline_stage.submit_after_end || u.final_state.is_some())
         })
     }
 }
--- a/crates/simulator/src/simulation/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -1,4 +1,4 @@
-//! The state service with its watches, and the cloud, as nodes reach them.
+//! Calls of the nodes to the store, its watches and the cloud.
 
 use super::*;
 use crate::rules::Rule;
@@ -7,100 +7,110 @@
 use dillcleat_wire::store::{WatchBatch, WatchEvent};
 use dillcleat_wire::worker::Command;
 
-/// The jobs that an answer of the state service shows to be cancelled.
-pub(super) fn cancelled(reply: &StoreResponse) -> Vec<String> {
-    let of = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
+/// The jobs that a reply of the store shows to be cancelled.
+pub(super) fn cancelled_jobs(reply: &StoreResponse) -> Vec<String> {
+    let cancelled_job = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
     match reply {
-        StoreResponse::Found(row) => of(&row.key).into_iter().collect(),
-        StoreResponse::RangePage(page) => page.rows.iter().filter_map(|r| of(&r.key)).collect(),
+        StoreResponse::Found(row) => cancelled_job(&row.key).into_iter().collect(),
+        StoreResponse::RangePage(page) => page
+            .rows
+            .iter()
+            .filter_map(|r| cancelled_job(&r.key))
+            .collect(),
         StoreResponse::WatchBatch(changes) => {
-            let put = |e: &WatchEvent| match e {
-                WatchEvent::Put { key, .. } => of(key),
+            let put_of_cancelled_job = |e: &WatchEvent| match e {
+                WatchEvent::Put { key, .. } => cancelled_job(key),
                 WatchEvent::Delete { .. } => None,
             };
-            changes.events.iter().filter_map(put).collect()
+            changes
+                .events
+                .iter()
+                .filter_map(put_of_cancelled_job)
+                .collect()
         }
         _ => Vec::new(),
     }
 }
 
 impl Simulation {
-    /// Commands go out: none to start what their sender knows to be cancelled.
-    pub(super) fn launches(&mut self, node: usize, commands: &[Command]) {
+    /// Checks that no command starts a task of a job that the sender knows to be
+    /// cancelled.
+    pub(super) fn check_launches(&mut self, node: usize, commands: &[Command]) {
         for command in commands {
             if let Command::Launch { task, .. } = command {
-                let knows = self.nodes[node].cancelled.contains(&task.job);
-                self.checker.launches(task, knows, self.now);
+                let known_cancelled = self.nodes[node].cancelled.contains(&task.job);
+                self.checker.launches(task, known_cancelled, self.now);
             }
         }
     }
 
-    /// Ends the caller if this is its call to end at; whether the call is carried out.
-    fn ends_at_call(&mut self, caller: Caller, call: &StoreRequest) -> bool {
+    /// Crashes the caller if the scenario selects this call. Returns whether the call is
+    /// executed.
+    fn crash_at_store_call(&mut self, caller: Caller, call: &StoreRequest) -> bool {
         if matches!(call, StoreRequest::Watch { .. }) {
             return true;
         }
-        self.state_calls += 1;
+        self.store_calls += 1;
         let Some((_, moment)) = self
             .scenario
             .ends_at_call
-            .filter(|(number, _)| *number == self.state_calls)
+            .filter(|(number, _)| *number == self.store_calls)
         else {
             return true;
         };
         let nodes = vec![caller.node];
         let down = SECOND / 5;
-        let end = Fault::Crash { nodes, down };
-        // An answer is on its way for some milliseconds.
+        let crash = Fault::Crash { nodes, down };
+        // A reply takes a few milliseconds to arrive.
         let at = match moment {
             Moment::Before | Moment::CarriedOut => self.now,
             Moment::Answered => self.now + 10 * MILLISECOND,
         };
-        self.at(at, Event::Fault(Box::new(end)));
+        self.at(at, Event::Fault(Box::new(crash)));
         moment != Moment::Before
     }
 
-    pub(super) fn state_call(&mut self, caller: Caller, call: &StoreRequest) {
-        if !self.ends_at_call(caller, call) {
+    pub(super) fn store_call(&mut self, caller: Caller, call: &StoreRequest) {
+        if !self.crash_at_store_call(caller, call) {
             return;
         }
         let id = caller.id;
         let refused = self.now < self.nodes[caller.node].refused_until;
         if refused && !matches!(call, StoreRequest::Watch { .. }) {
             let reply = Ok(StoreResponse::Unavailable);
-            // Refused at once, whatever else goes wrong.
+            // The store refuses at once, even if the reply would be lost otherwise.
             let caller = Caller {
-                heard: true,
+                reply_delivered: true,
                 ..caller
             };
             return self.reply(caller, Input::Store { id, reply });
         }
         let late = self.now < self.late_writes_until
             && matches!(call, StoreRequest::Transaction(_))
-            && self.side.u8(..3) == 0;
+            && self.auxiliary_rng.u8(..3) == 0;
         let lost = matches!(call, StoreRequest::Transaction(_))
-            && !caller.waited
-            && self.befalls(self.answers_lost);
+            && !caller.delayed
+            && self.is_affected(self.answers_lost);
         let caller = Caller {
-            heard: caller.heard && !lost,
+            reply_delivered: caller.reply_delivered && !lost,
             ..caller
         };
         let slow = self.now < self.slow_state_until;
-        if (late || slow) && !caller.waited {
+        if (late || slow) && !caller.delayed {
             let wait = match late {
-                true => self.side.u64(2 * SECOND..12 * SECOND),
-                false => self.side.u64(300 * MILLISECOND..3 * SECOND),
+                true => self.auxiliary_rng.u64(2 * SECOND..12 * SECOND),
+                false => self.auxiliary_rng.u64(300 * MILLISECOND..3 * SECOND),
             };
             let caller = Caller {
-                heard: caller.heard && !late,
-                waited: true,
+                reply_delivered: caller.reply_delivered && !late,
+                delayed: true,
                 ..caller
             };
             let call = Box::new(call.clone());
-            return self.at(self.now + wait, Event::State { caller, call });
+            return self.at(self.now + wait, Event::StoreCall { caller, call });
         }
         let busy = self.now < self.too_many_until;
-        let rng = self.luck(caller.aside);
+        let rng = self.rng_for(caller.auxiliary);
         let too_many = rng.u16(..500) == 0 || (busy && rng.u8(..5) == 0);
         let answer = if too_many {
             Some(StoreResponse::RateLimited)
@@ -111,84 +121,89 @@
             Some(answer) => {
                 let reply = Ok(answer);
                 self.reply(caller, Input::Store { id, reply });
-                self.next_leader();
+                self.deliver_saved_heartbeats();
             }
             None => {
-                if let Some((watch, time)) = self.watches.open(caller, call) {
-                    self.at(self.now + time, Event::WatchEnds { watch });
+                if let Some((watch, time)) = self.store_watches.open(caller, call) {
+                    self.at(self.now + time, Event::StoreWatchExpired { watch });
                 }
             }
         }
-        self.wake_watches();
+        self.send_changed_watches();
     }
 
     pub(super) fn cloud_call(&mut self, caller: Caller, call: &CloudRequest) {
         let id = caller.id;
         let mut rng = self.rng.fork();
-        let mut never = rng.u8(..20) == 0;
-        let mut boot = rng.u64(SECOND..20 * SECOND);
+        let mut boot_fails = rng.u8(..20) == 0;
+        let mut boot_time = rng.u64(SECOND..20 * SECOND);
         if self.now < self.boots.until {
-            never = rng.u64(..self.boots.never) == 0;
-            boot = boot * self.boots.factor + MILLISECOND;
+            boot_fails = rng.u64(..self.boots.never) == 0;
+            boot_time = boot_time * self.boots.factor + MILLISECOND;
         }
-        let up = |_: &str| (!never).then_some(boot);
-        let (answer, new, gone) = self.cloud.call(call, self.now, up);
-        for machine in new.iter().filter(|_| !never).cloned() {
-            self.at(self.now + boot, Event::Up { machine });
+        let time_to_boot = |_: &str| (!boot_fails).then_some(boot_time);
+        let (answer, rented, deleted) = self.cloud.call(call, self.now, time_to_boot);
+        for machine in rented.iter().filter(|_| !boot_fails).cloned() {
+            self.at(self.now + boot_time, Event::MachineBooted { machine });
         }
-        let known = self.workers.len();
-        let gone: Vec<String> = gone
+        let machines_before = self.workers.len();
+        let deleted: Vec<String> = deleted
             .into_iter()
             .filter(|machine| self.workers.contains_key(machine))
             .collect();
-        // A cancellation is enforced also while nobody can prove to lead.
-        let now = self.leads(caller.node);
-        let deposed = match caller.led.unwrap_or(now) {
-            ObservedLeader::Itself => false,
-            ObservedLeader::Nobody => !new.is_empty(),
-            ObservedLeader::Another => new.len() + gone.len() > 0,
+        // Machines of cancelled jobs may be deleted while there is no leader.
+        let leader_now = self.observed_leader(caller.node);
+        let deposed = match caller.leader_when_sent.unwrap_or(leader_now) {
+            ObservedLeader::ThisNode => false,
+            ObservedLeader::None => !rented.is_empty(),
+            ObservedLeader::OtherNode => rented.len() + deleted.len() > 0,
         };
         if deposed {
-            let what = format!("node-{} led no more: {call:?}", caller.node);
+            let what = format!("node-{} was no longer the leader: {call:?}", caller.node);
             self.checker.found(Rule::Deposed, self.now, what);
         }
-        if now == ObservedLeader::Another {
-            self.late_hits += gone.len();
-            // What one call may delete, by the settings.
-            if gone.len() > 5.max(known / 50) {
-                let what = format!("node-{}, late: {call:?}", caller.node);
+        if leader_now == ObservedLeader::OtherNode {
+            self.late_deletions += deleted.len();
+            // More machines than the configuration allows to delete in one call.
+            if deleted.len() > 5.max(machines_before / 50) {
+                let what = format!(
+                    "node-{}: {} machines deleted by a late call: {call:?}",
+                    caller.node,
+                    deleted.len()
+                );
                 self.checker.found(Rule::Deposed, self.now, what);
             }
         }
-        for machine in gone {
+        for machine in deleted {
             self.machine_ends(&machine);
         }
         let reply = Ok(answer);
         self.reply(caller, Input::Cloud { id, reply });
     }
 
-    pub(super) fn wake_watches(&mut self) {
+    pub(super) fn send_changed_watches(&mut self) {
         self.state.expire(self.now);
         if self.state.out(self.now) {
             return;
         }
         let refused = |caller: Caller| self.nodes[caller.node].refused_until;
-        let may = |caller| self.now >= refused(caller);
-        for (caller, changes) in self.watches.changed(&self.state, may) {
-            self.watch_answer(caller, changes);
+        let accepts = |caller| self.now >= refused(caller);
+        for (caller, changes) in self.store_watches.changed(&self.state, accepts) {
+            self.send_watch_batch(caller, changes);
         }
     }
 
-    pub(super) fn watch_answer(&mut self, caller: Caller, changes: WatchBatch) {
-        let held = self.nodes[caller.node].state_cut;
-        let Some(held) = self.held(None, Self::site(caller.node), held) else {
+    pub(super) fn send_watch_batch(&mut self, caller: Caller, changes: WatchBatch) {
+        let cut_until = self.nodes[caller.node].state_cut;
+        let held_until = self.delivery_time(None, Self::node_zone(caller.node), cut_until);
+        let Some(held_until) = held_until else {
             return;
         };
-        let (at, whole) = self.passage_of(held, caller.aside);
-        if whole {
+        let (at, intact) = self.transit_from(held_until, caller.auxiliary);
+        if intact {
             let reply = Ok(StoreResponse::WatchBatch(changes));
             let id = caller.id;
-            self.input(at, caller.node, caller.epoch, Input::Store { id, reply });
+            self.schedule_input(at, caller.node, caller.epoch, Input::Store { id, reply });
         }
     }
 }
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -1,16 +1,14 @@
-//! Users, their jobs and their polls.
+//! Users who submit, poll and cancel jobs by the native protocol.
 
-use super::network::Way;
+use super::network::Link;
 use super::*;
 use crate::rules::Room;
 use crate::service_shares::Served;
 
-/// How often replicas are counted.
-const LOOK: Micros = SECOND;
-/// How often is looked for jobs that are left waiting.
-const LOOK_FOR_WAITING: Micros = 5 * SECOND;
-/// From this time after its acceptance a service is expected to be up.
-const STARTED: Micros = 60 * SECOND;
+const REPLICA_COUNT_INTERVAL: Micros = SECOND;
+const WAITING_JOBS_INTERVAL: Micros = 5 * SECOND;
+/// A service's replicas count as expected from this time after its acceptance.
+const SERVICE_START_TIME: Micros = 60 * SECOND;
 
 impl Simulation {
     pub(super) fn add_user(&mut self, job: usize) {
@@ -58,71 +56,75 @@
             spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
-                // Dozens of its tasks are placed at once.
+                // Small tasks, so that dozens of them are placed at the same time.
                 (spec.cpus, spec.memory_gb) = (0.25, 0.5);
                 (spec.single_zone, spec.zone) = (false, None);
             }
         }
         if spec.spread && spec.tasks > 1 {
-            // In one zone alone a spread has no room for its second half.
+            // A spread job may place only half of its tasks in one zone.
             spec.zone = None;
         }
         let mut at = rng.u64(SECOND..self.scenario.busy * 2 / 3);
         if let (0, Some((first, _))) = (job, self.scenario.upgrade) {
-            // The version before admits it.
+            // The job must be admitted by the version that is replaced.
             at = at.min(first);
         }
         let cancel = service || rng.u8(..5) == 0;
         let cancel_at = cancel.then(|| at + rng.u64(2 * SECOND..self.scenario.busy - at));
-        let cancel_at = self.smaller(&mut spec, at, cancel_at);
-        let long = self.varied(&mut spec);
-        let object = self.plan(job, &mut spec);
+        let cancel_at = self.shrink_job(&mut spec, at, cancel_at);
+        let extra_run_time = self.vary_placement(&mut spec);
+        let kube_job = self.kube_job(job, &mut spec);
         let rng = &mut self.rng;
-        let play = TaskBehaviour {
-            run: rng.u64(2 * SECOND..20 * SECOND) + long,
+        let behaviour = TaskBehaviour {
+            run: rng.u64(2 * SECOND..20 * SECOND) + extra_run_time,
             fails: cancel && !service && rng.u8(..4) == 0,
             spec: spec.clone(),
         };
-        self.plays.insert(spec.id.clone(), play);
+        self.task_behaviours.insert(spec.id.clone(), behaviour);
         self.users.push(User {
-            object,
+            kube_job,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Event::User { job });
+        self.at(at, Event::UserRequest { job });
     }
 
-    /// On days of varied jobs: binds some to a zone, and has some of an array's need
-    /// accelerators where there are any; Jobs of Kubernetes ask for none. By how much its
-    /// tasks run longer.
-    fn varied(&mut self, spec: &mut JobSpec) -> Micros {
+    /// In scenarios with varied jobs, binds some jobs to a zone and makes some native
+    /// batch jobs request accelerators where machines have them. Returns the time to add
+    /// to the run time of the job's tasks.
+    fn vary_placement(&mut self, spec: &mut JobSpec) -> Micros {
         if self.scenario.large_site {
-            // So long that machines are rented for all that waits.
-            return self.side.u64(60 * SECOND..120 * SECOND);
+            // Tasks run so long that machines are rented for all waiting tasks.
+            return self.auxiliary_rng.u64(60 * SECOND..120 * SECOND);
         }
         if !self.scenario.varied {
             return 0;
         }
         let native = self.scenario.form == SubmissionForm::Native;
-        if self.scenario.tight && native && spec.kind == JobKind::Batch && self.side.u8(..3) == 0 {
+        if self.scenario.tight
+            && native
+            && spec.kind == JobKind::Batch
+            && self.auxiliary_rng.u8(..3) == 0
+        {
             spec.gpus = 1.0;
             spec.types = None;
         }
-        match self.side.u8(..8) {
-            0 => spec.zone = Some(ZONES[self.side.usize(..3)].to_string()),
+        match self.auxiliary_rng.u8(..8) {
+            0 => spec.zone = Some(ZONES[self.auxiliary_rng.usize(..3)].to_string()),
             1 | 2 => spec.single_zone = true,
             _ => {}
         }
-        // The two exclude a spread.
+        // A job bound to one zone cannot be spread.
         spec.spread &= spec.zone.is_none() && !spec.single_zone;
-        match self.side.u8(..6) {
-            0 => self.side.u64(20 * SECOND..70 * SECOND),
+        match self.auxiliary_rng.u8(..6) {
+            0 => self.auxiliary_rng.u64(20 * SECOND..70 * SECOND),
             _ => 0,
         }
     }
 
-    /// On days of small jobs: two or three tasks for half of them, and more users that
-    /// cancel.
-    fn smaller(
+    /// In scenarios with small jobs, reduces half of the jobs to two or three tasks and
+    /// lets more users cancel.
+    fn shrink_job(
         &mut self,
         spec: &mut JobSpec,
         at: Micros,
@@ -131,37 +133,42 @@
         if !self.scenario.small {
             return cancel_at;
         }
-        if self.side.bool() {
-            spec.tasks = self.side.u32(2..4);
+        if self.auxiliary_rng.bool() {
+            spec.tasks = self.auxiliary_rng.u32(2..4);
         }
         let busy = self.scenario.busy;
         cancel_at.or_else(|| {
-            let cancels = self.side.u8(..3) == 0;
-            cancels.then(|| self.side.u64(at + 2 * SECOND..busy))
+            let cancels = self.auxiliary_rng.u8(..3) == 0;
+            cancels.then(|| self.auxiliary_rng.u64(at + 2 * SECOND..busy))
         })
     }
 
-    pub(super) fn ask(
+    pub(super) fn send_request(
         &mut self,
         node: usize,
-        asker: Requester,
+        requester: Requester,
         method: &str,
         target: String,
         body: Vec<u8>,
     ) {
-        self.next += 1;
-        let request = self.next;
-        self.asked.insert(request, (asker, self.now));
-        self.at(self.now + USER_TIMEOUT, Event::UserTimeout { request });
+        self.last_request_id += 1;
+        let request = self.last_request_id;
+        let from_region = !matches!(
+            requester,
+            Requester::Worker { .. } | Requester::ReplyDiscarded
+        );
+        self.pending_requests.insert(request, (requester, self.now));
+        self.at(
+            self.now + REQUEST_TIMEOUT,
+            Event::RequestTimeout { request },
+        );
         let epoch = self.nodes[node].epoch;
-        let mut at = self.now + self.delay() / 4;
-        let asker = self.asked.get(&request).map(|(asker, _)| asker);
-        let from_region = !matches!(asker, Some(Requester::Worker { .. } | Requester::Nobody));
+        let mut at = self.now + self.network_delay() / 4;
         if from_region {
-            let Some(held) = self.held(None, Self::site(node), at) else {
+            let Some(arrival) = self.delivery_time(None, Self::node_zone(node), at) else {
                 return;
             };
-            at = held;
+            at = arrival;
         }
         let input = Input::Request {
             id: RequestId(request),
@@ -169,104 +176,103 @@
             target,
             body,
         };
-        self.input(at, node, epoch, input);
+        self.schedule_input(at, node, epoch, input);
     }
 
     pub(super) fn answer(&mut self, node: usize, request: u64, answer: Answer) {
-        let Some((asker, asked)) = self.asked.remove(&request) else {
+        let Some((requester, sent_at)) = self.pending_requests.remove(&request) else {
             return;
         };
-        match asker {
+        match requester {
             Requester::Worker {
                 machine,
-                session,
-                seq,
-                sent,
+                incarnation,
+                sequence,
+                sent_at,
             } => {
-                if let Ok(a) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
-                    self.launches(node, &a.commands);
+                if let Ok(reply) = dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
+                    self.check_launches(node, &reply.commands);
                 }
                 let zone = self.zone_of(&machine).unwrap_or(0);
-                let held = self.zone_cut[zone].max(self.nodes[node].workers_cut);
-                let Some(held) = self.held(Self::site(node), Some(zone), held) else {
+                let cut_until = self.zone_cut[zone].max(self.nodes[node].workers_cut);
+                let held_until = self.delivery_time(Self::node_zone(node), Some(zone), cut_until);
+                let Some(held_until) = held_until else {
                     return;
                 };
-                let (at, whole) = self.passage(held);
-                if whole {
+                let (at, intact) = self.transit(held_until);
+                if intact {
                     let answer = Box::new(answer);
                     self.at(
                         at,
-                        Event::CheckinAnswer {
+                        Event::HeartbeatReply {
                             machine,
-                            session,
-                            seq,
-                            sent,
+                            incarnation,
+                            sequence,
+                            sent_at,
                             answer,
                             node,
                         },
                     );
                 }
             }
-            Requester::Nobody => {}
-            asker if self.way(Self::site(node), None) != Way::Open => {
-                // It never comes: whoever asked gives it up.
-                self.asked.insert(request, (asker, asked));
+            Requester::ReplyDiscarded => {}
+            requester if self.link(Self::node_zone(node), None) != Link::Up => {
+                // The answer is lost; the request will time out.
+                self.pending_requests.insert(request, (requester, sent_at));
             }
-            asker => {
+            requester => {
                 let status = dillcleat_wire::decode::<JobStatus>(&answer.body).ok();
                 let state = status.as_ref().map(|s| s.state);
                 if let Some(s) = status.filter(|s| s.state == JobState::Cancelled) {
                     self.nodes[node].cancelled.insert(s.id);
                 }
-                self.user_answer(asker, asked, answer.status, state);
+                self.user_answer(requester, sent_at, answer.status, state);
             }
         }
     }
 
-    pub(super) fn submit(&mut self, node: usize, asker: Requester, spec: &JobSpec) {
+    pub(super) fn submit(&mut self, node: usize, requester: Requester, spec: &JobSpec) {
         let body = dillcleat_wire::encode(spec);
-        self.ask(node, asker, "POST", JOBS_PATH.into(), body);
+        self.send_request(node, requester, "POST", JOBS_PATH.into(), body);
     }
 
-    pub(super) fn user(&mut self, job: usize) {
+    pub(super) fn user_request(&mut self, job: usize) {
         let mut node = self.rng.usize(..self.nodes.len());
-        // The load balancer leaves out who does not answer its probes: users once
-        // went to nodes that were not running for a minute and more, and one
-        // called its job forgotten for it (seed 40432).
-        let mut none = true;
+        // The load balancer skips nodes that are paused or partitioned.
+        let mut all_unreachable = true;
         for _ in 0..self.nodes.len() {
-            let reached = self.way(None, Self::site(node)) == Way::Open
-                && self.way(Self::site(node), None) == Way::Open;
-            none &= !reached;
-            if self.now < self.nodes[node].paused_until || !reached {
+            let reachable = self.link(None, Self::node_zone(node)) == Link::Up
+                && self.link(Self::node_zone(node), None) == Link::Up;
+            all_unreachable &= !reachable;
+            if self.now < self.nodes[node].paused_until || !reachable {
                 node = (node + 1) % self.nodes.len();
             }
         }
         let now = self.now;
-        if none {
-            // There is no healthy node: that nobody is answered is no rule's matter.
-            return self.user_again(now + SECOND, job);
+        if all_unreachable {
+            // No node is reachable, so a missing answer violates no rule.
+            return self.schedule_user_request(now + SECOND, job);
         }
-        if self.users[job].object.is_some() && self.object_user(node, job) {
+        if self.users[job].kube_job.is_some() && self.api_client_request(node, job) {
             return;
         }
-        if self.users[job].stage == Stage::Submitting && !self.may_hand_in(job) {
-            return self.user_again(now + SECOND / 2, job);
+        if self.users[job].stage == Stage::Submitting && !self.dependencies_ready(job) {
+            return self.schedule_user_request(now + SECOND / 2, job);
         }
         let u = &mut self.users[job];
         let id = u.spec.id.clone();
         match u.stage {
             Stage::Submitting => {
-                u.since.get_or_insert(now);
+                u.first_submitted_at.get_or_insert(now);
                 let spec = u.spec.clone();
                 self.checker.submits(&spec);
                 self.submit(node, Requester::Submission { job }, &spec);
             }
-            Stage::Polling | Stage::Over
-                if u.ended.is_none() && u.cancel_at.is_some_and(|at| now >= at) =>
+            Stage::Polling | Stage::Ended
+                if u.final_state.is_none() && u.cancel_at.is_some_and(|at| now >= at) =>
             {
                 self.checker.asks_to_cancel(&id);
-                self.ask(
+                self.send_request(
                     node,
                     Requester::Cancel { job },
                     "POST",
@@ -274,14 +280,15 @@
                     Vec::new(),
                 );
             }
-            Stage::Polling | Stage::Over => {
-                if u.stage == Stage::Over && u.again % 2 == 1 {
-                    // Known whatever else it holds.
+            Stage::Polling | Stage::Ended => {
+                if u.stage == Stage::Ended && u.answer_count % 2 == 1 {
+                    // A known job is recognised by its ID whatever else the submission
+                    // contains.
                     let mut spec = u.spec.clone();
                     spec.team = "unknown".into();
                     self.submit(node, Requester::Submission { job }, &spec);
                 } else {
-                    self.ask(
+                    self.send_request(
                         node,
                         Requester::Poll { job },
                         "GET",
@@ -293,43 +300,45 @@
         }
     }
 
-    /// When a user asks again. On days that are compared on the second: when the last
-    /// answer came is the one thing that two ways in may differ by.
-    pub(super) fn user_again(&mut self, at: Micros, job: usize) {
-        let at = match self.compared() {
+    /// Schedules a user's next request. In runs that are compared, it is rounded up to a
+    /// full second, as the time of the last answer differs between the forms of
+    /// submission.
+    pub(super) fn schedule_user_request(&mut self, at: Micros, job: usize) {
+        let at = match self.is_comparison_run() {
             true => at.next_multiple_of(SECOND),
             false => at,
         };
-        self.at(at, Event::User { job });
+        self.at(at, Event::UserRequest { job });
     }
 
     pub(super) fn user_answer(
         &mut self,
-        asker: Requester,
-        asked: Micros,
+        requester: Requester,
+        sent_at: Micros,
         status: u16,
         state: Option<JobState>,
     ) {
-        let news = self.news(&asker, status, state);
-        self.user_hears(asker, asked, status, state);
-        if let Some((job, accepted)) = news {
-            self.presses(job, accepted);
+        let first_result = self.first_result(&requester, status, state);
+        self.record_user_answer(requester, sent_at, status, state);
+        if let Some((job, accepted)) = first_result {
+            self.react_to_result(job, accepted);
         }
     }
 
-    fn user_hears(
+    fn record_user_answer(
         &mut self,
-        asker: Requester,
-        asked: Micros,
+        requester: Requester,
+        sent_at: Micros,
         status: u16,
         state: Option<JobState>,
     ) {
         let now = self.now;
         self.digest.update(now.to_be_bytes());
         self.digest.update(status.to_be_bytes());
-        self.digest.update(format!("{asker:?} {state:?}"));
+        self.digest
+            .update(format!("{} {state:?}", requester.digest_text()));
         let ended = state.filter(|s| matches!(s, JobState::Done | JobState::Cancelled));
-        if let Requester::Submission { job } | Requester::Poll { job } = asker {
+        if let Requester::Submission { job } | Requester::Poll { job } = requester {
             let u = &mut self.users[job];
             let known = matches!(status, 200 | 201);
             if known {
@@ -341,35 +350,41 @@
             let answered = f64::from(u8::from(known || status == 404));
             let (class, team) = (&u.spec.class, &u.spec.team);
             let add = |s: &mut Served| s.answers.add(now, 1.0, answered);
-            self.served.count(class, team, add);
+            self.service_shares.count(class, team, add);
         }
-        match asker {
+        match requester {
             Requester::Worker { .. }
-            | Requester::Object { .. }
-            | Requester::Watcher
-            | Requester::Nobody => {}
-            Requester::Stranger { id } => {
-                self.checker.answered_poll(&id, status, state, asked, now)
+            | Requester::ApiClient { .. }
+            | Requester::ApiWatch
+            | Requester::ReplyDiscarded => {}
+            Requester::UnknownJobPoll { id } => {
+                self.checker.answered_poll(&id, status, state, sent_at, now)
             }
-            Requester::Refused { id, status: right } => {
-                self.checker.answered_refused(&id, status, right, now);
+            Requester::InvalidSubmission {
+                id,
+                expected_status,
+            } => {
+                self.checker
+                    .answered_refused(&id, status, expected_status, now);
             }
-            Requester::Look { job } | Requester::Again { job } | Requester::CallOff { job } => {
+            Requester::ExtraPoll { job }
+            | Requester::ExtraSubmission { job }
+            | Requester::ExtraCancel { job } => {
                 let u = &mut self.users[job];
                 let id = u.spec.id.clone();
                 u.accepted |= matches!(status, 200 | 201);
                 if ended.is_some() {
-                    u.ended = ended;
-                    u.stage = Stage::Over;
+                    u.final_state = ended;
+                    u.stage = Stage::Ended;
                 }
-                match asker {
-                    Requester::Again { .. } => self
+                match requester {
+                    Requester::ExtraSubmission { .. } => self
                         .checker
-                        .answered_submission(&id, status, state, asked, now),
-                    // Also nodes are asked that no load balancer would choose: that they
-                    // don't answer tells nothing.
+                        .answered_submission(&id, status, state, sent_at, now),
+                    // These requests also go to unhealthy nodes, so an error shows
+                    // nothing.
                     _ if !matches!(status, 200 | 404) => {}
-                    _ => self.checker.answered_poll(&id, status, state, asked, now),
+                    _ => self.checker.answered_poll(&id, status, state, sent_at, now),
                 }
             }
             Requester::Submission { job } => {
@@ -382,26 +397,26 @@
                             u.stage = Stage::Polling;
                         }
                         if ended.is_some() {
-                            u.ended = ended;
-                            u.stage = Stage::Over;
+                            u.final_state = ended;
+                            u.stage = Stage::Ended;
                         }
-                        self.user_again(now + 4 * SECOND, job);
+                        self.schedule_user_request(now + 4 * SECOND, job);
                     }
                     400 | 422 if u.stage == Stage::Submitting => {}
                     _ => {
-                        let gave_up = u.since.is_some_and(|s| now > s + 60 * SECOND);
+                        let gave_up = u.first_submitted_at.is_some_and(|s| now > s + 60 * SECOND);
                         let mut pause = SECOND;
                         if u.stage == Stage::Submitting && gave_up {
-                            // What was held up on its way may be carried out yet: it
-                            // asks once whether its job is known.
+                            // A delayed submission may still be executed: poll once to
+                            // find out whether the job is known.
                             u.stage = Stage::Polling;
                             pause = 150 * SECOND;
                         }
-                        self.user_again(now + pause, job);
+                        self.schedule_user_request(now + pause, job);
                     }
                 }
                 self.checker
-                    .answered_submission(&id, status, state, asked, now);
+                    .answered_submission(&id, status, state, sent_at, now);
             }
             Requester::Poll { job } | Requester::Cancel { job } => {
                 let u = &mut self.users[job];
@@ -411,66 +426,67 @@
                     return;
                 }
                 if ended.is_some() {
-                    u.ended = ended;
-                    u.stage = Stage::Over;
+                    u.final_state = ended;
+                    u.stage = Stage::Ended;
                 }
                 let pause = match u.stage {
-                    Stage::Over => {
-                        u.again += 1;
+                    Stage::Ended => {
+                        u.answer_count += 1;
                         20 * SECOND
                     }
                     _ if now < self.storm_until => 5 * SECOND / 8,
                     _ => 5 * SECOND,
                 };
-                self.user_again(now + pause, job);
-                self.checker.answered_poll(&id, status, state, asked, now);
+                self.schedule_user_request(now + pause, job);
+                self.checker.answered_poll(&id, status, state, sent_at, now);
             }
         }
     }
 
-    /// Counts the replicas that run now, of services that were accepted a while ago and
-    /// that nobody has asked to cancel.
-    pub(super) fn look_at_replicas(&mut self) {
-        let cut = self.site_cut.iter().filter(|c| self.now < c.until).count();
-        // With most zones cut off from everything nobody could keep replicas up.
-        if !self.now.is_multiple_of(LOOK) || cut * 2 > ZONES.len() {
+    /// Counts the running replicas of services that were accepted some time ago and that
+    /// no user has asked to cancel.
+    pub(super) fn record_replica_counts(&mut self) {
+        let partitioned = self.site_cut.iter().filter(|c| self.now < c.until).count();
+        // With most zones partitioned the replicas cannot be kept running.
+        if !self.now.is_multiple_of(REPLICA_COUNT_INTERVAL) || partitioned * 2 > ZONES.len() {
             return;
         }
-        let wanted = |u: &&User| {
+        let expected_to_run = |u: &&User| {
             u.spec.kind == JobKind::Service
-                && u.accepted_at.is_some_and(|at| self.now > at + STARTED)
-                && u.ended.is_none()
+                && u.accepted_at
+                    .is_some_and(|at| self.now > at + SERVICE_START_TIME)
+                && u.final_state.is_none()
                 && u.cancel_at.is_none_or(|at| self.now < at)
         };
-        // No more counts than a team's limit lets run at once.
+        // A team's limit bounds the number of expected replicas.
         let mut cpus: BTreeMap<&str, f64> = BTreeMap::new();
-        for u in self.users.iter().filter(wanted) {
-            let all = u.spec.cpus * f64::from(u.spec.tasks);
-            *cpus.entry(&u.spec.team).or_default() += all;
+        for u in self.users.iter().filter(expected_to_run) {
+            let job_cpus = u.spec.cpus * f64::from(u.spec.tasks);
+            *cpus.entry(&u.spec.team).or_default() += job_cpus;
         }
-        let may = |team: &str| {
-            let limits = self.config.teams.iter();
-            let mut limits = limits.filter(|t| t.name == team && t.cpus_max > 0.0);
-            limits
+        let allowed_share = |team: &str| {
+            let teams = self.config.teams.iter();
+            let mut limited = teams.filter(|t| t.name == team && t.cpus_max > 0.0);
+            limited
                 .next()
                 .map_or(1.0, |t| (t.cpus_max / cpus[team]).min(1.0))
         };
-        for u in self.users.iter().filter(wanted) {
-            let (on, _) = self.checker.tasks(&u.spec.id);
-            let all = f64::from(u.spec.tasks) * may(&u.spec.team);
-            let on = f64::from(on);
-            let add = |s: &mut Served| s.replicas.add(self.now, all, on);
-            self.served.count(&u.spec.class, &u.spec.team, add);
+        for u in self.users.iter().filter(expected_to_run) {
+            let (running, _) = self.checker.tasks(&u.spec.id);
+            let expected = f64::from(u.spec.tasks) * allowed_share(&u.spec.team);
+            let running = f64::from(running);
+            let add = |s: &mut Served| s.replicas.add(self.now, expected, running);
+            self.service_shares.count(&u.spec.class, &u.spec.team, add);
         }
     }
 
-    /// Looks for jobs that are left waiting once the troubles are over.
-    pub(super) fn look_for_waiting(&mut self) {
-        let due = self.now.is_multiple_of(LOOK_FOR_WAITING);
+    /// Checks for starved jobs once all faults are over.
+    pub(super) fn check_waiting_jobs(&mut self) {
+        let due = self.now.is_multiple_of(WAITING_JOBS_INTERVAL);
         if self.now < self.checker.troubles_end || !due {
             return;
         }
-        let room = |w: &Worker| {
+        let free_room = |w: &Worker| {
             let (cpus, gpus) = w.free();
             Room {
                 place: w.place.clone(),
@@ -480,13 +496,13 @@
                 takes: w.takes(self.now),
             }
         };
-        let rooms: Vec<Room> = self.workers.values().map(room).collect();
-        let fails = |id: &str| self.plays.get(id).is_some_and(|p| p.fails);
+        let rooms: Vec<Room> = self.workers.values().map(free_room).collect();
+        let fails = |id: &str| self.task_behaviours.get(id).is_some_and(|p| p.fails);
         self.checker.look_for_waiting(&rooms, fails, self.now);
     }
 
-    /// Counts what was done of the arrays that were to be done.
-    pub(super) fn finish_served(&mut self) {
+    /// Counts the completed work of batch jobs whose deadline has passed.
+    pub(super) fn record_batch_service(&mut self) {
         let mut largest: BTreeMap<&str, u32> = BTreeMap::new();
         for u in &self.users {
             let most = largest.entry(&u.spec.class).or_default();
@@ -501,13 +517,13 @@
             let (_, done) = self.checker.tasks(&u.spec.id);
             let (all, done) = (f64::from(u.spec.tasks), f64::from(done));
             let in_time = f64::from(u8::from(u.ended_at.is_some_and(|at| at <= due)));
-            self.served.count(&u.spec.class, &u.spec.team, |s| {
+            self.service_shares.count(&u.spec.class, &u.spec.team, |s| {
                 s.work.add(due, all, done);
                 s.in_time.add(due, 1.0, in_time);
             });
             if u.spec.tasks == largest[&*u.spec.class] {
                 let add = |s: &mut Served| s.work.add(due, all, done);
-                self.served.count_largest(&u.spec.class, add);
+                self.service_shares.count_largest(&u.spec.class, add);
             }
         }
     }
