--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,18 +1,18 @@
-//! A fleet that a new leader takes up, at sizes that a test can play: what is
-//! counted holds at any, what takes time is measured by the example `grown`.
+//! A new leader takes over a running fleet of a size that a test can simulate. The example
+//! `scaling` measures larger fleets.
 
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::{Fleet, FleetMeasurements, FleetSettings};
 
-fn play(setting: FleetSettings) -> FleetMeasurements {
-    let mut fleet = Fleet::new(setting);
+fn run(settings: FleetSettings) -> FleetMeasurements {
+    let mut fleet = Fleet::new(settings);
     fleet.run();
     let m = fleet.into_measured();
-    assert_eq!(m.malformed, [""; 0]);
+    assert_eq!(m.malformed, [""; 0], "requests over a limit");
     m
 }
 
-fn setting(machines: u32, waiting: u32) -> FleetSettings {
+fn settings(machines: u32, waiting: u32) -> FleetSettings {
     FleetSettings {
         waiting,
         warm_up: 3 * SECOND,
@@ -21,54 +21,66 @@
     }
 }
 
-/// Every pass once looked at every waiting job.
+/// Guards against scheduling passes that visit every waiting job.
 #[test]
-fn a_pass_looks_at_what_it_can_place_however_much_waits() {
-    let jobs_of_a_pass = |waiting| {
-        let m = play(setting(100, waiting));
+fn scheduling_pass_cost_is_independent_of_waiting_jobs() {
+    let jobs_per_pass = |waiting| {
+        let m = run(settings(100, waiting));
         assert!(m.starts > 50, "{} starts", m.starts);
         m.counts.jobs as f64 / m.counts.passes as f64
     };
-    let (few, many) = (jobs_of_a_pass(1_000), jobs_of_a_pass(30_000));
-    assert!(many < few * 2.0 + 5.0, "{few} jobs a pass, then {many}");
+    let (few, many) = (jobs_per_pass(1_000), jobs_per_pass(30_000));
+    assert!(many < few * 2.0 + 5.0, "{few} jobs per pass, then {many}");
 }
 
-/// Orders to ten thousand machines once went out in one turn, and their answers
-/// stood before the reports on which leases live.
+/// Guards against commands to all machines at once, whose answers would delay the
+/// heartbeats that renew leases.
 #[test]
-fn a_new_leader_reaches_every_machine_with_few_orders_at_a_time() {
-    let m = play(setting(600, 2_000));
-    assert!(m.most_orders <= Fleet::MAX_ORDERS, "{}", m.most_orders);
-    // By orders, long before each would report by itself.
-    let heard = m.all_heard.expect("every machine is answered in the term");
-    assert!(heard <= 6 * SECOND, "{heard} us");
+fn new_leader_contacts_all_machines_with_bounded_commands_in_flight() {
+    let m = run(settings(600, 2_000));
+    assert!(
+        m.most_orders <= Fleet::MAX_ORDERS,
+        "{} commands in flight",
+        m.most_orders
+    );
+    // By commands, well before each machine would send its next heartbeat.
+    let all_contacted = m.all_heard.expect("every machine is contacted in the term");
+    assert!(
+        all_contacted <= 6 * SECOND,
+        "all machines contacted after {all_contacted} us"
+    );
     assert!(m.first_launch.is_some_and(|at| at < SECOND));
     assert_eq!(m.leases_lost, 0);
 }
 
-/// Reports that nobody answered for two of their intervals come all at once.
+/// Guards against leases that expire because the whole fleet sends heartbeats at once after
+/// two intervals without replies.
 #[test]
-fn no_lease_ends_for_want_of_an_answer_when_a_whole_fleet_reports_at_once() {
+fn heartbeat_burst_after_an_outage_expires_no_lease() {
     let silence = Some((4 * SECOND, 12 * SECOND));
-    let m = play(FleetSettings {
+    let m = run(FleetSettings {
         silence,
         measured: 30 * SECOND,
-        ..setting(400, 1_000)
+        ..settings(400, 1_000)
     });
     assert_eq!(m.leases_lost, 0);
-    // All of the silence is lost of a lease, and a report's time at the most.
-    assert!(m.least_left > 2 * SECOND, "{} us left", m.least_left);
+    // A lease loses at most the outage and one heartbeat interval.
+    assert!(
+        m.least_left > 2 * SECOND,
+        "{} us left of a lease",
+        m.least_left
+    );
     assert!(m.starts > 100, "{} starts", m.starts);
 }
 
-/// A leader that takes up its fleet at the state service's limits keeps to them.
+/// Guards against lost leases while a new leader takes over a fleet at the store's limits.
 #[test]
-fn a_leader_keeps_to_the_limits_of_the_state_service() {
-    let m = play(FleetSettings {
+fn new_leader_loses_no_lease_at_low_store_limits() {
+    let m = run(FleetSettings {
         state_rps: 60.0,
         state_write_rps: 25.0,
         measured: 20 * SECOND,
-        ..setting(200, 2_000)
+        ..settings(200, 2_000)
     });
     assert!(m.starts > 100, "{} starts", m.starts);
     assert_eq!(m.leases_lost, 0);
--- a/crates/simulator/tests/rules_are_checked.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The checker catches a planted violation of each rule, and nothing else.
+//! The checker reports a planted violation of each rule, and no other violation.
 
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::rules::{Limit, MachineIdentity, Room};
@@ -31,23 +31,23 @@
     }
 }
 
-/// A job that waits for the other, and its task.
-fn waiting() -> JobSpec {
+/// A job that depends on the job of `spec`.
+fn dependent_spec() -> JobSpec {
     JobSpec {
         depends_on: vec!["req-1".into()],
         ..JobSpec::plain("req-2", JobKind::Batch, 1, 4.0)
     }
 }
 
-fn second() -> TaskName {
+fn dependent_task() -> TaskName {
     TaskName {
         job: "req-2".into(),
         index: 0,
     }
 }
 
-/// A checker that has seen a job of so many tasks accepted.
-fn checker(tasks: u32) -> Checker {
+/// A checker to which one accepted job has been reported.
+fn checker_with_job(tasks: u32) -> Checker {
     let limit = Limit {
         cpus: 8.0,
         gpus: 0.0,
@@ -58,11 +58,11 @@
     c
 }
 
-type Plant = fn(&mut Checker);
+type ReportViolation = fn(&mut Checker);
 
 #[test]
-fn each_rule_has_a_breach_that_is_caught() {
-    let planted: [(Rule, u32, Plant); 22] = [
+fn each_rule_reports_a_planted_violation() {
+    let planted: [(Rule, u32, ReportViolation); 22] = [
         (Rule::RanTwice, 2, |c| {
             c.starts(&task(0), &place("x", "a", false), 1);
             c.starts(&task(0), &place("y", "b", false), 2);
@@ -73,12 +73,12 @@
             c.starts(&task(2), &place("x", "a", false), 3);
         }),
         (Rule::TooEarly, 1, |c| {
-            c.submits(&waiting());
+            c.submits(&dependent_spec());
             c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&second(), &place("x", "a", false), 2);
+            c.starts(&dependent_task(), &place("x", "a", false), 2);
         }),
         (Rule::Orphaned, 1, |c| {
-            c.submits(&waiting());
+            c.submits(&dependent_spec());
             c.answered_submission("req-2", 201, Some(JobState::Queued), 1, 1);
             c.asks_to_cancel("req-1");
             c.answered_poll("req-1", 200, Some(JobState::Cancelled), 2, 2);
@@ -134,7 +134,7 @@
             c.answered_poll("req-1", 200, Some(JobState::Running), 6, 6);
         }),
         (Rule::Forgotten, 1, |c| {
-            // Nobody else is answered either.
+            // No other poll is answered either.
             c.troubles_end = 50 * SECOND;
             for at in [10, 60, 125] {
                 c.answered_poll("req-1", 0, None, at * SECOND, at * SECOND);
@@ -147,7 +147,7 @@
                 team: team.into(),
                 ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
             };
-            // The small one and the one that a limit holds back tell nothing.
+            // The smaller job and the one of a team with a limit are not judged.
             for spec in [
                 job("req-3", 4, "u"),
                 job("req-4", 3, "u"),
@@ -164,7 +164,7 @@
             c.finish(242 * SECOND);
         }),
         (Rule::Admitted, 1, |c| {
-            // Whoever can't decide says so.
+            // A node that cannot decide may answer with an error.
             for status in [422, 503, 429, 0] {
                 c.answered_refused("req-9", status, 422, 1);
             }
@@ -175,8 +175,8 @@
             c.answered_refused("req-9", 422, 400, 2)
         }),
         (Rule::Forgotten, 1, |c| {
-            // Asked just before the acceptance was told, answered after it.
-            c.submits(&waiting());
+            // Sent just before the acceptance was reported, answered after it.
+            c.submits(&dependent_spec());
             c.answered_submission("req-2", 201, Some(JobState::Queued), 5, 9);
             c.answered_poll("req-2", 404, None, 8, 10);
             c.answered_submission("req-2", 201, Some(JobState::Queued), 8, 10);
@@ -184,7 +184,7 @@
             c.answered_submission("req-2", 201, Some(JobState::Queued), 9, 11);
         }),
         (Rule::WentBack, 1, |c| {
-            // The answer to a question of before the end may cross that of the end.
+            // An answer to a poll that was sent before the end may arrive after it.
             c.asks_to_cancel("req-1");
             c.answered_poll("req-1", 200, Some(JobState::Cancelled), 5, 9);
             c.answered_poll("req-1", 200, Some(JobState::Queued), 8, 10);
@@ -195,7 +195,7 @@
             c.launches(&task(0), false, 1);
             c.asks_to_cancel("req-1");
             c.answered_poll("req-1", 200, Some(JobState::Cancelled), 2, 2);
-            // Those that were under way are counted.
+            // Launches that were already in flight are only counted.
             c.launches(&task(0), false, 3);
             c.starts(&task(0), &place("x", "a", false), 4);
             assert_eq!(c.violations, []);
@@ -204,8 +204,8 @@
         }),
         (Rule::LeftWaiting, 4, |c| {
             c.troubles_end = 10 * SECOND;
-            // Half of its four tasks, and no more, may be in zone a; its team's limit
-            // holds two tasks, and one is on spot machines never.
+            // The job is spread, so two of its four tasks may be in zone a. It may not
+            // use spot machines, and its team's limit allows two tasks at a time.
             c.starts(&task(0), &place("x", "a", false), 1);
             c.starts(&task(1), &place("x", "a", false), 1);
             c.leaves(&task(1), "x", true);
@@ -220,40 +220,40 @@
                 tasks: vec![task(0)],
                 ..room("x", "a", false, 0.0)
             };
-            let look = |c: &mut Checker, more: Room, from: u64, to: u64| {
+            let check = |c: &mut Checker, more: Room, from: u64, to: u64| {
                 for at in from..to {
                     let rooms = [x.clone(), more.clone()];
                     c.look_for_waiting(&rooms, |_| false, at * SECOND);
                 }
             };
-            // None of these takes a task.
-            look(c, room("y", "b", true, 8.0), 10, 200);
-            look(c, room("y", "b", false, 3.0), 200, 400);
-            let silent = Room {
+            // None of these machines can take a task.
+            check(c, room("y", "b", true, 8.0), 10, 200);
+            check(c, room("y", "b", false, 3.0), 200, 400);
+            let unavailable = Room {
                 takes: false,
                 ..room("y", "b", false, 8.0)
             };
-            look(c, silent, 400, 600);
-            let full = Room {
+            check(c, unavailable, 400, 600);
+            let at_team_limit = Room {
                 tasks: vec![task(2)],
                 ..room("y", "b", false, 8.0)
             };
-            look(c, full, 600, 800);
+            check(c, at_team_limit, 600, 800);
             let full_zone = Room {
                 tasks: vec![task(3)],
                 ..room("x", "a", false, 8.0)
             };
-            look(c, full_zone, 800, 900);
-            // These do, but not for long enough.
-            look(c, room("y", "b", false, 4.0), 900, 990);
-            look(c, room("y", "b", true, 4.0), 990, 991);
-            look(c, room("y", "b", false, 4.0), 991, 1082);
+            check(c, full_zone, 800, 900);
+            // These machines can take a task, but not for long enough.
+            check(c, room("y", "b", false, 4.0), 900, 990);
+            check(c, room("y", "b", true, 4.0), 990, 991);
+            check(c, room("y", "b", false, 4.0), 991, 1082);
             assert_eq!(c.violations, []);
-            look(c, room("y", "b", false, 4.0), 1082, 1083);
+            check(c, room("y", "b", false, 4.0), 1082, 1083);
         }),
         (Rule::LeftWaiting, 2, |c| {
-            // One of its two tasks may be in zone a, and before the troubles are over
-            // nobody counts.
+            // One of its two tasks may be in zone a. Waiting does not count before the
+            // faults are over.
             c.troubles_end = 200 * SECOND;
             c.starts(&task(0), &place("x", "a", false), 1);
             let room = |machine: &str, zone: &str, tasks: Vec<TaskName>| Room {
@@ -264,31 +264,31 @@
                 takes: true,
             };
             let x = room("x", "a", vec![task(0)]);
-            let look = |c: &mut Checker, zone: &str, from: u64, to: u64| {
+            let check = |c: &mut Checker, zone: &str, from: u64, to: u64| {
                 for at in from..to {
                     let rooms = [x.clone(), room("y", zone, Vec::new())];
                     c.look_for_waiting(&rooms, |_| false, at * SECOND);
                 }
             };
-            look(c, "b", 100, 291);
-            look(c, "a", 291, 500);
-            look(c, "b", 500, 591);
+            check(c, "b", 100, 291);
+            check(c, "a", 291, 500);
+            check(c, "b", 500, 591);
             assert_eq!(c.violations, []);
-            look(c, "b", 591, 592);
+            check(c, "b", 591, 592);
         }),
         (Rule::NothingRan, 1, |c| c.finish(9)),
     ];
-    for (rule, tasks, plant) in planted {
-        let mut c = checker(tasks);
-        plant(&mut c);
-        let caught: Vec<Rule> = c.violations.iter().map(|b| b.rule).collect();
-        assert_eq!(caught, [rule]);
+    for (rule, tasks, report_violation) in planted {
+        let mut c = checker_with_job(tasks);
+        report_violation(&mut c);
+        let reported: Vec<Rule> = c.violations.iter().map(|v| v.rule).collect();
+        assert_eq!(reported, [rule]);
     }
 }
 
 #[test]
-fn a_clean_run_has_no_breach() {
-    let mut c = checker(2);
+fn valid_run_has_no_violations() {
+    let mut c = checker_with_job(2);
     c.starts(&task(0), &place("x", "a", false), 1);
     c.starts(&task(1), &place("y", "b", false), 2);
     c.leaves(&task(0), "x", false);
