--- a/crates/simulator/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -1,8 +1,9 @@
-//! Prints a digest of what the nodes send on seeded days, one line per kind of day.
+//! Prints a digest of everything that the nodes send in seeded scenarios, one line per kind
+//! of scenario.
 //!
 //! `cargo run --release -p dillcleat-simulator --example history -- FROM TO [--each]`
 //!
-//! Run it on two versions of the sources: equal lines show that both behave alike.
+//! Run it on two versions of the sources: equal lines show that both behave the same.
 
 use clap::Parser;
 use dillcleat_simulator::{Scenario, Simulation, SubmissionForm};
@@ -11,19 +12,19 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Prints a digest of what the nodes send on seeded days
+/// Prints a digest of everything that the nodes send in seeded scenarios
 #[derive(Parser)]
 struct Args {
     /// The first seed
     from: u64,
-    /// The one after the last
+    /// The seed after the last
     to: u64,
-    /// Print the digest of each day as well
+    /// Print the digest of each run as well
     #[arg(long)]
     each: bool,
 }
 
-/// A kind of day: its name, and the day of a seed.
+/// A kind of scenario: its name, and the scenario for a seed.
 type Kind = (&'static str, fn(u64) -> Scenario);
 
 const KINDS: [Kind; 9] = [
@@ -48,24 +49,24 @@
 fn main() {
     let args = Args::parse();
     for (name, scenario) in KINDS {
-        let days = play(args.from, args.to, scenario);
+        let digests = run_all(args.from, args.to, scenario);
         if args.each {
-            for (seed, digest) in (args.from..).zip(&days) {
+            for (seed, digest) in (args.from..).zip(&digests) {
                 println!("{name} {seed} {}", hex(digest));
             }
         }
         let mut all = Sha256::new();
-        for digest in &days {
+        for digest in &digests {
             all.update(digest);
         }
-        println!("{name}: {} days {}", days.len(), hex(&all.finalize()));
+        println!("{name}: {} days {}", digests.len(), hex(&all.finalize()));
     }
 }
 
-/// The digests of the days, in the order of their seeds.
-fn play(from: u64, to: u64, scenario: fn(u64) -> Scenario) -> Vec<[u8; 32]> {
+/// The digests of the runs, in the order of their seeds.
+fn run_all(from: u64, to: u64, scenario: fn(u64) -> Scenario) -> Vec<[u8; 32]> {
     let next = AtomicU64::new(from);
-    let days = Mutex::new(vec![[0; 32]; to.saturating_sub(from) as usize]);
+    let digests = Mutex::new(vec![[0; 32]; to.saturating_sub(from) as usize]);
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -76,12 +77,12 @@
                         return;
                     }
                     let digest = Simulation::new(scenario(seed)).run().history;
-                    days.lock().expect("no holder panics")[(seed - from) as usize] = digest;
+                    digests.lock().expect("no holder panics")[(seed - from) as usize] = digest;
                 }
             });
         }
     });
-    days.into_inner().expect("no holder panics")
+    digests.into_inner().expect("no holder panics")
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/simulator/examples/quickstart.rs
+++ b/crates/simulator/examples/quickstart.rs
@@ -1,5 +1,5 @@
-//! Three controllers with a door for Kubernetes-shaped clients, over stand-ins of
-//! everything around them, until it is interrupted:
+//! Runs three controllers that serve the Kubernetes API, with simulated services around
+//! them, until it is interrupted:
 //! `cargo build --release && cargo run --release -p dillcleat-simulator --example quickstart`.
 
 use clap::Parser;
@@ -9,16 +9,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Starts three controllers over stand-ins and says how to talk to them.
+/// Starts three controllers with simulated services and prints how to use them.
 #[derive(Parser)]
 struct Args {
-    /// The program
+    /// Path of the dillcleat executable
     #[arg(long, default_value = "target/release/dillcleat")]
     program: PathBuf,
-    /// A folder for settings, key and token; made if it is not there
+    /// Directory for settings, key and token; created if it does not exist
     #[arg(long, default_value = "target/quickstart")]
     dir: PathBuf,
-    /// For how many seconds it stays
+    /// Run time in seconds
     #[arg(long, default_value_t = 3600)]
     seconds: u64,
 }
@@ -26,24 +26,24 @@
 fn main() -> io::Result<()> {
     let args = Args::parse();
     std::fs::create_dir_all(&args.dir)?;
-    let digits: String = std::iter::repeat_with(|| fastrand::digit(16))
+    let key_hex: String = std::iter::repeat_with(|| fastrand::digit(16))
         .take(64)
         .collect();
     let token: String = std::iter::repeat_with(|| fastrand::digit(16))
         .take(64)
         .collect();
-    let key = SigningKey::parse(&digits).map_err(io::Error::other)?;
+    let key = SigningKey::parse(&key_hex).map_err(io::Error::other)?;
     let key_file = args.dir.join("kube.key");
     let token_file = args.dir.join("token");
-    std::fs::write(&key_file, &digits)?;
+    std::fs::write(&key_file, &key_hex)?;
     std::fs::write(&token_file, &token)?;
     let kube = format!(
         "key_file = {key_file:?}\n[[kube.tokens]]\nname = \"you\"\nmac = \"{}\"\nnamespaces = [\"*\"]\nverbs = [\"*\"]\n",
         key.token(&token)
     );
-    let trio = ThreeProcesses::start(&args.program, &args.dir, &kube)?;
+    let controllers = ThreeProcesses::start(&args.program, &args.dir, &kube)?;
     println!("Three controllers run over stand-ins on loopback. In another shell:\n");
-    println!("  export DILLCLEAT_SERVER=http://{}", trio.doors[0]);
+    println!("  export DILLCLEAT_SERVER=http://{}", controllers.doors[0]);
     println!("  export DILLCLEAT_TOKEN_FILE={}", token_file.display());
     println!(
         "  {} apply -f examples/merge-job.yaml --wait",
@@ -52,14 +52,14 @@
     println!("  {} get jobs", args.program.display());
     println!(
         "\nThe other two: http://{} http://{}",
-        trio.doors[1], trio.doors[2]
+        controllers.doors[1], controllers.doors[2]
     );
     println!("\nBy the users' own protocol, one job after another:\n");
     for (job, after) in [("req-000001", ""), ("req-000002", " --after req-000001")] {
         println!(
             "  {} submit --server {} {job} --class scan --team books --image img{after}",
             args.program.display(),
-            trio.clients[0]
+            controllers.clients[0]
         );
     }
     println!();
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -1,9 +1,9 @@
-//! How much of each class and team was served on days of the users' bench, from their
-//! reports (`--report`) and logs (`--log info`).
+//! Prints which share of the requested service each class and team received in benchmark
+//! runs, from their reports (`--report`) and logs (`--log info`).
 //!
-//! By class and by team: arrays that were due, from the log. By class only, as the
-//! report tells it: replica time, and submissions that were answered. Where the report
-//! tells it, also how many jobs of each team and of each class's largest began.
+//! The log gives the job arrays that were due, by class and by team. The report gives
+//! replica time and accepted submissions by class and, if it has them, the numbers of
+//! started jobs by team and of the largest jobs by class.
 
 use clap::Parser;
 use dillcleat_controller::{Micros, micros};
@@ -15,27 +15,28 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Prints a table for each day; fails if less than half of a class or team was served.
+/// Prints a table for each run; fails if a class or team received less than half of the
+/// requested service.
 #[derive(Parser)]
 struct Args {
-    /// Folders of days: in each NAME.json, a day's report, stands beside NAME.log
-    #[arg(required = true)]
-    days: Vec<PathBuf>,
+    /// Directories of runs: each report NAME.json has its log in NAME.log
+    #[arg(value_name = "DAYS", required = true)]
+    directories: Vec<PathBuf>,
 }
 
 #[derive(Deserialize)]
-struct DayReport {
+struct RunReport {
     duration_s: f64,
     classes: BTreeMap<String, ClassReport>,
-    /// Jobs of each team, and the largest of each class.
     #[serde(default)]
-    teams: BTreeMap<String, Began>,
+    teams: BTreeMap<String, StartedJobs>,
+    /// The largest jobs of each class.
     #[serde(default)]
-    largest: BTreeMap<String, Began>,
+    largest: BTreeMap<String, StartedJobs>,
 }
 
 #[derive(Deserialize)]
-struct Began {
+struct StartedJobs {
     jobs: f64,
     started: f64,
 }
@@ -44,18 +45,19 @@
 struct ClassReport {
     jobs: f64,
     accepted: f64,
+    /// The share of the run during which the replicas were up.
     #[serde(default)]
     up: Option<f64>,
 }
 
-/// An array as the log tells of it.
+/// A job array that the log reports as accepted.
 struct Array<'a> {
     tasks: f64,
     class: &'a str,
     team: &'a str,
-    /// By its own deadline or, without one, by that of the jobs that wait for it.
+    /// Its own deadline or else the earliest deadline of the jobs that depend on it.
     due: Option<Micros>,
-    after: Vec<&'a str>,
+    dependencies: Vec<&'a str>,
 }
 
 fn seconds(text: &str) -> Option<Micros> {
@@ -70,7 +72,7 @@
     pairs.find(|(name, _)| *name == key).map(|(_, value)| value)
 }
 
-/// The array of `job accepted job=JOB tasks=N class=CLASS team=TEAM`, with `deadline_s=S`
+/// Parses the message `job accepted job=JOB tasks=N class=CLASS team=TEAM`, with `deadline_s=S`
 /// and `depends_on=JOB,JOB` where it has them.
 fn array(at: Micros, text: &str) -> Option<(&str, Array<'_>)> {
     let due = match field(text, "deadline_s") {
@@ -83,7 +85,7 @@
         class: field(text, "class")?,
         team: field(text, "team")?,
         due,
-        after: dependencies
+        dependencies: dependencies
             .split(',')
             .filter(|job| !job.is_empty())
             .collect(),
@@ -92,12 +94,12 @@
 }
 
 /// Gives the stages of a pipeline, which have no deadline, that of its last job.
-fn hand_down(arrays: &mut BTreeMap<&str, Array>) {
-    let ends: Vec<(&str, Micros)> = arrays
+fn propagate_deadlines(arrays: &mut BTreeMap<&str, Array>) {
+    let deadlines: Vec<(&str, Micros)> = arrays
         .iter()
         .filter_map(|(job, a)| Some((*job, a.due?)))
         .collect();
-    for (job, due) in ends {
+    for (job, due) in deadlines {
         let mut next = vec![job];
         while let Some(job) = next.pop() {
             let Some(array) = arrays.get_mut(job) else {
@@ -105,13 +107,13 @@
             };
             if array.due.is_none_or(|own| due <= own) {
                 array.due = Some(due);
-                next.extend(&array.after);
+                next.extend(&array.dependencies);
             }
         }
     }
 }
 
-fn shares(report: &DayReport, log: &str) -> ServiceShares {
+fn shares(report: &RunReport, log: &str) -> ServiceShares {
     let mut arrays: BTreeMap<&str, Array> = BTreeMap::new();
     let mut done: BTreeMap<&str, Micros> = BTreeMap::new();
     let mut cancelled = BTreeSet::new();
@@ -133,27 +135,27 @@
             cancelled.extend(field(text, "job"));
         }
     }
-    hand_down(&mut arrays);
+    propagate_deadlines(&mut arrays);
     let end = micros(report.duration_s);
     let mut shares = ServiceShares::default();
     for (job, a) in arrays {
         let Some(due) = a.due.filter(|due| *due < end && !cancelled.contains(job)) else {
             continue;
         };
-        // What is done after the day, when nothing else is asked for, does not count.
+        // Work done after the end of the measured run does not count.
         let ended = done.get(job).filter(|at| **at <= end);
-        let was = f64::from(u8::from(ended.is_some()));
+        let completed = f64::from(u8::from(ended.is_some()));
         let in_time = f64::from(u8::from(ended.is_some_and(|at| *at <= due)));
         shares.count(a.class, a.team, |s| {
-            s.work.add(due, a.tasks, a.tasks * was);
+            s.work.add(due, a.tasks, a.tasks * completed);
             s.in_time.add(due, 1.0, in_time);
         });
     }
-    for (class, of) in &report.classes {
+    for (class, class_report) in &report.classes {
         shares.count_class(class, |s| {
-            s.answers.add(0, of.jobs, of.accepted);
-            if let Some(up) = of.up {
-                let time = of.jobs * report.duration_s;
+            s.answers.add(0, class_report.jobs, class_report.accepted);
+            if let Some(up) = class_report.up {
+                let time = class_report.jobs * report.duration_s;
                 s.replicas.add(0, time, time * up);
             }
         });
@@ -161,17 +163,17 @@
     shares
 }
 
-/// Prints a day's table; whether enough was served.
-fn day(report: &Path) -> Result<bool, Box<dyn Error>> {
+/// Prints the table of a run. Returns whether enough was served.
+fn print_run(report: &Path) -> Result<bool, Box<dyn Error>> {
     let log = String::from_utf8_lossy(&std::fs::read(report.with_extension("log"))?).into_owned();
-    let told: DayReport = serde_json::from_slice(&std::fs::read(report)?)?;
-    let shares = shares(&told, &log);
+    let run: RunReport = serde_json::from_slice(&std::fs::read(report)?)?;
+    let shares = shares(&run, &log);
     println!("{}:\n\n{shares}", report.with_extension("").display());
     let mut starved = shares.starved();
-    for (group, all) in [("team", &told.teams), ("largest of class", &told.largest)] {
-        for (name, began) in all.iter().filter(|(_, b)| b.jobs > 0.0) {
-            let share = began.started / began.jobs;
-            println!("Began, {group} {name}: {share:.3} of {}.", began.jobs);
+    for (group, all) in [("team", &run.teams), ("largest of class", &run.largest)] {
+        for (name, jobs) in all.iter().filter(|(_, b)| b.jobs > 0.0) {
+            let share = jobs.started / jobs.jobs;
+            println!("Began, {group} {name}: {share:.3} of {}.", jobs.jobs);
             if share < LEAST {
                 starved.push(format!("{group} {name}"));
             }
@@ -186,16 +188,16 @@
     Ok(starved.is_empty())
 }
 
-fn all(folders: &[PathBuf]) -> Result<bool, Box<dyn Error>> {
+fn print_runs(directories: &[PathBuf]) -> Result<bool, Box<dyn Error>> {
     let mut enough = true;
-    for folder in folders {
-        let entries = std::fs::read_dir(folder)?;
+    for directory in directories {
+        let entries = std::fs::read_dir(directory)?;
         let paths: Result<Vec<PathBuf>, _> = entries.map(|e| e.map(|e| e.path())).collect();
         let mut reports = paths?;
         reports.retain(|p| p.extension().is_some_and(|e| e == "json"));
         reports.sort();
         for report in reports {
-            let served = day(&report).map_err(|e| format!("{}: {e}", report.display()))?;
+            let served = print_run(&report).map_err(|e| format!("{}: {e}", report.display()))?;
             enough &= served;
         }
     }
@@ -203,7 +205,7 @@
 }
 
 fn main() -> ExitCode {
-    match all(&Args::parse().days) {
+    match print_runs(&Args::parse().directories) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
