--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -1,7 +1,9 @@
 //! The troubles of a day, as they begin.
 
 use crate::scenario::{Fault, LEADER};
-use crate::simulation::{BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZoneCut};
+use crate::simulation::{
+    BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZonePartition,
+};
 use crate::worker::Worker;
 use dillcleat_controller::Micros;
 use std::collections::BTreeSet;
@@ -25,15 +27,15 @@
     fn die(&mut self, machines: Vec<String>) {
         for machine in machines {
             self.cloud.remove(&machine);
-            self.machine_ends(&machine);
+            self.remove_machine(&machine);
         }
     }
 
     /// A node ends, and is back at the given time.
     fn ends(&mut self, node: usize, back: Micros) {
-        self.dismiss(node);
+        self.stop_node(node);
         self.nodes[node].epoch += 1;
-        self.at(back, Event::Restart { node });
+        self.schedule(back, Event::StartNode { node });
     }
 
     pub(crate) fn fault(&mut self, fault: Fault) {
@@ -59,15 +61,25 @@
                 }
             }
             Fault::Pause { node, time } => self.nodes[numbered(node)].paused_until = now + time,
-            Fault::CutMesh { node, time } => self.nodes[numbered(node)].mesh_cut = now + time,
-            Fault::StateOutage { time } => self.state.outage(now, now + time),
-            Fault::Refused { node, time } => self.nodes[numbered(node)].refused_until = now + time,
-            Fault::CutState { node, time } => self.nodes[numbered(node)].state_cut = now + time,
-            Fault::CutWorkers { node, time } => self.nodes[numbered(node)].workers_cut = now + time,
-            Fault::CutZone { zone, time } => self.zone_cut[zone % 3] = now + time,
+            Fault::CutMesh { node, time } => {
+                self.nodes[numbered(node)].peer_partition_until = now + time
+            }
+            Fault::StateOutage { time } => self.store.outage(now, now + time),
+            Fault::Refused { node, time } => {
+                self.nodes[numbered(node)].store_refuses_until = now + time
+            }
+            Fault::CutState { node, time } => {
+                self.nodes[numbered(node)].store_partition_until = now + time
+            }
+            Fault::CutWorkers { node, time } => {
+                self.nodes[numbered(node)].worker_partition_until = now + time
+            }
+            Fault::CutZone { zone, time } => {
+                self.zone_worker_partition_until[zone % 3] = now + time
+            }
             Fault::CutSite { zone, time, cut } => {
                 let zone = zone.or(leader).unwrap_or(0) % 3;
-                self.site_cut[zone] = ZoneCut {
+                self.zone_partitions[zone] = ZonePartition {
                     until: now + time,
                     cut,
                 };
@@ -118,44 +130,44 @@
                         w.recall_at = Some(at);
                         w.report_at = now;
                     }
-                    self.at(at, Event::Taken { machine });
+                    self.schedule(at, Event::MachinePreempted { machine });
                 }
             }
             Fault::CloudOutage { time } => self.cloud.out_until = now + time,
-            Fault::Flaky { time } => self.flaky_until = now + time,
+            Fault::Flaky { time } => self.unreliable_network_until = now + time,
             Fault::Boots {
                 time,
                 factor,
                 never,
             } => {
-                self.boots = BootDelays {
+                self.boot_delays = BootDelays {
                     until: now + time,
-                    factor,
-                    never,
+                    time_factor: factor,
+                    failure_one_in: never,
                 }
             }
-            Fault::Storm { time } => self.storm_until = now + time,
-            Fault::TooMany { time } => self.too_many_until = now + time,
-            Fault::SlowState { time } => self.slow_state_until = now + time,
-            Fault::LateWrites { time } => self.late_writes_until = now + time,
-            Fault::LateReports { time } => self.late_reports_until = now + time,
-            Fault::CloseLooks { time } => self.close_looks_until = now + time,
+            Fault::Storm { time } => self.frequent_polls_until = now + time,
+            Fault::TooMany { time } => self.store_overload_until = now + time,
+            Fault::SlowState { time } => self.slow_store_until = now + time,
+            Fault::LateWrites { time } => self.delayed_writes_until = now + time,
+            Fault::LateReports { time } => self.duplicate_heartbeats_until = now + time,
+            Fault::CloseLooks { time } => self.extra_requests_until = now + time,
             Fault::OddRequests { time } => {
-                self.odd_until = now + time;
-                self.at(now, Event::Odd);
+                self.irregular_requests_until = now + time;
+                self.schedule(now, Event::IrregularRequest);
             }
             Fault::CancelsAtOnce { percent, time } => {
-                self.cancels_at_once = FaultWindow::new(now + time, percent);
+                self.cancel_on_acceptance = FaultWindow::new(now + time, percent);
             }
             Fault::CancelsAtEnd { percent, time } => {
-                self.cancels_at_end = FaultWindow::new(now + time, percent);
+                self.cancel_on_completion = FaultWindow::new(now + time, percent);
             }
-            Fault::CancelsNow { jobs, hang } => self.cancels_now(jobs, hang),
+            Fault::CancelsNow { jobs, hang } => self.cancel_running_jobs(jobs, hang),
             Fault::AnswersLost { percent, time } => {
-                self.answers_lost = FaultWindow::new(now + time, percent);
+                self.lost_write_replies = FaultWindow::new(now + time, percent);
             }
             Fault::ReportsForNext { percent, time } => {
-                self.reports_for_next = FaultWindow::new(now + time, percent);
+                self.heartbeats_for_next_leader = FaultWindow::new(now + time, percent);
             }
             Fault::Faulty => {
                 for name in self.some_machines(1) {
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -43,7 +43,7 @@
         if auxiliary {
             self.watcher.begins(request, node, epoch, self.now);
         } else {
-            self.at(
+            self.schedule(
                 self.now + REQUEST_TIMEOUT,
                 Event::RequestTimeout { request },
             );
@@ -64,7 +64,7 @@
             request,
             api_request,
         };
-        self.at(at, event);
+        self.schedule(at, event);
     }
 
     /// Sends the next API request of a job's user. Returns false if the request is to be
@@ -219,7 +219,7 @@
                 self.send_api_request(node, Requester::ApiWatch, "GET", path, Vec::new());
             }
         }
-        self.at(now + API_WATCH_CHECK_INTERVAL, Event::CheckApiWatch);
+        self.schedule(now + API_WATCH_CHECK_INTERVAL, Event::CheckApiWatch);
     }
 
     fn is_open_api_watch(&self, request: u64) -> bool {
@@ -261,8 +261,8 @@
             return;
         }
         let mut stored = BTreeMap::new();
-        for key in self.state.keys(dillcleat_kube::record::OBJECTS) {
-            let Some((record, version)) = self.state.read::<Record>(&key) else {
+        for key in self.store.keys(dillcleat_kube::record::OBJECTS) {
+            let Some((record, version)) = self.store.read::<Record>(&key) else {
                 self.checker.found(
                     Rule::Object,
                     end,
@@ -272,7 +272,7 @@
             };
             let job = record.state.job.clone().unwrap_or_default();
             let state_key = dillcleat_controller::records::job_key(&job);
-            let ended = !self.state.keys(&state_key).is_empty();
+            let ended = !self.store.keys(&state_key).is_empty();
             if ended && record.state.end.is_none() {
                 let what = format!("{key}: the end of {job} is not shown");
                 self.checker.found(Rule::Object, end, what);
--- a/crates/simulator/src/simulation/impatient_users.rs
+++ b/crates/simulator/src/simulation/impatient_users.rs
@@ -30,15 +30,15 @@
 
     /// Sends the extra requests that follow such an answer.
     pub(super) fn react_to_result(&mut self, job: usize, accepted: bool) {
-        if self.now < self.close_looks_until {
+        if self.now < self.extra_requests_until {
             self.send_extra_requests(job);
         }
         if accepted
             && self.users[job].final_state.is_none()
-            && self.is_affected(self.cancels_at_once)
+            && self.is_affected(self.cancel_on_acceptance)
         {
             let at = self.now + self.auxiliary_rng.u64(..5 * MILLISECOND);
-            self.at(at, Event::CancelJob { job });
+            self.schedule(at, Event::CancelJob { job });
         }
     }
 
@@ -52,7 +52,7 @@
                     node,
                     resubmit,
                 };
-                self.at(at, event);
+                self.schedule(at, event);
             }
         }
     }
@@ -86,7 +86,7 @@
         let native = |u: &User| u.kube_job.is_none() && u.spec.id == *id;
         if self.is_comparison_run()
             || !self.checker.complete(id)
-            || !self.is_affected(self.cancels_at_end)
+            || !self.is_affected(self.cancel_on_completion)
         {
             return;
         }
@@ -98,7 +98,7 @@
         let max_delay = [5, 100, 1500][self.auxiliary_rng.usize(..3)] * MILLISECOND;
         let at = self.now + self.auxiliary_rng.u64(..max_delay);
         if self.users[job].final_state.is_none() {
-            self.at(at, Event::CancelJob { job });
+            self.schedule(at, Event::CancelJob { job });
         }
         for resubmit in [false, true] {
             let at = at + self.auxiliary_rng.u64(..20 * MILLISECOND);
@@ -108,13 +108,13 @@
                 node,
                 resubmit,
             };
-            self.at(at, event);
+            self.schedule(at, event);
         }
     }
 
     /// Cancels several long-running jobs at about the same time and pauses up to eight of
     /// their machines.
-    pub(crate) fn cancels_now(&mut self, jobs: usize, hang: Micros) {
+    pub(crate) fn cancel_running_jobs(&mut self, jobs: usize, hang: Micros) {
         let is_long_running = |job: &usize| {
             let u = &self.users[*job];
             let (running, done) = self.checker.tasks(&u.spec.id);
@@ -132,7 +132,7 @@
         for job in cancelled {
             machines.extend(self.checker.machines(&self.users[job].spec.id));
             let at = self.now + self.auxiliary_rng.u64(..SECOND / 5);
-            self.at(at, Event::CancelJob { job });
+            self.schedule(at, Event::CancelJob { job });
         }
         machines.sort();
         machines.dedup();
@@ -167,7 +167,7 @@
             };
             self.task_behaviours.insert(id, behaviour);
             self.users.push(User::new(spec, cancel_at));
-            self.at(at, Event::UserRequest { job });
+            self.schedule(at, Event::UserRequest { job });
         }
     }
 }
--- a/crates/simulator/src/simulation/invalid_requests.rs
+++ b/crates/simulator/src/simulation/invalid_requests.rs
@@ -49,7 +49,7 @@
 
 impl Simulation {
     pub(super) fn irregular_request(&mut self) {
-        if self.now >= self.odd_until {
+        if self.now >= self.irregular_requests_until {
             return;
         }
         self.irregular_requests += 1;
@@ -76,7 +76,7 @@
             _ => self.submit_invalid(node),
         }
         let next = self.now + self.auxiliary_rng.u64(SECOND / 5..2 * SECOND);
-        self.at(next, Event::Odd);
+        self.schedule(next, Event::IrregularRequest);
     }
 
     /// Submits a job that cannot run or lacks a field, and polls it at another node.
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -194,7 +194,7 @@
     /// A user polls a job that was never submitted.
     PollUnknownJob,
     /// A user sends an invalid or superfluous request.
-    Odd,
+    IrregularRequest,
     /// A user polls or resubmits its job in addition to its regular requests.
     ExtraRequest {
         job: usize,
@@ -209,10 +209,10 @@
         machine: String,
     },
     /// The cloud takes a spot machine back.
-    Taken {
+    MachinePreempted {
         machine: String,
     },
-    Restart {
+    StartNode {
         node: usize,
     },
     /// A node stops and restarts as the new version.
@@ -377,20 +377,20 @@
 pub(crate) struct NodeHost {
     pub node: Option<Controller>,
     pub epoch: u32,
-    pub refused_until: Micros,
-    pub state_cut: Micros,
-    pub workers_cut: Micros,
+    pub store_refuses_until: Micros,
+    pub store_partition_until: Micros,
+    pub worker_partition_until: Micros,
     pub paused_until: Micros,
-    pub mesh_cut: Micros,
+    pub peer_partition_until: Micros,
     /// Jobs whose cancellation the node has read from the store or confirmed to a user.
-    pub cancelled: BTreeSet<String>,
+    pub known_cancelled_jobs: BTreeSet<String>,
     /// It runs the version that an upgrade replaces.
     pub previous_version: bool,
 }
 
 /// The network partition of a zone with its nodes and workers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct ZoneCut {
+pub(crate) struct ZonePartition {
     pub until: Micros,
     pub cut: Cut,
 }
@@ -399,8 +399,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct BootDelays {
     pub until: Micros,
-    pub factor: u64,
-    pub never: u64,
+    pub time_factor: u64,
+    pub failure_one_in: u64,
 }
 
 /// A period in which a fault affects a percentage of requests or users.
@@ -427,7 +427,7 @@
     auxiliary_rng: Rng,
     config: Config,
     pub(crate) nodes: Vec<NodeHost>,
-    pub(crate) state: SimulatedStore,
+    pub(crate) store: SimulatedStore,
     pub(crate) cloud: Cloud,
     pub(crate) workers: BTreeMap<String, Worker>,
     store_watches: Watches<Caller>,
@@ -436,25 +436,25 @@
     pending_requests: BTreeMap<u64, (Requester, Micros)>,
     users: Vec<User>,
     task_behaviours: BTreeMap<String, TaskBehaviour>,
-    pub(crate) zone_cut: [Micros; 3],
-    pub(crate) site_cut: [ZoneCut; 3],
-    pub(crate) flaky_until: Micros,
-    pub(crate) storm_until: Micros,
-    pub(crate) too_many_until: Micros,
-    pub(crate) slow_state_until: Micros,
-    pub(crate) late_writes_until: Micros,
-    pub(crate) late_reports_until: Micros,
-    pub(crate) close_looks_until: Micros,
-    pub(crate) odd_until: Micros,
+    pub(crate) zone_worker_partition_until: [Micros; 3],
+    pub(crate) zone_partitions: [ZonePartition; 3],
+    pub(crate) unreliable_network_until: Micros,
+    pub(crate) frequent_polls_until: Micros,
+    pub(crate) store_overload_until: Micros,
+    pub(crate) slow_store_until: Micros,
+    pub(crate) delayed_writes_until: Micros,
+    pub(crate) duplicate_heartbeats_until: Micros,
+    pub(crate) extra_requests_until: Micros,
+    pub(crate) irregular_requests_until: Micros,
     irregular_requests: u64,
-    pub(crate) cancels_at_once: FaultWindow,
-    pub(crate) cancels_at_end: FaultWindow,
-    pub(crate) answers_lost: FaultWindow,
-    pub(crate) reports_for_next: FaultWindow,
+    pub(crate) cancel_on_acceptance: FaultWindow,
+    pub(crate) cancel_on_completion: FaultWindow,
+    pub(crate) lost_write_replies: FaultWindow,
+    pub(crate) heartbeats_for_next_leader: FaultWindow,
     /// Copies of heartbeats that the next leader will receive.
     saved_heartbeats: Vec<Heartbeat>,
     last_term: u64,
-    pub(crate) boots: BootDelays,
+    pub(crate) boot_delays: BootDelays,
     checker: Checker,
     scenario: Scenario,
     /// Number of inputs that the nodes processed.
@@ -608,16 +608,16 @@
                 .map(|_| NodeHost {
                     node: None,
                     epoch: 0,
-                    refused_until: 0,
-                    state_cut: 0,
-                    workers_cut: 0,
+                    store_refuses_until: 0,
+                    store_partition_until: 0,
+                    worker_partition_until: 0,
                     paused_until: 0,
-                    mesh_cut: 0,
-                    cancelled: BTreeSet::new(),
+                    peer_partition_until: 0,
+                    known_cancelled_jobs: BTreeSet::new(),
                     previous_version: scenario.upgrade.is_some(),
                 })
                 .collect(),
-            state: match scenario.upgrade {
+            store: match scenario.upgrade {
                 None => SimulatedStore::new(config.value_bytes, config.txn_ops),
                 Some(_) => SimulatedStore::new(
                     INITIAL_STORE_LIMITS.value_bytes,
@@ -635,27 +635,27 @@
             pending_requests: BTreeMap::new(),
             users: Vec::new(),
             task_behaviours: BTreeMap::new(),
-            zone_cut: [0; 3],
-            site_cut: [ZoneCut {
+            zone_worker_partition_until: [0; 3],
+            zone_partitions: [ZonePartition {
                 until: 0,
                 cut: Cut::Held,
             }; 3],
-            flaky_until: 0,
-            storm_until: 0,
-            too_many_until: 0,
-            slow_state_until: 0,
-            late_writes_until: 0,
-            late_reports_until: 0,
-            close_looks_until: 0,
-            odd_until: 0,
+            unreliable_network_until: 0,
+            frequent_polls_until: 0,
+            store_overload_until: 0,
+            slow_store_until: 0,
+            delayed_writes_until: 0,
+            duplicate_heartbeats_until: 0,
+            extra_requests_until: 0,
+            irregular_requests_until: 0,
             irregular_requests: 0,
-            cancels_at_once: FaultWindow::default(),
-            cancels_at_end: FaultWindow::default(),
-            answers_lost: FaultWindow::default(),
-            reports_for_next: FaultWindow::default(),
+            cancel_on_acceptance: FaultWindow::default(),
+            cancel_on_completion: FaultWindow::default(),
+            lost_write_replies: FaultWindow::default(),
+            heartbeats_for_next_leader: FaultWindow::default(),
             saved_heartbeats: Vec::new(),
             last_term: 0,
-            boots: BootDelays::default(),
+            boot_delays: BootDelays::default(),
             checker: Checker::new(config.cancel_deadline, limits),
             config,
             input_count: 0,
@@ -674,7 +674,7 @@
             scenario,
         };
         for node in 0..simulation.scenario.nodes {
-            simulation.at(0, Event::Restart { node });
+            simulation.schedule(0, Event::StartNode { node });
         }
         let fault_ends = simulation
             .scenario
@@ -684,7 +684,7 @@
         simulation.checker.troubles_end =
             fault_ends.max().unwrap_or(0).max(simulation.scenario.busy);
         for (at, fault) in simulation.scenario.faults.clone() {
-            simulation.at(at, Event::Fault(Box::new(fault)));
+            simulation.schedule(at, Event::Fault(Box::new(fault)));
         }
         for job in 0..simulation.scenario.jobs {
             simulation.add_user(job);
@@ -693,17 +693,17 @@
         simulation.add_short_jobs();
         if let Some((first, every)) = simulation.scenario.upgrade {
             for node in 0..simulation.scenario.nodes {
-                simulation.at(first + every * node as u64, Event::UpgradeNode { node });
+                simulation.schedule(first + every * node as u64, Event::UpgradeNode { node });
             }
         }
         if let Some(at) = simulation.scenario.limits_fall {
-            simulation.at(at, Event::ReduceStoreLimits);
+            simulation.schedule(at, Event::ReduceStoreLimits);
         }
-        simulation.at(SECOND, Event::AdvanceWorkers);
-        simulation.at(SECOND, Event::RecordCloudListing);
-        simulation.at(10 * SECOND, Event::PollUnknownJob);
+        simulation.schedule(SECOND, Event::AdvanceWorkers);
+        simulation.schedule(SECOND, Event::RecordCloudListing);
+        simulation.schedule(10 * SECOND, Event::PollUnknownJob);
         if simulation.scenario.form.objects() {
-            simulation.at(2 * SECOND, Event::CheckApiWatch);
+            simulation.schedule(2 * SECOND, Event::CheckApiWatch);
         }
         simulation
     }
@@ -713,7 +713,7 @@
         self.now < window.until && self.auxiliary_rng.u8(..100) < window.percent
     }
 
-    pub(crate) fn at(&mut self, at: Micros, event: Event) {
+    pub(crate) fn schedule(&mut self, at: Micros, event: Event) {
         self.last_event_id += 1;
         self.events
             .push(Reverse((at.max(self.now), self.last_event_id)));
@@ -737,7 +737,7 @@
         }
         let end = self.now;
         for node in 0..self.nodes.len() {
-            self.dismiss(node);
+            self.stop_node(node);
         }
         self.checker.finish(end);
         self.check_stored_objects(end);
@@ -756,15 +756,15 @@
             })
             .map(|u| format!("{} ({:?})", u.spec.id, u.final_state))
             .collect();
-        let leaders_elected = self.state.term();
+        let leaders_elected = self.store.term();
         let late = self.checker.late();
         Outcome {
             starts: self.checker.starts_seen(),
             accepted: self.users.iter().filter(|u| u.accepted).count(),
             unfinished,
-            leftover_keys: [self.state.keys("t/"), self.state.keys("q/")].concat(),
-            refused: self.state.refused,
-            malformed: self.state.malformed,
+            leftover_keys: [self.store.keys("t/"), self.store.keys("q/")].concat(),
+            refused: self.store.refused,
+            malformed: self.store.malformed,
             violations: self.checker.violations,
             stale: self.stale,
             digest: self.digest.finalize().into(),
@@ -785,7 +785,7 @@
     }
 
     /// Stops a node and records how much memory it used.
-    pub(crate) fn dismiss(&mut self, node: usize) {
+    pub(crate) fn stop_node(&mut self, node: usize) {
         let bytes = self.scenario.allocated.unwrap_or(|| 0);
         let before = bytes();
         self.nodes[node].node = None;
@@ -800,7 +800,7 @@
         } = &input
         {
             self.nodes[node]
-                .cancelled
+                .known_cancelled_jobs
                 .extend(services::cancelled_jobs(reply));
         }
         let Some(n) = self.nodes[node].node.as_mut() else {
@@ -845,7 +845,7 @@
 
     fn schedule_input(&mut self, at: Micros, node: usize, epoch: u32, input: Input) {
         let input = Box::new(input);
-        self.at(at, Event::NodeInput { node, epoch, input });
+        self.schedule(at, Event::NodeInput { node, epoch, input });
     }
 
     /// In a run that is compared with another, seeds the generator for each event from the
@@ -886,16 +886,16 @@
             Event::Tick { node, epoch } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
-                    self.at(paused, Event::Tick { node, epoch });
+                    self.schedule(paused, Event::Tick { node, epoch });
                 } else if self.nodes[node].epoch == epoch && self.nodes[node].node.is_some() {
                     self.handle_input(node, Input::Tick);
-                    self.at(self.now + 50 * MILLISECOND, Event::Tick { node, epoch });
+                    self.schedule(self.now + 50 * MILLISECOND, Event::Tick { node, epoch });
                 }
             }
             Event::NodeInput { node, epoch, input } => {
                 let paused = self.nodes[node].paused_until;
                 if self.now < paused {
-                    self.at(paused, Event::NodeInput { node, epoch, input });
+                    self.schedule(paused, Event::NodeInput { node, epoch, input });
                 } else if self.nodes[node].epoch == epoch {
                     self.handle_input(node, *input);
                 }
@@ -914,7 +914,7 @@
                     api_request: api_request.clone(),
                 };
                 if self.now < paused {
-                    self.at(paused, deferred);
+                    self.schedule(paused, deferred);
                 } else if self.nodes[node].epoch == epoch {
                     self.handle_api_request(node, request, *api_request);
                 }
@@ -923,8 +923,8 @@
             Event::StoreCall { caller, call } => self.store_call(caller, &call),
             Event::StoreWatchExpired { watch } => {
                 // During an outage the watch stays open.
-                if !self.state.out(self.now)
-                    && let Some((caller, changes)) = self.store_watches.end(watch, &self.state)
+                if !self.store.out(self.now)
+                    && let Some((caller, changes)) = self.store_watches.end(watch, &self.store)
                 {
                     self.send_watch_batch(caller, changes);
                 }
@@ -996,10 +996,10 @@
                         path,
                         Vec::new(),
                     );
-                    self.at(self.now + 9 * SECOND, Event::PollUnknownJob);
+                    self.schedule(self.now + 9 * SECOND, Event::PollUnknownJob);
                 }
             }
-            Event::Odd => self.irregular_request(),
+            Event::IrregularRequest => self.irregular_request(),
             Event::ExtraRequest {
                 job,
                 node,
@@ -1023,14 +1023,14 @@
                 self.workers
                     .insert(machine, Worker::new(place, cpus, gpus, self.now, node));
             }
-            Event::Taken { machine } => {
+            Event::MachinePreempted { machine } => {
                 self.cloud.remove(&machine);
-                self.machine_ends(&machine);
+                self.remove_machine(&machine);
             }
-            Event::Restart { node } => {
+            Event::StartNode { node } => {
                 let host = &mut self.nodes[node];
                 host.epoch += 1;
-                host.cancelled.clear();
+                host.known_cancelled_jobs.clear();
                 let mut config = scenario_config(&self.scenario, node);
                 if self.scenario.upgrade.is_some() {
                     config.value_bytes_before = INITIAL_STORE_LIMITS.value_bytes;
@@ -1056,7 +1056,7 @@
                 host.node = Some(Controller::new(Node::new(config), rules));
                 let epoch = host.epoch;
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
-                self.at(at, Event::Tick { node, epoch });
+                self.schedule(at, Event::Tick { node, epoch });
             }
             Event::UpgradeNode { node } => {
                 let host = &mut self.nodes[node];
@@ -1064,16 +1064,16 @@
                 host.node = None;
                 host.epoch += 1;
                 let down = self.auxiliary_rng.u64(SECOND / 10..2 * SECOND);
-                self.at(self.now + down, Event::Restart { node });
+                self.schedule(self.now + down, Event::StartNode { node });
             }
-            Event::ReduceStoreLimits => self.state.limit(
+            Event::ReduceStoreLimits => self.store.limit(
                 REDUCED_STORE_LIMITS.value_bytes,
                 REDUCED_STORE_LIMITS.txn_ops,
             ),
             Event::Fault(fault) => self.fault(*fault),
             Event::RecordCloudListing => {
                 self.cloud.note(self.now);
-                self.at(self.now + Cloud::NOTE_EVERY, Event::RecordCloudListing);
+                self.schedule(self.now + Cloud::NOTE_EVERY, Event::RecordCloudListing);
             }
         }
     }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -33,7 +33,7 @@
         }
         let mut link = Link::Up;
         for (zone, outbound) in [(from, true), (to, false)] {
-            let Some(partition) = zone.map(|z| self.site_cut[z]) else {
+            let Some(partition) = zone.map(|z| self.zone_partitions[z]) else {
                 continue;
             };
             let passes = match partition.cut {
@@ -72,7 +72,7 @@
     /// The leader that the store records, as compared with `node`.
     pub(super) fn observed_leader(&self, node: usize) -> ObservedLeader {
         match self
-            .state
+            .store
             .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
         {
             Some((leader, _)) if leader.member == format!("node-{node}") => {
@@ -114,7 +114,7 @@
         if self.now < held_until {
             return (held_until + delay, false);
         }
-        if self.now < self.flaky_until {
+        if self.now < self.unreliable_network_until {
             let now = self.now;
             let rng = self.rng_for(auxiliary);
             match rng.u8(..10) {
@@ -196,13 +196,13 @@
         match output {
             Output::Answer { id, answer } => self.answer(node, id.0, answer),
             Output::Store { id, call, timeout } => {
-                let held_until = self.nodes[node].state_cut;
+                let held_until = self.nodes[node].store_partition_until;
                 let auxiliary = ApiServer::owns(id) && !stores_new_job(&call);
                 if let Some((at, caller)) =
                     self.prepare_call_to(None, node, epoch, id, held_until, auxiliary)
                 {
                     let call = Box::new(call);
-                    self.at(at, Event::StoreCall { caller, call });
+                    self.schedule(at, Event::StoreCall { caller, call });
                 }
                 let reply = Err(CallError::NoAnswer);
                 self.schedule_input(self.now + timeout, node, epoch, Input::Store { id, reply });
@@ -238,7 +238,7 @@
                         },
                     };
                     let call = Box::new(call);
-                    self.at(at, Event::CloudCall { caller, call });
+                    self.schedule(at, Event::CloudCall { caller, call });
                 }
                 self.schedule_input(self.now + timeout, node, epoch, Input::Cloud { id, reply });
             }
@@ -251,8 +251,8 @@
                 self.check_launches(node, &commands.commands);
                 let machine = addr.trim_end_matches(":9000");
                 let zone = self.zone_of(machine);
-                let zone_cut = zone.map_or(0, |z| self.zone_cut[z]);
-                let held_until = self.nodes[node].workers_cut.max(zone_cut);
+                let zone_cut = zone.map_or(0, |z| self.zone_worker_partition_until[z]);
+                let held_until = self.nodes[node].worker_partition_until.max(zone_cut);
                 if let Some((at, caller)) =
                     self.prepare_call_to(zone, node, epoch, id, held_until, false)
                 {
@@ -262,7 +262,7 @@
                         addr,
                         commands,
                     };
-                    self.at(at, event);
+                    self.schedule(at, event);
                 }
                 let reply = Err(CallError::NoAnswer);
                 self.schedule_input(
@@ -281,7 +281,9 @@
                     else {
                         continue;
                     };
-                    let cut_until = self.nodes[node].mesh_cut.max(self.nodes[to].mesh_cut);
+                    let cut_until = self.nodes[node]
+                        .peer_partition_until
+                        .max(self.nodes[to].peer_partition_until);
                     let frame = message.encode();
                     if intact
                         && self.now >= cut_until
--- a/crates/simulator/src/simulation/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -104,7 +104,7 @@
             pipeline_stage,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Event::UserRequest { job });
+        self.schedule(at, Event::UserRequest { job });
     }
 
     /// Whether a job may be submitted: its dependencies have been accepted or have ended.
--- a/crates/simulator/src/simulation/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -38,7 +38,7 @@
     pub(super) fn check_launches(&mut self, node: usize, commands: &[Command]) {
         for command in commands {
             if let Command::Launch { task, .. } = command {
-                let known_cancelled = self.nodes[node].cancelled.contains(&task.job);
+                let known_cancelled = self.nodes[node].known_cancelled_jobs.contains(&task.job);
                 self.checker.launches(task, known_cancelled, self.now);
             }
         }
@@ -66,7 +66,7 @@
             Moment::Before | Moment::CarriedOut => self.now,
             Moment::Answered => self.now + 10 * MILLISECOND,
         };
-        self.at(at, Event::Fault(Box::new(crash)));
+        self.schedule(at, Event::Fault(Box::new(crash)));
         moment != Moment::Before
     }
 
@@ -75,7 +75,7 @@
             return;
         }
         let id = caller.id;
-        let refused = self.now < self.nodes[caller.node].refused_until;
+        let refused = self.now < self.nodes[caller.node].store_refuses_until;
         if refused && !matches!(call, StoreRequest::Watch { .. }) {
             let reply = Ok(StoreResponse::Unavailable);
             // The store refuses at once, even if the reply would be lost otherwise.
@@ -85,17 +85,17 @@
             };
             return self.reply(caller, Input::Store { id, reply });
         }
-        let late = self.now < self.late_writes_until
+        let late = self.now < self.delayed_writes_until
             && matches!(call, StoreRequest::Transaction(_))
             && self.auxiliary_rng.u8(..3) == 0;
         let lost = matches!(call, StoreRequest::Transaction(_))
             && !caller.delayed
-            && self.is_affected(self.answers_lost);
+            && self.is_affected(self.lost_write_replies);
         let caller = Caller {
             reply_delivered: caller.reply_delivered && !lost,
             ..caller
         };
-        let slow = self.now < self.slow_state_until;
+        let slow = self.now < self.slow_store_until;
         if (late || slow) && !caller.delayed {
             let wait = match late {
                 true => self.auxiliary_rng.u64(2 * SECOND..12 * SECOND),
@@ -107,15 +107,15 @@
                 ..caller
             };
             let call = Box::new(call.clone());
-            return self.at(self.now + wait, Event::StoreCall { caller, call });
+            return self.schedule(self.now + wait, Event::StoreCall { caller, call });
         }
-        let busy = self.now < self.too_many_until;
+        let busy = self.now < self.store_overload_until;
         let rng = self.rng_for(caller.auxiliary);
         let too_many = rng.u16(..500) == 0 || (busy && rng.u8(..5) == 0);
         let answer = if too_many {
             Some(StoreResponse::RateLimited)
         } else {
-            self.state.call(call, self.now)
+            self.store.call(call, self.now)
         };
         match answer {
             Some(answer) => {
@@ -125,7 +125,7 @@
             }
             None => {
                 if let Some((watch, time)) = self.store_watches.open(caller, call) {
-                    self.at(self.now + time, Event::StoreWatchExpired { watch });
+                    self.schedule(self.now + time, Event::StoreWatchExpired { watch });
                 }
             }
         }
@@ -137,14 +137,14 @@
         let mut rng = self.rng.fork();
         let mut boot_fails = rng.u8(..20) == 0;
         let mut boot_time = rng.u64(SECOND..20 * SECOND);
-        if self.now < self.boots.until {
-            boot_fails = rng.u64(..self.boots.never) == 0;
-            boot_time = boot_time * self.boots.factor + MILLISECOND;
+        if self.now < self.boot_delays.until {
+            boot_fails = rng.u64(..self.boot_delays.failure_one_in) == 0;
+            boot_time = boot_time * self.boot_delays.time_factor + MILLISECOND;
         }
         let time_to_boot = |_: &str| (!boot_fails).then_some(boot_time);
         let (answer, rented, deleted) = self.cloud.call(call, self.now, time_to_boot);
         for machine in rented.iter().filter(|_| !boot_fails).cloned() {
-            self.at(self.now + boot_time, Event::MachineBooted { machine });
+            self.schedule(self.now + boot_time, Event::MachineBooted { machine });
         }
         let machines_before = self.workers.len();
         let deleted: Vec<String> = deleted
@@ -175,26 +175,26 @@
             }
         }
         for machine in deleted {
-            self.machine_ends(&machine);
+            self.remove_machine(&machine);
         }
         let reply = Ok(answer);
         self.reply(caller, Input::Cloud { id, reply });
     }
 
     pub(super) fn send_changed_watches(&mut self) {
-        self.state.expire(self.now);
-        if self.state.out(self.now) {
+        self.store.expire(self.now);
+        if self.store.out(self.now) {
             return;
         }
-        let refused = |caller: Caller| self.nodes[caller.node].refused_until;
+        let refused = |caller: Caller| self.nodes[caller.node].store_refuses_until;
         let accepts = |caller| self.now >= refused(caller);
-        for (caller, changes) in self.store_watches.changed(&self.state, accepts) {
+        for (caller, changes) in self.store_watches.changed(&self.store, accepts) {
             self.send_watch_batch(caller, changes);
         }
     }
 
     pub(super) fn send_watch_batch(&mut self, caller: Caller, changes: WatchBatch) {
-        let cut_until = self.nodes[caller.node].state_cut;
+        let cut_until = self.nodes[caller.node].store_partition_until;
         let held_until = self.delivery_time(None, Self::node_zone(caller.node), cut_until);
         let Some(held_until) = held_until else {
             return;
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -86,7 +86,7 @@
             kube_job,
             ..User::new(spec, cancel_at)
         });
-        self.at(at, Event::UserRequest { job });
+        self.schedule(at, Event::UserRequest { job });
     }
 
     /// In scenarios with varied jobs, binds some jobs to a zone and makes some native
@@ -158,7 +158,7 @@
             Requester::Worker { .. } | Requester::ReplyDiscarded
         );
         self.pending_requests.insert(request, (requester, self.now));
-        self.at(
+        self.schedule(
             self.now + REQUEST_TIMEOUT,
             Event::RequestTimeout { request },
         );
@@ -194,7 +194,8 @@
                     self.check_launches(node, &reply.commands);
                 }
                 let zone = self.zone_of(&machine).unwrap_or(0);
-                let cut_until = self.zone_cut[zone].max(self.nodes[node].workers_cut);
+                let cut_until = self.zone_worker_partition_until[zone]
+                    .max(self.nodes[node].worker_partition_until);
                 let held_until = self.delivery_time(Self::node_zone(node), Some(zone), cut_until);
                 let Some(held_until) = held_until else {
                     return;
@@ -202,7 +203,7 @@
                 let (at, intact) = self.transit(held_until);
                 if intact {
                     let answer = Box::new(answer);
-                    self.at(
+                    self.schedule(
                         at,
                         Event::HeartbeatReply {
                             machine,
@@ -224,7 +225,7 @@
                 let status = dillcleat_wire::decode::<JobStatus>(&answer.body).ok();
                 let state = status.as_ref().map(|s| s.state);
                 if let Some(s) = status.filter(|s| s.state == JobState::Cancelled) {
-                    self.nodes[node].cancelled.insert(s.id);
+                    self.nodes[node].known_cancelled_jobs.insert(s.id);
                 }
                 self.user_answer(requester, sent_at, answer.status, state);
             }
@@ -308,7 +309,7 @@
             true => at.next_multiple_of(SECOND),
             false => at,
         };
-        self.at(at, Event::UserRequest { job });
+        self.schedule(at, Event::UserRequest { job });
     }
 
     pub(super) fn user_answer(
@@ -434,7 +435,7 @@
                         u.answer_count += 1;
                         20 * SECOND
                     }
-                    _ if now < self.storm_until => 5 * SECOND / 8,
+                    _ if now < self.frequent_polls_until => 5 * SECOND / 8,
                     _ => 5 * SECOND,
                 };
                 self.schedule_user_request(now + pause, job);
@@ -446,7 +447,11 @@
     /// Counts the running replicas of services that were accepted some time ago and that
     /// no user has asked to cancel.
     pub(super) fn record_replica_counts(&mut self) {
-        let partitioned = self.site_cut.iter().filter(|c| self.now < c.until).count();
+        let partitioned = self
+            .zone_partitions
+            .iter()
+            .filter(|c| self.now < c.until)
+            .count();
         // With most zones partitioned the replicas cannot be kept running.
         if !self.now.is_multiple_of(REPLICA_COUNT_INTERVAL) || partitioned * 2 > ZONES.len() {
             return;
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -31,7 +31,8 @@
                     w.report_at = self.now + self.rng.u64(15..25) * SECOND / 10;
                     let node = w.node;
                     let zone = ZONES.iter().position(|z| *z == w.place.zone).unwrap_or(0);
-                    let cut_until = self.zone_cut[zone].max(self.nodes[node].workers_cut);
+                    let cut_until = self.zone_worker_partition_until[zone]
+                        .max(self.nodes[node].worker_partition_until);
                     let held_until =
                         self.delivery_time(Some(zone), Self::node_zone(node), cut_until);
                     let Some(held_until) = held_until else {
@@ -42,16 +43,16 @@
                     let heartbeat = Box::new(heartbeat);
                     let machine = name.clone();
                     // The heartbeat arrives even if its reply will be lost.
-                    if self.now < self.late_reports_until && self.auxiliary_rng.bool() {
+                    if self.now < self.duplicate_heartbeats_until && self.auxiliary_rng.bool() {
                         let delay = self.auxiliary_rng.u64(2 * SECOND..2 * lease);
                         let node = self.auxiliary_rng.usize(..self.nodes.len());
                         let heartbeat = heartbeat.clone();
-                        self.at(at + delay, Event::HeartbeatCopy { node, heartbeat });
+                        self.schedule(at + delay, Event::HeartbeatCopy { node, heartbeat });
                     }
-                    if self.is_affected(self.reports_for_next) {
+                    if self.is_affected(self.heartbeats_for_next_leader) {
                         self.saved_heartbeats.push(Heartbeat::clone(&heartbeat));
                     }
-                    self.at(
+                    self.schedule(
                         at,
                         Event::Heartbeat {
                             machine,
@@ -63,12 +64,12 @@
             }
             self.record_worker_events(&name, worker_events);
         }
-        self.at(self.now + 100 * MILLISECOND, Event::AdvanceWorkers);
+        self.schedule(self.now + 100 * MILLISECOND, Event::AdvanceWorkers);
     }
 
     /// Delivers the saved copies of heartbeats once a new leader has been elected.
     pub(super) fn deliver_saved_heartbeats(&mut self) {
-        let term = self.state.term();
+        let term = self.store.term();
         if term <= self.last_term {
             return;
         }
@@ -78,7 +79,7 @@
             let at = self.now + self.auxiliary_rng.u64(..600 * MILLISECOND);
             for node in 0..self.nodes.len() {
                 let heartbeat = Box::new(heartbeat.clone());
-                self.at(at, Event::HeartbeatCopy { node, heartbeat });
+                self.schedule(at, Event::HeartbeatCopy { node, heartbeat });
             }
         }
     }
@@ -108,7 +109,7 @@
                 addr,
                 commands,
             };
-            return self.at(at, event);
+            return self.schedule(at, event);
         }
         let mut worker_events =
             worker.pass(self.now, self.config.worker_lease, &self.task_behaviours);
@@ -153,7 +154,7 @@
         }
     }
 
-    pub(crate) fn machine_ends(&mut self, machine: &str) {
+    pub(crate) fn remove_machine(&mut self, machine: &str) {
         if let Some(mut w) = self.workers.remove(machine) {
             for event in w.kill() {
                 if let WorkerEvent::Leaves { task, .. } = event {
