--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -98,7 +98,7 @@
         zone: "a".into(),
         spot: false,
     };
-    let mut report = Worker::new(place, 8.0, 0.0, SECOND, 0).report(SECOND);
+    let mut report = Worker::new(place, 8.0, 0.0, SECOND, 0).heartbeat(SECOND);
     report.addr = "127.0.0.1:9".into();
     encode(&report)
 }
@@ -282,6 +282,6 @@
     for worker in &mut workers {
         assert!(worker.ask().is_some());
     }
-    let answer = exchange(trio.doors[0], b"GET /version HTTP/1.1\r\n\r\n");
+    let answer = exchange(trio.kube_addrs[0], b"GET /version HTTP/1.1\r\n\r\n");
     assert_eq!(answer.map(|(status, _)| status), Some(401));
 }
--- a/crates/dillcleat/tests/kube_server.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -100,7 +100,7 @@
     let mut trio = ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     let client = |i: usize, token| Client {
         dir: dir.clone(),
-        server: format!("https://{}", trio.doors[i]),
+        server: format!("https://{}", trio.kube_addrs[i]),
         token,
     };
     let clients: Vec<Client> = (0..3).map(|i| client(i, "all")).collect();
@@ -223,7 +223,7 @@
     });
     // Nobody is spoken to without TLS.
     assert_eq!(
-        exchange(trio.doors[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
+        exchange(trio.kube_addrs[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
         None
     );
 }
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -29,7 +29,9 @@
 }
 
 fn client(trio: &ThreeProcesses, i: usize, root: &[u8]) -> Client {
-    let url = format!("https://{}", trio.doors[i]).parse().expect("a URL");
+    let url = format!("https://{}", trio.kube_addrs[i])
+        .parse()
+        .expect("a URL");
     let mut config = Config::new(url);
     config.root_cert = Some(vec![root.to_vec()]);
     config.auth_info.token = Some(TOKEN.to_string().into());
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -85,13 +85,13 @@
     let (clients, mesh) = (addrs[..3].to_vec(), addrs[3..].to_vec());
     let names = (0..3).map(|i| (format!("n{i}"), clients[i])).collect();
     let world = Loopback::start(vec![processes::machine(8.0)], names).expect("stand-ins");
-    world.knows(play("req-1", JobKind::Batch));
-    world.knows(play("req-2", JobKind::Service));
-    world.knows(TaskBehaviour {
+    world.set_behaviour(play("req-1", JobKind::Batch));
+    world.set_behaviour(play("req-2", JobKind::Service));
+    world.set_behaviour(TaskBehaviour {
         run: 8 * SECOND,
         ..play("req-3", JobKind::Batch)
     });
-    world.knows(play("req-4", JobKind::Batch));
+    world.set_behaviour(play("req-4", JobKind::Batch));
     let files: Vec<PathBuf> = (0..3)
         .map(|i| {
             file(
--- a/crates/simulator/examples/api_equivalence.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -10,7 +10,7 @@
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
 use dillcleat_simulator::objects::rules_for;
 use dillcleat_simulator::simulation::base_config;
-use dillcleat_simulator::single_node::{Ev, SingleNode, WALL, ask};
+use dillcleat_simulator::single_node::{Event, SingleNode, WALL_CLOCK_START, api_request};
 use dillcleat_simulator::store::SimulatedStore;
 use dillcleat_wire::user::{JOBS_PATH, JobKind as NativeKind, JobSpec};
 use hdrhistogram::Histogram;
@@ -89,7 +89,7 @@
     );
     node.until(10 * SECOND);
     let (start, calls) = (node.now, node.calls);
-    node.busy = Duration::ZERO;
+    node.processing_time = Duration::ZERO;
     let mut first_sent_at: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut times = Histogram::<u64>::new(3).expect("a histogram");
     let (mut accepted, mut rejected) = (0u64, 0u64);
@@ -102,7 +102,7 @@
             spec.spot = false;
             let body = dillcleat_wire::encode(&spec);
             let (method, target) = ("POST".into(), JOBS_PATH.into());
-            Ev::Input(Input::Request {
+            Event::Input(Input::Request {
                 id,
                 method,
                 target,
@@ -110,9 +110,9 @@
             })
         } else {
             let target = "/apis/batch/v1/namespaces/free/jobs";
-            Ev::Ask(id, ask("POST", target, &manifest(i)))
+            Event::ApiRequest(id, api_request("POST", target, &manifest(i)))
         };
-        node.at(at, ev);
+        node.schedule(at, ev);
     };
     for i in 0..seconds * offered {
         let at = start + i * SECOND / offered;
@@ -143,7 +143,7 @@
         times.value_at_quantile(0.5) / 1000,
         times.value_at_quantile(0.99) / 1000,
         (node.calls - calls) as f64 / accepted.max(1) as f64,
-        node.busy.as_micros() as f64 / (accepted + rejected).max(1) as f64,
+        node.processing_time.as_micros() as f64 / (accepted + rejected).max(1) as f64,
     );
 }
 
@@ -161,7 +161,7 @@
         let record = Record {
             uid: format!("{i:08}-0000-8000-8000-000000000000"),
             run: 1,
-            created: WALL,
+            created: WALL_CLOCK_START,
             generation: 1,
             labels: BTreeMap::from([("app".to_string(), "merge".to_string())]),
             annotations: BTreeMap::new(),
@@ -198,8 +198,8 @@
     for i in 0..watchers {
         let query = format!("watch=true&resourceVersion={}", version.unwrap_or(0));
         let target = format!("/apis/batch/v1/jobs?{query}");
-        let ask = ask("GET", &target, &Value::Null);
-        node.at(node.now, Ev::Ask(RequestId(1_000_000 + i), ask));
+        let ask = api_request("GET", &target, &Value::Null);
+        node.schedule(node.now, Event::ApiRequest(RequestId(1_000_000 + i), ask));
     }
     node.until(node.now + SECOND);
     let (_, open_watches) = node
@@ -226,13 +226,13 @@
             i * 37 % objects
         );
         let body = json!({"metadata": {"labels": {"turn": i.to_string()}}});
-        node.at(
+        node.schedule(
             node.now,
-            Ev::Ask(RequestId(i), ask("PATCH", &target, &body)),
+            Event::ApiRequest(RequestId(i), api_request("PATCH", &target, &body)),
         );
-        node.busy = Duration::ZERO;
+        node.processing_time = Duration::ZERO;
         node.until(node.now + 50 * MILLISECOND);
-        let _ = busy.record(node.busy.as_micros() as u64);
+        let _ = busy.record(node.processing_time.as_micros() as u64);
     }
     let mut answers = node.answers.iter();
     if let Some((_, reply)) = answers.find(|(_, reply)| reply.status != 200) {
--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -61,7 +61,7 @@
     let args = Args::parse();
     let form = match args.form {
         Form::Native => SubmissionForm::Native,
-        Form::Objects => SubmissionForm::Objects,
+        Form::Objects => SubmissionForm::Kubernetes,
         Form::Mixed => SubmissionForm::Mixed,
     };
     let least_served = Mutex::new(None);
@@ -91,14 +91,14 @@
                         Faults::Pipelines => Scenario::pipelines(seed),
                         Faults::Combined => Scenario::meetings(seed),
                         Faults::StoreOutages => Scenario::gap(seed),
-                        Faults::StoreCallCrash => Scenario::ends_at_call(seed),
+                        Faults::StoreCallCrash => Scenario::crash_at_call(seed),
                     };
                     let scenario = Scenario { form, ..scenario };
                     let faults = scenario.faults.clone();
                     let o = Simulation::new(scenario).run();
                     watched_jobs.fetch_add(o.watched_objects.0, Ordering::Relaxed);
                     watched_ends.fetch_add(o.watched_objects.1, Ordering::Relaxed);
-                    if let Some((name, share)) = o.service_shares.least() {
+                    if let Some((name, share)) = o.service_shares.lowest() {
                         let mut least = least_served.lock().expect("no holder panics");
                         let lower = |(_, s, _): &(String, f64, u64)| share < *s;
                         if least.as_ref().is_none_or(lower) {
@@ -119,10 +119,10 @@
                         && o.unfinished.is_empty()
                         && o.leftover_keys.is_empty()
                         && o.stale.is_empty()
-                        && o.service_shares.starved().is_empty();
+                        && o.service_shares.below_minimum().is_empty();
                     if !clean {
                         failed_runs.fetch_add(1, Ordering::Relaxed);
-                        let starved = o.service_shares.starved();
+                        let starved = o.service_shares.below_minimum();
                         if !starved.is_empty() {
                             println!("seed {seed}: too little for {starved:?}");
                             print!("{}", o.service_shares);
--- a/crates/simulator/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -35,13 +35,13 @@
     ("pipelines", Scenario::pipelines),
     ("meetings", Scenario::meetings),
     ("gap", Scenario::gap),
-    ("calls", Scenario::ends_at_call),
+    ("calls", Scenario::crash_at_call),
     ("objects", objects),
 ];
 
 fn objects(seed: u64) -> Scenario {
     Scenario {
-        form: SubmissionForm::Objects,
+        form: SubmissionForm::Kubernetes,
         ..Scenario::troubled(seed)
     }
 }
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -55,7 +55,7 @@
     println!("jobs unfinished: {:?}", outcome.unfinished);
     println!("keys left behind: {}", outcome.leftover_keys.len());
     println!("indexes not as if made anew: {:?}", outcome.stale);
-    println!("starved: {:?}", outcome.service_shares.starved());
+    println!("starved: {:?}", outcome.service_shares.below_minimum());
     println!("\n{}", outcome.service_shares);
     for (kind, (count, time)) in &outcome.costs {
         let each = time.as_nanos() as f64 / 1e3 / (*count).max(1) as f64;
@@ -76,7 +76,7 @@
     let cli = Cli::parse();
     let started = Instant::now();
     let outcome = Simulation::new(Scenario {
-        allocated: Some(allocated),
+        allocated_bytes: Some(allocated),
         ..Scenario::large_fleet(cli.seed, cli.scale)
     })
     .run();
--- a/crates/simulator/examples/quickstart.rs
+++ b/crates/simulator/examples/quickstart.rs
@@ -43,7 +43,10 @@
     );
     let controllers = ThreeProcesses::start(&args.program, &args.dir, &kube)?;
     println!("Three controllers run over stand-ins on loopback. In another shell:\n");
-    println!("  export DILLCLEAT_SERVER=http://{}", controllers.doors[0]);
+    println!(
+        "  export DILLCLEAT_SERVER=http://{}",
+        controllers.kube_addrs[0]
+    );
     println!("  export DILLCLEAT_TOKEN_FILE={}", token_file.display());
     println!(
         "  {} apply -f examples/merge-job.yaml --wait",
@@ -52,7 +55,7 @@
     println!("  {} get jobs", args.program.display());
     println!(
         "\nThe other two: http://{} http://{}",
-        controllers.doors[1], controllers.doors[2]
+        controllers.kube_addrs[1], controllers.kube_addrs[2]
     );
     println!("\nBy the users' own protocol, one job after another:\n");
     for (job, after) in [("req-000001", ""), ("req-000002", " --after req-000001")] {
--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -111,10 +111,10 @@
     fn settings(&self, machines: u32) -> FleetSettings {
         FleetSettings {
             seed: self.seed,
-            slots: self.slots,
+            tasks_per_machine: self.slots,
             warm_up: micros(self.warm_up),
-            measured: micros(self.measured),
-            ..FleetSettings::of(machines)
+            measurement: micros(self.measured),
+            ..FleetSettings::for_machines(machines)
         }
     }
 }
@@ -149,9 +149,9 @@
     let mut fleet = Fleet::new(settings);
     fleet.run();
     let before = allocated_bytes();
-    drop(fleet.dismiss());
+    drop(fleet.take_node());
     let node_bytes = before.wrapping_sub(allocated_bytes());
-    let measured = fleet.into_measured();
+    let measured = fleet.into_measurements();
     Run {
         size,
         input_times: measured
@@ -160,7 +160,7 @@
             .map(|(kind, samples)| (*kind, histogram(samples)))
             .collect(),
         longest_before: measured
-            .before
+            .warm_up_inputs
             .values()
             .flatten()
             .copied()
@@ -222,7 +222,7 @@
     println!("|{}", " --- |".repeat(8));
     for r in runs {
         let m = &r.measured;
-        let starts = m.starts.max(1) as f64;
+        let starts = m.launches.max(1) as f64;
         let longest = r
             .input_times
             .values()
@@ -232,20 +232,20 @@
         println!(
             "| {} | {} | {} | {:.2} | {:.0} | {} | {:.1} ({:.1}) | {:.1} |",
             r.size,
-            m.starts,
-            m.ends,
-            m.state_calls as f64 / starts,
-            m.state_bytes as f64 / starts,
-            m.too_many,
+            m.launches,
+            m.completions,
+            m.store_calls as f64 / starts,
+            m.transaction_bytes as f64 / starts,
+            m.rate_limited_calls,
             longest as f64 / 1e6,
             r.longest_before as f64 / 1e6,
             r.node_bytes as f64 / 1e6
         );
-        if !m.malformed.is_empty() || m.leases_lost > 0 {
+        if !m.malformed.is_empty() || m.expired_leases > 0 {
             println!(
                 "{} malformed requests, {} leases lost",
                 m.malformed.len(),
-                m.leases_lost
+                m.expired_leases
             );
         }
     }
@@ -264,12 +264,12 @@
     );
     println!(
         "from the election until every machine was answered: {}",
-        time(m.all_heard)
+        time(m.all_machines_answered)
     );
     println!(
         "leases lost for want of an answer: {}; the least left of one: {:.1} s",
-        m.leases_lost,
-        seconds(m.least_left)
+        m.expired_leases,
+        seconds(m.min_lease_remaining)
     );
     print_table("machines", std::slice::from_ref(run));
 }
@@ -285,7 +285,7 @@
                 .iter()
                 .map(|n| {
                     let settings = FleetSettings {
-                        waiting: n * waiting,
+                        waiting_tasks: n * waiting,
                         ..common.settings(*n)
                     };
                     run(*n, settings)
@@ -302,7 +302,7 @@
                 .iter()
                 .map(|n| {
                     let settings = FleetSettings {
-                        waiting: *n,
+                        waiting_tasks: *n,
                         ..common.settings(machines)
                     };
                     run(*n, settings)
@@ -319,9 +319,9 @@
             common,
         } => {
             let settings = FleetSettings {
-                held,
-                state_rps: rps,
-                state_write_rps: write_rps,
+                blocked_jobs: held,
+                store_rps: rps,
+                store_write_rps: write_rps,
                 cpu_share: Some(share),
                 ..common.settings(machines)
             };
@@ -339,7 +339,7 @@
                 machines,
                 FleetSettings {
                     cpu_share: Some(share),
-                    silence: Some((from, micros(silence))),
+                    network_outage: Some((from, micros(silence))),
                     ..settings
                 },
             ));
@@ -362,7 +362,7 @@
         jobs: 40,
         nodes: 5,
         scale,
-        busy: 100 * SECOND,
+        activity_end: 100 * SECOND,
         end: 200 * SECOND,
         ..Scenario::quiet(4)
     })
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -8,7 +8,7 @@
 use clap::Parser;
 use dillcleat_controller::{Micros, micros};
 use dillcleat_simulator::ServiceShares;
-use dillcleat_simulator::service_shares::LEAST;
+use dillcleat_simulator::service_shares::MIN_SHARE;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -169,17 +169,17 @@
     let run: RunReport = serde_json::from_slice(&std::fs::read(report)?)?;
     let shares = shares(&run, &log);
     println!("{}:\n\n{shares}", report.with_extension("").display());
-    let mut starved = shares.starved();
+    let mut starved = shares.below_minimum();
     for (group, all) in [("team", &run.teams), ("largest of class", &run.largest)] {
         for (name, jobs) in all.iter().filter(|(_, b)| b.jobs > 0.0) {
             let share = jobs.started / jobs.jobs;
             println!("Began, {group} {name}: {share:.3} of {}.", jobs.jobs);
-            if share < LEAST {
+            if share < MIN_SHARE {
                 starved.push(format!("{group} {name}"));
             }
         }
     }
-    if let Some((name, share)) = shares.least() {
+    if let Some((name, share)) = shares.lowest() {
         println!("Least served: {name}, {share:.3}.\n");
     }
     if !starved.is_empty() {
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records the current list of machines, to be served after the list lag.
-    pub fn note(&mut self, now: Micros) {
+    pub fn record_list(&mut self, now: Micros) {
         let list = self
             .hosts
             .iter()
@@ -154,5 +154,5 @@
     }
 
     /// Interval between two recorded lists.
-    pub const NOTE_EVERY: Micros = SECOND;
+    pub const LIST_INTERVAL: Micros = SECOND;
 }
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -15,7 +15,7 @@
         let mut rng = Rng::with_seed(seed.rotate_left(23) ^ MEETINGS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(20 * SECOND..40 * SECOND);
-        while at < scenario.busy {
+        while at < scenario.activity_end {
             let mut fault_at = at;
             for _ in 0..rng.usize(2..4) {
                 // Near the lease of the leader, the lease of a worker, the time for which
@@ -42,18 +42,18 @@
             1 => scenario.pipelines = rng.usize(2..6),
             _ => {}
         }
-        scenario.small = true;
-        scenario.varied = true;
-        scenario.tight = rng.u8(..4) == 0;
+        scenario.small_jobs = true;
+        scenario.varied_jobs = true;
+        scenario.tight_quotas = rng.u8(..4) == 0;
         if rng.u8(..8) == 0 {
             let from = rng.u64(10 * SECOND..100 * SECOND);
-            scenario.stream = Some((from, rng.u64(60 * SECOND..90 * SECOND)));
+            scenario.single_task_stream = Some((from, rng.u64(60 * SECOND..90 * SECOND)));
         }
         scenario
             .faults
-            .extend(user_behaviours(&mut rng, scenario.busy));
+            .extend(user_behaviours(&mut rng, scenario.activity_end));
         scenario.jobs = rng.usize(14..26);
-        scenario.end = scenario.busy + 1000 * SECOND;
+        scenario.end = scenario.activity_end + 1000 * SECOND;
         scenario
     }
 }
@@ -67,10 +67,10 @@
         let time = rng.u64(60 * SECOND..busy);
         let percent = rng.u8(10..50);
         let fault = match kind {
-            0 => Fault::CloseLooks { time },
-            1 => Fault::OddRequests { time },
-            2 => Fault::CancelsAtOnce { percent, time },
-            _ => Fault::CancelsAtEnd { percent, time },
+            0 => Fault::ExtraRequests { time },
+            1 => Fault::IrregularRequests { time },
+            2 => Fault::CancelOnAcceptance { percent, time },
+            _ => Fault::CancelOnCompletion { percent, time },
         };
         if rng.usize(..2 + kind / 2) == 0 {
             faults.push((at, fault));
@@ -85,27 +85,27 @@
     let index = rng.usize(..3);
     let percent = rng.u8(10..60);
     let fault = match rng.u8(..28) {
-        0 => Fault::StateOutage { time },
-        1 => Fault::Refused { node, time },
+        0 => Fault::StoreOutage { time },
+        1 => Fault::StoreRefusal { node, time },
         // Partitioned from the store and from its peers, but not from workers and users.
         2 | 3 => {
-            let partition = Fault::CutState { node, time };
-            return vec![(at, partition), (at, Fault::CutMesh { node, time })];
+            let partition = Fault::StorePartition { node, time };
+            return vec![(at, partition), (at, Fault::PeerPartition { node, time })];
         }
         4 => {
-            let refusal = Fault::Refused { node, time };
+            let refusal = Fault::StoreRefusal { node, time };
             let outage_delay = rng.u64(SECOND / 2..4 * SECOND);
             return vec![
                 (at, refusal),
-                (at + outage_delay, Fault::StateOutage { time }),
+                (at + outage_delay, Fault::StoreOutage { time }),
             ];
         }
-        5 | 6 => Fault::LateWrites { time },
-        7 => Fault::LateReports { time },
-        8 | 9 => Fault::Deaf { machines, time },
+        5 | 6 => Fault::DelayedWrites { time },
+        7 => Fault::DuplicateHeartbeats { time },
+        8 | 9 => Fault::InboundLoss { machines, time },
         10 => Fault::Hang { machines, time },
-        11 => Fault::SlowState { time },
-        12 => Fault::AllEnd {
+        11 => Fault::SlowStore { time },
+        12 => Fault::AllNodesCrash {
             back: index,
             soon: rng.u64(SECOND / 10..SECOND),
             others: rng.u64(SECOND..20 * SECOND),
@@ -124,29 +124,29 @@
             let crashes = (0..4).map(|n| (at + n * 3 * SECOND / 2, crash(vec![LEADER])));
             return crashes.collect();
         }
-        15 => Fault::CutWorkers { node, time },
+        15 => Fault::WorkerPartition { node, time },
         16 => Fault::Pause { node, time },
-        17 => Fault::CutZone { zone: index, time },
-        18 => Fault::Mute {
+        17 => Fault::ZoneWorkerPartition { zone: index, time },
+        18 => Fault::HeartbeatLoss {
             machines,
             zone: None,
             time,
         },
-        19 => Fault::Mute {
+        19 => Fault::HeartbeatLoss {
             machines: usize::MAX,
             zone: Some(index),
             time,
         },
-        20 | 21 => Fault::AnswersLost { percent, time },
-        22 => Fault::ReportsForNext { percent, time },
+        20 | 21 => Fault::LostWriteReplies { percent, time },
+        22 => Fault::HeartbeatsForNextLeader { percent, time },
         // Machines boot immediately while transactions are delayed.
         23 => {
-            let immediate_boots = Fault::Boots {
+            let immediate_boots = Fault::BootDelays {
                 time,
-                factor: 0,
-                never: u64::MAX,
+                time_factor: 0,
+                failure_one_in: u64::MAX,
             };
-            return vec![(at, immediate_boots), (at, Fault::LateWrites { time })];
+            return vec![(at, immediate_boots), (at, Fault::DelayedWrites { time })];
         }
         // Ten crashes of leaders in two minutes, in half of the cases with a store outage.
         24 => {
@@ -158,19 +158,19 @@
             let mut faults: Vec<_> = (0..10).map(|n| (at + n * interval, crash(n))).collect();
             if rng.bool() {
                 let time = rng.u64(5 * SECOND..20 * SECOND);
-                faults.push((at + 3 * interval, Fault::StateOutage { time }));
+                faults.push((at + 3 * interval, Fault::StoreOutage { time }));
             }
             return faults;
         }
-        25 => Fault::CancelsNow {
+        25 => Fault::CancelRunningJobs {
             jobs: rng.usize(2..8),
             hang: 0,
         },
-        26 => Fault::CancelsNow {
+        26 => Fault::CancelRunningJobs {
             jobs: rng.usize(2..8),
             hang: time,
         },
-        _ => Fault::ZoneDies {
+        _ => Fault::ZoneMachineFailure {
             machines: usize::MAX,
             zone: index,
         },
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -57,34 +57,34 @@
                     self.crash(node, now + down);
                 }
             }
-            Fault::AllEnd { back, soon, others } => {
+            Fault::AllNodesCrash { back, soon, others } => {
                 for node in 0..count {
                     let down = if node == back % count { soon } else { others };
                     self.crash(node, now + down);
                 }
             }
             Fault::Pause { node, time } => self.nodes[index_of(node)].paused_until = now + time,
-            Fault::CutMesh { node, time } => {
+            Fault::PeerPartition { node, time } => {
                 self.nodes[index_of(node)].peer_partition_until = now + time
             }
-            Fault::StateOutage { time } => self.store.outage(now, now + time),
-            Fault::Refused { node, time } => {
+            Fault::StoreOutage { time } => self.store.outage(now, now + time),
+            Fault::StoreRefusal { node, time } => {
                 self.nodes[index_of(node)].store_refuses_until = now + time
             }
-            Fault::CutState { node, time } => {
+            Fault::StorePartition { node, time } => {
                 self.nodes[index_of(node)].store_partition_until = now + time
             }
-            Fault::CutWorkers { node, time } => {
+            Fault::WorkerPartition { node, time } => {
                 self.nodes[index_of(node)].worker_partition_until = now + time
             }
-            Fault::CutZone { zone, time } => {
+            Fault::ZoneWorkerPartition { zone, time } => {
                 self.zone_worker_partition_until[zone % 3] = now + time
             }
-            Fault::CutSite { zone, time, cut } => {
+            Fault::ZonePartition { zone, time, mode } => {
                 let zone = zone.or(leader).unwrap_or(0) % 3;
                 self.zone_partitions[zone] = ZonePartition {
                     until: now + time,
-                    cut,
+                    mode,
                 };
             }
             Fault::Hang { machines, time } => {
@@ -94,33 +94,33 @@
                     }
                 }
             }
-            Fault::Deaf { machines, time } => {
+            Fault::InboundLoss { machines, time } => {
                 for name in self.some_machines(machines) {
                     if let Some(w) = self.workers.get_mut(&name) {
-                        w.deaf_until = now + time;
+                        w.inbound_lost_until = now + time;
                     }
                 }
             }
-            Fault::Mute {
+            Fault::HeartbeatLoss {
                 machines,
                 zone,
                 time,
             } => {
                 for name in self.some_machines_of(machines, zone) {
                     if let Some(w) = self.workers.get_mut(&name) {
-                        w.mute_until = now + time;
+                        w.heartbeats_lost_until = now + time;
                     }
                 }
             }
-            Fault::Die { machines } => {
+            Fault::MachineFailure { machines } => {
                 let names = self.some_machines(machines);
                 self.fail_machines(names);
             }
-            Fault::ZoneDies { machines, zone } => {
+            Fault::ZoneMachineFailure { machines, zone } => {
                 let names = self.some_machines_of(machines, Some(zone));
                 self.fail_machines(names);
             }
-            Fault::SpotTaken { notice } => {
+            Fault::SpotPreemption { notice } => {
                 let spot: Vec<String> = self
                     .workers
                     .values()
@@ -130,49 +130,49 @@
                 for machine in spot {
                     let at = now + notice.unwrap_or(0);
                     if let (Some(_), Some(w)) = (notice, self.workers.get_mut(&machine)) {
-                        w.recall_at = Some(at);
-                        w.report_at = now;
+                        w.preemption_at = Some(at);
+                        w.next_heartbeat_at = now;
                     }
                     self.schedule(at, Event::MachinePreempted { machine });
                 }
             }
             Fault::CloudOutage { time } => self.cloud.out_until = now + time,
-            Fault::Flaky { time } => self.unreliable_network_until = now + time,
-            Fault::Boots {
+            Fault::UnreliableNetwork { time } => self.unreliable_network_until = now + time,
+            Fault::BootDelays {
                 time,
-                factor,
-                never,
+                time_factor,
+                failure_one_in,
             } => {
                 self.boot_delays = BootDelays {
                     until: now + time,
-                    time_factor: factor,
-                    failure_one_in: never,
+                    time_factor,
+                    failure_one_in,
                 }
             }
-            Fault::Storm { time } => self.frequent_polls_until = now + time,
-            Fault::TooMany { time } => self.store_overload_until = now + time,
-            Fault::SlowState { time } => self.slow_store_until = now + time,
-            Fault::LateWrites { time } => self.delayed_writes_until = now + time,
-            Fault::LateReports { time } => self.duplicate_heartbeats_until = now + time,
-            Fault::CloseLooks { time } => self.extra_requests_until = now + time,
-            Fault::OddRequests { time } => {
+            Fault::FrequentPolls { time } => self.frequent_polls_until = now + time,
+            Fault::StoreOverload { time } => self.store_overload_until = now + time,
+            Fault::SlowStore { time } => self.slow_store_until = now + time,
+            Fault::DelayedWrites { time } => self.delayed_writes_until = now + time,
+            Fault::DuplicateHeartbeats { time } => self.duplicate_heartbeats_until = now + time,
+            Fault::ExtraRequests { time } => self.extra_requests_until = now + time,
+            Fault::IrregularRequests { time } => {
                 self.irregular_requests_until = now + time;
                 self.schedule(now, Event::IrregularRequest);
             }
-            Fault::CancelsAtOnce { percent, time } => {
+            Fault::CancelOnAcceptance { percent, time } => {
                 self.cancel_on_acceptance = FaultWindow::new(now + time, percent);
             }
-            Fault::CancelsAtEnd { percent, time } => {
+            Fault::CancelOnCompletion { percent, time } => {
                 self.cancel_on_completion = FaultWindow::new(now + time, percent);
             }
-            Fault::CancelsNow { jobs, hang } => self.cancel_running_jobs(jobs, hang),
-            Fault::AnswersLost { percent, time } => {
+            Fault::CancelRunningJobs { jobs, hang } => self.cancel_running_jobs(jobs, hang),
+            Fault::LostWriteReplies { percent, time } => {
                 self.lost_write_replies = FaultWindow::new(now + time, percent);
             }
-            Fault::ReportsForNext { percent, time } => {
+            Fault::HeartbeatsForNextLeader { percent, time } => {
                 self.heartbeats_for_next_leader = FaultWindow::new(now + time, percent);
             }
-            Fault::Faulty => {
+            Fault::FaultyMachine => {
                 for name in self.some_machines(1) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.faulty = true;
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -10,7 +10,7 @@
 use crate::cloud::{Cloud, Host};
 use crate::rules::MachineIdentity;
 use crate::store::{PageLimit, SimulatedStore, Watches};
-use crate::worker::{PATIENCE, TaskBehaviour, Worker, WorkerEvent};
+use crate::worker::{HEARTBEAT_TIMEOUT, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::config::StartObjective;
 use dillcleat_controller::records::{
     self, MachineRecord, MachineTypesRecord, OpenJob, PlacedTask, TaskChunk,
@@ -55,43 +55,43 @@
     pub seed: u64,
     pub machines: u32,
     /// Tasks that fit on one machine. Every machine is full at the start.
-    pub slots: u32,
+    pub tasks_per_machine: u32,
     /// Approximate number of tasks that wait for capacity.
-    pub waiting: u32,
+    pub waiting_tasks: u32,
     /// Jobs that depend on a job that does not end.
-    pub held: u32,
+    pub blocked_jobs: u32,
     /// Mean run time of a task of a batch job.
-    pub run: Micros,
+    pub mean_run_time: Micros,
     /// Time before the measurement begins.
     pub warm_up: Micros,
     /// Duration of the measurement.
-    pub measured: Micros,
+    pub measurement: Micros,
     /// Rate limits of the store per second: requests, and mutations in transactions.
-    pub state_rps: f64,
-    pub state_write_rps: f64,
+    pub store_rps: f64,
+    pub store_write_rps: f64,
     /// Share of a CPU that the controller has. None: its work takes no simulated time, and
     /// runs with equal seeds are equal.
     pub cpu_share: Option<f64>,
     /// Start and duration of a network outage between all workers and the controller.
-    pub silence: Option<(Micros, Micros)>,
+    pub network_outage: Option<(Micros, Micros)>,
 }
 
 impl FleetSettings {
     /// A fleet with rate limits of the store in proportion to its size.
-    pub fn of(machines: u32) -> FleetSettings {
+    pub fn for_machines(machines: u32) -> FleetSettings {
         FleetSettings {
             seed: 1,
             machines,
-            slots: 10,
-            waiting: machines * 10,
-            held: 0,
-            run: 100 * SECOND,
+            tasks_per_machine: 10,
+            waiting_tasks: machines * 10,
+            blocked_jobs: 0,
+            mean_run_time: 100 * SECOND,
             warm_up: 10 * SECOND,
-            measured: 20 * SECOND,
-            state_rps: f64::from(machines) * 0.5,
-            state_write_rps: f64::from(machines) * 0.2,
+            measurement: 20 * SECOND,
+            store_rps: f64::from(machines) * 0.5,
+            store_write_rps: f64::from(machines) * 0.2,
             cpu_share: None,
-            silence: None,
+            network_outage: None,
         }
     }
 }
@@ -102,28 +102,28 @@
     /// Processing time of each input during the measurement, in nanoseconds, by kind of input.
     pub inputs: BTreeMap<&'static str, Vec<u64>>,
     /// The same for the inputs before: the election, reading the state, the first commands.
-    pub before: BTreeMap<&'static str, Vec<u64>>,
+    pub warm_up_inputs: BTreeMap<&'static str, Vec<u64>>,
     /// Launch commands during the measurement.
-    pub starts: u64,
+    pub launches: u64,
     /// Completed tasks during the measurement.
-    pub ends: u64,
+    pub completions: u64,
     /// Calls to the store and bytes of their transactions during the measurement.
-    pub state_calls: u64,
-    pub state_bytes: u64,
+    pub store_calls: u64,
+    pub transaction_bytes: u64,
     /// Calls that the store refused because of its rate limits.
-    pub too_many: u64,
+    pub rate_limited_calls: u64,
     /// Maximum number of command batches in flight.
-    pub most_orders: usize,
+    pub peak_commands_in_flight: usize,
     /// Counters of the scheduler since the election.
-    pub counts: SchedulerCounters,
+    pub scheduler_counters: SchedulerCounters,
     /// Time from the election to the first launch command after it.
     pub first_launch: Option<Micros>,
     /// Time from the election until every machine had a heartbeat answered.
-    pub all_heard: Option<Micros>,
+    pub all_machines_answered: Option<Micros>,
     /// Worker leases that expired because no heartbeat was answered in time.
-    pub leases_lost: u64,
+    pub expired_leases: u64,
     /// Minimum remaining time of a worker's lease when a heartbeat answer renewed it.
-    pub least_left: Micros,
+    pub min_lease_remaining: Micros,
     /// Requests that exceeded a limit of the store.
     pub malformed: Vec<String>,
 }
@@ -201,7 +201,7 @@
     /// Scheduled events by number.
     scheduled: HashMap<u64, Event>,
     rng: Rng,
-    /// None after [`Fleet::dismiss`].
+    /// None after [`Fleet::take_node`].
     node: Option<Node>,
     busy_until: Micros,
     /// Inputs that wait for the controller: heartbeats in the second queue, all others in
@@ -269,17 +269,17 @@
         worker_lease: WORKER_LEASE,
         cancel_deadline: CANCEL_DEADLINE,
         clock_error: SECOND / 4,
-        state_rps: settings.state_rps,
-        state_write_rps: settings.state_write_rps,
+        state_rps: settings.store_rps,
+        state_write_rps: settings.store_write_rps,
         value_bytes: 16 * 1024,
         value_bytes_before: 16 * 1024,
-        state_write_rps_before: settings.state_write_rps,
+        state_write_rps_before: settings.store_write_rps,
         chunk_tasks: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
         txn_ops: 48,
         cloud_rps: 4.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 188.0,
-        max_commands_in_flight: Fleet::MAX_ORDERS,
+        max_commands_in_flight: Fleet::MAX_COMMANDS_IN_FLIGHT,
         start_objectives: vec![StartObjective {
             class: "search".into(),
             within: 2 * SECOND,
@@ -291,10 +291,10 @@
 
 impl Fleet {
     /// Maximum number of command batches that the controller may have in flight.
-    pub const MAX_ORDERS: usize = 256;
+    pub const MAX_COMMANDS_IN_FLIGHT: usize = 256;
 
     pub fn new(settings: FleetSettings) -> Fleet {
-        let mut store = SimulatedStore::new(16 * 1024, 48).paged(PageLimit::FULL);
+        let mut store = SimulatedStore::new(16 * 1024, 48).with_page_limit(PageLimit::FULL);
         let types = vec![machine_type()];
         store.put(
             records::TYPES.into(),
@@ -313,8 +313,8 @@
             input_queues: Default::default(),
             idle_scheduled: false,
             store,
-            store_calls: TokenBucket::new(settings.state_rps),
-            store_mutations: TokenBucket::new(settings.state_write_rps),
+            store_calls: TokenBucket::new(settings.store_rps),
+            store_mutations: TokenBucket::new(settings.store_write_rps),
             cloud: Cloud::new(types, 0, 4 * SECOND),
             workers: Vec::new(),
             worker_event_at: Vec::new(),
@@ -331,7 +331,7 @@
             answered_machines: vec![false; settings.machines as usize],
             machines_without_answer: settings.machines,
             measurements: FleetMeasurements {
-                least_left: WORKER_LEASE,
+                min_lease_remaining: WORKER_LEASE,
                 ..FleetMeasurements::default()
             },
             settings,
@@ -370,20 +370,20 @@
             self.workers.push(worker);
             self.worker_event_at.push(Micros::MAX);
         }
-        self.cloud.note(0);
+        self.cloud.record_list(0);
         let (on_demand, spot): (Vec<u32>, Vec<u32>) =
             (0..self.settings.machines).partition(|i| i.is_multiple_of(MACHINES_PER_ON_DEMAND));
         self.fill(&on_demand, JobKind::Service);
         self.fill(&spot, JobKind::Batch);
         let mut waiting_tasks = 0;
-        while waiting_tasks < self.settings.waiting {
+        while waiting_tasks < self.settings.waiting_tasks {
             let spec = self.new_job(JobKind::Batch);
             waiting_tasks += spec.tasks;
             self.store_job(&spec);
         }
         // The first job is a service, which does not end.
         let service = format!("req-{:06}", 1);
-        for _ in 0..self.settings.held {
+        for _ in 0..self.settings.blocked_jobs {
             let spec = JobSpec {
                 depends_on: vec![service.clone()],
                 ..self.new_job(JobKind::Batch)
@@ -392,7 +392,7 @@
         }
         for i in 0..self.settings.machines {
             let first_heartbeat = self.now + self.rng.u64(..HEARTBEAT_INTERVAL);
-            self.workers[i as usize].report_at = first_heartbeat;
+            self.workers[i as usize].next_heartbeat_at = first_heartbeat;
             self.schedule_worker(i);
         }
         self.open_jobs = self.store.keys(records::OPEN).len();
@@ -411,7 +411,7 @@
             self.rng
                 .u32(MEAN_TASKS_PER_ARRAY / 3..=MEAN_TASKS_PER_ARRAY * 5 / 3)
         };
-        let cpus = CPUS_PER_MACHINE / f64::from(self.settings.slots);
+        let cpus = CPUS_PER_MACHINE / f64::from(self.settings.tasks_per_machine);
         let spec = JobSpec {
             class: if service { "search" } else { "merge" }.into(),
             team: format!("team-{:02}", self.rng.usize(..TEAMS)),
@@ -420,17 +420,17 @@
             } else {
                 Priority::Normal
             },
-            memory_gb: 60.0 / f64::from(self.settings.slots),
+            memory_gb: 60.0 / f64::from(self.settings.tasks_per_machine),
             image: format!("img-{:02}", self.rng.u8(..18)),
             spread: service,
-            estimate_s: self.settings.run as f64 / SECOND as f64,
+            estimate_s: self.settings.mean_run_time as f64 / SECOND as f64,
             ..JobSpec::plain(&id, kind, tasks, cpus)
         };
         let behaviour = TaskBehaviour {
             spec: spec.clone(),
             run: self
                 .rng
-                .u64(self.settings.run / 2..self.settings.run * 3 / 2),
+                .u64(self.settings.mean_run_time / 2..self.settings.mean_run_time * 3 / 2),
             fails: false,
         };
         self.behaviours.insert(id, behaviour);
@@ -453,7 +453,7 @@
     fn fill(&mut self, machines: &[u32], kind: JobKind) {
         let mut slots: Vec<u32> = machines
             .iter()
-            .flat_map(|m| std::iter::repeat_n(*m, self.settings.slots as usize))
+            .flat_map(|m| std::iter::repeat_n(*m, self.settings.tasks_per_machine as usize))
             .collect();
         self.rng.shuffle(&mut slots);
         while !slots.is_empty() {
@@ -471,7 +471,7 @@
                     index,
                 };
                 let worker = &mut self.workers[machine as usize];
-                worker.seat(task, 1, until, spec.cpus);
+                worker.add_running_task(task, 1, until, spec.cpus);
                 chunk.placed.push(PlacedTask {
                     index,
                     attempt: 1,
@@ -496,7 +496,7 @@
 
     /// Runs until the end of the measurement.
     pub fn run(&mut self) {
-        let end = self.now + self.settings.warm_up + self.settings.measured;
+        let end = self.now + self.settings.warm_up + self.settings.measurement;
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > end {
                 break;
@@ -509,18 +509,18 @@
         self.measurements
             .malformed
             .clone_from(&self.store.malformed);
-        self.measurements.counts = self
+        self.measurements.scheduler_counters = self
             .node
             .as_ref()
             .map_or(SchedulerCounters::default(), Node::counts);
     }
 
-    pub fn into_measured(self) -> FleetMeasurements {
+    pub fn into_measurements(self) -> FleetMeasurements {
         self.measurements
     }
 
     /// Removes the controller, so that the memory it holds can be measured by dropping it.
-    pub fn dismiss(&mut self) -> Option<Node> {
+    pub fn take_node(&mut self) -> Option<Node> {
         self.node.take()
     }
 
@@ -530,7 +530,7 @@
 
     /// Whether the network outage between workers and controller is in progress.
     fn is_outage(&self) -> bool {
-        let outage = self.settings.silence;
+        let outage = self.settings.network_outage;
         outage.is_some_and(|(from, time)| self.now >= from && self.now < from + time)
     }
 
@@ -591,7 +591,7 @@
         let inputs = if self.measuring() {
             &mut self.measurements.inputs
         } else {
-            &mut self.measurements.before
+            &mut self.measurements.warm_up_inputs
         };
         inputs.entry(kind).or_default().push(nanos);
         if let Some(average) = nanos.checked_div(placed) {
@@ -620,7 +620,7 @@
             .filter(|c| matches!(c, Command::Launch { .. }))
             .count() as u64;
         if self.measuring() {
-            self.measurements.starts += launches;
+            self.measurements.launches += launches;
         }
         if launches > 0
             && self.measurements.first_launch.is_none()
@@ -675,8 +675,10 @@
             } => {
                 self.count_launches(&batch.commands);
                 self.commands_in_flight += 1;
-                self.measurements.most_orders =
-                    self.measurements.most_orders.max(self.commands_in_flight);
+                self.measurements.peak_commands_in_flight = self
+                    .measurements
+                    .peak_commands_in_flight
+                    .max(self.commands_in_flight);
                 let machine = self.worker_indices.get(addr.trim_end_matches(":9000"));
                 match machine.copied() {
                     Some(machine) if !self.is_outage() => {
@@ -711,7 +713,7 @@
             }
             Event::StoreCall { id, call } => self.store_call(id, &call),
             Event::WatchTimeout { watch } => {
-                if let Some((id, changes)) = self.watches.end(watch, &self.store) {
+                if let Some((id, changes)) = self.watches.close(watch, &self.store) {
                     self.answer_store_call(id, StoreResponse::WatchBatch(changes));
                 }
             }
@@ -730,8 +732,9 @@
             }
             Event::Commands { id, machine, batch } => {
                 let worker = &mut self.workers[machine as usize];
-                worker.pass(self.now, WORKER_LEASE, &self.behaviours);
-                let (status, heartbeat, _) = worker.orders(&batch, self.now, &self.behaviours);
+                worker.advance(self.now, WORKER_LEASE, &self.behaviours);
+                let (status, heartbeat, _) =
+                    worker.handle_commands(&batch, self.now, &self.behaviours);
                 let body = dillcleat_wire::encode(&heartbeat);
                 let input = Box::new(Input::Commands {
                     id,
@@ -748,9 +751,9 @@
                 answer,
             } => self.heartbeat_answered(machine, sent, incarnation, &answer),
             Event::EverySecond => {
-                self.cloud.note(self.now);
+                self.cloud.record_list(self.now);
                 self.refill();
-                self.schedule(self.now + Cloud::NOTE_EVERY, Event::EverySecond);
+                self.schedule(self.now + Cloud::LIST_INTERVAL, Event::EverySecond);
             }
         }
     }
@@ -761,15 +764,15 @@
             _ => (0, 0),
         };
         if self.measuring() {
-            self.measurements.state_calls += 1;
-            self.measurements.state_bytes += bytes as u64;
+            self.measurements.store_calls += 1;
+            self.measurements.transaction_bytes += bytes as u64;
         }
         let allowed = self.store_calls.take(1.0, self.now)
             && self.store_mutations.take(mutations as f64, self.now);
         let answer = if allowed {
             self.store.call(call, self.now)
         } else {
-            self.measurements.too_many += 1;
+            self.measurements.rate_limited_calls += 1;
             Some(StoreResponse::RateLimited)
         };
         match answer {
@@ -780,7 +783,7 @@
                 }
             }
         }
-        for (id, changes) in self.watches.changed(&self.store, |_| true) {
+        for (id, changes) in self.watches.take_changed(&self.store, |_| true) {
             self.answer_store_call(id, StoreResponse::WatchBatch(changes));
         }
     }
@@ -795,7 +798,7 @@
 
     /// Schedules the worker's next event, unless an earlier one is scheduled.
     fn schedule_worker(&mut self, machine: u32) {
-        let at = self.workers[machine as usize].next_at().max(self.now);
+        let at = self.workers[machine as usize].next_event_at().max(self.now);
         if at < self.worker_event_at[machine as usize] {
             self.worker_event_at[machine as usize] = at;
             self.schedule(at, Event::Worker { machine });
@@ -811,24 +814,25 @@
         }
         self.worker_event_at[i] = Micros::MAX;
         let worker = &mut self.workers[i];
-        let incarnation = worker.session;
-        let events = worker.pass(self.now, WORKER_LEASE, &self.behaviours);
-        let done = |e: &&WorkerEvent| matches!(e, WorkerEvent::Leaves { done: true, .. });
+        let incarnation = worker.incarnation;
+        let events = worker.advance(self.now, WORKER_LEASE, &self.behaviours);
+        let done = |e: &&WorkerEvent| matches!(e, WorkerEvent::Ended { done: true, .. });
         let completed = events.iter().filter(done).count() as u64;
-        if worker.session > incarnation {
-            self.measurements.leases_lost += 1;
+        if worker.incarnation > incarnation {
+            self.measurements.expired_leases += 1;
         }
         if worker
-            .under_way
-            .is_some_and(|(_, _, sent)| self.now >= sent + PATIENCE)
+            .unanswered_heartbeat
+            .is_some_and(|(_, _, sent)| self.now >= sent + HEARTBEAT_TIMEOUT)
         {
-            worker.under_way = None;
-            worker.report_at = self.now + SECOND;
-        }
-        if worker.under_way.is_none() && self.now >= worker.report_at {
-            let heartbeat = worker.report(self.now);
-            worker.under_way = Some((heartbeat.incarnation, heartbeat.sequence, self.now));
-            worker.report_at = self.now
+            worker.unanswered_heartbeat = None;
+            worker.next_heartbeat_at = self.now + SECOND;
+        }
+        if worker.unanswered_heartbeat.is_none() && self.now >= worker.next_heartbeat_at {
+            let heartbeat = worker.heartbeat(self.now);
+            worker.unanswered_heartbeat =
+                Some((heartbeat.incarnation, heartbeat.sequence, self.now));
+            worker.next_heartbeat_at = self.now
                 + self
                     .rng
                     .u64(HEARTBEAT_INTERVAL * 3 / 4..HEARTBEAT_INTERVAL * 5 / 4);
@@ -841,7 +845,7 @@
             }
         }
         if self.measuring() {
-            self.measurements.ends += completed;
+            self.measurements.completions += completed;
         }
         self.schedule_worker(machine);
     }
@@ -866,29 +870,32 @@
     ) {
         let worker = &mut self.workers[machine as usize];
         if worker
-            .under_way
+            .unanswered_heartbeat
             .is_none_or(|(i, _, at)| (i, at) != (incarnation, sent))
-            || self.now > sent + PATIENCE
+            || self.now > sent + HEARTBEAT_TIMEOUT
         {
             return;
         }
-        worker.under_way = None;
-        let remaining = worker.leased_until(WORKER_LEASE).saturating_sub(self.now);
+        worker.unanswered_heartbeat = None;
+        let remaining = worker
+            .lease_expires_at(WORKER_LEASE)
+            .saturating_sub(self.now);
         match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
             Ok(reply) if answer.status == 200 => {
-                self.measurements.least_left = self.measurements.least_left.min(remaining);
-                worker.pass(self.now, WORKER_LEASE, &self.behaviours);
-                worker.answered(&reply, incarnation, sent, self.now, &self.behaviours);
+                self.measurements.min_lease_remaining =
+                    self.measurements.min_lease_remaining.min(remaining);
+                worker.advance(self.now, WORKER_LEASE, &self.behaviours);
+                worker.heartbeat_answered(&reply, incarnation, sent, self.now, &self.behaviours);
                 let answered = &mut self.answered_machines[machine as usize];
                 if let (false, Some(elected_at)) = (*answered, self.elected_at) {
                     *answered = true;
                     self.machines_without_answer -= 1;
                     if self.machines_without_answer == 0 {
-                        self.measurements.all_heard = Some(self.now - elected_at);
+                        self.measurements.all_machines_answered = Some(self.now - elected_at);
                     }
                 }
             }
-            _ => worker.report_at = self.now + SECOND,
+            _ => worker.next_heartbeat_at = self.now + SECOND,
         }
         self.schedule_worker(machine);
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -22,6 +22,6 @@
 
 pub use fleet::{Fleet, FleetMeasurements, FleetSettings};
 pub use rules::{Checker, LateLaunches, Rule, Violation};
-pub use scenario::{Cut, Fault, LEADER, Moment, Scenario, SubmissionForm};
+pub use scenario::{CrashPoint, Fault, LEADER, PartitionMode, Scenario, SubmissionForm};
 pub use service_shares::ServiceShares;
 pub use simulation::{Outcome, Simulation};
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -62,7 +62,7 @@
     start: Instant,
     /// Name and address of each controller.
     nodes: Vec<(String, SocketAddr)>,
-    pub state_addr: SocketAddr,
+    pub store_addr: SocketAddr,
     pub cloud_addr: SocketAddr,
     workers_addr: SocketAddr,
 }
@@ -107,7 +107,7 @@
             })),
             start: Instant::now(),
             nodes,
-            state_addr: store.local_addr()?,
+            store_addr: store.local_addr()?,
             cloud_addr: cloud.local_addr()?,
             workers_addr: workers.local_addr()?,
         };
@@ -143,7 +143,7 @@
     }
 
     /// Sets the behaviour of a job's tasks.
-    pub fn knows(&self, behaviour: TaskBehaviour) {
+    pub fn set_behaviour(&self, behaviour: TaskBehaviour) {
         let id = behaviour.spec.id.clone();
         self.inner().behaviours.insert(id, behaviour);
     }
@@ -190,7 +190,7 @@
         };
         let now = self.now();
         let mut inner = self.inner();
-        inner.cloud.note(now);
+        inner.cloud.record_list(now);
         let (reply, new, deleted) = inner.cloud.call(&call, now, |_| Some(0));
         for name in deleted {
             inner.workers.remove(&name);
@@ -250,7 +250,7 @@
         let Some(worker) = workers.values_mut().next() else {
             return (503, Vec::new());
         };
-        let (status, mut report, _) = worker.orders(&batch, now, behaviours);
+        let (status, mut report, _) = worker.handle_commands(&batch, now, behaviours);
         report.addr = self.workers_addr.to_string();
         (status, encode(&report))
     }
@@ -268,11 +268,11 @@
                     ..
                 } = &mut *inner;
                 for w in workers.values_mut() {
-                    w.pass(now, 14 * SECOND, behaviours);
-                    if now >= w.report_at {
-                        let mut heartbeat = w.report(now);
+                    w.advance(now, 14 * SECOND, behaviours);
+                    if now >= w.next_heartbeat_at {
+                        let mut heartbeat = w.heartbeat(now);
                         heartbeat.addr = self.workers_addr.to_string();
-                        w.report_at = now + SECOND;
+                        w.next_heartbeat_at = now + SECOND;
                         due.push((w.name.clone(), w.node, heartbeat));
                     }
                 }
@@ -292,7 +292,13 @@
                 match answer {
                     Some((200, body)) => {
                         if let Ok(a) = decode::<HeartbeatReply>(&body) {
-                            w.answered(&a, heartbeat.incarnation, now, self.now(), behaviours);
+                            w.heartbeat_answered(
+                                &a,
+                                heartbeat.incarnation,
+                                now,
+                                self.now(),
+                                behaviours,
+                            );
                         }
                     }
                     Some((421, body)) => {
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -49,9 +49,10 @@
     Rules::new(settings, key)
 }
 
-/// A request of a client about its Job object.
+/// A request of a client about its Job object. The `Debug` form of the variants is hashed
+/// into the digest of answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum What {
+pub enum JobRequest {
     Create,
     /// The same create, sent again after it succeeded.
     Again,
@@ -62,12 +63,12 @@
 
 /// A Kubernetes Job that a user submits, and what the answers have shown of it.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct KubernetesJob {
     pub name: Name,
     pub uid: String,
     pub manifest: Value,
     /// Polled and deleted through the Kubernetes API, not only created through it.
-    pub throughout: bool,
+    pub kubernetes_only: bool,
     /// Created suspended and resumed after this time.
     pub resume_after: Option<Micros>,
     deadline_s: Option<u64>,
@@ -83,10 +84,15 @@
     ended: Option<(String, Micros)>,
 }
 
-impl Plan {
+impl KubernetesJob {
     /// Turns a user's batch job into a Kubernetes Job. The id of the batch job becomes the
     /// one that the service derives from the Job's name and uid.
-    pub fn new(number: usize, spec: &mut JobSpec, throughout: bool, rng: &mut Rng) -> Plan {
+    pub fn new(
+        number: usize,
+        spec: &mut JobSpec,
+        kubernetes_only: bool,
+        rng: &mut Rng,
+    ) -> KubernetesJob {
         let name = Name {
             kind: Kind::Job,
             namespace: spec.team.clone(),
@@ -95,10 +101,10 @@
         let key = key();
         let uid = key.uid("jobs", &name.namespace, &name.name, 1);
         spec.id = key.job(&name.namespace, &name.name, &uid);
-        let mut plan = Plan {
+        let mut job = KubernetesJob {
             uid,
             manifest: Value::Null,
-            throughout,
+            kubernetes_only,
             resume_after: None,
             deadline_s: None,
             // The native API has no such limit: don't end jobs whose tasks fail.
@@ -113,14 +119,14 @@
             ended: None,
             name,
         };
-        if throughout {
-            plan.resume_after = (rng.u8(..5) == 0).then(|| rng.u64(SECOND..20 * SECOND));
-            plan.deadline_s = (rng.u8(..8) == 0).then(|| rng.u64(10..120));
-            plan.backoff_limit = rng.u64(0..7);
-            plan.ttl_s = (rng.u8(..4) == 0).then(|| rng.u64(0..40));
+        if kubernetes_only {
+            job.resume_after = (rng.u8(..5) == 0).then(|| rng.u64(SECOND..20 * SECOND));
+            job.deadline_s = (rng.u8(..8) == 0).then(|| rng.u64(10..120));
+            job.backoff_limit = rng.u64(0..7);
+            job.ttl_s = (rng.u8(..4) == 0).then(|| rng.u64(0..40));
         }
-        plan.manifest = plan.manifest_of(spec);
-        plan
+        job.manifest = job.manifest_of(spec);
+        job
     }
 
     fn manifest_of(&self, spec: &JobSpec) -> Value {
@@ -192,7 +198,11 @@
 
     /// Checks the object in an answer. Returns how the Job ended, if it has, or what is
     /// wrong with the object.
-    pub fn shown(&mut self, object: &Value, now: Micros) -> Result<Option<JobState>, String> {
+    pub fn check_object(
+        &mut self,
+        object: &Value,
+        now: Micros,
+    ) -> Result<Option<JobState>, String> {
         let name = &self.name;
         let text = |pointer: &str| object.pointer(pointer).and_then(Value::as_str);
         if text("/metadata/uid") != Some(&self.uid) {
@@ -231,7 +241,7 @@
                 Ok(Some(JobState::Cancelled))
             }
             "DeadlineExceeded" if age >= deadline => Ok(Some(JobState::Cancelled)),
-            "Cancelled" if !self.throughout => Ok(Some(JobState::Cancelled)),
+            "Cancelled" if !self.kubernetes_only => Ok(Some(JobState::Cancelled)),
             other => Err(format!(
                 "{name}: ended with unexpected reason {other} after {age} us: {object}"
             )),
@@ -253,7 +263,7 @@
     ends: usize,
     /// Objects received for the first time.
     added: usize,
-    pub heard_at: Micros,
+    pub last_event_at: Micros,
 }
 
 impl Watcher {
@@ -266,16 +276,16 @@
 
     /// Records that a watch was opened. One without a resource version sends all objects
     /// again.
-    pub fn begins(&mut self, request: u64, node: usize, epoch: u32, now: Micros) {
+    pub fn opened(&mut self, request: u64, node: usize, epoch: u32, now: Micros) {
         self.open = Some((request, node, epoch));
-        self.heard_at = now;
+        self.last_event_at = now;
         if self.version.is_none() {
             self.known.clear();
         }
     }
 
     /// Drops the resource version, so that the next watch starts from the beginning.
-    pub fn forget(&mut self) {
+    pub fn restart(&mut self) {
         self.version = None;
         self.open = None;
     }
@@ -286,12 +296,12 @@
     }
 
     /// Applies one watch event. Returns what is wrong with it, if anything is.
-    pub fn line(&mut self, line: &Value) -> Result<(), String> {
+    pub fn check_event(&mut self, line: &Value) -> Result<(), String> {
         let object = &line["object"];
         let text = |pointer: &str| object.pointer(pointer).and_then(Value::as_str);
         let kind = line["type"].as_str().unwrap_or_default();
         if kind == "ERROR" {
-            self.forget();
+            self.restart();
             return if object["code"] == 410 {
                 Ok(())
             } else {
@@ -350,7 +360,7 @@
     }
 
     /// The resource version of each known object by name.
-    pub fn view(&self) -> BTreeMap<String, u64> {
+    pub fn known_versions(&self) -> BTreeMap<String, u64> {
         let known = self.known.iter();
         known
             .map(|(name, (_, version, _))| (name.clone(), *version))
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -103,7 +103,7 @@
             "[[siblings]]\nmember = \"n{j}\"\nsite = \"a\"\npeer_addr = \"{addr}\"\n"
         );
     }
-    let (store, cloud) = world.map_or((peers[0], peers[0]), |w| (w.state_addr, w.cloud_addr));
+    let (store, cloud) = world.map_or((peers[0], peers[0]), |w| (w.store_addr, w.cloud_addr));
     format!(
         "member = \"n{i}\"\nsite = \"a\"\nclient_listen = \"{}\"\nmesh_addr = \"{}\"\nnew_field = 1\n{siblings}
 [endpoints]\ncloud = \"{cloud}\"\nstate = \"{store}\"\n
@@ -122,7 +122,7 @@
     pub world: Loopback,
     pub clients: Vec<SocketAddr>,
     /// Addresses of the Kubernetes API servers.
-    pub doors: Vec<SocketAddr>,
+    pub kube_addrs: Vec<SocketAddr>,
     /// The settings and tuning file of each controller.
     files: Vec<(PathBuf, PathBuf)>,
     program: PathBuf,
@@ -134,12 +134,12 @@
     pub fn start(program: &Path, dir: &Path, kube: &str) -> io::Result<ThreeProcesses> {
         let (addrs, listeners) = free_addrs(9)?;
         let three = |i: usize| addrs[3 * i..3 * i + 3].to_vec();
-        let (clients, peers, doors) = (three(0), three(1), three(2));
+        let (clients, peers, kube_addrs) = (three(0), three(1), three(2));
         let names = clients.iter().enumerate();
         let names = names.map(|(i, addr)| (format!("n{i}"), *addr)).collect();
         let world = Loopback::start(vec![machine(8.0)], names)?;
         let mut files = Vec::new();
-        for (i, listen) in doors.iter().enumerate() {
+        for (i, listen) in kube_addrs.iter().enumerate() {
             let config = dir.join(format!("n{i}.toml"));
             std::fs::write(
                 &config,
@@ -153,7 +153,7 @@
         let mut processes = ThreeProcesses {
             world,
             clients,
-            doors,
+            kube_addrs,
             files,
             program: program.to_path_buf(),
             nodes: (0..3).map(|_| None).collect(),
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -2,7 +2,7 @@
 
 mod waiting_jobs;
 
-pub use waiting_jobs::Room;
+pub use waiting_jobs::MachineCapacity;
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
@@ -23,38 +23,38 @@
     /// A task starts while another attempt of it runs.
     RanTwice,
     /// The tasks of a team use more than its quota.
-    Quota,
+    QuotaExceeded,
     /// A task starts on a machine that its job does not allow.
-    WrongPlace,
+    WrongPlacement,
     /// A task starts or still runs after the cancellation deadline of its job.
-    RanCancelled,
+    RanAfterCancellation,
     /// An accepted job is answered as unknown or as new, or its polls fail for too long.
-    Forgotten,
+    AcceptedJobLost,
     /// A job that was never submitted is answered as known.
-    Invented,
+    UnknownJobAnswered,
     /// A job is reported done before all its tasks have completed.
-    NotDone,
+    DoneTooEarly,
     /// The reported state of a job reverts, or is cancelled without a request.
-    WentBack,
+    StateReverted,
     /// No task started during the whole run.
-    NothingRan,
+    NoTaskStarted,
     /// A task starts before the dependencies of its job are done.
-    TooEarly,
+    StartedBeforeDependency,
     /// A job is reported open after the cancellation deadline of one of its dependencies.
-    Orphaned,
+    DependentNotCancelled,
     /// A node that is no longer the leader rents or deletes a machine, or a delayed call
     /// deletes several machines.
-    Deposed,
+    ActedWithoutLeadership,
     /// No task of one of the largest jobs of a class starts within four minutes.
-    LateBegin,
+    LargestJobDelayed,
     /// An invalid submission is accepted, or is refused with the wrong status.
-    Admitted,
+    WrongAdmission,
     /// A job waits too long although a suitable machine has free capacity.
-    LeftWaiting,
+    JobStarved,
     /// A leader that has read the cancellation of a job sends a launch command for it.
     LaunchedCancelled,
     /// A client of the Kubernetes API receives a wrong answer or watch event.
-    Object,
+    KubernetesApi,
 }
 
 /// A broken invariant.
@@ -155,7 +155,7 @@
     late_launches: LateLaunches,
     polls: PollCounts,
     /// No faults are active from this time on, so every request must be answered.
-    pub troubles_end: Micros,
+    pub faults_end: Micros,
     pub violations: Vec<Violation>,
 }
 
@@ -169,13 +169,13 @@
             task_starts: 0,
             late_launches: LateLaunches::default(),
             polls: PollCounts::default(),
-            troubles_end: Micros::MAX,
+            faults_end: Micros::MAX,
             violations: Vec::new(),
         }
     }
 
     /// Records a violation that was detected outside the checker.
-    pub fn found(&mut self, rule: Rule, at: Micros, what: String) {
+    pub fn report_violation(&mut self, rule: Rule, at: Micros, what: String) {
         self.violation(rule, at, what);
     }
 
@@ -183,7 +183,7 @@
         self.violations.push(Violation { rule, at, what });
     }
 
-    pub fn submits(&mut self, spec: &JobSpec) {
+    pub fn submitted(&mut self, spec: &JobSpec) {
         self.jobs.entry(spec.id.clone()).or_insert_with(|| Job {
             spec: spec.clone(),
             accepted: None,
@@ -197,7 +197,7 @@
         });
     }
 
-    pub fn asks_to_cancel(&mut self, id: &str) {
+    pub fn cancel_requested(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancel_requested = true;
         }
@@ -205,7 +205,7 @@
 
     /// Records the answer to a submission that was sent at `sent`. Every node must know what
     /// users were told before that time.
-    pub fn answered_submission(
+    pub fn submission_answered(
         &mut self,
         id: &str,
         status: u16,
@@ -217,7 +217,7 @@
         match (status, self.jobs.get_mut(id)) {
             (201, Some(job)) if already_accepted(job) => {
                 let what = format!("{id}: repeated submission of an accepted job answered 201");
-                self.violation(Rule::Forgotten, now, what);
+                self.violation(Rule::AcceptedJobLost, now, what);
             }
             (200 | 201, Some(job)) => {
                 job.accepted.get_or_insert(now);
@@ -228,7 +228,7 @@
             (400 | 422, Some(job)) if already_accepted(job) => {
                 let what =
                     format!("{id}: repeated submission of an accepted job answered {status}");
-                self.violation(Rule::Forgotten, now, what);
+                self.violation(Rule::AcceptedJobLost, now, what);
             }
             _ => {}
         }
@@ -237,16 +237,22 @@
     /// Checks the answer to an invalid submission, which must be refused with the status
     /// `expected`. No answer (status 0) and the statuses of an overloaded or unavailable node
     /// are allowed.
-    pub fn answered_refused(&mut self, id: &str, status: u16, expected: u16, now: Micros) {
+    pub fn invalid_submission_answered(
+        &mut self,
+        id: &str,
+        status: u16,
+        expected: u16,
+        now: Micros,
+    ) {
         if status != expected && !matches!(status, 0 | 429 | 503) {
             let what = format!("{id}: invalid submission answered {status}, expected {expected}");
-            self.violation(Rule::Admitted, now, what);
+            self.violation(Rule::WrongAdmission, now, what);
         }
     }
 
     /// Records the answer to a poll or a cancellation that was sent at `sent`. Status 0
     /// means that there was no answer.
-    pub fn answered_poll(
+    pub fn poll_answered(
         &mut self,
         id: &str,
         status: u16,
@@ -257,7 +263,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 {
                 self.violation(
-                    Rule::Invented,
+                    Rule::UnknownJobAnswered,
                     now,
                     format!("{id}: poll answered 200 for a job that was never submitted"),
                 );
@@ -274,7 +280,7 @@
             }
             404 if job.accepted.is_some_and(|at| at <= sent) => {
                 let what = format!("{id}: poll of an accepted job answered 404");
-                self.violation(Rule::Forgotten, now, what);
+                self.violation(Rule::AcceptedJobLost, now, what);
             }
             // Sent before the user was told of the acceptance.
             404 if job.accepted.is_some() => {}
@@ -286,7 +292,7 @@
                 let accepted = job.accepted.is_some();
                 // Without active faults the polls of other jobs are not considered.
                 let overdue_without_faults =
-                    now > since.max(self.troubles_end) + MAX_UNANSWERED_WITHOUT_FAULTS;
+                    now > since.max(self.faults_end) + MAX_UNANSWERED_WITHOUT_FAULTS;
                 let overdue = now > since + MAX_UNANSWERED && most_answered;
                 if accepted && (overdue || overdue_without_faults) {
                     let failing_s = (now - since) / SECOND;
@@ -295,7 +301,7 @@
                         MAX_UNANSWERED / SECOND,
                         MAX_UNANSWERED_WITHOUT_FAULTS / SECOND
                     );
-                    self.violation(Rule::Forgotten, now, what);
+                    self.violation(Rule::AcceptedJobLost, now, what);
                 }
             }
         }
@@ -311,20 +317,20 @@
         match state {
             JobState::Done => {
                 if job.cancel_reported_at.is_some() {
-                    broken = Some((Rule::WentBack, "reported done after cancelled".into()));
+                    broken = Some((Rule::StateReverted, "reported done after cancelled".into()));
                 } else if (job.completed.len() as u32) < job.spec.tasks {
                     let (completed, tasks) = (job.completed.len(), job.spec.tasks);
                     let what = format!("reported done with {completed} of {tasks} tasks completed");
-                    broken = Some((Rule::NotDone, what));
+                    broken = Some((Rule::DoneTooEarly, what));
                 }
                 job.done_reported_at.get_or_insert(now);
             }
             JobState::Cancelled => {
                 if job.done_reported_at.is_some() {
-                    broken = Some((Rule::WentBack, "reported cancelled after done".into()));
+                    broken = Some((Rule::StateReverted, "reported cancelled after done".into()));
                 } else if !job.cancel_requested && !dependencies.any_requested {
                     let what = "reported cancelled without a request to cancel it or a dependency";
-                    broken = Some((Rule::WentBack, what.into()));
+                    broken = Some((Rule::StateReverted, what.into()));
                 }
                 job.cancel_reported_at.get_or_insert(now);
             }
@@ -333,7 +339,7 @@
                 // Answers to requests sent before the end was reported may be reordered.
                 if ended.is_some_and(|at| at <= sent) {
                     let what = format!("reported {state:?} after its end was reported");
-                    broken = Some((Rule::WentBack, what));
+                    broken = Some((Rule::StateReverted, what));
                 } else if dependencies.first_reported_at.is_some_and(|at| {
                     // The job may have been accepted after the cancellation.
                     now > at.max(job.accepted.unwrap_or(now)) + self.cancel_deadline
@@ -342,7 +348,7 @@
                         "reported {state:?} over {} s after a dependency was reported cancelled",
                         self.cancel_deadline / SECOND
                     );
-                    broken = Some((Rule::Orphaned, what));
+                    broken = Some((Rule::DependentNotCancelled, what));
                 }
             }
         }
@@ -372,13 +378,13 @@
     }
 
     /// Whether a user was told that a transitive dependency of this job is cancelled.
-    pub fn doomed(&self, id: &str) -> bool {
+    pub fn has_cancelled_dependency(&self, id: &str) -> bool {
         self.cancelled_dependencies(id).first_reported_at.is_some()
     }
 
     /// Records a launch command. `known_cancelled`: its sender had read that the job is
     /// cancelled, or had told a user so.
-    pub fn launches(&mut self, task: &TaskName, known_cancelled: bool, now: Micros) {
+    pub fn launch_sent(&mut self, task: &TaskName, known_cancelled: bool, now: Micros) {
         let job = self.jobs.get(&task.job);
         if job.is_some_and(|j| j.cancel_reported_at.is_some()) {
             self.late_launches.launches += 1;
@@ -391,7 +397,7 @@
     }
 
     /// Records that a task starts on a machine, after its image was fetched.
-    pub fn starts(&mut self, task: &TaskName, place: &MachineIdentity, now: Micros) {
+    pub fn task_started(&mut self, task: &TaskName, place: &MachineIdentity, now: Micros) {
         self.task_starts += 1;
         if let Some(other) = self.running.get(task) {
             let what = format!(
@@ -402,7 +408,7 @@
         }
         let Some(job) = self.jobs.get(&task.job) else {
             self.violation(
-                Rule::WrongPlace,
+                Rule::WrongPlacement,
                 now,
                 format!("{task}: starts without a submitted job"),
             );
@@ -432,18 +438,18 @@
         } else {
             None
         };
-        let done = |id: &String| self.complete(id);
+        let done = |id: &String| self.is_complete(id);
         let unfinished = spec.depends_on.iter().find(|id| !done(id)).cloned();
         let overdue = job.cancel_reported_at;
         let overdue = overdue.is_some_and(|at| now > at + self.cancel_deadline);
         let team = spec.team.clone();
         if let Some(wrong) = wrong {
             let what = format!("{task}: starts on {}: wrong {wrong}", place.machine);
-            self.violation(Rule::WrongPlace, now, what);
+            self.violation(Rule::WrongPlacement, now, what);
         }
         if let Some(dependency) = unfinished {
             self.violation(
-                Rule::TooEarly,
+                Rule::StartedBeforeDependency,
                 now,
                 format!("{task}: starts before its dependency {dependency} is done"),
             );
@@ -453,7 +459,7 @@
                 "{task}: starts over {} s after its job was reported cancelled",
                 self.cancel_deadline / SECOND
             );
-            self.violation(Rule::RanCancelled, now, what);
+            self.violation(Rule::RanAfterCancellation, now, what);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.first_start.get_or_insert(now);
@@ -465,7 +471,7 @@
             let (cpus, gpus) = self.resources_used(&team, self.running.keys());
             if !limit.allows(cpus, gpus) {
                 let what = format!("{team}: uses {cpus} CPUs and {gpus} GPUs, over its {limit:?}");
-                self.violation(Rule::Quota, now, what);
+                self.violation(Rule::QuotaExceeded, now, what);
             }
         }
     }
@@ -482,7 +488,7 @@
     }
 
     /// Records that a task no longer runs on a machine; `done` if it completed.
-    pub fn leaves(&mut self, task: &TaskName, machine: &str, done: bool) {
+    pub fn task_ended(&mut self, task: &TaskName, machine: &str, done: bool) {
         if self.running.get(task).is_some_and(|p| p.machine == machine) {
             self.running.remove(task);
         }
@@ -501,7 +507,7 @@
     }
 
     /// Checks the cancellation deadlines. To be called after every step of a run.
-    pub fn step(&mut self, now: Micros) {
+    pub fn check_cancellations(&mut self, now: Micros) {
         let overdue = |job: &Job| {
             let reported = job.cancel_reported_at;
             reported.is_some_and(|at| now > at + self.cancel_deadline)
@@ -515,7 +521,7 @@
                 "{task}: still runs over {} s after its job was reported cancelled",
                 self.cancel_deadline / SECOND
             );
-            self.violation(Rule::RanCancelled, now, what);
+            self.violation(Rule::RanAfterCancellation, now, what);
         }
     }
 
@@ -550,11 +556,11 @@
                 "{id}: a largest job of its class did not start within {} s of its acceptance",
                 MAX_FIRST_START_DELAY / SECOND
             );
-            self.violation(Rule::LateBegin, now, what);
+            self.violation(Rule::LargestJobDelayed, now, what);
         }
         if self.task_starts == 0 {
             self.violation(
-                Rule::NothingRan,
+                Rule::NoTaskStarted,
                 now,
                 "no task started during the run".into(),
             );
@@ -562,29 +568,29 @@
     }
 
     /// Launches and starts of tasks after the cancellation of their jobs was reported.
-    pub fn late(&self) -> LateLaunches {
+    pub fn late_launches(&self) -> LateLaunches {
         self.late_launches
     }
 
-    pub fn starts_seen(&self) -> u64 {
+    pub fn task_starts(&self) -> u64 {
         self.task_starts
     }
 
     /// Numbers of running and of completed tasks of a job.
-    pub fn tasks(&self, id: &str) -> (u32, u32) {
+    pub fn task_counts(&self, id: &str) -> (u32, u32) {
         let running = self.running.keys().filter(|t| t.job == id).count();
         let completed = self.jobs.get(id).map_or(0, |j| j.completed.len());
         (running as u32, completed as u32)
     }
 
     /// The machine of each running task of a job.
-    pub fn machines(&self, id: &str) -> impl Iterator<Item = String> {
+    pub fn machines_of(&self, id: &str) -> impl Iterator<Item = String> {
         let running = self.running.iter().filter(move |(t, _)| t.job == id);
         running.map(|(_, place)| place.machine.clone())
     }
 
     /// Whether every task of a job has completed.
-    pub fn complete(&self, id: &str) -> bool {
+    pub fn is_complete(&self, id: &str) -> bool {
         self.jobs
             .get(id)
             .is_some_and(|j| j.completed.len() as u32 == j.spec.tasks)
--- a/crates/simulator/src/rules/waiting_jobs.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -11,7 +11,7 @@
 
 /// The free capacity and the tasks of a machine at the time of a check.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct MachineCapacity {
     pub place: MachineIdentity,
     /// Free CPUs and GPUs.
     pub cpus: f64,
@@ -19,18 +19,18 @@
     /// Tasks with an attempt on the machine that has not exited.
     pub tasks: Vec<TaskName>,
     /// It runs tasks, is reachable and is not about to be preempted.
-    pub takes: bool,
+    pub accepts_tasks: bool,
 }
 
 /// Number of live tasks of a job by zone.
 type TasksByZone<'a> = BTreeMap<&'a str, u32>;
 
 /// Whether the machine can take one more task of the job.
-fn fits(spec: &JobSpec, zones: &TasksByZone, machine: &Room) -> bool {
+fn fits(spec: &JobSpec, zones: &TasksByZone, machine: &MachineCapacity) -> bool {
     let place = &machine.place;
     let types = spec.types.as_ref();
     let in_zone = zones.get(&*place.zone).copied().unwrap_or(0);
-    machine.takes
+    machine.accepts_tasks
         && machine.cpus + 1e-6 >= spec.cpus
         && machine.gpus + 1e-6 >= spec.gpus
         && types.is_none_or(|t| t.contains(&place.machine_type))
@@ -45,13 +45,13 @@
     /// capacity and their team is below its limit. `machines` are all machines. Does nothing
     /// before the end of the faults, and ignores jobs that `fails` names: their tasks fail
     /// on every machine.
-    pub fn look_for_waiting(
+    pub fn check_waiting_jobs(
         &mut self,
-        machines: &[Room],
+        machines: &[MachineCapacity],
         fails: impl Fn(&str) -> bool,
         now: Micros,
     ) {
-        if now < self.troubles_end {
+        if now < self.faults_end {
             return;
         }
         let mut live: BTreeMap<&str, (u32, TasksByZone)> = BTreeMap::new();
@@ -86,7 +86,7 @@
                 && open
                 && !cancelled
                 && !fails(id)
-                && spec.depends_on.iter().all(|id| self.complete(id))
+                && spec.depends_on.iter().all(|id| self.is_complete(id))
                 && limit.is_none_or(within_limit)
                 && machines.iter().any(|machine| fits(spec, zones, machine))
         };
@@ -110,7 +110,7 @@
                 "{id}: waited over {} s although a suitable machine has free capacity",
                 MAX_WAIT_BESIDE_CAPACITY / SECOND
             );
-            self.violation(Rule::LeftWaiting, now, what);
+            self.violation(Rule::JobStarved, now, what);
         }
     }
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -11,91 +11,91 @@
     /// A node is paused and then resumed. Its inputs are queued meanwhile.
     Pause { node: usize, time: Micros },
     /// All messages between a node and its peers are lost.
-    CutMesh { node: usize, time: Micros },
+    PeerPartition { node: usize, time: Micros },
     /// The store refuses all calls.
-    StateOutage { time: Micros },
+    StoreOutage { time: Micros },
     /// The store refuses the calls of one node.
-    Refused { node: usize, time: Micros },
+    StoreRefusal { node: usize, time: Micros },
     /// Network partition between a node and the store. Messages are delivered when it ends.
-    CutState { node: usize, time: Micros },
+    StorePartition { node: usize, time: Micros },
     /// Network partition between a node and all workers. Messages are delivered when it
     /// ends.
-    CutWorkers { node: usize, time: Micros },
+    WorkerPartition { node: usize, time: Micros },
     /// Network partition between the workers of a zone and all nodes. Messages are delivered
     /// when it ends.
-    CutZone { zone: usize, time: Micros },
+    ZoneWorkerPartition { zone: usize, time: Micros },
     /// Network partition between a zone, with its nodes and workers, and everything outside
     /// it: other zones, the store, the cloud and users. Messages within the zone are not
     /// affected. Without a zone, the zone of the current leader is partitioned.
-    CutSite {
+    ZonePartition {
         zone: Option<usize>,
         time: Micros,
-        cut: Cut,
+        mode: PartitionMode,
     },
     /// Some machines hang: they execute nothing and continue later.
     Hang { machines: usize, time: Micros },
     /// Some machines fail without notice.
-    Die { machines: usize },
+    MachineFailure { machines: usize },
     /// All spot instances are preempted, after the notice if there is one.
-    SpotTaken { notice: Option<Micros> },
+    SpotPreemption { notice: Option<Micros> },
     /// The cloud refuses all calls.
     CloudOutage { time: Micros },
     /// Unreliable network: answers are lost, and requests are executed up to a minute late.
-    Flaky { time: Micros },
+    UnreliableNetwork { time: Micros },
     /// Every task that starts on one of the machines fails.
-    Faulty,
-    /// Machines rented meanwhile take `factor` times as long to boot (0: no time), and one
-    /// in `never` does not boot.
-    Boots {
+    FaultyMachine,
+    /// Machines rented meanwhile take `time_factor` times as long to boot (0: no time), and one
+    /// in `failure_one_in` does not boot.
+    BootDelays {
         time: Micros,
-        factor: u64,
-        never: u64,
+        time_factor: u64,
+        failure_one_in: u64,
     },
     /// Users poll eight times as often.
-    Storm { time: Micros },
+    FrequentPolls { time: Micros },
     /// The store refuses one in five requests as over its rate limit.
-    TooMany { time: Micros },
+    StoreOverload { time: Micros },
     /// The store executes and answers requests up to three seconds after their arrival.
-    SlowState { time: Micros },
+    SlowStore { time: Micros },
     /// One third of the transactions get no answer and are executed 2 to 12 s later, after
     /// newer ones of the same node.
-    LateWrites { time: Micros },
+    DelayedWrites { time: Micros },
     /// Half of the heartbeats are duplicated. The copy arrives at any node, between 2 s and
     /// more than a lease later.
-    LateReports { time: Micros },
+    DuplicateHeartbeats { time: Micros },
     /// All messages to these machines are lost: answers and commands. Their heartbeats
     /// arrive.
-    Deaf { machines: usize, time: Micros },
+    InboundLoss { machines: usize, time: Micros },
     /// These machines, of one zone if one is given, cannot connect to any node. Commands
     /// reach them.
-    Mute {
+    HeartbeatLoss {
         machines: usize,
         zone: Option<usize>,
         time: Micros,
     },
     /// This percentage of the transactions are executed at once, but their answers are lost.
-    AnswersLost { percent: u8, time: Micros },
+    LostWriteReplies { percent: u8, time: Micros },
     /// This percentage of the heartbeats are duplicated. The copies arrive at every node
     /// when the next leader is elected.
-    ReportsForNext { percent: u8, time: Micros },
+    HeartbeatsForNextLeader { percent: u8, time: Micros },
     /// Users poll all nodes and repeat the submission within milliseconds after a job was
     /// accepted, has ended or was confirmed as cancelled.
-    CloseLooks { time: Micros },
+    ExtraRequests { time: Micros },
     /// This percentage of the users cancel their job immediately after its acceptance.
-    CancelsAtOnce { percent: u8, time: Micros },
+    CancelOnAcceptance { percent: u8, time: Micros },
     /// For this percentage of the jobs, a cancellation, a poll and a repeated submission
     /// arrive when their last task ends.
-    CancelsAtEnd { percent: u8, time: Micros },
+    CancelOnCompletion { percent: u8, time: Micros },
     /// Users cancel this many running jobs within 200 ms, while up to eight of their
     /// machines hang.
-    CancelsNow { jobs: usize, hang: Micros },
+    CancelRunningJobs { jobs: usize, hang: Micros },
     /// Users repeat submissions of unfinished jobs, some with other content, cancel jobs that
     /// are done, and send submissions that are invalid or cannot run.
-    OddRequests { time: Micros },
+    IrregularRequests { time: Micros },
     /// This many machines of a zone fail without notice.
-    ZoneDies { machines: usize, zone: usize },
+    ZoneMachineFailure { machines: usize, zone: usize },
     /// All nodes crash. Node `back` restarts after `soon`, the others after `others`.
-    AllEnd {
+    AllNodesCrash {
         back: usize,
         soon: Micros,
         others: Micros,
@@ -112,63 +112,65 @@
 
 impl Fault {
     /// Duration of the fault; 0 if it is instantaneous.
-    pub fn lasts(&self) -> Micros {
+    pub fn duration(&self) -> Micros {
         match self {
             Fault::Crash { down, .. } => *down,
-            Fault::AllEnd { others, .. } => *others,
+            Fault::AllNodesCrash { others, .. } => *others,
             Fault::Pause { time, .. }
-            | Fault::CutMesh { time, .. }
-            | Fault::StateOutage { time }
-            | Fault::Refused { time, .. }
-            | Fault::CutState { time, .. }
-            | Fault::CutWorkers { time, .. }
-            | Fault::CutZone { time, .. }
-            | Fault::CutSite { time, .. }
+            | Fault::PeerPartition { time, .. }
+            | Fault::StoreOutage { time }
+            | Fault::StoreRefusal { time, .. }
+            | Fault::StorePartition { time, .. }
+            | Fault::WorkerPartition { time, .. }
+            | Fault::ZoneWorkerPartition { time, .. }
+            | Fault::ZonePartition { time, .. }
             | Fault::Hang { time, .. }
             | Fault::CloudOutage { time }
-            | Fault::Flaky { time }
-            | Fault::Boots { time, .. }
-            | Fault::Storm { time }
-            | Fault::TooMany { time }
-            | Fault::SlowState { time }
-            | Fault::LateWrites { time }
-            | Fault::LateReports { time }
-            | Fault::CloseLooks { time }
-            | Fault::CancelsAtOnce { time, .. }
-            | Fault::CancelsAtEnd { time, .. }
-            | Fault::CancelsNow { hang: time, .. }
-            | Fault::OddRequests { time }
-            | Fault::AnswersLost { time, .. }
-            | Fault::ReportsForNext { time, .. }
-            | Fault::Mute { time, .. }
-            | Fault::Deaf { time, .. } => *time,
-            Fault::Die { .. } | Fault::ZoneDies { .. } | Fault::Faulty => 0,
-            Fault::SpotTaken { notice } => notice.unwrap_or(0),
+            | Fault::UnreliableNetwork { time }
+            | Fault::BootDelays { time, .. }
+            | Fault::FrequentPolls { time }
+            | Fault::StoreOverload { time }
+            | Fault::SlowStore { time }
+            | Fault::DelayedWrites { time }
+            | Fault::DuplicateHeartbeats { time }
+            | Fault::ExtraRequests { time }
+            | Fault::CancelOnAcceptance { time, .. }
+            | Fault::CancelOnCompletion { time, .. }
+            | Fault::CancelRunningJobs { hang: time, .. }
+            | Fault::IrregularRequests { time }
+            | Fault::LostWriteReplies { time, .. }
+            | Fault::HeartbeatsForNextLeader { time, .. }
+            | Fault::HeartbeatLoss { time, .. }
+            | Fault::InboundLoss { time, .. } => *time,
+            Fault::MachineFailure { .. }
+            | Fault::ZoneMachineFailure { .. }
+            | Fault::FaultyMachine => 0,
+            Fault::SpotPreemption { notice } => notice.unwrap_or(0),
         }
     }
 }
 
 /// The point of a call to the store at which the calling process crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
+pub enum CrashPoint {
     /// Before the store executes the call, which is lost.
-    Before,
+    BeforeExecution,
     /// After the store has executed the call, before the answer arrives.
-    CarriedOut,
+    AfterExecution,
     /// After the process has handled the answer.
-    Answered,
+    AfterAnswer,
 }
 
 /// How a network partition of a zone treats messages across its boundary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
+pub enum PartitionMode {
     /// Delayed until the partition ends.
-    Held,
+    Delayed,
     Lost,
     /// Messages to the zone are delayed until the partition ends; messages from it pass.
-    Deaf,
+    InboundDelayed,
     /// Messages from the zone are delayed until the partition ends; messages to it pass.
-    Mute,
+    OutboundDelayed,
 }
 
 /// The API through which users submit batch jobs. Services use the native API.
@@ -178,22 +180,24 @@
     #[default]
     Native,
     /// The native API, with the job ids that Kubernetes Jobs would have.
-    Twin,
+    NativeWithKubernetesIds,
     /// Created as Kubernetes Jobs, polled and cancelled through the native API. Apart from
-    /// the creation it is the same as `Twin`.
-    Shadow,
+    /// the creation it is the same as `NativeWithKubernetesIds`.
+    KubernetesCreateOnly,
     /// Kubernetes Jobs only.
-    Objects,
+    Kubernetes,
     /// Every second job as a Kubernetes Job.
     Mixed,
 }
 
 impl SubmissionForm {
     /// Whether any job is submitted as a Kubernetes Job.
-    pub fn objects(self) -> bool {
+    pub fn uses_kubernetes(self) -> bool {
         matches!(
             self,
-            SubmissionForm::Shadow | SubmissionForm::Objects | SubmissionForm::Mixed
+            SubmissionForm::KubernetesCreateOnly
+                | SubmissionForm::Kubernetes
+                | SubmissionForm::Mixed
         )
     }
 }
@@ -208,7 +212,7 @@
     /// Number of jobs.
     pub jobs: usize,
     /// Number of tasks of the first job, if it is to be a very large batch job.
-    pub large: Option<u32>,
+    pub large_job_tasks: Option<u32>,
     /// Number of controllers.
     pub nodes: usize,
     /// Multiplies the size of the jobs, the limits and the capacity of the cloud.
@@ -217,32 +221,32 @@
     /// minutes.
     pub large_site: bool,
     /// Returns the number of allocated bytes, if the caller measures memory.
-    pub allocated: Option<fn() -> usize>,
+    pub allocated_bytes: Option<fn() -> usize>,
     /// Number of pipelines of jobs that depend on each other.
     pub pipelines: usize,
     /// When users begin to submit pipelines.
     pub pipelines_from: Micros,
     /// The node that makes the store call with this number crashes at this point of the call
     /// and restarts after 200 ms.
-    pub ends_at_call: Option<(u64, Moment)>,
+    pub crash_at_call: Option<(u64, CrashPoint)>,
     /// Half of the jobs have two or three tasks, and half of the users cancel their jobs.
-    pub small: bool,
+    pub small_jobs: bool,
     /// More jobs, batch jobs included, are restricted to one zone, and some run for long.
-    pub varied: bool,
+    pub varied_jobs: bool,
     /// Every team has quotas that it reaches, including one for GPUs.
-    pub tight: bool,
+    pub tight_quotas: bool,
     /// Start and duration of a period in which users submit four single-task jobs per second
     /// and cancel a quarter of them.
-    pub stream: Option<(Micros, Micros)>,
+    pub single_task_stream: Option<(Micros, Micros)>,
     /// Number of jobs that depend on a job which is cancelled.
-    pub herd: Option<u32>,
+    pub cancelled_dependents: Option<u32>,
     /// Rolling upgrade: when the first node is replaced by the new version, and the time
     /// between two replacements. Until then all nodes write in the format of the old version.
     pub upgrade: Option<(Micros, Micros)>,
     /// When the store lowers its limits.
-    pub limits_fall: Option<Micros>,
+    pub limits_lowered_at: Option<Micros>,
     /// End of the submissions and faults. The remaining time is for the jobs to finish.
-    pub busy: Micros,
+    pub activity_end: Micros,
     /// End of the simulation.
     pub end: Micros,
 }
@@ -255,19 +259,19 @@
         let mut scenario = Scenario::random(seed);
         let mut rng = Rng::with_seed(!seed);
         for _ in 0..rng.usize(2..7) {
-            let at = rng.u64(15 * SECOND..scenario.busy - 10 * SECOND);
+            let at = rng.u64(15 * SECOND..scenario.activity_end - 10 * SECOND);
             let time = rng.u64(2 * SECOND..80 * SECOND);
             let node = rng.usize(..3);
             let fault = match rng.u8(..6) {
                 0 | 1 => Fault::Pause { node, time },
-                2 => Fault::CutMesh { node, time },
-                3 => Fault::Boots {
+                2 => Fault::PeerPartition { node, time },
+                3 => Fault::BootDelays {
                     time,
-                    factor: rng.u64(..7),
-                    never: rng.u64(2..9),
+                    time_factor: rng.u64(..7),
+                    failure_one_in: rng.u64(2..9),
                 },
-                4 => Fault::Storm { time },
-                _ => Fault::TooMany { time },
+                4 => Fault::FrequentPolls { time },
+                _ => Fault::StoreOverload { time },
             };
             scenario.faults.push((at, fault));
         }
@@ -280,24 +284,24 @@
         let mut scenario = Scenario::random(seed);
         let mut rng = Rng::with_seed(seed.rotate_left(32) ^ CUT_OFF_SEED_SALT);
         for _ in 0..rng.usize(1..4) {
-            let at = rng.u64(30 * SECOND..scenario.busy - 10 * SECOND);
-            let mut cut = |rng: &mut Rng, at, zone| {
+            let at = rng.u64(30 * SECOND..scenario.activity_end - 10 * SECOND);
+            let mut add_partition = |rng: &mut Rng, at, zone| {
                 let time = rng.u64(3 * SECOND..90 * SECOND);
-                let cut = match rng.u8(..6) {
-                    0..3 => Cut::Held,
-                    3 => Cut::Lost,
-                    4 => Cut::Deaf,
-                    _ => Cut::Mute,
+                let mode = match rng.u8(..6) {
+                    0..3 => PartitionMode::Delayed,
+                    3 => PartitionMode::Lost,
+                    4 => PartitionMode::InboundDelayed,
+                    _ => PartitionMode::OutboundDelayed,
                 };
                 scenario
                     .faults
-                    .push((at, Fault::CutSite { zone, time, cut }));
+                    .push((at, Fault::ZonePartition { zone, time, mode }));
             };
-            cut(&mut rng, at, None);
+            add_partition(&mut rng, at, None);
             let other = rng.usize(..6);
             if other < 3 {
                 let before = rng.u64(..30 * SECOND);
-                cut(&mut rng, at - before, Some(other));
+                add_partition(&mut rng, at - before, Some(other));
             }
         }
         scenario
@@ -314,13 +318,13 @@
         let upgraded = rng.u8(..4) > 0;
         if upgraded {
             scenario.upgrade = Some((first, every));
-            let fall = rng.u64(replaced + 5 * SECOND..scenario.busy);
-            scenario.limits_fall = (rng.u8(..5) > 0).then_some(fall);
+            let fall = rng.u64(replaced + 5 * SECOND..scenario.activity_end);
+            scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(fall);
             // Large enough for chunks that exceed the lowered limits.
-            scenario.large = Some(rng.u32(250..500));
+            scenario.large_job_tasks = Some(rng.u32(250..500));
         }
         // Teams with small quotas need this time to finish the additional jobs.
-        scenario.end = scenario.busy + 1200 * SECOND;
+        scenario.end = scenario.activity_end + 1200 * SECOND;
         scenario.pipelines = rng.usize(2..8);
         scenario.pipelines_from = if upgraded {
             replaced + 4 * SECOND
@@ -332,16 +336,20 @@
 
     /// A small workload in which a process crashes at one call to the store. Three
     /// consecutive seeds cover the three points of the same call.
-    pub fn ends_at_call(seed: u64) -> Scenario {
-        let points = [Moment::Before, Moment::CarriedOut, Moment::Answered];
-        let busy = 40 * SECOND;
+    pub fn crash_at_call(seed: u64) -> Scenario {
+        let points = [
+            CrashPoint::BeforeExecution,
+            CrashPoint::AfterExecution,
+            CrashPoint::AfterAnswer,
+        ];
+        let activity_end = 40 * SECOND;
         Scenario {
-            ends_at_call: Some((seed / 3, points[(seed % 3) as usize])),
+            crash_at_call: Some((seed / 3, points[(seed % 3) as usize])),
             jobs: 5,
             pipelines: 1,
-            small: true,
-            busy,
-            end: busy + 300 * SECOND,
+            small_jobs: true,
+            activity_end,
+            end: activity_end + 300 * SECOND,
             ..Scenario::quiet(4)
         }
     }
@@ -357,8 +365,8 @@
             // Ends before or after the beginning of the outage.
             let time = rng.u64(SECOND..20 * SECOND);
             let leader_isolation = match rng.bool() {
-                true => Fault::Refused { node: LEADER, time },
-                false => Fault::CutState { node: LEADER, time },
+                true => Fault::StoreRefusal { node: LEADER, time },
+                false => Fault::StorePartition { node: LEADER, time },
             };
             let outage_start = at + rng.u64(SECOND / 2..8 * SECOND);
             let outage = rng.u64(20 * SECOND..70 * SECOND);
@@ -368,7 +376,7 @@
                 let node = LEADER;
                 scenario.faults.push((
                     at,
-                    Fault::CutMesh {
+                    Fault::PeerPartition {
                         node,
                         time: time + outage,
                     },
@@ -376,13 +384,13 @@
             }
             scenario
                 .faults
-                .push((outage_start, Fault::StateOutage { time: outage }));
+                .push((outage_start, Fault::StoreOutage { time: outage }));
             if rng.u8(..3) == 0 {
                 let time = rng.u64(5 * SECOND..30 * SECOND);
                 let machines = rng.usize(1..6);
                 let fault = match rng.bool() {
                     true => Fault::Hang { machines, time },
-                    false => Fault::Deaf { machines, time },
+                    false => Fault::InboundLoss { machines, time },
                 };
                 let at = rng.u64(at.saturating_sub(10 * SECOND)..outage_start + 10 * SECOND);
                 scenario.faults.push((at, fault));
@@ -399,7 +407,7 @@
                 let node = rng.usize(..3);
                 scenario.faults.push((
                     outage_start + outage - SECOND,
-                    Fault::Refused { node, time },
+                    Fault::StoreRefusal { node, time },
                 ));
             }
             if rng.u8(..4) == 0 {
@@ -416,20 +424,20 @@
             }
             at = outage_start + outage + rng.u64(SECOND..15 * SECOND);
         }
-        scenario.small = true;
+        scenario.small_jobs = true;
         scenario.jobs = rng.usize(16..28);
-        scenario.busy = at.max(scenario.busy);
-        scenario.end = scenario.busy + 600 * SECOND;
+        scenario.activity_end = at.max(scenario.activity_end);
+        scenario.end = scenario.activity_end + 600 * SECOND;
         scenario
     }
 
     /// Random faults, several of which are active at the same time.
     pub fn random(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed);
-        let busy = Scenario::quiet(seed).busy;
+        let activity_end = Scenario::quiet(seed).activity_end;
         let faults = (0..rng.usize(4..14))
             .map(|_| {
-                let at = rng.u64(15 * SECOND..busy - 10 * SECOND);
+                let at = rng.u64(15 * SECOND..activity_end - 10 * SECOND);
                 let time = rng.u64(2 * SECOND..50 * SECOND);
                 let n = rng.usize(..3);
                 let down = rng.u64(SECOND..8 * SECOND);
@@ -441,21 +449,21 @@
                     0 => nodes(&[n]),
                     1 => nodes(&[n, n + 1]),
                     2 => nodes(&[0, 1, 2]),
-                    3 => Fault::StateOutage { time: time / 2 },
-                    4 => Fault::Refused { node: n, time },
-                    5 => Fault::CutState { node: n, time },
-                    6 => Fault::CutWorkers { node: n, time },
-                    7 => Fault::CutZone { zone: n, time },
+                    3 => Fault::StoreOutage { time: time / 2 },
+                    4 => Fault::StoreRefusal { node: n, time },
+                    5 => Fault::StorePartition { node: n, time },
+                    6 => Fault::WorkerPartition { node: n, time },
+                    7 => Fault::ZoneWorkerPartition { zone: n, time },
                     8 => Fault::Hang {
                         machines: 2 * n + 1,
                         time,
                     },
-                    9 => Fault::SpotTaken {
+                    9 => Fault::SpotPreemption {
                         notice: (n > 0).then_some(time / 3),
                     },
                     10 => Fault::CloudOutage { time },
-                    11 => Fault::Die { machines: n + 1 },
-                    _ => Fault::Flaky { time },
+                    11 => Fault::MachineFailure { machines: n + 1 },
+                    _ => Fault::UnreliableNetwork { time },
                 };
                 (at, fault)
             })
@@ -477,8 +485,8 @@
         };
         // Longer than a worker lease of 14 s and the 26 s for which a leader answers
         // heartbeats without reaching the store.
-        let outage = Fault::StateOutage { time: 50 * SECOND };
-        let partition = Fault::CutZone {
+        let outage = Fault::StoreOutage { time: 50 * SECOND };
+        let partition = Fault::ZoneWorkerPartition {
             zone: 1,
             time: 30 * SECOND,
         };
@@ -501,29 +509,29 @@
 
     /// A scenario without faults, the base of the others.
     pub fn quiet(seed: u64) -> Scenario {
-        let busy = 200 * SECOND;
+        let activity_end = 200 * SECOND;
         Scenario {
             seed,
             form: SubmissionForm::Native,
             faults: Vec::new(),
             jobs: 14,
-            large: None,
+            large_job_tasks: None,
             nodes: 3,
             scale: 1,
             large_site: false,
-            allocated: None,
+            allocated_bytes: None,
             pipelines: 0,
             pipelines_from: SECOND,
-            ends_at_call: None,
-            small: false,
-            varied: false,
-            tight: false,
-            stream: None,
-            herd: None,
+            crash_at_call: None,
+            small_jobs: false,
+            varied_jobs: false,
+            tight_quotas: false,
+            single_task_stream: None,
+            cancelled_dependents: None,
             upgrade: None,
-            limits_fall: None,
-            busy,
-            end: busy + 500 * SECOND,
+            limits_lowered_at: None,
+            activity_end,
+            end: activity_end + 500 * SECOND,
         }
     }
 }
--- a/crates/simulator/src/service_shares.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -1,6 +1,6 @@
 //! The share of the requested service that each class of jobs and each team received.
 //!
-//! A run fails if a class or team received less than [`LEAST`] of it, whatever the other
+//! A run fails if a class or team received less than [`MIN_SHARE`] of it, whatever the other
 //! results are.
 
 use dillcleat_controller::{Micros, SECOND};
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// Minimum share that each class and team must have received.
-pub const LEAST: f64 = 0.5;
+pub const MIN_SHARE: f64 = 0.5;
 /// Shares of fewer tasks, replica seconds or requests than these are not checked.
 const MIN_TASKS: f64 = 20.0;
 const MIN_REPLICA_SECONDS: f64 = 600.0;
@@ -29,12 +29,12 @@
 
 /// The requested and the received amount of a service over a run.
 #[derive(Debug, Clone, Default)]
-pub struct Kept {
+pub struct ServiceRatio {
     total: Ratio,
     minutes: BTreeMap<u64, Ratio>,
 }
 
-impl Kept {
+impl ServiceRatio {
     pub fn add(&mut self, at: Micros, requested: f64, received: f64) {
         let minute = self.minutes.entry(at / MINUTE).or_default();
         for ratio in [&mut self.total, minute] {
@@ -60,26 +60,26 @@
 pub struct Served {
     /// Tasks of batch jobs by the minute of their deadline. Received: those that completed
     /// by the end of the run.
-    pub work: Kept,
+    pub work: ServiceRatio,
     /// Batch jobs with a deadline. Received: those that ended by then. Reported only: the
     /// required share is set by service-level objectives.
-    pub in_time: Kept,
+    pub in_time: ServiceRatio,
     /// Running time of service replicas in seconds.
-    pub replicas: Kept,
+    pub replicas: ServiceRatio,
     /// Submissions and polls. Received: those that were answered.
-    pub answers: Kept,
+    pub answers: ServiceRatio,
 }
 
 impl Served {
     const COLUMNS: [&str; 4] = ["work", "by deadline", "replicas", "answers"];
 
-    fn columns(&self) -> [&Kept; 4] {
+    fn columns(&self) -> [&ServiceRatio; 4] {
         [&self.work, &self.in_time, &self.replicas, &self.answers]
     }
 
     /// The lowest of the checked shares. A share is checked only if enough was requested: a
     /// service that exists for ten seconds during a network partition cannot start in time.
-    fn least(&self, min_tasks: f64) -> Option<f64> {
+    fn lowest_checked(&self, min_tasks: f64) -> Option<f64> {
         let columns = [
             (&self.work, min_tasks),
             (&self.replicas, MIN_REPLICA_SECONDS),
@@ -138,19 +138,20 @@
         add(row.or_default());
     }
 
-    /// Classes and teams that received less than [`LEAST`].
-    pub fn starved(&self) -> Vec<String> {
-        let least = |((group, _), s): &(&(Group, String), &Served)| s.least(group.min_tasks());
-        let starved = |row: &_| least(row).is_some_and(|l| l < LEAST);
+    /// Classes and teams that received less than [`MIN_SHARE`].
+    pub fn below_minimum(&self) -> Vec<String> {
+        let least =
+            |((group, _), s): &(&(Group, String), &Served)| s.lowest_checked(group.min_tasks());
+        let starved = |row: &_| least(row).is_some_and(|l| l < MIN_SHARE);
         let rows = self.rows.iter().filter(starved);
         rows.map(|((group, name), _)| format!("{group:?} {name}").to_lowercase())
             .collect()
     }
 
     /// The class or team with the lowest share, and that share.
-    pub fn least(&self) -> Option<(String, f64)> {
+    pub fn lowest(&self) -> Option<(String, f64)> {
         let rows = self.rows.iter();
-        rows.filter_map(|((g, name), s)| Some((name.clone(), s.least(g.min_tasks())?)))
+        rows.filter_map(|((g, name), s)| Some((name.clone(), s.lowest_checked(g.min_tasks())?)))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 }
@@ -189,8 +190,8 @@
         // Neither missed deadlines nor shares of small amounts are checked.
         shares.count("web", "books", |s| s.replicas.add(0, 9.0, 0.0));
         shares.count("web", "maps", |s| s.in_time.add(0, 1.0, 0.0));
-        assert_eq!(shares.starved(), ["team books"]);
-        assert_eq!(shares.least(), Some(("books".into(), 0.4)));
+        assert_eq!(shares.below_minimum(), ["team books"]);
+        assert_eq!(shares.lowest(), Some(("books".into(), 0.4)));
         let table = shares.to_string();
         assert!(table.contains("| class merge | 0.700 (0.40) |"), "{table}");
         assert!(
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -2,7 +2,7 @@
 //! Jobs.
 
 use super::*;
-use crate::objects::{TOKEN, What};
+use crate::objects::{JobRequest, TOKEN};
 use crate::rules::Rule;
 use dillcleat_kube::record::Record;
 use serde_json::Value;
@@ -14,17 +14,17 @@
 
 impl Simulation {
     /// The Kubernetes Job as which a batch job is submitted, if it is.
-    pub(super) fn kube_job(&mut self, job: usize, spec: &mut JobSpec) -> Option<Plan> {
-        let throughout = match self.scenario.form {
+    pub(super) fn kube_job(&mut self, job: usize, spec: &mut JobSpec) -> Option<KubernetesJob> {
+        let kubernetes_only = match self.scenario.form {
             _ if spec.kind != JobKind::Batch => return None,
             SubmissionForm::Native => return None,
-            SubmissionForm::Twin | SubmissionForm::Shadow => false,
-            SubmissionForm::Objects => true,
+            SubmissionForm::NativeWithKubernetesIds | SubmissionForm::KubernetesCreateOnly => false,
+            SubmissionForm::Kubernetes => true,
             SubmissionForm::Mixed if job.is_multiple_of(2) => true,
             SubmissionForm::Mixed => return None,
         };
-        let plan = Plan::new(job, spec, throughout, &mut self.auxiliary_rng);
-        Some(plan).filter(|_| self.scenario.form != SubmissionForm::Twin)
+        let plan = KubernetesJob::new(job, spec, kubernetes_only, &mut self.auxiliary_rng);
+        Some(plan).filter(|_| self.scenario.form != SubmissionForm::NativeWithKubernetesIds)
     }
 
     fn send_api_request(
@@ -41,7 +41,7 @@
         self.pending_requests.insert(request, (requester, self.now));
         let epoch = self.nodes[node].epoch;
         if auxiliary {
-            self.watcher.begins(request, node, epoch, self.now);
+            self.watcher.opened(request, node, epoch, self.now);
         } else {
             self.schedule(
                 self.now + REQUEST_TIMEOUT,
@@ -80,13 +80,13 @@
             plan.tries += 1;
             let (path, body) = (plan.path(), plan.manifest.to_string());
             let spec = u.spec.clone();
-            self.checker.submits(&spec);
-            let operation = What::Create;
+            self.checker.submitted(&spec);
+            let operation = JobRequest::Create;
             let requester = Requester::ApiClient { job, operation };
             self.send_api_request(node, requester, "POST", path, body.into_bytes());
             return true;
         }
-        if !plan.throughout {
+        if !plan.kubernetes_only {
             return false;
         }
         let (path, own) = (plan.path(), plan.own_path());
@@ -96,16 +96,16 @@
             .is_some_and(|(after, at)| now >= at + after);
         let (operation, method, target, body) = if resume {
             let body = "{\"spec\":{\"suspend\":false}}".to_string();
-            (What::Resume, "PATCH", own, body)
+            (JobRequest::Resume, "PATCH", own, body)
         } else if !plan.deleted && u.cancel_at.is_some_and(|at| now >= at) {
             plan.delete_tries += 1;
             let id = u.spec.id.clone();
-            self.checker.asks_to_cancel(&id);
-            (What::Delete, "DELETE", own, String::new())
+            self.checker.cancel_requested(&id);
+            (JobRequest::Delete, "DELETE", own, String::new())
         } else if u.answer_count % 4 == 3 {
-            (What::Again, "POST", path, plan.manifest.to_string())
+            (JobRequest::Again, "POST", path, plan.manifest.to_string())
         } else {
-            (What::Get, "GET", own, String::new())
+            (JobRequest::Get, "GET", own, String::new())
         };
         let requester = Requester::ApiClient { job, operation };
         self.send_api_request(node, requester, method, target, body.into_bytes());
@@ -115,7 +115,7 @@
     pub(super) fn api_client_answer(
         &mut self,
         job: usize,
-        operation: What,
+        operation: JobRequest,
         status: u16,
         body: &[u8],
     ) {
@@ -135,7 +135,7 @@
         let mut pause = 5 * SECOND;
         if !matches!(status, 0 | 429 | 503) && u.stage != Stage::Submitting {
             // Records that an answer came. Its content is checked below.
-            self.checker.answered_poll(&id, 200, None, now, now);
+            self.checker.poll_answered(&id, 200, None, now, now);
         }
         match (operation, status) {
             (_, 0 | 429 | 503) => {
@@ -145,38 +145,42 @@
                 }
                 pause = SECOND;
                 if u.stage != Stage::Submitting {
-                    self.checker.answered_poll(&id, status, None, now, now);
+                    self.checker.poll_answered(&id, status, None, now, now);
                 }
             }
             // A conflict means success if an earlier attempt may have been executed.
-            (What::Create, 201) | (What::Create, 409) if status == 201 || plan.tries > 1 => {
+            (JobRequest::Create, 201) | (JobRequest::Create, 409)
+                if status == 201 || plan.tries > 1 =>
+            {
                 u.accepted = true;
                 u.stage = Stage::Polling;
                 plan.created = Some(now);
                 pause = 4 * SECOND;
-                self.checker.answered_submission(&id, 201, None, now, now);
+                self.checker.submission_answered(&id, 201, None, now, now);
             }
-            (What::Again, 409) => {}
-            (What::Get, 200) => match plan.shown(&shown, now) {
+            (JobRequest::Again, 409) => {}
+            (JobRequest::Get, 200) => match plan.check_object(&shown, now) {
                 Ok(state) => shown_state = state,
                 Err(e) => error = Some(e),
             },
-            (What::Resume, 200) => plan.resumed = true,
-            (What::Resume, 409) => {}
-            (What::Delete, 200) => plan.deleted = true,
-            (What::Delete, 404) if plan.delete_tries > 1 || plan.may_expire() => {
+            (JobRequest::Resume, 200) => plan.resumed = true,
+            (JobRequest::Resume, 409) => {}
+            (JobRequest::Delete, 200) => plan.deleted = true,
+            (JobRequest::Delete, 404) if plan.delete_tries > 1 || plan.may_expire() => {
                 plan.deleted = true;
             }
-            (What::Get | What::Resume, 404) if plan.deleted => {}
-            (What::Get | What::Resume, 404) if plan.may_expire() => {
+            (JobRequest::Get | JobRequest::Resume, 404) if plan.deleted => {}
+            (JobRequest::Get | JobRequest::Resume, 404) if plan.may_expire() => {
                 plan.deleted = true;
-                if u.final_state.is_none() && (plan.may_fail() || self.checker.complete(&id)) {
+                if u.final_state.is_none() && (plan.may_fail() || self.checker.is_complete(&id)) {
                     u.final_state = Some(JobState::Done);
                     u.stage = Stage::Ended;
                 }
             }
             // An earlier attempt to delete the Job was executed.
-            (What::Get | What::Resume, 404) if plan.delete_tries > 0 => plan.deleted = true,
+            (JobRequest::Get | JobRequest::Resume, 404) if plan.delete_tries > 0 => {
+                plan.deleted = true
+            }
             _ => {
                 error = Some(format!(
                     "{name}: {operation:?} was answered {status} {shown}"
@@ -188,17 +192,18 @@
             u.stage = Stage::Ended;
             // The Job's status gave the reason why it was ended.
             if state == JobState::Cancelled {
-                self.checker.asks_to_cancel(&id);
+                self.checker.cancel_requested(&id);
             }
-            self.checker.answered_poll(&id, 200, Some(state), now, now);
-        } else if plan.deleted && operation == What::Delete && u.final_state.is_none() {
+            self.checker.poll_answered(&id, 200, Some(state), now, now);
+        } else if plan.deleted && operation == JobRequest::Delete && u.final_state.is_none() {
             u.final_state = Some(JobState::Cancelled);
             u.stage = Stage::Ended;
             self.checker
-                .answered_poll(&id, 200, Some(JobState::Cancelled), now, now);
+                .poll_answered(&id, 200, Some(JobState::Cancelled), now, now);
         }
         if let Some(error) = error {
-            self.checker.found(Rule::Object, now, error);
+            self.checker
+                .report_violation(Rule::KubernetesApi, now, error);
         }
         if u.stage == Stage::Ended && !matches!(status, 0 | 429 | 503) {
             pause = pause.max(15 * SECOND);
@@ -212,7 +217,7 @@
             let host = &self.nodes[node];
             host.node.is_some() && host.epoch == epoch
         });
-        if !alive || now > self.watcher.heard_at + API_WATCH_IDLE_TIMEOUT {
+        if !alive || now > self.watcher.last_event_at + API_WATCH_IDLE_TIMEOUT {
             let node = self.auxiliary_rng.usize(..self.nodes.len());
             if self.nodes[node].node.is_some() {
                 let path = self.watcher.path();
@@ -230,10 +235,11 @@
         if !self.is_open_api_watch(request) {
             return;
         }
-        self.watcher.heard_at = self.now;
+        self.watcher.last_event_at = self.now;
         let line: Value = serde_json::from_slice(bytes).unwrap_or_default();
-        if let Err(what) = self.watcher.line(&line) {
-            self.checker.found(Rule::Object, self.now, what);
+        if let Err(what) = self.watcher.check_event(&line) {
+            self.checker
+                .report_violation(Rule::KubernetesApi, self.now, what);
         }
     }
 
@@ -245,26 +251,27 @@
 
     pub(super) fn api_watch_refused(&mut self, status: u16) {
         if status == 410 {
-            self.watcher.forget();
+            self.watcher.restart();
         }
         self.watcher.open = None;
         if !matches!(status, 410 | 429 | 503) {
             let what = format!("a watch request was answered {status}");
-            self.checker.found(Rule::Object, self.now, what);
+            self.checker
+                .report_violation(Rule::KubernetesApi, self.now, what);
         }
     }
 
     /// Checks, at the end of a run, that the stored objects show the end of their jobs
     /// and that the watch has shown every object.
     pub(super) fn check_stored_objects(&mut self, end: Micros) {
-        if !self.scenario.form.objects() {
+        if !self.scenario.form.uses_kubernetes() {
             return;
         }
         let mut stored = BTreeMap::new();
         for key in self.store.keys(dillcleat_kube::record::OBJECTS) {
             let Some((record, version)) = self.store.read::<Record>(&key) else {
-                self.checker.found(
-                    Rule::Object,
+                self.checker.report_violation(
+                    Rule::KubernetesApi,
                     end,
                     format!("{key}: the record cannot be decoded"),
                 );
@@ -275,17 +282,19 @@
             let ended = !self.store.keys(&state_key).is_empty();
             if ended && record.state.end.is_none() {
                 let what = format!("{key}: the end of {job} is not shown");
-                self.checker.found(Rule::Object, end, what);
+                self.checker
+                    .report_violation(Rule::KubernetesApi, end, what);
             }
             let name = key.trim_start_matches("k/o/jobs/").to_string();
             stored.insert(name, version);
         }
-        if self.watcher.open.is_some() && self.watcher.view() != stored {
+        if self.watcher.open.is_some() && self.watcher.known_versions() != stored {
             let what = format!(
                 "the watch showed {:?}, the store holds {stored:?}",
-                self.watcher.view()
+                self.watcher.known_versions()
             );
-            self.checker.found(Rule::Object, end, what);
+            self.checker
+                .report_violation(Rule::KubernetesApi, end, what);
         }
     }
 }
--- a/crates/simulator/src/simulation/impatient_users.rs
+++ b/crates/simulator/src/simulation/impatient_users.rs
@@ -74,7 +74,7 @@
             u.cancel_at = Some(u.cancel_at.map_or(self.now, |at| at.min(self.now)));
         }
         let id = u.spec.id.clone();
-        self.checker.asks_to_cancel(&id);
+        self.checker.cancel_requested(&id);
         let node = self.auxiliary_rng.usize(..self.nodes.len());
         let requester = Requester::ExtraCancel { job };
         self.send_request(node, requester, "POST", cancel_path(&id), Vec::new());
@@ -85,7 +85,7 @@
     pub(super) fn task_done(&mut self, id: &str) {
         let native = |u: &User| u.kube_job.is_none() && u.spec.id == *id;
         if self.is_comparison_run()
-            || !self.checker.complete(id)
+            || !self.checker.is_complete(id)
             || !self.is_affected(self.cancel_on_completion)
         {
             return;
@@ -117,7 +117,7 @@
     pub(crate) fn cancel_running_jobs(&mut self, jobs: usize, hang: Micros) {
         let is_long_running = |job: &usize| {
             let u = &self.users[*job];
-            let (running, done) = self.checker.tasks(&u.spec.id);
+            let (running, done) = self.checker.task_counts(&u.spec.id);
             let behaviour = self.task_behaviours.get(&u.spec.id);
             let long = u.spec.kind == JobKind::Service
                 || u.spec.tasks > running + done
@@ -130,7 +130,7 @@
         cancelled.truncate(jobs);
         let mut machines: Vec<String> = Vec::new();
         for job in cancelled {
-            machines.extend(self.checker.machines(&self.users[job].spec.id));
+            machines.extend(self.checker.machines_of(&self.users[job].spec.id));
             let at = self.now + self.auxiliary_rng.u64(..SECOND / 5);
             self.schedule(at, Event::CancelJob { job });
         }
@@ -146,7 +146,7 @@
 
     /// Adds users who submit four jobs of one task per second.
     pub(super) fn add_short_jobs(&mut self) {
-        let Some((from, time)) = self.scenario.stream else {
+        let Some((from, time)) = self.scenario.single_task_stream else {
             return;
         };
         for n in 0..4 * time / SECOND {
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -13,12 +13,12 @@
 use self::pipelines::PipelineStage;
 use crate::cloud::Cloud;
 use crate::history::OutputHistory;
-use crate::objects::{self, Plan, Watcher};
+use crate::objects::{self, KubernetesJob, Watcher};
 use crate::rules::{Checker, LateLaunches, Limit, MachineIdentity, Violation};
-use crate::scenario::{Cut, Fault, Scenario, SubmissionForm};
+use crate::scenario::{Fault, PartitionMode, Scenario, SubmissionForm};
 use crate::service_shares::ServiceShares;
 use crate::store::{SimulatedStore, Watches};
-use crate::worker::{PATIENCE, TaskBehaviour, Worker, WorkerEvent};
+use crate::worker::{HEARTBEAT_TIMEOUT, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::config::{DeadlineObjective, StartObjective};
 use dillcleat_controller::{
     Answer, CallError, CallId, Config, Input, MILLISECOND, Micros, Node, Output, RequestId, SECOND,
@@ -291,7 +291,7 @@
     },
     ApiClient {
         job: usize,
-        operation: objects::What,
+        operation: objects::JobRequest,
     },
     ApiWatch,
 }
@@ -351,7 +351,7 @@
     /// Counts answers, to alternate between kinds of requests.
     answer_count: u32,
     /// The Kubernetes Job as which the job is submitted.
-    kube_job: Option<Plan>,
+    kube_job: Option<KubernetesJob>,
     pipeline_stage: PipelineStage,
 }
 
@@ -392,7 +392,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ZonePartition {
     pub until: Micros,
-    pub cut: Cut,
+    pub mode: PartitionMode,
 }
 
 /// A period in which new machines boot late, at once or never.
@@ -506,7 +506,7 @@
     if scenario.large_site {
         config = large_site_config(config, scenario.scale);
     }
-    if scenario.tight {
+    if scenario.tight_quotas {
         let scale = f64::from(scenario.scale);
         for team in &mut config.teams {
             team.cpus_max = if team.cpus_max > 0.0 { 12.0 } else { 24.0 } * scale;
@@ -625,7 +625,7 @@
                 ),
             },
             cloud: Cloud::new(
-                machine_types(scenario.tight),
+                machine_types(scenario.tight_quotas),
                 4 * scenario.scale,
                 config.cloud_list_lag,
             ),
@@ -638,7 +638,7 @@
             zone_worker_partition_until: [0; 3],
             zone_partitions: [ZonePartition {
                 until: 0,
-                cut: Cut::Held,
+                mode: PartitionMode::Delayed,
             }; 3],
             unreliable_network_until: 0,
             frequent_polls_until: 0,
@@ -680,9 +680,11 @@
             .scenario
             .faults
             .iter()
-            .map(|(at, f)| at + f.lasts());
-        simulation.checker.troubles_end =
-            fault_ends.max().unwrap_or(0).max(simulation.scenario.busy);
+            .map(|(at, f)| at + f.duration());
+        simulation.checker.faults_end = fault_ends
+            .max()
+            .unwrap_or(0)
+            .max(simulation.scenario.activity_end);
         for (at, fault) in simulation.scenario.faults.clone() {
             simulation.schedule(at, Event::Fault(Box::new(fault)));
         }
@@ -696,13 +698,13 @@
                 simulation.schedule(first + every * node as u64, Event::UpgradeNode { node });
             }
         }
-        if let Some(at) = simulation.scenario.limits_fall {
+        if let Some(at) = simulation.scenario.limits_lowered_at {
             simulation.schedule(at, Event::ReduceStoreLimits);
         }
         simulation.schedule(SECOND, Event::AdvanceWorkers);
         simulation.schedule(SECOND, Event::RecordCloudListing);
         simulation.schedule(10 * SECOND, Event::PollUnknownJob);
-        if simulation.scenario.form.objects() {
+        if simulation.scenario.form.uses_kubernetes() {
             simulation.schedule(2 * SECOND, Event::CheckApiWatch);
         }
         simulation
@@ -730,7 +732,7 @@
             if let Some(event) = self.pending_events.remove(&event_id) {
                 self.process_event(event);
             }
-            self.checker.step(self.now);
+            self.checker.check_cancellations(self.now);
             if !self.checker.violations.is_empty() {
                 break;
             }
@@ -750,16 +752,16 @@
                     && u.spec.kind == JobKind::Batch
                     && u.cancel_at.is_none()
                     && u.final_state != Some(JobState::Done)
-                    && !(u.final_state.is_some() && self.checker.doomed(&u.spec.id))
+                    && !(u.final_state.is_some() && self.checker.has_cancelled_dependency(&u.spec.id))
                     // The Job's status gave the reason why it was ended.
                     && !(u.kube_job.is_some() && u.final_state == Some(JobState::Cancelled))
             })
             .map(|u| format!("{} ({:?})", u.spec.id, u.final_state))
             .collect();
         let leaders_elected = self.store.term();
-        let late = self.checker.late();
+        let late = self.checker.late_launches();
         Outcome {
-            starts: self.checker.starts_seen(),
+            starts: self.checker.task_starts(),
             accepted: self.users.iter().filter(|u| u.accepted).count(),
             unfinished,
             leftover_keys: [self.store.keys("t/"), self.store.keys("q/")].concat(),
@@ -786,7 +788,7 @@
 
     /// Stops a node and records how much memory it used.
     pub(crate) fn stop_node(&mut self, node: usize) {
-        let bytes = self.scenario.allocated.unwrap_or(|| 0);
+        let bytes = self.scenario.allocated_bytes.unwrap_or(|| 0);
         let before = bytes();
         self.nodes[node].node = None;
         self.peak_node_bytes = self.peak_node_bytes.max(before.saturating_sub(bytes()));
@@ -874,7 +876,7 @@
     pub(crate) fn is_comparison_run(&self) -> bool {
         matches!(
             self.scenario.form,
-            SubmissionForm::Twin | SubmissionForm::Shadow
+            SubmissionForm::NativeWithKubernetesIds | SubmissionForm::KubernetesCreateOnly
         )
     }
 
@@ -923,8 +925,8 @@
             Event::StoreCall { caller, call } => self.store_call(caller, &call),
             Event::StoreWatchExpired { watch } => {
                 // During an outage the watch stays open.
-                if !self.store.out(self.now)
-                    && let Some((caller, changes)) = self.store_watches.end(watch, &self.store)
+                if !self.store.is_out(self.now)
+                    && let Some((caller, changes)) = self.store_watches.close(watch, &self.store)
                 {
                     self.send_watch_batch(caller, changes);
                 }
@@ -985,7 +987,7 @@
                 None => {}
             },
             Event::PollUnknownJob => {
-                if self.now < self.scenario.busy {
+                if self.now < self.scenario.activity_end {
                     let id = format!("req-{}", 500_000 + self.rng.u32(..1000));
                     let path = poll_path(&id);
                     let node = self.rng.usize(..self.nodes.len());
@@ -1010,7 +1012,7 @@
                 let Some(h) = self.cloud.hosts.get(&machine).cloned() else {
                     return;
                 };
-                let types = machine_types(self.scenario.tight);
+                let types = machine_types(self.scenario.tight_quotas);
                 let of = types.iter().find(|t| t.name == h.machine_type);
                 let (cpus, gpus) = of.map_or((0.0, 0.0), |t| (t.cpus, t.gpus));
                 let place = MachineIdentity {
@@ -1047,12 +1049,12 @@
                 }
                 if matches!(
                     self.scenario.form,
-                    SubmissionForm::Twin | SubmissionForm::Shadow
+                    SubmissionForm::NativeWithKubernetesIds | SubmissionForm::KubernetesCreateOnly
                 ) {
                     // Only native submissions are repeated.
                     config.tuning.again_s = 0.0;
                 }
-                let rules = self.scenario.form.objects().then(objects::rules);
+                let rules = self.scenario.form.uses_kubernetes().then(objects::rules);
                 host.node = Some(Controller::new(Node::new(config), rules));
                 let epoch = host.epoch;
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
@@ -1066,14 +1068,14 @@
                 let down = self.auxiliary_rng.u64(SECOND / 10..2 * SECOND);
                 self.schedule(self.now + down, Event::StartNode { node });
             }
-            Event::ReduceStoreLimits => self.store.limit(
+            Event::ReduceStoreLimits => self.store.lower_limits(
                 REDUCED_STORE_LIMITS.value_bytes,
                 REDUCED_STORE_LIMITS.txn_ops,
             ),
             Event::Fault(fault) => self.fault(*fault),
             Event::RecordCloudListing => {
-                self.cloud.note(self.now);
-                self.schedule(self.now + Cloud::NOTE_EVERY, Event::RecordCloudListing);
+                self.cloud.record_list(self.now);
+                self.schedule(self.now + Cloud::LIST_INTERVAL, Event::RecordCloudListing);
             }
         }
     }
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -36,16 +36,16 @@
             let Some(partition) = zone.map(|z| self.zone_partitions[z]) else {
                 continue;
             };
-            let passes = match partition.cut {
-                Cut::Held | Cut::Lost => false,
-                Cut::Deaf => outbound,
-                Cut::Mute => !outbound,
+            let passes = match partition.mode {
+                PartitionMode::Delayed | PartitionMode::Lost => false,
+                PartitionMode::InboundDelayed => outbound,
+                PartitionMode::OutboundDelayed => !outbound,
             };
             if self.now >= partition.until || passes {
                 continue;
             }
             link = match link {
-                _ if partition.cut == Cut::Lost => Link::Down,
+                _ if partition.mode == PartitionMode::Lost => Link::Down,
                 Link::Up => Link::HeldUntil(partition.until),
                 Link::HeldUntil(until) => Link::HeldUntil(until.max(partition.until)),
                 Link::Down => Link::Down,
@@ -251,8 +251,8 @@
                 self.check_launches(node, &commands.commands);
                 let machine = addr.trim_end_matches(":9000");
                 let zone = self.zone_of(machine);
-                let zone_cut = zone.map_or(0, |z| self.zone_worker_partition_until[z]);
-                let held_until = self.nodes[node].worker_partition_until.max(zone_cut);
+                let partition_end = zone.map_or(0, |z| self.zone_worker_partition_until[z]);
+                let held_until = self.nodes[node].worker_partition_until.max(partition_end);
                 if let Some((at, caller)) =
                     self.prepare_call_to(zone, node, epoch, id, held_until, false)
                 {
--- a/crates/simulator/src/simulation/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -22,7 +22,7 @@
         let mut rng = Rng::with_seed(self.scenario.seed.rotate_left(17) ^ PIPELINE_SEED_SALT);
         let others = self.users.len();
         for _ in 0..self.scenario.pipelines {
-            let start = rng.u64(self.scenario.pipelines_from..self.scenario.busy * 3 / 5);
+            let start = rng.u64(self.scenario.pipelines_from..self.scenario.activity_end * 3 / 5);
             let first = self.users.len();
             let stages = rng.usize(2..6);
             for stage in 0..stages {
@@ -44,16 +44,16 @@
                     submit_after_end: stage + 1 == stages && rng.u8(..4) == 0,
                 };
                 let cancel = rng.u8(..7) == 0;
-                let cancel = cancel.then(|| rng.u64(start..self.scenario.busy));
+                let cancel = cancel.then(|| rng.u64(start..self.scenario.activity_end));
                 let tasks = rng.u32(1..12);
                 self.add_stage(&mut rng, start, tasks, pipeline_stage, cancel);
             }
         }
-        if let Some(herd) = self.scenario.herd {
+        if let Some(herd) = self.scenario.cancelled_dependents {
             // Many jobs depend on one, which is cancelled while they wait.
             let from = self.scenario.pipelines_from;
             let root = self.users.len();
-            let cancel = Some(self.scenario.busy * 3 / 4);
+            let cancel = Some(self.scenario.activity_end * 3 / 4);
             let pipeline_stage = PipelineStage::default();
             self.add_stage(&mut rng, from, 400, pipeline_stage, cancel);
             for _ in 0..herd {
@@ -61,7 +61,7 @@
                     dependencies: vec![root],
                     submit_after_end: false,
                 };
-                let at = rng.u64(from..self.scenario.busy * 2 / 3);
+                let at = rng.u64(from..self.scenario.activity_end * 2 / 3);
                 self.add_stage(&mut rng, at, 1, pipeline_stage, None);
             }
         }
--- a/crates/simulator/src/simulation/services.rs
+++ b/crates/simulator/src/simulation/services.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::rules::Rule;
-use crate::scenario::Moment;
+use crate::scenario::CrashPoint;
 use dillcleat_controller::records;
 use dillcleat_wire::store::{WatchBatch, WatchEvent};
 use dillcleat_wire::worker::Command;
@@ -39,7 +39,7 @@
         for command in commands {
             if let Command::Launch { task, .. } = command {
                 let known_cancelled = self.nodes[node].known_cancelled_jobs.contains(&task.job);
-                self.checker.launches(task, known_cancelled, self.now);
+                self.checker.launch_sent(task, known_cancelled, self.now);
             }
         }
     }
@@ -53,7 +53,7 @@
         self.store_calls += 1;
         let Some((_, moment)) = self
             .scenario
-            .ends_at_call
+            .crash_at_call
             .filter(|(number, _)| *number == self.store_calls)
         else {
             return true;
@@ -63,11 +63,11 @@
         let crash = Fault::Crash { nodes, down };
         // A reply takes a few milliseconds to arrive.
         let at = match moment {
-            Moment::Before | Moment::CarriedOut => self.now,
-            Moment::Answered => self.now + 10 * MILLISECOND,
+            CrashPoint::BeforeExecution | CrashPoint::AfterExecution => self.now,
+            CrashPoint::AfterAnswer => self.now + 10 * MILLISECOND,
         };
         self.schedule(at, Event::Fault(Box::new(crash)));
-        moment != Moment::Before
+        moment != CrashPoint::BeforeExecution
     }
 
     pub(super) fn store_call(&mut self, caller: Caller, call: &StoreRequest) {
@@ -160,7 +160,8 @@
         };
         if deposed {
             let what = format!("node-{} was no longer the leader: {call:?}", caller.node);
-            self.checker.found(Rule::Deposed, self.now, what);
+            self.checker
+                .report_violation(Rule::ActedWithoutLeadership, self.now, what);
         }
         if leader_now == ObservedLeader::OtherNode {
             self.late_deletions += deleted.len();
@@ -171,7 +172,8 @@
                     caller.node,
                     deleted.len()
                 );
-                self.checker.found(Rule::Deposed, self.now, what);
+                self.checker
+                    .report_violation(Rule::ActedWithoutLeadership, self.now, what);
             }
         }
         for machine in deleted {
@@ -183,12 +185,12 @@
 
     pub(super) fn send_changed_watches(&mut self) {
         self.store.expire(self.now);
-        if self.store.out(self.now) {
+        if self.store.is_out(self.now) {
             return;
         }
         let refused = |caller: Caller| self.nodes[caller.node].store_refuses_until;
         let accepts = |caller| self.now >= refused(caller);
-        for (caller, changes) in self.store_watches.changed(&self.store, accepts) {
+        for (caller, changes) in self.store_watches.take_changed(&self.store, accepts) {
             self.send_watch_batch(caller, changes);
         }
     }
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -2,7 +2,7 @@
 
 use super::network::Link;
 use super::*;
-use crate::rules::Room;
+use crate::rules::MachineCapacity;
 use crate::service_shares::Served;
 
 const REPLICA_COUNT_INTERVAL: Micros = SECOND;
@@ -52,7 +52,7 @@
             depends_on: Vec::new(),
         };
         let mut spec = spec;
-        if let (0, Some(tasks)) = (job, self.scenario.large) {
+        if let (0, Some(tasks)) = (job, self.scenario.large_job_tasks) {
             spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
@@ -65,13 +65,13 @@
             // A spread job may place only half of its tasks in one zone.
             spec.zone = None;
         }
-        let mut at = rng.u64(SECOND..self.scenario.busy * 2 / 3);
+        let mut at = rng.u64(SECOND..self.scenario.activity_end * 2 / 3);
         if let (0, Some((first, _))) = (job, self.scenario.upgrade) {
             // The job must be admitted by the version that is replaced.
             at = at.min(first);
         }
         let cancel = service || rng.u8(..5) == 0;
-        let cancel_at = cancel.then(|| at + rng.u64(2 * SECOND..self.scenario.busy - at));
+        let cancel_at = cancel.then(|| at + rng.u64(2 * SECOND..self.scenario.activity_end - at));
         let cancel_at = self.shrink_job(&mut spec, at, cancel_at);
         let extra_run_time = self.vary_placement(&mut spec);
         let kube_job = self.kube_job(job, &mut spec);
@@ -97,11 +97,11 @@
             // Tasks run so long that machines are rented for all waiting tasks.
             return self.auxiliary_rng.u64(60 * SECOND..120 * SECOND);
         }
-        if !self.scenario.varied {
+        if !self.scenario.varied_jobs {
             return 0;
         }
         let native = self.scenario.form == SubmissionForm::Native;
-        if self.scenario.tight
+        if self.scenario.tight_quotas
             && native
             && spec.kind == JobKind::Batch
             && self.auxiliary_rng.u8(..3) == 0
@@ -130,13 +130,13 @@
         at: Micros,
         cancel_at: Option<Micros>,
     ) -> Option<Micros> {
-        if !self.scenario.small {
+        if !self.scenario.small_jobs {
             return cancel_at;
         }
         if self.auxiliary_rng.bool() {
             spec.tasks = self.auxiliary_rng.u32(2..4);
         }
-        let busy = self.scenario.busy;
+        let busy = self.scenario.activity_end;
         cancel_at.or_else(|| {
             let cancels = self.auxiliary_rng.u8(..3) == 0;
             cancels.then(|| self.auxiliary_rng.u64(at + 2 * SECOND..busy))
@@ -266,13 +266,13 @@
             Stage::Submitting => {
                 u.first_submitted_at.get_or_insert(now);
                 let spec = u.spec.clone();
-                self.checker.submits(&spec);
+                self.checker.submitted(&spec);
                 self.submit(node, Requester::Submission { job }, &spec);
             }
             Stage::Polling | Stage::Ended
                 if u.final_state.is_none() && u.cancel_at.is_some_and(|at| now >= at) =>
             {
-                self.checker.asks_to_cancel(&id);
+                self.checker.cancel_requested(&id);
                 self.send_request(
                     node,
                     Requester::Cancel { job },
@@ -359,14 +359,14 @@
             | Requester::ApiWatch
             | Requester::ReplyDiscarded => {}
             Requester::UnknownJobPoll { id } => {
-                self.checker.answered_poll(&id, status, state, sent_at, now)
+                self.checker.poll_answered(&id, status, state, sent_at, now)
             }
             Requester::InvalidSubmission {
                 id,
                 expected_status,
             } => {
                 self.checker
-                    .answered_refused(&id, status, expected_status, now);
+                    .invalid_submission_answered(&id, status, expected_status, now);
             }
             Requester::ExtraPoll { job }
             | Requester::ExtraSubmission { job }
@@ -381,11 +381,11 @@
                 match requester {
                     Requester::ExtraSubmission { .. } => self
                         .checker
-                        .answered_submission(&id, status, state, sent_at, now),
+                        .submission_answered(&id, status, state, sent_at, now),
                     // These requests also go to unhealthy nodes, so an error shows
                     // nothing.
                     _ if !matches!(status, 200 | 404) => {}
-                    _ => self.checker.answered_poll(&id, status, state, sent_at, now),
+                    _ => self.checker.poll_answered(&id, status, state, sent_at, now),
                 }
             }
             Requester::Submission { job } => {
@@ -417,7 +417,7 @@
                     }
                 }
                 self.checker
-                    .answered_submission(&id, status, state, sent_at, now);
+                    .submission_answered(&id, status, state, sent_at, now);
             }
             Requester::Poll { job } | Requester::Cancel { job } => {
                 let u = &mut self.users[job];
@@ -439,7 +439,7 @@
                     _ => 5 * SECOND,
                 };
                 self.schedule_user_request(now + pause, job);
-                self.checker.answered_poll(&id, status, state, sent_at, now);
+                self.checker.poll_answered(&id, status, state, sent_at, now);
             }
         }
     }
@@ -477,7 +477,7 @@
                 .map_or(1.0, |t| (t.cpus_max / cpus[team]).min(1.0))
         };
         for u in self.users.iter().filter(expected_to_run) {
-            let (running, _) = self.checker.tasks(&u.spec.id);
+            let (running, _) = self.checker.task_counts(&u.spec.id);
             let expected = f64::from(u.spec.tasks) * allowed_share(&u.spec.team);
             let running = f64::from(running);
             let add = |s: &mut Served| s.replicas.add(self.now, expected, running);
@@ -488,22 +488,22 @@
     /// Checks for starved jobs once all faults are over.
     pub(super) fn check_waiting_jobs(&mut self) {
         let due = self.now.is_multiple_of(WAITING_JOBS_INTERVAL);
-        if self.now < self.checker.troubles_end || !due {
+        if self.now < self.checker.faults_end || !due {
             return;
         }
         let free_room = |w: &Worker| {
-            let (cpus, gpus) = w.free();
-            Room {
+            let (cpus, gpus) = w.free_resources();
+            MachineCapacity {
                 place: w.place.clone(),
                 cpus,
                 gpus,
-                tasks: w.live().cloned().collect(),
-                takes: w.takes(self.now),
+                tasks: w.live_tasks().cloned().collect(),
+                accepts_tasks: w.accepts_tasks(self.now),
             }
         };
-        let rooms: Vec<Room> = self.workers.values().map(free_room).collect();
+        let rooms: Vec<MachineCapacity> = self.workers.values().map(free_room).collect();
         let fails = |id: &str| self.task_behaviours.get(id).is_some_and(|p| p.fails);
-        self.checker.look_for_waiting(&rooms, fails, self.now);
+        self.checker.check_waiting_jobs(&rooms, fails, self.now);
     }
 
     /// Counts the completed work of batch jobs whose deadline has passed.
@@ -519,7 +519,7 @@
             let Some(due) = due.filter(|at| *at < self.now && u.cancel_at.is_none()) else {
                 continue;
             };
-            let (_, done) = self.checker.tasks(&u.spec.id);
+            let (_, done) = self.checker.task_counts(&u.spec.id);
             let (all, done) = (f64::from(u.spec.tasks), f64::from(done));
             let in_time = f64::from(u8::from(u.ended_at.is_some_and(|at| at <= due)));
             self.service_shares.count(&u.spec.class, &u.spec.team, |s| {
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -11,24 +11,25 @@
             let Some(w) = self.workers.get_mut(&name) else {
                 continue;
             };
-            let worker_events = w.pass(self.now, lease, &self.task_behaviours);
+            let worker_events = w.advance(self.now, lease, &self.task_behaviours);
             if self.now >= w.hung_until {
-                if w.under_way
-                    .is_some_and(|(_, _, sent)| self.now > sent + PATIENCE)
+                if w.unanswered_heartbeat
+                    .is_some_and(|(_, _, sent)| self.now > sent + HEARTBEAT_TIMEOUT)
                 {
-                    w.under_way = None;
+                    w.unanswered_heartbeat = None;
                     w.node = (w.node + 1) % self.nodes.len();
-                    w.report_at = self.now + SECOND;
+                    w.next_heartbeat_at = self.now + SECOND;
                 }
-                let due = w.under_way.is_none() && self.now >= w.report_at;
-                if due && self.now < w.mute_until {
+                let due = w.unanswered_heartbeat.is_none() && self.now >= w.next_heartbeat_at;
+                if due && self.now < w.heartbeats_lost_until {
                     // The connection fails: try the next node.
                     w.node = (w.node + 1) % self.nodes.len();
-                    w.report_at = self.now + SECOND;
+                    w.next_heartbeat_at = self.now + SECOND;
                 } else if due {
-                    let heartbeat = w.report(self.now);
-                    w.under_way = Some((heartbeat.incarnation, heartbeat.sequence, self.now));
-                    w.report_at = self.now + self.rng.u64(15..25) * SECOND / 10;
+                    let heartbeat = w.heartbeat(self.now);
+                    w.unanswered_heartbeat =
+                        Some((heartbeat.incarnation, heartbeat.sequence, self.now));
+                    w.next_heartbeat_at = self.now + self.rng.u64(15..25) * SECOND / 10;
                     let node = w.node;
                     let zone = ZONES.iter().position(|z| *z == w.place.zone).unwrap_or(0);
                     let cut_until = self.zone_worker_partition_until[zone]
@@ -94,7 +95,7 @@
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
-        if self.now < worker.deaf_until {
+        if self.now < worker.inbound_lost_until {
             return;
         }
         if self.now < worker.hung_until {
@@ -112,8 +113,9 @@
             return self.schedule(at, event);
         }
         let mut worker_events =
-            worker.pass(self.now, self.config.worker_lease, &self.task_behaviours);
-        let (status, heartbeat, more) = worker.orders(&commands, self.now, &self.task_behaviours);
+            worker.advance(self.now, self.config.worker_lease, &self.task_behaviours);
+        let (status, heartbeat, more) =
+            worker.handle_commands(&commands, self.now, &self.task_behaviours);
         worker_events.extend(more);
         self.record_worker_events(&machine, worker_events);
         let reply = Ok((status, dillcleat_wire::encode(&heartbeat)));
@@ -139,13 +141,13 @@
         };
         for event in worker_events {
             match event {
-                WorkerEvent::Starts(task) => {
+                WorkerEvent::Started(task) => {
                     self.record_placement("starts", &task, machine);
-                    self.checker.starts(&task, &place, self.now);
+                    self.checker.task_started(&task, &place, self.now);
                 }
-                WorkerEvent::Leaves { task, done } => {
+                WorkerEvent::Ended { task, done } => {
                     self.record_placement(if done { "done" } else { "leaves" }, &task, machine);
-                    self.checker.leaves(&task, machine, done);
+                    self.checker.task_ended(&task, machine, done);
                     if done {
                         self.task_done(&task.job);
                     }
@@ -157,9 +159,9 @@
     pub(crate) fn remove_machine(&mut self, machine: &str) {
         if let Some(mut w) = self.workers.remove(machine) {
             for event in w.kill() {
-                if let WorkerEvent::Leaves { task, .. } = event {
+                if let WorkerEvent::Ended { task, .. } = event {
                     self.interrupted_tasks += 1;
-                    self.checker.leaves(&task, machine, false);
+                    self.checker.task_ended(&task, machine, false);
                 }
             }
         }
@@ -177,20 +179,21 @@
         let Some(w) = self.workers.get_mut(machine) else {
             return;
         };
-        if self.now < w.hung_until || self.now < w.deaf_until {
+        if self.now < w.hung_until || self.now < w.inbound_lost_until {
             return;
         }
-        match w.under_way {
-            Some((i, s, at)) if (i, s) == (incarnation, sequence) && self.now <= at + PATIENCE => {}
+        match w.unanswered_heartbeat {
+            Some((i, s, at))
+                if (i, s) == (incarnation, sequence) && self.now <= at + HEARTBEAT_TIMEOUT => {}
             _ => return,
         }
-        w.under_way = None;
+        w.unanswered_heartbeat = None;
         match answer.status {
             200 => {
                 let mut worker_events =
-                    w.pass(self.now, self.config.worker_lease, &self.task_behaviours);
+                    w.advance(self.now, self.config.worker_lease, &self.task_behaviours);
                 match dillcleat_wire::decode::<HeartbeatReply>(&answer.body) {
-                    Ok(reply) => worker_events.extend(w.answered(
+                    Ok(reply) => worker_events.extend(w.heartbeat_answered(
                         &reply,
                         incarnation,
                         sent_at,
@@ -210,17 +213,17 @@
                 match to {
                     Some(to) => {
                         w.node = to;
-                        w.report_at = self.now + self.rng.u64(..500) * MILLISECOND;
+                        w.next_heartbeat_at = self.now + self.rng.u64(..500) * MILLISECOND;
                     }
                     None => {
                         w.node = (node + 1) % self.nodes.len();
-                        w.report_at = self.now + SECOND;
+                        w.next_heartbeat_at = self.now + SECOND;
                     }
                 }
             }
             _ => {
                 w.node = (node + 1) % self.nodes.len();
-                w.report_at = self.now + SECOND;
+                w.next_heartbeat_at = self.now + SECOND;
             }
         }
     }
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -17,10 +17,10 @@
 /// Round trip of a call to the store.
 const STORE_ROUND_TRIP: Micros = 4 * MILLISECOND;
 /// Wall clock time at simulated time 0.
-pub const WALL: Micros = 1_700_000_000 * SECOND;
+pub const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
 
 /// A request to the Kubernetes API with the token that permits everything.
-pub fn ask(method: &str, target: &str, body: &Value) -> ApiRequest {
+pub fn api_request(method: &str, target: &str, body: &Value) -> ApiRequest {
     let patch = "application/merge-patch+json".to_string();
     ApiRequest {
         method: method.into(),
@@ -37,10 +37,10 @@
 
 /// A scheduled event.
 #[derive(Debug)]
-pub enum Ev {
+pub enum Event {
     Input(Input),
-    Ask(RequestId, ApiRequest),
-    WatchEnds(u64),
+    ApiRequest(RequestId, ApiRequest),
+    WatchTimeout(u64),
 }
 
 /// A controller, its simulated environment and its answers.
@@ -52,15 +52,15 @@
     /// Times and numbers of the scheduled events.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     /// Scheduled events by number.
-    scheduled: BTreeMap<u64, Ev>,
+    scheduled: BTreeMap<u64, Event>,
     pub controller: Controller,
-    pub state: SimulatedStore,
+    pub store: SimulatedStore,
     cloud: Cloud,
     watches: Watches<CallId>,
     /// Number of calls to the store.
     pub calls: u64,
     /// Processing time of the controller.
-    pub busy: Duration,
+    pub processing_time: Duration,
     /// Answers of the native and the Kubernetes API.
     pub answers: Vec<(RequestId, ApiResponse)>,
     /// Number of watch chunks sent to clients.
@@ -68,25 +68,25 @@
 }
 
 impl SingleNode {
-    pub fn new(config: Config, rules: Rules, state: SimulatedStore) -> SingleNode {
+    pub fn new(config: Config, rules: Rules, store: SimulatedStore) -> SingleNode {
         SingleNode {
             now: SECOND,
             last_event: 0,
             queue: BinaryHeap::new(),
             scheduled: BTreeMap::new(),
             controller: Controller::new(Node::new(config), Some(rules)),
-            state: state.paged(PageLimit::FULL),
+            store: store.with_page_limit(PageLimit::FULL),
             cloud: Cloud::new(vec![machine(8.0)], 0, 0),
             watches: Watches::default(),
             calls: 0,
-            busy: Duration::ZERO,
+            processing_time: Duration::ZERO,
             answers: Vec::new(),
             chunks: 0,
         }
     }
 
     /// Schedules an event.
-    pub fn at(&mut self, at: Micros, ev: Ev) {
+    pub fn schedule(&mut self, at: Micros, ev: Event) {
         self.last_event += 1;
         self.queue.push(Reverse((at, self.last_event)));
         self.scheduled.insert(self.last_event, ev);
@@ -96,7 +96,7 @@
     pub fn until(&mut self, end: Micros) {
         let mut tick = self.now;
         while tick < end {
-            self.at(tick, Ev::Input(Input::Tick));
+            self.schedule(tick, Event::Input(Input::Tick));
             tick += 50 * MILLISECOND;
         }
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
@@ -110,24 +110,24 @@
             };
             let now = Timestamp {
                 monotonic: 1_000 * SECOND + at,
-                wall: WALL + at,
+                wall: WALL_CLOCK_START + at,
             };
             let started = Instant::now();
             let outputs = match ev {
-                Ev::Input(input) => self.controller.handle(now, input),
-                Ev::Ask(id, ask) => self.controller.ask(now, id, ask),
-                Ev::WatchEnds(watch) => {
-                    if let Some((id, changes)) = self.watches.end(watch, &self.state) {
+                Event::Input(input) => self.controller.handle(now, input),
+                Event::ApiRequest(id, ask) => self.controller.ask(now, id, ask),
+                Event::WatchTimeout(watch) => {
+                    if let Some((id, changes)) = self.watches.close(watch, &self.store) {
                         let reply = Ok(StoreResponse::WatchBatch(changes));
-                        self.at(
+                        self.schedule(
                             at + STORE_ROUND_TRIP / 2,
-                            Ev::Input(Input::Store { id, reply }),
+                            Event::Input(Input::Store { id, reply }),
                         );
                     }
                     continue;
                 }
             };
-            self.busy += started.elapsed();
+            self.processing_time += started.elapsed();
             for output in outputs {
                 self.deliver(output);
             }
@@ -140,31 +140,34 @@
             ControllerOutput::Core(Output::Store { id, call, .. }) => {
                 self.calls += 1;
                 let at = self.now + STORE_ROUND_TRIP;
-                match self.state.call(&call, self.now) {
-                    Some(reply) => self.at(
+                match self.store.call(&call, self.now) {
+                    Some(reply) => self.schedule(
                         at,
-                        Ev::Input(Input::Store {
+                        Event::Input(Input::Store {
                             id,
                             reply: Ok(reply),
                         }),
                     ),
                     None => {
                         if let Some((watch, time)) = self.watches.open(id, &call) {
-                            self.at(self.now + time + STORE_ROUND_TRIP / 2, Ev::WatchEnds(watch));
+                            self.schedule(
+                                self.now + time + STORE_ROUND_TRIP / 2,
+                                Event::WatchTimeout(watch),
+                            );
                         }
                     }
                 }
-                for (id, changes) in self.watches.changed(&self.state, |_| true) {
+                for (id, changes) in self.watches.take_changed(&self.store, |_| true) {
                     let reply = Ok(StoreResponse::WatchBatch(changes));
-                    self.at(at, Ev::Input(Input::Store { id, reply }));
+                    self.schedule(at, Event::Input(Input::Store { id, reply }));
                 }
             }
             ControllerOutput::Core(Output::Cloud { id, call, .. }) => {
                 let (reply, _, _) = self.cloud.call(&call, self.now, |_| None);
                 let at = self.now + 10 * MILLISECOND;
-                self.at(
+                self.schedule(
                     at,
-                    Ev::Input(Input::Cloud {
+                    Event::Input(Input::Cloud {
                         id,
                         reply: Ok(reply),
                     }),
@@ -188,9 +191,9 @@
 
     /// Sends a request and runs for one second. Returns None if it is still unanswered, as
     /// an open watch is.
-    pub fn asked(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
+    pub fn request(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
         let id = RequestId(u64::MAX / 2 + self.last_event);
-        self.at(self.now, Ev::Ask(id, ask));
+        self.schedule(self.now, Event::ApiRequest(id, ask));
         self.until(self.now + SECOND);
         let found = self
             .answers
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -86,13 +86,13 @@
     }
 
     /// Lowers the limits. Stored values beyond them stay readable.
-    pub fn limit(&mut self, max_value_bytes: usize, max_txn_ops: usize) {
+    pub fn lower_limits(&mut self, max_value_bytes: usize, max_txn_ops: usize) {
         (self.max_value_bytes, self.max_txn_ops) = (max_value_bytes, max_txn_ops);
         self.limits_lowered = true;
     }
 
     /// Sets the page size of range listings.
-    pub fn paged(mut self, page: PageLimit) -> Self {
+    pub fn with_page_limit(mut self, page: PageLimit) -> Self {
         self.page = page;
         self
     }
@@ -123,13 +123,13 @@
         self.out_until = until;
     }
 
-    pub fn out(&self, now: Micros) -> bool {
+    pub fn is_out(&self, now: Micros) -> bool {
         now < self.out_until
     }
 
     /// Ends expired leases. An outage restarts the full time to live of every lease.
     pub fn expire(&mut self, now: Micros) {
-        if self.out(now) {
+        if self.is_out(now) {
             return;
         }
         if self.out_since < self.out_until {
@@ -182,7 +182,7 @@
     /// Executes a call. Returns None for a watch that has to wait for changes.
     pub fn call(&mut self, call: &StoreRequest, now: Micros) -> Option<StoreResponse> {
         self.expire(now);
-        if self.out(now) {
+        if self.is_out(now) {
             // Watches stay open during an outage; all other calls are refused.
             return match call {
                 StoreRequest::Watch { .. } => None,
@@ -436,14 +436,14 @@
     }
 
     /// Closes a watch that has timed out. Returns its caller and changes, if it was open.
-    pub fn end(&mut self, watch: u64, store: &SimulatedStore) -> Option<(T, WatchBatch)> {
+    pub fn close(&mut self, watch: u64, store: &SimulatedStore) -> Option<(T, WatchBatch)> {
         let (caller, prefix, after) = self.open.remove(&watch)?;
         Some((caller, store.changes(&prefix, after)))
     }
 
     /// Closes the watches that have changes and whose caller is `reachable`. Returns each
     /// caller and its changes.
-    pub fn changed(
+    pub fn take_changed(
         &mut self,
         store: &SimulatedStore,
         reachable: impl Fn(T) -> bool,
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -12,7 +12,7 @@
 /// A machine counts as reachable this long after it sent its last answered heartbeat.
 const REACHABLE_WINDOW: Micros = 8 * SECOND;
 /// A heartbeat without an answer after this time counts as lost.
-pub const PATIENCE: Micros = 4 * SECOND;
+pub const HEARTBEAT_TIMEOUT: Micros = 4 * SECOND;
 
 /// A task attempt on the machine.
 #[derive(Debug, Clone)]
@@ -28,8 +28,8 @@
 /// A start or an end of a task on a machine, for the checker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerEvent {
-    Starts(TaskName),
-    Leaves { task: TaskName, done: bool },
+    Started(TaskName),
+    Ended { task: TaskName, done: bool },
 }
 
 /// How the tasks of a job behave: how long each runs and whether it fails.
@@ -46,7 +46,7 @@
     pub place: MachineIdentity,
     cpus: f64,
     gpus: f64,
-    pub session: u64,
+    pub incarnation: u64,
     last_sequence: u64,
     /// Latest fencing token received.
     fencing_token: u64,
@@ -54,19 +54,19 @@
     attempts: BTreeMap<(TaskName, u64), Attempt>,
     /// When the last answered heartbeat was sent, or the incarnation began.
     lease_start: Micros,
-    pub report_at: Micros,
+    pub next_heartbeat_at: Micros,
     /// The controller that receives its heartbeats.
     pub node: usize,
     /// Incarnation, sequence number and send time of the unanswered heartbeat, if any.
-    pub under_way: Option<(u64, u64, Micros)>,
+    pub unanswered_heartbeat: Option<(u64, u64, Micros)>,
     /// The machine executes nothing until then.
     pub hung_until: Micros,
     /// All messages to it are lost until then.
-    pub deaf_until: Micros,
+    pub inbound_lost_until: Micros,
     /// It cannot connect to any controller until then.
-    pub mute_until: Micros,
+    pub heartbeats_lost_until: Micros,
     /// When the cloud provider will preempt the instance, once that is announced.
-    pub recall_at: Option<Micros>,
+    pub preemption_at: Option<Micros>,
     /// Every task that starts here fails.
     pub faulty: bool,
 }
@@ -78,23 +78,23 @@
             place,
             cpus,
             gpus,
-            session: 1,
+            incarnation: 1,
             last_sequence: 0,
             fencing_token: 0,
             attempts: BTreeMap::new(),
             lease_start: now,
-            report_at: now,
+            next_heartbeat_at: now,
             node,
-            under_way: None,
+            unanswered_heartbeat: None,
             hung_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
-            recall_at: None,
+            inbound_lost_until: 0,
+            heartbeats_lost_until: 0,
+            preemption_at: None,
             faulty: false,
         }
     }
 
-    pub fn report(&mut self, now: Micros) -> Heartbeat {
+    pub fn heartbeat(&mut self, now: Micros) -> Heartbeat {
         self.last_sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -102,11 +102,11 @@
             machine_type: self.place.machine_type.clone(),
             zone: self.place.zone.clone(),
             spot: self.place.spot,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             sequence: self.last_sequence,
             fencing_token: self.fencing_token,
             interruption_notice_s: self
-                .recall_at
+                .preemption_at
                 .map(|at| at.saturating_sub(now) as f64 / SECOND as f64),
             tasks: self
                 .attempts
@@ -123,7 +123,13 @@
     }
 
     /// Adds a task that has been running here for some time.
-    pub fn seat(&mut self, task: TaskName, attempt: u64, until: Option<Micros>, cpus: f64) {
+    pub fn add_running_task(
+        &mut self,
+        task: TaskName,
+        attempt: u64,
+        until: Option<Micros>,
+        cpus: f64,
+    ) {
         let running = Attempt {
             state: TaskState::Running,
             exit_reason: None,
@@ -135,25 +141,27 @@
     }
 
     /// Time of the next event on the machine, unless a message arrives before.
-    pub fn next_at(&self) -> Micros {
+    pub fn next_event_at(&self) -> Micros {
         let task_events = self.attempts.values().filter_map(|a| a.until);
-        let timeout = self.under_way.map(|(_, _, sent)| sent + PATIENCE);
-        let heartbeat = timeout.unwrap_or(self.report_at);
+        let timeout = self
+            .unanswered_heartbeat
+            .map(|(_, _, sent)| sent + HEARTBEAT_TIMEOUT);
+        let heartbeat = timeout.unwrap_or(self.next_heartbeat_at);
         task_events.min().map_or(heartbeat, |at| at.min(heartbeat))
     }
 
     /// When its lease expires and its incarnation ends, if no further heartbeat is answered.
-    pub fn leased_until(&self, lease: Micros) -> Micros {
+    pub fn lease_expires_at(&self, lease: Micros) -> Micros {
         self.lease_start + lease
     }
 
     /// Sends the next heartbeat within half a second.
     fn expedite_heartbeat(&mut self, now: Micros) {
-        self.report_at = self.report_at.min(now + SECOND / 2);
+        self.next_heartbeat_at = self.next_heartbeat_at.min(now + SECOND / 2);
     }
 
     /// Advances to the given time: images are fetched, tasks end, the lease may expire.
-    pub fn pass(
+    pub fn advance(
         &mut self,
         now: Micros,
         lease: Micros,
@@ -163,9 +171,9 @@
         // A hung machine does not execute its tasks, but its lease still expires.
         if now > self.lease_start + lease {
             events.extend(self.kill());
-            self.session += 1;
+            self.incarnation += 1;
             self.lease_start = now;
-            self.under_way = None;
+            self.unanswered_heartbeat = None;
             self.expedite_heartbeat(now);
             return events;
         }
@@ -180,7 +188,7 @@
                 let behaviour = jobs.get(&task.job);
                 match attempt.state {
                     TaskState::Fetching => {
-                        events.push(WorkerEvent::Starts(task.clone()));
+                        events.push(WorkerEvent::Started(task.clone()));
                         attempt.state = TaskState::Running;
                         let fails = faulty || behaviour.is_some_and(|b| b.fails);
                         attempt.until = match behaviour {
@@ -197,7 +205,7 @@
                         attempt.exit_reason.get_or_insert(ExitReason::Done);
                         attempt.state = TaskState::Exited;
                         attempt.until = None;
-                        events.push(WorkerEvent::Leaves {
+                        events.push(WorkerEvent::Ended {
                             task: task.clone(),
                             done,
                         });
@@ -216,20 +224,20 @@
         std::mem::take(&mut self.attempts)
             .into_iter()
             .filter(|(_, attempt)| attempt.state == TaskState::Running)
-            .map(|((task, _), _)| WorkerEvent::Leaves { task, done: false })
+            .map(|((task, _), _)| WorkerEvent::Ended { task, done: false })
             .collect()
     }
 
-    /// Handles the answer to the heartbeat that incarnation `session` sent at `sent`.
-    pub fn answered(
+    /// Handles the answer to the heartbeat that `incarnation` sent at `sent`.
+    pub fn heartbeat_answered(
         &mut self,
         answer: &HeartbeatReply,
-        session: u64,
+        incarnation: u64,
         sent: Micros,
         now: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
-        if answer.fencing_token < self.fencing_token || session != self.session {
+        if answer.fencing_token < self.fencing_token || incarnation != self.incarnation {
             return Vec::new();
         }
         if answer.fencing_token > self.fencing_token {
@@ -242,18 +250,18 @@
 
     /// Handles commands sent to the worker. Returns the HTTP status, the heartbeat that is
     /// the answer, and the events.
-    pub fn orders(
+    pub fn handle_commands(
         &mut self,
         batch: &CommandBatch,
         now: Micros,
         jobs: &BTreeMap<String, TaskBehaviour>,
     ) -> (u16, Heartbeat, Vec<WorkerEvent>) {
-        if batch.fencing_token < self.fencing_token || batch.incarnation != self.session {
-            return (409, self.report(now), Vec::new());
+        if batch.fencing_token < self.fencing_token || batch.incarnation != self.incarnation {
+            return (409, self.heartbeat(now), Vec::new());
         }
         self.fencing_token = batch.fencing_token;
         let events = self.execute(&batch.commands, now, jobs);
-        (200, self.report(now), events)
+        (200, self.heartbeat(now), events)
     }
 
     fn execute(
@@ -271,7 +279,7 @@
                         && stopped.state != TaskState::Exited
                     {
                         if stopped.state == TaskState::Running {
-                            events.push(WorkerEvent::Leaves {
+                            events.push(WorkerEvent::Ended {
                                 task: task.clone(),
                                 done: false,
                             });
@@ -300,7 +308,7 @@
     }
 
     /// Tasks with an attempt that has not exited.
-    pub fn live(&self) -> impl Iterator<Item = &TaskName> {
+    pub fn live_tasks(&self) -> impl Iterator<Item = &TaskName> {
         let live = self
             .attempts
             .iter()
@@ -309,16 +317,20 @@
     }
 
     /// Whether it runs tasks, is reachable and is not about to be preempted.
-    pub fn takes(&self, now: Micros) -> bool {
-        let fault_ends = [self.hung_until, self.deaf_until, self.mute_until];
+    pub fn accepts_tasks(&self, now: Micros) -> bool {
+        let fault_ends = [
+            self.hung_until,
+            self.inbound_lost_until,
+            self.heartbeats_lost_until,
+        ];
         fault_ends.iter().all(|until| now >= *until)
             && !self.faulty
-            && self.recall_at.is_none()
+            && self.preemption_at.is_none()
             && self.lease_start + REACHABLE_WINDOW >= now
     }
 
     /// CPUs and GPUs that no live task uses.
-    pub fn free(&self) -> (f64, f64) {
+    pub fn free_resources(&self) -> (f64, f64) {
         let live = self
             .attempts
             .values()
@@ -340,7 +352,7 @@
             return;
         }
         let live = |a: &Attempt| a.state != TaskState::Exited;
-        let (free_cpus, free_gpus) = self.free();
+        let (free_cpus, free_gpus) = self.free_resources();
         let other_attempt = self.attempts.iter().any(|((t, _), a)| t == task && live(a));
         let behaviour = jobs.get(&task.job);
         let (cpus, gpus) = behaviour.map_or((0.0, 0.0), |b| (b.spec.cpus, b.spec.gpus));
--- a/crates/simulator/tests/api_limits.rs
+++ b/crates/simulator/tests/api_limits.rs
@@ -4,7 +4,7 @@
 use dillcleat_kube::{ApiRequest, ApiResponse};
 use dillcleat_simulator::objects::{TOKEN, rules_for};
 use dillcleat_simulator::simulation::base_config;
-use dillcleat_simulator::single_node::{Ev, SingleNode, ask};
+use dillcleat_simulator::single_node::{Event, SingleNode, api_request};
 use dillcleat_simulator::store::SimulatedStore;
 use serde_json::{Value, json};
 
@@ -53,7 +53,7 @@
 
 fn expect(node: &mut SingleNode, request: ApiRequest, status: u16, text: &str) {
     let target = format!("{} {}", request.method, request.target);
-    let (code, message) = status_and_message(node.asked(request));
+    let (code, message) = status_and_message(node.request(request));
     assert_eq!(code, status, "{target}: {message}");
     assert!(message.contains(text), "{target}: {message}");
 }
@@ -61,7 +61,7 @@
 #[test]
 fn invalid_requests_are_rejected_with_a_reason() {
     let mut node = single_node(single_node_config(), 3, 1);
-    let create = |body: &Value| ask("POST", JOBS_PATH, body);
+    let create = |body: &Value| api_request("POST", JOBS_PATH, body);
     expect(&mut node, create(&job("a")), 201, "");
     // Authentication and authorization.
     let with_token = |bearer: Option<&str>, ask: ApiRequest| ApiRequest {
@@ -89,7 +89,7 @@
     );
     expect(
         &mut node,
-        with_token(Some(&reader), ask("GET", JOBS_PATH, &Value::Null)),
+        with_token(Some(&reader), api_request("GET", JOBS_PATH, &Value::Null)),
         200,
         "",
     );
@@ -135,7 +135,7 @@
     );
     let protobuf = ApiRequest {
         accept: Some("application/vnd.kubernetes.protobuf".into()),
-        ..ask("GET", JOBS_PATH, &Value::Null)
+        ..api_request("GET", JOBS_PATH, &Value::Null)
     };
     expect(&mut node, protobuf, 415, "only JSON");
     // Objects.
@@ -146,7 +146,7 @@
     unsupported["spec"]["template"]["spec"]["hostNetwork"] = json!(true);
     unsupported["spec"]["template"]["spec"]["containers"][0]["resources"]["limits"] =
         json!({"cpu": "2"});
-    let (code, message) = status_and_message(node.asked(create(&unsupported)));
+    let (code, message) = status_and_message(node.request(create(&unsupported)));
     assert_eq!(code, 422);
     for path in [
         "spec.template.spec.hostNetwork",
@@ -164,7 +164,7 @@
         "fits no allowed machine type",
     );
     // Queries.
-    let get = |query: &str| ask("GET", &format!("{JOBS_PATH}?{query}"), &Value::Null);
+    let get = |query: &str| api_request("GET", &format!("{JOBS_PATH}?{query}"), &Value::Null);
     expect(&mut node, get("labelSelector=a%3D%3D%3Db"), 400, "column");
     expect(&mut node, get("colour=1"), 400, "colour");
     expect(&mut node, get("continue=x"), 400, "continue");
@@ -176,18 +176,23 @@
     );
     expect(
         &mut node,
-        ask("DELETE", JOBS_PATH, &Value::Null),
+        api_request("DELETE", JOBS_PATH, &Value::Null),
         405,
         "MethodNotAllowed",
     );
     expect(
         &mut node,
-        ask("GET", "/apis/apps/v1/deployments", &Value::Null),
+        api_request("GET", "/apis/apps/v1/deployments", &Value::Null),
         404,
         "NotFound",
     );
     let elsewhere = "/apis/batch/v1/namespaces/nobody/jobs";
-    expect(&mut node, ask("POST", elsewhere, &job("b")), 404, "nobody");
+    expect(
+        &mut node,
+        api_request("POST", elsewhere, &job("b")),
+        404,
+        "nobody",
+    );
     // Limits of the numbers of watches and objects.
     expect(&mut node, get("watch=1"), 0, "");
     expect(&mut node, get("watch=1"), 429, "TooManyRequests");
@@ -203,7 +208,7 @@
     for i in 0..7 {
         expect(
             &mut node,
-            ask("POST", JOBS_PATH, &job(&format!("j{i}"))),
+            api_request("POST", JOBS_PATH, &job(&format!("j{i}"))),
             201,
             "",
         );
@@ -212,7 +217,7 @@
     loop {
         let target = format!("{JOBS_PATH}?limit=3&continue={after}");
         let reply = node
-            .asked(ask("GET", &target, &Value::Null))
+            .request(api_request("GET", &target, &Value::Null))
             .expect("a list");
         let page: Value = serde_json::from_slice(&reply.body).expect("JSON");
         let items = page["items"].as_array().expect("items");
@@ -230,11 +235,21 @@
     assert_eq!(seen, all);
     // A name may be reused only in a class that allows repeats.
     let own = format!("{JOBS_PATH}/j0");
-    expect(&mut node, ask("DELETE", &own, &Value::Null), 200, "");
-    expect(&mut node, ask("GET", &own, &Value::Null), 404, "NotFound");
     expect(
         &mut node,
-        ask("POST", JOBS_PATH, &job("j0")),
+        api_request("DELETE", &own, &Value::Null),
+        200,
+        "",
+    );
+    expect(
+        &mut node,
+        api_request("GET", &own, &Value::Null),
+        404,
+        "NotFound",
+    );
+    expect(
+        &mut node,
+        api_request("POST", JOBS_PATH, &job("j0")),
         409,
         "it was there as",
     );
@@ -244,12 +259,17 @@
     let mut uids = Vec::new();
     for _ in 0..2 {
         let reply = node
-            .asked(ask("POST", JOBS_PATH, &again))
+            .request(api_request("POST", JOBS_PATH, &again))
             .expect("an answer");
         let made: Value = serde_json::from_slice(&reply.body).expect("JSON");
         assert_eq!(reply.status, 201, "{made}");
         uids.push(made["metadata"]["uid"].to_string());
-        expect(&mut node, ask("DELETE", &own, &Value::Null), 200, "");
+        expect(
+            &mut node,
+            api_request("DELETE", &own, &Value::Null),
+            200,
+            "",
+        );
     }
     assert_ne!(uids[0], uids[1]);
 }
@@ -266,7 +286,7 @@
     for i in 0..3 {
         expect(
             &mut node,
-            ask("POST", JOBS_PATH, &job(&format!("old{i}"))),
+            api_request("POST", JOBS_PATH, &job(&format!("old{i}"))),
             201,
             "",
         );
@@ -276,7 +296,7 @@
         |node: &mut SingleNode, n: u64, make: &dyn Fn(u64) -> ApiRequest| -> (usize, usize) {
             for _ in 0..n {
                 next += 1;
-                node.at(node.now, Ev::Ask(RequestId(next), make(next)));
+                node.schedule(node.now, Event::ApiRequest(RequestId(next), make(next)));
             }
             node.until(node.now + SECOND / 2);
             let all = std::mem::take(&mut node.answers);
@@ -289,7 +309,7 @@
     let mut flood = flood;
     // More creates than the store accepts: the excess is rejected immediately.
     let (made, rejected) = flood(&mut node, 60, &|i| {
-        ask("POST", JOBS_PATH, &job(&format!("new{i}")))
+        api_request("POST", JOBS_PATH, &job(&format!("new{i}")))
     });
     assert!(
         made >= 1 && rejected >= 40,
@@ -297,12 +317,14 @@
     );
     // When no more creates are accepted, a delete still is.
     let own = format!("{JOBS_PATH}/old0");
-    let (deleted, _) = flood(&mut node, 1, &|_| ask("DELETE", &own, &Value::Null));
+    let (deleted, _) = flood(&mut node, 1, &|_| api_request("DELETE", &own, &Value::Null));
     assert_eq!(deleted, 1);
     // All reads are served from a shared cache, with few calls to the store.
     node.until(node.now + 3 * SECOND);
     let calls = node.calls;
-    let (read, _) = flood(&mut node, 500, &|_| ask("GET", JOBS_PATH, &Value::Null));
+    let (read, _) = flood(&mut node, 500, &|_| {
+        api_request("GET", JOBS_PATH, &Value::Null)
+    });
     assert_eq!(read, 500);
     assert!(
         node.calls - calls < 25,
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::run_clean;
-use dillcleat_simulator::{Moment, Scenario};
+use dillcleat_simulator::{CrashPoint, Scenario};
 
 /// Two nodes must not conclude that the store is down while a third node, which they do not
 /// reach, is elected: the former leader would go on deleting machines.
@@ -54,14 +54,17 @@
 #[test]
 fn rules_hold_after_a_crash_at_a_store_call() {
     let calls = run_clean(Scenario {
-        ends_at_call: None,
-        ..Scenario::ends_at_call(0)
+        crash_at_call: None,
+        ..Scenario::crash_at_call(0)
     })
     .store_calls;
     assert!(calls > 200, "{calls} store calls");
     for seed in (1..3 * calls).step_by(97) {
-        run_clean(Scenario::ends_at_call(seed));
+        run_clean(Scenario::crash_at_call(seed));
     }
-    let last = Scenario::ends_at_call(3 * calls);
-    assert_eq!(last.ends_at_call, Some((calls, Moment::Before)));
+    let last = Scenario::crash_at_call(3 * calls);
+    assert_eq!(
+        last.crash_at_call,
+        Some((calls, CrashPoint::BeforeExecution))
+    );
 }
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -6,7 +6,7 @@
 /// the store.
 pub fn run_clean(scenario: Scenario) -> Outcome {
     let faults = scenario.faults.clone();
-    let run = format!("seed {}, {:?}", scenario.seed, scenario.ends_at_call);
+    let run = format!("seed {}, {:?}", scenario.seed, scenario.crash_at_call);
     let o = Simulation::new(scenario).run();
     assert_eq!(o.violations, [], "{run}: {faults:?}");
     assert_eq!(o.malformed, [""; 0], "{run}: requests over a limit");
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -4,7 +4,7 @@
 use dillcleat_controller::{Config, Input, RequestId, SECOND};
 use dillcleat_simulator::objects::rules_for;
 use dillcleat_simulator::simulation::base_config;
-use dillcleat_simulator::single_node::{Ev, SingleNode};
+use dillcleat_simulator::single_node::{Event, SingleNode};
 use dillcleat_simulator::store::SimulatedStore;
 use dillcleat_wire::user::{ErrorReply, JOBS_PATH, JobKind, JobSpec, cancel_path};
 
@@ -43,7 +43,7 @@
         target: JOBS_PATH.into(),
         body: dillcleat_wire::encode(spec),
     };
-    node.at(node.now, Ev::Input(input));
+    node.schedule(node.now, Event::Input(input));
     node.until(node.now + SECOND);
     let found = node.answers.iter().position(|(of, _)| *of == id);
     let (_, reply) = node.answers.swap_remove(found.expect("an answer"));
@@ -52,7 +52,7 @@
         assert_eq!(reply.retry_after, Some(1));
     }
     let stored = node
-        .state
+        .store
         .read::<records::OpenJob>(&records::open_key(&spec.id));
     (
         reply.status,
@@ -80,7 +80,7 @@
         201
     );
     let record = node
-        .state
+        .store
         .read::<JobStateRecord>(&records::job_key("req-10"));
     assert_eq!(
         record.map(|(record, _)| record.state),
@@ -105,7 +105,7 @@
     assert_eq!(status, 400);
     assert!(why.contains("at most 2048"), "{why}");
     // The dependency cannot be read during a store outage.
-    node.state.outage(node.now, node.now + 5 * SECOND);
+    node.store.outage(node.now, node.now + 5 * SECOND);
     assert_eq!(submit(&mut node, &batch("req-6", &["req-98"])).0, 503);
 }
 
@@ -119,7 +119,7 @@
         unmarked: true,
         parallelism_limit: None,
     };
-    node.state.put(records::open_key("req-8"), &open);
+    node.store.put(records::open_key("req-8"), &open);
     let (status, why, _) = submit(&mut node, &spec("req-9", JobKind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
@@ -144,7 +144,7 @@
         target: cancel_path("req-1"),
         body: Vec::new(),
     };
-    node.at(node.now, Ev::Input(cancel));
+    node.schedule(node.now, Event::Input(cancel));
     assert_eq!(
         submit(&mut node, &spec("req-3", JobKind::Batch, &["req-2"])).0,
         201
@@ -156,14 +156,14 @@
     );
     node.until(node.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
-        let record = node.state.read::<JobStateRecord>(&records::job_key(id));
+        let record = node.store.read::<JobStateRecord>(&records::job_key(id));
         assert_eq!(
             record.map(|(record, _)| record.state),
             Some(RecordedState::Cancelled),
             "{id}"
         );
     }
-    assert_eq!(node.state.keys(records::QUEUE), [""; 0]);
+    assert_eq!(node.store.keys(records::QUEUE), [""; 0]);
 }
 
 /// Guards against ending a job because its dependency has neither an open job nor a state
@@ -187,7 +187,7 @@
     let mut node = SingleNode::new(config, rules_for(10, 1), state);
     node.until(10 * SECOND);
     assert!(
-        node.state
+        node.store
             .read::<JobStateRecord>(&records::job_key("req-8"))
             .is_none()
     );
@@ -195,10 +195,10 @@
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    node.state.put(records::job_key("req-77"), &record);
+    node.store.put(records::job_key("req-77"), &record);
     node.until(15 * SECOND);
     let record = node
-        .state
+        .store
         .read::<JobStateRecord>(&records::job_key("req-8"));
     assert_eq!(
         record.map(|(record, _)| record.state),
--- a/crates/simulator/tests/fault_effects.rs
+++ b/crates/simulator/tests/fault_effects.rs
@@ -21,7 +21,7 @@
     run_clean(Scenario {
         faults,
         jobs: 16,
-        small: true,
+        small_jobs: true,
         ..Scenario::quiet(SEED)
     })
 }
@@ -36,20 +36,20 @@
     let percent = 50;
     let without_fault = run_with_fault(None);
     let faults = [
-        Fault::Mute {
+        Fault::HeartbeatLoss {
             machines: usize::MAX,
             zone: Some(0),
             time,
         },
-        Fault::ZoneDies {
+        Fault::ZoneMachineFailure {
             machines: usize::MAX,
             zone: 0,
         },
-        Fault::AnswersLost { percent, time },
-        Fault::CloseLooks { time },
-        Fault::CancelsAtOnce { percent, time },
-        Fault::CancelsAtEnd { percent, time },
-        Fault::CancelsNow {
+        Fault::LostWriteReplies { percent, time },
+        Fault::ExtraRequests { time },
+        Fault::CancelOnAcceptance { percent, time },
+        Fault::CancelOnCompletion { percent, time },
+        Fault::CancelRunningJobs {
             jobs: 3,
             hang: time,
         },
@@ -59,10 +59,10 @@
         let run = run_with_fault(Some(fault));
         assert_ne!(run.digest, without_fault.digest, "{fault_text}");
     }
-    let irregular = run_with_fault(Some(Fault::OddRequests { time }));
+    let irregular = run_with_fault(Some(Fault::IrregularRequests { time }));
     let requests = irregular.irregular_requests;
     assert!(requests > 30, "{requests} irregular requests");
-    let repeated = run_with_fault(Some(Fault::ReportsForNext { percent, time }));
+    let repeated = run_with_fault(Some(Fault::HeartbeatsForNextLeader { percent, time }));
     let (with, without) = (
         heartbeats_received(&repeated),
         heartbeats_received(&without_fault),
@@ -78,10 +78,10 @@
 #[test]
 fn jobs_complete_with_teams_at_their_limits() {
     let o = run_clean(Scenario {
-        small: true,
-        varied: true,
-        tight: true,
-        stream: Some((20 * SECOND, 60 * SECOND)),
+        small_jobs: true,
+        varied_jobs: true,
+        tight_quotas: true,
+        single_task_stream: Some((20 * SECOND, 60 * SECOND)),
         ..Scenario::quiet(TEAM_LIMITS_SEED)
     });
     assert!(o.accepted >= 240, "{} jobs accepted", o.accepted);
