--- a/crates/simulator/tests/fault_scenarios.rs
+++ b/crates/simulator/tests/fault_scenarios.rs
@@ -110,9 +110,9 @@
 fn rules_hold_when_nodes_crash_during_store_outages() {
     assert_rules_hold("store outage", |seed| {
         vec![
-            (s(50), Fault::StateOutage { time: s(10) }),
+            (s(50), Fault::StoreOutage { time: s(10) }),
             (s(54 + seed), crash(&[seed as usize])),
-            (s(120), Fault::StateOutage { time: s(25) }),
+            (s(120), Fault::StoreOutage { time: s(25) }),
             (s(122), crash(&[0, 1, 2])),
         ]
     });
@@ -123,24 +123,24 @@
     assert_rules_hold("one node isolated", |seed| {
         let node = seed as usize;
         vec![
-            (s(40), Fault::Refused { node, time: s(30) }),
+            (s(40), Fault::StoreRefusal { node, time: s(30) }),
             (
                 s(80),
-                Fault::CutState {
+                Fault::StorePartition {
                     node: node + 1,
                     time: s(40),
                 },
             ),
             (
                 s(130),
-                Fault::CutWorkers {
+                Fault::WorkerPartition {
                     node: node + 2,
                     time: s(40),
                 },
             ),
             (
                 s(150),
-                Fault::Refused {
+                Fault::StoreRefusal {
                     node: node + 1,
                     time: s(45),
                 },
@@ -155,7 +155,7 @@
         vec![
             (
                 s(45),
-                Fault::CutZone {
+                Fault::ZoneWorkerPartition {
                     zone: seed as usize,
                     time: s(40),
                 },
@@ -163,14 +163,14 @@
             (s(60), crash(&[0])),
             (
                 s(110),
-                Fault::CutZone {
+                Fault::ZoneWorkerPartition {
                     zone: seed as usize + 1,
                     time: s(9),
                 },
             ),
             (
                 s(125),
-                Fault::CutZone {
+                Fault::ZoneWorkerPartition {
                     zone: seed as usize + 2,
                     time: s(60),
                 },
@@ -197,15 +197,15 @@
                     time: s(45),
                 },
             ),
-            (s(70), Fault::Die { machines: 2 }),
+            (s(70), Fault::MachineFailure { machines: 2 }),
             (
                 s(90),
-                Fault::SpotTaken {
+                Fault::SpotPreemption {
                     notice: Some(s(15)),
                 },
             ),
-            (s(130), Fault::SpotTaken { notice: None }),
-            (s(150), Fault::Faulty),
+            (s(130), Fault::SpotPreemption { notice: None }),
+            (s(150), Fault::FaultyMachine),
         ]
     });
 }
@@ -214,7 +214,7 @@
 fn rules_hold_when_replies_are_lost_and_requests_delayed() {
     assert_rules_hold("lost replies", |seed| {
         vec![
-            (s(20), Fault::Flaky { time: s(150) }),
+            (s(20), Fault::UnreliableNetwork { time: s(150) }),
             (s(70 + seed), crash(&[seed as usize])),
             (s(100), Fault::CloudOutage { time: s(30) }),
         ]
@@ -230,17 +230,17 @@
         let time = s(120);
         assert_rules_hold("leader without store access", |_| {
             vec![
-                (s(45), Fault::Refused { node, time }),
+                (s(45), Fault::StoreRefusal { node, time }),
                 (
                     s(45),
-                    Fault::CutWorkers {
+                    Fault::WorkerPartition {
                         node: node + 1,
                         time,
                     },
                 ),
                 (
                     s(45),
-                    Fault::CutWorkers {
+                    Fault::WorkerPartition {
                         node: node + 2,
                         time,
                     },
@@ -261,7 +261,7 @@
         vec![
             (s(30), Fault::Pause { node, time: s(2) }),
             (s(45), Fault::Pause { node, time: s(60) }),
-            (s(60), Fault::CutMesh { node, time: cut }),
+            (s(60), Fault::PeerPartition { node, time: cut }),
             (
                 s(62),
                 Fault::Pause {
@@ -271,7 +271,7 @@
             ),
             (
                 s(110),
-                Fault::CutState {
+                Fault::StorePartition {
                     node: node + 1,
                     time: cut,
                 },
@@ -285,14 +285,14 @@
             ),
             (
                 s(150),
-                Fault::CutMesh {
+                Fault::PeerPartition {
                     node: node + 2,
                     time: cut,
                 },
             ),
             (
                 s(150),
-                Fault::CutWorkers {
+                Fault::WorkerPartition {
                     node: node + 2,
                     time: cut,
                 },
@@ -309,7 +309,7 @@
         let o = Simulation::new(Scenario {
             faults: vec![(s(90), crash(&[0, 1, 2])), (s(150), crash(&[0]))],
             jobs: 6,
-            large: Some(100_000),
+            large_job_tasks: Some(100_000),
             end: BUSY + s(200),
             ..Scenario::quiet(seed)
         })
@@ -333,7 +333,7 @@
 fn preemption_notice_reduces_interrupted_tasks() {
     let interrupted = |notice| -> usize {
         let run_preemptions = |seed| {
-            let waves = (4..20).map(|i| (s(10 * i), Fault::SpotTaken { notice }));
+            let waves = (4..20).map(|i| (s(10 * i), Fault::SpotPreemption { notice }));
             run(seed, 22, waves.collect()).interrupted_tasks
         };
         (1..=6).map(run_preemptions).sum()
@@ -393,7 +393,7 @@
         let scenario = Scenario {
             faults,
             jobs: 6,
-            herd: Some(1000),
+            cancelled_dependents: Some(1000),
             ..Scenario::quiet(seed)
         };
         let o = run_clean(scenario);
@@ -411,7 +411,7 @@
                 (s(50), crash(&[0, 1, 2, 3, 4])),
                 (
                     s(60),
-                    Fault::CutZone {
+                    Fault::ZoneWorkerPartition {
                         zone: 1,
                         time: s(30),
                     },
@@ -419,7 +419,7 @@
                 (s(66), crash(&[1, 2, 3])),
                 (
                     s(80),
-                    Fault::SpotTaken {
+                    Fault::SpotPreemption {
                         notice: Some(s(10)),
                     },
                 ),
@@ -427,7 +427,7 @@
             jobs,
             nodes: 5,
             scale,
-            busy: s(100),
+            activity_end: s(100),
             end: s(100) + s(500),
             ..Scenario::quiet(seed)
         })
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -7,17 +7,17 @@
 fn run(settings: FleetSettings) -> FleetMeasurements {
     let mut fleet = Fleet::new(settings);
     fleet.run();
-    let m = fleet.into_measured();
+    let m = fleet.into_measurements();
     assert_eq!(m.malformed, [""; 0], "requests over a limit");
     m
 }
 
 fn settings(machines: u32, waiting: u32) -> FleetSettings {
     FleetSettings {
-        waiting,
+        waiting_tasks: waiting,
         warm_up: 3 * SECOND,
-        measured: 10 * SECOND,
-        ..FleetSettings::of(machines)
+        measurement: 10 * SECOND,
+        ..FleetSettings::for_machines(machines)
     }
 }
 
@@ -26,8 +26,8 @@
 fn scheduling_pass_cost_is_independent_of_waiting_jobs() {
     let jobs_per_pass = |waiting| {
         let m = run(settings(100, waiting));
-        assert!(m.starts > 50, "{} starts", m.starts);
-        m.counts.jobs as f64 / m.counts.passes as f64
+        assert!(m.launches > 50, "{} starts", m.launches);
+        m.scheduler_counters.jobs as f64 / m.scheduler_counters.passes as f64
     };
     let (few, many) = (jobs_per_pass(1_000), jobs_per_pass(30_000));
     assert!(many < few * 2.0 + 5.0, "{few} jobs per pass, then {many}");
@@ -39,18 +39,20 @@
 fn new_leader_contacts_all_machines_with_bounded_commands_in_flight() {
     let m = run(settings(600, 2_000));
     assert!(
-        m.most_orders <= Fleet::MAX_ORDERS,
+        m.peak_commands_in_flight <= Fleet::MAX_COMMANDS_IN_FLIGHT,
         "{} commands in flight",
-        m.most_orders
+        m.peak_commands_in_flight
     );
     // By commands, well before each machine would send its next heartbeat.
-    let all_contacted = m.all_heard.expect("every machine is contacted in the term");
+    let all_contacted = m
+        .all_machines_answered
+        .expect("every machine is contacted in the term");
     assert!(
         all_contacted <= 6 * SECOND,
         "all machines contacted after {all_contacted} us"
     );
     assert!(m.first_launch.is_some_and(|at| at < SECOND));
-    assert_eq!(m.leases_lost, 0);
+    assert_eq!(m.expired_leases, 0);
 }
 
 /// Guards against leases that expire because the whole fleet sends heartbeats at once after
@@ -59,29 +61,29 @@
 fn heartbeat_burst_after_an_outage_expires_no_lease() {
     let silence = Some((4 * SECOND, 12 * SECOND));
     let m = run(FleetSettings {
-        silence,
-        measured: 30 * SECOND,
+        network_outage: silence,
+        measurement: 30 * SECOND,
         ..settings(400, 1_000)
     });
-    assert_eq!(m.leases_lost, 0);
+    assert_eq!(m.expired_leases, 0);
     // A lease loses at most the outage and one heartbeat interval.
     assert!(
-        m.least_left > 2 * SECOND,
+        m.min_lease_remaining > 2 * SECOND,
         "{} us left of a lease",
-        m.least_left
+        m.min_lease_remaining
     );
-    assert!(m.starts > 100, "{} starts", m.starts);
+    assert!(m.launches > 100, "{} starts", m.launches);
 }
 
 /// Guards against lost leases while a new leader takes over a fleet at the store's limits.
 #[test]
 fn new_leader_loses_no_lease_at_low_store_limits() {
     let m = run(FleetSettings {
-        state_rps: 60.0,
-        state_write_rps: 25.0,
-        measured: 20 * SECOND,
+        store_rps: 60.0,
+        store_write_rps: 25.0,
+        measurement: 20 * SECOND,
         ..settings(200, 2_000)
     });
-    assert!(m.starts > 100, "{} starts", m.starts);
-    assert_eq!(m.leases_lost, 0);
+    assert!(m.launches > 100, "{} starts", m.launches);
+    assert_eq!(m.expired_leases, 0);
 }
--- a/crates/simulator/tests/kubernetes_jobs.rs
+++ b/crates/simulator/tests/kubernetes_jobs.rs
@@ -23,11 +23,11 @@
         matches!(
             fault,
             Fault::Hang { .. }
-                | Fault::Die { .. }
-                | Fault::SpotTaken { .. }
+                | Fault::MachineFailure { .. }
+                | Fault::SpotPreemption { .. }
                 | Fault::CloudOutage { .. }
-                | Fault::CutZone { .. }
-                | Fault::CutWorkers { .. }
+                | Fault::ZoneWorkerPartition { .. }
+                | Fault::WorkerPartition { .. }
         )
     };
     Scenario {
@@ -48,8 +48,8 @@
     for seed in 1..=12 {
         let scenario = scenario_without_repeated_submissions(seed);
         faults += scenario.faults.len();
-        let native = run(SubmissionForm::Twin, scenario.clone());
-        let kubernetes = run(SubmissionForm::Shadow, scenario);
+        let native = run(SubmissionForm::NativeWithKubernetesIds, scenario.clone());
+        let kubernetes = run(SubmissionForm::KubernetesCreateOnly, scenario);
         assert_clean(seed, &native);
         assert_clean(seed, &kubernetes);
         let (watched, _) = kubernetes.watched_objects;
@@ -69,7 +69,7 @@
         let form = if seed % 3 == 0 {
             SubmissionForm::Mixed
         } else {
-            SubmissionForm::Objects
+            SubmissionForm::Kubernetes
         };
         let o = run(form, Scenario::troubled(seed));
         assert_clean(seed, &o);
@@ -92,7 +92,7 @@
         .chain(REPEATED_WATCH_EVENT_SEEDS)
         .chain([OUTDATED_ESTIMATE_SEED]);
     for seed in seeds {
-        let o = run(SubmissionForm::Objects, Scenario::troubled(seed));
+        let o = run(SubmissionForm::Kubernetes, Scenario::troubled(seed));
         assert_clean(seed, &o);
     }
 }
@@ -110,13 +110,13 @@
         let faults = (10..130)
             .step_by(6)
             .map(|at| crash(at + seed % 3, &[at as usize / 6]))
-            .chain([(60 * SECOND, Fault::StateOutage { time: 12 * SECOND })])
-            .chain([(90 * SECOND, Fault::Flaky { time: 30 * SECOND })])
+            .chain([(60 * SECOND, Fault::StoreOutage { time: 12 * SECOND })])
+            .chain([(90 * SECOND, Fault::UnreliableNetwork { time: 30 * SECOND })])
             .collect();
         let scenario = Scenario {
             faults,
             ..Scenario::random(seed)
         };
-        assert_clean(seed, &run(SubmissionForm::Objects, scenario));
+        assert_clean(seed, &run(SubmissionForm::Kubernetes, scenario));
     }
 }
--- a/crates/simulator/tests/rule_checker.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -1,7 +1,7 @@
 //! The checker reports a planted violation of each rule, and no other violation.
 
 use dillcleat_controller::SECOND;
-use dillcleat_simulator::rules::{Limit, MachineIdentity, Room};
+use dillcleat_simulator::rules::{Limit, MachineCapacity, MachineIdentity};
 use dillcleat_simulator::{Checker, Rule};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec, JobState};
@@ -53,8 +53,8 @@
         gpus: 0.0,
     };
     let mut c = Checker::new(10 * SECOND, BTreeMap::from([("t".to_string(), limit)]));
-    c.submits(&spec(tasks));
-    c.answered_submission("req-1", 201, Some(JobState::Queued), 0, 0);
+    c.submitted(&spec(tasks));
+    c.submission_answered("req-1", 201, Some(JobState::Queued), 0, 0);
     c
 }
 
@@ -64,25 +64,25 @@
 fn each_rule_reports_a_planted_violation() {
     let planted: [(Rule, u32, ReportViolation); 22] = [
         (Rule::RanTwice, 2, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&task(0), &place("y", "b", false), 2);
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_started(&task(0), &place("y", "b", false), 2);
         }),
-        (Rule::Quota, 9, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&task(1), &place("x", "a", false), 2);
-            c.starts(&task(2), &place("x", "a", false), 3);
+        (Rule::QuotaExceeded, 9, |c| {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_started(&task(1), &place("x", "a", false), 2);
+            c.task_started(&task(2), &place("x", "a", false), 3);
         }),
-        (Rule::TooEarly, 1, |c| {
-            c.submits(&dependent_spec());
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&dependent_task(), &place("x", "a", false), 2);
+        (Rule::StartedBeforeDependency, 1, |c| {
+            c.submitted(&dependent_spec());
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_started(&dependent_task(), &place("x", "a", false), 2);
         }),
-        (Rule::Orphaned, 1, |c| {
-            c.submits(&dependent_spec());
-            c.answered_submission("req-2", 201, Some(JobState::Queued), 1, 1);
-            c.asks_to_cancel("req-1");
-            c.answered_poll("req-1", 200, Some(JobState::Cancelled), 2, 2);
-            c.answered_poll(
+        (Rule::DependentNotCancelled, 1, |c| {
+            c.submitted(&dependent_spec());
+            c.submission_answered("req-2", 201, Some(JobState::Queued), 1, 1);
+            c.cancel_requested("req-1");
+            c.poll_answered("req-1", 200, Some(JobState::Cancelled), 2, 2);
+            c.poll_answered(
                 "req-2",
                 200,
                 Some(JobState::Queued),
@@ -90,7 +90,7 @@
                 10 * SECOND + 2,
             );
             assert_eq!(c.violations, []);
-            c.answered_poll(
+            c.poll_answered(
                 "req-2",
                 200,
                 Some(JobState::Queued),
@@ -98,51 +98,51 @@
                 10 * SECOND + 3,
             );
         }),
-        (Rule::WrongPlace, 1, |c| {
-            c.starts(&task(0), &place("x", "a", true), 1)
+        (Rule::WrongPlacement, 1, |c| {
+            c.task_started(&task(0), &place("x", "a", true), 1)
         }),
-        (Rule::WrongPlace, 2, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&task(1), &place("y", "a", false), 2);
+        (Rule::WrongPlacement, 2, |c| {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_started(&task(1), &place("y", "a", false), 2);
         }),
-        (Rule::RanCancelled, 1, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.asks_to_cancel("req-1");
-            c.answered_poll("req-1", 200, Some(JobState::Cancelled), 2, 2);
-            c.step(9 * SECOND);
+        (Rule::RanAfterCancellation, 1, |c| {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.cancel_requested("req-1");
+            c.poll_answered("req-1", 200, Some(JobState::Cancelled), 2, 2);
+            c.check_cancellations(9 * SECOND);
             assert!(c.violations.is_empty());
-            c.step(11 * SECOND);
+            c.check_cancellations(11 * SECOND);
         }),
-        (Rule::Forgotten, 1, |c| {
-            c.answered_poll("req-1", 404, None, 5, 5)
+        (Rule::AcceptedJobLost, 1, |c| {
+            c.poll_answered("req-1", 404, None, 5, 5)
         }),
-        (Rule::Forgotten, 1, |c| {
-            c.answered_submission("req-1", 422, None, 5, 5)
+        (Rule::AcceptedJobLost, 1, |c| {
+            c.submission_answered("req-1", 422, None, 5, 5)
         }),
-        (Rule::Invented, 1, |c| {
-            c.answered_poll("req-9", 200, Some(JobState::Queued), 5, 5);
+        (Rule::UnknownJobAnswered, 1, |c| {
+            c.poll_answered("req-9", 200, Some(JobState::Queued), 5, 5);
         }),
-        (Rule::NotDone, 2, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.leaves(&task(0), "x", true);
-            c.answered_poll("req-1", 200, Some(JobState::Done), 5, 5);
+        (Rule::DoneTooEarly, 2, |c| {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_ended(&task(0), "x", true);
+            c.poll_answered("req-1", 200, Some(JobState::Done), 5, 5);
         }),
-        (Rule::WentBack, 1, |c| {
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.leaves(&task(0), "x", true);
-            c.answered_poll("req-1", 200, Some(JobState::Done), 5, 5);
-            c.answered_poll("req-1", 200, Some(JobState::Running), 6, 6);
+        (Rule::StateReverted, 1, |c| {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_ended(&task(0), "x", true);
+            c.poll_answered("req-1", 200, Some(JobState::Done), 5, 5);
+            c.poll_answered("req-1", 200, Some(JobState::Running), 6, 6);
         }),
-        (Rule::Forgotten, 1, |c| {
+        (Rule::AcceptedJobLost, 1, |c| {
             // No other poll is answered either.
-            c.troubles_end = 50 * SECOND;
+            c.faults_end = 50 * SECOND;
             for at in [10, 60, 125] {
-                c.answered_poll("req-1", 0, None, at * SECOND, at * SECOND);
+                c.poll_answered("req-1", 0, None, at * SECOND, at * SECOND);
             }
             assert_eq!(c.violations, []);
-            c.answered_poll("req-1", 503, None, 126 * SECOND, 126 * SECOND);
+            c.poll_answered("req-1", 503, None, 126 * SECOND, 126 * SECOND);
         }),
-        (Rule::LateBegin, 1, |c| {
+        (Rule::LargestJobDelayed, 1, |c| {
             let job = |id: &str, tasks, team: &str| JobSpec {
                 team: team.into(),
                 ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
@@ -153,93 +153,96 @@
                 job("req-4", 3, "u"),
                 job("req-5", 4, "t"),
             ] {
-                c.submits(&spec);
-                c.answered_submission(&spec.id, 201, Some(JobState::Queued), SECOND, SECOND);
+                c.submitted(&spec);
+                c.submission_answered(&spec.id, 201, Some(JobState::Queued), SECOND, SECOND);
             }
-            c.starts(&task(0), &place("x", "a", false), 2 * SECOND);
-            c.leaves(&task(0), "x", true);
+            c.task_started(&task(0), &place("x", "a", false), 2 * SECOND);
+            c.task_ended(&task(0), "x", true);
             let mut on_time = c.clone();
             on_time.finish(241 * SECOND);
             assert_eq!(on_time.violations, []);
             c.finish(242 * SECOND);
         }),
-        (Rule::Admitted, 1, |c| {
+        (Rule::WrongAdmission, 1, |c| {
             // A node that cannot decide may answer with an error.
             for status in [422, 503, 429, 0] {
-                c.answered_refused("req-9", status, 422, 1);
+                c.invalid_submission_answered("req-9", status, 422, 1);
             }
             assert_eq!(c.violations, []);
-            c.answered_refused("req-9", 201, 422, 2);
+            c.invalid_submission_answered("req-9", 201, 422, 2);
         }),
-        (Rule::Admitted, 1, |c| {
-            c.answered_refused("req-9", 422, 400, 2)
+        (Rule::WrongAdmission, 1, |c| {
+            c.invalid_submission_answered("req-9", 422, 400, 2)
         }),
-        (Rule::Forgotten, 1, |c| {
+        (Rule::AcceptedJobLost, 1, |c| {
             // Sent just before the acceptance was reported, answered after it.
-            c.submits(&dependent_spec());
-            c.answered_submission("req-2", 201, Some(JobState::Queued), 5, 9);
-            c.answered_poll("req-2", 404, None, 8, 10);
-            c.answered_submission("req-2", 201, Some(JobState::Queued), 8, 10);
+            c.submitted(&dependent_spec());
+            c.submission_answered("req-2", 201, Some(JobState::Queued), 5, 9);
+            c.poll_answered("req-2", 404, None, 8, 10);
+            c.submission_answered("req-2", 201, Some(JobState::Queued), 8, 10);
             assert_eq!(c.violations, []);
-            c.answered_submission("req-2", 201, Some(JobState::Queued), 9, 11);
+            c.submission_answered("req-2", 201, Some(JobState::Queued), 9, 11);
         }),
-        (Rule::WentBack, 1, |c| {
+        (Rule::StateReverted, 1, |c| {
             // An answer to a poll that was sent before the end may arrive after it.
-            c.asks_to_cancel("req-1");
-            c.answered_poll("req-1", 200, Some(JobState::Cancelled), 5, 9);
-            c.answered_poll("req-1", 200, Some(JobState::Queued), 8, 10);
+            c.cancel_requested("req-1");
+            c.poll_answered("req-1", 200, Some(JobState::Cancelled), 5, 9);
+            c.poll_answered("req-1", 200, Some(JobState::Queued), 8, 10);
             assert_eq!(c.violations, []);
-            c.answered_poll("req-1", 200, Some(JobState::Queued), 9, 11);
+            c.poll_answered("req-1", 200, Some(JobState::Queued), 9, 11);
         }),
         (Rule::LaunchedCancelled, 1, |c| {
-            c.launches(&task(0), false, 1);
-            c.asks_to_cancel("req-1");
-            c.answered_poll("req-1", 200, Some(JobState::Cancelled), 2, 2);
+            c.launch_sent(&task(0), false, 1);
+            c.cancel_requested("req-1");
+            c.poll_answered("req-1", 200, Some(JobState::Cancelled), 2, 2);
             // Launches that were already in flight are only counted.
-            c.launches(&task(0), false, 3);
-            c.starts(&task(0), &place("x", "a", false), 4);
+            c.launch_sent(&task(0), false, 3);
+            c.task_started(&task(0), &place("x", "a", false), 4);
             assert_eq!(c.violations, []);
-            assert_eq!((c.late().launches, c.late().starts), (1, 1));
-            c.launches(&task(0), true, 5);
+            assert_eq!(
+                (c.late_launches().launches, c.late_launches().starts),
+                (1, 1)
+            );
+            c.launch_sent(&task(0), true, 5);
         }),
-        (Rule::LeftWaiting, 4, |c| {
-            c.troubles_end = 10 * SECOND;
+        (Rule::JobStarved, 4, |c| {
+            c.faults_end = 10 * SECOND;
             // The job is spread, so two of its four tasks may be in zone a. It may not
             // use spot machines, and its team's limit allows two tasks at a time.
-            c.starts(&task(0), &place("x", "a", false), 1);
-            c.starts(&task(1), &place("x", "a", false), 1);
-            c.leaves(&task(1), "x", true);
-            let room = |machine: &str, zone: &str, spot, cpus| Room {
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            c.task_started(&task(1), &place("x", "a", false), 1);
+            c.task_ended(&task(1), "x", true);
+            let room = |machine: &str, zone: &str, spot, cpus| MachineCapacity {
                 place: place(machine, zone, spot),
                 cpus,
                 gpus: 0.0,
                 tasks: Vec::new(),
-                takes: true,
+                accepts_tasks: true,
             };
-            let x = Room {
+            let x = MachineCapacity {
                 tasks: vec![task(0)],
                 ..room("x", "a", false, 0.0)
             };
-            let check = |c: &mut Checker, more: Room, from: u64, to: u64| {
+            let check = |c: &mut Checker, more: MachineCapacity, from: u64, to: u64| {
                 for at in from..to {
                     let rooms = [x.clone(), more.clone()];
-                    c.look_for_waiting(&rooms, |_| false, at * SECOND);
+                    c.check_waiting_jobs(&rooms, |_| false, at * SECOND);
                 }
             };
             // None of these machines can take a task.
             check(c, room("y", "b", true, 8.0), 10, 200);
             check(c, room("y", "b", false, 3.0), 200, 400);
-            let unavailable = Room {
-                takes: false,
+            let unavailable = MachineCapacity {
+                accepts_tasks: false,
                 ..room("y", "b", false, 8.0)
             };
             check(c, unavailable, 400, 600);
-            let at_team_limit = Room {
+            let at_team_limit = MachineCapacity {
                 tasks: vec![task(2)],
                 ..room("y", "b", false, 8.0)
             };
             check(c, at_team_limit, 600, 800);
-            let full_zone = Room {
+            let full_zone = MachineCapacity {
                 tasks: vec![task(3)],
                 ..room("x", "a", false, 8.0)
             };
@@ -251,23 +254,23 @@
             assert_eq!(c.violations, []);
             check(c, room("y", "b", false, 4.0), 1082, 1083);
         }),
-        (Rule::LeftWaiting, 2, |c| {
+        (Rule::JobStarved, 2, |c| {
             // One of its two tasks may be in zone a. Waiting does not count before the
             // faults are over.
-            c.troubles_end = 200 * SECOND;
-            c.starts(&task(0), &place("x", "a", false), 1);
-            let room = |machine: &str, zone: &str, tasks: Vec<TaskName>| Room {
+            c.faults_end = 200 * SECOND;
+            c.task_started(&task(0), &place("x", "a", false), 1);
+            let room = |machine: &str, zone: &str, tasks: Vec<TaskName>| MachineCapacity {
                 place: place(machine, zone, false),
                 cpus: 4.0,
                 gpus: 0.0,
                 tasks,
-                takes: true,
+                accepts_tasks: true,
             };
             let x = room("x", "a", vec![task(0)]);
             let check = |c: &mut Checker, zone: &str, from: u64, to: u64| {
                 for at in from..to {
                     let rooms = [x.clone(), room("y", zone, Vec::new())];
-                    c.look_for_waiting(&rooms, |_| false, at * SECOND);
+                    c.check_waiting_jobs(&rooms, |_| false, at * SECOND);
                 }
             };
             check(c, "b", 100, 291);
@@ -276,7 +279,7 @@
             assert_eq!(c.violations, []);
             check(c, "b", 591, 592);
         }),
-        (Rule::NothingRan, 1, |c| c.finish(9)),
+        (Rule::NoTaskStarted, 1, |c| c.finish(9)),
     ];
     for (rule, tasks, report_violation) in planted {
         let mut c = checker_with_job(tasks);
@@ -289,15 +292,15 @@
 #[test]
 fn valid_run_has_no_violations() {
     let mut c = checker_with_job(2);
-    c.starts(&task(0), &place("x", "a", false), 1);
-    c.starts(&task(1), &place("y", "b", false), 2);
-    c.leaves(&task(0), "x", false);
-    c.starts(&task(0), &place("z", "a", false), 3);
-    c.leaves(&task(0), "z", true);
-    c.leaves(&task(1), "y", true);
-    c.answered_poll("req-1", 200, Some(JobState::Done), 5, 5);
-    c.answered_poll("req-2", 404, None, 6, 6);
-    c.step(100 * SECOND);
+    c.task_started(&task(0), &place("x", "a", false), 1);
+    c.task_started(&task(1), &place("y", "b", false), 2);
+    c.task_ended(&task(0), "x", false);
+    c.task_started(&task(0), &place("z", "a", false), 3);
+    c.task_ended(&task(0), "z", true);
+    c.task_ended(&task(1), "y", true);
+    c.poll_answered("req-1", 200, Some(JobState::Done), 5, 5);
+    c.poll_answered("req-2", 404, None, 6, 6);
+    c.check_cancellations(100 * SECOND);
     c.finish(100 * SECOND);
     assert_eq!(c.violations, []);
 }
