--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -106,10 +106,10 @@
                         }
                     }
                     late_deletions.fetch_add(o.late_deletions, Ordering::Relaxed);
-                    launches.fetch_add(o.late.launches, Ordering::Relaxed);
-                    starts.fetch_add(o.late.starts, Ordering::Relaxed);
+                    launches.fetch_add(o.late_launches.launches, Ordering::Relaxed);
+                    starts.fetch_add(o.late_launches.starts, Ordering::Relaxed);
                     irregular.fetch_add(o.irregular_requests, Ordering::Relaxed);
-                    let late_in_run = (o.late.launches, o.late.starts, seed);
+                    let late_in_run = (o.late_launches.launches, o.late_launches.starts, seed);
                     let mut most = most_late.lock().expect("no holder panics");
                     *most = late_in_run.max(*most);
                     drop(most);
--- a/crates/simulator/src/simulation/impatient_users.rs
+++ b/crates/simulator/src/simulation/extra_requests.rs
@@ -3,6 +3,8 @@
 
 use super::*;
 
+const SHORT_JOBS_PER_SECOND: u64 = 4;
+
 impl Simulation {
     /// The job that an answer shows for the first time to be accepted or ended, and
     /// whether it is accepted.
@@ -28,7 +30,7 @@
         (native && (accepted || (ended && u.final_state.is_none()))).then_some((*job, accepted))
     }
 
-    /// Sends the extra requests that follow such an answer.
+    /// Sends the extra requests that follow the first answer about acceptance or end.
     pub(super) fn react_to_result(&mut self, job: usize, accepted: bool) {
         if self.now < self.extra_requests_until {
             self.send_extra_requests(job);
@@ -144,14 +146,14 @@
         }
     }
 
-    /// Adds users who submit four jobs of one task per second.
+    /// Adds users who submit short jobs of one task, some of which they cancel.
     pub(super) fn add_short_jobs(&mut self) {
         let Some((from, time)) = self.scenario.stream else {
             return;
         };
-        for n in 0..4 * time / SECOND {
+        for n in 0..SHORT_JOBS_PER_SECOND * time / SECOND {
             let job = self.users.len();
-            let at = from + n * SECOND / 4;
+            let at = from + n * SECOND / SHORT_JOBS_PER_SECOND;
             let cancels = self.auxiliary_rng.u8(..4) == 0;
             let cancel_at = cancels.then(|| at + self.auxiliary_rng.u64(..8 * SECOND));
             let id = format!("req-{:06}", 1000 + job * 7);
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -139,7 +139,9 @@
         }
         match (operation, status) {
             (_, 0 | 429 | 503) => {
-                let gave_up = u.first_submitted_at.is_some_and(|s| now > s + 60 * SECOND);
+                let gave_up = u
+                    .first_submitted_at
+                    .is_some_and(|at| now > at + SUBMISSION_RETRY_TIME);
                 if u.stage == Stage::Submitting && gave_up {
                     return;
                 }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,12 +1,12 @@
 //! Deterministic simulation of a cluster: simulated time, a network that delays, drops
 //! and holds back messages, and faults injected at scheduled times.
 
-mod clients;
-mod impatient_users;
+mod extra_requests;
 mod invalid_requests;
+mod kubernetes_clients;
 mod network;
 mod pipelines;
-mod services;
+mod store_and_cloud;
 mod users;
 mod workers;
 
@@ -43,6 +43,8 @@
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
+/// A user repeats a submission that fails for this long.
+const SUBMISSION_RETRY_TIME: Micros = 60 * SECOND;
 /// One input in this many is preceded by an audit of the leader's derived state. An audit
 /// visits the whole fleet, so audits become rarer as the scale of the scenario grows.
 const INPUTS_PER_AUDIT: u64 = 101;
@@ -99,7 +101,7 @@
     /// been elected.
     pub late_deletions: usize,
     /// Launches and starts of tasks after the cancellation of their jobs was confirmed.
-    pub late: LateLaunches,
+    pub late_launches: LateLaunches,
     pub irregular_requests: u64,
     /// The largest number of machines that were up at the same time.
     pub peak_machines: usize,
@@ -376,6 +378,7 @@
 #[derive(Debug)]
 pub(crate) struct NodeHost {
     pub node: Option<Controller>,
+    /// Incremented at every start of the node. Inputs of an earlier epoch are dropped.
     pub epoch: u32,
     pub store_refuses_until: Micros,
     pub store_partition_until: Micros,
@@ -757,7 +760,7 @@
             .map(|u| format!("{} ({:?})", u.spec.id, u.final_state))
             .collect();
         let leaders_elected = self.store.term();
-        let late = self.checker.late();
+        let late_launches = self.checker.late();
         Outcome {
             starts: self.checker.starts_seen(),
             accepted: self.users.iter().filter(|u| u.accepted).count(),
@@ -773,7 +776,7 @@
             watched_objects: self.watcher.counts(),
             interrupted_tasks: self.interrupted_tasks,
             late_deletions: self.late_deletions,
-            late,
+            late_launches,
             irregular_requests: self.irregular_requests,
             peak_machines: self.peak_machines,
             service_shares: self.service_shares,
@@ -801,7 +804,7 @@
         {
             self.nodes[node]
                 .known_cancelled_jobs
-                .extend(services::cancelled_jobs(reply));
+                .extend(store_and_cloud::cancelled_jobs(reply));
         }
         let Some(n) = self.nodes[node].node.as_mut() else {
             return;
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -405,7 +405,9 @@
                     }
                     400 | 422 if u.stage == Stage::Submitting => {}
                     _ => {
-                        let gave_up = u.first_submitted_at.is_some_and(|s| now > s + 60 * SECOND);
+                        let gave_up = u
+                            .first_submitted_at
+                            .is_some_and(|at| now > at + SUBMISSION_RETRY_TIME);
                         let mut pause = SECOND;
                         if u.stage == Stage::Submitting && gave_up {
                             // A delayed submission may still be executed: poll once to
