--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -106,9 +106,9 @@
         10 => Fault::Hang { machines, time },
         11 => Fault::SlowStore { time },
         12 => Fault::AllNodesCrash {
-            back: index,
-            soon: rng.u64(SECOND / 10..SECOND),
-            others: rng.u64(SECOND..20 * SECOND),
+            first_node: index,
+            first_down: rng.u64(SECOND / 10..SECOND),
+            others_down: rng.u64(SECOND..20 * SECOND),
         },
         13 => {
             let down = rng.u64(SECOND / 10..8 * SECOND);
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -57,9 +57,17 @@
                     self.crash(node, now + down);
                 }
             }
-            Fault::AllNodesCrash { back, soon, others } => {
+            Fault::AllNodesCrash {
+                first_node,
+                first_down,
+                others_down,
+            } => {
                 for node in 0..count {
-                    let down = if node == back % count { soon } else { others };
+                    let down = if node == first_node % count {
+                        first_down
+                    } else {
+                        others_down
+                    };
                     self.crash(node, now + down);
                 }
             }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -81,9 +81,9 @@
     accepted: Option<Micros>,
     /// Its user has requested its cancellation.
     cancel_requested: bool,
-    /// When its user was first told that it is cancelled.
+    /// When an answer to its user first reported it as cancelled.
     cancel_reported_at: Option<Micros>,
-    /// When its user was first told that it is done.
+    /// When an answer to its user first reported it as done.
     done_reported_at: Option<Micros>,
     /// Indices of its completed tasks.
     completed: BTreeSet<u32>,
@@ -95,7 +95,7 @@
     failing_since: Option<(Micros, PollCounts)>,
 }
 
-/// Launches and starts of tasks after their users were told that the job is cancelled.
+/// Launches and starts of tasks after an answer reported their job as cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LateLaunches {
     /// Launch commands sent.
@@ -107,7 +107,7 @@
 /// Cancellations among the transitive dependencies of a job.
 #[derive(Debug, Clone, Copy, Default)]
 struct CancelledDependencies {
-    /// When a user was first told that one of them is cancelled.
+    /// When an answer first reported one of them as cancelled.
     first_reported_at: Option<Micros>,
     /// A user has requested the cancellation of one of them.
     any_requested: bool,
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Records the answer to a submission that was sent at `sent`. Every node must know what
-    /// users were told before that time.
+    /// Records the answer to a submission that was sent at `sent`. Every node must
+    /// already take into account the answers that users received before that time.
     pub fn submission_answered(
         &mut self,
         id: &str,
@@ -282,7 +282,7 @@
                 let what = format!("{id}: poll of an accepted job answered 404");
                 self.violation(Rule::AcceptedJobLost, now, what);
             }
-            // Sent before the user was told of the acceptance.
+            // Sent before the user received the acceptance.
             404 if job.accepted.is_some() => {}
             _ => {
                 self.polls.failed += 1;
@@ -377,21 +377,23 @@
         cancelled
     }
 
-    /// Whether a user was told that a transitive dependency of this job is cancelled.
+    /// Whether an answer reported a transitive dependency of this job as cancelled.
     pub fn has_cancelled_dependency(&self, id: &str) -> bool {
         self.cancelled_dependencies(id).first_reported_at.is_some()
     }
 
     /// Records a launch command. `known_cancelled`: its sender had read that the job is
-    /// cancelled, or had told a user so.
+    /// cancelled, or had confirmed the cancellation to a user.
     pub fn launch_sent(&mut self, task: &TaskName, known_cancelled: bool, now: Micros) {
         let job = self.jobs.get(&task.job);
         if job.is_some_and(|j| j.cancel_reported_at.is_some()) {
             self.late_launches.launches += 1;
         }
         if known_cancelled {
-            let what =
-                format!("{task}: launch command sent by a leader that knew its cancellation");
+            let what = format!(
+                "{task}: launch command sent by a leader that had read or confirmed the \
+                 cancellation of its job"
+            );
             self.violation(Rule::LaunchedCancelled, now, what);
         }
     }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -94,11 +94,12 @@
     IrregularRequests { time: Micros },
     /// This many machines of a zone fail without notice.
     ZoneMachineFailure { machines: usize, zone: usize },
-    /// All nodes crash. Node `back` restarts after `soon`, the others after `others`.
+    /// All nodes crash. Node `first_node` restarts after `first_down`, the others after
+    /// `others_down`.
     AllNodesCrash {
-        back: usize,
-        soon: Micros,
-        others: Micros,
+        first_node: usize,
+        first_down: Micros,
+        others_down: Micros,
     },
 }
 
@@ -115,7 +116,7 @@
     pub fn duration(&self) -> Micros {
         match self {
             Fault::Crash { down, .. } => *down,
-            Fault::AllNodesCrash { others, .. } => *others,
+            Fault::AllNodesCrash { others_down, .. } => *others_down,
             Fault::Pause { time, .. }
             | Fault::PeerPartition { time, .. }
             | Fault::StoreOutage { time }
