--- a/crates/controller/src/leader/queue_records.rs
+++ b/crates/controller/src/leader/queue_records.rs
@@ -1,4 +1,5 @@
-//! The records of the stored job queue: descriptions of open jobs, and cancellations.
+//! Application of the records of the stored job queue: descriptions of open jobs, and
+//! cancellations.
 
 use super::Leader;
 use super::job::Job;
@@ -10,8 +11,8 @@
 use std::rc::Rc;
 
 impl Leader {
-    /// Applies a record of the queue: a description or a cancellation. To apply one again
-    /// has no effect.
+    /// Applies a record of the queue: a description or a cancellation. Applying a record
+    /// again has no effect.
     pub(super) fn apply_queue_record(
         &mut self,
         ctx: &Context,
@@ -19,9 +20,9 @@
         value: &Value,
         version: u64,
     ) {
-        if let Some(id) = key.strip_prefix(records::OPEN) {
+        if let Some(id) = key.strip_prefix(records::OPEN_JOBS_PREFIX) {
             self.apply_description(ctx, id, value, version);
-        } else if let Some(id) = key.strip_prefix(records::CANCELLED) {
+        } else if let Some(id) = key.strip_prefix(records::CANCELLED_JOBS_PREFIX) {
             self.apply_cancellation(ctx, id, value);
         }
     }
@@ -34,8 +35,8 @@
             log::error!("unreadable job description job={id}");
             return self.add_undescribed_job(ctx, id, value);
         };
-        // A team that has gone from the settings, perhaps from this node's only, keeps
-        // its jobs waiting (`standing`). What of them is on machines goes on.
+        // If the team was removed from the settings, perhaps only from those of this node,
+        // its waiting tasks stay waiting and its running tasks keep running.
         let team = ctx.config.team(&open.spec.team).unwrap_or_else(|| {
             log::error!("unknown team job={id} team={}", open.spec.team);
             ctx.config.teams.len()
@@ -45,12 +46,12 @@
             .estimates
             .class_run_time_s(ctx.config, &open.spec.class);
         let is_service = open.spec.kind == JobKind::Service;
-        let part_tasks = ctx.config.part_tasks();
-        let mut job = Job::new(open, state_version, team, run_time_s, part_tasks);
+        let tasks_per_part = ctx.config.tasks_per_part();
+        let mut job = Job::new(open, state_version, team, run_time_s, tasks_per_part);
         self.estimates.apply_inherited(id, &mut job);
         let id: Rc<str> = Rc::from(id);
         let index = self.jobs.insert(id.clone(), job);
-        self.estimates.changed(index);
+        self.estimates.mark_changed(index);
         self.scheduling
             .record_ready_job(is_service, ctx.now.monotonic);
         self.track_dependencies(ctx, &id);
@@ -62,21 +63,22 @@
             return self.cancel_unknown_job(id, confirmed_at);
         };
         if let Some(job) = self.jobs.get_mut(&id) {
-            // A write may have found its state record changed before, which doesn't say
-            // since when. That record may not be read for long: this one is proof enough.
-            let known_at = job.cancelled.unwrap_or(confirmed_at);
-            job.cancelled = Some(known_at.min(confirmed_at));
-            if !job.stopped && self.recovery.is_ready() {
+            // The cancellation may be known already from a conflicting write, without its
+            // time. This record proves it, so the state record need not be read first.
+            let known_at = job.cancelled_at.unwrap_or(confirmed_at);
+            job.cancelled_at = Some(known_at.min(confirmed_at));
+            if !job.cancellation_confirmed && self.recovery.is_ready() {
                 self.cancel_job(ctx, &id);
             }
         }
     }
 }
 
-/// When a cancellation was confirmed to its user at the earliest, by its record.
+/// The earliest time at which a cancellation may have been confirmed to its user, according
+/// to its record.
 pub(super) fn earliest_confirmation(ctx: &Context, value: &Value) -> Micros {
     let at = store::decode_value::<CancelledJob>(value).map_or(0, |c| c.cancelled_at_us);
-    // Other clocks may be off, so the older of the two readings counts.
+    // Both clocks may be off by `clock_error`, so the earliest possible time is used.
     let ago = ctx.now.wall.saturating_sub(at) + 2 * ctx.config.clock_error;
     ctx.now
         .monotonic
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -269,13 +269,13 @@
         worker_lease: WORKER_LEASE,
         cancel_deadline: CANCEL_DEADLINE,
         clock_error: SECOND / 4,
-        state_rps: settings.store_rps,
-        state_write_rps: settings.store_write_rps,
-        value_bytes: 16 * 1024,
-        value_bytes_before: 16 * 1024,
-        state_write_rps_before: settings.store_write_rps,
-        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
-        txn_ops: 48,
+        store_rps: settings.store_rps,
+        store_write_rps: settings.store_write_rps,
+        max_value_bytes: 16 * 1024,
+        current_max_value_bytes: 16 * 1024,
+        current_store_write_rps: settings.store_write_rps,
+        tasks_per_chunk: dillcleat_controller::config::tasks_per_chunk(16 * 1024),
+        max_txn_ops: 48,
         cloud_rps: 4.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 188.0,
@@ -297,7 +297,7 @@
         let mut store = SimulatedStore::new(16 * 1024, 48).with_page_limit(PageLimit::FULL);
         let types = vec![machine_type()];
         store.put(
-            records::TYPES.into(),
+            records::MACHINE_TYPES_KEY.into(),
             &MachineTypesRecord {
                 types: types.clone(),
             },
@@ -395,7 +395,7 @@
             self.workers[i as usize].next_heartbeat_at = first_heartbeat;
             self.schedule_worker(i);
         }
-        self.open_jobs = self.store.keys(records::OPEN).len();
+        self.open_jobs = self.store.keys(records::OPEN_JOBS_PREFIX).len();
         self.schedule(self.now, Event::Tick);
         self.schedule(self.now + SECOND, Event::EverySecond);
     }
@@ -442,11 +442,11 @@
         let job = OpenJob {
             spec: spec.clone(),
             submitted_at_us: WALL_CLOCK_START - self.rng.u64(..600 * SECOND),
-            chunk: config(&self.settings).chunk_tasks,
-            unmarked: true,
+            tasks_per_chunk: config(&self.settings).tasks_per_chunk,
+            without_state_record: true,
             parallelism_limit: None,
         };
-        self.store.put(records::open_key(&spec.id), &job);
+        self.store.put(records::open_job_key(&spec.id), &job);
     }
 
     /// Fills these machines with tasks of new jobs and stores the placements.
@@ -512,7 +512,7 @@
         self.measurements.scheduler_counters = self
             .node
             .as_ref()
-            .map_or(SchedulerCounters::default(), Node::counts);
+            .map_or(SchedulerCounters::default(), Node::scheduler_counters);
     }
 
     pub fn into_measurements(self) -> FleetMeasurements {
@@ -576,7 +576,7 @@
         if matches!(input, Input::Commands { .. }) {
             self.commands_in_flight -= 1;
         }
-        let placed = node.counts().placed;
+        let placed = node.scheduler_counters().placed;
         let started = Instant::now();
         let outputs = node.handle(now, input);
         let nanos = started.elapsed().as_nanos() as u64;
@@ -587,7 +587,7 @@
         if leads && self.elected_at.is_none() {
             self.elected_at = Some(self.now);
         }
-        let placed = node.counts().placed.saturating_sub(placed);
+        let placed = node.scheduler_counters().placed.saturating_sub(placed);
         let inputs = if self.measuring() {
             &mut self.measurements.inputs
         } else {
@@ -902,9 +902,9 @@
 
     /// Submits a new job for each job that has ended.
     fn refill(&mut self) {
-        let missing = self
-            .open_jobs
-            .saturating_sub(self.store.keys(records::OPEN).len() + self.submissions_in_flight);
+        let missing = self.open_jobs.saturating_sub(
+            self.store.keys(records::OPEN_JOBS_PREFIX).len() + self.submissions_in_flight,
+        );
         for _ in 0..missing {
             let spec = self.new_job(JobKind::Batch);
             self.last_request += 1;
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -280,7 +280,7 @@
                 continue;
             };
             let job = record.state.job.clone().unwrap_or_default();
-            let state_key = dillcleat_controller::records::job_key(&job);
+            let state_key = dillcleat_controller::records::job_state_key(&job);
             let ended = !self.store.keys(&state_key).is_empty();
             if ended && record.state.end.is_none() {
                 let what = format!("{key}: the end of {job} is not shown");
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -51,12 +51,12 @@
 /// The store's limits before and after they are reduced during an upgrade. They are so
 /// small that a few dozen placed tasks do not fit in one value.
 const INITIAL_STORE_LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 2048,
-    txn_ops: 48,
+    max_value_bytes: 2048,
+    max_txn_ops: 48,
 };
 const REDUCED_STORE_LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 700,
-    txn_ops: 12,
+    max_value_bytes: 700,
+    max_txn_ops: 12,
 };
 /// Used by the version that an upgrade replaces.
 const PREVIOUS_TASKS_PER_CHUNK: u32 = 80;
@@ -65,8 +65,8 @@
 const AUXILIARY_SEED_SALT: u64 = 0x5151;
 
 struct StoreLimits {
-    value_bytes: usize,
-    txn_ops: usize,
+    max_value_bytes: usize,
+    max_txn_ops: usize,
 }
 
 /// The result of a run.
@@ -522,18 +522,18 @@
 /// Sets the limits of the store, the cloud and a controller to those of the largest
 /// supported deployment. No team may use more than a third of the fleet.
 fn large_site_config(mut config: Config, scale: u32) -> Config {
-    let value_bytes = 16 * 1024;
+    let max_value_bytes = 16 * 1024;
     for team in config.teams.iter_mut().filter(|t| t.cpus_max > 0.0) {
         team.cpus_max = 160.0 * f64::from(scale);
     }
     Config {
-        state_rps: 500.0,
-        state_write_rps: 200.0,
-        state_write_rps_before: 200.0,
-        value_bytes,
-        value_bytes_before: value_bytes,
-        chunk_tasks: dillcleat_controller::config::tasks_per_chunk(value_bytes),
-        txn_ops: 48,
+        store_rps: 500.0,
+        store_write_rps: 200.0,
+        current_store_write_rps: 200.0,
+        max_value_bytes,
+        current_max_value_bytes: max_value_bytes,
+        tasks_per_chunk: dillcleat_controller::config::tasks_per_chunk(max_value_bytes),
+        max_txn_ops: 48,
         cloud_rps: 4.0,
         memory_mb: 188.0,
         max_commands_in_flight: 686,
@@ -565,14 +565,14 @@
         worker_lease: 14 * SECOND,
         cancel_deadline: 44 * SECOND,
         clock_error: SECOND / 4,
-        state_rps: 200.0,
-        state_write_rps: 80.0,
-        value_bytes: 2048,
-        value_bytes_before: 2048,
-        state_write_rps_before: 80.0,
+        store_rps: 200.0,
+        store_write_rps: 80.0,
+        max_value_bytes: 2048,
+        current_max_value_bytes: 2048,
+        current_store_write_rps: 80.0,
         // Low, so that most job arrays have several chunks.
-        chunk_tasks: 25,
-        txn_ops: 12,
+        tasks_per_chunk: 25,
+        max_txn_ops: 12,
         cloud_rps: 2.0,
         cloud_list_lag: 4 * SECOND,
         memory_mb: 72.0,
@@ -621,10 +621,10 @@
                 })
                 .collect(),
             store: match scenario.upgrade {
-                None => SimulatedStore::new(config.value_bytes, config.txn_ops),
+                None => SimulatedStore::new(config.max_value_bytes, config.max_txn_ops),
                 Some(_) => SimulatedStore::new(
-                    INITIAL_STORE_LIMITS.value_bytes,
-                    INITIAL_STORE_LIMITS.txn_ops,
+                    INITIAL_STORE_LIMITS.max_value_bytes,
+                    INITIAL_STORE_LIMITS.max_txn_ops,
                 ),
             },
             cloud: Cloud::new(
@@ -1038,17 +1038,17 @@
                 host.known_cancelled_jobs.clear();
                 let mut config = scenario_config(&self.scenario, node);
                 if self.scenario.upgrade.is_some() {
-                    config.value_bytes_before = INITIAL_STORE_LIMITS.value_bytes;
-                    config.value_bytes = REDUCED_STORE_LIMITS.value_bytes;
-                    config.txn_ops = REDUCED_STORE_LIMITS.txn_ops;
-                    config.chunk_tasks = dillcleat_controller::config::tasks_per_chunk(
-                        REDUCED_STORE_LIMITS.value_bytes,
+                    config.current_max_value_bytes = INITIAL_STORE_LIMITS.max_value_bytes;
+                    config.max_value_bytes = REDUCED_STORE_LIMITS.max_value_bytes;
+                    config.max_txn_ops = REDUCED_STORE_LIMITS.max_txn_ops;
+                    config.tasks_per_chunk = dillcleat_controller::config::tasks_per_chunk(
+                        REDUCED_STORE_LIMITS.max_value_bytes,
                     );
                 }
                 if host.previous_version {
-                    config.value_bytes = INITIAL_STORE_LIMITS.value_bytes;
-                    config.txn_ops = INITIAL_STORE_LIMITS.txn_ops;
-                    config.chunk_tasks = PREVIOUS_TASKS_PER_CHUNK;
+                    config.max_value_bytes = INITIAL_STORE_LIMITS.max_value_bytes;
+                    config.max_txn_ops = INITIAL_STORE_LIMITS.max_txn_ops;
+                    config.tasks_per_chunk = PREVIOUS_TASKS_PER_CHUNK;
                 }
                 if matches!(
                     self.scenario.form,
@@ -1072,8 +1072,8 @@
                 self.schedule(self.now + down, Event::StartNode { node });
             }
             Event::ReduceStoreLimits => self.store.lower_limits(
-                REDUCED_STORE_LIMITS.value_bytes,
-                REDUCED_STORE_LIMITS.txn_ops,
+                REDUCED_STORE_LIMITS.max_value_bytes,
+                REDUCED_STORE_LIMITS.max_txn_ops,
             ),
             Event::Fault(fault) => self.fault(*fault),
             Event::RecordCloudListing => {
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -7,7 +7,7 @@
 
 /// Whether a call stores a new job, as a native submission does.
 fn stores_new_job(call: &StoreRequest) -> bool {
-    let opens_job = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN));
+    let opens_job = |c: &Mutation| matches!(c, Mutation::Put { key, .. } if key.starts_with(dillcleat_controller::records::OPEN_JOBS_PREFIX));
     matches!(call, StoreRequest::Transaction(txn) if txn.then.iter().any(opens_job))
 }
 
@@ -73,7 +73,7 @@
     pub(super) fn observed_leader(&self, node: usize) -> ObservedLeader {
         match self
             .store
-            .read::<LeaderRecord>(dillcleat_controller::records::LEAD)
+            .read::<LeaderRecord>(dillcleat_controller::records::LEADER_KEY)
         {
             Some((leader, _)) if leader.member == format!("node-{node}") => {
                 ObservedLeader::ThisNode
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -9,7 +9,10 @@
 
 /// The jobs that a reply of the store shows to be cancelled.
 pub(super) fn cancelled_jobs(reply: &StoreResponse) -> Vec<String> {
-    let cancelled_job = |key: &str| key.strip_prefix(records::CANCELLED).map(str::to_string);
+    let cancelled_job = |key: &str| {
+        key.strip_prefix(records::CANCELLED_JOBS_PREFIX)
+            .map(str::to_string)
+    };
     match reply {
         StoreResponse::Found(row) => cancelled_job(&row.key).into_iter().collect(),
         StoreResponse::RangePage(page) => page
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -380,7 +380,7 @@
 
     /// The term of the latest leader, 0 before the first election.
     pub fn term(&self) -> u64 {
-        let row = self.keys.get(records::TERM);
+        let row = self.keys.get(records::TERM_KEY);
         row.and_then(|e| dillcleat_wire::store::decode_value::<records::TermRecord>(&e.value))
             .map_or(0, |t| t.term)
     }
--- a/crates/simulator/tests/api_limits.rs
+++ b/crates/simulator/tests/api_limits.rs
@@ -11,7 +11,7 @@
 const JOBS_PATH: &str = "/apis/batch/v1/namespaces/free/jobs";
 
 fn single_node(config: Config, objects: usize, watches: usize) -> SingleNode {
-    let state = SimulatedStore::new(config.value_bytes, config.txn_ops);
+    let state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let mut node = SingleNode::new(config, rules_for(objects, watches), state);
     node.until(10 * SECOND);
     node
@@ -278,8 +278,8 @@
 #[test]
 fn overload_rejects_creates_but_serves_deletes_and_reads() {
     let limits = Config {
-        state_rps: 40.0,
-        state_write_rps: 10.0,
+        store_rps: 40.0,
+        store_write_rps: 10.0,
         ..single_node_config()
     };
     let mut node = single_node(limits, 1_000, 1);
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -14,13 +14,19 @@
         peers_in_other_zones: Vec::new(),
         ..base_config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(config.value_bytes, config.txn_ops);
+    let mut state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let ended = |state| JobStateRecord {
         state,
         task_count: 1,
     };
-    state.put(records::job_key("req-71"), &ended(RecordedState::Done));
-    state.put(records::job_key("req-72"), &ended(RecordedState::Cancelled));
+    state.put(
+        records::job_state_key("req-71"),
+        &ended(RecordedState::Done),
+    );
+    state.put(
+        records::job_state_key("req-72"),
+        &ended(RecordedState::Cancelled),
+    );
     let mut node = SingleNode::new(config, rules_for(10, 1), state);
     node.until(10 * SECOND);
     node
@@ -53,7 +59,7 @@
     }
     let stored = node
         .store
-        .read::<records::OpenJob>(&records::open_key(&spec.id));
+        .read::<records::OpenJob>(&records::open_job_key(&spec.id));
     (
         reply.status,
         why,
@@ -81,7 +87,7 @@
     );
     let record = node
         .store
-        .read::<JobStateRecord>(&records::job_key("req-10"));
+        .read::<JobStateRecord>(&records::job_state_key("req-10"));
     assert_eq!(
         record.map(|(record, _)| record.state),
         Some(RecordedState::Cancelled)
@@ -115,11 +121,11 @@
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Service, &[]),
         submitted_at_us: 1,
-        chunk: 8,
-        unmarked: true,
+        tasks_per_chunk: 8,
+        without_state_record: true,
         parallelism_limit: None,
     };
-    node.store.put(records::open_key("req-8"), &open);
+    node.store.put(records::open_job_key("req-8"), &open);
     let (status, why, _) = submit(&mut node, &spec("req-9", JobKind::Batch, &["req-8"]));
     assert_eq!(status, 422);
     assert!(why.contains("req-8, a service"), "{why}");
@@ -156,14 +162,16 @@
     );
     node.until(node.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
-        let record = node.store.read::<JobStateRecord>(&records::job_key(id));
+        let record = node
+            .store
+            .read::<JobStateRecord>(&records::job_state_key(id));
         assert_eq!(
             record.map(|(record, _)| record.state),
             Some(RecordedState::Cancelled),
             "{id}"
         );
     }
-    assert_eq!(node.store.keys(records::QUEUE), [""; 0]);
+    assert_eq!(node.store.keys(records::QUEUE_PREFIX), [""; 0]);
 }
 
 /// Guards against ending a job because its dependency has neither an open job nor a state
@@ -175,31 +183,31 @@
         peers_in_other_zones: Vec::new(),
         ..base_config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(config.value_bytes, config.txn_ops);
+    let mut state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Batch, &["req-77"]),
         submitted_at_us: 1,
-        chunk: 8,
-        unmarked: true,
+        tasks_per_chunk: 8,
+        without_state_record: true,
         parallelism_limit: None,
     };
-    state.put(records::open_key("req-8"), &open);
+    state.put(records::open_job_key("req-8"), &open);
     let mut node = SingleNode::new(config, rules_for(10, 1), state);
     node.until(10 * SECOND);
     assert!(
         node.store
-            .read::<JobStateRecord>(&records::job_key("req-8"))
+            .read::<JobStateRecord>(&records::job_state_key("req-8"))
             .is_none()
     );
     let record = JobStateRecord {
         state: RecordedState::Cancelled,
         task_count: 1,
     };
-    node.store.put(records::job_key("req-77"), &record);
+    node.store.put(records::job_state_key("req-77"), &record);
     node.until(15 * SECOND);
     let record = node
         .store
-        .read::<JobStateRecord>(&records::job_key("req-8"));
+        .read::<JobStateRecord>(&records::job_state_key("req-8"));
     assert_eq!(
         record.map(|(record, _)| record.state),
         Some(RecordedState::Cancelled)
