--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -36,7 +36,7 @@
 const CPUS_PER_MACHINE: f64 = 16.0;
 const MEAN_TASKS_PER_ARRAY: u32 = 60;
 const REPLICAS_PER_SERVICE: u32 = 8;
-/// One machine in this many is not a spot instance. These machines run the services.
+/// One machine in this many is on-demand. These machines run the services.
 const MACHINES_PER_ON_DEMAND: u32 = 5;
 const HEARTBEAT_INTERVAL: Micros = 5 * SECOND;
 const WORKER_LEASE: Micros = 26 * SECOND;
@@ -101,7 +101,7 @@
 pub struct FleetMeasurements {
     /// Processing time of each input during the measurement, in nanoseconds, by kind of input.
     pub inputs: BTreeMap<&'static str, Vec<u64>>,
-    /// The same for the inputs before: the election, reading the state, the first commands.
+    /// The same for the inputs before: the election, reading the store, the first commands.
     pub warm_up_inputs: BTreeMap<&'static str, Vec<u64>>,
     /// Launch commands during the measurement.
     pub launches: u64,
@@ -400,7 +400,8 @@
         self.schedule(self.now + SECOND, Event::EverySecond);
     }
 
-    /// Draws the next job. Its tasks are sized so that `slots` of them fill a machine.
+    /// Draws the next job. Its tasks are sized so that `tasks_per_machine` of them fill a
+    /// machine.
     fn new_job(&mut self, kind: JobKind) -> JobSpec {
         self.jobs += 1;
         let service = kind == JobKind::Service;
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -250,9 +250,9 @@
         let Some(worker) = workers.values_mut().next() else {
             return (503, Vec::new());
         };
-        let (status, mut report, _) = worker.handle_commands(&batch, now, behaviours);
-        report.addr = self.workers_addr.to_string();
-        (status, encode(&report))
+        let (status, mut heartbeat, _) = worker.handle_commands(&batch, now, behaviours);
+        heartbeat.addr = self.workers_addr.to_string();
+        (status, encode(&heartbeat))
     }
 
     fn run_workers(&self) {
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -210,7 +210,7 @@
     MachineBooted {
         machine: String,
     },
-    /// The cloud takes a spot machine back.
+    /// The cloud preempts a spot machine.
     MachinePreempted {
         machine: String,
     },
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -59,9 +59,9 @@
 /// two intervals without replies.
 #[test]
 fn heartbeat_burst_after_an_outage_expires_no_lease() {
-    let silence = Some((4 * SECOND, 12 * SECOND));
+    let network_outage = Some((4 * SECOND, 12 * SECOND));
     let m = run(FleetSettings {
-        network_outage: silence,
+        network_outage,
         measurement: 30 * SECOND,
         ..settings(400, 1_000)
     });
