--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -4,7 +4,7 @@
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
 use dillcleat_simulator::processes::{self, Process, ThreeProcesses, until};
-use dillcleat_simulator::rules::MachineIdentity;
+use dillcleat_simulator::rules::MachineAttributes;
 use dillcleat_simulator::worker::Worker;
 use dillcleat_wire::encode;
 use dillcleat_wire::worker::HEARTBEAT_PATH;
@@ -92,7 +92,7 @@
 }
 
 fn report(machine: &str) -> Vec<u8> {
-    let place = MachineIdentity {
+    let place = MachineAttributes {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: "a".into(),
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -8,9 +8,9 @@
 const MEETINGS_SEED_SALT: u64 = 0x3ee7;
 
 impl Scenario {
-    /// Groups of two or three faults, several times in a run. The faults of a group begin
-    /// within seconds of each other and last about as long as a lease or a cancellation
-    /// deadline. Most are aimed at the leader.
+    /// Groups of two or three draws, several times in a run; one draw may add several faults.
+    /// The draws of a group begin within seconds of each other. Their durations are near 2,
+    /// 10, 14, 26, 30, 44 or 60 s. Faults of one node hit the leader three times out of four.
     pub fn meetings(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed.rotate_left(23) ^ MEETINGS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
@@ -59,7 +59,7 @@
 }
 
 /// Long periods of demanding user behaviour, which overlap the other faults. Each kind
-/// occurs in every second or third run.
+/// occurs in a half or a third of the runs.
 fn user_behaviours(rng: &mut Rng, busy: Micros) -> Vec<(Micros, Fault)> {
     let mut faults = Vec::new();
     for kind in 0..4 {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -8,7 +8,7 @@
 //! tasks about constant.
 
 use crate::cloud::{Cloud, Host};
-use crate::rules::MachineIdentity;
+use crate::rules::MachineAttributes;
 use crate::store::{PageLimit, SimulatedStore, Watches};
 use crate::worker::{HEARTBEAT_TIMEOUT, TaskBehaviour, Worker, WorkerEvent};
 use dillcleat_controller::config::StartObjective;
@@ -72,7 +72,8 @@
     /// Share of a CPU that the controller has. None: its work takes no simulated time, and
     /// runs with equal seeds are equal.
     pub cpu_share: Option<f64>,
-    /// Start and duration of a network outage between all workers and the controller.
+    /// Start and duration of a network outage between all workers and the controller:
+    /// heartbeats and commands are lost.
     pub network_outage: Option<(Micros, Micros)>,
 }
 
@@ -110,9 +111,9 @@
     /// Calls to the store and bytes of their transactions during the measurement.
     pub store_calls: u64,
     pub transaction_bytes: u64,
-    /// Calls that the store refused because of its rate limits.
+    /// Calls during the whole run that the store refused because of its rate limits.
     pub rate_limited_calls: u64,
-    /// Maximum number of command batches in flight.
+    /// Maximum number of command batches in flight during the whole run.
     pub peak_commands_in_flight: usize,
     /// Counters of the scheduler since the election.
     pub scheduler_counters: SchedulerCounters,
@@ -124,7 +125,7 @@
     pub expired_leases: u64,
     /// Minimum remaining time of a worker's lease when a heartbeat answer renewed it.
     pub min_lease_remaining: Micros,
-    /// Requests that exceeded a limit of the store.
+    /// Requests that broke the store's protocol: over a limit, or not fenced by the term.
     pub malformed: Vec<String>,
 }
 
@@ -344,7 +345,7 @@
     fn populate(&mut self) {
         for i in 0..self.settings.machines {
             let name = format!("host-{i:06}");
-            let place = MachineIdentity {
+            let place = MachineAttributes {
                 machine: name.clone(),
                 machine_type: MACHINE_TYPE.into(),
                 zone: ZONES[i as usize % ZONES.len()].into(),
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -2,7 +2,7 @@
 //! process-level tests on the loopback interface.
 
 use crate::cloud::Cloud;
-use crate::rules::MachineIdentity;
+use crate::rules::MachineAttributes;
 use crate::store::SimulatedStore;
 use crate::worker::{TaskBehaviour, Worker};
 use dillcleat_controller::records::OpenJob;
@@ -205,7 +205,7 @@
                 .iter()
                 .find(|t| t.name == h.machine_type)
                 .map_or(0.0, |t| t.cpus);
-            let place = MachineIdentity {
+            let place = MachineAttributes {
                 machine: name.clone(),
                 machine_type: h.machine_type,
                 zone: h.zone,
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -196,8 +196,8 @@
         self.ttl_s.is_some()
     }
 
-    /// Checks the object in an answer. Returns how the Job ended, if it has, or what is
-    /// wrong with the object.
+    /// Checks the object in an answer and records its end. Returns how the Job ended, if it
+    /// has, or what is wrong with the object.
     pub fn check_object(
         &mut self,
         object: &Value,
@@ -259,9 +259,10 @@
     /// The latest received state of each object: uid, resource version and reason of its
     /// end.
     known: BTreeMap<String, (String, u64, Option<String>)>,
-    /// Ends of objects received.
+    /// Ends of objects received, counted again after a restart without a resource version.
     ends: usize,
-    /// Objects received for the first time.
+    /// Objects that appeared in the watch, counted again after a restart without a resource
+    /// version.
     added: usize,
     pub last_event_at: Micros,
 }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -10,11 +10,13 @@
 use dillcleat_wire::user::{JobSpec, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job accepted this long ago must have a started task, if it is a largest of its class.
+/// One of the largest jobs of a class must start its first task within this time of its
+/// acceptance.
 const MAX_FIRST_START_DELAY: Micros = 240 * SECOND;
-/// All polls of an accepted job may fail for this long while most polls are answered.
+/// Longest time for which all polls of an accepted job may fail while most polls of all jobs
+/// are answered.
 const MAX_UNANSWERED: Micros = 90 * SECOND;
-/// All polls of an accepted job may fail for this long while no fault is active.
+/// Longest time for which all polls of an accepted job may fail while no fault is active.
 const MAX_UNANSWERED_WITHOUT_FAULTS: Micros = 75 * SECOND;
 
 /// The invariant that a [`Violation`] breaks.
@@ -43,7 +45,7 @@
     /// A job is reported open after the cancellation deadline of one of its dependencies.
     DependentNotCancelled,
     /// A node that is no longer the leader rents or deletes a machine, or a delayed call
-    /// deletes several machines.
+    /// deletes more machines than one call may.
     ActedWithoutLeadership,
     /// No task of one of the largest jobs of a class starts within four minutes.
     LargestJobDelayed,
@@ -67,7 +69,7 @@
 
 /// A machine and its properties that constrain placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MachineIdentity {
+pub struct MachineAttributes {
     pub machine: String,
     pub machine_type: String,
     pub zone: String,
@@ -150,11 +152,12 @@
     limits: BTreeMap<String, Limit>,
     jobs: BTreeMap<String, Job>,
     /// The machine of each running task.
-    running: BTreeMap<TaskName, MachineIdentity>,
+    running: BTreeMap<TaskName, MachineAttributes>,
     task_starts: u64,
     late_launches: LateLaunches,
     polls: PollCounts,
-    /// No faults are active from this time on, so every request must be answered.
+    /// No fault is active from this time on: a stricter limit applies to unanswered polls, and
+    /// waiting jobs are checked.
     pub faults_end: Micros,
     pub violations: Vec<Violation>,
 }
@@ -399,7 +402,7 @@
     }
 
     /// Records that a task starts on a machine, after its image was fetched.
-    pub fn task_started(&mut self, task: &TaskName, place: &MachineIdentity, now: Micros) {
+    pub fn task_started(&mut self, task: &TaskName, place: &MachineAttributes, now: Micros) {
         self.task_starts += 1;
         if let Some(other) = self.running.get(task) {
             let what = format!(
@@ -500,7 +503,7 @@
     }
 
     /// The running tasks of a job and their machines.
-    fn tasks_of(&self, id: &str) -> impl Iterator<Item = (&TaskName, &MachineIdentity)> {
+    fn tasks_of(&self, id: &str) -> impl Iterator<Item = (&TaskName, &MachineAttributes)> {
         let bound = |index| TaskName {
             job: id.to_string(),
             index,
--- a/crates/simulator/src/rules/waiting_jobs.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -1,6 +1,6 @@
 //! Detection of jobs that starve although a suitable machine has free capacity.
 
-use super::{Checker, Job, MachineIdentity, Rule};
+use super::{Checker, Job, MachineAttributes, Rule};
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::JobSpec;
@@ -12,7 +12,7 @@
 /// The free capacity and the tasks of a machine at the time of a check.
 #[derive(Debug, Clone)]
 pub struct MachineCapacity {
-    pub place: MachineIdentity,
+    pub place: MachineAttributes,
     /// Free CPUs and GPUs.
     pub cpus: f64,
     pub gpus: f64,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -12,17 +12,19 @@
     Pause { node: usize, time: Micros },
     /// All messages between a node and its peers are lost.
     PeerPartition { node: usize, time: Micros },
-    /// The store refuses all calls.
+    /// The store refuses all calls except watches, which stay open without changes.
     StoreOutage { time: Micros },
-    /// The store refuses the calls of one node.
+    /// The store refuses the calls of one node except watches, which stay open without
+    /// changes.
     StoreRefusal { node: usize, time: Micros },
-    /// Network partition between a node and the store. Messages are delivered when it ends.
+    /// Network partition between a node and the store. Calls are delivered when it ends; their
+    /// replies and the watch batches sent meanwhile are lost.
     StorePartition { node: usize, time: Micros },
-    /// Network partition between a node and all workers. Messages are delivered when it
-    /// ends.
+    /// Network partition between a node and all workers. Calls are delivered when it ends;
+    /// their replies are lost.
     WorkerPartition { node: usize, time: Micros },
-    /// Network partition between the workers of a zone and all nodes. Messages are delivered
-    /// when it ends.
+    /// Network partition between the workers of a zone and all nodes. Calls are delivered
+    /// when it ends; their replies are lost.
     ZoneWorkerPartition { zone: usize, time: Micros },
     /// Network partition between a zone, with its nodes and workers, and everything outside
     /// it: other zones, the store, the cloud and users. Messages within the zone are not
@@ -60,8 +62,8 @@
     /// One third of the transactions get no answer and are executed 2 to 12 s later, after
     /// newer ones of the same node.
     DelayedWrites { time: Micros },
-    /// Half of the heartbeats are duplicated. The copy arrives at any node, between 2 s and
-    /// more than a lease later.
+    /// Half of the heartbeats are duplicated. The copy arrives at any node, 2 s to two worker
+    /// leases later.
     DuplicateHeartbeats { time: Micros },
     /// All messages to these machines are lost: answers and commands. Their heartbeats
     /// arrive.
@@ -108,7 +110,8 @@
 const PIPELINES_SEED_SALT: u64 = 0xa3a1;
 const GAP_SEED_SALT: u64 = 0x6a9;
 
-/// Stands in a fault for the index of the node that leads when the fault begins.
+/// Node index in a fault that means the leader when the fault begins, or the last node if
+/// there is no leader.
 pub const LEADER: usize = usize::MAX;
 
 impl Fault {
@@ -158,14 +161,15 @@
     BeforeExecution,
     /// After the store has executed the call, before the answer arrives.
     AfterExecution,
-    /// After the process has handled the answer.
+    /// 10 ms after the execution, when the process has usually handled the answer.
     AfterAnswer,
 }
 
 /// How a network partition of a zone treats messages across its boundary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionMode {
-    /// Delayed until the partition ends.
+    /// Calls are delivered when the partition ends, without a reply; other messages are
+    /// delayed until then.
     Delayed,
     Lost,
     /// Messages to the zone are delayed until the partition ends; messages from it pass.
@@ -210,7 +214,8 @@
     pub form: SubmissionForm,
     /// Faults with the times at which they begin.
     pub faults: Vec<(Micros, Fault)>,
-    /// Number of jobs.
+    /// Number of independent jobs. Pipelines, the single-task stream and the dependents of a
+    /// cancelled job are additional.
     pub jobs: usize,
     /// Number of tasks of the first job, if it is to be a very large batch job.
     pub large_job_tasks: Option<u32>,
@@ -218,8 +223,8 @@
     pub nodes: usize,
     /// Multiplies the size of the jobs, the limits and the capacity of the cloud.
     pub scale: u32,
-    /// Use the limits of the largest supported cluster, and tasks that run for one to two
-    /// minutes.
+    /// Use the limits of the largest supported cluster, and add one to two minutes to the run
+    /// time of each task.
     pub large_site: bool,
     /// Returns the number of allocated bytes, if the caller measures memory.
     pub allocated_bytes: Option<fn() -> usize>,
@@ -230,9 +235,11 @@
     /// The node that makes the store call with this number crashes at this point of the call
     /// and restarts after 200 ms.
     pub crash_at_call: Option<(u64, CrashPoint)>,
-    /// Half of the jobs have two or three tasks, and half of the users cancel their jobs.
+    /// Half of the jobs have two or three tasks, and a third of the users who would not
+    /// cancel their jobs otherwise do.
     pub small_jobs: bool,
-    /// More jobs, batch jobs included, are restricted to one zone, and some run for long.
+    /// More jobs are restricted to one zone, the tasks of some run 20 to 70 s longer, and
+    /// with `tight_quotas` some request a GPU.
     pub varied_jobs: bool,
     /// Every team has quotas that it reaches, including one for GPUs.
     pub tight_quotas: bool,
@@ -242,7 +249,8 @@
     /// Number of jobs that depend on a job which is cancelled.
     pub cancelled_dependents: Option<u32>,
     /// Rolling upgrade: when the first node is replaced by the new version, and the time
-    /// between two replacements. Until then all nodes write in the format of the old version.
+    /// between two replacements. Until its replacement, a node uses the limits and the chunk
+    /// size of the old version.
     pub upgrade: Option<(Micros, Micros)>,
     /// When the store lowers its limits.
     pub limits_lowered_at: Option<Micros>,
@@ -315,12 +323,12 @@
         let mut rng = Rng::with_seed(seed.rotate_left(11) ^ PIPELINES_SEED_SALT);
         let first = rng.u64(10 * SECOND..50 * SECOND);
         let every = rng.u64(SECOND..15 * SECOND);
-        let replaced = first + 2 * every;
+        let upgrade_end = first + 2 * every;
         let upgraded = rng.u8(..4) > 0;
         if upgraded {
             scenario.upgrade = Some((first, every));
-            let fall = rng.u64(replaced + 5 * SECOND..scenario.activity_end);
-            scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(fall);
+            let lowered_at = rng.u64(upgrade_end + 5 * SECOND..scenario.activity_end);
+            scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(lowered_at);
             // Large enough for chunks that exceed the lowered limits.
             scenario.large_job_tasks = Some(rng.u32(250..500));
         }
@@ -328,7 +336,7 @@
         scenario.end = scenario.activity_end + 1200 * SECOND;
         scenario.pipelines = rng.usize(2..8);
         scenario.pipelines_from = if upgraded {
-            replaced + 4 * SECOND
+            upgrade_end + 4 * SECOND
         } else {
             SECOND
         };
@@ -355,9 +363,9 @@
         }
     }
 
-    /// The leader alone loses the store while other nodes confirm cancellations. Then the
-    /// store is out for all nodes, for up to longer than the cancellation deadline. This
-    /// happens twice.
+    /// The store first refuses, or is partitioned from, the leader only, while other nodes
+    /// confirm cancellations. Then it is unavailable to all nodes for 20 to 70 s, which may
+    /// exceed the cancellation deadline. This happens twice.
     pub fn gap(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed.rotate_left(7) ^ GAP_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
@@ -508,7 +516,8 @@
         }
     }
 
-    /// A scenario without faults, the base of the others.
+    /// The base of the other scenarios, without scheduled faults. Rare rate limiting, failed
+    /// boots and slow messages remain.
     pub fn quiet(seed: u64) -> Scenario {
         let activity_end = 200 * SECOND;
         Scenario {
--- a/crates/simulator/src/service_shares.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -112,7 +112,8 @@
     }
 }
 
-/// The service that each class and team received in a run.
+/// The service that each class, each team and the largest jobs of each class received in a
+/// run.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceShares {
     rows: BTreeMap<(Group, String), Served>,
@@ -138,7 +139,7 @@
         add(row.or_default());
     }
 
-    /// Classes and teams that received less than [`MIN_SHARE`].
+    /// Classes, teams and groups of largest jobs that received less than [`MIN_SHARE`].
     pub fn below_minimum(&self) -> Vec<String> {
         let least =
             |((group, _), s): &(&(Group, String), &Served)| s.lowest_checked(group.min_tasks());
@@ -148,7 +149,7 @@
             .collect()
     }
 
-    /// The class or team with the lowest share, and that share.
+    /// The class, team or group of largest jobs with the lowest share, and that share.
     pub fn lowest(&self) -> Option<(String, f64)> {
         let rows = self.rows.iter();
         rows.filter_map(|((g, name), s)| Some((name.clone(), s.lowest_checked(g.min_tasks())?)))
@@ -157,7 +158,7 @@
 }
 
 impl fmt::Display for ServiceShares {
-    /// A Markdown table with the share of the whole run and, in brackets, of the worst
+    /// A Markdown table with the share of the whole run and, in parentheses, of the worst
     /// minute.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         writeln!(f, "| of | {} |", Served::COLUMNS.join(" | "))?;
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -13,7 +13,8 @@
 const API_WATCH_IDLE_TIMEOUT: Micros = 60 * SECOND;
 
 impl Simulation {
-    /// The Kubernetes Job as which a batch job is submitted, if it is.
+    /// In scenarios with Kubernetes ids, gives a batch job the id of a Kubernetes Job. Returns
+    /// the Job if it is created through the API.
     pub(super) fn kube_job(&mut self, job: usize, spec: &mut JobSpec) -> Option<KubernetesJob> {
         let kubernetes_only = match self.scenario.form {
             _ if spec.kind != JobKind::Batch => return None,
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -14,7 +14,7 @@
 use crate::cloud::Cloud;
 use crate::history::OutputHistory;
 use crate::objects::{self, KubernetesJob, Watcher};
-use crate::rules::{Checker, LateLaunches, Limit, MachineIdentity, Violation};
+use crate::rules::{Checker, LateLaunches, Limit, MachineAttributes, Violation};
 use crate::scenario::{Fault, PartitionMode, Scenario, SubmissionForm};
 use crate::service_shares::ServiceShares;
 use crate::store::{SimulatedStore, Watches};
@@ -43,12 +43,12 @@
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
-/// A user repeats a submission that fails for this long.
+/// How long a user retries a failing submission.
 const SUBMISSION_RETRY_TIME: Micros = 60 * SECOND;
 /// One input in this many is preceded by an audit of the leader's derived state. An audit
 /// visits the whole fleet, so audits become rarer as the scale of the scenario grows.
 const INPUTS_PER_AUDIT: u64 = 101;
-/// The store's limits before and after they are reduced during an upgrade. They are so
+/// The store's limits before and after they are lowered, which follows an upgrade. They are so
 /// small that a few dozen placed tasks do not fit in one value.
 const INITIAL_STORE_LIMITS: StoreLimits = StoreLimits {
     max_value_bytes: 2048,
@@ -58,7 +58,7 @@
     max_value_bytes: 700,
     max_txn_ops: 12,
 };
-/// Used by the version that an upgrade replaces.
+/// Tasks per chunk of the version that an upgrade replaces.
 const PREVIOUS_TASKS_PER_CHUNK: u32 = 80;
 const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
 /// Separates the seed of `Simulation::auxiliary_rng` from that of `Simulation::rng`.
@@ -78,7 +78,7 @@
     pub accepted: usize,
     /// Accepted batch jobs that were neither completed nor cancelled.
     pub unfinished: Vec<String>,
-    /// Requests that exceeded a limit of the store.
+    /// Requests that broke the store's protocol: over a limit, or not fenced by the term.
     pub malformed: Vec<String>,
     /// Number of requests that exceeded a limit of the store after the limits had been
     /// reduced without notice.
@@ -89,11 +89,13 @@
     pub stale: Vec<&'static str>,
     /// SHA-256 of all answers to users. Equal seeds give equal digests.
     pub digest: [u8; 32],
-    /// SHA-256 of every start and end of a task on a machine, with its time.
+    /// SHA-256 of every start of a task on a machine, and of every end except by the loss of
+    /// the machine, with its time.
     pub placements: [u8; 32],
     /// SHA-256 of everything that the nodes sent, in order ([`OutputHistory`]).
     pub history: [u8; 32],
-    /// Numbers of Kubernetes Jobs and of ended ones that the API watch showed.
+    /// Numbers of Kubernetes Jobs and of ended ones that the API watch showed, counted again
+    /// after a restart of the watch without a resource version.
     pub watched_objects: (usize, usize),
     /// Number of tasks that were running on a machine when it disappeared.
     pub interrupted_tasks: usize,
@@ -378,7 +380,7 @@
 #[derive(Debug)]
 pub(crate) struct NodeHost {
     pub node: Option<Controller>,
-    /// Incremented at every start of the node. Inputs of an earlier epoch are dropped.
+    /// Incremented whenever the node stops or starts. Inputs of an earlier epoch are dropped.
     pub epoch: u32,
     pub store_refuses_until: Micros,
     pub store_partition_until: Micros,
@@ -520,7 +522,7 @@
 }
 
 /// Sets the limits of the store, the cloud and a controller to those of the largest
-/// supported deployment. No team may use more than a third of the fleet.
+/// supported deployment. Each team with a limit may use a third of the fleet.
 fn large_site_config(mut config: Config, scale: u32) -> Config {
     let max_value_bytes = 16 * 1024;
     for team in config.teams.iter_mut().filter(|t| t.cpus_max > 0.0) {
@@ -842,7 +844,7 @@
 
     fn node_clock(&self, node: usize) -> Timestamp {
         Timestamp {
-            // Monotonic clocks may run up to 0.05% fast.
+            // Each node's monotonic clock runs 0.025% faster than that of the previous node.
             monotonic: SECOND * 1000 + self.now + self.now / 2000 * node as u64 / 2,
             wall: WALL_CLOCK_START + self.now + (node as u64) * SECOND / 10,
         }
@@ -1018,7 +1020,7 @@
                 let types = machine_types(self.scenario.tight_quotas);
                 let of = types.iter().find(|t| t.name == h.machine_type);
                 let (cpus, gpus) = of.map_or((0.0, 0.0), |t| (t.cpus, t.gpus));
-                let place = MachineIdentity {
+                let place = MachineAttributes {
                     machine: machine.clone(),
                     machine_type: h.machine_type,
                     zone: h.zone,
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -104,7 +104,8 @@
     }
 
     /// When a message arrives, and whether its connection stays intact. If not, a request
-    /// arrives without getting a reply, and a reply is lost.
+    /// arrives without getting a reply, and a reply is lost. The connection of a message that
+    /// is held does not stay intact.
     pub(super) fn transit(&mut self, held_until: Micros) -> (Micros, bool) {
         self.transit_from(held_until, false)
     }
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -154,7 +154,7 @@
             .into_iter()
             .filter(|machine| self.workers.contains_key(machine))
             .collect();
-        // Machines of cancelled jobs may be deleted while there is no leader.
+        // Without a recorded leader, a node may still delete machines to end cancelled jobs.
         let leader_now = self.observed_leader(caller.node);
         let deposed = match caller.leader_when_sent.unwrap_or(leader_now) {
             ObservedLeader::ThisNode => false,
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users who submit, poll and cancel jobs by the native protocol.
+//! Users, their requests and the evaluation of answers.
 
 use super::network::Link;
 use super::*;
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -97,7 +97,7 @@
         self
     }
 
-    /// Stores a record as if an earlier controller had written it.
+    /// Stores a record without a watch event. Older revisions become compacted.
     pub fn put<T: serde::Serialize>(&mut self, key: String, record: &T) {
         self.revision += 1;
         let entry = Entry {
@@ -394,7 +394,7 @@
         ))
     }
 
-    /// Keys with a prefix, to inspect the state at the end of a run.
+    /// The keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let keys = self.keys.keys();
         keys.filter(|k| k.starts_with(prefix)).cloned().collect()
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -1,6 +1,6 @@
 //! A simulated worker: the agent of one machine.
 
-use crate::rules::MachineIdentity;
+use crate::rules::MachineAttributes;
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec};
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Worker {
     pub name: String,
-    pub place: MachineIdentity,
+    pub place: MachineAttributes,
     cpus: f64,
     gpus: f64,
     pub incarnation: u64,
@@ -72,7 +72,7 @@
 }
 
 impl Worker {
-    pub fn new(place: MachineIdentity, cpus: f64, gpus: f64, now: Micros, node: usize) -> Self {
+    pub fn new(place: MachineAttributes, cpus: f64, gpus: f64, now: Micros, node: usize) -> Self {
         Worker {
             name: place.machine.clone(),
             place,
@@ -219,7 +219,7 @@
         events
     }
 
-    /// Ends all tasks on the machine.
+    /// Removes all attempts on the machine. Returns an event for each running one.
     pub fn kill(&mut self) -> Vec<WorkerEvent> {
         std::mem::take(&mut self.attempts)
             .into_iter()
--- a/crates/simulator/tests/rule_checker.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -1,7 +1,8 @@
-//! The checker reports a planted violation of each rule, and no other violation.
+//! The checker reports a planted violation of each rule that it detects itself, and no other
+//! violation.
 
 use dillcleat_controller::SECOND;
-use dillcleat_simulator::rules::{Limit, MachineCapacity, MachineIdentity};
+use dillcleat_simulator::rules::{Limit, MachineAttributes, MachineCapacity};
 use dillcleat_simulator::{Checker, Rule};
 use dillcleat_wire::TaskName;
 use dillcleat_wire::user::{JobKind, JobSpec, JobState};
@@ -15,8 +16,8 @@
     }
 }
 
-fn place(machine: &str, zone: &str, spot: bool) -> MachineIdentity {
-    MachineIdentity {
+fn place(machine: &str, zone: &str, spot: bool) -> MachineAttributes {
+    MachineAttributes {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: zone.into(),
@@ -58,11 +59,11 @@
     c
 }
 
-type ReportViolation = fn(&mut Checker);
+type PlantViolation = fn(&mut Checker);
 
 #[test]
-fn each_rule_reports_a_planted_violation() {
-    let planted: [(Rule, u32, ReportViolation); 22] = [
+fn each_rule_detected_by_the_checker_reports_a_planted_violation() {
+    let planted: [(Rule, u32, PlantViolation); 22] = [
         (Rule::RanTwice, 2, |c| {
             c.task_started(&task(0), &place("x", "a", false), 1);
             c.task_started(&task(0), &place("y", "b", false), 2);
