--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -74,11 +74,11 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Heartbeats of the whole fleet at once, after a period without replies
+    /// Heartbeats of the whole fleet at once, after a network outage
     Herd {
         #[arg(long, default_value_t = 10_000)]
         machines: u32,
-        /// Seconds for which no heartbeat is answered
+        /// Duration of the outage in seconds, in which heartbeats and commands are lost
         #[arg(long, default_value_t = 12.0)]
         silence: f64,
         /// The part of a processor that the controller has
@@ -216,13 +216,13 @@
         println!("| {kind} | {} | {growth} |", cells.join(" | "));
     }
     println!(
-        "\n| {size_name} | starts | ends | state calls a start | bytes written a start | refused (429) \
-         | longest input, ms (before it was measured) | held, MB |"
+        "\n| {size_name} | launches | completions | store calls per launch | bytes written per launch \
+         | refused (429) | longest input, ms (before it was measured) | held, MB |"
     );
     println!("|{}", " --- |".repeat(8));
     for r in runs {
         let m = &r.measured;
-        let starts = m.launches.max(1) as f64;
+        let launches = m.launches.max(1) as f64;
         let longest = r
             .input_times
             .values()
@@ -234,8 +234,8 @@
             r.size,
             m.launches,
             m.completions,
-            m.store_calls as f64 / starts,
-            m.transaction_bytes as f64 / starts,
+            m.store_calls as f64 / launches,
+            m.transaction_bytes as f64 / launches,
             m.rate_limited_calls,
             longest as f64 / 1e6,
             r.longest_before as f64 / 1e6,
@@ -243,7 +243,7 @@
         );
         if !m.malformed.is_empty() || m.expired_leases > 0 {
             println!(
-                "{} malformed requests, {} leases lost",
+                "{} malformed requests, {} leases expired",
                 m.malformed.len(),
                 m.expired_leases
             );
@@ -267,7 +267,7 @@
         time(m.all_machines_answered)
     );
     println!(
-        "leases lost for want of an answer: {}; the least left of one: {:.1} s",
+        "leases expired: {}; minimum remaining time: {:.1} s",
         m.expired_leases,
         seconds(m.min_lease_remaining)
     );
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -15,8 +15,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Prints a table for each run; fails if a class or team received less than half of the
-/// requested service.
+/// Prints a table for each run; fails if a class, a team or the largest jobs of a class
+/// received less than half of the requested service.
 #[derive(Parser)]
 struct Args {
     /// Directories of runs: each report NAME.json has its log in NAME.log
