--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -74,7 +74,7 @@
             spot: false,
             ..JobSpec::plain(id, kind, 2, 1.0)
         },
-        run: 2 * SECOND,
+        run_time: 2 * SECOND,
         fails: false,
     }
 }
@@ -88,7 +88,7 @@
     world.set_behaviour(play("req-1", JobKind::Batch));
     world.set_behaviour(play("req-2", JobKind::Service));
     world.set_behaviour(TaskBehaviour {
-        run: 8 * SECOND,
+        run_time: 8 * SECOND,
         ..play("req-3", JobKind::Batch)
     });
     world.set_behaviour(play("req-4", JobKind::Batch));
--- a/crates/simulator/examples/api_equivalence.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use dillcleat_controller::{Config, Input, MILLISECOND, Micros, RequestId, SECOND, Tuning};
 use dillcleat_kube::record::{JobState, Kind, Name, Record};
-use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::objects::api_settings_with_limits;
 use dillcleat_simulator::simulation::base_config;
 use dillcleat_simulator::single_node::{Event, SingleNode, WALL_CLOCK_START, api_request};
 use dillcleat_simulator::store::SimulatedStore;
@@ -84,10 +84,10 @@
 fn measure_creates(label: &str, config: Config, native: bool, seconds: u64, offered: u64) {
     let mut node = SingleNode::new(
         config,
-        rules_for(1_000_000, 10),
+        api_settings_with_limits(1_000_000, 10),
         SimulatedStore::new(16 * 1024, 48),
     );
-    node.until(10 * SECOND);
+    node.run_until(10 * SECOND);
     let (start, calls) = (node.now, node.calls);
     node.processing_time = Duration::ZERO;
     let mut first_sent_at: BTreeMap<u64, Micros> = BTreeMap::new();
@@ -122,7 +122,7 @@
     let end = start + seconds * SECOND;
     while node.now < end {
         let next = node.now + 10 * MILLISECOND;
-        node.until(next);
+        node.run_until(next);
         for (id, reply) in std::mem::take(&mut node.answers) {
             if reply.status == 201 {
                 accepted += 1;
@@ -148,7 +148,7 @@
 }
 
 fn measure_watchers(watchers: u64, objects: u64, changes: u64) {
-    let mut state = SimulatedStore::new(16 * 1024, 48);
+    let mut store = SimulatedStore::new(16 * 1024, 48);
     for i in 0..objects {
         let mut manifest = manifest(i);
         for (key, value) in [
@@ -174,12 +174,12 @@
             namespace: "free".into(),
             name: format!("job-{i}"),
         };
-        state.put(name.key(), &record);
+        store.put(name.key(), &record);
     }
     let before = allocated_bytes();
-    let rules = rules_for(objects as usize + 1, watchers as usize);
-    let mut node = SingleNode::new(single_node_config(500.0, 200.0), rules, state);
-    node.until(10 * SECOND);
+    let rules = api_settings_with_limits(objects as usize + 1, watchers as usize);
+    let mut node = SingleNode::new(single_node_config(500.0, 200.0), rules, store);
+    node.run_until(10 * SECOND);
     let (cached_objects, _) = node
         .controller
         .api_server
@@ -201,7 +201,7 @@
         let ask = api_request("GET", &target, &Value::Null);
         node.schedule(node.now, Event::ApiRequest(RequestId(1_000_000 + i), ask));
     }
-    node.until(node.now + SECOND);
+    node.run_until(node.now + SECOND);
     let (_, open_watches) = node
         .controller
         .api_server
@@ -212,9 +212,9 @@
         (allocated_bytes() - before) as f64 / 1e6
     );
     let idle = node.calls;
-    node.until(node.now + 10 * SECOND);
+    node.run_until(node.now + 10 * SECOND);
     println!(
-        "store calls a second with nothing to tell: {:.1}",
+        "store calls a second while idle: {:.1}",
         (node.calls - idle) as f64 / 10.0
     );
     let mut busy = Histogram::<u64>::new(3).expect("a histogram");
@@ -231,7 +231,7 @@
             Event::ApiRequest(RequestId(i), api_request("PATCH", &target, &body)),
         );
         node.processing_time = Duration::ZERO;
-        node.until(node.now + 50 * MILLISECOND);
+        node.run_until(node.now + 50 * MILLISECOND);
         let _ = busy.record(node.processing_time.as_micros() as u64);
     }
     let mut answers = node.answers.iter();
@@ -240,12 +240,12 @@
     }
     let spent = (node.now - started) as f64 / 1e6;
     println!(
-        "{changes} changes in {spent:.0} s: {} lines told, {:.1} store calls a change",
+        "{changes} changes in {spent:.0} s: {} lines sent, {:.1} store calls a change",
         node.chunks - lines,
         (node.calls - calls) as f64 / changes as f64,
     );
     println!(
-        "from the request to the line of the last watcher, of the controller's own time: p50 {} us, p99 {} us",
+        "from the request to the line of the last watcher, processing time of the controller: p50 {} us, p99 {} us",
         busy.value_at_quantile(0.5),
         busy.value_at_quantile(0.99),
     );
@@ -255,7 +255,7 @@
     match Args::parse().command {
         Command::Creates { seconds, offered } => {
             println!(
-                "| deployment | form | accepted a second | turned away a second | p50, ms | p99, ms | store calls a create | own time a request, us |"
+                "| deployment | form | accepted a second | rejected a second | p50, ms | p99, ms | store calls a create | processing time a request, us |"
             );
             println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
             for (label, rps, writes) in [("small", 200.0, 80.0), ("fleet", 500.0, 200.0)] {
--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -19,7 +19,7 @@
     #[arg(long, value_enum, default_value_t = Form::Native)]
     form: Form,
     /// The kind of faults in the scenarios
-    #[arg(long = "troubles", value_name = "TROUBLES", value_enum, default_value_t = Faults::Random)]
+    #[arg(long = "troubles", value_name = "TROUBLES", value_enum, default_value_t = Faults::AdditionalFaults)]
     faults: Faults,
 }
 
@@ -27,7 +27,7 @@
 enum Faults {
     /// Random faults, with paused nodes, slow boots and overload
     #[value(name = "troubled")]
-    Random,
+    AdditionalFaults,
     /// Network partitions of the leader's zone with its controllers
     #[value(name = "cut-off")]
     Partition,
@@ -86,7 +86,7 @@
                         return;
                     }
                     let scenario = match args.faults {
-                        Faults::Random => Scenario::troubled(seed),
+                        Faults::AdditionalFaults => Scenario::troubled(seed),
                         Faults::Partition => Scenario::cut_off(seed),
                         Faults::Pipelines => Scenario::pipelines(seed),
                         Faults::Combined => Scenario::meetings(seed),
@@ -138,35 +138,32 @@
     });
     let refused = refused.into_inner();
     if refused > 0 {
-        println!("{refused} requests met limits that had fallen");
+        println!("{refused} requests exceeded the lowered limits");
     }
     let late_deletions = late_deletions.into_inner();
     if late_deletions > 0 {
-        println!("{late_deletions} machines went by calls that came late");
+        println!("{late_deletions} machines were deleted by late calls");
     }
     let (launches, starts) = (launches.into_inner(), starts.into_inner());
     if launches + starts > 0 {
         println!(
-            "after a confirmed cancellation {launches} starts were sent, and {starts} tasks started"
+            "after a confirmed cancellation {launches} launches were sent, and {starts} tasks started"
         );
         let (launches, starts, seed) = most_late.into_inner().expect("no holder panics");
-        println!("most of it on day {seed}: {launches} and {starts}");
+        println!("most of it with seed {seed}: {launches} and {starts}");
     }
     let irregular = irregular.into_inner();
     if irregular > 0 {
-        println!("{irregular} odd requests were made");
+        println!("{irregular} irregular requests were made");
     }
     if let Some((name, share, seed)) = least_served.into_inner().expect("no holder panics") {
-        println!("least served: {name}, {share:.3}, on day {seed}");
+        println!("least served: {name}, {share:.3}, with seed {seed}");
     }
     let failed_runs = failed_runs.into_inner();
     let (watched_jobs, watched_ends) = (watched_jobs.into_inner(), watched_ends.into_inner());
-    println!(
-        "{} days, {failed_runs} with something wrong",
-        args.to - args.from
-    );
+    println!("{} days, {failed_runs} failed", args.to - args.from);
     if form != SubmissionForm::Native {
-        println!("a watcher was told of {watched_jobs} objects and {watched_ends} ends");
+        println!("a watcher received {watched_jobs} objects and {watched_ends} ends");
     }
     if failed_runs == 0 {
         ExitCode::SUCCESS
--- a/crates/simulator/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -76,7 +76,7 @@
                     if seed >= to {
                         return;
                     }
-                    let digest = Simulation::new(scenario(seed)).run().history;
+                    let digest = Simulation::new(scenario(seed)).run().output_digest;
                     digests.lock().expect("no holder panics")[(seed - from) as usize] = digest;
                 }
             });
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -39,22 +39,22 @@
 }
 
 fn print(outcome: &Outcome) {
-    println!("machines up at once, the most: {}", outcome.peak_machines);
+    println!("machines up, maximum: {}", outcome.peak_machines);
     println!("starts: {}", outcome.starts);
     println!("jobs accepted: {}", outcome.accepted);
     println!("leaders elected: {}", outcome.leaders_elected);
     println!(
-        "tasks that ran on machines that went: {}",
+        "tasks interrupted by the loss of their machine: {}",
         outcome.interrupted_tasks
     );
-    println!("calls to the state service: {}", outcome.store_calls);
+    println!("calls to the store: {}", outcome.store_calls);
     let megabytes = outcome.peak_node_bytes as f64 / 1e6;
-    println!("held by a controller at its end, the most: {megabytes:.1} MB");
+    println!("held by a controller when it stopped, maximum: {megabytes:.1} MB");
     println!("rules broken: {:?}", outcome.violations);
     println!("requests over a limit: {:?}", outcome.malformed);
     println!("jobs unfinished: {:?}", outcome.unfinished);
     println!("keys left behind: {}", outcome.leftover_keys.len());
-    println!("indexes not as if made anew: {:?}", outcome.stale);
+    println!("indexes that differ from a rebuild: {:?}", outcome.stale);
     println!("starved: {:?}", outcome.service_shares.below_minimum());
     println!("\n{}", outcome.service_shares);
     for (kind, (count, time)) in &outcome.costs {
--- a/crates/simulator/examples/quickstart.rs
+++ b/crates/simulator/examples/quickstart.rs
@@ -42,7 +42,7 @@
         key.token(&token)
     );
     let controllers = ThreeProcesses::start(&args.program, &args.dir, &kube)?;
-    println!("Three controllers run over stand-ins on loopback. In another shell:\n");
+    println!("Three controllers run with simulated services on loopback. In another shell:\n");
     println!(
         "  export DILLCLEAT_SERVER=http://{}",
         controllers.kube_addrs[0]
@@ -57,7 +57,7 @@
         "\nThe other two: http://{} http://{}",
         controllers.kube_addrs[1], controllers.kube_addrs[2]
     );
-    println!("\nBy the users' own protocol, one job after another:\n");
+    println!("\nBy the native protocol, one job after another:\n");
     for (job, after) in [("req-000001", ""), ("req-000002", " --after req-000001")] {
         println!(
             "  {} submit --server {} {job} --class scan --team books --image img{after}",
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -50,8 +50,8 @@
     up: Option<f64>,
 }
 
-/// A job array that the log reports as accepted.
-struct Array<'a> {
+/// A batch job that the log reports as accepted.
+struct BatchJob<'a> {
     tasks: f64,
     class: &'a str,
     team: &'a str,
@@ -74,13 +74,13 @@
 
 /// Parses the message `job accepted job=JOB tasks=N class=CLASS team=TEAM`, with `deadline_s=S`
 /// and `depends_on=JOB,JOB` where it has them.
-fn array(at: Micros, text: &str) -> Option<(&str, Array<'_>)> {
+fn array(at: Micros, text: &str) -> Option<(&str, BatchJob<'_>)> {
     let due = match field(text, "deadline_s") {
         Some(deadline_s) => Some(at + seconds(deadline_s)?),
         None => None,
     };
     let dependencies = field(text, "depends_on").unwrap_or("");
-    let array = Array {
+    let array = BatchJob {
         tasks: field(text, "tasks")?.parse().ok()?,
         class: field(text, "class")?,
         team: field(text, "team")?,
@@ -94,7 +94,7 @@
 }
 
 /// Gives the stages of a pipeline, which have no deadline, that of its last job.
-fn propagate_deadlines(arrays: &mut BTreeMap<&str, Array>) {
+fn propagate_deadlines(arrays: &mut BTreeMap<&str, BatchJob>) {
     let deadlines: Vec<(&str, Micros)> = arrays
         .iter()
         .filter_map(|(job, a)| Some((*job, a.due?)))
@@ -114,7 +114,7 @@
 }
 
 fn shares(report: &RunReport, log: &str) -> ServiceShares {
-    let mut arrays: BTreeMap<&str, Array> = BTreeMap::new();
+    let mut arrays: BTreeMap<&str, BatchJob> = BTreeMap::new();
     let mut done: BTreeMap<&str, Micros> = BTreeMap::new();
     let mut cancelled = BTreeSet::new();
     for line in log.lines() {
@@ -146,13 +146,13 @@
         let ended = done.get(job).filter(|at| **at <= end);
         let completed = f64::from(u8::from(ended.is_some()));
         let in_time = f64::from(u8::from(ended.is_some_and(|at| *at <= due)));
-        shares.count(a.class, a.team, |s| {
+        shares.add_for_class_and_team(a.class, a.team, |s| {
             s.work.add(due, a.tasks, a.tasks * completed);
             s.in_time.add(due, 1.0, in_time);
         });
     }
     for (class, class_report) in &report.classes {
-        shares.count_class(class, |s| {
+        shares.add_for_class(class, |s| {
             s.answers.add(0, class_report.jobs, class_report.accepted);
             if let Some(up) = class_report.up {
                 let time = class_report.jobs * report.duration_s;
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -9,11 +9,11 @@
 
 /// A rented machine.
 #[derive(Debug, Clone)]
-pub struct Host {
+pub struct RentedMachine {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub since: Micros,
+    pub rented_at: Micros,
     /// When it has booted; None if it never does.
     pub up_at: Option<Micros>,
 }
@@ -21,20 +21,23 @@
 #[derive(Debug)]
 pub struct Cloud {
     pub types: Vec<MachineType>,
-    pub hosts: BTreeMap<String, Host>,
+    pub machines: BTreeMap<String, RentedMachine>,
     /// Machines left to rent, by type, zone and whether they are spot instances.
     capacity: BTreeMap<(String, String, bool), u32>,
     /// Machines rented for each scale-out request, which is idempotent.
     scale_outs: BTreeMap<String, Vec<String>>,
     /// Number in the name of the next machine.
-    next_host: u64,
+    next_machine: u64,
     list_lag: Micros,
     /// Recorded lists of the machines, oldest first; the oldest is served.
     lists: VecDeque<(Micros, Vec<ListedMachine>)>,
-    pub out_until: Micros,
+    pub outage_until: Micros,
 }
 
 impl Cloud {
+    /// Interval between two recorded lists.
+    pub const LIST_INTERVAL: Micros = SECOND;
+
     pub fn new(types: Vec<MachineType>, machines_per_offering: u32, list_lag: Micros) -> Self {
         let mut capacity = BTreeMap::new();
         for t in &types {
@@ -46,19 +49,19 @@
         }
         Cloud {
             types,
-            hosts: BTreeMap::new(),
+            machines: BTreeMap::new(),
             capacity,
             scale_outs: BTreeMap::new(),
-            next_host: 0,
+            next_machine: 0,
             list_lag,
             lists: VecDeque::new(),
-            out_until: 0,
+            outage_until: 0,
         }
     }
 
     /// Removes a machine and returns it to the capacity. False if there is none.
     pub fn remove(&mut self, name: &str) -> bool {
-        let Some(h) = self.hosts.remove(name) else {
+        let Some(h) = self.machines.remove(name) else {
             return false;
         };
         if let Some(n) = self.capacity.get_mut(&(h.machine_type, h.zone, h.spot)) {
@@ -70,7 +73,7 @@
     /// Records the current list of machines, to be served after the list lag.
     pub fn record_list(&mut self, now: Micros) {
         let list = self
-            .hosts
+            .machines
             .iter()
             .map(|(name, h)| ListedMachine {
                 name: name.clone(),
@@ -99,7 +102,7 @@
         now: Micros,
         boot: impl Fn(&str) -> Option<Micros>,
     ) -> (CloudResponse, Vec<String>, Vec<String>) {
-        if now < self.out_until {
+        if now < self.outage_until {
             return (CloudResponse::Refused { status: 503 }, vec![], vec![]);
         }
         match call {
@@ -119,16 +122,16 @@
                 }
                 let mut names = Vec::new();
                 for _ in 0..n {
-                    let name = format!("host-{:06}", self.next_host);
-                    self.next_host += 1;
-                    let host = Host {
+                    let name = format!("host-{:06}", self.next_machine);
+                    self.next_machine += 1;
+                    let machine = RentedMachine {
                         machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
-                        since: now,
+                        rented_at: now,
                         up_at: boot(&name).map(|d| now + d),
                     };
-                    self.hosts.insert(name.clone(), host);
+                    self.machines.insert(name.clone(), machine);
                     names.push(name);
                 }
                 self.scale_outs.insert(r.request.clone(), names.clone());
@@ -152,7 +155,4 @@
             }
         }
     }
-
-    /// Interval between two recorded lists.
-    pub const LIST_INTERVAL: Micros = SECOND;
 }
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -60,11 +60,11 @@
 
 /// Long periods of demanding user behaviour, which overlap the other faults. Each kind
 /// occurs in a half or a third of the runs.
-fn user_behaviours(rng: &mut Rng, busy: Micros) -> Vec<(Micros, Fault)> {
+fn user_behaviours(rng: &mut Rng, activity_end: Micros) -> Vec<(Micros, Fault)> {
     let mut faults = Vec::new();
     for kind in 0..4 {
-        let at = rng.u64(5 * SECOND..busy / 2);
-        let time = rng.u64(60 * SECOND..busy);
+        let at = rng.u64(5 * SECOND..activity_end / 2);
+        let time = rng.u64(60 * SECOND..activity_end);
         let percent = rng.u8(10..50);
         let fault = match kind {
             0 => Fault::ExtraRequests { time },
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -10,12 +10,12 @@
 
 impl Simulation {
     /// Draws `n` machines.
-    fn some_machines(&mut self, n: usize) -> Vec<String> {
-        self.some_machines_of(n, None)
+    fn random_machines(&mut self, n: usize) -> Vec<String> {
+        self.random_machines_in(n, None)
     }
 
     /// Draws `n` machines, of one zone if one is given.
-    fn some_machines_of(&mut self, n: usize, zone: Option<usize>) -> Vec<String> {
+    fn random_machines_in(&mut self, n: usize, zone: Option<usize>) -> Vec<String> {
         let zone = zone.map(|z| ZONES[z % ZONES.len()]);
         let in_zone = |w: &&Worker| zone.is_none_or(|z| w.place.zone == z);
         let workers = self.workers.values().filter(in_zone);
@@ -40,11 +40,11 @@
         self.schedule(restart_at, Event::StartNode { node });
     }
 
-    /// Starts a fault.
-    pub(crate) fn fault(&mut self, fault: Fault) {
+    pub(crate) fn start_fault(&mut self, fault: Fault) {
         let now = self.now;
         let count = self.nodes.len();
         let term = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
+        // The last node if none leads.
         let leader = (0..count).max_by_key(|n| term(&self.nodes[*n]));
         let index_of = |node: usize| match node {
             LEADER => leader.unwrap_or(0),
@@ -96,14 +96,14 @@
                 };
             }
             Fault::Hang { machines, time } => {
-                for name in self.some_machines(machines) {
+                for name in self.random_machines(machines) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.hung_until = now + time;
                     }
                 }
             }
             Fault::InboundLoss { machines, time } => {
-                for name in self.some_machines(machines) {
+                for name in self.random_machines(machines) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.inbound_lost_until = now + time;
                     }
@@ -114,18 +114,18 @@
                 zone,
                 time,
             } => {
-                for name in self.some_machines_of(machines, zone) {
+                for name in self.random_machines_in(machines, zone) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.heartbeats_lost_until = now + time;
                     }
                 }
             }
             Fault::MachineFailure { machines } => {
-                let names = self.some_machines(machines);
+                let names = self.random_machines(machines);
                 self.fail_machines(names);
             }
             Fault::ZoneMachineFailure { machines, zone } => {
-                let names = self.some_machines_of(machines, Some(zone));
+                let names = self.random_machines_in(machines, Some(zone));
                 self.fail_machines(names);
             }
             Fault::SpotPreemption { notice } => {
@@ -144,7 +144,7 @@
                     self.schedule(at, Event::MachinePreempted { machine });
                 }
             }
-            Fault::CloudOutage { time } => self.cloud.out_until = now + time,
+            Fault::CloudOutage { time } => self.cloud.outage_until = now + time,
             Fault::UnreliableNetwork { time } => self.unreliable_network_until = now + time,
             Fault::BootDelays {
                 time,
@@ -181,7 +181,7 @@
                 self.heartbeats_for_next_leader = FaultWindow::new(now + time, percent);
             }
             Fault::FaultyMachine => {
-                for name in self.some_machines(1) {
+                for name in self.random_machines(1) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.faulty = true;
                     }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,7 +7,7 @@
 //! to rent. Each job that ends is replaced by a new one, which keeps the number of waiting
 //! tasks about constant.
 
-use crate::cloud::{Cloud, Host};
+use crate::cloud::{Cloud, RentedMachine};
 use crate::rules::MachineAttributes;
 use crate::store::{PageLimit, SimulatedStore, Watches};
 use crate::worker::{HEARTBEAT_TIMEOUT, TaskBehaviour, Worker, WorkerEvent};
@@ -34,7 +34,7 @@
 const TEAMS: usize = 12;
 const MACHINE_TYPE: &str = "sixteen";
 const CPUS_PER_MACHINE: f64 = 16.0;
-const MEAN_TASKS_PER_ARRAY: u32 = 60;
+const MEAN_TASKS_PER_BATCH_JOB: u32 = 60;
 const REPLICAS_PER_SERVICE: u32 = 8;
 /// One machine in this many is on-demand. These machines run the services.
 const MACHINES_PER_ON_DEMAND: u32 = 5;
@@ -161,7 +161,7 @@
     /// The controller has finished its current input.
     NodeIdle,
     /// Records the cloud's list of machines and replaces ended jobs.
-    EverySecond,
+    RecordCloudListAndRefill,
 }
 
 /// A token bucket with a burst of one second's worth of tokens.
@@ -358,14 +358,14 @@
                 spot: place.spot,
             };
             self.store.put(records::machine_key(&name), &record);
-            let host = Host {
+            let machine = RentedMachine {
                 machine_type: MACHINE_TYPE.into(),
                 zone: place.zone.clone(),
                 spot: place.spot,
-                since: 0,
+                rented_at: 0,
                 up_at: Some(0),
             };
-            self.cloud.hosts.insert(name.clone(), host);
+            self.cloud.machines.insert(name.clone(), machine);
             self.worker_indices.insert(name, i);
             let worker = Worker::new(place, CPUS_PER_MACHINE, 0.0, self.now, 0);
             self.workers.push(worker);
@@ -398,7 +398,7 @@
         }
         self.open_jobs = self.store.keys(records::OPEN_JOBS_PREFIX).len();
         self.schedule(self.now, Event::Tick);
-        self.schedule(self.now + SECOND, Event::EverySecond);
+        self.schedule(self.now + SECOND, Event::RecordCloudListAndRefill);
     }
 
     /// Draws the next job. Its tasks are sized so that `tasks_per_machine` of them fill a
@@ -411,7 +411,7 @@
             REPLICAS_PER_SERVICE
         } else {
             self.rng
-                .u32(MEAN_TASKS_PER_ARRAY / 3..=MEAN_TASKS_PER_ARRAY * 5 / 3)
+                .u32(MEAN_TASKS_PER_BATCH_JOB / 3..=MEAN_TASKS_PER_BATCH_JOB * 5 / 3)
         };
         let cpus = CPUS_PER_MACHINE / f64::from(self.settings.tasks_per_machine);
         let spec = JobSpec {
@@ -430,7 +430,7 @@
         };
         let behaviour = TaskBehaviour {
             spec: spec.clone(),
-            run: self
+            run_time: self
                 .rng
                 .u64(self.settings.mean_run_time / 2..self.settings.mean_run_time * 3 / 2),
             fails: false,
@@ -461,7 +461,7 @@
         while !slots.is_empty() {
             let spec = self.new_job(kind);
             self.store_job(&spec);
-            let run_time = self.behaviours.get(&spec.id).map_or(0, |b| b.run);
+            let run_time = self.behaviours.get(&spec.id).map_or(0, |b| b.run_time);
             let mut chunk = TaskChunk::default();
             for index in 0..spec.tasks.min(slots.len() as u32) {
                 let Some(machine) = slots.pop() else {
@@ -540,11 +540,11 @@
         // As in the real process, heartbeats have a queue of their own with lower priority.
         let heartbeat = matches!(&input, Input::Request { target, .. } if target == HEARTBEAT_PATH);
         self.input_queues[usize::from(heartbeat)].push_back(input);
-        self.serve();
+        self.process_queued_inputs();
     }
 
     /// Passes queued inputs to the controller while it is idle.
-    fn serve(&mut self) {
+    fn process_queued_inputs(&mut self) {
         while self.now >= self.busy_until {
             let [others, heartbeats] = &mut self.input_queues;
             let Some(input) = others.pop_front().or_else(|| heartbeats.pop_front()) else {
@@ -711,7 +711,7 @@
             Event::NodeInput(input) => self.enqueue(*input),
             Event::NodeIdle => {
                 self.idle_scheduled = false;
-                self.serve();
+                self.process_queued_inputs();
             }
             Event::StoreCall { id, call } => self.store_call(id, &call),
             Event::WatchTimeout { watch } => {
@@ -752,10 +752,13 @@
                 incarnation,
                 answer,
             } => self.heartbeat_answered(machine, sent, incarnation, &answer),
-            Event::EverySecond => {
+            Event::RecordCloudListAndRefill => {
                 self.cloud.record_list(self.now);
                 self.refill();
-                self.schedule(self.now + Cloud::LIST_INTERVAL, Event::EverySecond);
+                self.schedule(
+                    self.now + Cloud::LIST_INTERVAL,
+                    Event::RecordCloudListAndRefill,
+                );
             }
         }
     }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -43,11 +43,11 @@
                 && key.starts_with(dillcleat_controller::records::OPEN_JOBS_PREFIX)
                 && let Some(open) = dillcleat_wire::store::decode_value::<OpenJob>(value)
             {
-                let run = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
+                let run_time = dillcleat_controller::micros(open.spec.estimate_s.max(1.0));
                 let id = open.spec.id.clone();
                 self.behaviours.entry(id).or_insert(TaskBehaviour {
                     spec: open.spec,
-                    run,
+                    run_time,
                     fails: false,
                 });
             }
@@ -196,7 +196,7 @@
             inner.workers.remove(&name);
         }
         for name in new {
-            let Some(h) = inner.cloud.hosts.get(&name).cloned() else {
+            let Some(h) = inner.cloud.machines.get(&name).cloned() else {
                 continue;
             };
             let cpus = inner
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -13,20 +13,20 @@
 pub const TOKEN: &str = "a-token-for-rehearsals";
 
 /// The signing key of every simulated cluster.
-fn key() -> SigningKey {
+fn signing_key() -> SigningKey {
     // 32 bytes in hexadecimal form always parse.
     SigningKey::parse(&"5c".repeat(32)).unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// The default settings of the simulated Kubernetes API.
-pub fn rules() -> Rules {
-    rules_for(5_000, 500)
+pub fn api_settings() -> Rules {
+    api_settings_with_limits(5_000, 500)
 }
 
 /// Settings with the given limits and two tokens: [`TOKEN`] permits everything, and
 /// [`TOKEN`] followed by `-r` permits reads only.
-pub fn rules_for(objects: usize, watches: usize) -> Rules {
-    let key = key();
+pub fn api_settings_with_limits(objects: usize, watches: usize) -> Rules {
+    let key = signing_key();
     let token = |name: &str, secret: &str, verbs: &str| {
         let mac = key.token(secret);
         format!(
@@ -98,7 +98,7 @@
             namespace: spec.team.clone(),
             name: format!("job-{number}"),
         };
-        let key = key();
+        let key = signing_key();
         let uid = key.uid("jobs", &name.namespace, &name.name, 1);
         spec.id = key.job(&name.namespace, &name.name, &uid);
         let mut job = KubernetesJob {
--- a/crates/simulator/src/history.rs
+++ b/crates/simulator/src/output_digest.rs
@@ -28,11 +28,11 @@
 
 /// The incremental digest of one run.
 #[derive(Debug, Default)]
-pub struct OutputHistory {
+pub struct OutputDigest {
     digest: Sha256,
 }
 
-impl OutputHistory {
+impl OutputDigest {
     /// Adds one output of a node and the simulated time at which it was produced.
     pub fn record(&mut self, now: Micros, node: usize, output: &ControllerOutput) {
         self.number(now);
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -58,8 +58,7 @@
     Ok((addrs.collect::<io::Result<_>>()?, listeners))
 }
 
-/// Polls the condition until it is true. Panics, as a test does, if that takes over a
-/// minute.
+/// Polls the condition until it is true. Panics if that takes over a minute.
 pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
@@ -87,8 +86,9 @@
     }
 }
 
-/// The settings file of controller `i`. Without a `world` its store and cloud are
-/// unreachable.
+/// The settings file of controller `i`. Without a `world` the addresses of its
+/// store and cloud are those of a peer port, where neither answers. `new_field` is an unknown
+/// field, which controllers must ignore.
 pub fn settings(
     i: usize,
     clients: &[SocketAddr],
@@ -130,7 +130,7 @@
 }
 
 impl ThreeProcesses {
-    /// `kube` is the content of the `kube` settings table besides the listen address.
+    /// `kube` is the rest of the `kube` table of the tuning file, after the listen address.
     pub fn start(program: &Path, dir: &Path, kube: &str) -> io::Result<ThreeProcesses> {
         let (addrs, listeners) = free_addrs(9)?;
         let three = |i: usize| addrs[3 * i..3 * i + 3].to_vec();
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -90,9 +90,9 @@
     /// Indices of its completed tasks.
     completed: BTreeSet<u32>,
     first_start: Option<Micros>,
-    /// Since when, by the checks so far, one of its tasks has waited although a machine has
-    /// free capacity.
-    waiting_beside_capacity_since: Option<Micros>,
+    /// Since when consecutive checks found a waiting task and a suitable machine with free
+    /// capacity.
+    waiting_with_free_capacity_since: Option<Micros>,
     /// Since when every poll for it has failed, and the counts of all polls at that time.
     failing_since: Option<(Micros, PollCounts)>,
 }
@@ -177,12 +177,8 @@
         }
     }
 
-    /// Records a violation that was detected outside the checker.
+    /// Records a violation, also one that was detected outside the checker.
     pub fn report_violation(&mut self, rule: Rule, at: Micros, what: String) {
-        self.violation(rule, at, what);
-    }
-
-    fn violation(&mut self, rule: Rule, at: Micros, what: String) {
         self.violations.push(Violation { rule, at, what });
     }
 
@@ -195,7 +191,7 @@
             done_reported_at: None,
             completed: BTreeSet::new(),
             first_start: None,
-            waiting_beside_capacity_since: None,
+            waiting_with_free_capacity_since: None,
             failing_since: None,
         });
     }
@@ -206,8 +202,9 @@
         }
     }
 
-    /// Records the answer to a submission that was sent at `sent`. Every node must
-    /// already take into account the answers that users received before that time.
+    /// Records the answer to a submission that was sent at `sent`. An answer
+    /// that a user received before that time binds all nodes: a job accepted by then must be
+    /// known.
     pub fn submission_answered(
         &mut self,
         id: &str,
@@ -220,7 +217,7 @@
         match (status, self.jobs.get_mut(id)) {
             (201, Some(job)) if already_accepted(job) => {
                 let what = format!("{id}: repeated submission of an accepted job answered 201");
-                self.violation(Rule::AcceptedJobLost, now, what);
+                self.report_violation(Rule::AcceptedJobLost, now, what);
             }
             (200 | 201, Some(job)) => {
                 job.accepted.get_or_insert(now);
@@ -231,7 +228,7 @@
             (400 | 422, Some(job)) if already_accepted(job) => {
                 let what =
                     format!("{id}: repeated submission of an accepted job answered {status}");
-                self.violation(Rule::AcceptedJobLost, now, what);
+                self.report_violation(Rule::AcceptedJobLost, now, what);
             }
             _ => {}
         }
@@ -249,7 +246,7 @@
     ) {
         if status != expected && !matches!(status, 0 | 429 | 503) {
             let what = format!("{id}: invalid submission answered {status}, expected {expected}");
-            self.violation(Rule::WrongAdmission, now, what);
+            self.report_violation(Rule::WrongAdmission, now, what);
         }
     }
 
@@ -265,7 +262,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 {
-                self.violation(
+                self.report_violation(
                     Rule::UnknownJobAnswered,
                     now,
                     format!("{id}: poll answered 200 for a job that was never submitted"),
@@ -283,7 +280,7 @@
             }
             404 if job.accepted.is_some_and(|at| at <= sent) => {
                 let what = format!("{id}: poll of an accepted job answered 404");
-                self.violation(Rule::AcceptedJobLost, now, what);
+                self.report_violation(Rule::AcceptedJobLost, now, what);
             }
             // Sent before the user received the acceptance.
             404 if job.accepted.is_some() => {}
@@ -304,7 +301,7 @@
                         MAX_UNANSWERED / SECOND,
                         MAX_UNANSWERED_WITHOUT_FAULTS / SECOND
                     );
-                    self.violation(Rule::AcceptedJobLost, now, what);
+                    self.report_violation(Rule::AcceptedJobLost, now, what);
                 }
             }
         }
@@ -356,7 +353,7 @@
             }
         }
         if let Some((rule, what)) = broken {
-            self.violation(rule, now, format!("{id}: {what}"));
+            self.report_violation(rule, now, format!("{id}: {what}"));
         }
     }
 
@@ -397,7 +394,7 @@
                 "{task}: launch command sent by a leader that had read or confirmed the \
                  cancellation of its job"
             );
-            self.violation(Rule::LaunchedCancelled, now, what);
+            self.report_violation(Rule::LaunchedCancelled, now, what);
         }
     }
 
@@ -409,10 +406,10 @@
                 "{task}: starts on {} while it runs on {}",
                 place.machine, other.machine
             );
-            self.violation(Rule::RanTwice, now, what);
+            self.report_violation(Rule::RanTwice, now, what);
         }
         let Some(job) = self.jobs.get(&task.job) else {
-            self.violation(
+            self.report_violation(
                 Rule::WrongPlacement,
                 now,
                 format!("{task}: starts without a submitted job"),
@@ -450,10 +447,10 @@
         let team = spec.team.clone();
         if let Some(wrong) = wrong {
             let what = format!("{task}: starts on {}: wrong {wrong}", place.machine);
-            self.violation(Rule::WrongPlacement, now, what);
+            self.report_violation(Rule::WrongPlacement, now, what);
         }
         if let Some(dependency) = unfinished {
-            self.violation(
+            self.report_violation(
                 Rule::StartedBeforeDependency,
                 now,
                 format!("{task}: starts before its dependency {dependency} is done"),
@@ -464,11 +461,11 @@
                 "{task}: starts over {} s after its job was reported cancelled",
                 self.cancel_deadline / SECOND
             );
-            self.violation(Rule::RanAfterCancellation, now, what);
+            self.report_violation(Rule::RanAfterCancellation, now, what);
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.first_start.get_or_insert(now);
-            job.waiting_beside_capacity_since = None;
+            job.waiting_with_free_capacity_since = None;
             self.late_launches.starts += u64::from(job.cancel_reported_at.is_some());
         }
         self.running.insert(task.clone(), place.clone());
@@ -476,7 +473,7 @@
             let (cpus, gpus) = self.resources_used(&team, self.running.keys());
             if !limit.allows(cpus, gpus) {
                 let what = format!("{team}: uses {cpus} CPUs and {gpus} GPUs, over its {limit:?}");
-                self.violation(Rule::QuotaExceeded, now, what);
+                self.report_violation(Rule::QuotaExceeded, now, what);
             }
         }
     }
@@ -526,7 +523,7 @@
                 "{task}: still runs over {} s after its job was reported cancelled",
                 self.cancel_deadline / SECOND
             );
-            self.violation(Rule::RanAfterCancellation, now, what);
+            self.report_violation(Rule::RanAfterCancellation, now, what);
         }
     }
 
@@ -561,10 +558,10 @@
                 "{id}: a largest job of its class did not start within {} s of its acceptance",
                 MAX_FIRST_START_DELAY / SECOND
             );
-            self.violation(Rule::LargestJobDelayed, now, what);
+            self.report_violation(Rule::LargestJobDelayed, now, what);
         }
         if self.task_starts == 0 {
-            self.violation(
+            self.report_violation(
                 Rule::NoTaskStarted,
                 now,
                 "no task started during the run".into(),
--- a/crates/simulator/src/rules/waiting_jobs.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum time that a job may wait while a suitable machine has free capacity.
-const MAX_WAIT_BESIDE_CAPACITY: Micros = 90 * SECOND;
+const MAX_WAIT_WITH_FREE_CAPACITY: Micros = 90 * SECOND;
 
 /// The free capacity and the tasks of a machine at the time of a check.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
     pub gpus: f64,
     /// Tasks with an attempt on the machine that has not exited.
     pub tasks: Vec<TaskName>,
-    /// It runs tasks, is reachable and is not about to be preempted.
+    /// It is not hung or faulty, is reachable and is not about to be preempted.
     pub accepts_tasks: bool,
 }
 
@@ -97,10 +97,10 @@
             .collect();
         let mut starved = Vec::new();
         for ((id, job), could_start) in self.jobs.iter_mut().zip(could_start) {
-            let waiting_since = &mut job.waiting_beside_capacity_since;
+            let waiting_since = &mut job.waiting_with_free_capacity_since;
             let since = could_start.then(|| *waiting_since.get_or_insert(now));
             *waiting_since = since;
-            if since.is_some_and(|since| now > since + MAX_WAIT_BESIDE_CAPACITY) {
+            if since.is_some_and(|since| now > since + MAX_WAIT_WITH_FREE_CAPACITY) {
                 starved.push(id.clone());
                 *waiting_since = None;
             }
@@ -108,9 +108,9 @@
         for id in starved {
             let what = format!(
                 "{id}: waited over {} s although a suitable machine has free capacity",
-                MAX_WAIT_BESIDE_CAPACITY / SECOND
+                MAX_WAIT_WITH_FREE_CAPACITY / SECOND
             );
-            self.violation(Rule::JobStarved, now, what);
+            self.report_violation(Rule::JobStarved, now, what);
         }
     }
 }
--- a/crates/simulator/src/service_shares.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -57,7 +57,7 @@
 
 /// The service that one class or team received.
 #[derive(Debug, Clone, Default)]
-pub struct Served {
+pub struct ReceivedService {
     /// Tasks of batch jobs by the minute of their deadline. Received: those that completed
     /// by the end of the run.
     pub work: ServiceRatio,
@@ -70,7 +70,7 @@
     pub answers: ServiceRatio,
 }
 
-impl Served {
+impl ReceivedService {
     const COLUMNS: [&str; 4] = ["work", "by deadline", "replicas", "answers"];
 
     fn columns(&self) -> [&ServiceRatio; 4] {
@@ -116,33 +116,39 @@
 /// run.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceShares {
-    rows: BTreeMap<(Group, String), Served>,
+    rows: BTreeMap<(Group, String), ReceivedService>,
 }
 
 impl ServiceShares {
     /// Adds to the counts of a class and of a team.
-    pub fn count(&mut self, class: &str, team: &str, add: impl Fn(&mut Served)) {
+    pub fn add_for_class_and_team(
+        &mut self,
+        class: &str,
+        team: &str,
+        add: impl Fn(&mut ReceivedService),
+    ) {
         for (group, name) in [(Group::Class, class), (Group::Team, team)] {
             add(self.rows.entry((group, name.to_string())).or_default());
         }
     }
 
     /// Adds to the counts of the largest jobs of a class.
-    pub fn count_largest(&mut self, class: &str, add: impl Fn(&mut Served)) {
+    pub fn add_for_largest(&mut self, class: &str, add: impl Fn(&mut ReceivedService)) {
         let row = self.rows.entry((Group::Largest, class.to_string()));
         add(row.or_default());
     }
 
     /// Adds to the counts of a class only.
-    pub fn count_class(&mut self, class: &str, add: impl Fn(&mut Served)) {
+    pub fn add_for_class(&mut self, class: &str, add: impl Fn(&mut ReceivedService)) {
         let row = self.rows.entry((Group::Class, class.to_string()));
         add(row.or_default());
     }
 
     /// Classes, teams and groups of largest jobs that received less than [`MIN_SHARE`].
     pub fn below_minimum(&self) -> Vec<String> {
-        let least =
-            |((group, _), s): &(&(Group, String), &Served)| s.lowest_checked(group.min_tasks());
+        let least = |((group, _), s): &(&(Group, String), &ReceivedService)| {
+            s.lowest_checked(group.min_tasks())
+        };
         let starved = |row: &_| least(row).is_some_and(|l| l < MIN_SHARE);
         let rows = self.rows.iter().filter(starved);
         rows.map(|((group, name), _)| format!("{group:?} {name}").to_lowercase())
@@ -161,8 +167,12 @@
     /// A Markdown table with the share of the whole run and, in parentheses, of the worst
     /// minute.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(f, "| of | {} |", Served::COLUMNS.join(" | "))?;
-        writeln!(f, "| --- |{}", " --- |".repeat(Served::COLUMNS.len()))?;
+        writeln!(f, "| of | {} |", ReceivedService::COLUMNS.join(" | "))?;
+        writeln!(
+            f,
+            "| --- |{}",
+            " --- |".repeat(ReceivedService::COLUMNS.len())
+        )?;
         for ((group, name), served) in &self.rows {
             write!(f, "| {} {name} |", format!("{group:?}").to_lowercase())?;
             for column in served.columns() {
@@ -184,13 +194,13 @@
     #[test]
     fn classes_and_teams_below_the_minimum_share_are_listed() {
         let mut shares = ServiceShares::default();
-        shares.count("merge", "books", |s| s.work.add(0, 100.0, 40.0));
-        shares.count("merge", "maps", |s| s.work.add(MINUTE, 100.0, 100.0));
-        shares.count("web", "maps", |s| s.replicas.add(0, 100.0, 0.0));
-        shares.count("web", "maps", |s| s.replicas.add(MINUTE, 900.0, 900.0));
+        shares.add_for_class_and_team("merge", "books", |s| s.work.add(0, 100.0, 40.0));
+        shares.add_for_class_and_team("merge", "maps", |s| s.work.add(MINUTE, 100.0, 100.0));
+        shares.add_for_class_and_team("web", "maps", |s| s.replicas.add(0, 100.0, 0.0));
+        shares.add_for_class_and_team("web", "maps", |s| s.replicas.add(MINUTE, 900.0, 900.0));
         // Neither missed deadlines nor shares of small amounts are checked.
-        shares.count("web", "books", |s| s.replicas.add(0, 9.0, 0.0));
-        shares.count("web", "maps", |s| s.in_time.add(0, 1.0, 0.0));
+        shares.add_for_class_and_team("web", "books", |s| s.replicas.add(0, 9.0, 0.0));
+        shares.add_for_class_and_team("web", "maps", |s| s.in_time.add(0, 1.0, 0.0));
         assert_eq!(shares.below_minimum(), ["team books"]);
         assert_eq!(shares.lowest(), Some(("books".into(), 0.4)));
         let table = shares.to_string();
--- a/crates/simulator/src/simulation/extra_requests.rs
+++ b/crates/simulator/src/simulation/extra_requests.rs
@@ -1,13 +1,13 @@
-//! Users who poll all nodes at the same time, or cancel right after the acceptance, near
-//! the end of a job, or many jobs together.
+//! Requests beyond the regular ones: polls of all nodes, and cancellations on acceptance, on
+//! completion or of several jobs together.
 
 use super::*;
 
 const SHORT_JOBS_PER_SECOND: u64 = 4;
 
 impl Simulation {
-    /// The job that an answer shows for the first time to be accepted or ended, and
-    /// whether it is accepted.
+    /// The job, if this is the first answer that reports its acceptance or end, and whether
+    /// it is accepted.
     pub(super) fn first_result(
         &self,
         requester: &Requester,
@@ -84,10 +84,10 @@
 
     /// Called when a task has completed. If it was the last one of its job, a
     /// cancellation, a poll and a repeated submission may arrive at about the same time.
-    pub(super) fn task_done(&mut self, id: &str) {
-        let native = |u: &User| u.kube_job.is_none() && u.spec.id == *id;
+    pub(super) fn task_done(&mut self, job_id: &str) {
+        let native = |u: &User| u.kube_job.is_none() && u.spec.id == *job_id;
         if self.is_comparison_run()
-            || !self.checker.is_complete(id)
+            || !self.checker.is_complete(job_id)
             || !self.is_affected(self.cancel_on_completion)
         {
             return;
@@ -114,20 +114,20 @@
         }
     }
 
-    /// Cancels several long-running jobs at about the same time and pauses up to eight of
-    /// their machines.
+    /// Cancels several jobs that will not end soon at about the same time and hangs up to
+    /// eight of their machines.
     pub(crate) fn cancel_running_jobs(&mut self, jobs: usize, hang: Micros) {
-        let is_long_running = |job: &usize| {
+        let will_run_on = |job: &usize| {
             let u = &self.users[*job];
             let (running, done) = self.checker.task_counts(&u.spec.id);
             let behaviour = self.task_behaviours.get(&u.spec.id);
             let long = u.spec.kind == JobKind::Service
                 || u.spec.tasks > running + done
-                || behaviour.is_some_and(|p| p.run > 10 * SECOND);
+                || behaviour.is_some_and(|p| p.run_time > 10 * SECOND);
             let open = u.final_state.is_none() && u.cancel_at.is_none_or(|at| at > self.now);
             running > 0 && long && open && u.kube_job.is_none()
         };
-        let mut cancelled: Vec<usize> = (0..self.users.len()).filter(is_long_running).collect();
+        let mut cancelled: Vec<usize> = (0..self.users.len()).filter(will_run_on).collect();
         self.auxiliary_rng.shuffle(&mut cancelled);
         cancelled.truncate(jobs);
         let mut machines: Vec<String> = Vec::new();
@@ -163,7 +163,7 @@
                 ..JobSpec::plain(&id, JobKind::Batch, 1, 1.0)
             };
             let behaviour = TaskBehaviour {
-                run: self.auxiliary_rng.u64(SECOND..8 * SECOND),
+                run_time: self.auxiliary_rng.u64(SECOND..8 * SECOND),
                 fails: false,
                 spec: spec.clone(),
             };
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -24,8 +24,8 @@
             SubmissionForm::Mixed if job.is_multiple_of(2) => true,
             SubmissionForm::Mixed => return None,
         };
-        let plan = KubernetesJob::new(job, spec, kubernetes_only, &mut self.auxiliary_rng);
-        Some(plan).filter(|_| self.scenario.form != SubmissionForm::NativeWithKubernetesIds)
+        let kube_job = KubernetesJob::new(job, spec, kubernetes_only, &mut self.auxiliary_rng);
+        Some(kube_job).filter(|_| self.scenario.form != SubmissionForm::NativeWithKubernetesIds)
     }
 
     fn send_api_request(
@@ -73,13 +73,13 @@
     pub(super) fn api_client_request(&mut self, node: usize, job: usize) -> bool {
         let now = self.now;
         let u = &mut self.users[job];
-        let Some(plan) = &mut u.kube_job else {
+        let Some(kube_job) = &mut u.kube_job else {
             return false;
         };
         if u.stage == Stage::Submitting {
-            plan.first_try = *u.first_submitted_at.get_or_insert(now);
-            plan.tries += 1;
-            let (path, body) = (plan.path(), plan.manifest.to_string());
+            kube_job.first_try = *u.first_submitted_at.get_or_insert(now);
+            kube_job.tries += 1;
+            let (path, body) = (kube_job.path(), kube_job.manifest.to_string());
             let spec = u.spec.clone();
             self.checker.submitted(&spec);
             let operation = JobRequest::Create;
@@ -87,24 +87,31 @@
             self.send_api_request(node, requester, "POST", path, body.into_bytes());
             return true;
         }
-        if !plan.kubernetes_only {
+        if !kube_job.kubernetes_only {
             return false;
         }
-        let (path, own) = (plan.path(), plan.own_path());
-        let resume = plan.resume_after.filter(|_| !plan.resumed && !plan.deleted);
+        let (path, own) = (kube_job.path(), kube_job.own_path());
+        let resume = kube_job
+            .resume_after
+            .filter(|_| !kube_job.resumed && !kube_job.deleted);
         let resume = resume
-            .zip(plan.created)
+            .zip(kube_job.created)
             .is_some_and(|(after, at)| now >= at + after);
         let (operation, method, target, body) = if resume {
             let body = "{\"spec\":{\"suspend\":false}}".to_string();
             (JobRequest::Resume, "PATCH", own, body)
-        } else if !plan.deleted && u.cancel_at.is_some_and(|at| now >= at) {
-            plan.delete_tries += 1;
+        } else if !kube_job.deleted && u.cancel_at.is_some_and(|at| now >= at) {
+            kube_job.delete_tries += 1;
             let id = u.spec.id.clone();
             self.checker.cancel_requested(&id);
             (JobRequest::Delete, "DELETE", own, String::new())
         } else if u.answer_count % 4 == 3 {
-            (JobRequest::Again, "POST", path, plan.manifest.to_string())
+            (
+                JobRequest::Again,
+                "POST",
+                path,
+                kube_job.manifest.to_string(),
+            )
         } else {
             (JobRequest::Get, "GET", own, String::new())
         };
@@ -121,16 +128,17 @@
         body: &[u8],
     ) {
         let now = self.now;
-        self.digest.update(now.to_be_bytes());
-        self.digest.update(format!("{job} {operation:?} {status}"));
+        self.answer_digest.update(now.to_be_bytes());
+        self.answer_digest
+            .update(format!("{job} {operation:?} {status}"));
         let shown: Value = serde_json::from_slice(body).unwrap_or_default();
         let u = &mut self.users[job];
         u.answer_count += 1;
         let id = u.spec.id.clone();
-        let Some(plan) = &mut u.kube_job else {
+        let Some(kube_job) = &mut u.kube_job else {
             return;
         };
-        let name = plan.name.to_string();
+        let name = kube_job.name.to_string();
         let mut error = None;
         let mut shown_state = None;
         let mut pause = 5 * SECOND;
@@ -153,36 +161,37 @@
             }
             // A conflict means success if an earlier attempt may have been executed.
             (JobRequest::Create, 201) | (JobRequest::Create, 409)
-                if status == 201 || plan.tries > 1 =>
+                if status == 201 || kube_job.tries > 1 =>
             {
                 u.accepted = true;
                 u.stage = Stage::Polling;
-                plan.created = Some(now);
+                kube_job.created = Some(now);
                 pause = 4 * SECOND;
                 self.checker.submission_answered(&id, 201, None, now, now);
             }
             (JobRequest::Again, 409) => {}
-            (JobRequest::Get, 200) => match plan.check_object(&shown, now) {
+            (JobRequest::Get, 200) => match kube_job.check_object(&shown, now) {
                 Ok(state) => shown_state = state,
                 Err(e) => error = Some(e),
             },
-            (JobRequest::Resume, 200) => plan.resumed = true,
+            (JobRequest::Resume, 200) => kube_job.resumed = true,
             (JobRequest::Resume, 409) => {}
-            (JobRequest::Delete, 200) => plan.deleted = true,
-            (JobRequest::Delete, 404) if plan.delete_tries > 1 || plan.may_expire() => {
-                plan.deleted = true;
+            (JobRequest::Delete, 200) => kube_job.deleted = true,
+            (JobRequest::Delete, 404) if kube_job.delete_tries > 1 || kube_job.may_expire() => {
+                kube_job.deleted = true;
             }
-            (JobRequest::Get | JobRequest::Resume, 404) if plan.deleted => {}
-            (JobRequest::Get | JobRequest::Resume, 404) if plan.may_expire() => {
-                plan.deleted = true;
-                if u.final_state.is_none() && (plan.may_fail() || self.checker.is_complete(&id)) {
+            (JobRequest::Get | JobRequest::Resume, 404) if kube_job.deleted => {}
+            (JobRequest::Get | JobRequest::Resume, 404) if kube_job.may_expire() => {
+                kube_job.deleted = true;
+                if u.final_state.is_none() && (kube_job.may_fail() || self.checker.is_complete(&id))
+                {
                     u.final_state = Some(JobState::Done);
                     u.stage = Stage::Ended;
                 }
             }
             // An earlier attempt to delete the Job was executed.
-            (JobRequest::Get | JobRequest::Resume, 404) if plan.delete_tries > 0 => {
-                plan.deleted = true
+            (JobRequest::Get | JobRequest::Resume, 404) if kube_job.delete_tries > 0 => {
+                kube_job.deleted = true
             }
             _ => {
                 error = Some(format!(
@@ -193,12 +202,12 @@
         if let Some(state) = shown_state {
             u.final_state = Some(state);
             u.stage = Stage::Ended;
-            // The Job's status gave the reason why it was ended.
+            // Ended by its deadline or backoff limit, which counts as a cancellation.
             if state == JobState::Cancelled {
                 self.checker.cancel_requested(&id);
             }
             self.checker.poll_answered(&id, 200, Some(state), now, now);
-        } else if plan.deleted && operation == JobRequest::Delete && u.final_state.is_none() {
+        } else if kube_job.deleted && operation == JobRequest::Delete && u.final_state.is_none() {
             u.final_state = Some(JobState::Cancelled);
             u.stage = Stage::Ended;
             self.checker
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -12,8 +12,8 @@
 
 use self::pipelines::PipelineStage;
 use crate::cloud::Cloud;
-use crate::history::OutputHistory;
 use crate::objects::{self, KubernetesJob, Watcher};
+use crate::output_digest::OutputDigest;
 use crate::rules::{Checker, LateLaunches, Limit, MachineAttributes, Violation};
 use crate::scenario::{Fault, PartitionMode, Scenario, SubmissionForm};
 use crate::service_shares::ServiceShares;
@@ -88,12 +88,12 @@
     /// Parts of the leaders' derived state that differed from a fresh computation.
     pub stale: Vec<&'static str>,
     /// SHA-256 of all answers to users. Equal seeds give equal digests.
-    pub digest: [u8; 32],
+    pub answer_digest: [u8; 32],
     /// SHA-256 of every start of a task on a machine, and of every end except by the loss of
     /// the machine, with its time.
-    pub placements: [u8; 32],
-    /// SHA-256 of everything that the nodes sent, in order ([`OutputHistory`]).
-    pub history: [u8; 32],
+    pub placement_digest: [u8; 32],
+    /// SHA-256 of everything that the nodes sent, in order ([`OutputDigest`]).
+    pub output_digest: [u8; 32],
     /// Numbers of Kubernetes Jobs and of ended ones that the API watch showed, counted again
     /// after a restart of the watch without a resource version.
     pub watched_objects: (usize, usize),
@@ -467,9 +467,9 @@
     /// Number of calls to the store, excluding watches.
     store_calls: u64,
     stale: Vec<&'static str>,
-    digest: Sha256,
-    placements: Sha256,
-    history: OutputHistory,
+    answer_digest: Sha256,
+    placement_digest: Sha256,
+    output_digest: OutputDigest,
     watcher: Watcher,
     peak_machines: usize,
     interrupted_tasks: usize,
@@ -666,9 +666,9 @@
             input_count: 0,
             store_calls: 0,
             stale: Vec::new(),
-            digest: Sha256::new(),
-            placements: Sha256::new(),
-            history: OutputHistory::default(),
+            answer_digest: Sha256::new(),
+            placement_digest: Sha256::new(),
+            output_digest: OutputDigest::default(),
             watcher: Watcher::default(),
             peak_machines: 0,
             interrupted_tasks: 0,
@@ -774,9 +774,9 @@
             malformed: self.store.malformed,
             violations: self.checker.violations,
             stale: self.stale,
-            digest: self.digest.finalize().into(),
-            placements: self.placements.finalize().into(),
-            history: self.history.finish(),
+            answer_digest: self.answer_digest.finalize().into(),
+            placement_digest: self.placement_digest.finalize().into(),
+            output_digest: self.output_digest.finish(),
             watched_objects: self.watcher.counts(),
             interrupted_tasks: self.interrupted_tasks,
             late_deletions: self.late_deletions,
@@ -930,7 +930,7 @@
             Event::StoreCall { caller, call } => self.store_call(caller, &call),
             Event::StoreWatchExpired { watch } => {
                 // During an outage the watch stays open.
-                if !self.store.is_out(self.now)
+                if !self.store.is_unavailable(self.now)
                     && let Some((caller, changes)) = self.store_watches.close(watch, &self.store)
                 {
                     self.send_watch_batch(caller, changes);
@@ -1014,7 +1014,7 @@
             } => self.extra_request(job, node, resubmit),
             Event::CancelJob { job } => self.cancel_job(job),
             Event::MachineBooted { machine } => {
-                let Some(h) = self.cloud.hosts.get(&machine).cloned() else {
+                let Some(h) = self.cloud.machines.get(&machine).cloned() else {
                     return;
                 };
                 let types = machine_types(self.scenario.tight_quotas);
@@ -1059,7 +1059,11 @@
                     // Only native submissions are repeated.
                     config.tuning.again_s = 0.0;
                 }
-                let rules = self.scenario.form.uses_kubernetes().then(objects::rules);
+                let rules = self
+                    .scenario
+                    .form
+                    .uses_kubernetes()
+                    .then(objects::api_settings);
                 host.node = Some(Controller::new(Node::new(config), rules));
                 let epoch = host.epoch;
                 let at = self.now + self.rng.u64(..50 * MILLISECOND);
@@ -1077,7 +1081,7 @@
                 REDUCED_STORE_LIMITS.max_value_bytes,
                 REDUCED_STORE_LIMITS.max_txn_ops,
             ),
-            Event::Fault(fault) => self.fault(*fault),
+            Event::Fault(fault) => self.start_fault(*fault),
             Event::RecordCloudListing => {
                 self.cloud.record_list(self.now);
                 self.schedule(self.now + Cloud::LIST_INTERVAL, Event::RecordCloudListing);
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -177,7 +177,7 @@
     }
 
     pub(super) fn dispatch_output(&mut self, node: usize, epoch: u32, output: ControllerOutput) {
-        self.history.record(self.now, node, &output);
+        self.output_digest.record(self.now, node, &output);
         match output {
             ControllerOutput::Core(output) => self.dispatch_core_output(node, epoch, output),
             ControllerOutput::Reply { id, reply } => match self.pending_requests.remove(&id.0) {
--- a/crates/simulator/src/simulation/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -49,14 +49,14 @@
                 self.add_stage(&mut rng, start, tasks, pipeline_stage, cancel);
             }
         }
-        if let Some(herd) = self.scenario.cancelled_dependents {
+        if let Some(dependents) = self.scenario.cancelled_dependents {
             // Many jobs depend on one, which is cancelled while they wait.
             let from = self.scenario.pipelines_from;
             let root = self.users.len();
             let cancel = Some(self.scenario.activity_end * 3 / 4);
             let pipeline_stage = PipelineStage::default();
             self.add_stage(&mut rng, from, 400, pipeline_stage, cancel);
-            for _ in 0..herd {
+            for _ in 0..dependents {
                 let pipeline_stage = PipelineStage {
                     dependencies: vec![root],
                     submit_after_end: false,
@@ -95,7 +95,7 @@
             )
         };
         let behaviour = TaskBehaviour {
-            run: rng.u64(2 * SECOND..15 * SECOND),
+            run_time: rng.u64(2 * SECOND..15 * SECOND),
             fails: false,
             spec: spec.clone(),
         };
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -54,7 +54,7 @@
             return true;
         }
         self.store_calls += 1;
-        let Some((_, moment)) = self
+        let Some((_, point)) = self
             .scenario
             .crash_at_call
             .filter(|(number, _)| *number == self.store_calls)
@@ -65,12 +65,12 @@
         let down = SECOND / 5;
         let crash = Fault::Crash { nodes, down };
         // A reply takes a few milliseconds to arrive.
-        let at = match moment {
+        let at = match point {
             CrashPoint::BeforeExecution | CrashPoint::AfterExecution => self.now,
             CrashPoint::AfterAnswer => self.now + 10 * MILLISECOND,
         };
         self.schedule(at, Event::Fault(Box::new(crash)));
-        moment != CrashPoint::BeforeExecution
+        point != CrashPoint::BeforeExecution
     }
 
     pub(super) fn store_call(&mut self, caller: Caller, call: &StoreRequest) {
@@ -88,7 +88,7 @@
             };
             return self.reply(caller, Input::Store { id, reply });
         }
-        let late = self.now < self.delayed_writes_until
+        let delayed = self.now < self.delayed_writes_until
             && matches!(call, StoreRequest::Transaction(_))
             && self.auxiliary_rng.u8(..3) == 0;
         let lost = matches!(call, StoreRequest::Transaction(_))
@@ -99,23 +99,23 @@
             ..caller
         };
         let slow = self.now < self.slow_store_until;
-        if (late || slow) && !caller.delayed {
-            let wait = match late {
+        if (delayed || slow) && !caller.delayed {
+            let wait = match delayed {
                 true => self.auxiliary_rng.u64(2 * SECOND..12 * SECOND),
                 false => self.auxiliary_rng.u64(300 * MILLISECOND..3 * SECOND),
             };
             let caller = Caller {
-                reply_delivered: caller.reply_delivered && !late,
+                reply_delivered: caller.reply_delivered && !delayed,
                 delayed: true,
                 ..caller
             };
             let call = Box::new(call.clone());
             return self.schedule(self.now + wait, Event::StoreCall { caller, call });
         }
-        let busy = self.now < self.store_overload_until;
+        let overloaded = self.now < self.store_overload_until;
         let rng = self.rng_for(caller.auxiliary);
-        let too_many = rng.u16(..500) == 0 || (busy && rng.u8(..5) == 0);
-        let answer = if too_many {
+        let rate_limited = rng.u16(..500) == 0 || (overloaded && rng.u8(..5) == 0);
+        let answer = if rate_limited {
             Some(StoreResponse::RateLimited)
         } else {
             self.store.call(call, self.now)
@@ -188,7 +188,7 @@
 
     pub(super) fn send_changed_watches(&mut self) {
         self.store.expire(self.now);
-        if self.store.is_out(self.now) {
+        if self.store.is_unavailable(self.now) {
             return;
         }
         let refused = |caller: Caller| self.nodes[caller.node].store_refuses_until;
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -3,7 +3,7 @@
 use super::network::Link;
 use super::*;
 use crate::rules::MachineCapacity;
-use crate::service_shares::Served;
+use crate::service_shares::ReceivedService;
 
 const REPLICA_COUNT_INTERVAL: Micros = SECOND;
 const WAITING_JOBS_INTERVAL: Micros = 5 * SECOND;
@@ -77,7 +77,7 @@
         let kube_job = self.kube_job(job, &mut spec);
         let rng = &mut self.rng;
         let behaviour = TaskBehaviour {
-            run: rng.u64(2 * SECOND..20 * SECOND) + extra_run_time,
+            run_time: rng.u64(2 * SECOND..20 * SECOND) + extra_run_time,
             fails: cancel && !service && rng.u8(..4) == 0,
             spec: spec.clone(),
         };
@@ -136,10 +136,10 @@
         if self.auxiliary_rng.bool() {
             spec.tasks = self.auxiliary_rng.u32(2..4);
         }
-        let busy = self.scenario.activity_end;
+        let activity_end = self.scenario.activity_end;
         cancel_at.or_else(|| {
             let cancels = self.auxiliary_rng.u8(..3) == 0;
-            cancels.then(|| self.auxiliary_rng.u64(at + 2 * SECOND..busy))
+            cancels.then(|| self.auxiliary_rng.u64(at + 2 * SECOND..activity_end))
         })
     }
 
@@ -334,9 +334,9 @@
         state: Option<JobState>,
     ) {
         let now = self.now;
-        self.digest.update(now.to_be_bytes());
-        self.digest.update(status.to_be_bytes());
-        self.digest
+        self.answer_digest.update(now.to_be_bytes());
+        self.answer_digest.update(status.to_be_bytes());
+        self.answer_digest
             .update(format!("{} {state:?}", requester.digest_text()));
         let ended = state.filter(|s| matches!(s, JobState::Done | JobState::Cancelled));
         if let Requester::Submission { job } | Requester::Poll { job } = requester {
@@ -350,8 +350,8 @@
             }
             let answered = f64::from(u8::from(known || status == 404));
             let (class, team) = (&u.spec.class, &u.spec.team);
-            let add = |s: &mut Served| s.answers.add(now, 1.0, answered);
-            self.service_shares.count(class, team, add);
+            let add = |s: &mut ReceivedService| s.answers.add(now, 1.0, answered);
+            self.service_shares.add_for_class_and_team(class, team, add);
         }
         match requester {
             Requester::Worker { .. }
@@ -482,8 +482,9 @@
             let (running, _) = self.checker.task_counts(&u.spec.id);
             let expected = f64::from(u.spec.tasks) * allowed_share(&u.spec.team);
             let running = f64::from(running);
-            let add = |s: &mut Served| s.replicas.add(self.now, expected, running);
-            self.service_shares.count(&u.spec.class, &u.spec.team, add);
+            let add = |s: &mut ReceivedService| s.replicas.add(self.now, expected, running);
+            self.service_shares
+                .add_for_class_and_team(&u.spec.class, &u.spec.team, add);
         }
     }
 
@@ -493,7 +494,7 @@
         if self.now < self.checker.faults_end || !due {
             return;
         }
-        let free_room = |w: &Worker| {
+        let machine_capacity = |w: &Worker| {
             let (cpus, gpus) = w.free_resources();
             MachineCapacity {
                 place: w.place.clone(),
@@ -503,9 +504,9 @@
                 accepts_tasks: w.accepts_tasks(self.now),
             }
         };
-        let rooms: Vec<MachineCapacity> = self.workers.values().map(free_room).collect();
+        let machines: Vec<MachineCapacity> = self.workers.values().map(machine_capacity).collect();
         let fails = |id: &str| self.task_behaviours.get(id).is_some_and(|p| p.fails);
-        self.checker.check_waiting_jobs(&rooms, fails, self.now);
+        self.checker.check_waiting_jobs(&machines, fails, self.now);
     }
 
     /// Counts the completed work of batch jobs whose deadline has passed.
@@ -524,13 +525,14 @@
             let (_, done) = self.checker.task_counts(&u.spec.id);
             let (all, done) = (f64::from(u.spec.tasks), f64::from(done));
             let in_time = f64::from(u8::from(u.ended_at.is_some_and(|at| at <= due)));
-            self.service_shares.count(&u.spec.class, &u.spec.team, |s| {
-                s.work.add(due, all, done);
-                s.in_time.add(due, 1.0, in_time);
-            });
+            self.service_shares
+                .add_for_class_and_team(&u.spec.class, &u.spec.team, |s| {
+                    s.work.add(due, all, done);
+                    s.in_time.add(due, 1.0, in_time);
+                });
             if u.spec.tasks == largest[&*u.spec.class] {
-                let add = |s: &mut Served| s.work.add(due, all, done);
-                self.service_shares.count_largest(&u.spec.class, add);
+                let add = |s: &mut ReceivedService| s.work.add(due, all, done);
+                self.service_shares.add_for_largest(&u.spec.class, add);
             }
         }
     }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -132,7 +132,7 @@
 
     fn record_placement(&mut self, event: &str, task: &dillcleat_wire::TaskName, machine: &str) {
         let entry = format!("{} {event} {task} {machine};", self.now);
-        self.placements.update(entry);
+        self.placement_digest.update(entry);
     }
 
     pub(super) fn record_worker_events(&mut self, machine: &str, worker_events: Vec<WorkerEvent>) {
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -93,7 +93,7 @@
     }
 
     /// Runs until the simulated time `end`, with a tick every 50 ms.
-    pub fn until(&mut self, end: Micros) {
+    pub fn run_until(&mut self, end: Micros) {
         let mut tick = self.now;
         while tick < end {
             self.schedule(tick, Event::Input(Input::Tick));
@@ -194,7 +194,7 @@
     pub fn request(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
         let id = RequestId(u64::MAX / 2 + self.last_event);
         self.schedule(self.now, Event::ApiRequest(id, ask));
-        self.until(self.now + SECOND);
+        self.run_until(self.now + SECOND);
         let found = self
             .answers
             .iter()
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -52,8 +52,8 @@
     /// Revision of the latest change that is no longer in the log.
     compacted: u64,
     page: PageLimit,
-    pub out_until: Micros,
-    out_since: Micros,
+    pub outage_until: Micros,
+    outage_since: Micros,
     max_value_bytes: usize,
     max_txn_ops: usize,
     /// The limits were lowered during the run. The controllers are not notified, so a
@@ -75,8 +75,8 @@
             log: VecDeque::new(),
             compacted: 0,
             page: PageLimit::SMALL,
-            out_until: 0,
-            out_since: 0,
+            outage_until: 0,
+            outage_since: 0,
             max_value_bytes,
             max_txn_ops,
             limits_lowered: false,
@@ -119,25 +119,25 @@
     }
 
     pub fn outage(&mut self, now: Micros, until: Micros) {
-        self.out_since = now;
-        self.out_until = until;
+        self.outage_since = now;
+        self.outage_until = until;
     }
 
-    pub fn is_out(&self, now: Micros) -> bool {
-        now < self.out_until
+    pub fn is_unavailable(&self, now: Micros) -> bool {
+        now < self.outage_until
     }
 
     /// Ends expired leases. An outage restarts the full time to live of every lease.
     pub fn expire(&mut self, now: Micros) {
-        if self.is_out(now) {
+        if self.is_unavailable(now) {
             return;
         }
-        if self.out_since < self.out_until {
-            let outage_end = self.out_until;
+        if self.outage_since < self.outage_until {
+            let outage_end = self.outage_until;
             for (ttl, until) in self.leases.values_mut() {
                 *until = (*until).max(outage_end + *ttl);
             }
-            self.out_since = self.out_until;
+            self.outage_since = self.outage_until;
         }
         let expired: Vec<LeaseId> = self
             .leases
@@ -182,7 +182,7 @@
     /// Executes a call. Returns None for a watch that has to wait for changes.
     pub fn call(&mut self, call: &StoreRequest, now: Micros) -> Option<StoreResponse> {
         self.expire(now);
-        if self.is_out(now) {
+        if self.is_unavailable(now) {
             // Watches stay open during an outage; all other calls are refused.
             return match call {
                 StoreRequest::Watch { .. } => None,
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone)]
 pub struct TaskBehaviour {
     pub spec: JobSpec,
-    pub run: Micros,
+    pub run_time: Micros,
     pub fails: bool,
 }
 
@@ -193,7 +193,7 @@
                         let fails = faulty || behaviour.is_some_and(|b| b.fails);
                         attempt.until = match behaviour {
                             _ if fails => Some(now + SECOND / 5),
-                            Some(b) if b.spec.kind == JobKind::Batch => Some(now + b.run),
+                            Some(b) if b.spec.kind == JobKind::Batch => Some(now + b.run_time),
                             _ => None,
                         };
                         if fails {
--- a/crates/simulator/tests/api_limits.rs
+++ b/crates/simulator/tests/api_limits.rs
@@ -2,7 +2,7 @@
 
 use dillcleat_controller::{Config, RequestId, SECOND};
 use dillcleat_kube::{ApiRequest, ApiResponse};
-use dillcleat_simulator::objects::{TOKEN, rules_for};
+use dillcleat_simulator::objects::{TOKEN, api_settings_with_limits};
 use dillcleat_simulator::simulation::base_config;
 use dillcleat_simulator::single_node::{Event, SingleNode, api_request};
 use dillcleat_simulator::store::SimulatedStore;
@@ -11,9 +11,9 @@
 const JOBS_PATH: &str = "/apis/batch/v1/namespaces/free/jobs";
 
 fn single_node(config: Config, objects: usize, watches: usize) -> SingleNode {
-    let state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
-    let mut node = SingleNode::new(config, rules_for(objects, watches), state);
-    node.until(10 * SECOND);
+    let store = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
+    let mut node = SingleNode::new(config, api_settings_with_limits(objects, watches), store);
+    node.run_until(10 * SECOND);
     node
 }
 
@@ -298,7 +298,7 @@
                 next += 1;
                 node.schedule(node.now, Event::ApiRequest(RequestId(next), make(next)));
             }
-            node.until(node.now + SECOND / 2);
+            node.run_until(node.now + SECOND / 2);
             let all = std::mem::take(&mut node.answers);
             let good = all.iter().filter(|(_, r)| r.status < 300).count();
             let rejected = all
@@ -320,7 +320,7 @@
     let (deleted, _) = flood(&mut node, 1, &|_| api_request("DELETE", &own, &Value::Null));
     assert_eq!(deleted, 1);
     // All reads are served from a shared cache, with few calls to the store.
-    node.until(node.now + 3 * SECOND);
+    node.run_until(node.now + 3 * SECOND);
     let calls = node.calls;
     let (read, _) = flood(&mut node, 500, &|_| {
         api_request("GET", JOBS_PATH, &Value::Null)
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -2,7 +2,7 @@
 
 use dillcleat_controller::records::{self, JobStateRecord, RecordedState};
 use dillcleat_controller::{Config, Input, RequestId, SECOND};
-use dillcleat_simulator::objects::rules_for;
+use dillcleat_simulator::objects::api_settings_with_limits;
 use dillcleat_simulator::simulation::base_config;
 use dillcleat_simulator::single_node::{Event, SingleNode};
 use dillcleat_simulator::store::SimulatedStore;
@@ -14,21 +14,21 @@
         peers_in_other_zones: Vec::new(),
         ..base_config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
+    let mut store = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let ended = |state| JobStateRecord {
         state,
         task_count: 1,
     };
-    state.put(
+    store.put(
         records::job_state_key("req-71"),
         &ended(RecordedState::Done),
     );
-    state.put(
+    store.put(
         records::job_state_key("req-72"),
         &ended(RecordedState::Cancelled),
     );
-    let mut node = SingleNode::new(config, rules_for(10, 1), state);
-    node.until(10 * SECOND);
+    let mut node = SingleNode::new(config, api_settings_with_limits(10, 1), store);
+    node.run_until(10 * SECOND);
     node
 }
 
@@ -50,7 +50,7 @@
         body: dillcleat_wire::encode(spec),
     };
     node.schedule(node.now, Event::Input(input));
-    node.until(node.now + SECOND);
+    node.run_until(node.now + SECOND);
     let found = node.answers.iter().position(|(of, _)| *of == id);
     let (_, reply) = node.answers.swap_remove(found.expect("an answer"));
     let why = dillcleat_wire::decode::<ErrorReply>(&reply.body).map_or(String::new(), |r| r.error);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn dependencies_must_name_accepted_batch_jobs() {
+fn dependency_that_is_no_accepted_batch_job_is_rejected() {
     let mut node = node_with_ended_jobs();
     let batch = |id: &str, depends_on: &[&str]| spec(id, JobKind::Batch, depends_on);
     assert_eq!(submit(&mut node, &batch("req-1", &[])).0, 201);
@@ -76,8 +76,8 @@
         submit(&mut node, &spec("req-2", JobKind::Service, &[])).0,
         201
     );
-    // Accepted: one dependency is open, the other is known only by its state record. A
-    // completed dependency is not stored.
+    // Accepted: one dependency is open, the other has completed, so only req-1 is stored as a
+    // dependency.
     let (status, _, stored) = submit(&mut node, &batch("req-3", &["req-1", "req-71"]));
     assert_eq!((status, stored), (201, Some(vec!["req-1".into()])));
     // Accepted, then cancelled with its dependency.
@@ -160,7 +160,7 @@
         submit(&mut node, &spec("req-4", JobKind::Batch, &["req-3"])).0,
         201
     );
-    node.until(node.now + 5 * SECOND);
+    node.run_until(node.now + 5 * SECOND);
     for id in ["req-1", "req-2", "req-3", "req-4"] {
         let record = node
             .store
@@ -183,7 +183,7 @@
         peers_in_other_zones: Vec::new(),
         ..base_config(0, 1, 1)
     };
-    let mut state = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
+    let mut store = SimulatedStore::new(config.max_value_bytes, config.max_txn_ops);
     let open = records::OpenJob {
         spec: spec("req-8", JobKind::Batch, &["req-77"]),
         submitted_at_us: 1,
@@ -191,9 +191,9 @@
         without_state_record: true,
         parallelism_limit: None,
     };
-    state.put(records::open_job_key("req-8"), &open);
-    let mut node = SingleNode::new(config, rules_for(10, 1), state);
-    node.until(10 * SECOND);
+    store.put(records::open_job_key("req-8"), &open);
+    let mut node = SingleNode::new(config, api_settings_with_limits(10, 1), store);
+    node.run_until(10 * SECOND);
     assert!(
         node.store
             .read::<JobStateRecord>(&records::job_state_key("req-8"))
@@ -204,7 +204,7 @@
         task_count: 1,
     };
     node.store.put(records::job_state_key("req-77"), &record);
-    node.until(15 * SECOND);
+    node.run_until(15 * SECOND);
     let record = node
         .store
         .read::<JobStateRecord>(&records::job_state_key("req-8"));
--- a/crates/simulator/tests/fault_effects.rs
+++ b/crates/simulator/tests/fault_effects.rs
@@ -57,7 +57,10 @@
     for fault in faults {
         let fault_text = format!("{fault:?}");
         let run = run_with_fault(Some(fault));
-        assert_ne!(run.digest, without_fault.digest, "{fault_text}");
+        assert_ne!(
+            run.answer_digest, without_fault.answer_digest,
+            "{fault_text}"
+        );
     }
     let irregular = run_with_fault(Some(Fault::IrregularRequests { time }));
     let requests = irregular.irregular_requests;
--- a/crates/simulator/tests/fault_scenarios.rs
+++ b/crates/simulator/tests/fault_scenarios.rs
@@ -7,7 +7,7 @@
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_simulator::{Fault, Outcome, Scenario, Simulation};
 
-const BUSY: Micros = 200 * SECOND;
+const ACTIVITY_END: Micros = 200 * SECOND;
 
 /// Seeds of random scenarios, with the failure that each guards against.
 const REGRESSION_SEEDS: [u64; 5] = [
@@ -78,7 +78,7 @@
 #[test]
 fn equal_seeds_give_equal_runs() {
     const SEED: u64 = 3;
-    let digest = |seed| run(seed, 10, vec![(s(40), crash(&[0, 1]))]).digest;
+    let digest = |seed| run(seed, 10, vec![(s(40), crash(&[0, 1]))]).answer_digest;
     assert_eq!(digest(SEED), digest(SEED));
     assert_ne!(digest(SEED), digest(SEED + 1));
 }
@@ -310,7 +310,7 @@
             faults: vec![(s(90), crash(&[0, 1, 2])), (s(150), crash(&[0]))],
             jobs: 6,
             large_job_tasks: Some(100_000),
-            end: BUSY + s(200),
+            end: ACTIVITY_END + s(200),
             ..Scenario::quiet(seed)
         })
         .run();
--- a/crates/simulator/tests/kubernetes_jobs.rs
+++ b/crates/simulator/tests/kubernetes_jobs.rs
@@ -55,7 +55,10 @@
         let (watched, _) = kubernetes.watched_objects;
         assert!(watched >= 2, "seed {seed}: {watched} Jobs watched");
         assert_eq!(native.starts, kubernetes.starts, "seed {seed}");
-        assert_eq!(native.placements, kubernetes.placements, "seed {seed}");
+        assert_eq!(
+            native.placement_digest, kubernetes.placement_digest,
+            "seed {seed}"
+        );
     }
     assert!(faults > 12, "{faults} faults");
 }
--- a/crates/simulator/tests/rule_checker.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -148,7 +148,7 @@
                 team: team.into(),
                 ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
             };
-            // The smaller job and the one of a team with a limit are not judged.
+            // The smaller job and the one of a team with a limit are not considered.
             for spec in [
                 job("req-3", 4, "u"),
                 job("req-4", 3, "u"),
@@ -165,7 +165,7 @@
             c.finish(242 * SECOND);
         }),
         (Rule::WrongAdmission, 1, |c| {
-            // A node that cannot decide may answer with an error.
+            // An overloaded or unavailable node may answer with an error.
             for status in [422, 503, 429, 0] {
                 c.invalid_submission_answered("req-9", status, 422, 1);
             }
@@ -213,7 +213,7 @@
             c.task_started(&task(0), &place("x", "a", false), 1);
             c.task_started(&task(1), &place("x", "a", false), 1);
             c.task_ended(&task(1), "x", true);
-            let room = |machine: &str, zone: &str, spot, cpus| MachineCapacity {
+            let machine_capacity = |machine: &str, zone: &str, spot, cpus| MachineCapacity {
                 place: place(machine, zone, spot),
                 cpus,
                 gpus: 0.0,
@@ -222,56 +222,57 @@
             };
             let x = MachineCapacity {
                 tasks: vec![task(0)],
-                ..room("x", "a", false, 0.0)
+                ..machine_capacity("x", "a", false, 0.0)
             };
             let check = |c: &mut Checker, more: MachineCapacity, from: u64, to: u64| {
                 for at in from..to {
-                    let rooms = [x.clone(), more.clone()];
-                    c.check_waiting_jobs(&rooms, |_| false, at * SECOND);
+                    let machines = [x.clone(), more.clone()];
+                    c.check_waiting_jobs(&machines, |_| false, at * SECOND);
                 }
             };
             // None of these machines can take a task.
-            check(c, room("y", "b", true, 8.0), 10, 200);
-            check(c, room("y", "b", false, 3.0), 200, 400);
+            check(c, machine_capacity("y", "b", true, 8.0), 10, 200);
+            check(c, machine_capacity("y", "b", false, 3.0), 200, 400);
             let unavailable = MachineCapacity {
                 accepts_tasks: false,
-                ..room("y", "b", false, 8.0)
+                ..machine_capacity("y", "b", false, 8.0)
             };
             check(c, unavailable, 400, 600);
             let at_team_limit = MachineCapacity {
                 tasks: vec![task(2)],
-                ..room("y", "b", false, 8.0)
+                ..machine_capacity("y", "b", false, 8.0)
             };
             check(c, at_team_limit, 600, 800);
             let full_zone = MachineCapacity {
                 tasks: vec![task(3)],
-                ..room("x", "a", false, 8.0)
+                ..machine_capacity("x", "a", false, 8.0)
             };
             check(c, full_zone, 800, 900);
             // These machines can take a task, but not for long enough.
-            check(c, room("y", "b", false, 4.0), 900, 990);
-            check(c, room("y", "b", true, 4.0), 990, 991);
-            check(c, room("y", "b", false, 4.0), 991, 1082);
+            check(c, machine_capacity("y", "b", false, 4.0), 900, 990);
+            check(c, machine_capacity("y", "b", true, 4.0), 990, 991);
+            check(c, machine_capacity("y", "b", false, 4.0), 991, 1082);
             assert_eq!(c.violations, []);
-            check(c, room("y", "b", false, 4.0), 1082, 1083);
+            check(c, machine_capacity("y", "b", false, 4.0), 1082, 1083);
         }),
         (Rule::JobStarved, 2, |c| {
             // One of its two tasks may be in zone a. Waiting does not count before the
             // faults are over.
             c.faults_end = 200 * SECOND;
             c.task_started(&task(0), &place("x", "a", false), 1);
-            let room = |machine: &str, zone: &str, tasks: Vec<TaskName>| MachineCapacity {
-                place: place(machine, zone, false),
-                cpus: 4.0,
-                gpus: 0.0,
-                tasks,
-                accepts_tasks: true,
-            };
-            let x = room("x", "a", vec![task(0)]);
+            let machine_capacity =
+                |machine: &str, zone: &str, tasks: Vec<TaskName>| MachineCapacity {
+                    place: place(machine, zone, false),
+                    cpus: 4.0,
+                    gpus: 0.0,
+                    tasks,
+                    accepts_tasks: true,
+                };
+            let x = machine_capacity("x", "a", vec![task(0)]);
             let check = |c: &mut Checker, zone: &str, from: u64, to: u64| {
                 for at in from..to {
-                    let rooms = [x.clone(), room("y", zone, Vec::new())];
-                    c.check_waiting_jobs(&rooms, |_| false, at * SECOND);
+                    let machines = [x.clone(), machine_capacity("y", zone, Vec::new())];
+                    c.check_waiting_jobs(&machines, |_| false, at * SECOND);
                 }
             };
             check(c, "b", 100, 291);
