--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -86,11 +86,11 @@
                         return;
                     }
                     let scenario = match args.faults {
-                        Faults::AdditionalFaults => Scenario::troubled(seed),
-                        Faults::Partition => Scenario::cut_off(seed),
+                        Faults::AdditionalFaults => Scenario::with_additional_faults(seed),
+                        Faults::Partition => Scenario::leader_zone_partitions(seed),
                         Faults::Pipelines => Scenario::pipelines(seed),
-                        Faults::Combined => Scenario::meetings(seed),
-                        Faults::StoreOutages => Scenario::gap(seed),
+                        Faults::Combined => Scenario::combined_faults(seed),
+                        Faults::StoreOutages => Scenario::store_outages(seed),
                         Faults::StoreCallCrash => Scenario::crash_at_call(seed),
                     };
                     let scenario = Scenario { form, ..scenario };
@@ -113,9 +113,9 @@
                     let mut most = most_late.lock().expect("no holder panics");
                     *most = late_in_run.max(*most);
                     drop(most);
-                    refused.fetch_add(o.refused, Ordering::Relaxed);
+                    refused.fetch_add(o.refused_over_lowered_limits, Ordering::Relaxed);
                     let clean = o.violations.is_empty()
-                        && o.malformed.is_empty()
+                        && o.protocol_errors.is_empty()
                         && o.unfinished.is_empty()
                         && o.leftover_keys.is_empty()
                         && o.stale.is_empty()
@@ -129,7 +129,7 @@
                         }
                         println!(
                             "seed {seed}: {:?} malformed {:?} unfinished {:?} left {:?} stale {:?} on {faults:?}",
-                            o.violations, o.malformed, o.unfinished, o.leftover_keys, o.stale
+                            o.violations, o.protocol_errors, o.unfinished, o.leftover_keys, o.stale
                         );
                     }
                 }
--- a/crates/simulator/examples/history.rs
+++ b/crates/simulator/examples/history.rs
@@ -30,11 +30,11 @@
 const KINDS: [Kind; 9] = [
     ("random", Scenario::random),
     ("quiet", Scenario::quiet),
-    ("troubled", Scenario::troubled),
-    ("cut-off", Scenario::cut_off),
+    ("troubled", Scenario::with_additional_faults),
+    ("cut-off", Scenario::leader_zone_partitions),
     ("pipelines", Scenario::pipelines),
-    ("meetings", Scenario::meetings),
-    ("gap", Scenario::gap),
+    ("meetings", Scenario::combined_faults),
+    ("gap", Scenario::store_outages),
     ("calls", Scenario::crash_at_call),
     ("objects", objects),
 ];
@@ -42,7 +42,7 @@
 fn objects(seed: u64) -> Scenario {
     Scenario {
         form: SubmissionForm::Kubernetes,
-        ..Scenario::troubled(seed)
+        ..Scenario::with_additional_faults(seed)
     }
 }
 
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -51,13 +51,13 @@
     let megabytes = outcome.peak_node_bytes as f64 / 1e6;
     println!("held by a controller when it stopped, maximum: {megabytes:.1} MB");
     println!("rules broken: {:?}", outcome.violations);
-    println!("requests over a limit: {:?}", outcome.malformed);
+    println!("requests over a limit: {:?}", outcome.protocol_errors);
     println!("jobs unfinished: {:?}", outcome.unfinished);
     println!("keys left behind: {}", outcome.leftover_keys.len());
     println!("indexes that differ from a rebuild: {:?}", outcome.stale);
     println!("starved: {:?}", outcome.service_shares.below_minimum());
     println!("\n{}", outcome.service_shares);
-    for (kind, (count, time)) in &outcome.costs {
+    for (kind, (count, time)) in &outcome.input_times {
         let each = time.as_nanos() as f64 / 1e3 / (*count).max(1) as f64;
         println!("{kind:28} {count:>9} inputs {each:>9.1} us each");
     }
@@ -65,7 +65,7 @@
 
 fn is_clean(outcome: &Outcome) -> bool {
     outcome.violations.is_empty()
-        && outcome.malformed.is_empty()
+        && outcome.protocol_errors.is_empty()
         && outcome.unfinished.is_empty()
         && outcome.leftover_keys.is_empty()
         && outcome.stale.is_empty()
--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -206,11 +206,11 @@
             })
             .collect();
         let growth = runs.first().zip(runs.last()).and_then(|(a, b)| {
-            let costs = (
+            let mean_times = (
                 a.input_times.get(kind)?.mean(),
                 b.input_times.get(kind)?.mean(),
             );
-            (a.size != b.size).then(|| exponent((a.size, b.size), costs))
+            (a.size != b.size).then(|| exponent((a.size, b.size), mean_times))
         });
         let growth = growth.map_or(String::new(), |e| format!("{e:.2}"));
         println!("| {kind} | {} | {growth} |", cells.join(" | "));
@@ -241,10 +241,10 @@
             r.longest_before as f64 / 1e6,
             r.node_bytes as f64 / 1e6
         );
-        if !m.malformed.is_empty() || m.expired_leases > 0 {
+        if !m.protocol_errors.is_empty() || m.expired_leases > 0 {
             println!(
                 "{} malformed requests, {} leases expired",
-                m.malformed.len(),
+                m.protocol_errors.len(),
                 m.expired_leases
             );
         }
@@ -256,7 +256,7 @@
 }
 
 /// Prints a single run in which the controller's work takes simulated time.
-fn print_election(run: &Run) {
+fn print_timed_run(run: &Run) {
     let m = &run.measured;
     println!(
         "from the election to the first launch: {}",
@@ -325,7 +325,7 @@
                 cpu_share: Some(share),
                 ..common.settings(machines)
             };
-            print_election(&run(machines, settings));
+            print_timed_run(&run(machines, settings));
         }
         Command::Herd {
             machines,
@@ -335,7 +335,7 @@
         } => {
             let settings = common.settings(machines);
             let from = settings.warm_up;
-            print_election(&run(
+            print_timed_run(&run(
                 machines,
                 FleetSettings {
                     cpu_share: Some(share),
@@ -368,7 +368,7 @@
     })
     .run();
     println!("{} machines, {} starts", o.peak_machines, o.starts);
-    for (kind, (n, time)) in o.costs {
+    for (kind, (n, time)) in o.input_times {
         let each = time.as_nanos() as f64 / 1e3 / n.max(1) as f64;
         println!("{kind:28} {n:>9} inputs {each:>9.1} us each, {time:>9.1?} in all");
     }
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -4,15 +4,15 @@
 use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
-/// Salt of the seed of [`Scenario::meetings`].
-const MEETINGS_SEED_SALT: u64 = 0x3ee7;
+/// Salt of the seed of [`Scenario::combined_faults`].
+const COMBINED_FAULTS_SEED_SALT: u64 = 0x3ee7;
 
 impl Scenario {
     /// Groups of two or three draws, several times in a run; one draw may add several faults.
     /// The draws of a group begin within seconds of each other. Their durations are near 2,
     /// 10, 14, 26, 30, 44 or 60 s. Faults of one node hit the leader three times out of four.
-    pub fn meetings(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ MEETINGS_SEED_SALT);
+    pub fn combined_faults(seed: u64) -> Scenario {
+        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ COMBINED_FAULTS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(20 * SECOND..40 * SECOND);
         while at < scenario.activity_end {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -126,7 +126,7 @@
     /// Minimum remaining time of a worker's lease when a heartbeat answer renewed it.
     pub min_lease_remaining: Micros,
     /// Requests that broke the store's protocol: over a limit, or not fenced by the term.
-    pub malformed: Vec<String>,
+    pub protocol_errors: Vec<String>,
 }
 
 #[derive(Debug)]
@@ -341,7 +341,8 @@
         fleet
     }
 
-    /// Creates the machines, all of them full, and the waiting jobs.
+    /// Creates the machines, all of them full, the waiting and blocked jobs, and the first
+    /// events.
     fn populate(&mut self) {
         for i in 0..self.settings.machines {
             let name = format!("host-{i:06}");
@@ -509,8 +510,8 @@
             }
         }
         self.measurements
-            .malformed
-            .clone_from(&self.store.malformed);
+            .protocol_errors
+            .clone_from(&self.store.protocol_errors);
         self.measurements.scheduler_counters = self
             .node
             .as_ref()
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -508,7 +508,8 @@
         self.running.range(bound(0)..=bound(u32::MAX))
     }
 
-    /// Checks the cancellation deadlines. To be called after every step of a run.
+    /// Checks the cancellation deadlines. To be called after every step of a run. Drops overdue
+    /// tasks from the running ones, so that each is reported once.
     pub fn check_cancellations(&mut self, now: Micros) {
         let overdue = |job: &Job| {
             let reported = job.cancel_reported_at;
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -78,7 +78,7 @@
     /// This percentage of the transactions are executed at once, but their answers are lost.
     LostWriteReplies { percent: u8, time: Micros },
     /// This percentage of the heartbeats are duplicated. The copies arrive at every node
-    /// when the next leader is elected.
+    /// within 600 ms after the next election.
     HeartbeatsForNextLeader { percent: u8, time: Micros },
     /// Users poll all nodes and repeat the submission within milliseconds after a job was
     /// accepted, has ended or was confirmed as cancelled.
@@ -106,9 +106,9 @@
 }
 
 // Salts that give each scenario a random generator of its own for the same seed.
-const CUT_OFF_SEED_SALT: u64 = 0x0c07;
+const LEADER_ZONE_PARTITIONS_SEED_SALT: u64 = 0x0c07;
 const PIPELINES_SEED_SALT: u64 = 0xa3a1;
-const GAP_SEED_SALT: u64 = 0x6a9;
+const STORE_OUTAGES_SEED_SALT: u64 = 0x6a9;
 
 /// Node index in a fault that means the leader when the fault begins, or the last node if
 /// there is no leader.
@@ -264,7 +264,7 @@
     /// [`Scenario::random`] with additional faults: paused nodes, partitions between nodes,
     /// slow boots, poll storms and rate limiting. They are drawn from a separate random
     /// generator, so that the faults of `random` are unchanged.
-    pub fn troubled(seed: u64) -> Scenario {
+    pub fn with_additional_faults(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
         let mut rng = Rng::with_seed(!seed);
         for _ in 0..rng.usize(2..7) {
@@ -289,9 +289,9 @@
 
     /// [`Scenario::random`] with network partitions of the leader's zone in every mode, and
     /// of other zones shortly before.
-    pub fn cut_off(seed: u64) -> Scenario {
+    pub fn leader_zone_partitions(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
-        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ CUT_OFF_SEED_SALT);
+        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ LEADER_ZONE_PARTITIONS_SEED_SALT);
         for _ in 0..rng.usize(1..4) {
             let at = rng.u64(30 * SECOND..scenario.activity_end - 10 * SECOND);
             let mut add_partition = |rng: &mut Rng, at, zone| {
@@ -316,10 +316,10 @@
         scenario
     }
 
-    /// [`Scenario::troubled`] with a rolling upgrade, pipelines, and a store that lowers its
-    /// limits.
+    /// [`Scenario::with_additional_faults`] with a rolling upgrade, pipelines, and a store that
+    /// lowers its limits.
     pub fn pipelines(seed: u64) -> Scenario {
-        let mut scenario = Scenario::troubled(seed);
+        let mut scenario = Scenario::with_additional_faults(seed);
         let mut rng = Rng::with_seed(seed.rotate_left(11) ^ PIPELINES_SEED_SALT);
         let first = rng.u64(10 * SECOND..50 * SECOND);
         let every = rng.u64(SECOND..15 * SECOND);
@@ -366,8 +366,8 @@
     /// The store first refuses, or is partitioned from, the leader only, while other nodes
     /// confirm cancellations. Then it is unavailable to all nodes for 20 to 70 s, which may
     /// exceed the cancellation deadline. This happens twice.
-    pub fn gap(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ GAP_SEED_SALT);
+    pub fn store_outages(seed: u64) -> Scenario {
+        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ STORE_OUTAGES_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(25 * SECOND..60 * SECOND);
         for _ in 0..2 {
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -76,7 +76,7 @@
         let Some(kube_job) = &mut u.kube_job else {
             return false;
         };
-        if u.stage == Stage::Submitting {
+        if u.stage == UserState::Submitting {
             kube_job.first_try = *u.first_submitted_at.get_or_insert(now);
             kube_job.tries += 1;
             let (path, body) = (kube_job.path(), kube_job.manifest.to_string());
@@ -141,8 +141,8 @@
         let name = kube_job.name.to_string();
         let mut error = None;
         let mut shown_state = None;
-        let mut pause = 5 * SECOND;
-        if !matches!(status, 0 | 429 | 503) && u.stage != Stage::Submitting {
+        let mut delay = 5 * SECOND;
+        if !matches!(status, 0 | 429 | 503) && u.stage != UserState::Submitting {
             // Records that an answer came. Its content is checked below.
             self.checker.poll_answered(&id, 200, None, now, now);
         }
@@ -151,11 +151,11 @@
                 let gave_up = u
                     .first_submitted_at
                     .is_some_and(|at| now > at + SUBMISSION_RETRY_TIME);
-                if u.stage == Stage::Submitting && gave_up {
+                if u.stage == UserState::Submitting && gave_up {
                     return;
                 }
-                pause = SECOND;
-                if u.stage != Stage::Submitting {
+                delay = SECOND;
+                if u.stage != UserState::Submitting {
                     self.checker.poll_answered(&id, status, None, now, now);
                 }
             }
@@ -164,9 +164,9 @@
                 if status == 201 || kube_job.tries > 1 =>
             {
                 u.accepted = true;
-                u.stage = Stage::Polling;
+                u.stage = UserState::Polling;
                 kube_job.created = Some(now);
-                pause = 4 * SECOND;
+                delay = 4 * SECOND;
                 self.checker.submission_answered(&id, 201, None, now, now);
             }
             (JobRequest::Again, 409) => {}
@@ -186,7 +186,7 @@
                 if u.final_state.is_none() && (kube_job.may_fail() || self.checker.is_complete(&id))
                 {
                     u.final_state = Some(JobState::Done);
-                    u.stage = Stage::Ended;
+                    u.stage = UserState::Ended;
                 }
             }
             // An earlier attempt to delete the Job was executed.
@@ -201,7 +201,7 @@
         }
         if let Some(state) = shown_state {
             u.final_state = Some(state);
-            u.stage = Stage::Ended;
+            u.stage = UserState::Ended;
             // Ended by its deadline or backoff limit, which counts as a cancellation.
             if state == JobState::Cancelled {
                 self.checker.cancel_requested(&id);
@@ -209,7 +209,7 @@
             self.checker.poll_answered(&id, 200, Some(state), now, now);
         } else if kube_job.deleted && operation == JobRequest::Delete && u.final_state.is_none() {
             u.final_state = Some(JobState::Cancelled);
-            u.stage = Stage::Ended;
+            u.stage = UserState::Ended;
             self.checker
                 .poll_answered(&id, 200, Some(JobState::Cancelled), now, now);
         }
@@ -217,10 +217,10 @@
             self.checker
                 .report_violation(Rule::KubernetesApi, now, error);
         }
-        if u.stage == Stage::Ended && !matches!(status, 0 | 429 | 503) {
-            pause = pause.max(15 * SECOND);
+        if u.stage == UserState::Ended && !matches!(status, 0 | 429 | 503) {
+            delay = delay.max(15 * SECOND);
         }
-        self.schedule_user_request(now + pause, job);
+        self.schedule_user_request(now + delay, job);
     }
 
     pub(super) fn check_api_watch(&mut self) {
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -45,8 +45,9 @@
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
 /// How long a user retries a failing submission.
 const SUBMISSION_RETRY_TIME: Micros = 60 * SECOND;
-/// One input in this many is preceded by an audit of the leader's derived state. An audit
-/// visits the whole fleet, so audits become rarer as the scale of the scenario grows.
+/// Inputs of all nodes per audit of derived state, multiplied by the scale of the scenario
+/// because an audit visits the whole fleet. An audit checks nothing on a node that does not
+/// lead.
 const INPUTS_PER_AUDIT: u64 = 101;
 /// The store's limits before and after they are lowered, which follows an upgrade. They are so
 /// small that a few dozen placed tasks do not fit in one value.
@@ -79,10 +80,10 @@
     /// Accepted batch jobs that were neither completed nor cancelled.
     pub unfinished: Vec<String>,
     /// Requests that broke the store's protocol: over a limit, or not fenced by the term.
-    pub malformed: Vec<String>,
+    pub protocol_errors: Vec<String>,
     /// Number of requests that exceeded a limit of the store after the limits had been
     /// reduced without notice.
-    pub refused: usize,
+    pub refused_over_lowered_limits: usize,
     /// Keys of tasks and of open or cancelled jobs that remained in the store at the end.
     pub leftover_keys: Vec<String>,
     /// Parts of the leaders' derived state that differed from a fresh computation.
@@ -111,14 +112,15 @@
     pub leaders_elected: u64,
     /// Number of calls to the store, excluding watches.
     pub store_calls: u64,
-    pub costs: Costs,
+    pub input_times: InputTimes,
     /// The most bytes that a node held when it stopped; 0 unless the scenario measures
     /// allocations.
     pub peak_node_bytes: usize,
 }
 
-/// Number of inputs that the nodes processed and the time they took, by kind of input.
-pub type Costs = BTreeMap<&'static str, (u64, Duration)>;
+/// Number of inputs that the nodes processed, except API requests, and the time they took, by
+/// kind of input.
+pub type InputTimes = BTreeMap<&'static str, (u64, Duration)>;
 
 fn input_kind(input: &Input, is_leader: bool) -> &'static str {
     match input {
@@ -243,8 +245,8 @@
     epoch: u32,
     id: CallId,
     reply_delivered: bool,
-    /// For a call to the cloud: the leader at the time of sending. None if the call was
-    /// sent just before it arrived.
+    /// For a call to the cloud: the leader at the time of sending. None if the call waited
+    /// for a connection: the leader at its arrival counts.
     leader_when_sent: Option<ObservedLeader>,
     /// Its random numbers are drawn from the auxiliary generator, so that the call does
     /// not change the rest of the run.
@@ -335,7 +337,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum UserState {
     Submitting,
     Polling,
     Ended,
@@ -344,7 +346,7 @@
 #[derive(Debug)]
 struct User {
     spec: JobSpec,
-    stage: Stage,
+    stage: UserState,
     first_submitted_at: Option<Micros>,
     cancel_at: Option<Micros>,
     accepted: bool,
@@ -363,7 +365,7 @@
     fn new(spec: JobSpec, cancel_at: Option<Micros>) -> User {
         User {
             spec,
-            stage: Stage::Submitting,
+            stage: UserState::Submitting,
             first_submitted_at: None,
             cancel_at,
             accepted: false,
@@ -475,7 +477,7 @@
     interrupted_tasks: usize,
     late_deletions: usize,
     service_shares: ServiceShares,
-    costs: Costs,
+    input_times: InputTimes,
     pub(crate) peak_node_bytes: usize,
 }
 
@@ -674,7 +676,7 @@
             interrupted_tasks: 0,
             late_deletions: 0,
             service_shares: ServiceShares::default(),
-            costs: Costs::new(),
+            input_times: InputTimes::new(),
             peak_node_bytes: 0,
             scenario,
         };
@@ -770,8 +772,8 @@
             accepted: self.users.iter().filter(|u| u.accepted).count(),
             unfinished,
             leftover_keys: [self.store.keys("t/"), self.store.keys("q/")].concat(),
-            refused: self.store.refused,
-            malformed: self.store.malformed,
+            refused_over_lowered_limits: self.store.refused_over_lowered_limits,
+            protocol_errors: self.store.protocol_errors,
             violations: self.checker.violations,
             stale: self.stale,
             answer_digest: self.answer_digest.finalize().into(),
@@ -786,7 +788,7 @@
             service_shares: self.service_shares,
             leaders_elected,
             store_calls: self.store_calls,
-            costs: self.costs,
+            input_times: self.input_times,
             peak_node_bytes: self.peak_node_bytes,
         }
     }
@@ -823,7 +825,7 @@
         let kind = input_kind(&input, n.node.leading().is_some());
         let started = Instant::now();
         let outputs = n.handle(now, input);
-        let cost = self.costs.entry(kind).or_default();
+        let cost = self.input_times.entry(kind).or_default();
         cost.0 += 1;
         cost.1 += started.elapsed();
         let epoch = self.nodes[node].epoch;
@@ -988,7 +990,7 @@
                     self.api_client_answer(job, operation, 0, &[]);
                 }
                 Some((Requester::ApiWatch, _)) => self.api_watch_ended(request),
-                Some((requester, sent_at)) => self.user_answer(requester, sent_at, 0, None),
+                Some((requester, sent_at)) => self.handle_user_answer(requester, sent_at, 0, None),
                 None => {}
             },
             Event::PollUnknownJob => {
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -282,12 +282,12 @@
                     else {
                         continue;
                     };
-                    let cut_until = self.nodes[node]
+                    let partition_end = self.nodes[node]
                         .peer_partition_until
                         .max(self.nodes[to].peer_partition_until);
                     let frame = message.encode();
                     if intact
-                        && self.now >= cut_until
+                        && self.now >= partition_end
                         && let Ok(message) = Message::decode(&frame[4..])
                     {
                         let from = format!("node-{node}");
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -199,8 +199,8 @@
     }
 
     pub(super) fn send_watch_batch(&mut self, caller: Caller, changes: WatchBatch) {
-        let cut_until = self.nodes[caller.node].store_partition_until;
-        let held_until = self.delivery_time(None, Self::node_zone(caller.node), cut_until);
+        let partition_end = self.nodes[caller.node].store_partition_until;
+        let held_until = self.delivery_time(None, Self::node_zone(caller.node), partition_end);
         let Some(held_until) = held_until else {
             return;
         };
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -153,7 +153,7 @@
     ) {
         self.last_request_id += 1;
         let request = self.last_request_id;
-        let from_region = !matches!(
+        let from_outside_zones = !matches!(
             requester,
             Requester::Worker { .. } | Requester::ReplyDiscarded
         );
@@ -164,7 +164,7 @@
         );
         let epoch = self.nodes[node].epoch;
         let mut at = self.now + self.network_delay() / 4;
-        if from_region {
+        if from_outside_zones {
             let Some(arrival) = self.delivery_time(None, Self::node_zone(node), at) else {
                 return;
             };
@@ -194,9 +194,10 @@
                     self.check_launches(node, &reply.commands);
                 }
                 let zone = self.zone_of(&machine).unwrap_or(0);
-                let cut_until = self.zone_worker_partition_until[zone]
+                let partition_end = self.zone_worker_partition_until[zone]
                     .max(self.nodes[node].worker_partition_until);
-                let held_until = self.delivery_time(Self::node_zone(node), Some(zone), cut_until);
+                let held_until =
+                    self.delivery_time(Self::node_zone(node), Some(zone), partition_end);
                 let Some(held_until) = held_until else {
                     return;
                 };
@@ -227,7 +228,7 @@
                 if let Some(s) = status.filter(|s| s.state == JobState::Cancelled) {
                     self.nodes[node].known_cancelled_jobs.insert(s.id);
                 }
-                self.user_answer(requester, sent_at, answer.status, state);
+                self.handle_user_answer(requester, sent_at, answer.status, state);
             }
         }
     }
@@ -257,19 +258,19 @@
         if self.users[job].kube_job.is_some() && self.api_client_request(node, job) {
             return;
         }
-        if self.users[job].stage == Stage::Submitting && !self.dependencies_ready(job) {
+        if self.users[job].stage == UserState::Submitting && !self.dependencies_ready(job) {
             return self.schedule_user_request(now + SECOND / 2, job);
         }
         let u = &mut self.users[job];
         let id = u.spec.id.clone();
         match u.stage {
-            Stage::Submitting => {
+            UserState::Submitting => {
                 u.first_submitted_at.get_or_insert(now);
                 let spec = u.spec.clone();
                 self.checker.submitted(&spec);
                 self.submit(node, Requester::Submission { job }, &spec);
             }
-            Stage::Polling | Stage::Ended
+            UserState::Polling | UserState::Ended
                 if u.final_state.is_none() && u.cancel_at.is_some_and(|at| now >= at) =>
             {
                 self.checker.cancel_requested(&id);
@@ -281,8 +282,8 @@
                     Vec::new(),
                 );
             }
-            Stage::Polling | Stage::Ended => {
-                if u.stage == Stage::Ended && u.answer_count % 2 == 1 {
+            UserState::Polling | UserState::Ended => {
+                if u.stage == UserState::Ended && u.answer_count % 2 == 1 {
                     // A known job is recognised by its ID whatever else the submission
                     // contains.
                     let mut spec = u.spec.clone();
@@ -312,7 +313,7 @@
         self.schedule(at, Event::UserRequest { job });
     }
 
-    pub(super) fn user_answer(
+    pub(super) fn handle_user_answer(
         &mut self,
         requester: Requester,
         sent_at: Micros,
@@ -320,13 +321,13 @@
         state: Option<JobState>,
     ) {
         let first_result = self.first_result(&requester, status, state);
-        self.record_user_answer(requester, sent_at, status, state);
+        self.apply_user_answer(requester, sent_at, status, state);
         if let Some((job, accepted)) = first_result {
             self.react_to_result(job, accepted);
         }
     }
 
-    fn record_user_answer(
+    fn apply_user_answer(
         &mut self,
         requester: Requester,
         sent_at: Micros,
@@ -376,7 +377,7 @@
                 u.accepted |= matches!(status, 200 | 201);
                 if ended.is_some() {
                     u.final_state = ended;
-                    u.stage = Stage::Ended;
+                    u.stage = UserState::Ended;
                 }
                 match requester {
                     Requester::ExtraSubmission { .. } => self
@@ -394,28 +395,28 @@
                 match status {
                     200 | 201 => {
                         u.accepted = true;
-                        if u.stage == Stage::Submitting {
-                            u.stage = Stage::Polling;
+                        if u.stage == UserState::Submitting {
+                            u.stage = UserState::Polling;
                         }
                         if ended.is_some() {
                             u.final_state = ended;
-                            u.stage = Stage::Ended;
+                            u.stage = UserState::Ended;
                         }
                         self.schedule_user_request(now + 4 * SECOND, job);
                     }
-                    400 | 422 if u.stage == Stage::Submitting => {}
+                    400 | 422 if u.stage == UserState::Submitting => {}
                     _ => {
                         let gave_up = u
                             .first_submitted_at
                             .is_some_and(|at| now > at + SUBMISSION_RETRY_TIME);
-                        let mut pause = SECOND;
-                        if u.stage == Stage::Submitting && gave_up {
+                        let mut delay = SECOND;
+                        if u.stage == UserState::Submitting && gave_up {
                             // A delayed submission may still be executed: poll once to
                             // find out whether the job is known.
-                            u.stage = Stage::Polling;
-                            pause = 150 * SECOND;
+                            u.stage = UserState::Polling;
+                            delay = 150 * SECOND;
                         }
-                        self.schedule_user_request(now + pause, job);
+                        self.schedule_user_request(now + delay, job);
                     }
                 }
                 self.checker
@@ -430,17 +431,17 @@
                 }
                 if ended.is_some() {
                     u.final_state = ended;
-                    u.stage = Stage::Ended;
+                    u.stage = UserState::Ended;
                 }
-                let pause = match u.stage {
-                    Stage::Ended => {
+                let delay = match u.stage {
+                    UserState::Ended => {
                         u.answer_count += 1;
                         20 * SECOND
                     }
                     _ if now < self.frequent_polls_until => 5 * SECOND / 8,
                     _ => 5 * SECOND,
                 };
-                self.schedule_user_request(now + pause, job);
+                self.schedule_user_request(now + delay, job);
                 self.checker.poll_answered(&id, status, state, sent_at, now);
             }
         }
--- a/crates/simulator/src/simulation/workers.rs
+++ b/crates/simulator/src/simulation/workers.rs
@@ -32,10 +32,10 @@
                     w.next_heartbeat_at = self.now + self.rng.u64(15..25) * SECOND / 10;
                     let node = w.node;
                     let zone = ZONES.iter().position(|z| *z == w.place.zone).unwrap_or(0);
-                    let cut_until = self.zone_worker_partition_until[zone]
+                    let partition_end = self.zone_worker_partition_until[zone]
                         .max(self.nodes[node].worker_partition_until);
                     let held_until =
-                        self.delivery_time(Some(zone), Self::node_zone(node), cut_until);
+                        self.delivery_time(Some(zone), Self::node_zone(node), partition_end);
                     let Some(held_until) = held_until else {
                         self.record_worker_events(&name, worker_events);
                         continue;
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PageLimit {
     pub rows: usize,
-    /// Size of the page in JSON.
+    /// Maximum size of the page as JSON.
     pub bytes: usize,
 }
 
@@ -60,9 +60,9 @@
     /// request beyond a limit is answered 400 and is not an error of the controller.
     limits_lowered: bool,
     /// Requests that were refused for their size after the limits were lowered.
-    pub refused: usize,
+    pub refused_over_lowered_limits: usize,
     /// Descriptions of the requests that broke the protocol: errors of the controller.
-    pub malformed: Vec<String>,
+    pub protocol_errors: Vec<String>,
 }
 
 impl SimulatedStore {
@@ -80,8 +80,8 @@
             max_value_bytes,
             max_txn_ops,
             limits_lowered: false,
-            refused: 0,
-            malformed: Vec::new(),
+            refused_over_lowered_limits: 0,
+            protocol_errors: Vec::new(),
         }
     }
 
@@ -284,9 +284,9 @@
 
     fn refuse_oversized(&mut self, what: String) -> StoreResponse {
         if self.limits_lowered {
-            self.refused += 1;
+            self.refused_over_lowered_limits += 1;
         } else {
-            self.malformed.push(what);
+            self.protocol_errors.push(what);
         }
         StoreResponse::Malformed
     }
@@ -329,7 +329,7 @@
             }
         };
         if txn.then.iter().any(leader_owned) && !txn.compare.iter().any(|c| c.key == "s/term") {
-            self.malformed.push(
+            self.protocol_errors.push(
                 "write to a leader-owned key (t/ or m/) without a condition on s/term".into(),
             );
         }
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -165,7 +165,7 @@
         &mut self,
         now: Micros,
         lease: Micros,
-        jobs: &BTreeMap<String, TaskBehaviour>,
+        behaviours: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
         let mut events = Vec::new();
         // A hung machine does not execute its tasks, but its lease still expires.
@@ -185,7 +185,7 @@
         for ((task, _), attempt) in &mut self.attempts {
             while attempt.until.is_some_and(|at| now >= at) {
                 changed = true;
-                let behaviour = jobs.get(&task.job);
+                let behaviour = behaviours.get(&task.job);
                 match attempt.state {
                     TaskState::Fetching => {
                         events.push(WorkerEvent::Started(task.clone()));
@@ -235,7 +235,7 @@
         incarnation: u64,
         sent: Micros,
         now: Micros,
-        jobs: &BTreeMap<String, TaskBehaviour>,
+        behaviours: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
         if answer.fencing_token < self.fencing_token || incarnation != self.incarnation {
             return Vec::new();
@@ -245,7 +245,7 @@
             self.expedite_heartbeat(now);
         }
         self.lease_start = self.lease_start.max(sent);
-        self.execute(&answer.commands, now, jobs)
+        self.execute(&answer.commands, now, behaviours)
     }
 
     /// Handles commands sent to the worker. Returns the HTTP status, the heartbeat that is
@@ -254,13 +254,13 @@
         &mut self,
         batch: &CommandBatch,
         now: Micros,
-        jobs: &BTreeMap<String, TaskBehaviour>,
+        behaviours: &BTreeMap<String, TaskBehaviour>,
     ) -> (u16, Heartbeat, Vec<WorkerEvent>) {
         if batch.fencing_token < self.fencing_token || batch.incarnation != self.incarnation {
             return (409, self.heartbeat(now), Vec::new());
         }
         self.fencing_token = batch.fencing_token;
-        let events = self.execute(&batch.commands, now, jobs);
+        let events = self.execute(&batch.commands, now, behaviours);
         (200, self.heartbeat(now), events)
     }
 
@@ -268,12 +268,12 @@
         &mut self,
         commands: &[Command],
         now: Micros,
-        jobs: &BTreeMap<String, TaskBehaviour>,
+        behaviours: &BTreeMap<String, TaskBehaviour>,
     ) -> Vec<WorkerEvent> {
         let mut events = Vec::new();
         for c in commands {
             match c {
-                Command::Launch { task, attempt } => self.launch(task, *attempt, now, jobs),
+                Command::Launch { task, attempt } => self.launch(task, *attempt, now, behaviours),
                 Command::Stop { task, attempt, .. } => {
                     if let Some(stopped) = self.attempts.get_mut(&(task.clone(), *attempt))
                         && stopped.state != TaskState::Exited
@@ -316,7 +316,7 @@
         live.map(|((task, _), _)| task)
     }
 
-    /// Whether it runs tasks, is reachable and is not about to be preempted.
+    /// Whether it is not hung or faulty, is reachable and is not about to be preempted.
     pub fn accepts_tasks(&self, now: Micros) -> bool {
         let fault_ends = [
             self.hung_until,
@@ -345,7 +345,7 @@
         task: &TaskName,
         attempt: u64,
         now: Micros,
-        jobs: &BTreeMap<String, TaskBehaviour>,
+        behaviours: &BTreeMap<String, TaskBehaviour>,
     ) {
         let key = (task.clone(), attempt);
         if self.attempts.contains_key(&key) {
@@ -354,7 +354,7 @@
         let live = |a: &Attempt| a.state != TaskState::Exited;
         let (free_cpus, free_gpus) = self.free_resources();
         let other_attempt = self.attempts.iter().any(|((t, _), a)| t == task && live(a));
-        let behaviour = jobs.get(&task.job);
+        let behaviour = behaviours.get(&task.job);
         let (cpus, gpus) = behaviour.map_or((0.0, 0.0), |b| (b.spec.cpus, b.spec.gpus));
         let rejection = if behaviour.is_none() {
             Some(ExitReason::UnknownTask)
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -13,7 +13,7 @@
 
 fn run_combined_faults(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        run_clean(Scenario::meetings(seed));
+        run_clean(Scenario::combined_faults(seed));
     }
 }
 
@@ -35,7 +35,7 @@
 #[test]
 fn rules_hold_under_consecutive_store_outages() {
     for seed in 0..8 {
-        run_clean(Scenario::gap(seed));
+        run_clean(Scenario::store_outages(seed));
     }
 }
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn lost_transactions_leave_no_job_unanswered() {
-    run_clean(Scenario::meetings(LOST_TRANSACTIONS_SEED));
+    run_clean(Scenario::combined_faults(LOST_TRANSACTIONS_SEED));
 }
 
 /// Crashes the caller at one of the three crash points of about every 32nd call to the store.
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -9,7 +9,7 @@
     let run = format!("seed {}, {:?}", scenario.seed, scenario.crash_at_call);
     let o = Simulation::new(scenario).run();
     assert_eq!(o.violations, [], "{run}: {faults:?}");
-    assert_eq!(o.malformed, [""; 0], "{run}: requests over a limit");
+    assert_eq!(o.protocol_errors, [""; 0], "{run}: requests over a limit");
     assert_eq!(o.stale, [""; 0], "{run}: stale derived state");
     assert_eq!(o.unfinished, [""; 0], "{run}: unfinished jobs, {faults:?}");
     assert_eq!(o.leftover_keys, [""; 0], "{run}: leftover keys, {faults:?}");
--- a/crates/simulator/tests/fault_effects.rs
+++ b/crates/simulator/tests/fault_effects.rs
@@ -27,7 +27,7 @@
 }
 
 fn heartbeats_received(o: &Outcome) -> u64 {
-    o.costs.get("report").map_or(0, |(count, _)| *count)
+    o.input_times.get("report").map_or(0, |(count, _)| *count)
 }
 
 #[test]
--- a/crates/simulator/tests/fault_scenarios.rs
+++ b/crates/simulator/tests/fault_scenarios.rs
@@ -38,7 +38,7 @@
         let o = run(seed, 14, faults(seed));
         assert_eq!(o.violations, [], "{name}, seed {seed}");
         assert_eq!(
-            o.malformed, [""; 0],
+            o.protocol_errors, [""; 0],
             "{name}, seed {seed}: requests over a limit"
         );
         assert_eq!(o.stale, [""; 0], "{name}, seed {seed}: stale derived state");
@@ -315,7 +315,10 @@
         })
         .run();
         assert_eq!(o.violations, [], "seed {seed}");
-        assert_eq!(o.malformed, [""; 0], "seed {seed}: requests over a limit");
+        assert_eq!(
+            o.protocol_errors, [""; 0],
+            "seed {seed}: requests over a limit"
+        );
         assert!(o.starts > 200, "seed {seed}: {} starts", o.starts);
     }
 }
@@ -349,7 +352,7 @@
 #[test]
 fn rules_hold_under_random_faults_with_pauses_and_overload() {
     for seed in 100..125 {
-        run_clean(Scenario::troubled(seed));
+        run_clean(Scenario::with_additional_faults(seed));
     }
 }
 
@@ -360,7 +363,7 @@
 fn rules_hold_when_the_leaders_zone_is_partitioned() {
     let seeds = (0..30).chain(APPARENT_OUTAGE_SEEDS).chain([PARTITION_SEED]);
     for seed in seeds {
-        run_clean(Scenario::cut_off(seed));
+        run_clean(Scenario::leader_zone_partitions(seed));
     }
 }
 
@@ -369,7 +372,7 @@
 fn run_pipelines(seeds: impl IntoIterator<Item = u64>) {
     let refused: usize = seeds
         .into_iter()
-        .map(|seed| run_clean(Scenario::pipelines(seed)).refused)
+        .map(|seed| run_clean(Scenario::pipelines(seed)).refused_over_lowered_limits)
         .sum();
     // The reduced limits must have been reached for the test to show anything.
     assert!(refused > 0);
@@ -434,7 +437,10 @@
         })
         .run();
         assert_eq!(o.violations, [], "seed {seed}");
-        assert_eq!(o.malformed, [""; 0], "seed {seed}: requests over a limit");
+        assert_eq!(
+            o.protocol_errors, [""; 0],
+            "seed {seed}: requests over a limit"
+        );
         assert_eq!(o.unfinished, [""; 0], "seed {seed}: unfinished jobs");
         assert_eq!(o.leftover_keys, [""; 0], "seed {seed}: leftover keys");
         let least = if scale > 1 { 150 } else { 5 };
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -8,7 +8,7 @@
     let mut fleet = Fleet::new(settings);
     fleet.run();
     let m = fleet.into_measurements();
-    assert_eq!(m.malformed, [""; 0], "requests over a limit");
+    assert_eq!(m.protocol_errors, [""; 0], "requests over a limit");
     m
 }
 
--- a/crates/simulator/tests/kubernetes_jobs.rs
+++ b/crates/simulator/tests/kubernetes_jobs.rs
@@ -9,7 +9,10 @@
 
 fn assert_clean(seed: u64, o: &Outcome) {
     assert_eq!(o.violations, [], "seed {seed}");
-    assert_eq!(o.malformed, [""; 0], "seed {seed}: requests over a limit");
+    assert_eq!(
+        o.protocol_errors, [""; 0],
+        "seed {seed}: requests over a limit"
+    );
     assert_eq!(o.stale, [""; 0], "seed {seed}: stale derived state");
     assert_eq!(o.unfinished, [""; 0], "seed {seed}: unfinished jobs");
     assert_eq!(o.leftover_keys, [""; 0], "seed {seed}: leftover keys");
@@ -74,7 +77,7 @@
         } else {
             SubmissionForm::Kubernetes
         };
-        let o = run(form, Scenario::troubled(seed));
+        let o = run(form, Scenario::with_additional_faults(seed));
         assert_clean(seed, &o);
         watched_ends += o.watched_objects.1;
     }
@@ -95,7 +98,10 @@
         .chain(REPEATED_WATCH_EVENT_SEEDS)
         .chain([OUTDATED_ESTIMATE_SEED]);
     for seed in seeds {
-        let o = run(SubmissionForm::Kubernetes, Scenario::troubled(seed));
+        let o = run(
+            SubmissionForm::Kubernetes,
+            Scenario::with_additional_faults(seed),
+        );
         assert_clean(seed, &o);
     }
 }
