--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -19,7 +19,7 @@
     #[arg(long, value_enum, default_value_t = Form::Native)]
     form: Form,
     /// The kind of faults in the scenarios
-    #[arg(long = "troubles", value_name = "TROUBLES", value_enum, default_value_t = Faults::AdditionalFaults)]
+    #[arg(long = "troubles", value_name = "TROUBLES", value_enum, default_value_t = Faults::Additional)]
     faults: Faults,
 }
 
@@ -27,7 +27,7 @@
 enum Faults {
     /// Random faults, with paused nodes, slow boots and overload
     #[value(name = "troubled")]
-    AdditionalFaults,
+    Additional,
     /// Network partitions of the leader's zone with its controllers
     #[value(name = "cut-off")]
     Partition,
@@ -86,7 +86,7 @@
                         return;
                     }
                     let scenario = match args.faults {
-                        Faults::AdditionalFaults => Scenario::with_additional_faults(seed),
+                        Faults::Additional => Scenario::with_additional_faults(seed),
                         Faults::Partition => Scenario::leader_zone_partitions(seed),
                         Faults::Pipelines => Scenario::pipelines(seed),
                         Faults::Combined => Scenario::combined_faults(seed),
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -383,7 +383,8 @@
 }
 
 /// Reads one HTTP message. Returns (method, target, 0, body) of a request or ("", reason
-/// phrase, status, body) of a response, and None if the connection closed or the message is invalid.
+/// phrase, status, body) of a response, and None if the connection closed or the message is
+/// invalid.
 fn read_message(stream: &mut TcpStream, request: bool) -> Option<(String, String, u16, Vec<u8>)> {
     let mut buffer = Vec::new();
     let mut chunk = [0u8; 4096];
