--- a/crates/dillcleat/tests/kube_server.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -108,7 +108,7 @@
         ThreeProcesses::start(Path::new(PROGRAM), &dir, &kube).expect("controllers");
     let client = |i: usize, token| Client {
         dir: dir.clone(),
-        server: format!("https://{}", controllers.doors[i]),
+        server: format!("https://{}", controllers.kube_addrs[i]),
         token,
     };
     let clients: Vec<Client> = (0..3).map(|i| client(i, "all")).collect();
@@ -247,7 +247,7 @@
     });
     // Requests without TLS get no response.
     assert_eq!(
-        exchange(controllers.doors[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
+        exchange(controllers.kube_addrs[0], b"GET /version HTTP/1.1\r\n\r\n").map(|(s, _)| s),
         None
     );
 }
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -29,7 +29,7 @@
 }
 
 fn client(controllers: &ThreeProcesses, i: usize, root: &[u8]) -> Client {
-    let url = format!("https://{}", controllers.doors[i])
+    let url = format!("https://{}", controllers.kube_addrs[i])
         .parse()
         .expect("a URL");
     let mut config = Config::new(url);
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -76,7 +76,7 @@
             spot: false,
             ..JobSpec::plain(id, kind, 2, 1.0)
         },
-        run: 2 * SECOND,
+        run_time: 2 * SECOND,
         fails: false,
     }
 }
@@ -89,13 +89,13 @@
     let names = (0..3).map(|i| (format!("n{i}"), clients[i])).collect();
     let services =
         Loopback::start(vec![processes::machine(8.0)], names).expect("simulated services start");
-    services.knows(task_behaviour("req-1", JobKind::Batch));
-    services.knows(task_behaviour("req-2", JobKind::Service));
-    services.knows(TaskBehaviour {
-        run: 8 * SECOND,
+    services.set_behaviour(task_behaviour("req-1", JobKind::Batch));
+    services.set_behaviour(task_behaviour("req-2", JobKind::Service));
+    services.set_behaviour(TaskBehaviour {
+        run_time: 8 * SECOND,
         ..task_behaviour("req-3", JobKind::Batch)
     });
-    services.knows(task_behaviour("req-4", JobKind::Batch));
+    services.set_behaviour(task_behaviour("req-4", JobKind::Batch));
     let files: Vec<PathBuf> = (0..3)
         .map(|i| {
             write_file(
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! A simulated cloud provider.
 
 use dillcleat_controller::{Micros, SECOND};
 use dillcleat_wire::cloud::{
@@ -7,53 +7,61 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
+/// A rented machine.
 #[derive(Debug, Clone)]
-pub struct Host {
+pub struct RentedMachine {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub since: Micros,
+    pub rented_at: Micros,
+    /// When it has booted; None if it never does.
     pub up_at: Option<Micros>,
 }
 
 #[derive(Debug)]
 pub struct Cloud {
     pub types: Vec<MachineType>,
-    pub hosts: BTreeMap<String, Host>,
-    /// Machines still to be had, by type, zone and kind.
+    pub machines: BTreeMap<String, RentedMachine>,
+    /// Machines left to rent, by type, zone and whether they are spot instances.
     capacity: BTreeMap<(String, String, bool), u32>,
-    answered: BTreeMap<String, Vec<String>>,
-    next: u64,
-    lag: Micros,
-    history: VecDeque<(Micros, Vec<ListedMachine>)>,
-    pub out_until: Micros,
+    /// Machines rented for each scale-out request, which is idempotent.
+    scale_outs: BTreeMap<String, Vec<String>>,
+    /// Number in the name of the next machine.
+    next_machine: u64,
+    list_lag: Micros,
+    /// Recorded lists of the machines, oldest first; the oldest is served.
+    lists: VecDeque<(Micros, Vec<ListedMachine>)>,
+    pub outage_until: Micros,
 }
 
 impl Cloud {
-    pub fn new(types: Vec<MachineType>, per_offer: u32, lag: Micros) -> Self {
+    /// Interval between two recorded lists.
+    pub const LIST_INTERVAL: Micros = SECOND;
+
+    pub fn new(types: Vec<MachineType>, machines_per_offering: u32, list_lag: Micros) -> Self {
         let mut capacity = BTreeMap::new();
         for t in &types {
             for z in &t.zones {
                 for spot in [false, true] {
-                    capacity.insert((t.name.clone(), z.clone(), spot), per_offer);
+                    capacity.insert((t.name.clone(), z.clone(), spot), machines_per_offering);
                 }
             }
         }
         Cloud {
             types,
-            hosts: BTreeMap::new(),
+            machines: BTreeMap::new(),
             capacity,
-            answered: BTreeMap::new(),
-            next: 0,
-            lag,
-            history: VecDeque::new(),
-            out_until: 0,
+            scale_outs: BTreeMap::new(),
+            next_machine: 0,
+            list_lag,
+            lists: VecDeque::new(),
+            outage_until: 0,
         }
     }
 
-    /// Takes a machine away, for whatever reason.
+    /// Removes a machine and returns it to the capacity. False if there is none.
     pub fn remove(&mut self, name: &str) -> bool {
-        let Some(h) = self.hosts.remove(name) else {
+        let Some(h) = self.machines.remove(name) else {
             return false;
         };
         if let Some(n) = self.capacity.get_mut(&(h.machine_type, h.zone, h.spot)) {
@@ -62,10 +70,10 @@
         true
     }
 
-    /// Notes the list as it is now; what is served is older.
-    pub fn note(&mut self, now: Micros) {
+    /// Records the current list of machines, to be served after the list lag.
+    pub fn record_list(&mut self, now: Micros) {
         let list = self
-            .hosts
+            .machines
             .iter()
             .map(|(name, h)| ListedMachine {
                 name: name.clone(),
@@ -80,21 +88,21 @@
                 age_s: 0.0,
             })
             .collect();
-        self.history.push_back((now, list));
-        while self.history.len() > 1 && self.history[1].0 + self.lag < now {
-            self.history.pop_front();
+        self.lists.push_back((now, list));
+        while self.lists.len() > 1 && self.lists[1].0 + self.list_lag < now {
+            self.lists.pop_front();
         }
     }
 
-    /// Carries a call out. Names of new and of deleted machines are returned
-    /// for the world to act upon.
+    /// Executes a call. Returns the answer and the names of new and of deleted machines.
+    /// `boot` is the boot time of a new machine, None if it never boots.
     pub fn call(
         &mut self,
         call: &CloudRequest,
         now: Micros,
         boot: impl Fn(&str) -> Option<Micros>,
     ) -> (CloudResponse, Vec<String>, Vec<String>) {
-        if now < self.out_until {
+        if now < self.outage_until {
             return (
                 CloudResponse::RateLimitedOrUnavailable { status: 503 },
                 vec![],
@@ -104,46 +112,46 @@
         match call {
             CloudRequest::Types => (CloudResponse::Types(self.types.clone()), vec![], vec![]),
             CloudRequest::ScaleOut(r) => {
-                if let Some(names) = self.answered.get(&r.idempotency_key) {
+                if let Some(names) = self.scale_outs.get(&r.idempotency_key) {
                     return (CloudResponse::ScaledOut(names.clone()), vec![], vec![]);
                 }
                 let key = (r.machine_type.clone(), r.zone.clone(), r.spot);
-                let left = self.capacity.get_mut(&key);
-                let n = left.as_ref().map_or(0, |n| (**n).min(r.count));
+                let available = self.capacity.get_mut(&key);
+                let n = available.as_ref().map_or(0, |n| (**n).min(r.count));
                 if n == 0 {
                     return (CloudResponse::NoCapacity, vec![], vec![]);
                 }
-                if let Some(left) = left {
-                    *left -= n;
+                if let Some(available) = available {
+                    *available -= n;
                 }
                 let mut names = Vec::new();
                 for _ in 0..n {
-                    let name = format!("host-{:06}", self.next);
-                    self.next += 1;
-                    let host = Host {
+                    let name = format!("host-{:06}", self.next_machine);
+                    self.next_machine += 1;
+                    let machine = RentedMachine {
                         machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
-                        since: now,
+                        rented_at: now,
                         up_at: boot(&name).map(|d| now + d),
                     };
-                    self.hosts.insert(name.clone(), host);
+                    self.machines.insert(name.clone(), machine);
                     names.push(name);
                 }
-                self.answered
+                self.scale_outs
                     .insert(r.idempotency_key.clone(), names.clone());
                 (CloudResponse::ScaledOut(names.clone()), names, vec![])
             }
             CloudRequest::Delete(names) => {
-                let gone = names.iter().filter(|n| self.remove(n)).cloned().collect();
-                (CloudResponse::Deleted, vec![], gone)
+                let deleted = names.iter().filter(|n| self.remove(n)).cloned().collect();
+                (CloudResponse::Deleted, vec![], deleted)
             }
             CloudRequest::List { after } => {
-                let known = self.history.front().map_or(&[][..], |(_, l)| l);
+                let served = self.lists.front().map_or(&[][..], |(_, l)| l);
                 let from = after
                     .as_ref()
-                    .map_or(0, |a| known.partition_point(|m| m.name <= *a));
-                let rest = &known[from..];
+                    .map_or(0, |a| served.partition_point(|m| m.name <= *a));
+                let rest = &served[from..];
                 let list = MachineList {
                     machines: rest
                         .iter()
@@ -156,6 +164,4 @@
             }
         }
     }
-
-    pub const NOTE_EVERY: Micros = SECOND;
 }
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -1,68 +1,76 @@
-//! Days on which troubles meet.
+//! Scenarios in which several faults overlap.
 
 use crate::scenario::{Fault, LEADER, Scenario};
 use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
+/// Salt of the seed of [`Scenario::combined_faults`].
+const COMBINED_FAULTS_SEED_SALT: u64 = 0x3ee7;
+
 impl Scenario {
-    /// A day on which two or three troubles meet, several times: they begin within
-    /// seconds of each other or as long after as a lease or a cancellation lasts, and
-    /// most are aimed at whoever leads.
-    pub fn meetings(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ 0x3ee7);
+    /// Groups of two or three draws, several times in a run; one draw may add several faults.
+    /// The draws of a group begin within seconds of each other. Their durations are near 2,
+    /// 10, 14, 26, 30, 44 or 60 s. Faults of one node hit the leader three times out of four.
+    pub fn combined_faults(seed: u64) -> Scenario {
+        let mut rng = Rng::with_seed(seed.rotate_left(23) ^ COMBINED_FAULTS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(20 * SECOND..40 * SECOND);
-        while at < scenario.busy {
-            let mut first = at;
+        while at < scenario.activity_end {
+            let mut fault_at = at;
             for _ in 0..rng.usize(2..4) {
-                // Near a node's lease, a worker's, the limit for answering heartbeats, and a
-                // cancellation's.
-                let near = [2, 10, 14, 26, 30, 44, 60];
-                let time = near[rng.usize(..near.len())] * SECOND + rng.u64(..3 * SECOND);
+                // Near the lease of the leader, the lease of a worker, the time for which
+                // heartbeats are answered without the store, and the cancellation deadline.
+                let durations_s = [2, 10, 14, 26, 30, 44, 60];
+                let time =
+                    durations_s[rng.usize(..durations_s.len())] * SECOND + rng.u64(..3 * SECOND);
                 let node = match rng.u8(..4) {
                     0 => rng.usize(..3),
                     _ => LEADER,
                 };
-                scenario.faults.extend(met(&mut rng, first, time, node));
-                let after = [0, 1, 1, 2, 5, 12];
-                first += after[rng.usize(..after.len())] * SECOND + rng.u64(..2 * SECOND);
+                scenario
+                    .faults
+                    .extend(combined_fault(&mut rng, fault_at, time, node));
+                let delays_s = [0, 1, 1, 2, 5, 12];
+                fault_at += delays_s[rng.usize(..delays_s.len())] * SECOND + rng.u64(..2 * SECOND);
             }
-            at = first + rng.u64(20 * SECOND..70 * SECOND);
+            at = fault_at + rng.u64(20 * SECOND..70 * SECOND);
         }
-        // A third of the days while versions change, or with pipelines alone.
-        let first = rng.u64(10 * SECOND..50 * SECOND);
+        // One run in six has a rolling upgrade, and one in six has pipelines.
+        let upgrade_at = rng.u64(10 * SECOND..50 * SECOND);
         match rng.u8(..6) {
-            0 => scenario.upgrade = Some((first, rng.u64(SECOND..15 * SECOND))),
+            0 => scenario.upgrade = Some((upgrade_at, rng.u64(SECOND..15 * SECOND))),
             1 => scenario.pipelines = rng.usize(2..6),
             _ => {}
         }
-        scenario.small = true;
-        scenario.varied = true;
-        scenario.tight = rng.u8(..4) == 0;
+        scenario.small_jobs = true;
+        scenario.varied_jobs = true;
+        scenario.tight_quotas = rng.u8(..4) == 0;
         if rng.u8(..8) == 0 {
             let from = rng.u64(10 * SECOND..100 * SECOND);
-            scenario.stream = Some((from, rng.u64(60 * SECOND..90 * SECOND)));
+            scenario.single_task_stream = Some((from, rng.u64(60 * SECOND..90 * SECOND)));
         }
-        scenario.faults.extend(pressing(&mut rng, scenario.busy));
+        scenario
+            .faults
+            .extend(user_behaviours(&mut rng, scenario.activity_end));
         scenario.jobs = rng.usize(14..26);
-        scenario.end = scenario.busy + 1000 * SECOND;
+        scenario.end = scenario.activity_end + 1000 * SECOND;
         scenario
     }
 }
 
-/// Spells in which users press: each on every second or third day, for long, so that
-/// they meet the other troubles.
-fn pressing(rng: &mut Rng, busy: Micros) -> Vec<(Micros, Fault)> {
+/// Long periods of demanding user behaviour, which overlap the other faults. Each kind
+/// occurs in a half or a third of the runs.
+fn user_behaviours(rng: &mut Rng, activity_end: Micros) -> Vec<(Micros, Fault)> {
     let mut faults = Vec::new();
     for kind in 0..4 {
-        let at = rng.u64(5 * SECOND..busy / 2);
-        let time = rng.u64(60 * SECOND..busy);
+        let at = rng.u64(5 * SECOND..activity_end / 2);
+        let time = rng.u64(60 * SECOND..activity_end);
         let percent = rng.u8(10..50);
         let fault = match kind {
-            0 => Fault::CloseLooks { time },
-            1 => Fault::OddRequests { time },
-            2 => Fault::CancelsAtOnce { percent, time },
-            _ => Fault::CancelsAtEnd { percent, time },
+            0 => Fault::ExtraRequests { time },
+            1 => Fault::IrregularRequests { time },
+            2 => Fault::CancelOnAcceptance { percent, time },
+            _ => Fault::CancelOnCompletion { percent, time },
         };
         if rng.usize(..2 + kind / 2) == 0 {
             faults.push((at, fault));
@@ -71,97 +79,100 @@
     faults
 }
 
-/// One of the troubles that meet, or what always comes with it.
-fn met(rng: &mut Rng, at: Micros, time: Micros, node: usize) -> Vec<(Micros, Fault)> {
+/// Draws one fault of a group. Some kinds consist of several faults.
+fn combined_fault(rng: &mut Rng, at: Micros, time: Micros, node: usize) -> Vec<(Micros, Fault)> {
     let machines = rng.usize(1..7);
-    let back = rng.usize(..3);
+    let index = rng.usize(..3);
     let percent = rng.u8(10..60);
     let fault = match rng.u8(..28) {
-        0 => Fault::StateOutage { time },
-        1 => Fault::Refused { node, time },
-        // Cut off from the store and the other nodes, not from workers or users.
+        0 => Fault::StoreOutage { time },
+        1 => Fault::StoreRefusal { node, time },
+        // Partitioned from the store and from its peers, but not from workers and users.
         2 | 3 => {
-            let cut = Fault::CutState { node, time };
-            return vec![(at, cut), (at, Fault::CutMesh { node, time })];
+            let partition = Fault::StorePartition { node, time };
+            return vec![(at, partition), (at, Fault::PeerPartition { node, time })];
         }
         4 => {
-            let alone = Fault::Refused { node, time };
-            let then = rng.u64(SECOND / 2..4 * SECOND);
-            return vec![(at, alone), (at + then, Fault::StateOutage { time })];
+            let refusal = Fault::StoreRefusal { node, time };
+            let outage_delay = rng.u64(SECOND / 2..4 * SECOND);
+            return vec![
+                (at, refusal),
+                (at + outage_delay, Fault::StoreOutage { time }),
+            ];
         }
-        5 | 6 => Fault::LateWrites { time },
-        7 => Fault::LateReports { time },
-        8 | 9 => Fault::Deaf { machines, time },
+        5 | 6 => Fault::DelayedWrites { time },
+        7 => Fault::DuplicateHeartbeats { time },
+        8 | 9 => Fault::InboundLoss { machines, time },
         10 => Fault::Hang { machines, time },
-        11 => Fault::SlowState { time },
-        12 => Fault::AllEnd {
-            back,
-            soon: rng.u64(SECOND / 10..SECOND),
-            others: rng.u64(SECOND..20 * SECOND),
+        11 => Fault::SlowStore { time },
+        12 => Fault::AllNodesCrash {
+            first_node: index,
+            first_down: rng.u64(SECOND / 10..SECOND),
+            others_down: rng.u64(SECOND..20 * SECOND),
         },
         13 => {
             let down = rng.u64(SECOND / 10..8 * SECOND);
             let nodes = vec![node];
             return vec![(at, Fault::Crash { nodes, down })];
         }
-        // Over to another and back.
+        // Leadership changes four times in a row.
         14 => {
-            let end = |nodes| Fault::Crash {
+            let crash = |nodes| Fault::Crash {
                 nodes,
                 down: SECOND / 5,
             };
-            let ends = (0..4).map(|n| (at + n * 3 * SECOND / 2, end(vec![LEADER])));
-            return ends.collect();
+            let crashes = (0..4).map(|n| (at + n * 3 * SECOND / 2, crash(vec![LEADER])));
+            return crashes.collect();
         }
-        15 => Fault::CutWorkers { node, time },
+        15 => Fault::WorkerPartition { node, time },
         16 => Fault::Pause { node, time },
-        17 => Fault::CutZone { zone: back, time },
-        18 => Fault::Mute {
+        17 => Fault::ZoneWorkerPartition { zone: index, time },
+        18 => Fault::HeartbeatLoss {
             machines,
             zone: None,
             time,
         },
-        19 => Fault::Mute {
+        19 => Fault::HeartbeatLoss {
             machines: usize::MAX,
-            zone: Some(back),
+            zone: Some(index),
             time,
         },
-        20 | 21 => Fault::AnswersLost { percent, time },
-        22 => Fault::ReportsForNext { percent, time },
-        // With writes that lag.
+        20 | 21 => Fault::LostWriteReplies { percent, time },
+        22 => Fault::HeartbeatsForNextLeader { percent, time },
+        // Machines boot immediately while transactions are delayed.
         23 => {
-            let up = Fault::Boots {
+            let immediate_boots = Fault::BootDelays {
                 time,
-                factor: 0,
-                never: u64::MAX,
+                time_factor: 0,
+                failure_one_in: u64::MAX,
             };
-            return vec![(at, up), (at, Fault::LateWrites { time })];
+            return vec![(at, immediate_boots), (at, Fault::DelayedWrites { time })];
         }
-        // Ten leaders in two minutes, half the time with an outage among them.
+        // Ten crashes of leaders in two minutes, in half of the cases with a store outage.
         24 => {
-            let every = rng.u64(8 * SECOND..12 * SECOND);
-            let ends = |n: u64| Fault::Crash {
+            let interval = rng.u64(8 * SECOND..12 * SECOND);
+            let crash = |n: u64| Fault::Crash {
                 nodes: vec![LEADER],
                 down: SECOND / 5 + n * SECOND / 4,
             };
-            let mut all: Vec<_> = (0..10).map(|n| (at + n * every, ends(n))).collect();
+            let mut faults: Vec<_> = (0..10).map(|n| (at + n * interval, crash(n))).collect();
             if rng.bool() {
                 let time = rng.u64(5 * SECOND..20 * SECOND);
-                all.push((at + 3 * every, Fault::StateOutage { time }));
+                faults.push((at + 3 * interval, Fault::StoreOutage { time }));
             }
-            return all;
+            return faults;
         }
-        25 => Fault::CancelsNow {
+        25 => Fault::CancelRunningJobs {
             jobs: rng.usize(2..8),
             hang: 0,
         },
-        26 => Fault::CancelsNow {
+        26 => Fault::CancelRunningJobs {
             jobs: rng.usize(2..8),
             hang: time,
         },
-        _ => Fault::ZoneDies {
+        _ => Fault::ZoneMachineFailure {
             machines: usize::MAX,
-            zone: back,
+            zone: index,
         },
     };
     vec![(at, fault)]
--- a/crates/simulator/src/fault_injection.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -1,111 +1,134 @@
-//! The troubles of a day, as they begin.
+//! Starts the faults of a scenario.
 
 use crate::scenario::{Fault, LEADER};
-use crate::simulation::{BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZoneCut};
+use crate::simulation::{
+    BootDelays, Event, FaultWindow, NodeHost, Simulation, ZONES, ZonePartition,
+};
 use crate::worker::Worker;
 use dillcleat_controller::Micros;
 use std::collections::BTreeSet;
 
 impl Simulation {
-    fn some_machines(&mut self, n: usize) -> Vec<String> {
-        self.some_machines_of(n, None)
+    /// Draws `n` machines.
+    fn random_machines(&mut self, n: usize) -> Vec<String> {
+        self.random_machines_in(n, None)
     }
 
-    /// The same, of one zone if one is given.
-    fn some_machines_of(&mut self, n: usize, zone: Option<usize>) -> Vec<String> {
+    /// Draws `n` machines, of one zone if one is given.
+    fn random_machines_in(&mut self, n: usize, zone: Option<usize>) -> Vec<String> {
         let zone = zone.map(|z| ZONES[z % ZONES.len()]);
-        let there = |w: &&Worker| zone.is_none_or(|z| w.place.zone == z);
-        let workers = self.workers.values().filter(there);
+        let in_zone = |w: &&Worker| zone.is_none_or(|z| w.place.zone == z);
+        let workers = self.workers.values().filter(in_zone);
         let mut names: Vec<String> = workers.map(|w| w.name.clone()).collect();
         self.rng.shuffle(&mut names);
         names.truncate(n);
         names
     }
 
-    fn die(&mut self, machines: Vec<String>) {
+    /// The machines fail: their tasks end and the cloud no longer lists them.
+    fn fail_machines(&mut self, machines: Vec<String>) {
         for machine in machines {
             self.cloud.remove(&machine);
-            self.machine_ends(&machine);
+            self.remove_machine(&machine);
         }
     }
 
-    /// A node ends, and is back at the given time.
-    fn ends(&mut self, node: usize, back: Micros) {
-        self.dismiss(node);
+    /// A node crashes and restarts at the given time.
+    fn crash(&mut self, node: usize, restart_at: Micros) {
+        self.stop_node(node);
         self.nodes[node].epoch += 1;
-        self.at(back, Event::Restart { node });
+        self.schedule(restart_at, Event::StartNode { node });
     }
 
-    pub(crate) fn fault(&mut self, fault: Fault) {
+    pub(crate) fn start_fault(&mut self, fault: Fault) {
         let now = self.now;
         let count = self.nodes.len();
-        let leads = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
-        let leader = (0..count).max_by_key(|n| leads(&self.nodes[*n]));
-        let numbered = |node: usize| match node {
+        let term = |n: &NodeHost| n.node.as_ref().and_then(|c| c.node.leading());
+        // The last node if none leads.
+        let leader = (0..count).max_by_key(|n| term(&self.nodes[*n]));
+        let index_of = |node: usize| match node {
             LEADER => leader.unwrap_or(0),
             node => node % count,
         };
         match fault {
             Fault::Crash { nodes, down } => {
-                let nodes: BTreeSet<usize> = nodes.into_iter().map(numbered).collect();
+                let nodes: BTreeSet<usize> = nodes.into_iter().map(index_of).collect();
                 for node in nodes {
-                    self.ends(node, now + down);
+                    self.crash(node, now + down);
                 }
             }
-            Fault::AllEnd { back, soon, others } => {
+            Fault::AllNodesCrash {
+                first_node,
+                first_down,
+                others_down,
+            } => {
                 for node in 0..count {
-                    let down = if node == back % count { soon } else { others };
-                    self.ends(node, now + down);
+                    let down = if node == first_node % count {
+                        first_down
+                    } else {
+                        others_down
+                    };
+                    self.crash(node, now + down);
                 }
             }
-            Fault::Pause { node, time } => self.nodes[numbered(node)].paused_until = now + time,
-            Fault::CutMesh { node, time } => self.nodes[numbered(node)].mesh_cut = now + time,
-            Fault::StateOutage { time } => self.state.outage(now, now + time),
-            Fault::Refused { node, time } => self.nodes[numbered(node)].refused_until = now + time,
-            Fault::CutState { node, time } => self.nodes[numbered(node)].state_cut = now + time,
-            Fault::CutWorkers { node, time } => self.nodes[numbered(node)].workers_cut = now + time,
-            Fault::CutZone { zone, time } => self.zone_cut[zone % 3] = now + time,
-            Fault::CutSite { zone, time, cut } => {
+            Fault::Pause { node, time } => self.nodes[index_of(node)].paused_until = now + time,
+            Fault::PeerPartition { node, time } => {
+                self.nodes[index_of(node)].peer_partition_until = now + time
+            }
+            Fault::StoreOutage { time } => self.store.outage(now, now + time),
+            Fault::StoreRefusal { node, time } => {
+                self.nodes[index_of(node)].store_refuses_until = now + time
+            }
+            Fault::StorePartition { node, time } => {
+                self.nodes[index_of(node)].store_partition_until = now + time
+            }
+            Fault::WorkerPartition { node, time } => {
+                self.nodes[index_of(node)].worker_partition_until = now + time
+            }
+            Fault::ZoneWorkerPartition { zone, time } => {
+                self.zone_worker_partition_until[zone % 3] = now + time
+            }
+            Fault::ZonePartition { zone, time, mode } => {
                 let zone = zone.or(leader).unwrap_or(0) % 3;
-                self.site_cut[zone] = ZoneCut {
+                self.zone_partitions[zone] = ZonePartition {
                     until: now + time,
-                    cut,
+                    mode,
                 };
             }
             Fault::Hang { machines, time } => {
-                for name in self.some_machines(machines) {
+                for name in self.random_machines(machines) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.hung_until = now + time;
                     }
                 }
             }
-            Fault::Deaf { machines, time } => {
-                for name in self.some_machines(machines) {
+            Fault::InboundLoss { machines, time } => {
+                for name in self.random_machines(machines) {
                     if let Some(w) = self.workers.get_mut(&name) {
-                        w.deaf_until = now + time;
+                        w.inbound_lost_until = now + time;
                     }
                 }
             }
-            Fault::Mute {
+            Fault::HeartbeatLoss {
                 machines,
                 zone,
                 time,
             } => {
-                for name in self.some_machines_of(machines, zone) {
+                for name in self.random_machines_in(machines, zone) {
                     if let Some(w) = self.workers.get_mut(&name) {
-                        w.mute_until = now + time;
+                        w.heartbeats_lost_until = now + time;
                     }
                 }
             }
-            Fault::Die { machines } => {
-                let names = self.some_machines(machines);
-                self.die(names);
+            Fault::MachineFailure { machines } => {
+                let names = self.random_machines(machines);
+                self.fail_machines(names);
             }
-            Fault::ZoneDies { machines, zone } => {
-                let names = self.some_machines_of(machines, Some(zone));
-                self.die(names);
+            Fault::ZoneMachineFailure { machines, zone } => {
+                let names = self.random_machines_in(machines, Some(zone));
+                self.fail_machines(names);
             }
-            Fault::SpotTaken { notice } => {
+            Fault::SpotPreemption { notice } => {
                 let spot: Vec<String> = self
                     .workers
                     .values()
@@ -115,50 +138,50 @@
                 for machine in spot {
                     let at = now + notice.unwrap_or(0);
                     if let (Some(_), Some(w)) = (notice, self.workers.get_mut(&machine)) {
-                        w.recall_at = Some(at);
-                        w.report_at = now;
+                        w.preemption_at = Some(at);
+                        w.next_heartbeat_at = now;
                     }
-                    self.at(at, Event::Taken { machine });
+                    self.schedule(at, Event::MachinePreempted { machine });
                 }
             }
-            Fault::CloudOutage { time } => self.cloud.out_until = now + time,
-            Fault::Flaky { time } => self.flaky_until = now + time,
-            Fault::Boots {
+            Fault::CloudOutage { time } => self.cloud.outage_until = now + time,
+            Fault::UnreliableNetwork { time } => self.unreliable_network_until = now + time,
+            Fault::BootDelays {
                 time,
-                factor,
-                never,
+                time_factor,
+                failure_one_in,
             } => {
-                self.boots = BootDelays {
+                self.boot_delays = BootDelays {
                     until: now + time,
-                    factor,
-                    never,
+                    time_factor,
+                    failure_one_in,
                 }
             }
-            Fault::Storm { time } => self.storm_until = now + time,
-            Fault::TooMany { time } => self.too_many_until = now + time,
-            Fault::SlowState { time } => self.slow_state_until = now + time,
-            Fault::LateWrites { time } => self.late_writes_until = now + time,
-            Fault::LateReports { time } => self.late_reports_until = now + time,
-            Fault::CloseLooks { time } => self.close_looks_until = now + time,
-            Fault::OddRequests { time } => {
-                self.odd_until = now + time;
-                self.at(now, Event::Odd);
+            Fault::FrequentPolls { time } => self.frequent_polls_until = now + time,
+            Fault::StoreOverload { time } => self.store_overload_until = now + time,
+            Fault::SlowStore { time } => self.slow_store_until = now + time,
+            Fault::DelayedWrites { time } => self.delayed_writes_until = now + time,
+            Fault::DuplicateHeartbeats { time } => self.duplicate_heartbeats_until = now + time,
+            Fault::ExtraRequests { time } => self.extra_requests_until = now + time,
+            Fault::IrregularRequests { time } => {
+                self.irregular_requests_until = now + time;
+                self.schedule(now, Event::IrregularRequest);
             }
-            Fault::CancelsAtOnce { percent, time } => {
-                self.cancels_at_once = FaultWindow::new(now + time, percent);
+            Fault::CancelOnAcceptance { percent, time } => {
+                self.cancel_on_acceptance = FaultWindow::new(now + time, percent);
             }
-            Fault::CancelsAtEnd { percent, time } => {
-                self.cancels_at_end = FaultWindow::new(now + time, percent);
+            Fault::CancelOnCompletion { percent, time } => {
+                self.cancel_on_completion = FaultWindow::new(now + time, percent);
             }
-            Fault::CancelsNow { jobs, hang } => self.cancels_now(jobs, hang),
-            Fault::AnswersLost { percent, time } => {
-                self.answers_lost = FaultWindow::new(now + time, percent);
+            Fault::CancelRunningJobs { jobs, hang } => self.cancel_running_jobs(jobs, hang),
+            Fault::LostWriteReplies { percent, time } => {
+                self.lost_write_replies = FaultWindow::new(now + time, percent);
             }
-            Fault::ReportsForNext { percent, time } => {
-                self.reports_for_next = FaultWindow::new(now + time, percent);
+            Fault::HeartbeatsForNextLeader { percent, time } => {
+                self.heartbeats_for_next_leader = FaultWindow::new(now + time, percent);
             }
-            Fault::Faulty => {
-                for name in self.some_machines(1) {
+            Fault::FaultyMachine => {
+                for name in self.random_machines(1) {
                     if let Some(w) = self.workers.get_mut(&name) {
                         w.faulty = true;
                     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,17 +1,16 @@
-//! A rehearsal kit: stand-ins for the state service, the cloud, workers and
-//! users, on simulated time with seeded luck, and a checker of the rules.
+//! Deterministic simulation of a cluster: a simulated store, cloud, workers and users on
+//! simulated time with seeded randomness, and a checker of the scheduler's invariants.
 //!
-//! The controllers in a rehearsal are the real [`dillcleat_controller::Node`]s; only
-//! what lies beyond their inputs and outputs is played. Figures of a rehearsal
-//! say nothing about real deployments; its verdict on the rules does.
+//! The controllers are the real [`dillcleat_controller::Node`]s; only their environment
+//! is simulated. Broken invariants carry over to real deployments; timings do not.
 
 pub mod cloud;
 mod combined_faults;
 mod fault_injection;
 pub mod fleet;
-pub mod history;
 pub mod loopback;
 pub mod objects;
+pub mod output_digest;
 pub mod processes;
 pub mod rules;
 pub mod scenario;
@@ -23,6 +22,6 @@
 
 pub use fleet::{Fleet, FleetMeasurements, FleetSettings};
 pub use rules::{Checker, LateLaunches, Rule, Violation};
-pub use scenario::{Cut, Fault, LEADER, Moment, Scenario, SubmissionForm};
+pub use scenario::{CrashPoint, Fault, LEADER, PartitionMode, Scenario, SubmissionForm};
 pub use service_shares::ServiceShares;
 pub use simulation::{Outcome, Simulation};
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,430 +1,391 @@
-//! What a rehearsal plays: users' work and the troubles of its day.
+//! Scenarios: the workload of a simulation and the faults that are injected into it.
 
 use dillcleat_controller::{Micros, SECOND};
 use fastrand::Rng;
 
+/// A fault to inject. Nodes are given by index or as [`LEADER`].
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// These nodes end and come back.
-    Crash {
-        nodes: Vec<usize>,
-        down: Micros,
-    },
-    /// One node is not run for a while, then goes on as if nothing had
-    /// happened: all that has come in meanwhile waits for it.
-    Pause {
-        node: usize,
-        time: Micros,
-    },
-    /// Nothing gets across between one node and its siblings.
-    CutMesh {
-        node: usize,
-        time: Micros,
-    },
-    StateOutage {
-        time: Micros,
-    },
-    /// One node alone is refused by the state service.
-    Refused {
-        node: usize,
-        time: Micros,
-    },
-    /// One node and the state service: what is sent arrives when it is over.
-    CutState {
-        node: usize,
-        time: Micros,
-    },
-    /// One node and all workers, with held packets.
-    CutWorkers {
-        node: usize,
-        time: Micros,
-    },
-    /// A zone's workers and all nodes, with held packets.
-    CutZone {
-        zone: usize,
-        time: Micros,
-    },
-    /// A zone with its controllers and workers, and everything outside it: other
-    /// zones, the state service, the cloud, users. Within the zone all goes on. No zone
-    /// given: that of whoever leads.
-    CutSite {
+    /// These nodes crash and restart after `down`.
+    Crash { nodes: Vec<usize>, down: Micros },
+    /// A node is paused and then resumed. Its inputs are queued meanwhile.
+    Pause { node: usize, time: Micros },
+    /// All messages between a node and its peers are lost.
+    PeerPartition { node: usize, time: Micros },
+    /// The store refuses all calls except watches, which stay open without changes.
+    StoreOutage { time: Micros },
+    /// The store refuses the calls of one node except watches, which stay open without
+    /// changes.
+    StoreRefusal { node: usize, time: Micros },
+    /// Network partition between a node and the store. Calls are delivered when it ends; their
+    /// replies and the watch batches sent meanwhile are lost.
+    StorePartition { node: usize, time: Micros },
+    /// Network partition between a node and all workers. Calls are delivered when it ends;
+    /// their replies are lost.
+    WorkerPartition { node: usize, time: Micros },
+    /// Network partition between the workers of a zone and all nodes. Calls are delivered
+    /// when it ends; their replies are lost.
+    ZoneWorkerPartition { zone: usize, time: Micros },
+    /// Network partition between a zone, with its nodes and workers, and everything outside
+    /// it: other zones, the store, the cloud and users. Messages within the zone are not
+    /// affected. Without a zone, the zone of the current leader is partitioned.
+    ZonePartition {
         zone: Option<usize>,
         time: Micros,
-        cut: Cut,
-    },
-    /// Some machines stop executing, and go on later.
-    Hang {
-        machines: usize,
-        time: Micros,
-    },
-    /// Some machines die without a word.
-    Die {
-        machines: usize,
-    },
-    /// All spot machines get a notice, or none, and are taken.
-    SpotTaken {
-        notice: Option<Micros>,
-    },
-    CloudOutage {
-        time: Micros,
-    },
-    /// Answers get lost, and requests are carried out up to a minute late.
-    Flaky {
-        time: Micros,
-    },
-    /// One machine fails whatever it runs.
-    Faulty,
-    /// Machines rented meanwhile take so many times as long to come up (0: at
-    /// once), and one of `never` does not.
-    Boots {
-        time: Micros,
-        factor: u64,
-        never: u64,
-    },
-    /// Users ask eight times as often.
-    Storm {
-        time: Micros,
-    },
-    /// The state service refuses one of five requests as too many.
-    TooMany {
-        time: Micros,
-    },
-    /// The state service carries requests out up to three seconds after they came, and
-    /// answers then.
-    SlowState {
-        time: Micros,
-    },
-    /// A third of the transactions gets no answer and is carried out 2 to 12 s later,
-    /// after newer ones of the same node.
-    LateWrites {
-        time: Micros,
-    },
-    /// Of half of the workers' reports a copy arrives again, from 2 s to well over a
-    /// lease later, at any node.
-    LateReports {
-        time: Micros,
+        mode: PartitionMode,
     },
-    /// What these machines report arrives; answers and orders to them are lost.
-    Deaf {
-        machines: usize,
+    /// Some machines hang: they execute nothing and continue later.
+    Hang { machines: usize, time: Micros },
+    /// Some machines fail without notice.
+    MachineFailure { machines: usize },
+    /// All spot instances are preempted, after the notice if there is one.
+    SpotPreemption { notice: Option<Micros> },
+    /// The cloud refuses all calls.
+    CloudOutage { time: Micros },
+    /// Unreliable network: answers are lost, and requests are executed up to a minute late.
+    UnreliableNetwork { time: Micros },
+    /// Every task that starts on one of the machines fails.
+    FaultyMachine,
+    /// Machines rented meanwhile take `time_factor` times as long to boot (0: no time), and one
+    /// in `failure_one_in` does not boot.
+    BootDelays {
         time: Micros,
+        time_factor: u64,
+        failure_one_in: u64,
     },
-    /// These machines, all or those of one zone, open no connection to any node, while
-    /// orders reach them.
-    Mute {
+    /// Users poll eight times as often.
+    FrequentPolls { time: Micros },
+    /// The store refuses one in five requests as over its rate limit.
+    StoreOverload { time: Micros },
+    /// The store executes and answers requests up to three seconds after their arrival.
+    SlowStore { time: Micros },
+    /// One third of the transactions get no answer and are executed 2 to 12 s later, after
+    /// newer ones of the same node.
+    DelayedWrites { time: Micros },
+    /// Half of the heartbeats are duplicated. The copy arrives at any node, 2 s to two worker
+    /// leases later.
+    DuplicateHeartbeats { time: Micros },
+    /// All messages to these machines are lost: answers and commands. Their heartbeats
+    /// arrive.
+    InboundLoss { machines: usize, time: Micros },
+    /// These machines, of one zone if one is given, cannot connect to any node. Commands
+    /// reach them.
+    HeartbeatLoss {
         machines: usize,
         zone: Option<usize>,
         time: Micros,
     },
-    /// So many of a hundred transactions are carried out at once, and only their answer
-    /// is lost.
-    AnswersLost {
-        percent: u8,
-        time: Micros,
-    },
-    /// Of so many of a hundred reports a copy is kept, and arrives at every node just as
-    /// the next leader begins.
-    ReportsForNext {
-        percent: u8,
-        time: Micros,
-    },
-    /// Users ask all nodes within milliseconds, and submit again, right after a job was
+    /// This percentage of the transactions are executed at once, but their answers are lost.
+    LostWriteReplies { percent: u8, time: Micros },
+    /// This percentage of the heartbeats are duplicated. The copies arrive at every node
+    /// within 600 ms after the next election.
+    HeartbeatsForNextLeader { percent: u8, time: Micros },
+    /// Users poll all nodes and repeat the submission within milliseconds after a job was
     /// accepted, has ended or was confirmed as cancelled.
-    CloseLooks {
-        time: Micros,
-    },
-    /// So many of a hundred users cancel right after the acceptance.
-    CancelsAtOnce {
-        percent: u8,
-        time: Micros,
-    },
-    /// A cancellation, a question and a repeated submission meet the end of the last
-    /// task of so many of a hundred jobs.
-    CancelsAtEnd {
-        percent: u8,
-        time: Micros,
-    },
-    /// Users call off so many jobs that run, within a fifth of a second, while up to
-    /// eight of their machines hang.
-    CancelsNow {
-        jobs: usize,
-        hang: Micros,
-    },
-    /// Users submit unfinished jobs again, also with other content, cancel jobs that are
-    /// done, and submit what can't run or lacks a field.
-    OddRequests {
-        time: Micros,
-    },
-    /// So many machines of a zone die without a word.
-    ZoneDies {
-        machines: usize,
-        zone: usize,
-    },
-    /// All nodes end. One is back soon, the others after a while.
-    AllEnd {
-        back: usize,
-        soon: Micros,
-        others: Micros,
+    ExtraRequests { time: Micros },
+    /// This percentage of the users cancel their job immediately after its acceptance.
+    CancelOnAcceptance { percent: u8, time: Micros },
+    /// For this percentage of the jobs, a cancellation, a poll and a repeated submission
+    /// arrive when their last task ends.
+    CancelOnCompletion { percent: u8, time: Micros },
+    /// Users cancel this many running jobs within 200 ms, while up to eight of their
+    /// machines hang.
+    CancelRunningJobs { jobs: usize, hang: Micros },
+    /// Users repeat submissions of unfinished jobs, some with other content, cancel jobs that
+    /// are done, and send submissions that are invalid or cannot run.
+    IrregularRequests { time: Micros },
+    /// This many machines of a zone fail without notice.
+    ZoneMachineFailure { machines: usize, zone: usize },
+    /// All nodes crash. Node `first_node` restarts after `first_down`, the others after
+    /// `others_down`.
+    AllNodesCrash {
+        first_node: usize,
+        first_down: Micros,
+        others_down: Micros,
     },
 }
 
-/// In the place of a node's number: whoever leads when the trouble begins.
+// Salts that give each scenario a random generator of its own for the same seed.
+const LEADER_ZONE_PARTITIONS_SEED_SALT: u64 = 0x0c07;
+const PIPELINES_SEED_SALT: u64 = 0xa3a1;
+const STORE_OUTAGES_SEED_SALT: u64 = 0x6a9;
+
+/// Node index in a fault that means the leader when the fault begins, or the last node if
+/// there is no leader.
 pub const LEADER: usize = usize::MAX;
 
 impl Fault {
-    /// How long it lasts from its beginning; what passes at once lasts for none.
-    pub fn lasts(&self) -> Micros {
+    /// Duration of the fault; 0 if it is instantaneous.
+    pub fn duration(&self) -> Micros {
         match self {
             Fault::Crash { down, .. } => *down,
-            Fault::AllEnd { others, .. } => *others,
+            Fault::AllNodesCrash { others_down, .. } => *others_down,
             Fault::Pause { time, .. }
-            | Fault::CutMesh { time, .. }
-            | Fault::StateOutage { time }
-            | Fault::Refused { time, .. }
-            | Fault::CutState { time, .. }
-            | Fault::CutWorkers { time, .. }
-            | Fault::CutZone { time, .. }
-            | Fault::CutSite { time, .. }
+            | Fault::PeerPartition { time, .. }
+            | Fault::StoreOutage { time }
+            | Fault::StoreRefusal { time, .. }
+            | Fault::StorePartition { time, .. }
+            | Fault::WorkerPartition { time, .. }
+            | Fault::ZoneWorkerPartition { time, .. }
+            | Fault::ZonePartition { time, .. }
             | Fault::Hang { time, .. }
             | Fault::CloudOutage { time }
-            | Fault::Flaky { time }
-            | Fault::Boots { time, .. }
-            | Fault::Storm { time }
-            | Fault::TooMany { time }
-            | Fault::SlowState { time }
-            | Fault::LateWrites { time }
-            | Fault::LateReports { time }
-            | Fault::CloseLooks { time }
-            | Fault::CancelsAtOnce { time, .. }
-            | Fault::CancelsAtEnd { time, .. }
-            | Fault::CancelsNow { hang: time, .. }
-            | Fault::OddRequests { time }
-            | Fault::AnswersLost { time, .. }
-            | Fault::ReportsForNext { time, .. }
-            | Fault::Mute { time, .. }
-            | Fault::Deaf { time, .. } => *time,
-            Fault::Die { .. } | Fault::ZoneDies { .. } | Fault::Faulty => 0,
-            Fault::SpotTaken { notice } => notice.unwrap_or(0),
+            | Fault::UnreliableNetwork { time }
+            | Fault::BootDelays { time, .. }
+            | Fault::FrequentPolls { time }
+            | Fault::StoreOverload { time }
+            | Fault::SlowStore { time }
+            | Fault::DelayedWrites { time }
+            | Fault::DuplicateHeartbeats { time }
+            | Fault::ExtraRequests { time }
+            | Fault::CancelOnAcceptance { time, .. }
+            | Fault::CancelOnCompletion { time, .. }
+            | Fault::CancelRunningJobs { hang: time, .. }
+            | Fault::IrregularRequests { time }
+            | Fault::LostWriteReplies { time, .. }
+            | Fault::HeartbeatsForNextLeader { time, .. }
+            | Fault::HeartbeatLoss { time, .. }
+            | Fault::InboundLoss { time, .. } => *time,
+            Fault::MachineFailure { .. }
+            | Fault::ZoneMachineFailure { .. }
+            | Fault::FaultyMachine => 0,
+            Fault::SpotPreemption { notice } => notice.unwrap_or(0),
         }
     }
 }
 
-/// When a process ends around one of its calls to the state service.
+/// The point of a call to the store at which the calling process crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
-    /// The call is not carried out.
-    Before,
-    /// It is carried out, and its answer finds nobody.
-    CarriedOut,
-    /// Its answer has just been taken in.
-    Answered,
+pub enum CrashPoint {
+    /// Before the store executes the call, which is lost.
+    BeforeExecution,
+    /// After the store has executed the call, before the answer arrives.
+    AfterExecution,
+    /// 10 ms after the execution, when the process has usually handled the answer.
+    AfterAnswer,
 }
 
-/// What becomes of messages across a cut.
+/// How a network partition of a zone treats messages across its boundary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
-    /// Held back, and delivered when it is over.
-    Held,
+pub enum PartitionMode {
+    /// Calls are delivered when the partition ends, without a reply; other messages are
+    /// delayed until then.
+    Delayed,
     Lost,
-    /// What the zone sends gets across; what is sent to it is held back.
-    Deaf,
-    /// What is sent to the zone gets across; what it sends is held back.
-    Mute,
+    /// Messages to the zone are delayed until the partition ends; messages from it pass.
+    InboundDelayed,
+    /// Messages from the zone are delayed until the partition ends; messages to it pass.
+    OutboundDelayed,
 }
 
-/// How users hand in their arrays. Services come by the users' protocol.
+/// The API through which users submit batch jobs. Services use the native API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SubmissionForm {
-    /// By the users' protocol.
+    /// The native API.
     #[default]
     Native,
-    /// The same, under the references that Jobs would have.
-    Twin,
-    /// As Kubernetes Jobs, but polled and cancelled by the users' protocol: all but
-    /// the way in is as with `Twin`.
-    Shadow,
-    /// As Kubernetes Jobs throughout.
-    Objects,
-    /// Every second one.
+    /// The native API, with the job ids that Kubernetes Jobs would have.
+    NativeWithKubernetesIds,
+    /// Created as Kubernetes Jobs, polled and cancelled through the native API. Apart from
+    /// the creation it is the same as `NativeWithKubernetesIds`.
+    KubernetesCreateOnly,
+    /// Kubernetes Jobs only.
+    Kubernetes,
+    /// Every second job as a Kubernetes Job.
     Mixed,
 }
 
 impl SubmissionForm {
-    /// Whether there are objects at all.
-    pub fn objects(self) -> bool {
+    /// Whether any job is submitted as a Kubernetes Job.
+    pub fn uses_kubernetes(self) -> bool {
         matches!(
             self,
-            SubmissionForm::Shadow | SubmissionForm::Objects | SubmissionForm::Mixed
+            SubmissionForm::KubernetesCreateOnly
+                | SubmissionForm::Kubernetes
+                | SubmissionForm::Mixed
         )
     }
 }
 
+/// The workload, environment and faults of a simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub seed: u64,
     pub form: SubmissionForm,
+    /// Faults with the times at which they begin.
     pub faults: Vec<(Micros, Fault)>,
+    /// Number of independent jobs. Pipelines, the single-task stream and the dependents of a
+    /// cancelled job are additional.
     pub jobs: usize,
-    /// Tasks of the first job, if it is to be a very large array.
-    pub large: Option<u32>,
-    /// Controllers.
+    /// Number of tasks of the first job, if it is to be a very large batch job.
+    pub large_job_tasks: Option<u32>,
+    /// Number of controllers.
     pub nodes: usize,
-    /// How many times as large as usual jobs, limits and the cloud are.
+    /// Multiplies the size of the jobs, the limits and the capacity of the cloud.
     pub scale: u32,
-    /// The limits around the controllers are those of the largest site, and tasks run for
-    /// a minute or two.
+    /// Use the limits of the largest supported cluster, and add one to two minutes to the run
+    /// time of each task.
     pub large_site: bool,
-    /// Tells how many bytes are allocated, if whoever plays the day counts them.
-    pub allocated: Option<fn() -> usize>,
-    /// Pipelines of jobs that wait for others, and since when users have any.
+    /// Returns the number of allocated bytes, if the caller measures memory.
+    pub allocated_bytes: Option<fn() -> usize>,
+    /// Number of pipelines of jobs that depend on each other.
     pub pipelines: usize,
+    /// When users begin to submit pipelines.
     pub pipelines_from: Micros,
-    /// Whoever makes this call to the state service ends, by its number, and is back in a
-    /// fifth of a second.
-    pub ends_at_call: Option<(u64, Moment)>,
-    /// Half of the jobs have two or three tasks, and half of the users cancel.
-    pub small: bool,
-    /// More jobs are bound to one zone, arrays too, and some run for long.
-    pub varied: bool,
-    /// Every team has a limit that it meets, of accelerators too.
-    pub tight: bool,
-    /// From when and for how long jobs of one task come four a second, a quarter of
-    /// which is cancelled.
-    pub stream: Option<(Micros, Micros)>,
-    /// Jobs that wait for one that is cancelled.
-    pub herd: Option<u32>,
-    /// When the first node is replaced by the new version, and the time between two:
-    /// before, all write as the version in production.
+    /// The node that makes the store call with this number crashes at this point of the call
+    /// and restarts after 200 ms.
+    pub crash_at_call: Option<(u64, CrashPoint)>,
+    /// Half of the jobs have two or three tasks, and a third of the users who would not
+    /// cancel their jobs otherwise do.
+    pub small_jobs: bool,
+    /// More jobs are restricted to one zone, the tasks of some run 20 to 70 s longer, and
+    /// with `tight_quotas` some request a GPU.
+    pub varied_jobs: bool,
+    /// Every team has quotas that it reaches, including one for GPUs.
+    pub tight_quotas: bool,
+    /// Start and duration of a period in which users submit four single-task jobs per second
+    /// and cancel a quarter of them.
+    pub single_task_stream: Option<(Micros, Micros)>,
+    /// Number of jobs that depend on a job which is cancelled.
+    pub cancelled_dependents: Option<u32>,
+    /// Rolling upgrade: when the first node is replaced by the new version, and the time
+    /// between two replacements. Until its replacement, a node uses the limits and the chunk
+    /// size of the old version.
     pub upgrade: Option<(Micros, Micros)>,
-    /// When the state service lowers its limits.
-    pub limits_fall: Option<Micros>,
-    /// Users and troubles stop here; the rest is for the work to finish.
-    pub busy: Micros,
+    /// When the store lowers its limits.
+    pub limits_lowered_at: Option<Micros>,
+    /// End of the submissions and faults. The remaining time is for the jobs to finish.
+    pub activity_end: Micros,
+    /// End of the simulation.
     pub end: Micros,
 }
 
 impl Scenario {
-    /// A random day with what the operators met on call added to it: nodes that
-    /// stop running, siblings cut off, late machines, storms of polls, refusals.
-    /// Drawn apart, so that the days of `random` stay what they were.
-    pub fn troubled(seed: u64) -> Scenario {
+    /// [`Scenario::random`] with additional faults: paused nodes, partitions between nodes,
+    /// slow boots, poll storms and rate limiting. They are drawn from a separate random
+    /// generator, so that the faults of `random` are unchanged.
+    pub fn with_additional_faults(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
         let mut rng = Rng::with_seed(!seed);
         for _ in 0..rng.usize(2..7) {
-            let at = rng.u64(15 * SECOND..scenario.busy - 10 * SECOND);
+            let at = rng.u64(15 * SECOND..scenario.activity_end - 10 * SECOND);
             let time = rng.u64(2 * SECOND..80 * SECOND);
             let node = rng.usize(..3);
             let fault = match rng.u8(..6) {
                 0 | 1 => Fault::Pause { node, time },
-                2 => Fault::CutMesh { node, time },
-                3 => Fault::Boots {
+                2 => Fault::PeerPartition { node, time },
+                3 => Fault::BootDelays {
                     time,
-                    factor: rng.u64(..7),
-                    never: rng.u64(2..9),
+                    time_factor: rng.u64(..7),
+                    failure_one_in: rng.u64(2..9),
                 },
-                4 => Fault::Storm { time },
-                _ => Fault::TooMany { time },
+                4 => Fault::FrequentPolls { time },
+                _ => Fault::StoreOverload { time },
             };
             scenario.faults.push((at, fault));
         }
         scenario
     }
 
-    /// A random day on which the zone of whoever leads is cut off, in every way, and
-    /// others shortly before or meanwhile.
-    pub fn cut_off(seed: u64) -> Scenario {
+    /// [`Scenario::random`] with network partitions of the leader's zone in every mode, and
+    /// of other zones shortly before.
+    pub fn leader_zone_partitions(seed: u64) -> Scenario {
         let mut scenario = Scenario::random(seed);
-        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ 0x0c07);
+        let mut rng = Rng::with_seed(seed.rotate_left(32) ^ LEADER_ZONE_PARTITIONS_SEED_SALT);
         for _ in 0..rng.usize(1..4) {
-            let at = rng.u64(30 * SECOND..scenario.busy - 10 * SECOND);
-            let mut cut = |rng: &mut Rng, at, zone| {
+            let at = rng.u64(30 * SECOND..scenario.activity_end - 10 * SECOND);
+            let mut add_partition = |rng: &mut Rng, at, zone| {
                 let time = rng.u64(3 * SECOND..90 * SECOND);
-                let cut = match rng.u8(..6) {
-                    0..3 => Cut::Held,
-                    3 => Cut::Lost,
-                    4 => Cut::Deaf,
-                    _ => Cut::Mute,
+                let mode = match rng.u8(..6) {
+                    0..3 => PartitionMode::Delayed,
+                    3 => PartitionMode::Lost,
+                    4 => PartitionMode::InboundDelayed,
+                    _ => PartitionMode::OutboundDelayed,
                 };
                 scenario
                     .faults
-                    .push((at, Fault::CutSite { zone, time, cut }));
+                    .push((at, Fault::ZonePartition { zone, time, mode }));
             };
-            cut(&mut rng, at, None);
+            add_partition(&mut rng, at, None);
             let other = rng.usize(..6);
             if other < 3 {
                 let before = rng.u64(..30 * SECOND);
-                cut(&mut rng, at - before, Some(other));
+                add_partition(&mut rng, at - before, Some(other));
             }
         }
         scenario
     }
 
-    /// A troubled day on which nodes are replaced by a new version one after the other,
-    /// users begin with pipelines, and the state service lowers its limits.
+    /// [`Scenario::with_additional_faults`] with a rolling upgrade, pipelines, and a store that
+    /// lowers its limits.
     pub fn pipelines(seed: u64) -> Scenario {
-        let mut scenario = Scenario::troubled(seed);
-        let mut rng = Rng::with_seed(seed.rotate_left(11) ^ 0xa3a1);
+        let mut scenario = Scenario::with_additional_faults(seed);
+        let mut rng = Rng::with_seed(seed.rotate_left(11) ^ PIPELINES_SEED_SALT);
         let first = rng.u64(10 * SECOND..50 * SECOND);
         let every = rng.u64(SECOND..15 * SECOND);
-        let replaced = first + 2 * every;
+        let upgrade_end = first + 2 * every;
         let upgraded = rng.u8(..4) > 0;
         if upgraded {
             scenario.upgrade = Some((first, every));
-            let fall = rng.u64(replaced + 5 * SECOND..scenario.busy);
-            scenario.limits_fall = (rng.u8(..5) > 0).then_some(fall);
-            // Large enough for chunks that will not fit any more.
-            scenario.large = Some(rng.u32(250..500));
+            let lowered_at = rng.u64(upgrade_end + 5 * SECOND..scenario.activity_end);
+            scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(lowered_at);
+            // Large enough for chunks that exceed the lowered limits.
+            scenario.large_job_tasks = Some(rng.u32(250..500));
         }
-        // Teams of small limits take long over what both bring.
-        scenario.end = scenario.busy + 1200 * SECOND;
+        // Teams with small quotas need this time to finish the additional jobs.
+        scenario.end = scenario.activity_end + 1200 * SECOND;
         scenario.pipelines = rng.usize(2..8);
         scenario.pipelines_from = if upgraded {
-            replaced + 4 * SECOND
+            upgrade_end + 4 * SECOND
         } else {
             SECOND
         };
         scenario
     }
 
-    /// A small day on which a process ends at one call to the state service: of three
-    /// seeds in a row each has another moment of the same call.
-    pub fn ends_at_call(seed: u64) -> Scenario {
-        let moments = [Moment::Before, Moment::CarriedOut, Moment::Answered];
-        let busy = 40 * SECOND;
+    /// A small workload in which a process crashes at one call to the store. Three
+    /// consecutive seeds cover the three points of the same call.
+    pub fn crash_at_call(seed: u64) -> Scenario {
+        let points = [
+            CrashPoint::BeforeExecution,
+            CrashPoint::AfterExecution,
+            CrashPoint::AfterAnswer,
+        ];
+        let activity_end = 40 * SECOND;
         Scenario {
-            ends_at_call: Some((seed / 3, moments[(seed % 3) as usize])),
+            crash_at_call: Some((seed / 3, points[(seed % 3) as usize])),
             jobs: 5,
             pipelines: 1,
-            small: true,
-            busy,
-            end: busy + 300 * SECOND,
+            small_jobs: true,
+            activity_end,
+            end: activity_end + 300 * SECOND,
             ..Scenario::quiet(4)
         }
     }
 
-    /// The gap: whoever leads is refused alone, others confirm cancellations, and then
-    /// the state service is out for all for longer than a cancellation may take. A second
-    /// one right after.
-    pub fn gap(seed: u64) -> Scenario {
-        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ 0x6a9);
+    /// The store first refuses, or is partitioned from, the leader only, while other nodes
+    /// confirm cancellations. Then it is unavailable to all nodes for 20 to 70 s, which may
+    /// exceed the cancellation deadline. This happens twice.
+    pub fn store_outages(seed: u64) -> Scenario {
+        let mut rng = Rng::with_seed(seed.rotate_left(7) ^ STORE_OUTAGES_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(25 * SECOND..60 * SECOND);
         for _ in 0..2 {
-            // Sometimes over when the outage begins, sometimes only after it.
+            // Ends before or after the beginning of the outage.
             let time = rng.u64(SECOND..20 * SECOND);
-            let alone = match rng.bool() {
-                true => Fault::Refused { node: LEADER, time },
-                false => Fault::CutState { node: LEADER, time },
+            let leader_isolation = match rng.bool() {
+                true => Fault::StoreRefusal { node: LEADER, time },
+                false => Fault::StorePartition { node: LEADER, time },
             };
-            let out = at + rng.u64(SECOND / 2..8 * SECOND);
+            let outage_start = at + rng.u64(SECOND / 2..8 * SECOND);
             let outage = rng.u64(20 * SECOND..70 * SECOND);
-            scenario.faults.push((at, alone));
-            // Some of the others never tell the leader that there is another.
+            scenario.faults.push((at, leader_isolation));
+            // The leader does not learn from its peers that another node was elected.
             if rng.bool() {
                 let node = LEADER;
                 scenario.faults.push((
                     at,
-                    Fault::CutMesh {
+                    Fault::PeerPartition {
                         node,
                         time: time + outage,
                     },
@@ -432,33 +393,36 @@
             }
             scenario
                 .faults
-                .push((out, Fault::StateOutage { time: outage }));
+                .push((outage_start, Fault::StoreOutage { time: outage }));
             if rng.u8(..3) == 0 {
                 let time = rng.u64(5 * SECOND..30 * SECOND);
                 let machines = rng.usize(1..6);
                 let fault = match rng.bool() {
                     true => Fault::Hang { machines, time },
-                    false => Fault::Deaf { machines, time },
+                    false => Fault::InboundLoss { machines, time },
                 };
-                let at = rng.u64(at.saturating_sub(10 * SECOND)..out + 10 * SECOND);
+                let at = rng.u64(at.saturating_sub(10 * SECOND)..outage_start + 10 * SECOND);
                 scenario.faults.push((at, fault));
             }
             if rng.u8(..3) == 0 {
                 let time = rng.u64(10 * SECOND..60 * SECOND);
-                scenario.faults.push((out, Fault::CloudOutage { time }));
+                scenario
+                    .faults
+                    .push((outage_start, Fault::CloudOutage { time }));
             }
-            // In each order the state service comes back to them.
+            // The nodes reach the store again in varying order.
             if rng.u8(..3) == 0 {
                 let time = rng.u64(..10 * SECOND);
                 let node = rng.usize(..3);
-                scenario
-                    .faults
-                    .push((out + outage - SECOND, Fault::Refused { node, time }));
+                scenario.faults.push((
+                    outage_start + outage - SECOND,
+                    Fault::StoreRefusal { node, time },
+                ));
             }
             if rng.u8(..4) == 0 {
                 let node = [LEADER, 0, 1, 2][rng.usize(..4)];
                 let down = SECOND / 5;
-                let at = rng.u64(at..out + outage);
+                let at = rng.u64(at..outage_start + outage);
                 scenario.faults.push((
                     at,
                     Fault::Crash {
@@ -467,22 +431,22 @@
                     },
                 ));
             }
-            at = out + outage + rng.u64(SECOND..15 * SECOND);
+            at = outage_start + outage + rng.u64(SECOND..15 * SECOND);
         }
-        scenario.small = true;
+        scenario.small_jobs = true;
         scenario.jobs = rng.usize(16..28);
-        scenario.busy = at.max(scenario.busy);
-        scenario.end = scenario.busy + 600 * SECOND;
+        scenario.activity_end = at.max(scenario.activity_end);
+        scenario.end = scenario.activity_end + 600 * SECOND;
         scenario
     }
 
-    /// A day of random troubles, several at a time.
+    /// Random faults, several of which are active at the same time.
     pub fn random(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed);
-        let busy = Scenario::quiet(seed).busy;
+        let activity_end = Scenario::quiet(seed).activity_end;
         let faults = (0..rng.usize(4..14))
             .map(|_| {
-                let at = rng.u64(15 * SECOND..busy - 10 * SECOND);
+                let at = rng.u64(15 * SECOND..activity_end - 10 * SECOND);
                 let time = rng.u64(2 * SECOND..50 * SECOND);
                 let n = rng.usize(..3);
                 let down = rng.u64(SECOND..8 * SECOND);
@@ -494,21 +458,21 @@
                     0 => nodes(&[n]),
                     1 => nodes(&[n, n + 1]),
                     2 => nodes(&[0, 1, 2]),
-                    3 => Fault::StateOutage { time: time / 2 },
-                    4 => Fault::Refused { node: n, time },
-                    5 => Fault::CutState { node: n, time },
-                    6 => Fault::CutWorkers { node: n, time },
-                    7 => Fault::CutZone { zone: n, time },
+                    3 => Fault::StoreOutage { time: time / 2 },
+                    4 => Fault::StoreRefusal { node: n, time },
+                    5 => Fault::StorePartition { node: n, time },
+                    6 => Fault::WorkerPartition { node: n, time },
+                    7 => Fault::ZoneWorkerPartition { zone: n, time },
                     8 => Fault::Hang {
                         machines: 2 * n + 1,
                         time,
                     },
-                    9 => Fault::SpotTaken {
+                    9 => Fault::SpotPreemption {
                         notice: (n > 0).then_some(time / 3),
                     },
                     10 => Fault::CloudOutage { time },
-                    11 => Fault::Die { machines: n + 1 },
-                    _ => Fault::Flaky { time },
+                    11 => Fault::MachineFailure { machines: n + 1 },
+                    _ => Fault::UnreliableNetwork { time },
                 };
                 (at, fault)
             })
@@ -520,29 +484,30 @@
         }
     }
 
-    /// A day of a large fleet: `scale` times as many machines may be had and tasks are
-    /// handed in as on other days. Leaders end, each of them as the fleet has grown; the
-    /// state service is out until every lease of the fleet has ended; a zone is cut off.
+    /// A large fleet: `scale` times as many machines can be rented, and tasks are submitted,
+    /// as in the other scenarios. Leaders crash at different sizes of the fleet, the store is
+    /// out until all worker leases have expired, and a zone is partitioned.
     pub fn large_fleet(seed: u64, scale: u32) -> Scenario {
-        let leader_ends = |at, down| {
+        let leader_crash = |at, down| {
             let nodes = vec![LEADER];
             (at, Fault::Crash { nodes, down })
         };
-        // Leases last 14 s, and reports are answered for 26 s without a read.
-        let outage = Fault::StateOutage { time: 50 * SECOND };
-        let cut = Fault::CutZone {
+        // Longer than a worker lease of 14 s and the 26 s for which a leader answers
+        // heartbeats without reaching the store.
+        let outage = Fault::StoreOutage { time: 50 * SECOND };
+        let partition = Fault::ZoneWorkerPartition {
             zone: 1,
             time: 30 * SECOND,
         };
         Scenario {
             faults: vec![
-                leader_ends(70 * SECOND, SECOND / 5),
-                leader_ends(90 * SECOND, 3 * SECOND),
+                leader_crash(70 * SECOND, SECOND / 5),
+                leader_crash(90 * SECOND, 3 * SECOND),
                 (100 * SECOND, outage),
-                leader_ends(120 * SECOND, SECOND),
-                leader_ends(160 * SECOND, SECOND),
-                (170 * SECOND, cut),
-                leader_ends(180 * SECOND, SECOND),
+                leader_crash(120 * SECOND, SECOND),
+                leader_crash(160 * SECOND, SECOND),
+                (170 * SECOND, partition),
+                leader_crash(180 * SECOND, SECOND),
             ],
             jobs: 70,
             scale,
@@ -551,31 +516,32 @@
         }
     }
 
-    /// A day without troubles, to start from.
+    /// The base of the other scenarios, without scheduled faults. Rare rate limiting, failed
+    /// boots and slow messages remain.
     pub fn quiet(seed: u64) -> Scenario {
-        let busy = 200 * SECOND;
+        let activity_end = 200 * SECOND;
         Scenario {
             seed,
             form: SubmissionForm::Native,
             faults: Vec::new(),
             jobs: 14,
-            large: None,
+            large_job_tasks: None,
             nodes: 3,
             scale: 1,
             large_site: false,
-            allocated: None,
+            allocated_bytes: None,
             pipelines: 0,
             pipelines_from: SECOND,
-            ends_at_call: None,
-            small: false,
-            varied: false,
-            tight: false,
-            stream: None,
-            herd: None,
+            crash_at_call: None,
+            small_jobs: false,
+            varied_jobs: false,
+            tight_quotas: false,
+            single_task_stream: None,
+            cancelled_dependents: None,
             upgrade: None,
-            limits_fall: None,
-            busy,
-            end: busy + 500 * SECOND,
+            limits_lowered_at: None,
+            activity_end,
+            end: activity_end + 500 * SECOND,
         }
     }
 }
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -1,5 +1,5 @@
-//! One controller alone with a door, over the stand-ins of the state service and the
-//! cloud, on simulated time.
+//! A single controller with its Kubernetes API, on simulated time against the simulated
+//! store and cloud.
 
 use crate::cloud::Cloud;
 use crate::objects::TOKEN;
@@ -14,11 +14,13 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::{Duration, Instant};
 
-const STATE_TIME: Micros = 4 * MILLISECOND;
-pub const WALL: Micros = 1_700_000_000 * SECOND;
+/// Round trip of a call to the store.
+const STORE_ROUND_TRIP: Micros = 4 * MILLISECOND;
+/// Wall clock time at simulated time 0.
+pub const WALL_CLOCK_START: Micros = 1_700_000_000 * SECOND;
 
-/// A request with the token for everything.
-pub fn ask(method: &str, target: &str, body: &Value) -> ApiRequest {
+/// A request to the Kubernetes API with the token that permits everything.
+pub fn api_request(method: &str, target: &str, body: &Value) -> ApiRequest {
     let patch = "application/merge-patch+json".to_string();
     ApiRequest {
         method: method.into(),
@@ -33,129 +35,139 @@
     }
 }
 
-/// What happens at a time.
+/// A scheduled event.
 #[derive(Debug)]
-pub enum Ev {
+pub enum Event {
     Input(Input),
-    Ask(RequestId, ApiRequest),
-    WatchEnds(u64),
+    ApiRequest(RequestId, ApiRequest),
+    WatchTimeout(u64),
 }
 
-/// A controller, its stand-ins and what it has answered.
+/// A controller, its simulated environment and its answers.
 #[derive(Debug)]
 pub struct SingleNode {
     pub now: Micros,
-    order: u64,
-    events: BinaryHeap<Reverse<(Micros, u64)>>,
-    what: BTreeMap<u64, Ev>,
+    /// Number of the event scheduled last.
+    last_event: u64,
+    /// Times and numbers of the scheduled events.
+    queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Scheduled events by number.
+    scheduled: BTreeMap<u64, Event>,
     pub controller: Controller,
-    pub state: SimulatedStore,
+    pub store: SimulatedStore,
     cloud: Cloud,
     watches: Watches<CallId>,
-    /// Calls that the state service was asked.
+    /// Number of calls to the store.
     pub calls: u64,
-    /// Time spent in the controller.
-    pub busy: Duration,
-    /// Answers, of the users' protocol as well.
+    /// Processing time of the controller.
+    pub processing_time: Duration,
+    /// Answers of the native and the Kubernetes API.
     pub answers: Vec<(RequestId, ApiResponse)>,
-    /// Lines of watches that went out.
+    /// Number of watch chunks sent to clients.
     pub chunks: u64,
 }
 
 impl SingleNode {
-    pub fn new(config: Config, rules: ApiServerConfig, state: SimulatedStore) -> SingleNode {
+    pub fn new(config: Config, api_server: ApiServerConfig, store: SimulatedStore) -> SingleNode {
         SingleNode {
             now: SECOND,
-            order: 0,
-            events: BinaryHeap::new(),
-            what: BTreeMap::new(),
-            controller: Controller::new(Node::new(config), Some(rules)),
-            state: state.paged(PageLimit::FULL),
+            last_event: 0,
+            queue: BinaryHeap::new(),
+            scheduled: BTreeMap::new(),
+            controller: Controller::new(Node::new(config), Some(api_server)),
+            store: store.with_page_limit(PageLimit::FULL),
             cloud: Cloud::new(vec![machine(8.0)], 0, 0),
             watches: Watches::default(),
             calls: 0,
-            busy: Duration::ZERO,
+            processing_time: Duration::ZERO,
             answers: Vec::new(),
             chunks: 0,
         }
     }
 
-    pub fn at(&mut self, at: Micros, ev: Ev) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order)));
-        self.what.insert(self.order, ev);
+    /// Schedules an event.
+    pub fn schedule(&mut self, at: Micros, ev: Event) {
+        self.last_event += 1;
+        self.queue.push(Reverse((at, self.last_event)));
+        self.scheduled.insert(self.last_event, ev);
     }
 
-    /// Plays until then, with a tick every 50 ms.
-    pub fn until(&mut self, end: Micros) {
+    /// Runs until the simulated time `end`, with a tick every 50 ms.
+    pub fn run_until(&mut self, end: Micros) {
         let mut tick = self.now;
         while tick < end {
-            self.at(tick, Ev::Input(Input::Tick));
+            self.schedule(tick, Event::Input(Input::Tick));
             tick += 50 * MILLISECOND;
         }
-        while let Some(Reverse((at, order))) = self.events.peek().copied() {
+        while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at >= end {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now = at;
-            let Some(ev) = self.what.remove(&order) else {
+            let Some(ev) = self.scheduled.remove(&number) else {
                 continue;
             };
             let now = Timestamp {
                 monotonic: 1_000 * SECOND + at,
-                wall: WALL + at,
+                wall: WALL_CLOCK_START + at,
             };
-            let begun = Instant::now();
-            let outs = match ev {
-                Ev::Input(input) => self.controller.handle(now, input),
-                Ev::Ask(id, ask) => self.controller.handle_request(now, id, ask),
-                Ev::WatchEnds(watch) => {
-                    if let Some((id, changes)) = self.watches.end(watch, &self.state) {
+            let started = Instant::now();
+            let outputs = match ev {
+                Event::Input(input) => self.controller.handle(now, input),
+                Event::ApiRequest(id, request) => self.controller.handle_request(now, id, request),
+                Event::WatchTimeout(watch) => {
+                    if let Some((id, changes)) = self.watches.close(watch, &self.store) {
                         let reply = Ok(StoreResponse::WatchBatch(changes));
-                        self.at(at + STATE_TIME / 2, Ev::Input(Input::Store { id, reply }));
+                        self.schedule(
+                            at + STORE_ROUND_TRIP / 2,
+                            Event::Input(Input::Store { id, reply }),
+                        );
                     }
                     continue;
                 }
             };
-            self.busy += begun.elapsed();
-            for out in outs {
-                self.carry(out);
+            self.processing_time += started.elapsed();
+            for output in outputs {
+                self.deliver(output);
             }
         }
         self.now = end;
     }
 
-    fn carry(&mut self, out: ControllerOutput) {
-        match out {
+    fn deliver(&mut self, output: ControllerOutput) {
+        match output {
             ControllerOutput::Node(Output::Store { id, call, .. }) => {
                 self.calls += 1;
-                let at = self.now + STATE_TIME;
-                match self.state.call(&call, self.now) {
-                    Some(reply) => self.at(
+                let at = self.now + STORE_ROUND_TRIP;
+                match self.store.call(&call, self.now) {
+                    Some(reply) => self.schedule(
                         at,
-                        Ev::Input(Input::Store {
+                        Event::Input(Input::Store {
                             id,
                             reply: Ok(reply),
                         }),
                     ),
                     None => {
                         if let Some((watch, time)) = self.watches.open(id, &call) {
-                            self.at(self.now + time + STATE_TIME / 2, Ev::WatchEnds(watch));
+                            self.schedule(
+                                self.now + time + STORE_ROUND_TRIP / 2,
+                                Event::WatchTimeout(watch),
+                            );
                         }
                     }
                 }
-                for (id, changes) in self.watches.changed(&self.state, |_| true) {
+                for (id, changes) in self.watches.take_changed(&self.store, |_| true) {
                     let reply = Ok(StoreResponse::WatchBatch(changes));
-                    self.at(at, Ev::Input(Input::Store { id, reply }));
+                    self.schedule(at, Event::Input(Input::Store { id, reply }));
                 }
             }
             ControllerOutput::Node(Output::Cloud { id, call, .. }) => {
                 let (reply, _, _) = self.cloud.call(&call, self.now, |_| None);
                 let at = self.now + 10 * MILLISECOND;
-                self.at(
+                self.schedule(
                     at,
-                    Ev::Input(Input::Cloud {
+                    Event::Input(Input::Cloud {
                         id,
                         reply: Ok(reply),
                     }),
@@ -177,12 +189,16 @@
         }
     }
 
-    /// Asks now, and plays for a second. None if there is no answer: a watch is open.
-    pub fn asked(&mut self, ask: ApiRequest) -> Option<ApiResponse> {
-        let id = RequestId(u64::MAX / 2 + self.order);
-        self.at(self.now, Ev::Ask(id, ask));
-        self.until(self.now + SECOND);
-        let found = self.answers.iter().position(|(of, _)| *of == id)?;
+    /// Sends a request and runs for one second. Returns None if it is still unanswered, as
+    /// an open watch is.
+    pub fn request(&mut self, request: ApiRequest) -> Option<ApiResponse> {
+        let id = RequestId(u64::MAX / 2 + self.last_event);
+        self.schedule(self.now, Event::ApiRequest(id, request));
+        self.run_until(self.now + SECOND);
+        let found = self
+            .answers
+            .iter()
+            .position(|(answered, _)| *answered == id)?;
         Some(self.answers.swap_remove(found).1)
     }
 }
