--- a/crates/controller/src/leader/scheduling.rs
+++ b/crates/controller/src/leader/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod views;
 
-pub(super) use self::views::{CPU_ROUNDING_ERROR, machine_view, usable_cache_gb};
+pub(super) use self::views::{machine_view, usable_cache_gb};
 use super::Leader;
 use crate::calls::Context;
 use crate::machines::{TaskKey, TaskSlot};
@@ -25,7 +25,7 @@
     /// When a cycle was requested; `Micros::MAX` if none is.
     cycle_requested_at: Micros,
     last_cycle_at: Micros,
-    counts: SchedulerCounters,
+    counters: SchedulerCounters,
 }
 
 impl SchedulingState {
@@ -36,7 +36,7 @@
             service_ready: false,
             cycle_requested_at: now,
             last_cycle_at: now,
-            counts: SchedulerCounters::default(),
+            counters: SchedulerCounters::default(),
         }
     }
 
@@ -46,8 +46,8 @@
     }
 
     /// Counters of the cycles and scale-out plans.
-    pub fn counts(&self) -> SchedulerCounters {
-        self.counts
+    pub fn counters(&self) -> SchedulerCounters {
+        self.counters
     }
 
     /// Requests a cycle after a change that may allow tasks to be placed.
@@ -73,8 +73,8 @@
 
     /// Counts the machines and jobs that a scale-out plan has examined.
     pub fn record_plan(&mut self, machines: u64, jobs: u64) {
-        self.counts.machines += machines;
-        self.counts.planned += jobs;
+        self.counters.plan_machines_examined += machines;
+        self.counters.plan_jobs_examined += jobs;
     }
 
     /// Whether a cycle is requested and the last one is at least `min_gap` ago.
@@ -99,7 +99,8 @@
 }
 
 impl Leader {
-    /// Does the work that is due at this time.
+    /// Runs the scheduling cycle and the fleet check if they are due, and sends pending
+    /// requests.
     pub fn tick(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic;
         if self.recovery.is_reading() {
@@ -117,7 +118,7 @@
             .autoscaler
             .take_due_fleet_check(now, FLEET_CHECK_INTERVAL)
         {
-            self.mark_estimated_jobs();
+            self.mark_jobs_ranked_by_class_estimate();
             self.refresh_derived_state(ctx);
             self.delete_machines_with_cancelled_tasks(ctx);
             self.check_fleet(ctx);
@@ -154,7 +155,7 @@
         }
         self.send_queue_watch(ctx);
         self.request_dependency_states(ctx);
-        self.send_due_rereads(ctx);
+        self.send_due_reads(ctx);
         self.send_writes(ctx);
         self.send_commands(ctx);
         self.send_cloud_request(ctx);
@@ -184,6 +185,7 @@
             .advance_virtual_time(now, sums.fleet_cpus(), sums.ageing_jobs());
         self.scheduling.begin_cycle(now);
         if self.has_recent_read(ctx) && self.machine_types.types().is_some() {
+            // The virtual time has advanced.
             self.refresh_derived_state(ctx);
             self.place_waiting_tasks(ctx);
             self.preempt_for_replicas(ctx);
@@ -215,8 +217,8 @@
             limits,
         );
         self.derived.capacity = capacity;
-        self.scheduling.counts.passes += 1;
-        self.scheduling.counts.jobs += result.jobs_examined as u64;
+        self.scheduling.counters.cycles += 1;
+        self.scheduling.counters.cycle_jobs_examined += result.jobs_examined as u64;
         for assignment in result.assignments {
             self.apply_assignment(&assignment);
         }
@@ -258,7 +260,7 @@
         }
         // A job that gets resources is not starving.
         job.waiting_since = None;
-        self.scheduling.counts.placed += placed.len() as u64;
+        self.scheduling.counters.placed += placed.len() as u64;
         for key in placed {
             self.enqueue_task_record(&key);
         }
--- a/crates/controller/src/node/leadership.rs
+++ b/crates/controller/src/node/leadership.rs
@@ -108,7 +108,7 @@
                     }));
                 }
                 LeaderEvent::MachineTypes(types) => self.election.set_machine_types(types),
-                LeaderEvent::TermEnded => {
+                LeaderEvent::StepDown => {
                     let stepped_down = self.election.step_down(
                         &mut ctx,
                         "leader state can no longer be kept consistent with the store",
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -25,7 +25,7 @@
             job: "req-1".into(),
             initial_size: 6000.0,
             size,
-            credit,
+            ageing_credit: credit,
             is_ageing: true,
             trained: true,
             samples: vec![20.0, 22.0],
@@ -86,7 +86,7 @@
         .iter()
         .find(|j| j.job == "req-1")
         .expect("the job's estimate is replicated");
-    (job.size, job.credit, job.samples.len())
+    (job.size, job.ageing_credit, job.samples.len())
 }
 
 /// Guards against restarting a large job's ageing at every failover. The credit is 500 - 200.
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// A leader that is deposed and elected again has to read the queue again.
+/// A leader that steps down and is elected again has to read the queue again.
 #[test]
 fn re_elected_leader_renews_no_lease_before_reading_the_queue() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -218,7 +218,7 @@
         fixture.advance(2 * SECOND, 8 * SECOND);
         assert_eq!(fixture.placed_count(JOB_ID), 0, "{case}");
         assert_eq!(
-            fixture.node.scheduler_counters().passes,
+            fixture.node.scheduler_counters().cycles,
             0,
             "{case}: the job is not in the scheduler's queue"
         );
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -4,7 +4,7 @@
 use dillcleat_controller::SECOND;
 use dillcleat_simulator::loopback::{Loopback, exchange, post};
 use dillcleat_simulator::processes::{self, Process, ThreeProcesses, until};
-use dillcleat_simulator::rules::MachineIdentity;
+use dillcleat_simulator::rules::MachineAttributes;
 use dillcleat_simulator::worker::Worker;
 use dillcleat_wire::encode;
 use dillcleat_wire::worker::HEARTBEAT_PATH;
@@ -94,13 +94,13 @@
 }
 
 fn heartbeat_body(machine: &str) -> Vec<u8> {
-    let identity = MachineIdentity {
+    let attributes = MachineAttributes {
         machine: machine.into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
     };
-    let mut heartbeat = Worker::new(identity, 8.0, 0.0, SECOND, 0).report(SECOND);
+    let mut heartbeat = Worker::new(attributes, 8.0, 0.0, SECOND, 0).heartbeat(SECOND);
     heartbeat.addr = "127.0.0.1:9".into();
     encode(&heartbeat)
 }
@@ -289,6 +289,6 @@
     for worker in &mut workers {
         assert!(worker.request().is_some());
     }
-    let answer = exchange(controllers.doors[0], b"GET /version HTTP/1.1\r\n\r\n");
+    let answer = exchange(controllers.kube_addrs[0], b"GET /version HTTP/1.1\r\n\r\n");
     assert_eq!(answer.map(|(status, _)| status), Some(401));
 }
--- a/crates/wire/src/settings/mod.rs
+++ b/crates/wire/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The TOML settings file that the platform provides to each controller.
+//! The TOML settings file of a controller.
 
 mod error;
 mod validation;
@@ -144,7 +144,7 @@
 pub struct WorkerTimings {
     /// The interval between a worker's heartbeats, in seconds.
     #[serde(rename = "report_s")]
-    pub report_s: f64,
+    pub heartbeat_interval_s: f64,
     /// The duration of a worker's lease, in seconds. A worker that receives no response for this
     /// time ends its tasks.
     #[serde(rename = "lease_s")]
@@ -202,7 +202,9 @@
     pub list_lag_s: f64,
 }
 
-/// Limits on the resources that a controller may use.
+/// Limits on the resources that a controller process may use. Not related to the quotas of teams.
+///
+/// The type's name is part of the text of settings errors.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Quota {
     /// Maximum CPU usage, as a fraction of one CPU.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -13,13 +13,13 @@
 pub enum TaskState {
     /// The image is being downloaded.
     #[serde(rename = "pulling")]
-    Fetching,
+    Downloading,
     /// The task is running.
     #[serde(rename = "running")]
     Running,
     /// The task was stopped and is saving a checkpoint.
     #[serde(rename = "flushing")]
-    Saving,
+    SavingCheckpoint,
     /// The task has exited. The worker keeps its status until it is reaped.
     #[serde(rename = "ended")]
     Exited,
@@ -101,7 +101,7 @@
     /// The highest fencing token that the worker has received.
     #[serde(rename = "seal")]
     pub fencing_token: u64,
-    /// The time until the cloud reclaims the spot machine, in seconds; None if not announced.
+    /// The time until the cloud reclaims the spot machine, in seconds; `None` if not announced.
     #[serde(rename = "recall_s", default)]
     pub interruption_notice_s: Option<f64>,
     /// The status of all attempts on the worker.
--- a/crates/wire/tests/golden_settings.rs
+++ b/crates/wire/tests/golden_settings.rs
@@ -120,7 +120,7 @@
                 max_multiple: Some(1.5),
             }],
             workers: WorkerTimings {
-                report_s: 2.0,
+                heartbeat_interval_s: 2.0,
                 lease_s: 14.0,
                 cancel_s: 44.0,
             },
