--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,4 +1,4 @@
-//! Requests that this node sends, and those that have no response yet.
+//! Requests that this node (controller process) sends, and those that have no response yet.
 //!
 //! Every module sends its requests through [`Context`]. [`PendingCalls`] keeps the
 //! [`Continuation`] of each request until the response arrives.
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node, derived from the platform's and the operator's settings.
+//! The configuration of a node (a controller process), derived from the platform's and the operator's settings.
 
 use crate::time::{Micros, SECOND, micros};
 use crate::tuning::Tuning;
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -1,4 +1,5 @@
-//! Leader election over the key-value store.
+//! Election of the leader among the nodes (controller processes), by means of the key-value
+//! store.
 //!
 //! The election uses two keys. `s/lead` names the leader and is bound to the leader's
 //! **lease**: the store deletes the key when the lease expires or is revoked. `s/term`
--- a/crates/controller/src/failure_attribution.rs
+++ b/crates/controller/src/failure_attribution.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records that a task of the job has succeeded, or a replica has served. Returns the
-    /// machines to which its earlier failures are attributed by that.
+    /// machines on which it failed before: these failures are now attributed to them.
     pub fn record_success(&mut self) -> BTreeSet<Rc<str>> {
         self.has_succeeded = true;
         std::mem::take(&mut self.failed_on)
--- a/crates/controller/src/leader/autoscaling/deletion.rs
+++ b/crates/controller/src/leader/autoscaling/deletion.rs
@@ -30,7 +30,7 @@
     many_unresponsive: bool,
     /// Whether this controller is probably the one that is isolated.
     isolated: bool,
-    /// When this leader had recovered its state.
+    /// When this leader completed its recovery.
     ready_since: Micros,
 }
 
@@ -38,8 +38,6 @@
 /// reclaimed it.
 struct UnresponsiveMachine {
     name: Rc<str>,
-    /// The reason for log lines.
-    reason: &'static str,
     unresponsive_for: Micros,
 }
 
@@ -213,13 +211,12 @@
         }
         for UnresponsiveMachine {
             name,
-            reason,
             unresponsive_for,
         } in to_delete
         {
             let unresponsive_s = seconds(unresponsive_for);
             log::info!(
-                "deleting machine machine={name} reason={reason} unresponsive_s={unresponsive_s}"
+                "deleting machine machine={name} reason=unresponsive-or-reclaimed unresponsive_s={unresponsive_s}"
             );
             self.delete_machine(&name, DeletionReason::Unresponsive);
         }
@@ -260,11 +257,6 @@
             if is_unresponsive || check.is_reclaimed(machine, unresponsive_for) {
                 found.to_delete.push(UnresponsiveMachine {
                     name: machine.name.clone(),
-                    reason: if is_unresponsive {
-                        "unresponsive"
-                    } else {
-                        "reclaimed"
-                    },
                     unresponsive_for,
                 });
             }
@@ -314,18 +306,11 @@
                 *free -= machine_cpus;
             }
             if is_unusable || is_idle {
-                let reason = if machine.health.is_cordoned() {
-                    "cordoned"
-                } else if machine.interrupted_at().is_some() {
-                    "interrupted"
-                } else {
-                    "idle"
-                };
-                to_delete.push((name, reason));
+                to_delete.push(name);
             }
         }
-        for (name, reason) in to_delete {
-            log::info!("deleting machine machine={name} reason={reason}");
+        for name in to_delete {
+            log::info!("deleting machine machine={name} reason=idle-or-unusable");
             self.delete_machine(&name, DeletionReason::Unneeded);
         }
     }
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -189,8 +189,9 @@
         }
     }
 
-    /// Machines that have not sent a heartbeat with this term's fencing token and have not
-    /// missed one, except those known only from a stored placement.
+    /// Machines that are expected to become ready: they have not yet sent a heartbeat with
+    /// this term's fencing token, and they are not unresponsive. Excludes machines that are
+    /// known only from a stored placement.
     fn expected_machines(&self) -> Vec<&Machine> {
         let booting = self.derived.machines_not_ready().iter();
         booting
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -1,4 +1,4 @@
-//! ClusterTotals over all jobs and all machines.
+//! Totals of all jobs and all machines.
 //!
 //! Amounts are integers in millionths, so that contributions can be added and removed
 //! without rounding errors.
@@ -103,7 +103,7 @@
         }
         let mut objectives = config.start_objectives.iter();
         let objective_index = objectives.position(|objective| objective.class == job.spec.class)?;
-        // As many replicas as a zone may hold of a spread service.
+        // A zone may hold at most this many replicas of a spread service.
         let half_of_replicas = job.spec.tasks.div_ceil(2);
         let replicas = config.tuning.reserve_replicas.max(half_of_replicas);
         let cpus = i64::from(replicas).saturating_mul(to_millionths(job.spec.cpus));
--- a/crates/controller/src/leader/queue_watch.rs
+++ b/crates/controller/src/leader/queue_watch.rs
@@ -19,8 +19,8 @@
 
 /// The progress of the queue watch and the time of the last consistent read.
 ///
-/// `last_consistent_read` is advanced only by an answered read of the cancellations, to the
-/// time at which that was sent. A lease renewal, a message from a peer or a write does not
+/// Only an answered read of the cancellations advances `last_consistent_read`, to the time
+/// at which the read was sent. A lease renewal, a message from a peer or a write does not
 /// prove that no other controller has confirmed a cancellation since.
 #[derive(Debug, Default)]
 pub(super) struct QueueWatch {
--- a/crates/controller/src/leader/task_events.rs
+++ b/crates/controller/src/leader/task_events.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Records that a task of the job has run successfully. Its earlier errors are then
-    /// attributed to the machines on which they occurred.
+    /// Records that a task of the job has run successfully. The job's earlier errors are
+    /// then attributed to the machines on which they occurred.
     fn record_job_success(&mut self, id: &Rc<str>) {
         let Some(job) = self
             .jobs
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,6 +1,6 @@
 //! The controller's state machine: dispatches each input to the module that handles it.
 //!
-//! Every node answers users ([`Admission`]) and takes part in the election
+//! A node is one controller process. Every node answers users ([`Admission`]) and takes part in the election
 //! ([`Election`]). The elected node also runs a [`Leader`], which exists for exactly one
 //! term. Nothing here blocks: an outgoing request is returned as an [`Output`], and its
 //! response arrives later as an [`Input`], whose [`Continuation`] determines the module
@@ -31,7 +31,7 @@
 use dillcleat_wire::user::{JobSpec, Route, route};
 use dillcleat_wire::worker::{Heartbeat, LeaderRedirect};
 
-/// A controller as a deterministic state machine; see the [module](self).
+/// A node, that is, one controller process, as a deterministic state machine; see the [module](self).
 #[derive(Debug)]
 pub struct Node {
     config: Config,
