--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -65,7 +65,8 @@
 pub struct PendingCalls {
     last_id: u64,
     pending: HashMap<CallId, PendingCall>,
-    /// Sorted by `due_at`, since the delay is the same for all.
+    /// The requests that may be hedged, sorted by `due_at`: new ones are appended, since the
+    /// delay is the same for all.
     hedge_candidates: VecDeque<HedgeCandidate>,
     hedge_budget: TokenBucket,
 }
--- a/crates/controller/src/cloud_queue.rs
+++ b/crates/controller/src/cloud_queue.rs
@@ -7,8 +7,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// A scale-out that was certainly not executed is dropped after this time, once an attempt has
-/// failed or while none is permitted, so that a new one is planned from the current demand.
+/// The age from which a scale-out is dropped if it was certainly not executed and either its
+/// latest attempt has failed or no attempt is permitted now. A new scale-out is then planned
+/// from the current demand.
 const SCALE_OUT_EXPIRY: Micros = 5 * SECOND;
 /// The number of machines that one request may delete however small the fleet is.
 const MIN_DELETION_LIMIT: usize = 5;
--- a/crates/controller/src/dependency_graph.rs
+++ b/crates/controller/src/dependency_graph.rs
@@ -2,7 +2,8 @@
 //!
 //! Each leader builds the graph from the descriptions of the open jobs. An edge is removed
 //! only when the dependent job ends, or when the stored state record of the dependency
-//! proves its end. That a dependency is not among the open jobs is not a proof.
+//! proves its end. A dependency that is not among the
+//! open jobs has not necessarily ended.
 //!
 //! Two sorted maps suffice instead of a graph library: edges are looked up by job id from
 //! both ends and removed one by one.
--- a/crates/controller/src/job_cache.rs
+++ b/crates/controller/src/job_cache.rs
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub(crate) struct JobCache {
     jobs: HashMap<String, CachedJobState>,
-    /// Oldest first.
+    /// The ids of the cached jobs, the oldest entry first.
     insertion_order: VecDeque<String>,
     capacity: usize,
 }
--- a/crates/controller/src/leader/autoscaling/planning.rs
+++ b/crates/controller/src/leader/autoscaling/planning.rs
@@ -191,7 +191,7 @@
     ) -> Vec<MachineView> {
         let now = ctx.now.monotonic;
         let tuning = &ctx.config.tuning;
-        // `patience` is a factor of the time in which a new machine could run the task.
+        // `patience` is a multiple of the time until a new machine could run the task.
         let horizon_s = (self.soonest_boot_s() + tuning.fetch_s) * tuning.patience;
         let run_times_s = self.run_times_by_job(ctx);
         let is_soon_free = |slot: &&TaskSlot| {
--- a/crates/controller/src/leader/boot_estimator/tests.rs
+++ b/crates/controller/src/leader/boot_estimator/tests.rs
@@ -25,7 +25,8 @@
     boots.record_boot(&started("b", start + 30 * SECOND), start + 45 * SECOND);
     assert_eq!(progress(&boots, 60), BootProgress::Late);
     assert_eq!(boots.max_wait(&m, BOOT), 70 * SECOND);
-    // The machine's own zone is slow: another one started at the same time took longer.
+    // The machine's own zone is slow: another machine that was started there at
+    // the same time took longer.
     boots.record_boot(&started("a", start), start + 80 * SECOND);
     assert_eq!(progress(&boots, 90), BootProgress::OnTime);
     assert_eq!(boots.max_wait(&m, BOOT), 210 * SECOND);
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -50,8 +50,9 @@
     interrupted_machines: RoaringBitmap,
     /// Ready machines without placed tasks that are not being deleted.
     empty_machines: RoaringBitmap,
-    /// On-demand machines, and spot machines, that run array tasks.
+    /// On-demand machines that run array tasks.
     on_demand_machines_with_arrays: RoaringBitmap,
+    /// Spot machines that run array tasks.
     spot_machines_with_arrays: RoaringBitmap,
     due_times: DueTimes,
 }
--- a/crates/controller/src/leader/derived/sums.rs
+++ b/crates/controller/src/leader/derived/sums.rs
@@ -31,7 +31,7 @@
 struct ReplicaReserve {
     /// The index of the start objective of the service's class in the settings.
     objective_index: usize,
-    /// In millionths.
+    /// The reserved CPUs, in millionths.
     cpus: i64,
 }
 
--- a/crates/controller/src/leader/machine_types.rs
+++ b/crates/controller/src/leader/machine_types.rs
@@ -6,7 +6,7 @@
 /// The machine types as they are stored.
 #[derive(Debug, Clone, Default)]
 pub struct VersionedMachineTypes {
-    /// `None` if there is no record.
+    /// The machine types; `None` if there is no record.
     pub types: Option<Rc<Vec<MachineType>>>,
     /// The version of the record; 0 if there is none.
     pub version: u64,
@@ -15,7 +15,7 @@
 /// The machine types that the cloud or the store reported last.
 #[derive(Debug)]
 pub(super) struct MachineTypeCatalog {
-    /// `None` until the types are known.
+    /// The machine types; `None` until they are known.
     types: Option<Rc<Vec<MachineType>>>,
     /// Whether the stored record matches the types, apart from prices.
     is_stored: bool,
--- a/crates/controller/src/leader/service_headroom.rs
+++ b/crates/controller/src/leader/service_headroom.rs
@@ -70,7 +70,8 @@
             .job_queue
             .cursor(QueueSection::Urgent, virtual_time);
         let mut jobs = Vec::new();
-        // Services come before tiny jobs in this section.
+        // In the urgent section services precede tiny jobs, so the first job that is not a
+        // service ends the search.
         while let Some(queued) = waiting.next_job() {
             waiting.advance(queued.sub_queue);
             match self.job_view(ctx, queued.index) {
--- a/crates/controller/src/leader/task_ranges.rs
+++ b/crates/controller/src/leader/task_ranges.rs
@@ -10,7 +10,7 @@
 /// A stored part of a chunk.
 #[derive(Debug, Clone, Copy)]
 struct StoredPart {
-    /// The index of the last task in it.
+    /// The index of the last task in the part.
     last: u32,
     version: u64,
 }
--- a/crates/controller/src/leader/task_ranges/tests.rs
+++ b/crates/controller/src/leader/task_ranges/tests.rs
@@ -11,7 +11,7 @@
         let tasks = rng.u32(1..300);
         let mut ranges = TaskRanges::new(tasks, rng.u32(1..120), rng.u32(1..40));
         let chunk = rng.u32(..tasks) / ranges.tasks_per_chunk;
-        // Parts that were written with another part size.
+        // Some parts were written earlier with another part size.
         let other = rng.u32(1..40);
         let all = ranges.chunk_indexes(chunk);
         for from in all.clone().step_by(other as usize) {
--- a/crates/controller/src/leader/unknown_jobs.rs
+++ b/crates/controller/src/leader/unknown_jobs.rs
@@ -47,7 +47,8 @@
     machines: BTreeSet<Rc<str>>,
     /// Whether any machine may hold its tasks, because a task record is unreadable.
     may_be_anywhere: bool,
-    /// `None` if its team is not in the settings or its resource usage is unreadable.
+    /// The usage of each of its tasks; `None` if its team is not in the settings or its
+    /// resource usage is unreadable.
     task_usage: Option<TaskUsage>,
     /// The number of its tasks that may be on machines.
     placed: i64,
--- a/crates/controller/src/leader/zone_partition.rs
+++ b/crates/controller/src/leader/zone_partition.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Number of worker leases after which an unresponsive machine is deleted even if its tasks
-/// can't run elsewhere, because its zone may be lost permanently.
+/// After this many times the duration of a worker's lease, an unresponsive machine is deleted
+/// even if its tasks can't run elsewhere, because its zone may be lost permanently.
 pub(super) const PARTITION_GRACE_LEASES: u64 = 4;
 /// Time for which scale-out avoids a zone after it was found to be partitioned, unless a
 /// machine in it is reachable again earlier.
@@ -137,9 +137,9 @@
     }
 
     /// The unresponsive machines of partitioned zones: zones in which most machines are
-    /// unresponsive. Their tasks keep running until their leases expire, but count as lost.
-    /// If most of the fleet is unresponsive, this controller is more likely to be isolated, and the
-    /// result is empty.
+    /// unresponsive. Their tasks may keep running until their leases expire. If these machines
+    /// are more than half of those that are up, it is more likely that this controller is
+    /// isolated, and the result is empty.
     pub(super) fn partitioned_machines(&self) -> BTreeSet<Rc<str>> {
         let mut unresponsive_by_zone: BTreeMap<&Rc<str>, Vec<&Rc<str>>> = BTreeMap::new();
         for (name, machine) in self.unresponsive_machines() {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,6 +1,7 @@
 //! The logic of a dillcleat controller, without I/O, clocks and randomness.
 //!
-//! A controller is a [`Node`]: a deterministic state machine that takes one [`Input`] at
+//! The logic of one controller process, also called a node, is a [`Node`]: a deterministic
+//! state machine that takes one [`Input`] at
 //! a time and returns the resulting [`Output`]s: requests to send, and answers to users and
 //! workers. The service and the simulator run the same code, so a fault that the simulator
 //! finds can be replayed from its seed.
--- a/crates/controller/src/machines.rs
+++ b/crates/controller/src/machines.rs
@@ -6,7 +6,7 @@
 //! - a later incarnation of the worker agent has started;
 //! - the machine is deleted, or the cloud lists it as failed.
 //!
-//! Missing heartbeats are not a proof.
+//! Missing heartbeats do not prove that a task is gone.
 
 mod command_state;
 mod health;
@@ -142,7 +142,7 @@
     }
 
     /// Whether a heartbeat has arrived under this term's fencing token. Before that, the
-    /// task list of a heartbeat is not a proof.
+    /// task list of a heartbeat does not prove that a task is gone.
     pub fn is_ready(&self) -> bool {
         self.has_current_token
     }
@@ -198,7 +198,7 @@
         self.position.incarnation = self.position.incarnation.max(incarnation);
     }
 
-    /// Starts the heartbeat, age and idle times anew at the start of a term, and requests a
+    /// Restarts the heartbeat, age and idle times at the start of a term, and requests a
     /// command batch, which carries the new fencing token to the machine.
     pub fn begin_term(&mut self, now: Micros) {
         self.reachability.set_last_contact(now);
--- a/crates/controller/src/machines/heartbeat_reconciliation.rs
+++ b/crates/controller/src/machines/heartbeat_reconciliation.rs
@@ -30,8 +30,8 @@
         }
         self.update_from_heartbeat(heartbeat, now);
         if heartbeat.fencing_token != term {
-            // Commands of an earlier leader may still be executed, so the task list is not
-            // a proof yet.
+            // Commands of an earlier leader may still be executed, so the task list does
+            // not yet prove that any task is gone.
             return events;
         }
         self.has_current_token = true;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -31,7 +31,7 @@
 use dillcleat_wire::user::{JobSpec, Route, route};
 use dillcleat_wire::worker::{Heartbeat, LeaderRedirect};
 
-/// A node, that is, one controller process, as a deterministic state machine; see the [module](self).
+/// The deterministic state machine of a node (one controller process); see the [module](self).
 #[derive(Debug)]
 pub struct Node {
     config: Config,
--- a/crates/controller/src/token_bucket.rs
+++ b/crates/controller/src/token_bucket.rs
@@ -7,7 +7,7 @@
 /// A token bucket that may be overdrawn.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TokenBucket {
-    /// Negative while it is overdrawn.
+    /// The number of tokens; negative while the bucket is overdrawn.
     available: f64,
     refilled_at: Micros,
 }
