--- a/crates/controller/src/admission/mod.rs
+++ b/crates/controller/src/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Handles users' submissions, polls and cancellations. Every node
-//! (controller process) does so without the leader.
+//! Handles users' submissions, polls and cancellations. Every node (a controller
+//! process) does so without the leader.
 //!
 //! # Records
 //!
--- a/crates/controller/src/leader/boot_estimator.rs
+++ b/crates/controller/src/leader/boot_estimator.rs
@@ -190,8 +190,8 @@
     }
 
     /// Machines that are expected to become ready: they have not yet sent a heartbeat with
-    /// this term's fencing token, and they are not unresponsive. Excludes machines that are
-    /// known only from a stored placement.
+    /// this term's fencing token, and they are neither unresponsive nor being deleted.
+    /// Excludes machines that are known only from a stored placement.
     fn expected_machines(&self) -> Vec<&Machine> {
         let booting = self.derived.machines_not_ready().iter();
         booting
--- a/crates/controller/src/leader/derived.rs
+++ b/crates/controller/src/leader/derived.rs
@@ -46,7 +46,7 @@
     /// Machines that have not sent a heartbeat with this term's fencing token and are not
     /// being deleted.
     machines_not_ready: RoaringBitmap,
-    /// Spot machines with an interruption notice.
+    /// Spot machines with an interruption notice that are not being deleted.
     interrupted_machines: RoaringBitmap,
     /// Ready machines without placed tasks that are not being deleted.
     empty_machines: RoaringBitmap,
@@ -103,7 +103,7 @@
         &self.machines_not_ready
     }
 
-    /// Spot machines with an interruption notice.
+    /// Spot machines with an interruption notice that are not being deleted.
     pub fn interrupted_machines(&self) -> &RoaringBitmap {
         &self.interrupted_machines
     }
--- a/crates/controller/src/leader/job_lifecycle.rs
+++ b/crates/controller/src/leader/job_lifecycle.rs
@@ -12,8 +12,8 @@
     /// tasks are stopped.
     pub(super) fn apply_cancellation(&mut self, ctx: &Context, id: &Rc<str>) {
         log::info!("job cancelled, stopping its tasks job={id}");
-        // If the record of the job's completion is queued, it is dropped because the
-        // cancellation was stored first, and the job is cleared instead.
+        // The cancellation was stored first, so a queued record of the job's completion
+        // is not written. Resetting `ending` allows the removal of the job's records.
         if let Some(job) = self.jobs.get_mut(id) {
             job.ending = false;
             job.cancellation_confirmed = true;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,10 +1,9 @@
 //! The logic of a dillcleat controller, without I/O, clocks and randomness.
 //!
 //! The logic of one controller process, also called a node, is a [`Node`]: a deterministic
-//! state machine that takes one [`Input`] at
-//! a time and returns the resulting [`Output`]s: requests to send, and answers to users and
-//! workers. The service and the simulator run the same code, so a fault that the simulator
-//! finds can be replayed from its seed.
+//! state machine that takes one [`Input`] at a time and returns the resulting [`Output`]s:
+//! requests to send, and answers to users and workers. The service and the simulator run the
+//! same code, so a fault that the simulator finds can be replayed from its seed.
 //!
 //! The main modules:
 //! - [`node`] dispatches inputs to the other modules;
--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,10 +1,10 @@
 //! The controller's state machine: dispatches each input to the module that handles it.
 //!
-//! A node is one controller process. Every node answers users ([`Admission`]) and takes part in the election
-//! ([`Election`]). The elected node also runs a [`Leader`], which exists for exactly one
-//! term. Nothing here blocks: an outgoing request is returned as an [`Output`], and its
-//! response arrives later as an [`Input`], whose [`Continuation`] determines the module
-//! that handles it.
+//! A node is one controller process. Every node answers users ([`Admission`]) and takes
+//! part in the election ([`Election`]). The elected node also runs a [`Leader`], which
+//! exists for exactly one term. Nothing here blocks: an outgoing request is returned as
+//! an [`Output`], and its response arrives later as an [`Input`], whose [`Continuation`]
+//! determines the module that handles it.
 
 mod leadership;
 mod peer_messages;
--- a/crates/controller/src/request_budget.rs
+++ b/crates/controller/src/request_budget.rs
@@ -1,10 +1,11 @@
 //! The budget of users' requests within the store's rate limits.
 //!
 //! The store's rate limits apply to all controllers together. A fixed fraction of each limit
-//! is for users' requests and is divided among the nodes (controller processes) in proportion to their load. The rest
-//! of the request limit is left to the leader, so that a flood of requests cannot prevent the
-//! renewal of its lease. The write limit is not divided in the same way: the leader's own
-//! fraction of it ([`WriteRate`](crate::write_queue::WriteRate)) overlaps with the users'.
+//! is for users' requests and is divided among the nodes (controller processes) in proportion
+//! to their load. The rest of the request limit is left to the leader, so that a flood of
+//! requests cannot prevent the renewal of its lease. The write limit is not divided in the
+//! same way: the leader's own fraction of it ([`WriteRate`](crate::write_queue::WriteRate))
+//! overlaps with the users'.
 
 use crate::Config;
 use crate::continuations::PendingRequest;
