--- a/crates/sched/src/candidates.rs
+++ b/crates/sched/src/candidates.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// The spot or on-demand machines that hold, or do not hold, the job's image. Groups are tried
-/// one after the other.
+/// A group of candidate machines: those of one kind (spot or on-demand) that hold the job's image,
+/// or those that do not. Groups are tried one after the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CandidateGroup {
-    /// Whether the group has the spot machines or the on-demand machines.
+    /// Whether the group consists of spot machines. If not, it consists of on-demand machines.
     pub spot: bool,
-    /// Whether the group has the machines that hold the job's image or the other ones.
+    /// Whether the machines of the group hold the job's image. If not, none of them holds it.
     pub holds_image: bool,
 }
 
@@ -90,7 +90,8 @@
         None
     }
 
-    /// The next machine of a ranking that contains the group, and possibly other machines.
+    /// The next machine of the group's ranking. The ranking may also contain machines that do not
+    /// belong to the group.
     fn next_in_group_ranking(
         &mut self,
         capacity: &CapacityIndex,
--- a/crates/sched/src/capacity_index.rs
+++ b/crates/sched/src/capacity_index.rs
@@ -161,8 +161,8 @@
         rankings.flat_map(|ranking| ranking.by_capacity().iter().map(|key| key.machine))
     }
 
-    /// A ranking that contains all machines of the group with free CPUs, and possibly other
-    /// machines (see [`CapacityIndex::is_in_group`]).
+    /// A ranking that contains all machines of the group with free CPUs. It may also contain
+    /// machines that do not belong to the group (see [`CapacityIndex::is_in_group`]).
     pub(crate) fn ranking(&self, group: CandidateGroup, image: &str) -> Option<&MachineRanking> {
         match &self.image_rankings {
             Some(rankings) if group.holds_image => rankings.of(group.spot).get(image),
@@ -247,8 +247,9 @@
         }
     }
 
-    /// Whether a task of the job that was placed on this machine uses the service headroom: the
-    /// job is not a service, and the machine's zone has fewer free CPUs left than the headroom.
+    /// Whether a task of the job that was placed on this machine uses the service headroom: the job
+    /// is not a service, the machine is an on-demand machine that is not cordoned, and its zone has
+    /// fewer free on-demand CPUs left than the headroom.
     pub fn uses_service_headroom(
         &self,
         machine: MachineIndex,
@@ -311,7 +312,7 @@
             && job.assign_next_task(&mut view, teams)
         {
             assigned += 1;
-            // So that the headroom check of the next task takes this task into account.
+            // The headroom check of the next task has to take this task into account.
             self.adjust_zone_cpus(&view, -task_cpus);
         }
         if assigned > 0 {
--- a/crates/sched/src/cycle.rs
+++ b/crates/sched/src/cycle.rs
@@ -62,7 +62,7 @@
     pub service_headroom_cpus: f64,
 }
 
-/// A number of tasks of one job that were placed on the same machine.
+/// Tasks of one job that were placed on the same machine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Placement {
     pub machine: MachineIndex,
@@ -73,9 +73,9 @@
 /// Places up to `max_tasks` of the job's waiting tasks, each on the best machine.
 ///
 /// If no other capacity is left for a starving job, one of its tasks is placed under a less
-/// restrictive policy: in the service headroom, or on a machine where it failed. Otherwise the
-/// job could wait forever although machines are free. A single task ends the starvation and
-/// leaves the rest of the headroom to services.
+/// restrictive policy: in the service headroom or, as a last resort, on a machine that is cordoned
+/// or on which the job failed. Otherwise the job could wait forever although machines are free. A
+/// single task ends the starvation and leaves the rest of the headroom to services.
 pub(crate) fn place_tasks(
     job: &mut JobView,
     capacity: &mut CapacityIndex,
@@ -198,7 +198,7 @@
     SkipRest,
 }
 
-/// Which tasks of the jobs a pass places.
+/// Selects the tasks that a pass places.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum TaskSelection {
     All,
--- a/crates/sched/src/job_queue.rs
+++ b/crates/sched/src/job_queue.rs
@@ -47,8 +47,8 @@
     /// The virtual size in CPU-seconds or, for an ageing job, the virtual time at which it
     /// reaches zero (see [`AgeingState`]).
     pub size_key: OrderedFloat,
-    /// The remaining work, in CPU-seconds, of a batch job whose virtual size is zero: infinite if
-    /// its end is no longer useful. 0 for all other jobs.
+    /// The remaining work, in CPU-seconds, of a batch job whose virtual size is zero; infinite if
+    /// it is too late for completing the job to be useful. For all other jobs it is 0.
     pub remaining: OrderedFloat,
     /// Wall-clock time in microseconds at which the job was submitted or, if later, its
     /// dependencies were met. Older jobs come first.
@@ -264,7 +264,8 @@
         cursor
     }
 
-    /// All jobs in queue order, without regard to training tasks.
+    /// All jobs of the urgent and the regular section in queue order. The training section, which
+    /// contains some of the same jobs, is not used.
     pub fn iter_in_order(&self, virtual_time: f64) -> impl Iterator<Item = JobIndex> + '_ {
         let mut urgent = self.cursor(QueueSection::Urgent, virtual_time);
         let mut regular = self.cursor(QueueSection::Regular, virtual_time);
--- a/crates/sched/src/placement_policy.rs
+++ b/crates/sched/src/placement_policy.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Whether the job must leave the service headroom free on this machine: this holds for jobs that
-/// may run on spot machines and are not services.
+/// Whether the job must leave the service headroom free when it uses this machine: the machine is
+/// an on-demand machine, and the job may run on spot machines and is not a service.
 pub(crate) fn is_bound_by_headroom(job: &JobView, machine: &MachineView) -> bool {
     !machine.spot && job.spec.spot && !job.is_service()
 }
--- a/crates/sched/src/scale_out_plan.rs
+++ b/crates/sched/src/scale_out_plan.rs
@@ -30,7 +30,7 @@
     pub spot: bool,
 }
 
-/// A number of machines of one offering that are to be provisioned.
+/// A request for machines of one offering.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedScaleOut {
     /// The offering from which the machines are requested.
@@ -39,7 +39,8 @@
     pub count: u32,
 }
 
-/// Offerings that were not fulfilled recently, with the time until which they are not requested.
+/// Offerings for which a recent request was not fulfilled, with the time until which they are not
+/// requested again.
 #[derive(Debug, Default)]
 pub struct UnavailableOfferings(HashMap<MachineOffering, u64>);
 
@@ -269,8 +270,8 @@
     /// Indexes of the offerings chosen for jobs, in the order in which they were first chosen. The
     /// cloud's API is rate limited, so the most urgent requests have to be sent first.
     chosen_offerings: Vec<usize>,
-    /// Number of planned machines added to the capacity index. Used to detect whether capacity
-    /// was added since none was left for given requirements.
+    /// Number of planned machines added to the capacity index. If it has changed since no capacity
+    /// was left for given requirements, capacity may be available to them again.
     machines_added: usize,
     machines_by_zone: BTreeMap<Rc<str>, u32>,
     headroom_cpus_in_use: BTreeMap<Rc<str>, f64>,
@@ -457,7 +458,7 @@
         }
     }
 
-    /// The resulting plan. Offers chosen for jobs come first.
+    /// The resulting plan. Offerings chosen for jobs come first.
     fn into_planned_scale_outs(self) -> Vec<PlannedScaleOut> {
         let chosen = self.chosen_offerings.iter().copied();
         let others =
@@ -477,9 +478,9 @@
 /// Plans which machines to provision for tasks that do not fit on existing ones, the most urgent
 /// first and at most [`MAX_MACHINES_PER_SCALE_OUT`] of each offering (see the [module](self)).
 ///
-/// `jobs` must be in queue order, each with its requirements. `capacity` must
-/// contain the machines with the resources that will be free by the time a new machine could
-/// have booted. The planner assigns tasks in it and adds the planned machines to it.
+/// `jobs` must be in queue order, each with its requirements. `capacity` must contain the existing
+/// machines with the resources that will be free by the time a new machine could have booted. The
+/// planner updates it: it assigns tasks to the machines and adds the planned machines.
 pub fn plan_scale_out<'a>(
     jobs: impl IntoIterator<Item = (JobView<'a>, &'a Rc<PlacementRequirements>)>,
     capacity: &mut CapacityIndex,
--- a/crates/sched/tests/scale_out_plan.rs
+++ b/crates/sched/tests/scale_out_plan.rs
@@ -148,8 +148,9 @@
     );
 }
 
-/// More machines of a spot offering can be requested in the next plan, so tasks at risk must not
-/// use on-demand offerings when one request has reached its maximum size.
+/// A plan requests a limited number of machines of each offering. The remaining tasks must wait for
+/// the next plan, which can request more, even if they are at risk. They must not use a more
+/// expensive offering.
 #[test]
 fn offering_at_request_limit_is_not_replaced_by_more_expensive_one() {
     let jobs = [job("batch", JobKind::Batch, 1000, 1000)];
@@ -160,8 +161,8 @@
     assert_eq!(rows(&planned), [("large", "a", true, 50)]);
 }
 
-/// Controllers could not reach a machine provisioned in a partitioned zone. Machines for services
-/// are requested before those for batch jobs.
+/// No machines are provisioned in partitioned zones, where controllers could not reach them.
+/// Machines for services are requested before those for batch jobs.
 #[test]
 fn partitioned_zones_are_excluded_and_services_are_planned_first() {
     let jobs = [
@@ -198,7 +199,8 @@
         5,
         "{planned:?}"
     );
-    // Two tasks of six CPUs fit on a large machine only and leave four of its CPUs free.
+    // Tasks of six CPUs fit only on large machines. Two of them leave four CPUs of one machine
+    // free.
     let mut wide = job("wide", JobKind::Batch, 2, 0);
     wide.spec.cpus = 6.0;
     let jobs = [wide, job("narrow", JobKind::Batch, 1, 0)];
--- a/crates/sched/tests/scheduling_cycle.rs
+++ b/crates/sched/tests/scheduling_cycle.rs
@@ -160,7 +160,8 @@
     assert_eq!(placements[0].1, placements[1].1);
 }
 
-/// Jobs that may run on spot machines must not delay replicas by using all on-demand machines.
+/// Guards against delayed replicas: jobs that may run on spot machines must not use all on-demand
+/// machines.
 #[test]
 fn jobs_allowed_on_spot_leave_service_headroom_free() {
     let jobs = [Job::new(spec("batch", 9), 1.0, 0)];
@@ -470,8 +471,8 @@
         .collect()
 }
 
-/// Sub-queues, machine rankings and the skipping of exhausted requests are optimizations that
-/// must not change placements, also after updates of the capacity index.
+/// Sub-queues, machine rankings and the skipping of exhausted requirements are optimizations. They
+/// must not change placements, even after updates of the capacity index.
 #[test]
 fn indexed_cycle_matches_reference_scheduler() {
     let mut placed = 0;
@@ -575,7 +576,8 @@
     assert!(compared > 30_000, "{compared} compared");
 }
 
-/// Replicas must not wait for batch jobs of lower priority on the last on-demand machines.
+/// Replicas must not have to wait until batch jobs of lower priority release the last on-demand
+/// machines.
 #[test]
 fn replicas_preempt_only_as_many_tasks_as_needed_with_least_lost_work() {
     let mut service = spec("service", 3);
--- a/crates/sched/tests/starvation.rs
+++ b/crates/sched/tests/starvation.rs
@@ -74,7 +74,7 @@
     assert_eq!(placed(&many, &machines), (vec![1, 1, 1, 0, 0], 3));
 }
 
-/// A job that is placed on other capacity is no longer starving.
+/// A starving job that can be placed on other capacity must leave the headroom free.
 #[test]
 fn starving_job_uses_other_capacity_before_headroom() {
     let machines = [machine("a", HEADROOM_CPUS, false), machine("b", 4.0, false)];
@@ -83,7 +83,8 @@
     assert_eq!(placed(&[job("b", true)], &machines), (vec![2], 0));
 }
 
-/// The failures may have been caused by the machines, so they must not exclude the job forever.
+/// A job that failed on every machine must not wait forever, because the machines may have caused
+/// the failures.
 #[test]
 fn starving_job_uses_machine_where_it_failed_as_last_resort() {
     let mut failed = machine("a", 8.0, true);
