--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -37,7 +37,7 @@
     /// Price of an on-demand machine per hour. All prices are in the same currency.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price of a spot machine per hour; `None` if the type is not offered as spot machine.
+    /// Price of a spot machine per hour; `None` if the type is not offered as a spot machine.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
     /// Boot time of a machine, in seconds.
@@ -107,7 +107,7 @@
     /// The machine's name.
     #[serde(rename = "ref")]
     pub name: String,
-    /// The address at which its worker receives commands, `IP:PORT`; None until it is known.
+    /// The address at which its worker receives commands, `IP:PORT`; `None` until it is known.
     #[serde(rename = "addr", default)]
     pub addr: Option<String>,
     /// The name of its machine type.
--- a/crates/wire/src/settings/validation.rs
+++ b/crates/wire/src/settings/validation.rs
@@ -6,7 +6,7 @@
 const HOUR_S: f64 = 3600.0;
 const HOUR_MS: f64 = 3.6e6;
 const DAY_S: f64 = 86400.0;
-/// The maximum of numbers that have no specific limit.
+/// The maximum of numbers for which no lower maximum is defined.
 const MAX_NUMBER: f64 = 1e9;
 /// The maximum size of a stored value, in units of 1024 bytes.
 const MAX_VALUE_KB: f64 = 1e6;
@@ -115,7 +115,7 @@
     }
 }
 
-/// NaN is in no range.
+/// Returns an error if the value is out of range. NaN is out of every range.
 fn validate_range(key: &'static str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
     if (min..=max).contains(&value) {
         Ok(())
--- a/crates/wire/src/store/request.rs
+++ b/crates/wire/src/store/request.rs
@@ -30,7 +30,7 @@
         /// The time after which the lease expires unless it is renewed, in milliseconds.
         ttl_ms: u64,
     },
-    /// Renews a lease for its time to live.
+    /// Renews a lease. It then expires after its time to live unless it is renewed again.
     RenewLease {
         /// The lease.
         lease: LeaseId,
--- a/crates/wire/src/store/response.rs
+++ b/crates/wire/src/store/response.rs
@@ -28,7 +28,7 @@
 /// A response of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
-    /// The requested key.
+    /// The requested key with its value.
     Found(KeyValue),
     /// The requested key does not exist.
     NotFound {
--- a/crates/wire/src/user/submission.rs
+++ b/crates/wire/src/user/submission.rs
@@ -15,7 +15,7 @@
 const MAX_TEXT_BYTES: usize = 128;
 /// Maximum number of machine types in a job.
 const MAX_MACHINE_TYPES: usize = 32;
-/// Maximum of every amount in a job: seconds, gigabytes, and numbers of CPUs and GPUs.
+/// Maximum of every amount in a job, whether it is in seconds, gigabytes, CPUs or GPUs.
 const MAX_AMOUNT: f64 = 1e9;
 /// The prefix of every job id, which is followed by digits.
 const JOB_ID_PREFIX: &str = "req-";
@@ -290,7 +290,7 @@
 
 fn parse_amount(value: Option<f64>, field: SpecField) -> Result<f64, SpecError> {
     let amount = require(value, field)?;
-    // NaN is in no range.
+    // `contains` returns false for NaN, so NaN is rejected as well.
     if !(0.0..=MAX_AMOUNT).contains(&amount) {
         return Err(SpecError::OutOfRange(field));
     }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -23,7 +23,7 @@
     /// The task has exited. The worker keeps its status until it is reaped.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version does not support. The task is treated as present.
+    /// A state that this version does not support. The task is treated as present on the machine.
     #[serde(rename = "Other", other)]
     Other,
 }
--- a/crates/wire/tests/golden_worker.rs
+++ b/crates/wire/tests/golden_worker.rs
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn heartbeat_with_missing_notice_or_unknown_key_is_decoded() {
+fn heartbeat_without_reclaim_notice_or_with_unknown_key_is_decoded() {
     assert_decodes(
         b"\
             \x89\xa5shelf\xa6host-1\xa4addr\xad10.1.0.1:9000\xa6format\xa2g8\xa4room\xa1a\
