--- a/crates/peer-protocol/src/encoder.rs
+++ b/crates/peer-protocol/src/encoder.rs
@@ -47,7 +47,7 @@
         self.bytes.extend_from_slice(string.as_bytes());
     }
 
-    /// Appends a list, truncated to `limit` elements, each of which `encode` appends.
+    /// Appends a list, truncated to `limit` elements. `encode` appends one element.
     pub(crate) fn list<T>(
         &mut self,
         elements: &[T],
--- a/crates/peer-protocol/src/frame.rs
+++ b/crates/peer-protocol/src/frame.rs
@@ -9,10 +9,9 @@
 
 /// The protocol version of encoded frames. Frames of an unsupported version are rejected.
 pub const PROTOCOL_VERSION: u8 = 4;
-/// The previous protocol version, whose frames have the same layout.
-/// During a rolling upgrade, upgraded controllers decode frames of old controllers. Old
-/// controllers reject the frames of upgraded ones and operate without these
-/// messages, which are only hints.
+/// The previous protocol version, whose frames have the same layout. During a rolling upgrade,
+/// upgraded controllers decode the frames of old controllers. Old controllers reject the frames of
+/// upgraded ones. They operate without these messages, which are only hints.
 const PREVIOUS_VERSION: u8 = 3;
 /// The maximum value of a frame's length field.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
--- a/crates/peer-protocol/src/message.rs
+++ b/crates/peer-protocol/src/message.rs
@@ -100,9 +100,9 @@
     /// The current estimate of the job's size, in CPU-seconds. It equals the initial size until
     /// the job's training tasks have completed.
     pub size: f64,
-    /// The reduction of the virtual size by ageing, in CPU-seconds; for an ageing job less the
-    /// leader's current virtual time. Both advance equally, so the value stays the same while the
-    /// job ages.
+    /// The amount by which ageing has reduced the job's virtual size, in CPU-seconds. For an ageing
+    /// job the leader's current virtual time is subtracted from it: both increase at the same rate,
+    /// so this value does not change while the job ages.
     pub ageing_credit: f64,
     /// Whether the job is ageing.
     pub is_ageing: bool,
--- a/crates/peer-protocol/src/reader.rs
+++ b/crates/peer-protocol/src/reader.rs
@@ -64,7 +64,7 @@
         String::from_utf8(string.to_vec()).map_err(|_| FrameError::InvalidUtf8)
     }
 
-    /// Reads a list of at most `limit` elements, each of which `decode` reads.
+    /// Reads a list of at most `limit` elements. `decode` reads one element.
     pub(crate) fn list<T>(
         &mut self,
         limit: usize,
