--- a/crates/kube/src/api_server/mod.rs
+++ b/crates/kube/src/api_server/mod.rs
@@ -46,7 +46,8 @@
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 const MAX_BODY_DEPTH: usize = 24;
 const MAX_BODY_VALUES: usize = 2_000;
-/// Set in the ids of the API server's store requests and not in those of the node.
+/// A bit that is set in the ids of the API server's store requests but not in those of
+/// the node.
 const CALL_ID_BIT: u64 = 1 << 63;
 
 /// The time, the node and the output queue for handling one input.
@@ -70,7 +71,8 @@
     received_at: Micros,
     /// The revision of the watch cache when the request was received.
     received_revision: u64,
-    /// A transaction of this request got no response, so it may have been committed.
+    /// Whether a transaction of this request got no response, so that it may have been
+    /// committed.
     outcome_unknown: bool,
     /// The creation time in the object that this request tries to create.
     created_at: Option<Micros>,
@@ -90,7 +92,7 @@
     /// A refresh, with the requests that wait for it.
     Refresh(Vec<Request>),
     Create(Box<write::PendingCreate>),
-    /// Reads the tombstone of the name that is to be created.
+    /// Reads the tombstone of the name of an object to create.
     ReadTombstone(Box<write::PendingCreate>),
     Write(Box<write::PendingWrite>),
     /// An update by the reconciler.
@@ -99,7 +101,7 @@
     ReadJobState(String),
 }
 
-/// A page of the list of all objects that is to be requested.
+/// The next page to request of the list of all objects.
 #[derive(Debug)]
 struct NextPage {
     /// When to request it.
@@ -184,7 +186,8 @@
     first.unwrap_or_default().trim().to_ascii_lowercase()
 }
 
-/// Whether the client prefers tables. An error if it accepts no supported media type.
+/// Whether the client prefers tables. Returns an error if it accepts no supported media
+/// type.
 fn prefers_table(accept: Option<&str>) -> Result<bool, StatusError> {
     let Some(accept) = accept.filter(|a| !a.trim().is_empty()) else {
         return Ok(false);
@@ -199,7 +202,7 @@
         match parts.iter().find_map(|p| p.strip_prefix("as=")) {
             None => return Ok(false),
             Some("Table") if parts.contains(&"v=v1") => return Ok(true),
-            // The client may accept another representation as well.
+            // Not supported, but a later media type in the header may be.
             Some(_) => {}
         }
     }
@@ -374,7 +377,8 @@
         self.start(ctx, request)
     }
 
-    /// Executes a request that needs no refresh; any other waits for the next refresh.
+    /// Executes a request if it needs no refresh. Otherwise it waits for the next
+    /// refresh.
     fn start(&mut self, ctx: &mut Context, request: Request) -> Result<(), StatusError> {
         if let Scope::Namespaces | Scope::Namespace(_) = request.scope {
             let body = discovery::namespaces(ctx, &request)?;
--- a/crates/kube/src/fields.rs
+++ b/crates/kube/src/fields.rs
@@ -15,8 +15,8 @@
     ServerManaged,
 }
 
-/// Fields by their paths: `[]` is each item of a list; `.*` and `.**` accept everything
-/// below the field.
+/// Fields by their paths. `[]` stands for each item of a list; `.*` and `.**` accept
+/// everything below the field.
 pub type FieldTable = &'static [(&'static str, FieldUse)];
 
 /// The fields of every kind of object.
--- a/crates/kube/src/names.rs
+++ b/crates/kube/src/names.rs
@@ -70,7 +70,7 @@
         u128::from_be_bytes(bytes.unwrap_or_default())
     }
 
-    /// The MAC of a token, which the settings contain instead of the token.
+    /// The MAC of a token. The settings contain the MAC instead of the token.
     pub fn token(&self, token: &str) -> String {
         let mac = self.mac(&["token", token]);
         mac.map_or(String::new(), |m| encode_hex(&m.finalize().into_bytes()))
--- a/crates/kube/src/reconciler.rs
+++ b/crates/kube/src/reconciler.rs
@@ -262,8 +262,9 @@
         self.observed_jobs.entry(job.to_string()).or_default()
     }
 
-    /// Handles the result of an update. A committed update arrives in the watch cache;
-    /// after a failed one the object is queued again once `RETRY_DELAY` has passed.
+    /// Handles the result of an update. After a committed update nothing is to be done
+    /// until the change arrives in the watch cache. After a failed one the object is
+    /// queued again once `RETRY_DELAY` has passed.
     pub fn handle_update_result(&mut self, name: &Name, committed: bool, wall_time: Micros) {
         if !committed {
             self.updating.remove(name);
@@ -328,7 +329,7 @@
         is_open: impl Fn(&str) -> bool,
         (now, wall_time): (Micros, Micros),
     ) -> Vec<ReconcilerRequest> {
-        // Events are kept from the previous term: they remain valid.
+        // The events observed in the previous term are kept because they remain valid.
         if self.term != term {
             *self = Reconciler {
                 term,
@@ -396,7 +397,7 @@
             }
             ReconcilerRequest::ReadJobState(job) => {
                 self.reading.remove(&job);
-                // The next resync returns the job again.
+                // The next resync, which is now due at once, returns the job again.
                 self.next_resync = 0;
             }
         }
--- a/crates/kube/src/record.rs
+++ b/crates/kube/src/record.rs
@@ -115,8 +115,8 @@
     /// Time of day of the job's submission, in microseconds.
     #[serde(rename = "s")]
     pub started: Option<Micros>,
-    /// The failed attempts, as pairs of task and attempt. They are stored one by one so
-    /// that an attempt that two leaders observe counts once.
+    /// The failed attempts, as pairs of task and attempt. They are stored individually
+    /// and not as a number, so that an attempt that two leaders observe is counted once.
     #[serde(rename = "f")]
     pub failed: Vec<(u32, u64)>,
     #[serde(rename = "e")]
@@ -127,7 +127,7 @@
 pub struct Record {
     #[serde(rename = "uid")]
     pub uid: String,
-    /// Counts the objects that have had this name, from 1.
+    /// The number of objects that have had this name, including this one.
     #[serde(rename = "run")]
     pub run: u32,
     /// Time of day of the object's creation, in microseconds.
--- a/crates/kube/src/translate.rs
+++ b/crates/kube/src/translate.rs
@@ -16,10 +16,11 @@
 const INSTANCE_TYPE_LABEL: &str = "node.kubernetes.io/instance-type";
 /// The maximum length of the names of objects and containers, as for DNS labels.
 const MAX_NAME_BYTES: usize = 63;
-/// The record of an object lists its failed attempts, so their number is bounded.
+/// The maximum of `backoffLimit`. It bounds the number of failed attempts, all of which
+/// the object's record lists.
 const MAX_BACKOFF_LIMIT: i32 = 100;
 const DEFAULT_BACKOFF_LIMIT: i32 = 6;
-/// One year, the upper bound of times in the spec.
+/// The maximum of times in the spec: one leap year.
 const MAX_SPEC_SECONDS: i64 = 366 * 86_400;
 
 /// Annotations for the properties of a job that have no Kubernetes field.
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The requested amount of a resource. A limit counts as the request if there is none.
+    /// The requested amount of a resource. If there is no request, the limit is used.
     fn resource_amount(&mut self, container: &Container, resource: &str, required: bool) -> f64 {
         const RESOURCES: &str = "spec.template.spec.containers[0].resources";
         let resources = container.resources.as_ref();
@@ -197,7 +198,8 @@
         (cpus, memory / 1e9, gpus)
     }
 
-    /// The allowed machine types and the only allowed zone; None where nothing is selected.
+    /// The allowed machine types and the only allowed zone. Either is None if the pod
+    /// does not restrict it.
     fn machine_types_and_zone(&mut self, pod: &PodSpec) -> (Option<Vec<String>>, Option<String>) {
         let (mut types, mut zone) = (None, None);
         for (key, value) in pod.node_selector.iter().flatten() {
--- a/crates/kube/src/watches.rs
+++ b/crates/kube/src/watches.rs
@@ -12,7 +12,7 @@
 
 const BOOKMARK_INTERVAL: Micros = 20 * SECOND;
 
-/// Selects the objects that a request is about and that its token may access.
+/// Selects the objects that a request addresses and its token may access.
 #[derive(Debug, Clone)]
 pub struct Filter {
     pub kind: Kind,
--- a/crates/kube/tests/lost_responses.rs
+++ b/crates/kube/tests/lost_responses.rs
@@ -1,5 +1,5 @@
-//! A transaction is committed but its response is lost, and another client changes the
-//! object before the API server retries.
+//! Retries by the API server after the response to a committed transaction was lost and
+//! another client has changed the object.
 
 use dillcleat_controller::records::{self, MachineTypesRecord};
 use dillcleat_controller::{
@@ -20,7 +20,8 @@
 const TOKEN: &str = "a-token-for-tests";
 const JOBS: &str = "/apis/batch/v1/namespaces/books/jobs";
 
-/// A configuration under which names may be used again: all Jobs here are of the class `merge`.
+/// A configuration that allows names to be reused by Jobs of the class `merge`, which is
+/// the default class.
 fn api_server_config() -> ApiServerConfig {
     let key = SigningKey::parse(&"5c".repeat(32)).expect("a key");
     let text = format!(
