--- a/crates/dillcleat/src/connections.rs
+++ b/crates/dillcleat/src/connections.rs
@@ -1,11 +1,12 @@
 //! Limits the number of connections that clients have open to this controller.
 //!
-//! Workers and users keep their connections open between requests. Below the high-water
-//! mark no connection is closed. Above it responses have `Connection: close`, and at the
-//! limit a new connection replaces the least recently used idle one. Responses to users have
-//! the header only if users exceed their share of the connections. Idle connections of
-//! workers are evicted first, or those of users if users exceed their share. So many workers
-//! cannot use up the connections for users.
+//! Workers and users keep their connections open between requests. Up to the high-water
+//! mark no connection is closed. Above it, responses to workers have the header
+//! `Connection: close`; responses to users have it only if users exceed their share of
+//! the connections. At the limit a new connection replaces the least recently used idle
+//! connection of a worker or, if users exceed their share, of a user. If there is none,
+//! it replaces one of the other kind. Workers therefore cannot use up the connections for
+//! users, however many they are.
 
 use crate::http::{Connection, Request, RequestError};
 use futures_lite::future::{or, poll_fn, yield_now};
@@ -139,7 +140,7 @@
     }
 }
 
-/// Removes a connection from the idle ones when it is dropped.
+/// Removes a connection from the idle connections when this guard is dropped.
 struct IdleGuard<'a> {
     idle: &'a RefCell<IdleByAge>,
     sequence: u64,
@@ -151,7 +152,7 @@
     }
 }
 
-/// An open connection, which is counted until this is dropped.
+/// An open connection. It counts towards the limit until this value is dropped.
 pub struct ClientConnection {
     connections: Rc<ClientConnections>,
     entry: Rc<Entry>,
@@ -172,8 +173,8 @@
         connection.next_request().await
     }
 
-    /// Waits as an idle connection for a request or for eviction. A request that has
-    /// arrived takes precedence over an eviction.
+    /// Marks the connection as idle and waits for a request or for eviction. A request
+    /// that has arrived takes precedence over an eviction.
     async fn wait_while_idle(
         &self,
         client_kind: ClientKind,
--- a/crates/dillcleat/src/http.rs
+++ b/crates/dillcleat/src/http.rs
@@ -95,7 +95,8 @@
     close: bool,
 }
 
-/// The length of the body, and whether the connection is closed after it.
+/// The length of the body, and whether the sender asks for the connection to be closed. None
+/// if a header is invalid or not supported.
 fn body_headers(headers: &[httparse::Header]) -> Option<(usize, bool)> {
     let mut body_len = 0;
     let mut close = false;
@@ -138,8 +139,8 @@
 pub struct ConnectionGuard(Rc<ConnectionDeadline>);
 
 impl Watchdog {
-    /// Guards a new connection, with `REQUEST_TIMEOUT` until the first request or TLS
-    /// handshake.
+    /// Guards a new connection. Its first request or TLS handshake must arrive within
+    /// `REQUEST_TIMEOUT`.
     pub fn guard_new_connection(&self, tcp: &TcpStream) -> ConnectionGuard {
         let guard = self.guard(tcp);
         guard.deadline.set(Instant::now() + REQUEST_TIMEOUT);
@@ -297,7 +298,7 @@
     }
 }
 
-/// An idle connection, and the time since when it has been idle.
+/// An idle connection, and the time at which it became idle.
 type IdleConnection = (TcpStream, Instant);
 
 /// The time limits of a call.
@@ -325,7 +326,7 @@
     idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
     max_idle_per_address: usize,
     max_idle: usize,
-    /// The maximum number of idle connections and calls in flight together.
+    /// The maximum sum of idle connections and calls in flight.
     max_open: usize,
     calls_in_flight: Rc<Cell<usize>>,
 }
@@ -351,7 +352,7 @@
         ConnectionPool::bounded(max_idle_per_address, max_idle, usize::MAX)
     }
 
-    /// A pool that also bounds the idle connections and calls in flight together.
+    /// Creates a pool that also limits the sum of idle connections and calls in flight.
     pub fn bounded(max_idle_per_address: usize, max_idle: usize, max_open: usize) -> Self {
         ConnectionPool {
             idle: Rc::new(RefCell::new(HashMap::new())),
--- a/crates/dillcleat/src/kube_server/mod.rs
+++ b/crates/dillcleat/src/kube_server/mod.rs
@@ -22,7 +22,7 @@
 /// Idle timeout of a connection with an open watch. A watch without bookmarks may have no
 /// events until it ends, so this is longer than the maximum duration of a watch.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(2_000);
-/// In the order in which `serve_client` takes the values.
+/// The headers that `serve_client` uses, in the order in which it reads their values.
 const HEADER_NAMES: &[&str] = &["authorization", "accept", "content-type"];
 
 /// An output of the API server to the connection of a client.
--- a/crates/dillcleat/src/peer_connections.rs
+++ b/crates/dillcleat/src/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Connections among the controllers. Each controller opens a connection to each of its
-//! peers. It only writes to connections that it opened and only reads from those that it
-//! accepted.
+//! peers. It writes only to the connections that it opened, and reads only from those
+//! that it accepted.
 
 use dillcleat_controller::Input;
 use dillcleat_peer_protocol::{FrameError, Message, frame_length};
@@ -17,8 +17,7 @@
 /// How long a connection is used before it is replaced. The peer never responds on it, so
 /// the sender does not notice a connection that is broken at the peer's end.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(5);
-/// Idle timeout of an accepted connection. Peers send a heartbeat twice a
-/// second.
+/// Idle timeout of an accepted connection. Peers send a heartbeat twice a second.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
 async fn with_timeout<T>(
@@ -46,7 +45,7 @@
         };
         if completed.is_none() {
             Timer::after(RECONNECT_DELAY).await;
-            // Queued messages are outdated after the delay.
+            // The messages that were queued during the delay are outdated.
             while messages.try_recv().is_ok() {}
         }
     }
--- a/crates/dillcleat/src/server.rs
+++ b/crates/dillcleat/src/server.rs
@@ -83,7 +83,8 @@
 /// Runs the controller until the process is terminated.
 ///
 /// # Errors
-/// If a listener cannot be opened or the TLS certificate cannot be loaded.
+///
+/// Returns an error if a listener cannot be opened or the TLS certificate cannot be loaded.
 pub fn run(
     platform: &PlatformSettings,
     config: Config,
@@ -230,8 +231,8 @@
     }
 }
 
-/// Passes queued inputs to the controller and executes its outputs. Inputs go before
-/// heartbeats, and both before requests of Kubernetes clients.
+/// Passes queued inputs to the controller and executes its outputs. Heartbeats are
+/// handled after all other inputs, and requests of Kubernetes clients after heartbeats.
 async fn run_controller(
     executor: Executor,
     state: Rc<ServerState>,
@@ -446,7 +447,7 @@
         .await;
 }
 
-/// Counts a connection until this is dropped.
+/// Counts a connection until this value is dropped.
 pub(crate) struct ConnectionCount<F: Fn(&ServerState) -> &Cell<u32>>(Rc<ServerState>, F);
 
 impl<F: Fn(&ServerState) -> &Cell<u32>> ConnectionCount<F> {
--- a/crates/dillcleat/tests/connections.rs
+++ b/crates/dillcleat/tests/connections.rs
@@ -19,7 +19,8 @@
 const MAX_CONNECTIONS: usize = 64;
 /// The number of connections of clients that a controller accepts with `MAX_CONNECTIONS`.
 const CLIENT_LIMIT: usize = 40;
-/// The high-water mark: with more connections, answers to heartbeats close their connection.
+/// The high-water mark. If more connections are open, the response to a heartbeat closes
+/// its connection.
 const HIGH_WATER: usize = 35;
 const WORKERS: usize = 100;
 const USERS: usize = 4;
@@ -237,7 +238,7 @@
         assert_eq!(worker.request(), Some(200));
     }
     assert_eq!(workers[0].request(), Some(200));
-    // Connections without a request fill up the limit.
+    // These connections, on which no request is sent, use up the rest of the limit.
     let without_request = (HIGH_WATER..CLIENT_LIMIT).map(|_| TcpStream::connect(leader));
     let without_request = without_request.collect::<std::io::Result<Vec<_>>>();
     let mut additional = Client::worker(leader, HIGH_WATER);
@@ -269,8 +270,9 @@
     assert!(exchange(leader, UP_REQUEST).is_some_and(|(s, _)| s == 200));
 }
 
-/// With 200 sockets a controller accepts 150 connections of clients; Kubernetes clients may
-/// have half of them.
+/// With 200 sockets a controller accepts 150 connections of clients. Workers must not
+/// keep Kubernetes clients from connecting, even if there are more workers than
+/// connections.
 #[test]
 fn workers_connections_do_not_lock_out_kubernetes_clients() {
     let _lock = lock_cluster();
--- a/crates/dillcleat/tests/known_red.rs
+++ b/crates/dillcleat/tests/known_red.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_list_with_an_unknown_test_missing_cause_or_issue_or_a_fourth_entry_is_rejected() {
+fn invalid_entries_and_more_than_three_entries_are_rejected() {
     let good = "one | a late answer | issue 33\ntwo::of | the same | issue 34\n";
     let o = run_script("good", good);
     assert!(o.status.success(), "{o:?}");
--- a/crates/dillcleat/tests/kube_server.rs
+++ b/crates/dillcleat/tests/kube_server.rs
@@ -80,8 +80,8 @@
     status.is_some_and(|s| s.success())
 }
 
-/// Also covers tables, rejected changes, reuse of a name after deletion, authorization and
-/// certificates: an invalid file leaves the old certificate in use, a renewed one is loaded.
+/// Also covers tables, rejected changes, the rejected reuse of a name after deletion,
+/// authorization, and the replacement of the certificate while the controllers run.
 #[test]
 fn apply_over_tls_waits_until_a_job_is_complete_while_other_controllers_are_killed() {
     let dir = test_dir("commands");
@@ -220,7 +220,7 @@
     let error = clients[0].fail(&["apply", "-f", &both]);
     assert!(error.contains("it was there as"), "{error}");
 
-    // Authorization.
+    // A token allows only its verbs and namespaces, and an unknown token allows nothing.
     assert!(reader.succeed(&["get", "jobs"]).contains("first"));
     assert!(
         reader
@@ -235,7 +235,7 @@
     );
     // An invalid certificate file leaves the old certificate in use; a valid one is loaded.
     std::fs::write(dir.join("server.crt"), "nonsense").expect("a file");
-    // Longer than the interval at which the files are checked.
+    // Wait for longer than the interval at which the files are checked.
     std::thread::sleep(Duration::from_secs(3));
     assert!(clients[0].succeed(&["get", "jobs"]).contains("first"));
     let renewed = generate_certificate();
--- a/crates/dillcleat/tests/library.rs
+++ b/crates/dillcleat/tests/library.rs
@@ -105,7 +105,7 @@
         .expect("namespaces");
     assert_eq!(listed.items[0].name_any(), "books");
 
-    // A Job can be created once only, at whichever controller.
+    // A Job can be created only once, even at different controllers.
     let params = PostParams::default();
     let first = loop {
         match jobs[0].create(&params, &job("first", false)).await {
@@ -221,7 +221,7 @@
 
 /// Also covers discovery, creation, resumption, updates, lists and deletion.
 #[test]
-fn watches_of_a_kubernetes_client_library_see_jobs_complete_while_other_controllers_are_killed() {
+fn client_library_watches_see_jobs_complete_while_other_controllers_are_killed() {
     let dir = test_dir("library");
     let certificate = generate_certificate();
     install_certificate(&dir, &certificate);
--- a/crates/dillcleat/tests/loopback.rs
+++ b/crates/dillcleat/tests/loopback.rs
@@ -122,7 +122,8 @@
     until("the service runs", || {
         stdout(&["status", "--server", &server[0], "req-2"]).starts_with("req-2 running")
     });
-    // Submitting a job again that is done returns its state, whatever the specification.
+    // If a job that is done is submitted again, its state is returned, even if the
+    // specification differs.
     let again = run(&[
         "submit", "--server", &server[1], "req-1", "--class", "c", "--team", "nobody", "--image",
         "x",
@@ -131,7 +132,7 @@
         String::from_utf8_lossy(&again.stdout).trim(),
         "req-1 done, 2 tasks done, 0 running"
     );
-    // A chain of jobs, of which the last waits while controllers are killed.
+    // Jobs that depend on each other. The last one waits while controllers are killed.
     let third = ["--tasks", "2", "--after", "req-1"];
     assert_eq!(
         output_text(&submit(&server[0], "req-3", &third)),
@@ -149,7 +150,7 @@
         output_text(&never).lines().last(),
         Some("dillcleat: awaits req-88, which was never accepted")
     );
-    // Each controller is killed and restarted in turn, so the leader is as well.
+    // Each controller is killed and restarted in turn. One of them is the leader.
     for i in 0..3 {
         controllers[i] = None;
         let other = &server[(i + 1) % 3];
@@ -171,7 +172,7 @@
     check_invalid_requests(clients[0]);
     let unknown = run(&["status", "--server", &server[0], "req-77"]);
     assert_eq!(unknown.status.code(), Some(1));
-    // The client may report retries before the final error.
+    // The command may report retries before the final error.
     let stderr = String::from_utf8_lossy(&unknown.stderr).to_string();
     assert_eq!(stderr.trim().lines().last(), Some("dillcleat: no such job"));
 }
