--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -7,8 +7,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Runs random scenarios with faults. LOG_LEVEL sets the log level of the controllers;
-/// useful with a single seed.
+/// Runs random scenarios with faults. The environment variable LOG_LEVEL sets the log level of
+/// the controllers, which is useful with a single seed.
 #[derive(Parser)]
 struct Args {
     /// The first seed
@@ -65,7 +65,8 @@
         Form::Mixed => SubmissionForm::Mixed,
     };
     let least_served = Mutex::new(None);
-    // The most launches sent and tasks started after a confirmed cancellation, and the seed.
+    // Maximum number of launches sent and tasks started after a confirmed cancellation, and
+    // the seed of that run.
     let most_late = Mutex::new((0, 0, 0));
     let next = AtomicU64::new(args.from);
     let (failed_runs, watched_jobs, watched_ends, late_deletions, refused) = (
--- a/crates/simulator/examples/large_fleet.rs
+++ b/crates/simulator/examples/large_fleet.rs
@@ -28,7 +28,7 @@
 struct Cli {
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Factor for the sizes of jobs and of the cloud: 48 machines for each unit
+    /// Factor for the sizes of jobs and of the cloud, which offers 48 machines per unit
     #[arg(long, default_value_t = 150)]
     scale: u32,
 }
--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -65,7 +65,7 @@
         /// Writes per second that the store accepts
         #[arg(long, default_value_t = 200.0)]
         write_rps: f64,
-        /// The part of a processor that the controller has
+        /// Share of a CPU that the controller has
         #[arg(long, default_value_t = 0.27)]
         share: f64,
         /// Jobs that wait for another job
@@ -74,20 +74,20 @@
         #[command(flatten)]
         common: Common,
     },
-    /// Heartbeats of the whole fleet at once, after a network outage
+    /// Cost of simultaneous heartbeats of the whole fleet after a network outage
     Herd {
         #[arg(long, default_value_t = 10_000)]
         machines: u32,
         /// Duration of the outage in seconds, in which heartbeats and commands are lost
         #[arg(long, default_value_t = 12.0)]
         silence: f64,
-        /// The part of a processor that the controller has
+        /// Share of a CPU that the controller has
         #[arg(long, default_value_t = 0.27)]
         share: f64,
         #[command(flatten)]
         common: Common,
     },
-    /// A run of the complete simulation, larger by a factor
+    /// Runs the complete simulation with a fleet larger by the given factor
     #[command(name = "day")]
     Simulation { scale: u32 },
 }
@@ -99,10 +99,10 @@
     /// Tasks that fit on a machine
     #[arg(long, default_value_t = 10)]
     slots: u32,
-    /// Seconds before the measurement
+    /// Seconds of simulated time before the measurement
     #[arg(long, default_value_t = 10.0)]
     warm_up: f64,
-    /// Seconds of the measurement
+    /// Seconds of simulated time that are measured
     #[arg(long, default_value_t = 20.0)]
     measured: f64,
 }
--- a/crates/simulator/examples/service_levels.rs
+++ b/crates/simulator/examples/service_levels.rs
@@ -30,7 +30,7 @@
     classes: BTreeMap<String, ClassReport>,
     #[serde(default)]
     teams: BTreeMap<String, StartedJobs>,
-    /// The largest jobs of each class.
+    /// Numbers of the largest jobs and of those started, by class.
     #[serde(default)]
     largest: BTreeMap<String, StartedJobs>,
 }
@@ -55,7 +55,8 @@
     tasks: f64,
     class: &'a str,
     team: &'a str,
-    /// Its own deadline or else the earliest deadline of the jobs that depend on it.
+    /// The earliest of its own deadline and, after [`propagate_deadlines`], those of the jobs
+    /// that depend on it.
     due: Option<Micros>,
     dependencies: Vec<&'a str>,
 }
@@ -93,7 +94,8 @@
     Some((field(text, "job")?, array))
 }
 
-/// Gives the stages of a pipeline, which have no deadline, that of its last job.
+/// Sets the deadline of each job to the earliest of its own deadline and those of the jobs that
+/// depend on it, directly or through others.
 fn propagate_deadlines(arrays: &mut BTreeMap<&str, BatchJob>) {
     let deadlines: Vec<(&str, Micros)> = arrays
         .iter()
@@ -163,7 +165,7 @@
     shares
 }
 
-/// Prints the table of a run. Returns whether enough was served.
+/// Prints the table of a run. Returns whether every checked share reached the minimum.
 fn print_run(report: &Path) -> Result<bool, Box<dyn Error>> {
     let log = String::from_utf8_lossy(&std::fs::read(report.with_extension("log"))?).into_owned();
     let run: RunReport = serde_json::from_slice(&std::fs::read(report)?)?;
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -8,9 +8,10 @@
 const COMBINED_FAULTS_SEED_SALT: u64 = 0x3ee7;
 
 impl Scenario {
-    /// Groups of two or three draws, several times in a run; one draw may add several faults.
-    /// The draws of a group begin within seconds of each other. Their durations are near 2,
-    /// 10, 14, 26, 30, 44 or 60 s. Faults of one node hit the leader three times out of four.
+    /// Several groups of faults per run. A group consists of two or three draws that begin
+    /// within seconds of each other; one draw may add several faults. Their durations are
+    /// near 2, 10, 14, 26, 30, 44 or 60 s. In three of four draws, a fault of a single node
+    /// targets the leader.
     pub fn combined_faults(seed: u64) -> Scenario {
         let mut rng = Rng::with_seed(seed.rotate_left(23) ^ COMBINED_FAULTS_SEED_SALT);
         let mut scenario = Scenario::quiet(seed);
@@ -18,8 +19,9 @@
         while at < scenario.activity_end {
             let mut fault_at = at;
             for _ in 0..rng.usize(2..4) {
-                // Near the lease of the leader, the lease of a worker, the time for which
-                // heartbeats are answered without the store, and the cancellation deadline.
+                // These include values close to the leader lease, the worker lease, the
+                // time for which heartbeats are answered without the store, and the
+                // cancellation deadline.
                 let durations_s = [2, 10, 14, 26, 30, 44, 60];
                 let time =
                     durations_s[rng.usize(..durations_s.len())] * SECOND + rng.u64(..3 * SECOND);
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -36,7 +36,7 @@
 const CPUS_PER_MACHINE: f64 = 16.0;
 const MEAN_TASKS_PER_BATCH_JOB: u32 = 60;
 const REPLICAS_PER_SERVICE: u32 = 8;
-/// One machine in this many is on-demand. These machines run the services.
+/// One in this many machines is an on-demand machine. On-demand machines run the services.
 const MACHINES_PER_ON_DEMAND: u32 = 5;
 const HEARTBEAT_INTERVAL: Micros = 5 * SECOND;
 const WORKER_LEASE: Micros = 26 * SECOND;
@@ -69,8 +69,8 @@
     /// Rate limits of the store per second: requests, and mutations in transactions.
     pub store_rps: f64,
     pub store_write_rps: f64,
-    /// Share of a CPU that the controller has. None: its work takes no simulated time, and
-    /// runs with equal seeds are equal.
+    /// Share of a CPU that the controller has. If None, its work takes no simulated time,
+    /// and runs with equal seeds are equal.
     pub cpu_share: Option<f64>,
     /// Start and duration of a network outage between all workers and the controller:
     /// heartbeats and commands are lost.
@@ -102,7 +102,8 @@
 pub struct FleetMeasurements {
     /// Processing time of each input during the measurement, in nanoseconds, by kind of input.
     pub inputs: BTreeMap<&'static str, Vec<u64>>,
-    /// The same for the inputs before: the election, reading the store, the first commands.
+    /// Processing time of each input before the measurement: the election, reading the
+    /// store and the first commands.
     pub warm_up_inputs: BTreeMap<&'static str, Vec<u64>>,
     /// Launch commands during the measurement.
     pub launches: u64,
@@ -160,7 +161,7 @@
     },
     /// The controller has finished its current input.
     NodeIdle,
-    /// Records the cloud's list of machines and replaces ended jobs.
+    /// The cloud records its list of machines, and ended jobs are replaced.
     RecordCloudListAndRefill,
 }
 
@@ -197,7 +198,7 @@
     now: Micros,
     /// Number of the event scheduled last.
     last_event: u64,
-    /// Times and numbers of the scheduled events.
+    /// Time and number of each scheduled event.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     /// Scheduled events by number.
     scheduled: HashMap<u64, Event>,
@@ -205,8 +206,8 @@
     /// None after [`Fleet::take_node`].
     node: Option<Node>,
     busy_until: Micros,
-    /// Inputs that wait for the controller: heartbeats in the second queue, all others in
-    /// the first, which is served first.
+    /// Inputs that wait for the controller. The second queue holds heartbeats, the first
+    /// all other inputs; the first is served first.
     input_queues: [VecDeque<Input>; 2],
     /// A `NodeIdle` event is scheduled.
     idle_scheduled: bool,
--- a/crates/simulator/src/objects.rs
+++ b/crates/simulator/src/objects.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobRequest {
     Create,
-    /// The same create, sent again after it succeeded.
+    /// Repeats a create request that succeeded.
     Again,
     Get,
     Resume,
@@ -67,9 +67,10 @@
     pub name: Name,
     pub uid: String,
     pub manifest: Value,
-    /// Polled and deleted through the Kubernetes API, not only created through it.
+    /// The Job is also polled and deleted through the Kubernetes API. Otherwise it is only
+    /// created through it.
     pub kubernetes_only: bool,
-    /// Created suspended and resumed after this time.
+    /// If set, the Job is created suspended and is resumed after this time.
     pub resume_after: Option<Micros>,
     deadline_s: Option<u64>,
     backoff_limit: u64,
@@ -80,7 +81,7 @@
     pub resumed: bool,
     pub delete_tries: u32,
     pub deleted: bool,
-    /// The reason of its end, and when an answer first showed it.
+    /// The reason why the Job ended, and when an answer first showed it.
     ended: Option<(String, Micros)>,
 }
 
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Whether the service may end it without a request to cancel it.
+    /// Whether the service may end the Job without a request to cancel it.
     pub fn may_fail(&self) -> bool {
         self.deadline_s.is_some() || self.backoff_limit < 3
     }
@@ -191,7 +192,7 @@
         format!("{}/{}", self.path(), self.name.name)
     }
 
-    /// Whether the service deletes it some time after it ended.
+    /// Whether the service deletes the Job some time after it ended.
     pub fn may_expire(&self) -> bool {
         self.ttl_s.is_some()
     }
@@ -259,10 +260,11 @@
     /// The latest received state of each object: uid, resource version and reason of its
     /// end.
     known: BTreeMap<String, (String, u64, Option<String>)>,
-    /// Ends of objects received, counted again after a restart without a resource version.
-    ends: usize,
-    /// Objects that appeared in the watch, counted again after a restart without a resource
+    /// Number of ends of objects received, counted again after a restart without a resource
     /// version.
+    ends: usize,
+    /// Number of objects that appeared in the watch, counted again after a restart without
+    /// a resource version.
     added: usize,
     pub last_event_at: Micros,
 }
@@ -291,7 +293,8 @@
         self.open = None;
     }
 
-    /// Objects and ends of objects received.
+    /// The number of objects that appeared in the watch, and the number of their ends
+    /// received.
     pub fn counts(&self) -> (usize, usize) {
         (self.added, self.ends)
     }
--- a/crates/simulator/src/processes.rs
+++ b/crates/simulator/src/processes.rs
@@ -86,9 +86,9 @@
     }
 }
 
-/// The settings file of controller `i`. Without a `world` the addresses of its
-/// store and cloud are those of a peer port, where neither answers. `new_field` is an unknown
-/// field, which controllers must ignore.
+/// The settings file of controller `i`. Without a `world`, the addresses of the store and the
+/// cloud are set to a peer port, which serves neither. `new_field` is an unknown field, which
+/// controllers must ignore.
 pub fn settings(
     i: usize,
     clients: &[SocketAddr],
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -10,8 +10,8 @@
 use dillcleat_wire::user::{JobSpec, JobState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One of the largest jobs of a class must start its first task within this time of its
-/// acceptance.
+/// Maximum time from the acceptance of one of the largest jobs of a class until its first task
+/// starts.
 const MAX_FIRST_START_DELAY: Micros = 240 * SECOND;
 /// Longest time for which all polls of an accepted job may fail while most polls of all jobs
 /// are answered.
@@ -30,13 +30,14 @@
     WrongPlacement,
     /// A task starts or still runs after the cancellation deadline of its job.
     RanAfterCancellation,
-    /// An accepted job is answered as unknown or as new, or its polls fail for too long.
+    /// An answer treats an accepted job as unknown or new, or its polls fail for too long.
     AcceptedJobLost,
-    /// A job that was never submitted is answered as known.
+    /// An answer treats a job that was never submitted as known.
     UnknownJobAnswered,
     /// A job is reported done before all its tasks have completed.
     DoneTooEarly,
-    /// The reported state of a job reverts, or is cancelled without a request.
+    /// The reported state of a job reverts, or a job is reported cancelled without a
+    /// request.
     StateReverted,
     /// No task started during the whole run.
     NoTaskStarted,
@@ -79,7 +80,7 @@
 #[derive(Debug, Clone)]
 struct Job {
     spec: JobSpec,
-    /// When its user first received its acceptance.
+    /// When the user first received the acceptance of the job.
     accepted: Option<Micros>,
     /// Its user has requested its cancellation.
     cancel_requested: bool,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Records a violation, also one that was detected outside the checker.
+    /// Records a violation. Other modules call this for violations that they detect.
     pub fn report_violation(&mut self, rule: Rule, at: Micros, what: String) {
         self.violations.push(Violation { rule, at, what });
     }
@@ -290,7 +291,7 @@
                 let answered = self.polls.answered - before.answered;
                 let most_answered = answered > self.polls.failed - before.failed;
                 let accepted = job.accepted.is_some();
-                // Without active faults the polls of other jobs are not considered.
+                // While no fault is active, polls of other jobs are not considered.
                 let overdue_without_faults =
                     now > since.max(self.faults_end) + MAX_UNANSWERED_WITHOUT_FAULTS;
                 let overdue = now > since + MAX_UNANSWERED && most_answered;
@@ -508,8 +509,8 @@
         self.running.range(bound(0)..=bound(u32::MAX))
     }
 
-    /// Checks the cancellation deadlines. To be called after every step of a run. Drops overdue
-    /// tasks from the running ones, so that each is reported once.
+    /// Checks the cancellation deadlines. Must be called after every step of a run. Removes
+    /// overdue tasks from the running tasks, so that each is reported once.
     pub fn check_cancellations(&mut self, now: Micros) {
         let overdue = |job: &Job| {
             let reported = job.cancel_reported_at;
--- a/crates/simulator/src/rules/waiting_jobs.rs
+++ b/crates/simulator/src/rules/waiting_jobs.rs
@@ -18,7 +18,7 @@
     pub gpus: f64,
     /// Tasks with an attempt on the machine that has not exited.
     pub tasks: Vec<TaskName>,
-    /// It is not hung or faulty, is reachable and is not about to be preempted.
+    /// The machine is reachable, neither hung nor faulty, and not about to be preempted.
     pub accepts_tasks: bool,
 }
 
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -65,11 +65,10 @@
     /// Half of the heartbeats are duplicated. The copy arrives at any node, 2 s to two worker
     /// leases later.
     DuplicateHeartbeats { time: Micros },
-    /// All messages to these machines are lost: answers and commands. Their heartbeats
-    /// arrive.
+    /// All answers and commands to this many machines are lost. Their heartbeats arrive.
     InboundLoss { machines: usize, time: Micros },
-    /// These machines, of one zone if one is given, cannot connect to any node. Commands
-    /// reach them.
+    /// This many machines, of one zone if one is given, cannot connect to any node.
+    /// Commands reach them.
     HeartbeatLoss {
         machines: usize,
         zone: Option<usize>,
@@ -484,9 +483,10 @@
         }
     }
 
-    /// A large fleet: `scale` times as many machines can be rented, and tasks are submitted,
-    /// as in the other scenarios. Leaders crash at different sizes of the fleet, the store is
-    /// out until all worker leases have expired, and a zone is partitioned.
+    /// A large fleet: compared with the other scenarios, the cloud offers `scale` times as
+    /// many machines and users submit `scale` times as many tasks. Leaders crash at
+    /// different sizes of the fleet, the store is unavailable until all worker leases have
+    /// expired, and a zone is partitioned.
     pub fn large_fleet(seed: u64, scale: u32) -> Scenario {
         let leader_crash = |at, down| {
             let nodes = vec![LEADER];
--- a/crates/simulator/src/service_shares.rs
+++ b/crates/simulator/src/service_shares.rs
@@ -9,7 +9,8 @@
 
 /// Minimum share that each class and team must have received.
 pub const MIN_SHARE: f64 = 0.5;
-/// Shares of fewer tasks, replica seconds or requests than these are not checked.
+/// A share is checked only if at least this many tasks, replica seconds or requests were
+/// requested.
 const MIN_TASKS: f64 = 20.0;
 const MIN_REPLICA_SECONDS: f64 = 600.0;
 const MIN_REQUESTS: f64 = 50.0;
@@ -61,8 +62,8 @@
     /// Tasks of batch jobs by the minute of their deadline. Received: those that completed
     /// by the end of the run.
     pub work: ServiceRatio,
-    /// Batch jobs with a deadline. Received: those that ended by then. Reported only: the
-    /// required share is set by service-level objectives.
+    /// Batch jobs with a deadline. Received: those that ended by their deadline. This share
+    /// is reported but not checked: service-level objectives set the required share.
     pub in_time: ServiceRatio,
     /// Running time of service replicas in seconds.
     pub replicas: ServiceRatio,
--- a/crates/simulator/src/simulation/extra_requests.rs
+++ b/crates/simulator/src/simulation/extra_requests.rs
@@ -6,8 +6,8 @@
 const SHORT_JOBS_PER_SECOND: u64 = 4;
 
 impl Simulation {
-    /// The job, if this is the first answer that reports its acceptance or end, and whether
-    /// it is accepted.
+    /// If this is the first answer that reports the acceptance or the end of a job, returns
+    /// the job and whether the answer reports its acceptance.
     pub(super) fn first_result(
         &self,
         requester: &Requester,
@@ -95,8 +95,8 @@
         let Some(job) = self.users.iter().position(native) else {
             return;
         };
-        // Covers the time from the end on the machine to the reply to its heartbeat and
-        // the write that follows.
+        // The delays cover the time from the end of the task on the machine until its heartbeat
+        // is answered and the end is written to the store.
         let max_delay = [5, 100, 1500][self.auxiliary_rng.usize(..3)] * MILLISECOND;
         let at = self.now + self.auxiliary_rng.u64(..max_delay);
         if self.users[job].final_state.is_none() {
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 const API_WATCH_CHECK_INTERVAL: Micros = 5 * SECOND;
-/// A watch without any line, bookmarks included, for this long is reopened at another
+/// A watch that receives neither an event nor a bookmark for this long is reopened at another
 /// node.
 const API_WATCH_IDLE_TIMEOUT: Micros = 60 * SECOND;
 
@@ -143,7 +143,7 @@
         let mut shown_state = None;
         let mut delay = 5 * SECOND;
         if !matches!(status, 0 | 429 | 503) && u.stage != UserState::Submitting {
-            // Records that an answer came. Its content is checked below.
+            // Records that the poll was answered. The content is checked below.
             self.checker.poll_answered(&id, 200, None, now, now);
         }
         match (operation, status) {
@@ -159,7 +159,7 @@
                     self.checker.poll_answered(&id, status, None, now, now);
                 }
             }
-            // A conflict means success if an earlier attempt may have been executed.
+            // A conflict counts as success if an earlier attempt may have created the Job.
             (JobRequest::Create, 201) | (JobRequest::Create, 409)
                 if status == 201 || kube_job.tries > 1 =>
             {
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -86,7 +86,7 @@
     pub refused_over_lowered_limits: usize,
     /// Keys of tasks and of open or cancelled jobs that remained in the store at the end.
     pub leftover_keys: Vec<String>,
-    /// Parts of the leaders' derived state that differed from a fresh computation.
+    /// Parts of the leaders' derived state that differed when they were recomputed.
     pub stale: Vec<&'static str>,
     /// SHA-256 of all answers to users. Equal seeds give equal digests.
     pub answer_digest: [u8; 32],
@@ -95,8 +95,9 @@
     pub placement_digest: [u8; 32],
     /// SHA-256 of everything that the nodes sent, in order ([`OutputDigest`]).
     pub output_digest: [u8; 32],
-    /// Numbers of Kubernetes Jobs and of ended ones that the API watch showed, counted again
-    /// after a restart of the watch without a resource version.
+    /// Number of Kubernetes Jobs that the API watch showed, and number of Jobs that it
+    /// showed as ended. Both are counted again after the watch restarts without a resource
+    /// version.
     pub watched_objects: (usize, usize),
     /// Number of tasks that were running on a machine when it disappeared.
     pub interrupted_tasks: usize,
@@ -230,7 +231,7 @@
     RecordCloudListing,
 }
 
-/// The leader that the store records, as compared with a given node.
+/// Which leader the store records, relative to a given node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ObservedLeader {
     ThisNode,
@@ -245,13 +246,13 @@
     epoch: u32,
     id: CallId,
     reply_delivered: bool,
-    /// For a call to the cloud: the leader at the time of sending. None if the call waited
-    /// for a connection: the leader at its arrival counts.
+    /// The leader when a call to the cloud was sent. None if the call waited for a
+    /// connection; the leader at its arrival is used instead.
     leader_when_sent: Option<ObservedLeader>,
-    /// Its random numbers are drawn from the auxiliary generator, so that the call does
-    /// not change the rest of the run.
+    /// Random numbers for this call come from the auxiliary generator, so that the call
+    /// does not change the rest of the run.
     auxiliary: bool,
-    /// The store has delayed the call already.
+    /// The call has already been delayed and must not be delayed again.
     delayed: bool,
 }
 
@@ -391,7 +392,7 @@
     pub peer_partition_until: Micros,
     /// Jobs whose cancellation the node has read from the store or confirmed to a user.
     pub known_cancelled_jobs: BTreeSet<String>,
-    /// It runs the version that an upgrade replaces.
+    /// The node runs the version that an upgrade replaces.
     pub previous_version: bool,
 }
 
@@ -426,7 +427,7 @@
 pub struct Simulation {
     pub(crate) now: Micros,
     last_event_id: u64,
-    /// Times and numbers of the pending events.
+    /// Time and number of each pending event.
     events: BinaryHeap<Reverse<(Micros, u64)>>,
     pending_events: BTreeMap<u64, Event>,
     pub(crate) rng: Rng,
@@ -760,7 +761,7 @@
                     && u.cancel_at.is_none()
                     && u.final_state != Some(JobState::Done)
                     && !(u.final_state.is_some() && self.checker.has_cancelled_dependency(&u.spec.id))
-                    // The Job's status gave the reason why it was ended.
+                    // A Kubernetes Job may be ended by its deadline or backoff limit.
                     && !(u.kube_job.is_some() && u.final_state == Some(JobState::Cancelled))
             })
             .map(|u| format!("{} ({:?})", u.spec.id, u.final_state))
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The leader that the store records, as compared with `node`.
+    /// Whether the store records `node`, another node or no node as the leader.
     pub(super) fn observed_leader(&self, node: usize) -> ObservedLeader {
         match self
             .store
@@ -103,9 +103,9 @@
         }
     }
 
-    /// When a message arrives, and whether its connection stays intact. If not, a request
-    /// arrives without getting a reply, and a reply is lost. The connection of a message that
-    /// is held does not stay intact.
+    /// When a message arrives, and whether its connection stays open. If the connection
+    /// breaks, a request still arrives but gets no reply, and a reply is lost. The
+    /// connection of a held message always breaks.
     pub(super) fn transit(&mut self, held_until: Micros) -> (Micros, bool) {
         self.transit_from(held_until, false)
     }
@@ -221,8 +221,8 @@
                     Link::HeldUntil(until) => Some(until),
                     _ => None,
                 };
-                // Without an open connection the call waits for one. It is sent then
-                // unless it is too late.
+                // A call without an open connection waits until the partition ends. If that
+                // is too late, it is not sent.
                 let connected_at = held_until.filter(|_| self.rng.bool());
                 let too_late = |at| at > self.now + within.min(timeout);
                 if connected_at.is_some_and(too_late) {
--- a/crates/simulator/src/simulation/pipelines.rs
+++ b/crates/simulator/src/simulation/pipelines.rs
@@ -5,7 +5,7 @@
 /// Separates the seed of the pipelines from those of other generators.
 const PIPELINE_SEED_SALT: u64 = 0x91e5;
 
-/// The place of a user's job in a pipeline.
+/// How a user's job depends on other jobs of a pipeline.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PipelineStage {
     /// Users (by index) of the jobs on which this job depends.
@@ -28,8 +28,8 @@
             for stage in 0..stages {
                 let mut dependencies: Vec<usize> = match stage {
                     0 => Vec::new(),
-                    // Depending on the preceding stage or on any gives a chain, a fork or
-                    // a join.
+                    // A dependency on the preceding stage alone extends a chain.
+                    // Dependencies on random earlier stages make forks and joins.
                     _ if rng.bool() => vec![first + stage - 1],
                     _ => (first..first + stage).filter(|_| rng.bool()).collect(),
                 };
@@ -50,7 +50,7 @@
             }
         }
         if let Some(dependents) = self.scenario.cancelled_dependents {
-            // Many jobs depend on one, which is cancelled while they wait.
+            // Many jobs depend on one job, which is cancelled while they wait.
             let from = self.scenario.pipelines_from;
             let root = self.users.len();
             let cancel = Some(self.scenario.activity_end * 3 / 4);
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -64,7 +64,7 @@
         let nodes = vec![caller.node];
         let down = SECOND / 5;
         let crash = Fault::Crash { nodes, down };
-        // A reply takes a few milliseconds to arrive.
+        // The reply has usually arrived after 10 ms.
         let at = match point {
             CrashPoint::BeforeExecution | CrashPoint::AfterExecution => self.now,
             CrashPoint::AfterAnswer => self.now + 10 * MILLISECOND,
@@ -81,7 +81,8 @@
         let refused = self.now < self.nodes[caller.node].store_refuses_until;
         if refused && !matches!(call, StoreRequest::Watch { .. }) {
             let reply = Ok(StoreResponse::Unavailable);
-            // The store refuses at once, even if the reply would be lost otherwise.
+            // A refusal is always delivered, even if the reply to an executed call would be
+            // lost.
             let caller = Caller {
                 reply_delivered: true,
                 ..caller
@@ -154,7 +155,8 @@
             .into_iter()
             .filter(|machine| self.workers.contains_key(machine))
             .collect();
-        // Without a recorded leader, a node may still delete machines to end cancelled jobs.
+        // While the store records no leader, a node may delete machines to end cancelled
+        // jobs, but it may not rent any.
         let leader_now = self.observed_leader(caller.node);
         let deposed = match caller.leader_when_sent.unwrap_or(leader_now) {
             ObservedLeader::ThisNode => false,
@@ -168,7 +170,7 @@
         }
         if leader_now == ObservedLeader::OtherNode {
             self.late_deletions += deleted.len();
-            // More machines than the configuration allows to delete in one call.
+            // The configuration allows no call to delete this many machines.
             if deleted.len() > 5.max(machines_before / 50) {
                 let what = format!(
                     "node-{}: {} machines deleted by a late call: {call:?}",
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -56,7 +56,7 @@
             spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
-                // Small tasks, so that dozens of them are placed at the same time.
+                // With small tasks, dozens of them are placed at the same time.
                 (spec.cpus, spec.memory_gb) = (0.25, 0.5);
                 (spec.single_zone, spec.zone) = (false, None);
             }
@@ -383,8 +383,8 @@
                     Requester::ExtraSubmission { .. } => self
                         .checker
                         .submission_answered(&id, status, state, sent_at, now),
-                    // These requests also go to unhealthy nodes, so an error shows
-                    // nothing.
+                    // Extra requests also go to unhealthy nodes, whose errors violate no
+                    // rule.
                     _ if !matches!(status, 200 | 404) => {}
                     _ => self.checker.poll_answered(&id, status, state, sent_at, now),
                 }
--- a/crates/simulator/src/single_node.rs
+++ b/crates/simulator/src/single_node.rs
@@ -49,7 +49,7 @@
     pub now: Micros,
     /// Number of the event scheduled last.
     last_event: u64,
-    /// Times and numbers of the scheduled events.
+    /// Time and number of each scheduled event.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     /// Scheduled events by number.
     scheduled: BTreeMap<u64, Event>,
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -265,7 +265,7 @@
         })
     }
 
-    /// Changes of keys with this prefix after a revision.
+    /// The changes after a revision of keys with this prefix.
     pub fn changes(&self, prefix: &str, after: u64) -> WatchBatch {
         let key = |e: &WatchEvent| match e {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key.clone(),
@@ -419,7 +419,8 @@
 }
 
 impl<T: Copy> Watches<T> {
-    /// Opens a watch. Returns its number and its timeout, or None if the call is no watch.
+    /// Opens a watch. Returns its number and its timeout, or None if the call does not open
+    /// a watch.
     pub fn open(&mut self, caller: T, call: &StoreRequest) -> Option<(u64, Micros)> {
         let StoreRequest::Watch {
             prefix,
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -19,7 +19,7 @@
 struct Attempt {
     state: TaskState,
     exit_reason: Option<ExitReason>,
-    /// When the image has been fetched or the run ends.
+    /// When the image will have been fetched or, for a running attempt, when the run ends.
     until: Option<Micros>,
     cpus: f64,
     gpus: f64,
@@ -59,11 +59,11 @@
     pub node: usize,
     /// Incarnation, sequence number and send time of the unanswered heartbeat, if any.
     pub unanswered_heartbeat: Option<(u64, u64, Micros)>,
-    /// The machine executes nothing until then.
+    /// The machine executes nothing until this time.
     pub hung_until: Micros,
-    /// All messages to it are lost until then.
+    /// All messages to the machine are lost until this time.
     pub inbound_lost_until: Micros,
-    /// It cannot connect to any controller until then.
+    /// The machine cannot connect to any controller until this time.
     pub heartbeats_lost_until: Micros,
     /// When the cloud provider will preempt the instance, once that is announced.
     pub preemption_at: Option<Micros>,
@@ -150,7 +150,8 @@
         task_events.min().map_or(heartbeat, |at| at.min(heartbeat))
     }
 
-    /// When its lease expires and its incarnation ends, if no further heartbeat is answered.
+    /// When the worker's lease expires and its incarnation ends if no further heartbeat is
+    /// answered.
     pub fn lease_expires_at(&self, lease: Micros) -> Micros {
         self.lease_start + lease
     }
@@ -316,7 +317,8 @@
         live.map(|((task, _), _)| task)
     }
 
-    /// Whether it is not hung or faulty, is reachable and is not about to be preempted.
+    /// Whether the machine is reachable, neither hung nor faulty, and not about to be
+    /// preempted.
     pub fn accepts_tasks(&self, now: Micros) -> bool {
         let fault_ends = [
             self.hung_until,
--- a/crates/simulator/tests/api_limits.rs
+++ b/crates/simulator/tests/api_limits.rs
@@ -67,7 +67,7 @@
     let mut node = single_node(single_node_config(), 3, 1);
     let create = |body: &Value| api_request("POST", JOBS_PATH, body);
     expect(&mut node, create(&job("a")), 201, "");
-    // Authentication and authorization.
+    // Requests without a valid token or without permission are rejected.
     let with_token = |bearer: Option<&str>, request: ApiRequest| ApiRequest {
         bearer: bearer.map(str::to_string),
         ..request
@@ -97,7 +97,7 @@
         200,
         "",
     );
-    // Bodies.
+    // Requests with an invalid body or media type are rejected.
     let raw = |body: Vec<u8>, media: &str| ApiRequest {
         body,
         content_type: Some(media.into()),
@@ -142,7 +142,7 @@
         ..api_request("GET", JOBS_PATH, &Value::Null)
     };
     expect(&mut node, protobuf, 415, "only JSON");
-    // Objects.
+    // Objects that are too large, unsupported or unschedulable are rejected.
     let mut large = job("large");
     large["metadata"]["annotations"] = json!({"note": "x".repeat(2_000)});
     expect(&mut node, create(&large), 422, "are stored of one object");
@@ -167,7 +167,7 @@
         422,
         "fits no allowed machine type",
     );
-    // Queries.
+    // Invalid query parameters, methods, paths and namespaces are rejected.
     let get = |query: &str| api_request("GET", &format!("{JOBS_PATH}?{query}"), &Value::Null);
     expect(&mut node, get("labelSelector=a%3D%3D%3Db"), 400, "column");
     expect(&mut node, get("colour=1"), 400, "colour");
@@ -197,7 +197,7 @@
         404,
         "nobody",
     );
-    // Limits of the numbers of watches and objects.
+    // Watches and objects beyond the limits are rejected.
     expect(&mut node, get("watch=1"), 0, "");
     expect(&mut node, get("watch=1"), 429, "TooManyRequests");
     expect(&mut node, create(&job("b")), 201, "");
@@ -311,7 +311,7 @@
             (good, rejected.count())
         };
     let mut flood = flood;
-    // More creates than the store accepts: the excess is rejected immediately.
+    // Creates beyond the rate that the store accepts are rejected immediately.
     let (made, rejected) = flood(&mut node, 60, &|i| {
         api_request("POST", JOBS_PATH, &job(&format!("new{i}")))
     });
@@ -319,7 +319,7 @@
         made >= 1 && rejected >= 40,
         "{made} created, {rejected} rejected"
     );
-    // When no more creates are accepted, a delete still is.
+    // A delete is accepted even while creates are rejected.
     let own = format!("{JOBS_PATH}/old0");
     let (deleted, _) = flood(&mut node, 1, &|_| api_request("DELETE", &own, &Value::Null));
     assert_eq!(deleted, 1);
--- a/crates/simulator/tests/combined_faults.rs
+++ b/crates/simulator/tests/combined_faults.rs
@@ -5,10 +5,11 @@
 use common::run_clean;
 use dillcleat_simulator::{CrashPoint, Scenario};
 
-/// Two nodes must not conclude that the store is down while a third node, which they do not
-/// reach, is elected: the former leader would go on deleting machines.
+/// This seed guards against two nodes that conclude that the store is down while a third node,
+/// which they cannot reach, is elected. The former leader would continue to delete machines.
 const FORMER_LEADER_SEED: u64 = 11387;
-/// No node reaches the store for a minute, all nodes crash, and then transactions are lost.
+/// In this seed, no node reaches the store for a minute, all nodes crash, and then transactions
+/// are lost.
 const LOST_TRANSACTIONS_SEED: u64 = 3909;
 
 fn run_combined_faults(seeds: std::ops::Range<u64>) {
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn dependency_that_is_no_accepted_batch_job_is_rejected() {
+fn dependency_on_unaccepted_job_or_service_is_rejected() {
     let mut node = node_with_ended_jobs();
     let batch = |id: &str, depends_on: &[&str]| spec(id, JobKind::Batch, depends_on);
     assert_eq!(submit(&mut node, &batch("req-1", &[])).0, 201);
@@ -76,11 +76,10 @@
         submit(&mut node, &spec("req-2", JobKind::Service, &[])).0,
         201
     );
-    // Accepted: one dependency is open, the other has completed, so only req-1 is stored as a
-    // dependency.
+    // Both dependencies are accepted jobs. req-71 has completed, so only req-1 is stored.
     let (status, _, stored) = submit(&mut node, &batch("req-3", &["req-1", "req-71"]));
     assert_eq!((status, stored), (201, Some(vec!["req-1".into()])));
-    // Accepted, then cancelled with its dependency.
+    // The job is accepted and then cancelled, because its dependency req-72 is cancelled.
     assert_eq!(
         submit(&mut node, &batch("req-10", &["req-1", "req-72"])).0,
         201
@@ -104,7 +103,7 @@
     }
     // A known job is recognised by its ID whatever else the submission contains.
     assert_eq!(submit(&mut node, &batch("req-3", &["req-99"])).0, 200);
-    // More dependencies than fit in one value of the store.
+    // These dependencies exceed the size limit of a stored value.
     let many: Vec<String> = (0..200).map(|i| format!("req-{i}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let (status, why, _) = submit(&mut node, &batch("req-5", &many));
@@ -155,7 +154,7 @@
         submit(&mut node, &spec("req-3", JobKind::Batch, &["req-2"])).0,
         201
     );
-    // A job that is submitted after its dependency has been cancelled.
+    // This job is submitted after its dependency has been cancelled.
     assert_eq!(
         submit(&mut node, &spec("req-4", JobKind::Batch, &["req-3"])).0,
         201
--- a/crates/simulator/tests/fault_effects.rs
+++ b/crates/simulator/tests/fault_effects.rs
@@ -1,5 +1,5 @@
-//! These faults have an effect: a run with the fault differs from one without it, and the
-//! rules hold in both.
+//! Checks that faults and load settings take effect: a run with a fault differs from one
+//! without it, and the rules hold in both.
 
 mod common;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn chosen_faults_change_the_run() {
+fn injected_faults_change_the_run() {
     let time = 60 * SECOND;
     let percent = 50;
     let without_fault = run_with_fault(None);
--- a/crates/simulator/tests/fault_scenarios.rs
+++ b/crates/simulator/tests/fault_scenarios.rs
@@ -9,7 +9,8 @@
 
 const ACTIVITY_END: Micros = 200 * SECOND;
 
-/// Seeds of random scenarios, with the failure that each guards against.
+/// Seeds of random scenarios, with the failure that each guards against or the condition that
+/// it reproduces.
 const REGRESSION_SEEDS: [u64; 5] = [
     1560,   // records that stay behind when a cancellation precedes the last completion
     1869,   // records that stay behind when a cancellation precedes the last completion
@@ -17,11 +18,11 @@
     4717,   // records that stay behind when a cancellation comes between two attempts
     10_052, // leaders that change too often to find out that all machines have failed
 ];
-/// Partitions that look like an outage of the store to every node.
+/// Seeds with partitions that look like an outage of the store to every node.
 const APPARENT_OUTAGE_SEEDS: [u64; 2] = [300, 5479];
 const PARTITION_SEED: u64 = 4332;
-/// A job must not stay open for ever when it is submitted while the cancellation of its
-/// dependency is being written.
+/// This seed guards against a job that stays open for ever because it was submitted while the
+/// cancellation of its dependency was being written.
 const CANCELLED_DEPENDENCY_SEED: u64 = 282;
 
 fn run(seed: u64, jobs: usize, faults: Vec<(Micros, Fault)>) -> Outcome {
--- a/crates/simulator/tests/kubernetes_jobs.rs
+++ b/crates/simulator/tests/kubernetes_jobs.rs
@@ -84,9 +84,9 @@
     assert!(watched_ends > 150, "{watched_ends} ends watched");
 }
 
-/// A second create of an equal object must not be answered with 201.
+/// These seeds guard against answering a second create of an equal object with 201.
 const REPEATED_CREATE_SEEDS: [u64; 2] = [1007, 1013];
-/// A node whose cache lags must not repeat events to a watch.
+/// These seeds guard against repeated watch events from a node whose cache lags.
 const REPEATED_WATCH_EVENT_SEEDS: [u64; 2] = [1291, 1152];
 /// A job that fails on every machine must not be queued by an outdated run time estimate.
 const OUTDATED_ESTIMATE_SEED: u64 = 2291;
--- a/crates/simulator/tests/large_fleet.rs
+++ b/crates/simulator/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! The large-fleet scenario at a small scale. The example `large_fleet` runs it with
+//! Runs the large-fleet scenario at a small scale. The example `large_fleet` runs it with
 //! thousands of machines.
 
 mod common;
--- a/crates/simulator/tests/rule_checker.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -62,7 +62,7 @@
 type PlantViolation = fn(&mut Checker);
 
 #[test]
-fn each_rule_detected_by_the_checker_reports_a_planted_violation() {
+fn checker_reports_a_planted_violation_of_each_rule_it_detects() {
     let planted: [(Rule, u32, PlantViolation); 22] = [
         (Rule::RanTwice, 2, |c| {
             c.task_started(&task(0), &place("x", "a", false), 1);
@@ -135,7 +135,7 @@
             c.poll_answered("req-1", 200, Some(JobState::Running), 6, 6);
         }),
         (Rule::AcceptedJobLost, 1, |c| {
-            // No other poll is answered either.
+            // Polls of other jobs are not answered either.
             c.faults_end = 50 * SECOND;
             for at in [10, 60, 125] {
                 c.poll_answered("req-1", 0, None, at * SECOND, at * SECOND);
@@ -148,7 +148,8 @@
                 team: team.into(),
                 ..JobSpec::plain(id, JobKind::Batch, tasks, 1.0)
             };
-            // The smaller job and the one of a team with a limit are not considered.
+            // The rule does not apply to the smaller job or to the job of a team with a
+            // limit.
             for spec in [
                 job("req-3", 4, "u"),
                 job("req-4", 3, "u"),
@@ -248,7 +249,7 @@
                 ..machine_capacity("x", "a", false, 8.0)
             };
             check(c, full_zone, 800, 900);
-            // These machines can take a task, but not for long enough.
+            // These machines can take a task, but not for long enough to violate the rule.
             check(c, machine_capacity("y", "b", false, 4.0), 900, 990);
             check(c, machine_capacity("y", "b", true, 4.0), 990, 991);
             check(c, machine_capacity("y", "b", false, 4.0), 991, 1082);
