--- a/crates/simulator/examples/api_equivalence.rs
+++ b/crates/simulator/examples/api_equivalence.rs
@@ -31,7 +31,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Rate and time of creations, natively and by the Kubernetes API
+    /// Rate and time of creations through the native API and through the Kubernetes API
     Creates {
         /// Seconds of simulated time
         #[arg(long, default_value_t = 30)]
@@ -80,7 +80,7 @@
                 "resources": {"requests": {"cpu": "1", "memory": "1G"}}}]}}}})
 }
 
-/// Submits `offered` jobs per second. Rejected submissions are repeated after a second.
+/// Submits `offered` jobs per second. A rejected submission is repeated after a second.
 fn measure_creates(label: &str, config: Config, native: bool, seconds: u64, offered: u64) {
     let mut node = SingleNode::new(
         config,
@@ -166,7 +166,7 @@
             labels: BTreeMap::from([("app".to_string(), "merge".to_string())]),
             annotations: BTreeMap::new(),
             spec: manifest["spec"].clone(),
-            // Suspended: running the jobs is not part of the measurement.
+            // The Jobs are suspended, because running them is not part of the measurement.
             state: ObjectState::default(),
         };
         let name = Name {
--- a/crates/simulator/examples/fault_search.rs
+++ b/crates/simulator/examples/fault_search.rs
@@ -65,8 +65,8 @@
         Form::Mixed => SubmissionForm::Mixed,
     };
     let least_served = Mutex::new(None);
-    // Maximum number of launches sent and tasks started after a confirmed cancellation, and
-    // the seed of that run.
+    // Launches sent and tasks started after a confirmed cancellation, and the seed, for the
+    // run with the most such launches.
     let most_late = Mutex::new((0, 0, 0));
     let next = AtomicU64::new(args.from);
     let (failed_runs, watched_jobs, watched_ends, late_deletions, refused) = (
--- a/crates/simulator/examples/scaling.rs
+++ b/crates/simulator/examples/scaling.rs
@@ -351,7 +351,7 @@
 
 fn run_simulation(scale: u32) {
     let o = Simulation::new(Scenario {
-        // Includes the start of a new leader with a full fleet.
+        // After all nodes have crashed, a new leader starts with a full fleet.
         faults: vec![(
             60 * SECOND,
             Fault::Crash {
--- a/crates/simulator/src/combined_faults.rs
+++ b/crates/simulator/src/combined_faults.rs
@@ -117,7 +117,7 @@
             let nodes = vec![node];
             return vec![(at, Fault::Crash { nodes, down })];
         }
-        // Leadership changes four times in a row.
+        // The leader changes four times in a row.
         14 => {
             let crash = |nodes| Fault::Crash {
                 nodes,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -283,7 +283,7 @@
                 let what = format!("{id}: poll of an accepted job answered 404");
                 self.report_violation(Rule::AcceptedJobLost, now, what);
             }
-            // Sent before the user received the acceptance.
+            // The poll was sent before the user received the acceptance.
             404 if job.accepted.is_some() => {}
             _ => {
                 self.polls.failed += 1;
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -328,7 +328,7 @@
             scenario.upgrade = Some((first, every));
             let lowered_at = rng.u64(upgrade_end + 5 * SECOND..scenario.activity_end);
             scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(lowered_at);
-            // Large enough for chunks that exceed the lowered limits.
+            // The job is large enough for chunks that exceed the lowered limits.
             scenario.large_job_tasks = Some(rng.u32(250..500));
         }
         // Teams with small quotas need this time to finish the additional jobs.
@@ -370,7 +370,7 @@
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(25 * SECOND..60 * SECOND);
         for _ in 0..2 {
-            // Ends before or after the beginning of the outage.
+            // The isolation of the leader ends before or after the beginning of the outage.
             let time = rng.u64(SECOND..20 * SECOND);
             let leader_isolation = match rng.bool() {
                 true => Fault::StoreRefusal { node: LEADER, time },
@@ -379,7 +379,8 @@
             let outage_start = at + rng.u64(SECOND / 2..8 * SECOND);
             let outage = rng.u64(20 * SECOND..70 * SECOND);
             scenario.faults.push((at, leader_isolation));
-            // The leader does not learn from its peers that another node was elected.
+            // This partition keeps the leader from learning from its peers that another node
+            // was elected.
             if rng.bool() {
                 let node = LEADER;
                 scenario.faults.push((
@@ -409,7 +410,7 @@
                     .faults
                     .push((outage_start, Fault::CloudOutage { time }));
             }
-            // The nodes reach the store again in varying order.
+            // One node may reach the store again later than the others.
             if rng.u8(..3) == 0 {
                 let time = rng.u64(..10 * SECOND);
                 let node = rng.usize(..3);
@@ -492,8 +493,8 @@
             let nodes = vec![LEADER];
             (at, Fault::Crash { nodes, down })
         };
-        // Longer than a worker lease of 14 s and the 26 s for which a leader answers
-        // heartbeats without reaching the store.
+        // The outage is longer than a worker lease of 14 s and the 26 s for which a leader
+        // answers heartbeats without reaching the store, taken together.
         let outage = Fault::StoreOutage { time: 50 * SECOND };
         let partition = Fault::ZoneWorkerPartition {
             zone: 1,
--- a/crates/simulator/src/simulation/kubernetes_clients.rs
+++ b/crates/simulator/src/simulation/kubernetes_clients.rs
@@ -202,7 +202,7 @@
         if let Some(state) = shown_state {
             u.final_state = Some(state);
             u.stage = UserState::Ended;
-            // Ended by its deadline or backoff limit, which counts as a cancellation.
+            // A Job ended by its deadline or backoff limit counts as cancelled by its user.
             if state == JobState::Cancelled {
                 self.checker.cancel_requested(&id);
             }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -45,12 +45,12 @@
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
 /// How long a user retries a failing submission.
 const SUBMISSION_RETRY_TIME: Micros = 60 * SECOND;
-/// Inputs of all nodes per audit of derived state, multiplied by the scale of the scenario
-/// because an audit visits the whole fleet. An audit checks nothing on a node that does not
-/// lead.
+/// Number of inputs of all nodes from one audit of derived state to the next. It is multiplied
+/// by the scale of the scenario, because an audit visits the whole fleet. An audit checks
+/// nothing on a node that is not the leader.
 const INPUTS_PER_AUDIT: u64 = 101;
-/// The store's limits before and after they are lowered, which follows an upgrade. They are so
-/// small that a few dozen placed tasks do not fit in one value.
+/// The store's limits until a scenario lowers them to [`REDUCED_STORE_LIMITS`]. Both limits are
+/// so small that a few dozen placed tasks do not fit in one value.
 const INITIAL_STORE_LIMITS: StoreLimits = StoreLimits {
     max_value_bytes: 2048,
     max_txn_ops: 48,
@@ -1059,7 +1059,8 @@
                     self.scenario.form,
                     SubmissionForm::NativeWithKubernetesIds | SubmissionForm::KubernetesCreateOnly
                 ) {
-                    // Only native submissions are repeated.
+                    // Disables hedging, which applies only to native submissions and would make the
+                    // compared runs differ.
                     config.tuning.again_s = 0.0;
                 }
                 let api_server = self
--- a/crates/simulator/src/simulation/store_and_cloud.rs
+++ b/crates/simulator/src/simulation/store_and_cloud.rs
@@ -170,7 +170,7 @@
         }
         if leader_now == ObservedLeader::OtherNode {
             self.late_deletions += deleted.len();
-            // The configuration allows no call to delete this many machines.
+            // The configuration limits the number of machines that one call may delete.
             if deleted.len() > 5.max(machines_before / 50) {
                 let what = format!(
                     "node-{}: {} machines deleted by a late call: {call:?}",
--- a/crates/simulator/tests/dependencies.rs
+++ b/crates/simulator/tests/dependencies.rs
@@ -103,7 +103,7 @@
     }
     // A known job is recognised by its ID whatever else the submission contains.
     assert_eq!(submit(&mut node, &batch("req-3", &["req-99"])).0, 200);
-    // These dependencies exceed the size limit of a stored value.
+    // With these dependencies, the stored job would exceed the size limit of a value.
     let many: Vec<String> = (0..200).map(|i| format!("req-{i}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
     let (status, why, _) = submit(&mut node, &batch("req-5", &many));
--- a/crates/simulator/tests/fault_effects.rs
+++ b/crates/simulator/tests/fault_effects.rs
@@ -1,5 +1,5 @@
-//! Checks that faults and load settings take effect: a run with a fault differs from one
-//! without it, and the rules hold in both.
+//! Checks that injected faults take effect: a run with the fault differs from one without it,
+//! and the rules hold in both. One more scenario runs with teams at their limits.
 
 mod common;
 
--- a/crates/simulator/tests/rule_checker.rs
+++ b/crates/simulator/tests/rule_checker.rs
@@ -135,7 +135,8 @@
             c.poll_answered("req-1", 200, Some(JobState::Running), 6, 6);
         }),
         (Rule::AcceptedJobLost, 1, |c| {
-            // Polls of other jobs are not answered either.
+            // Polls of other jobs are not answered either, so only the stricter limit after
+            // the end of the faults applies.
             c.faults_end = 50 * SECOND;
             for at in [10, 60, 125] {
                 c.poll_answered("req-1", 0, None, at * SECOND, at * SECOND);
@@ -177,7 +178,8 @@
             c.invalid_submission_answered("req-9", 422, 400, 2)
         }),
         (Rule::AcceptedJobLost, 1, |c| {
-            // Sent just before the acceptance was reported, answered after it.
+            // Requests sent at 8, before the acceptance was reported at 9, violate no rule.
+            // The submission sent at 9 must be answered as known.
             c.submitted(&dependent_spec());
             c.submission_answered("req-2", 201, Some(JobState::Queued), 5, 9);
             c.poll_answered("req-2", 404, None, 8, 10);
