--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -91,10 +91,11 @@
     /// Indices of its completed tasks.
     completed: BTreeSet<u32>,
     first_start: Option<Micros>,
-    /// Since when consecutive checks found a waiting task and a suitable machine with free
-    /// capacity.
+    /// Time of the first of the consecutive checks, up to the latest one, that found a waiting
+    /// task and a suitable machine with free capacity.
     waiting_with_free_capacity_since: Option<Micros>,
-    /// Since when every poll for it has failed, and the counts of all polls at that time.
+    /// Time from which every poll of the job has failed, and the counts of the polls of all
+    /// jobs at that time.
     failing_since: Option<(Micros, PollCounts)>,
 }
 
--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -7,7 +7,7 @@
 
 const REPLICA_COUNT_INTERVAL: Micros = SECOND;
 const WAITING_JOBS_INTERVAL: Micros = 5 * SECOND;
-/// A service's replicas count as expected from this time after its acceptance.
+/// Time from the acceptance of a service until its replicas are expected to run.
 const SERVICE_START_TIME: Micros = 60 * SECOND;
 
 impl Simulation {
@@ -447,8 +447,8 @@
         }
     }
 
-    /// Counts the running replicas of services that were accepted some time ago and that
-    /// no user has asked to cancel.
+    /// Counts the running replicas of services that were accepted more than
+    /// [`SERVICE_START_TIME`] ago and that no user has asked to cancel.
     pub(super) fn record_replica_counts(&mut self) {
         let partitioned = self
             .zone_partitions
--- a/crates/simulator/tests/kubernetes_jobs.rs
+++ b/crates/simulator/tests/kubernetes_jobs.rs
@@ -88,7 +88,8 @@
 const REPEATED_CREATE_SEEDS: [u64; 2] = [1007, 1013];
 /// These seeds guard against repeated watch events from a node whose cache lags.
 const REPEATED_WATCH_EVENT_SEEDS: [u64; 2] = [1291, 1152];
-/// A job that fails on every machine must not be queued by an outdated run time estimate.
+/// This seed guards against queueing a job that fails on every machine according to an outdated
+/// estimate of its run time.
 const OUTDATED_ESTIMATE_SEED: u64 = 2291;
 
 #[test]
