--- a/crates/simulator/src/simulation/users.rs
+++ b/crates/simulator/src/simulation/users.rs
@@ -7,7 +7,7 @@
 
 const REPLICA_COUNT_INTERVAL: Micros = SECOND;
 const WAITING_JOBS_INTERVAL: Micros = 5 * SECOND;
-/// A service's replicas count as expected from this time after its acceptance.
+/// Time from the acceptance of a service until its replicas are expected to run.
 const SERVICE_START_TIME: Micros = 60 * SECOND;
 
 impl Simulation {
@@ -56,7 +56,7 @@
             spec.kind = JobKind::Batch;
             spec.tasks = tasks;
             if self.scenario.upgrade.is_some() {
-                // Small tasks, so that dozens of them are placed at the same time.
+                // With small tasks, dozens of them are placed at the same time.
                 (spec.cpus, spec.memory_gb) = (0.25, 0.5);
                 (spec.single_zone, spec.zone) = (false, None);
             }
@@ -383,8 +383,8 @@
                     Requester::ExtraSubmission { .. } => self
                         .checker
                         .submission_answered(&id, status, state, sent_at, now),
-                    // These requests also go to unhealthy nodes, so an error shows
-                    // nothing.
+                    // Extra requests also go to unhealthy nodes, whose errors violate no
+                    // rule.
                     _ if !matches!(status, 200 | 404) => {}
                     _ => self.checker.poll_answered(&id, status, state, sent_at, now),
                 }
@@ -447,8 +447,8 @@
         }
     }
 
-    /// Counts the running replicas of services that were accepted some time ago and that
-    /// no user has asked to cancel.
+    /// Counts the running replicas of services that were accepted more than
+    /// [`SERVICE_START_TIME`] ago and that no user has asked to cancel.
     pub(super) fn record_replica_counts(&mut self) {
         let partitioned = self
             .zone_partitions
