--- a/crates/controller/tests/cancellation_before_watch_event.rs
+++ b/crates/controller/tests/cancellation_before_watch_event.rs
@@ -1,5 +1,6 @@
-//! A leader stops a job at once when its own node confirms or reads the cancellation, before
-//! its watch returns the event. Until then it could launch tasks of the job.
+//! When a leader's own node confirms a cancellation or reads it from the store, the leader
+//! stops the job at once. If it waited for the watch event, it could still launch tasks of the
+//! job.
 
 mod common;
 
@@ -35,7 +36,7 @@
     assert!(gets_stop_command(&mut fixture, 2 * SECOND));
 }
 
-/// Another node has confirmed the cancellation.
+/// Another node has confirmed the cancellation, and the leader's node reads it for a poll.
 #[test]
 fn job_that_a_poll_finds_cancelled_is_stopped_before_the_watch_event() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/ended_job_cleanup.rs
+++ b/crates/controller/tests/ended_job_cleanup.rs
@@ -46,7 +46,7 @@
             fleet.replace_leader();
         }
         fleet.advance(250 * MILLISECOND);
-        // Polls are answered during the failover, too.
+        // Polls are also answered during the failover.
         assert_eq!(
             fleet.user_request("GET", poll_path(&job_id(n)), Vec::new()),
             200
--- a/crates/controller/tests/heartbeat_reconciliation.rs
+++ b/crates/controller/tests/heartbeat_reconciliation.rs
@@ -83,7 +83,7 @@
         ),
         []
     );
-    // A delayed heartbeat with an old sequence number.
+    // A delayed heartbeat with an old sequence number does not count.
     assert_eq!(
         apply(
             &mut m,
@@ -226,7 +226,8 @@
     assert!(matches!(&stops[..], [Command::Stop { attempt: 1, .. }, ..]));
 }
 
-/// A new leader may read a placement from an earlier incarnation of the worker.
+/// A new leader may read a placement from an earlier incarnation of the worker, whose tasks
+/// have ended, so that no commands are needed.
 #[test]
 fn placement_of_an_earlier_incarnation_gets_no_commands() {
     let mut m = machine();
--- a/crates/controller/tests/inherited_estimates.rs
+++ b/crates/controller/tests/inherited_estimates.rs
@@ -33,9 +33,10 @@
     }
 }
 
-/// Elects a node `delay` after it received the estimates. Returns the size, the credit and
-/// the number of samples that it then replicates itself for the job. Its virtual time starts
-/// at zero, so it has added the sender's virtual time to the credit.
+/// Passes the estimates to a node and elects it `delay` later. Returns the size, the credit and
+/// the number of samples that the node then replicates for the job as leader. The node's
+/// virtual time starts at zero, so that the returned credit is the received one plus the
+/// sender's virtual time.
 fn replicated_after_election(received: Estimates, delay: Micros) -> (f64, f64, usize) {
     let mut node: Node = common::three_zone_node();
     let spec = JobSpec {
@@ -89,7 +90,8 @@
     (job.size, job.ageing_credit, job.samples.len())
 }
 
-/// Guards against restarting a large job's ageing at every failover. The credit is 500 - 200.
+/// Guards against resetting a large job's ageing credit at every failover. The expected credit
+/// is the sender's virtual time of 500 plus the received -200.
 #[test]
 fn new_leader_continues_with_replicated_estimates() {
     assert_eq!(
@@ -98,8 +100,8 @@
     );
 }
 
-/// The job then has its initial size: 50 tasks of 2 CPUs for 60 s, the configured first
-/// guess.
+/// Without valid estimates the job has its initial size: 50 tasks of 2 CPUs at the configured
+/// initial estimate of 60 s.
 #[test]
 fn new_leader_ignores_invalid_and_outdated_estimates() {
     let initial = (6000.0, 0.0, 0);
--- a/crates/controller/tests/job_starvation.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -88,7 +88,8 @@
     assert_eq!(fleet.cpus_used_by(&["req-000001"]), 1);
 }
 
-/// Reserved capacity that a batch job uses still counts as reserved.
+/// Reserved capacity still counts as reserved while a batch job uses it. Otherwise the leader
+/// would add machines to restore the reserve.
 #[test]
 fn no_machine_is_added_to_replace_used_reserve() {
     let mut config = config_with_reserve();
@@ -163,8 +164,8 @@
     );
 }
 
-/// While a task runs that no leader has placed, its machine gets no tasks. The leader stops the
-/// task at once.
+/// A machine gets no tasks while it runs a task that no leader has placed. The leader stops
+/// that task at once, so that the machine can be used again.
 #[test]
 fn unexpected_task_blocks_its_machine_only_briefly() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(1.0)]);
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -356,8 +356,8 @@
     }
 }
 
-/// A conflict shows that the state record of a job has changed, and the record cannot be
-/// read for a while.
+/// A conflict shows that the state record of a job has changed, but the record cannot be read
+/// for a while. The job may be cancelled, so that its tasks must be stopped.
 #[test]
 fn tasks_of_job_with_changed_state_record_are_stopped() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -373,7 +373,8 @@
     assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
-/// A conflict reveals the cancellation long after it was made; its row arrives even later.
+/// A conflict shows several seconds after a cancellation that the state record has changed, and
+/// the cancellation's row arrives even later. The deadline must count from the time in the row.
 #[test]
 fn cancel_deadline_counts_from_recorded_cancellation_time() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -416,7 +417,8 @@
     );
 }
 
-/// Without a recent read of the cancellations the job may have been cancelled already.
+/// If the leader has not read the cancellations recently, the job may have been cancelled, so
+/// that none of its tasks may be launched.
 #[test]
 fn task_is_launched_only_after_a_recent_read_of_cancellations() {
     let mut fixture = LeaderFixture::elected();
@@ -626,11 +628,11 @@
         }
     }
     depose_and_reelect(&mut fixture, 60 * SECOND);
-    // Three times the store's latency of 1.2 s; after a minute the shortest lease.
+    // The TTL is three times the store's latency of 1.2 s, and a minute later the shortest one.
     assert_eq!(fixture.env.granted_ttls_ms, [3600, 3600, 1250]);
 }
 
-/// The call may have failed because of a network partition.
+/// A missing reply may be due to a network partition and does not show that the store is slow.
 #[test]
 fn call_without_reply_does_not_extend_leader_lease() {
     let mut fixture = LeaderFixture::new();
@@ -647,7 +649,8 @@
     assert_eq!(fixture.env.granted_ttls_ms, [1250]);
 }
 
-/// The machine does not receive the reply to a duplicate.
+/// The reply to a duplicate does not reach the machine, so that commands in it would wrongly
+/// count as sent. They are sent in the reply to the next heartbeat.
 #[test]
 fn duplicate_of_latest_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/leader_without_heartbeats.rs
+++ b/crates/controller/tests/leader_without_heartbeats.rs
@@ -119,7 +119,8 @@
     assert_eq!(redirect_target(&mut node).as_deref(), Some("n1"));
 }
 
-/// Workers do not reach the one peer that the leader can reach; they may reach the other.
+/// Workers do not reach the only peer whose heartbeats arrive, but they may reach the other
+/// one, which should then lead.
 #[test]
 fn leader_without_heartbeats_steps_down_before_worker_leases_expire() {
     let time_led = time_as_leader(true, 1, false, 0);
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// The first attempt is slow, so a second one is sent. Its reply, that the job exists and
-/// is open, arrives after a poll at this node has found the job done.
+/// A submission is retried because the first attempt is slow. The reply to the retry says that
+/// the job is open, but arrives after a poll at this node has found the job done.
 #[test]
 fn late_reply_to_a_retry_does_not_reopen_a_done_job() {
     let (mut node, mut store) = (node(), MemoryStore::default());
@@ -142,7 +142,8 @@
     assert_eq!(node.answer(cancellation), Some(DONE));
 }
 
-/// A repeated submission may have another content than the accepted one.
+/// A submission of an existing job must return the job's state even if the repeated submission
+/// itself is malformed.
 #[test]
 fn submission_that_the_store_rejects_as_malformed_gets_400_only_if_the_job_is_unknown() {
     let (mut node, mut store) = (node(), MemoryStore::default());
@@ -178,8 +179,8 @@
     assert_eq!(attempts, 18);
 }
 
-/// Requests of every kind, for unknown, open and done jobs, each with at most one call lost or
-/// refused. A slot must be released exactly once.
+/// Sends requests of every kind for unknown, open and done jobs, each with at most one call
+/// lost or refused. Each request must release its slot exactly once.
 #[test]
 fn failed_calls_release_their_request_slots() {
     // More requests than a node has slots.
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -175,7 +175,7 @@
     assert_all_tasks_launched(&fixture);
 }
 
-/// The first attempt has no reply and was not executed, which the leader finds out by a read.
+/// The first attempt gets no reply and was not executed. The leader finds this out by a read.
 #[test]
 fn chunk_is_written_in_parts_after_an_attempt_that_was_not_executed() {
     let lost = Err(CallError::NoAnswer);
@@ -187,8 +187,8 @@
     assert_all_tasks_launched(&fixture);
 }
 
-/// The first attempt has no reply and was executed: the leader reads the chunk's version
-/// and writes nothing again.
+/// The first attempt gets no reply but was executed. The leader finds this out by reading the
+/// chunk's version, and does not write the chunk again.
 #[test]
 fn attempt_that_was_executed_is_not_repeated() {
     let stored = row(
@@ -207,7 +207,7 @@
     );
 }
 
-/// Splitting does not help here, so the leader must pause between attempts.
+/// The store rejects parts of chunks as well, so that the leader must pause between attempts.
 #[test]
 fn task_write_that_is_always_rejected_is_retried_with_pauses() {
     let rejections = (0..1000).map(|_| rejected()).collect();
--- a/crates/controller/tests/progress.rs
+++ b/crates/controller/tests/progress.rs
@@ -187,7 +187,7 @@
     step_in_environment(&mut node, at, Input::Tick, &[], &mut env);
     assert_eq!(node.leading(), Some(1));
     let mut all = Vec::new();
-    // Possibly outdated counts are not sent to a peer that becomes reachable, either.
+    // Counts that may be outdated are not sent to a peer that becomes reachable.
     receive(&mut node, at, "n1", peer_heartbeat(1, false));
     while at < START + 9 * SECOND {
         all.extend(run_and_collect_progress(&mut node, &mut at, &mut env));
@@ -219,7 +219,7 @@
     receive(&mut node, START, "n2", progress(1, 2));
     receive(&mut node, START, "n1", progress(0, 3));
     assert_eq!(node.progress(JOB_ID), Some((1, 2)));
-    // The new leader ignores it, too.
+    // A leader also ignores progress that another node broadcasts.
     let (mut node, at, mut env) = leader();
     send_heartbeat(&mut node, at, 1, TaskState::Running, &mut env);
     run_and_collect_progress(&mut node, &mut at.clone(), &mut env);
@@ -227,7 +227,7 @@
     assert_eq!(node.progress(JOB_ID), Some((0, 1)));
 }
 
-/// The number of entries is bounded.
+/// The number of entries is bounded, and entries of jobs with running tasks must be kept.
 #[test]
 fn jobs_without_running_tasks_are_evicted_first() {
     const MAX_ENTRIES: usize = 64_000;
--- a/crates/controller/tests/rejected_requests.rs
+++ b/crates/controller/tests/rejected_requests.rs
@@ -44,7 +44,8 @@
             Value::String(_) => Value::from(7),
             _ => Value::from("x"),
         };
-        // `room` (the zone) is nil in this job, which does not show its type.
+        // `room`, the zone, is nil in this job, so that its type cannot be derived from the
+        // value.
         let wrong = if name == "room" {
             Value::from(7)
         } else {
@@ -176,7 +177,8 @@
     }
 }
 
-/// A failing cloud may list no types at all, which must not make every job unschedulable.
+/// A failing cloud may return an empty list of machine types. Submissions must then not be
+/// rejected as unschedulable.
 #[test]
 fn submission_gets_503_while_the_list_of_machine_types_is_empty() {
     let mut node = SteppedNode::new(config(), START);
@@ -220,7 +222,8 @@
     }
 }
 
-/// This holds for any content of the repeated submission, also at a node that has just started.
+/// A node returns the state of an existing job whatever the repeated submission contains, and
+/// even if the node has just started.
 #[test]
 fn repeated_submission_of_an_existing_job_returns_its_state() {
     let valid = (
@@ -258,7 +261,8 @@
     }
 }
 
-/// Once a node has seen that a job has ended, it needs no store call to answer.
+/// The last cancellation is answered without a store call, because the node has already seen
+/// that the job has ended.
 #[test]
 fn cancellation_of_an_unknown_job_gets_404_and_of_a_done_job_its_state() {
     let mut store = MemoryStore::default();
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -58,7 +58,8 @@
     assert_eq!(send_requests(&mut node, at, "POST", "/abort"), (23, 977));
 }
 
-/// The load balancer may send all requests to one node.
+/// The load balancer may send all requests to one node, which may then use almost the whole
+/// budget of the cluster.
 #[test]
 fn node_gets_the_budget_of_peers_without_requests() {
     let mut node = common::single_zone_node();
@@ -87,7 +88,7 @@
     }
     at += SECOND;
     let (calls, _) = send_requests(&mut node, at, "POST", "/abort");
-    // All of the users' 140 calls a second, or almost all.
+    // Users' requests have 140 calls a second in total, and this node gets almost all of them.
     assert!((135..=140).contains(&calls), "{calls}");
     // Unreachable peers may be using their shares.
     at += 10 * SECOND;
@@ -106,7 +107,7 @@
 /// A submission that is rejected because the write budget is used up does not count against the
 /// call budget.
 #[test]
-fn rejected_submissions_leave_their_calls_to_polls() {
+fn submissions_over_the_write_budget_use_no_call_budget() {
     let mut node = SteppedNode::with_machine_types(common::config_with_team(), 1000 * SECOND);
     for i in 0..REQUESTS {
         node.submit(&job_spec(&format!("req-{i}")));
@@ -117,6 +118,6 @@
     for i in 0..REQUESTS {
         node.poll(&format!("req-{i}"));
     }
-    // Polls leave 23 of the 46 calls to other requests, and submissions have used 18.
+    // Polls stop when 23 of the 46 calls are left for other requests; submissions have used 18.
     assert_eq!(node.pending_calls.len(), 5);
 }
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -51,7 +51,8 @@
     (|n| n.cancel(JOB_ID), CANCELLED),
 ];
 
-/// The first read is executed before the job is accepted, and its reply arrives last.
+/// A read that was executed before the job was accepted finds no job, and its reply arrives
+/// late. It must not answer a request that arrived after the acceptance.
 #[test]
 fn early_read_does_not_answer_a_later_request() {
     for (send, open) in LOOKUPS {
@@ -71,7 +72,9 @@
     }
 }
 
-/// Like the test above, for reads of the state record.
+/// A read of the state record that was executed before the job was accepted finds no record,
+/// and its reply arrives after the job is done. It must not answer a request that arrived after
+/// the job's end.
 #[test]
 fn early_read_of_the_state_record_does_not_answer_a_later_request() {
     for (send, _) in LOOKUPS {
@@ -92,7 +95,9 @@
     }
 }
 
-/// This holds even for a request sent before the acceptance: both may come from the same user.
+/// A request's read is executed before the job is accepted, and its reply arrives after the
+/// same node has confirmed the acceptance. The request must not be answered with 404, because
+/// it may come from the user who submitted the job.
 #[test]
 fn accepted_job_is_not_reported_unknown_after_a_late_read() {
     for (send, open) in LOOKUPS {
@@ -111,8 +116,9 @@
     }
 }
 
-/// The store replies to a submission after the job was cancelled at the same node. The
-/// transaction has stored the job, or has found an earlier submission of it.
+/// The store executes a submission, and the job is cancelled at the same node before the reply
+/// arrives. Whether the transaction stored the job or found it already stored, the node must
+/// report it as cancelled.
 #[test]
 fn late_reply_to_a_submission_does_not_reopen_a_cancelled_job() {
     for mut store in [MemoryStore::default(), store_with_job()] {
@@ -130,8 +136,9 @@
     }
 }
 
-/// A cancellation finds that the job has ended; an earlier comparison then conflicts. The end
-/// stays in the cache, so that the next poll needs no read.
+/// A comparison that was sent before the job ended conflicts after a cancellation at the same
+/// node has found the end. The conflict must not evict the job from the cache, so that the next
+/// poll needs no read.
 #[test]
 fn late_comparison_does_not_evict_an_ended_job() {
     let mut node = node();
@@ -175,7 +182,7 @@
     assert_eq!(node.answer(later), DONE);
 }
 
-/// The node must not wait for the comparison's timeout.
+/// A poll whose comparison gets no reply must be answered long before the comparison times out.
 #[test]
 fn comparison_without_a_reply_is_sent_again() {
     let mut node = node();
@@ -190,7 +197,8 @@
     assert_eq!(node.answer(poll), QUEUED);
 }
 
-/// Whichever of the two transactions commits first decides, and all nodes report its state.
+/// The transaction that commits first determines the state that all nodes report: that of the
+/// cancellation or that of the job's end.
 #[test]
 fn all_nodes_agree_when_a_cancellation_races_with_the_last_tasks_end() {
     for (done_first, expected) in [(true, DONE), (false, CANCELLED)] {
@@ -248,7 +256,7 @@
             if cancel {
                 other.cancel(JOB_ID);
                 other.execute_all(&mut store);
-                // The description is read, and deleted before the comparison.
+                // The node reads the description, which is deleted before the comparison.
                 node.execute_next(&mut store);
                 store.delete_cancelled_records(JOB_ID);
             } else {
--- a/crates/controller/tests/stale_cancellations.rs
+++ b/crates/controller/tests/stale_cancellations.rs
@@ -68,8 +68,8 @@
     );
 }
 
-/// A previous leader that was partitioned from the store may have renewed leases until
-/// the election, so cancellations confirmed before it count too.
+/// A previous leader that was partitioned from the store may have renewed leases until the
+/// election, so that cancellations confirmed before the election also count.
 #[test]
 fn new_leader_renews_no_lease_before_reading_cancellations() {
     let mut fixture = LeaderFixture::new();
@@ -106,7 +106,8 @@
     assert_deadline_met(&fixture, 3 * SECOND, renewed_at);
 }
 
-/// The recovery takes 9 s, and the watches after it are not answered.
+/// The limit must not count from the end of the recovery, which takes 9 s. The watches after
+/// the recovery are not answered.
 #[test]
 fn lease_renewal_limit_counts_from_the_request_of_the_first_page() {
     let mut fixture = LeaderFixture::new();
@@ -122,7 +123,8 @@
     assert_deadline_met(&fixture, 0, renewed_at);
 }
 
-/// Until the placements are read, any machine may run a cancelled task.
+/// Until the placements are read, any machine may run a cancelled task, so that the oldest
+/// cancellation limits the renewals of all leases.
 #[test]
 fn recovering_leader_stops_renewing_before_oldest_cancellation_deadline() {
     let limit = config_with_team().heartbeat_answer_limit();
@@ -172,8 +174,8 @@
     assert!(fixture.send_heartbeat(8 * SECOND).is_none());
 }
 
-/// The machine is unreachable when its job is cancelled, and reachable again when the last
-/// read of the leader is too old for launches.
+/// The machine is unreachable when its job is cancelled. When it is reachable again, the
+/// leader's last read is too old for launches, but the task must still be stopped.
 #[test]
 fn known_cancellation_is_enforced_without_fresh_read() {
     let mut fixture = LeaderFixture::elected();
@@ -440,7 +442,8 @@
     );
 }
 
-/// A heartbeat arrives after the deletion of its machine.
+/// A heartbeat that arrives after the deletion of its machine must not register the machine
+/// again.
 #[test]
 fn delayed_heartbeat_does_not_restore_deleted_machine() {
     let mut fixture = LeaderFixture::elected();
@@ -498,8 +501,9 @@
     }
 }
 
-/// A conflict shows that the state record of the job has changed. While it cannot be read,
-/// the watch reports the cancellation.
+/// A conflict shows that the state record of the job has changed, but the record cannot be
+/// read. When the watch reports the cancellation, the task must be stopped without waiting for
+/// the read.
 #[test]
 fn cancellation_is_enforced_while_state_record_is_unreadable() {
     let mut fixture = LeaderFixture::with_tasks(2);
--- a/crates/controller/tests/submission_retry.rs
+++ b/crates/controller/tests/submission_retry.rs
@@ -131,7 +131,7 @@
     assert_eq!(reply(&mut node, at, first, conflict(&ended)), NO_ANSWER);
 }
 
-/// If one attempt fails, the node waits for the other.
+/// If the retry fails, the node waits for the reply to the first attempt.
 #[test]
 fn failed_retry_does_not_answer_the_submission() {
     let (mut node, first) = node_with_submission();
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -56,8 +56,8 @@
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
-/// The machine's replies to commands do not renew its lease, so that tasks launched there end
-/// when the lease expires. This holds after a failover too.
+/// The machine's replies to commands do not renew its lease, so that tasks launched there would
+/// end when the lease expires. A new leader must not launch tasks there either.
 #[test]
 fn machine_with_lost_heartbeats_gets_no_tasks_if_others_have_capacity() {
     for failover in [false, true] {
@@ -80,7 +80,8 @@
     }
 }
 
-/// The machine's heartbeats may arrive again before its lease expires.
+/// Tasks launched on the machine may survive, because its heartbeats may arrive again before
+/// its lease expires.
 #[test]
 fn machine_with_lost_heartbeats_is_used_if_no_other_has_capacity() {
     let mut fleet = fleet_of_two();
@@ -163,7 +164,7 @@
     }
 }
 
-/// The machine is probed at its next heartbeat.
+/// After a lost command the leader probes the machine at its next heartbeat.
 #[test]
 fn machine_is_used_again_soon_after_one_lost_command() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
--- a/crates/controller/tests/unresponsive_zone_handover.rs
+++ b/crates/controller/tests/unresponsive_zone_handover.rs
@@ -71,8 +71,8 @@
     assert!(deleted.iter().all(on_time), "{deleted:?}");
 }
 
-/// The partition may have ended since: a machine is deleted only after its next heartbeat was
-/// due.
+/// The partition may have ended since the previous leader reported it, so that a machine is
+/// deleted only after its next heartbeat was due.
 #[test]
 fn machine_reported_unresponsive_stays_if_it_sends_a_heartbeat() {
     let deleted = deleted_machines(Some(40_000), true);
--- a/crates/controller/tests/zone_constraints.rs
+++ b/crates/controller/tests/zone_constraints.rs
@@ -53,8 +53,8 @@
     assert_eq!(fleet.cpus_used_by(&[JOB_ID]), 8);
 }
 
-/// The job's last tasks in a zone run on a partitioned machine. A new leader has read of them
-/// only in the store.
+/// The job's last tasks in a zone run on a partitioned machine. A new leader knows of them only
+/// from the store.
 #[test]
 fn single_zone_job_does_not_move_while_partitioned_tasks_may_still_run() {
     for failover in [false, true] {
