--- a/crates/controller/tests/heartbeat_reconciliation.rs
+++ b/crates/controller/tests/heartbeat_reconciliation.rs
@@ -74,7 +74,7 @@
 #[test]
 fn missing_task_counts_as_lost_only_after_a_newer_heartbeat_with_the_current_fencing_token() {
     let mut m = machine();
-    // The worker still accepts a launch command of the previous leader.
+    // With this token the worker still accepts a launch command of the previous leader.
     assert_eq!(
         apply(
             &mut m,
--- a/crates/controller/tests/job_starvation.rs
+++ b/crates/controller/tests/job_starvation.rs
@@ -142,8 +142,8 @@
     fleet.advance(5 * SECOND);
     let name = fleet.machines_running("req-000900").remove(0);
     let set_faulty = |fleet: &mut Fleet, faulty| fleet.worker(&name).faulty = faulty;
-    // These jobs succeed on the other machine, so that their failures are attributed to this
-    // one.
+    // These jobs succeed on the other machine, so that their failures are attributed to the
+    // faulty one.
     for id in ["req-000001", "req-000002"] {
         fleet.task_durations.insert(id.into(), 12 * SECOND);
     }
--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -153,8 +153,8 @@
     );
 }
 
-/// The machine has a new incarnation after its lease expired, which ends the tasks placed on
-/// the earlier one. If their job is cancelled, its records are then deleted.
+/// The machine has a new incarnation, so that the tasks placed on the earlier one have ended.
+/// They are placed again, or the cancellation's record is deleted if the job was cancelled.
 #[test]
 fn tasks_of_an_expired_incarnation_are_placed_again_unless_cancelled() {
     for is_cancelled in [false, true] {
@@ -302,8 +302,8 @@
     );
 }
 
-/// The node is suspended until after the reply to its election transaction; by then another
-/// node may lead.
+/// The node is suspended and handles the reply to its election transaction late; by then
+/// another node may lead.
 #[test]
 fn election_reply_after_a_suspension_is_ignored() {
     let mut fixture = LeaderFixture::new();
@@ -562,7 +562,8 @@
     assert!(fixture.node.leading().is_some());
 }
 
-/// The expiry of the lease of an earlier term is reported late.
+/// The reply that the lease of an earlier term has expired arrives after the node's next
+/// election.
 #[test]
 fn expiry_of_an_earlier_lease_does_not_depose_later_term() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/lost_store_replies.rs
+++ b/crates/controller/tests/lost_store_replies.rs
@@ -98,7 +98,8 @@
     assert_eq!(node.answer(submission), Some(DONE));
 }
 
-/// A poll at another node shows the cancellation before the retry does.
+/// The first attempt is executed and its reply lost. The retry must return the state that a
+/// poll at another node has already shown: cancelled, or done if the job ended first.
 #[test]
 fn retried_cancellation_finds_the_job_cancelled_or_done() {
     for (delete, cached) in [(false, false), (false, true), (true, false), (true, true)] {
--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -94,7 +94,7 @@
     assert_eq!(fleet.deletions.len(), 1);
 }
 
-/// The booting machine is only in the cloud's list, not in the store.
+/// While the machine boots, the new leader finds it only in the cloud's list, not in the store.
 #[test]
 fn new_leader_does_not_delete_a_slowly_booting_machine() {
     let mut fleet = fleet_after_failovers(25 * SECOND, 8 * SECOND, 1);
--- a/crates/controller/tests/submission_retry.rs
+++ b/crates/controller/tests/submission_retry.rs
@@ -81,7 +81,7 @@
         panic!("{sent:?}");
     };
     assert!(txn.then.len() == 1 && *second != first);
-    // It is not sent a third time.
+    // The submission is not sent a third time.
     let later = before_retry + 100 * MILLISECOND;
     assert!(handle(&mut node, later, Input::Tick).0.is_empty());
     let done = Ok(StoreResponse::Committed { revision: 2 });
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -57,7 +57,7 @@
 }
 
 /// The machine's replies to commands do not renew its lease, so that tasks launched there would
-/// end when the lease expires. A new leader must not launch tasks there either.
+/// end when the lease expires. A new leader must avoid the machine as well.
 #[test]
 fn machine_with_lost_heartbeats_gets_no_tasks_if_others_have_capacity() {
     for failover in [false, true] {
@@ -197,8 +197,8 @@
     assert_eq!(fleet.machines_running("req-000003"), ["m0"]);
 }
 
-/// The capacity of the machine does not count: another machine is added, and no task there is
-/// preempted for a replica that could not be started.
+/// The capacity of a machine with lost heartbeats does not count: another machine is added, and
+/// no task is preempted there for a replica that could not be started on it.
 #[test]
 fn machine_with_lost_heartbeats_is_replaced_and_its_tasks_are_not_preempted() {
     let mut config = config_with_team();
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -299,7 +299,8 @@
     );
 }
 
-/// If the stop command does not reach the machine, its lease is no longer renewed.
+/// The leader repeats the stop command. If the task is still reported after the renewal limit,
+/// the machine's lease is no longer renewed.
 #[test]
 fn cancellation_of_an_unreadable_job_stops_its_tasks() {
     let renewal_limit = config_with_team().heartbeat_answer_limit();
