--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -458,8 +458,8 @@
     assert_eq!(fixture.node.scheduler_counters().placed, 0);
 }
 
-/// Jobs that depend on a cancelled job are cancelled when its state record is read, even if
-/// its tasks are gone by then.
+/// The jobs that depend on a cancelled job can be cancelled only when its state record is read.
+/// Until then its description must stay, even if its tasks are gone.
 #[test]
 fn cancelled_job_with_dependents_is_removed_only_after_its_state_record_is_read() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -492,7 +492,8 @@
     assert!(deletes_key(&fixture, &records::open_job_key("req-000002")));
 }
 
-/// A write that timed out may still be executed after a later write of the machine types.
+/// A write that timed out may still be executed after a later write of the machine types, so
+/// that each write must require the version that the leader has read.
 #[test]
 fn machine_types_write_requires_the_version_read() {
     let mut fixture = LeaderFixture::new();
--- a/crates/controller/tests/request_budget.rs
+++ b/crates/controller/tests/request_budget.rs
@@ -90,7 +90,7 @@
     let (calls, _) = send_requests(&mut node, at, "POST", "/abort");
     // Users' requests have 140 calls a second in total, and this node gets almost all of them.
     assert!((135..=140).contains(&calls), "{calls}");
-    // Unreachable peers may be using their shares.
+    // Peers whose heartbeats no longer arrive may still use their shares.
     at += 10 * SECOND;
     node.handle(
         Timestamp {
--- a/crates/controller/tests/unrecoverable_jobs.rs
+++ b/crates/controller/tests/unrecoverable_jobs.rs
@@ -273,7 +273,7 @@
 }
 
 /// The leader reads the state record because another job depends on this one. The state
-/// "cancelled" does not imply that no task runs any more.
+/// "cancelled" does not prove that the job's tasks have ended.
 #[test]
 fn cancelled_job_keeps_its_task_records_while_its_description_exists() {
     let mut dependent = open_job_row("req-000002", 1);
