--- a/crates/controller/tests/deadline_propagation.rs
+++ b/crates/controller/tests/deadline_propagation.rs
@@ -83,7 +83,7 @@
     assert!(!scales_out_on_demand(vec![middle.clone()]));
     assert!(scales_out_on_demand(vec![last("req-1")]));
     assert!(scales_out_on_demand(vec![middle.clone(), last("req-2")]));
-    // A deadline that the later stages cannot meet any more does not count.
+    // A deadline that the later stages can no longer meet is ignored.
     let long = JobSpec {
         estimate_s: 80.0,
         ..middle
--- a/crates/controller/tests/lowered_store_limits.rs
+++ b/crates/controller/tests/lowered_store_limits.rs
@@ -190,7 +190,7 @@
 /// The first attempt gets no reply but was executed. The leader finds this out by reading the
 /// chunk's version, and does not write the chunk again.
 #[test]
-fn attempt_that_was_executed_is_not_repeated() {
+fn executed_chunk_write_with_a_lost_reply_is_not_repeated() {
     let stored = row(
         records::tasks_key("req-1", TaskRange::Chunk(0)),
         &records::TaskRecord::default(),
--- a/crates/controller/tests/stale_answers.rs
+++ b/crates/controller/tests/stale_answers.rs
@@ -269,7 +269,7 @@
 }
 
 /// One transaction compares two jobs. Before the reply arrives, one has ended and the other is
-/// evicted from the cache. Both must be read again.
+/// evicted from the cache. The evicted one must be read again.
 #[test]
 fn job_evicted_during_a_comparison_is_read_again() {
     let mut config = common::config_with_team();
