--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -69,7 +69,7 @@
 }
 
 /// Submits a job without machines, lets the leader scale out machines with this boot time,
-/// and replaces it after each `failover_interval`, `failovers` times.
+/// and replaces the leader after each `failover_interval`, `failovers` times.
 fn fleet_after_failovers(boot: Micros, failover_interval: Micros, failovers: u32) -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 1);
