--- a/crates/controller/tests/leader_failover.rs
+++ b/crates/controller/tests/leader_failover.rs
@@ -153,8 +153,8 @@
     );
 }
 
-/// The machine has a new incarnation after its lease expired, which ends the tasks placed on
-/// the earlier one. If their job is cancelled, its records are then deleted.
+/// The machine has a new incarnation, so that the tasks placed on the earlier one have ended.
+/// They are placed again, or the cancellation's record is deleted if the job was cancelled.
 #[test]
 fn tasks_of_an_expired_incarnation_are_placed_again_unless_cancelled() {
     for is_cancelled in [false, true] {
@@ -302,8 +302,8 @@
     );
 }
 
-/// The node is suspended until after the reply to its election transaction; by then another
-/// node may lead.
+/// The node is suspended and handles the reply to its election transaction late; by then
+/// another node may lead.
 #[test]
 fn election_reply_after_a_suspension_is_ignored() {
     let mut fixture = LeaderFixture::new();
@@ -356,8 +356,8 @@
     }
 }
 
-/// A conflict shows that the state record of a job has changed, and the record cannot be
-/// read for a while.
+/// A conflict shows that the state record of a job has changed, but the record cannot be read
+/// for a while. The job may be cancelled, so that its tasks must be stopped.
 #[test]
 fn tasks_of_job_with_changed_state_record_are_stopped() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -373,7 +373,8 @@
     assert!(is_single_stop(fixture.send_heartbeat(2 * SECOND)));
 }
 
-/// A conflict reveals the cancellation long after it was made; its row arrives even later.
+/// A conflict shows several seconds after a cancellation that the state record has changed, and
+/// the cancellation's row arrives even later. The deadline must count from the time in the row.
 #[test]
 fn cancel_deadline_counts_from_recorded_cancellation_time() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -416,7 +417,8 @@
     );
 }
 
-/// Without a recent read of the cancellations the job may have been cancelled already.
+/// If the leader has not read the cancellations recently, the job may have been cancelled, so
+/// that none of its tasks may be launched.
 #[test]
 fn task_is_launched_only_after_a_recent_read_of_cancellations() {
     let mut fixture = LeaderFixture::elected();
@@ -456,8 +458,8 @@
     assert_eq!(fixture.node.scheduler_counters().placed, 0);
 }
 
-/// Jobs that depend on a cancelled job are cancelled when its state record is read, even if
-/// its tasks are gone by then.
+/// The jobs that depend on a cancelled job can be cancelled only when its state record is read.
+/// Until then its description must stay, even if its tasks are gone.
 #[test]
 fn cancelled_job_with_dependents_is_removed_only_after_its_state_record_is_read() {
     let mut fixture = LeaderFixture::with_tasks(2);
@@ -490,7 +492,8 @@
     assert!(deletes_key(&fixture, &records::open_job_key("req-000002")));
 }
 
-/// A write that timed out may still be executed after a later write of the machine types.
+/// A write that timed out may still be executed after a later write of the machine types, so
+/// that each write must require the version that the leader has read.
 #[test]
 fn machine_types_write_requires_the_version_read() {
     let mut fixture = LeaderFixture::new();
@@ -560,7 +563,8 @@
     assert!(fixture.node.leading().is_some());
 }
 
-/// The expiry of the lease of an earlier term is reported late.
+/// The reply that the lease of an earlier term has expired arrives after the node's next
+/// election.
 #[test]
 fn expiry_of_an_earlier_lease_does_not_depose_later_term() {
     let mut fixture = LeaderFixture::elected();
@@ -626,11 +630,11 @@
         }
     }
     depose_and_reelect(&mut fixture, 60 * SECOND);
-    // Three times the store's latency of 1.2 s; after a minute the shortest lease.
+    // The TTL is three times the store's latency of 1.2 s, and a minute later the shortest one.
     assert_eq!(fixture.env.granted_ttls_ms, [3600, 3600, 1250]);
 }
 
-/// The call may have failed because of a network partition.
+/// A missing reply may be due to a network partition and does not show that the store is slow.
 #[test]
 fn call_without_reply_does_not_extend_leader_lease() {
     let mut fixture = LeaderFixture::new();
@@ -647,7 +651,8 @@
     assert_eq!(fixture.env.granted_ttls_ms, [1250]);
 }
 
-/// The machine does not receive the reply to a duplicate.
+/// The reply to a duplicate does not reach the machine, so that commands in it would wrongly
+/// count as sent. They are sent in the reply to the next heartbeat.
 #[test]
 fn duplicate_of_latest_heartbeat_is_answered_without_commands() {
     let mut fixture = LeaderFixture::elected();
--- a/crates/controller/tests/scale_out.rs
+++ b/crates/controller/tests/scale_out.rs
@@ -69,7 +69,7 @@
 }
 
 /// Submits a job without machines, lets the leader scale out machines with this boot time,
-/// and replaces it after each `failover_interval`, `failovers` times.
+/// and replaces the leader after each `failover_interval`, `failovers` times.
 fn fleet_after_failovers(boot: Micros, failover_interval: Micros, failovers: u32) -> Fleet {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(4.0)]);
     fleet.scale_out_capacity.insert(("a".into(), false), 1);
@@ -94,7 +94,7 @@
     assert_eq!(fleet.deletions.len(), 1);
 }
 
-/// The booting machine is only in the cloud's list, not in the store.
+/// While the machine boots, the new leader finds it only in the cloud's list, not in the store.
 #[test]
 fn new_leader_does_not_delete_a_slowly_booting_machine() {
     let mut fleet = fleet_after_failovers(25 * SECOND, 8 * SECOND, 1);
