--- a/crates/controller/src/node.rs
+++ b/crates/controller/src/node.rs
@@ -1,10 +1,10 @@
 //! The controller's state machine: dispatches each input to the module that handles it.
 //!
-//! Every node answers users ([`Admission`]) and takes part in the election
-//! ([`Election`]). The elected node also runs a [`Leader`], which exists for exactly one
-//! term. Nothing here blocks: an outgoing request is returned as an [`Output`], and its
-//! response arrives later as an [`Input`], whose [`Continuation`] determines the module
-//! that handles it.
+//! A node is one controller process. Every node answers users ([`Admission`]) and takes
+//! part in the election ([`Election`]). The elected node also runs a [`Leader`], which
+//! exists for exactly one term. Nothing here blocks: an outgoing request is returned as
+//! an [`Output`], and its response arrives later as an [`Input`], whose [`Continuation`]
+//! determines the module that handles it.
 
 mod leadership;
 mod peer_messages;
@@ -31,7 +31,7 @@
 use dillcleat_wire::user::{JobSpec, Route, route};
 use dillcleat_wire::worker::{Heartbeat, LeaderRedirect};
 
-/// A controller as a deterministic state machine; see the [module](self).
+/// The deterministic state machine of a node (one controller process); see the [module](self).
 #[derive(Debug)]
 pub struct Node {
     config: Config,
--- a/crates/controller/tests/submission_retry.rs
+++ b/crates/controller/tests/submission_retry.rs
@@ -81,7 +81,7 @@
         panic!("{sent:?}");
     };
     assert!(txn.then.len() == 1 && *second != first);
-    // It is not sent a third time.
+    // The submission is not sent a third time.
     let later = before_retry + 100 * MILLISECOND;
     assert!(handle(&mut node, later, Input::Tick).0.is_empty());
     let done = Ok(StoreResponse::Committed { revision: 2 });
@@ -131,7 +131,7 @@
     assert_eq!(reply(&mut node, at, first, conflict(&ended)), NO_ANSWER);
 }
 
-/// If one attempt fails, the node waits for the other.
+/// If the retry fails, the node waits for the reply to the first attempt.
 #[test]
 fn failed_retry_does_not_answer_the_submission() {
     let (mut node, first) = node_with_submission();
--- a/crates/controller/tests/unreachable_machines.rs
+++ b/crates/controller/tests/unreachable_machines.rs
@@ -56,8 +56,8 @@
     assert_eq!(fleet.machines_running("req-000001"), ["m0"]);
 }
 
-/// The machine's replies to commands do not renew its lease, so that tasks launched there end
-/// when the lease expires. This holds after a failover too.
+/// The machine's replies to commands do not renew its lease, so that tasks launched there would
+/// end when the lease expires. A new leader must avoid the machine as well.
 #[test]
 fn machine_with_lost_heartbeats_gets_no_tasks_if_others_have_capacity() {
     for failover in [false, true] {
@@ -80,7 +80,8 @@
     }
 }
 
-/// The machine's heartbeats may arrive again before its lease expires.
+/// Tasks launched on the machine may survive, because its heartbeats may arrive again before
+/// its lease expires.
 #[test]
 fn machine_with_lost_heartbeats_is_used_if_no_other_has_capacity() {
     let mut fleet = fleet_of_two();
@@ -163,7 +164,7 @@
     }
 }
 
-/// The machine is probed at its next heartbeat.
+/// After a lost command the leader probes the machine at its next heartbeat.
 #[test]
 fn machine_is_used_again_soon_after_one_lost_command() {
     let mut fleet = Fleet::new(config_with_team(), vec![machine_type(80.0)]);
@@ -196,8 +197,8 @@
     assert_eq!(fleet.machines_running("req-000003"), ["m0"]);
 }
 
-/// The capacity of the machine does not count: another machine is added, and no task there is
-/// preempted for a replica that could not be started.
+/// The capacity of a machine with lost heartbeats does not count: another machine is added, and
+/// no task is preempted there for a replica that could not be started on it.
 #[test]
 fn machine_with_lost_heartbeats_is_replaced_and_its_tasks_are_not_preempted() {
     let mut config = config_with_team();
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -65,11 +65,10 @@
     /// Half of the heartbeats are duplicated. The copy arrives at any node, 2 s to two worker
     /// leases later.
     DuplicateHeartbeats { time: Micros },
-    /// All messages to these machines are lost: answers and commands. Their heartbeats
-    /// arrive.
+    /// All answers and commands to this many machines are lost. Their heartbeats arrive.
     InboundLoss { machines: usize, time: Micros },
-    /// These machines, of one zone if one is given, cannot connect to any node. Commands
-    /// reach them.
+    /// This many machines, of one zone if one is given, cannot connect to any node.
+    /// Commands reach them.
     HeartbeatLoss {
         machines: usize,
         zone: Option<usize>,
@@ -329,7 +328,7 @@
             scenario.upgrade = Some((first, every));
             let lowered_at = rng.u64(upgrade_end + 5 * SECOND..scenario.activity_end);
             scenario.limits_lowered_at = (rng.u8(..5) > 0).then_some(lowered_at);
-            // Large enough for chunks that exceed the lowered limits.
+            // The job is large enough for chunks that exceed the lowered limits.
             scenario.large_job_tasks = Some(rng.u32(250..500));
         }
         // Teams with small quotas need this time to finish the additional jobs.
@@ -371,7 +370,7 @@
         let mut scenario = Scenario::quiet(seed);
         let mut at = rng.u64(25 * SECOND..60 * SECOND);
         for _ in 0..2 {
-            // Ends before or after the beginning of the outage.
+            // The isolation of the leader ends before or after the beginning of the outage.
             let time = rng.u64(SECOND..20 * SECOND);
             let leader_isolation = match rng.bool() {
                 true => Fault::StoreRefusal { node: LEADER, time },
@@ -380,7 +379,8 @@
             let outage_start = at + rng.u64(SECOND / 2..8 * SECOND);
             let outage = rng.u64(20 * SECOND..70 * SECOND);
             scenario.faults.push((at, leader_isolation));
-            // The leader does not learn from its peers that another node was elected.
+            // This partition keeps the leader from learning from its peers that another node
+            // was elected.
             if rng.bool() {
                 let node = LEADER;
                 scenario.faults.push((
@@ -410,7 +410,7 @@
                     .faults
                     .push((outage_start, Fault::CloudOutage { time }));
             }
-            // The nodes reach the store again in varying order.
+            // One node may reach the store again later than the others.
             if rng.u8(..3) == 0 {
                 let time = rng.u64(..10 * SECOND);
                 let node = rng.usize(..3);
@@ -484,16 +484,17 @@
         }
     }
 
-    /// A large fleet: `scale` times as many machines can be rented, and tasks are submitted,
-    /// as in the other scenarios. Leaders crash at different sizes of the fleet, the store is
-    /// out until all worker leases have expired, and a zone is partitioned.
+    /// A large fleet: compared with the other scenarios, the cloud offers `scale` times as
+    /// many machines and users submit `scale` times as many tasks. Leaders crash at
+    /// different sizes of the fleet, the store is unavailable until all worker leases have
+    /// expired, and a zone is partitioned.
     pub fn large_fleet(seed: u64, scale: u32) -> Scenario {
         let leader_crash = |at, down| {
             let nodes = vec![LEADER];
             (at, Fault::Crash { nodes, down })
         };
-        // Longer than a worker lease of 14 s and the 26 s for which a leader answers
-        // heartbeats without reaching the store.
+        // The outage is longer than a worker lease of 14 s and the 26 s for which a leader
+        // answers heartbeats without reaching the store, taken together.
         let outage = Fault::StoreOutage { time: 50 * SECOND };
         let partition = Fault::ZoneWorkerPartition {
             zone: 1,
